--- /dev/null
+++ b/decide/sequences_test.go
@@ -0,0 +1,309 @@
+package decide
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"chutechute/budget/account"
+	"chutechute/internal/golden"
+)
+
+// sequence feeds a module random events and digests the actions that it answers with.
+type sequence struct {
+	rng      *rand.Rand
+	d        *Dispatcher
+	cfg      Config
+	now      Micros
+	events   int
+	nextID   uint64
+	engines  []Entry
+	inFlight []sentAttempt
+	attempts map[uint64]int
+	timers   []SetTimer
+	probes   []string
+	digest   hash.Hash
+}
+
+// sentAttempt is an attempt that an engine has.
+type sentAttempt struct {
+	id       uint64
+	number   int
+	engine   string
+	at       Micros
+	canceled bool
+}
+
+// sequenceConfig is a site that differs with the seed: each feature that the module knows is there with some seeds.
+func sequenceConfig(seed uint64) Config {
+	has := func(bit uint) bool { return seed>>bit&1 == 1 }
+	cfg := Config{
+		Gateways: 1 + int(seed%4)*20, Rank: int(seed % 3), Zone: "a",
+		Kinds: []Kind{{Name: "small", Cores: 4, MemoryMB: 8000}, {Name: "large", Cores: 16, MemoryMB: 64000}},
+		Classes: []Class{
+			{Name: "lookup", Aim: Second / 2, AimStretch: 1.5, GiveUp: 4 * Second, Worth: 1, LateValue: 0.2, Threads: 1, Waits: true},
+			{Name: "report", Aim: 4 * Second, GiveUp: 20 * Second, Worth: 5, Threads: 2, Stream: has(0)},
+			{Name: "load", Aim: 3 * Second, AimStretch: 2, GiveUp: 25 * Second, Worth: 4, LateValue: 0.5, Threads: 1, Repeat: Keyed,
+				Scope: Scope(seed % 3), Window: 20 * Second, Ordered: has(1), Loads: true},
+			{Name: "change", Aim: Second, GiveUp: 8 * Second, Worth: 2, Threads: 1, Repeat: Unsafe},
+			{Name: "zonal", Aim: Second, GiveUp: 6 * Second, Worth: 1, Threads: 1, Zones: []string{"a"}, Kinds: []string{"large"}},
+		},
+		Tenants: []Tenant{{Name: "desk", Share: 0.7, Quota: 60}, {Name: "batch", Share: 0.3, Quota: 25}},
+		Limits: Limits{Cancel: !has(2), Probes: has(3), Duplicates: has(4), RetryAfter: !has(1), MaxAttempts: 2 + int(seed%4),
+			MaxRetryAfter: 2 * Second},
+		Rules: Rules{AskWithin: Second, Cold: 8 * Second, ColdFrom: 0.3, Fall: Second, FallMultiple: 2, DrainGrace: Second / 2,
+			AnswerSlack: Second / 20, Settle: Second, Budgeted: has(2), MinExtra: 2, ExtraRatio: 0.2, LookBack: 10 * Second},
+		AskList: has(3), Grants: has(0), Priorities: has(1), MostGrant: 0.5, TellsCost: has(2), ProbePrice: 0.01, CrossZonePrice: 0.1,
+		OverShareWorth: 0.4, ReportsByProbe: has(3), ReportsByAnswer: has(0),
+	}
+	if has(4) {
+		cfg.NotePeriod = Second / 4
+	}
+	return cfg
+}
+
+func newSequence(t *testing.T, seed uint64) *sequence {
+	cfg := sequenceConfig(seed)
+	d, err := New(cfg, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &sequence{rng: rand.New(rand.NewPCG(seed, 3)), d: d, cfg: cfg, now: 5 * Second, attempts: map[uint64]int{}, digest: sha256.New()}
+	for i := range 12 {
+		s.engines = append(s.engines, s.engine(i, 0))
+	}
+	s.step(List{Kind: ListComplete, Entries: slices.Clone(s.engines)})
+	return s
+}
+
+func (s *sequence) engine(i int, started Micros) Entry {
+	return Entry{Engine: fmt.Sprintf("s-%08x", i), Zone: string(rune('a' + i%3)), Kind: s.cfg.Kinds[i%2].Name, Cell: i % 4, Started: started}
+}
+
+// chance is true so many times in a hundred.
+func (s *sequence) chance(percent int) bool { return s.rng.IntN(100) < percent }
+
+func (s *sequence) span(most Micros) Micros { return s.rng.Int64N(most) }
+
+// step hands events over and notes what the module does.
+func (s *sequence) step(events ...Event) {
+	s.events += len(events)
+	for _, a := range s.d.Step(s.now, events) {
+		tag := 0
+		switch a := a.(type) {
+		case Send:
+			tag = 1
+			s.inFlight = append(s.inFlight, sentAttempt{a.ID, s.attempts[a.ID], a.Engine, s.now, false})
+			s.attempts[a.ID]++
+		case Terms:
+			tag = 2
+		case Cancel:
+			tag = 3
+			for i := range s.inFlight {
+				if s.inFlight[i].id == a.ID && s.inFlight[i].number == a.Attempt {
+					s.inFlight[i].canceled = true
+				}
+			}
+		case Refuse:
+			tag = 4
+		case Fail:
+			tag = 5
+		case Probe:
+			tag = 6
+			s.probes = append(s.probes, a.Engine)
+		case Subscribe:
+			tag = 7
+		case FetchList:
+			tag = 8
+		case SetTimer:
+			tag = 9
+			s.timers = append(s.timers, a)
+		case Measure:
+			tag = 10
+		case Log: // text for people, no decision
+			continue
+		}
+		fmt.Fprintf(s.digest, "%d %d %v\n", s.now, tag, a)
+	}
+}
+
+// due is the timers that have fallen due, in their order.
+func (s *sequence) due() (events []Event) {
+	slices.SortStableFunc(s.timers, func(a, b SetTimer) int { return int(a.At - b.At) })
+	for len(s.timers) > 0 && s.timers[0].At <= s.now {
+		events = append(events, Timer{Token: s.timers[0].Token})
+		s.timers = s.timers[1:]
+	}
+	return events
+}
+
+func (s *sequence) request() Event {
+	s.nextID++
+	class := s.rng.IntN(len(s.cfg.Classes))
+	r := Request{ID: s.nextID, Class: class, Tenant: s.rng.IntN(3) - 1, Group: s.rng.IntN(9),
+		Deadline: s.now + s.span(s.cfg.Classes[class].GiveUp), Unsafe: s.chance(3), Single: s.chance(3), Measured: s.chance(10)}
+	if class == 2 {
+		r.Key = fmt.Sprintf("key-%d", s.rng.IntN(6))
+	}
+	if s.chance(40) {
+		r.Cost, r.Guessed = s.span(Second), s.chance(50)
+	}
+	if s.chance(20) {
+		r.MemoryMB = float64(s.rng.IntN(4000))
+	}
+	return r
+}
+
+func (s *sequence) load() *Load {
+	if !s.chance(50) {
+		return nil
+	}
+	return &Load{Util: s.rng.Float64(), Queue: float64(s.rng.IntN(20)), Memory: s.rng.Float64(), Disk: -1}
+}
+
+// outcome ends one of the attempts that engines have; engines with an even number do worse.
+func (s *sequence) outcome() (events []Event) {
+	if len(s.inFlight) == 0 {
+		return nil
+	}
+	i := s.rng.IntN(len(s.inFlight))
+	a := s.inFlight[i]
+	s.inFlight = slices.Delete(s.inFlight, i, i+1)
+	o := Outcome{ID: a.id, Attempt: a.number, Engine: a.engine, Elapsed: s.now - a.at, Load: s.load()}
+	good := 85
+	if a.engine[len(a.engine)-1]%4 == 0 {
+		good = 40
+	}
+	switch {
+	case a.canceled && s.chance(90):
+		o.Result = Canceled
+	case s.chance(good):
+		o.Final = true
+		if s.cfg.TellsCost {
+			o.Spent, o.NeededMB = s.span(Second), float64(s.rng.IntN(3000))
+		}
+	default:
+		o.Result = Result(1 + s.rng.IntN(int(NotSent)))
+	}
+	return []Event{o}
+}
+
+// news changes the list of engines.
+func (s *sequence) news() Event {
+	i := s.rng.IntN(len(s.engines))
+	switch s.rng.IntN(8) {
+	case 0:
+		return List{Kind: ListFailed}
+	case 1:
+		return List{Kind: ListComplete, Entries: slices.Clone(s.engines)}
+	case 2:
+		return List{Kind: ListSaved, Entries: slices.Clone(s.engines)}
+	case 3, 4:
+		s.engines[i].State = Draining
+	case 5:
+		s.engines[i].State = Removed
+	default:
+		s.engines[i] = s.engine(i, s.now-s.span(Second))
+	}
+	return List{Kind: ListChanges, Entries: []Entry{s.engines[i]}}
+}
+
+// rules are budgets of each kind, as the settings allow them.
+func (s *sequence) rules() []Rule {
+	list := []Rule{
+		{Name: "attempts", Kind: account.Rate, Class: s.rng.IntN(6) - 1, Tenant: -1, Unit: Unit(s.rng.IntN(3)), Over: Over(s.rng.IntN(2))},
+		{Name: "retries", Kind: account.Rate, Class: -1, Tenant: -1, Further: true, Earned: 100},
+		{Name: "engines", Kind: account.Places, Life: 10 * Second, Class: -1, Tenant: -1, EachEngine: true, Unit: Threads, Over: Waits},
+		{Name: "tenants", Kind: account.Window, Span: 5 * Second, Class: -1, Tenant: -1, EachTenant: true, Unit: Work, Over: Over(s.rng.IntN(3))},
+		{Name: "probes", Kind: account.Rate, Class: -1, Tenant: -1, Probes: true},
+	}
+	switch s.rng.IntN(4) {
+	case 0:
+		list[2].Cold = true
+	case 1:
+		list[2].EngineKind = s.cfg.Kinds[0].Name
+	}
+	for i := range list {
+		list[i].Counted = s.chance(15)
+	}
+	return list
+}
+
+// amounts tells of budgets and of what of each is leased.
+func (s *sequence) amounts() Event {
+	ev := Amounts{Rules: s.rules(), Until: s.now + s.span(6*Second)}
+	for _, r := range ev.Rules {
+		subjects := []string{""}
+		switch {
+		case r.EachEngine:
+			subjects = nil
+			for _, e := range s.engines {
+				subjects = append(subjects, e.Engine)
+			}
+		case r.EachTenant:
+			subjects = []string{s.cfg.Tenants[0].Name, s.cfg.Tenants[1].Name}
+		}
+		for _, subject := range subjects {
+			ev.Leased = append(ev.Leased, Part{r.Name, subject, account.Amount{Much: s.span(40_000), Rate: s.span(40_000)}})
+		}
+		if s.chance(50) {
+			ev.Static = append(ev.Static, Part{r.Name, "", account.Amount{Much: s.span(4_000), Rate: s.span(2_000)}})
+		}
+	}
+	return ev
+}
+
+// any draws one event, and what goes with it.
+func (s *sequence) any() []Event {
+	switch n := s.rng.IntN(200); {
+	case n < 80:
+		return []Event{s.request()}
+	case n < 168:
+		return s.outcome()
+	case n < 174:
+		return []Event{s.news()}
+	case n < 180 && len(s.probes) > 0:
+		engine := s.probes[0]
+		s.probes = s.probes[1:]
+		return []Event{Probed{Engine: engine, Result: Result(s.rng.IntN(2) * s.rng.IntN(int(NotSent))), Elapsed: s.span(Second / 10), Load: s.load()}}
+	case n < 182:
+		return []Event{Unheard{Engine: s.engines[s.rng.IntN(len(s.engines))].Engine}}
+	case n < 186 && len(s.inFlight) > 0:
+		a := s.inFlight[s.rng.IntN(len(s.inFlight))]
+		return []Event{Started{ID: a.id, Attempt: a.number}}
+	case n < 190 && len(s.inFlight) > 0:
+		a := s.inFlight[s.rng.IntN(len(s.inFlight))]
+		return []Event{Note{ID: a.id, Attempt: a.number, Engine: a.engine, Kind: NoteKind(1 + s.rng.IntN(3)), Value: s.rng.Float64() * 3}}
+	case n < 194 && s.nextID > 0:
+		return []Event{Gone{ID: s.nextID - uint64(s.span(min(int64(s.nextID), 40))), Owed: s.chance(50)}}
+	case n < 196 && s.now > 20*Second:
+		return []Event{s.amounts()}
+	}
+	return s.due()
+}
+
+// The digest of all actions that random sequences of events call for: a change of names or of structure changes none of them.
+func TestDecisionsOnRandomSequences(t *testing.T) {
+	const eventsEach = 6500
+	for seed := range uint64(16) {
+		s := newSequence(t, seed)
+		for s.events < eventsEach {
+			s.now += s.span(30_000)
+			events := s.due()
+			for range 1 + s.rng.IntN(3) {
+				events = append(events, s.any()...)
+			}
+			s.step(events...)
+			if s.chance(2) {
+				fmt.Fprintln(s.digest, s.d.Demands(s.now))
+			}
+		}
+		for _, spending := range s.d.Spendings(s.now) {
+			fmt.Fprintln(s.digest, spending)
+		}
+		golden.Entry(t, "testdata/sequences.txt", fmt.Sprint("seed-", seed), fmt.Sprintf("%x", s.digest.Sum(nil)))
+	}
+}
--- a/exercise/copies_test.go
+++ b/exercise/copies_test.go
@@ -1,6 +1,7 @@
 package exercise_test
 
 import (
+	"crypto/sha256"
 	"fmt"
 	"os"
 	"strconv"
@@ -13,6 +14,7 @@
 	"chutechute/budget/account"
 	"chutechute/budget/enforce"
 	"chutechute/exercise"
+	"chutechute/internal/golden"
 	"chutechute/internal/history"
 	"chutechute/internal/standin"
 )
@@ -87,10 +89,22 @@
 	return text
 }
 
+// recordedHistories is how many seeds' digests testdata records, from seed 1 on.
+const recordedHistories = 40
+
+// digest is over all that clients and engines saw, and over how many steps the fleet took.
+func digest(s *exercise.Sim) string {
+	h := sha256.New()
+	for _, e := range s.Record.Events() {
+		fmt.Fprintf(h, "%d %s %q %q %q %q %q %s %q\n", e.At, e.What, e.Front, e.Engine, e.Call, e.Once, e.Key, e.Detail, e.Body)
+	}
+	return fmt.Sprintf("%d %x", s.Steps, h.Sum(nil))
+}
+
 // Random histories of whole fleets: whatever fails, what clients and engines see keeps the rules, and once all is healed
 // nothing is stuck. CHUTECHUTE_HISTORIES sets how many, CHUTECHUTE_SEED the first seed.
 func TestHistories(t *testing.T) {
-	n, first := 12, uint64(1)
+	n, first := recordedHistories, uint64(1)
 	if v, err := strconv.Atoi(os.Getenv("CHUTECHUTE_HISTORIES")); err == nil {
 		n = v
 	}
@@ -102,6 +116,9 @@
 			s, breaches := play(t, seed, nil)
 			require.Empty(t, breaches, "%s", shown(s, breaches))
 			require.Zero(t, s.Open(), "loads are stuck: %s", shown(s, nil))
+			if seed <= recordedHistories {
+				golden.Entry(t, "testdata/histories.txt", fmt.Sprint("seed-", seed), digest(s))
+			}
 		})
 	}
 }
--- a/exercise/membership/scenarios_test.go
+++ b/exercise/membership/scenarios_test.go
@@ -1,9 +1,12 @@
 package membership_test
 
 import (
+	"crypto/sha256"
 	"encoding/json"
 	"fmt"
+	"maps"
 	"os"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -14,6 +17,7 @@
 
 	"chutechute/attach"
 	"chutechute/exercise/membership"
+	"chutechute/internal/golden"
 	"chutechute/internal/scale"
 )
 
@@ -71,10 +75,29 @@
 	}
 }
 
+// digest is over all figures of an outcome, whatever their names.
+func digest(o *membership.Outcome) string {
+	h := sha256.New()
+	fmt.Fprintln(h, o.FalseDeaths, o.PastBack, o.Older, len(o.Disagree), o.Settled, o.Noticed, o.Spreads, o.Rest, o.Busiest, o.Turns, o.Refused)
+	for _, b := range o.Bursts {
+		fmt.Fprintln(h, b.Accepts, b.Snapshots)
+	}
+	for _, r := range o.Result.Roles {
+		fmt.Fprintln(h, r.Members, r.MessagesIn, r.MessagesOut, r.BytesIn, r.BytesOut, r.FramingIn, r.FramingOut, r.Connections)
+	}
+	for _, p := range o.Result.Points {
+		fmt.Fprintln(h, p.X, slices.Sorted(maps.Values(p.Figures)))
+	}
+	return fmt.Sprintf("%x", h.Sum(nil))
+}
+
 func playSmall(t *testing.T, scenario membership.Scenario, seed uint64) {
 	o, err := membership.Play(small(scenario.Name, smallSeconds[scenario.Name], seed))
 	require.NoError(t, err)
 	require.NoError(t, o.Err())
+	if seed == 1 {
+		golden.Entry(t, "testdata/scenarios.txt", scenario.Name, digest(o))
+	}
 	assert.LessOrEqual(t, o.Busiest, float64(busyBytes), "%s", o.BusiestWho)
 	if s := o.Result.Spread; s != nil {
 		assert.Zero(t, s.Unreached)
--- /dev/null
+++ b/internal/epoll/golden_test.go
@@ -0,0 +1,61 @@
+package epoll
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"chutechute/budget"
+	"chutechute/internal/golden"
+)
+
+// fill gives each field of a value, however deep, another value than the zero one, in the order of the fields.
+func fill(v reflect.Value, n *int) {
+	*n++
+	switch v.Kind() {
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(v.Elem(), n)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(v.Field(i), n)
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		fill(v.Index(0), n)
+	case reflect.Map:
+		v.Set(reflect.MakeMap(v.Type()))
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		fill(key, n)
+		fill(value, n)
+		v.SetMapIndex(key, value)
+	case reflect.String:
+		v.SetString(fmt.Sprint("text ", *n))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Float64:
+		v.SetFloat(float64(*n) + 0.5)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(*n))
+	case reflect.Uint64, reflect.Uint32:
+		v.SetUint(uint64(*n))
+	}
+}
+
+// What commands print of a running front end as JSON: its names and their order, with every field set and with none.
+func TestStatusPagesKeepTheirForm(t *testing.T) {
+	var lines []string
+	for _, page := range []any{&FleetStatus{}, &FleetRecord{}, &budget.Shown{}, &budget.Standing{}, &budget.Plan{}} {
+		empty, err := json.Marshal(page)
+		require.NoError(t, err)
+		n := 0
+		fill(reflect.ValueOf(page).Elem(), &n)
+		whole, err := json.Marshal(page)
+		require.NoError(t, err)
+		lines = append(lines, string(empty), string(whole))
+	}
+	golden.Lines(t, "testdata/pages.txt", lines)
+}
--- /dev/null
+++ b/internal/fieldcodec/fieldcodec.go
@@ -0,0 +1,267 @@
+// Package fieldcodec encodes and decodes protobuf messages from one description of their fields. A message has a method that
+// lists its fields once, in the order in which they are encoded; the same method serves both directions:
+//
+//	func (r *report) fields(f *fieldcodec.Fields) {
+//		f.String(1, &r.Name)
+//		fieldcodec.Uint(f, 2, &r.Incarnation)
+//	}
+//
+//	func (r *report) encode() []byte {
+//		f := fieldcodec.Encode(nil)
+//		r.fields(&f)
+//		return f.Bytes()
+//	}
+//
+//	func decodeReport(b []byte) (r report, err error) {
+//		f := fieldcodec.Decode(b)
+//		for f.Next() {
+//			r.fields(&f)
+//		}
+//		return r, f.Err()
+//	}
+//
+// Decoding calls the method once for each field of the input, and only the line with that field's number takes it. A field
+// with an unknown number is skipped, so that a later version may add fields. Fields with a zero value are left out, unless
+// a method says otherwise. The wire format is that of https://protobuf.dev/programming-guides/encoding/.
+package fieldcodec
+
+import (
+	"errors"
+
+	"google.golang.org/protobuf/encoding/protowire"
+)
+
+// ErrMalformed is the error of bytes that are not a protobuf message.
+var ErrMalformed = errors.New("fieldcodec: malformed message")
+
+// Unsigned is the types that are encoded as an unsigned number.
+type Unsigned interface {
+	~uint8 | ~uint32 | ~uint64
+}
+
+// Integer is the types of numbers that are never negative on the wire, such as times and amounts.
+type Integer interface {
+	~int | ~int64
+}
+
+// Fields is the field list of one message while it is encoded or decoded.
+type Fields struct {
+	decoding bool
+	output   []byte // encoding: the bytes so far
+	input    []byte // decoding: the bytes that are not read yet
+	number   protowire.Number
+	value    uint64 // decoding: the current field, if it is a number
+	data     []byte // decoding: the current field, if it is of bytes
+	err      error
+}
+
+// Encode begins a message whose fields are appended to b.
+func Encode(b []byte) Fields { return Fields{output: b} }
+
+// Decode begins to read a message. Next moves to its fields.
+func Decode(b []byte) Fields { return Fields{decoding: true, input: b} }
+
+// Bytes returns the encoded message.
+func (f *Fields) Bytes() []byte { return f.output }
+
+// Err returns what was wrong with the message: ErrMalformed, or the error that Fail was given.
+func (f *Fields) Err() error { return f.err }
+
+// Fail ends decoding with an error. The first error counts.
+func (f *Fields) Fail(err error) {
+	if f.err == nil {
+		f.err = err
+	}
+}
+
+// Next moves to the next field of the input. It returns false at the end and after an error.
+func (f *Fields) Next() bool {
+	for len(f.input) > 0 && f.err == nil {
+		number, kind, n := protowire.ConsumeTag(f.input)
+		if n < 0 {
+			f.Fail(ErrMalformed)
+			return false
+		}
+		rest := f.input[n:]
+		f.number, f.value, f.data = number, 0, nil
+		switch kind {
+		case protowire.VarintType:
+			f.value, n = protowire.ConsumeVarint(rest)
+		case protowire.BytesType:
+			f.data, n = protowire.ConsumeBytes(rest)
+		default:
+			n = protowire.ConsumeFieldValue(number, kind, rest)
+		}
+		if n < 0 {
+			f.Fail(ErrMalformed)
+			return false
+		}
+		f.input = rest[n:]
+		if kind == protowire.VarintType || kind == protowire.BytesType {
+			return true
+		}
+	}
+	return false
+}
+
+// Decoding reports whether the message is being decoded and the current field has the number: for a field whose decoding needs
+// more than the methods offer.
+func (f *Fields) Decoding(number protowire.Number) bool { return f.decoding && f.number == number }
+
+// Encoding reports whether the message is being encoded.
+func (f *Fields) Encoding() bool { return !f.decoding }
+
+// Value returns the current field's number, 0 for a field of bytes.
+func (f *Fields) Value() uint64 { return f.value }
+
+// Data returns the current field's bytes, nil for a number. They are part of the input.
+func (f *Fields) Data() []byte { return f.data }
+
+// AppendUint encodes a number, even if it is zero.
+func (f *Fields) AppendUint(number protowire.Number, v uint64) {
+	f.output = protowire.AppendVarint(protowire.AppendTag(f.output, number, protowire.VarintType), v)
+}
+
+// AppendBytes encodes bytes, even if there are none.
+func (f *Fields) AppendBytes(number protowire.Number, v []byte) {
+	f.output = protowire.AppendBytes(protowire.AppendTag(f.output, number, protowire.BytesType), v)
+}
+
+// uint is the field of a number: v encoded, or the number that was decoded.
+func (f *Fields) uint(number protowire.Number, v uint64) (decoded uint64, ok bool) {
+	if f.decoding {
+		return f.value, f.number == number
+	}
+	if v != 0 {
+		f.AppendUint(number, v)
+	}
+	return 0, false
+}
+
+// Uint is a field of an unsigned number. A decoded number is cut to the type's width.
+func Uint[T Unsigned](f *Fields, number protowire.Number, v *T) {
+	if decoded, ok := f.uint(number, uint64(*v)); ok {
+		*v = T(decoded)
+	}
+}
+
+// UintUpTo is a field of an unsigned number of which larger ones are decoded as limit.
+func UintUpTo[T Unsigned](f *Fields, number protowire.Number, v *T, limit T) {
+	if decoded, ok := f.uint(number, uint64(*v)); ok {
+		*v = T(min(decoded, uint64(limit)))
+	}
+}
+
+// IntUpTo is a field of a number that is encoded as 0 if it is negative, and of which larger ones are decoded as limit.
+func IntUpTo[T Integer](f *Fields, number protowire.Number, v *T, limit T) {
+	if decoded, ok := f.uint(number, uint64(max(0, *v))); ok {
+		*v = T(min(decoded, uint64(limit)))
+	}
+}
+
+// ZigZag is a field of a signed number. A decoded one is brought within -limit to limit.
+func (f *Fields) ZigZag(number protowire.Number, v *int64, limit int64) {
+	if decoded, ok := f.uint(number, protowire.EncodeZigZag(*v)); ok {
+		*v = min(max(protowire.DecodeZigZag(decoded), -limit), limit)
+	}
+}
+
+// Bool is a field of a truth value.
+func (f *Fields) Bool(number protowire.Number, v *bool) {
+	if decoded, ok := f.uint(number, protowire.EncodeBool(*v)); ok {
+		*v = decoded != 0
+	}
+}
+
+// String is a field of text.
+func (f *Fields) String(number protowire.Number, v *string) {
+	switch {
+	case f.decoding && f.number == number:
+		*v = string(f.data)
+	case !f.decoding && *v != "":
+		f.output = protowire.AppendString(protowire.AppendTag(f.output, number, protowire.BytesType), *v)
+	}
+}
+
+// Strings is a repeated field of texts; empty ones are left out.
+func (f *Fields) Strings(number protowire.Number, list *[]string) {
+	if f.Decoding(number) {
+		*list = append(*list, string(f.data))
+	}
+	if f.Encoding() {
+		for i := range *list {
+			f.String(number, &(*list)[i])
+		}
+	}
+}
+
+// Copied is a field of bytes; decoded ones are a copy.
+func (f *Fields) Copied(number protowire.Number, v *[]byte) {
+	if f.Shared(number, v); f.Decoding(number) {
+		*v = append([]byte(nil), *v...)
+	}
+}
+
+// Shared is a field of bytes; decoded ones are part of the input, which must not change while they are used.
+func (f *Fields) Shared(number protowire.Number, v *[]byte) {
+	switch {
+	case f.decoding && f.number == number:
+		*v = f.data
+	case !f.decoding && len(*v) > 0:
+		f.AppendBytes(number, *v)
+	}
+}
+
+// Message is a field of one message, which is encoded even if it is empty.
+func Message[T any](f *Fields, number protowire.Number, v *T, fields func(*T, *Fields)) {
+	if f.Decoding(number) {
+		nested := Decode(f.data)
+		for nested.Next() {
+			fields(v, &nested)
+		}
+		if err := nested.Err(); err != nil {
+			f.Fail(err)
+		}
+	}
+	if f.Encoding() {
+		start := f.beginNested(number)
+		fields(v, f)
+		f.endNested(start)
+	}
+}
+
+// Messages is a repeated field of messages. A list that grows beyond limit while it is decoded fails with tooMany; 0 is no
+// limit.
+func Messages[T any](f *Fields, number protowire.Number, list *[]T, limit int, tooMany error, fields func(*T, *Fields)) {
+	if f.Decoding(number) {
+		if limit > 0 && len(*list) == limit {
+			f.Fail(tooMany)
+			return
+		}
+		var v T
+		*list = append(*list, v)
+		Message(f, number, &(*list)[len(*list)-1], fields)
+	}
+	if f.Encoding() {
+		for i := range *list {
+			Message(f, number, &(*list)[i], fields)
+		}
+	}
+}
+
+// beginNested writes the tag of a nested message and leaves one byte for its length.
+func (f *Fields) beginNested(number protowire.Number) (start int) {
+	f.output = append(protowire.AppendTag(f.output, number, protowire.BytesType), 0)
+	return len(f.output)
+}
+
+// endNested writes the length of the nested message that began at start, and moves the message where that takes more bytes.
+func (f *Fields) endNested(start int) {
+	length := len(f.output) - start
+	more := protowire.SizeVarint(uint64(length)) - 1
+	for range more {
+		f.output = append(f.output, 0)
+	}
+	copy(f.output[start+more:], f.output[start:start+length])
+	protowire.AppendVarint(f.output[:start-1], uint64(length))
+}
--- /dev/null
+++ b/ledger/golden_test.go
@@ -0,0 +1,68 @@
+package ledger
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/golden"
+)
+
+// echoKind is a kind of record that answers with what it was sent, and keeps the last of it.
+type echoKind struct{ last []byte }
+
+func (k *echoKind) ID() uint32      { return 9 }
+func (k *echoKind) Name() string    { return "echo" }
+func (k *echoKind) Version() uint32 { return 2 }
+
+func (k *echoKind) Apply(_ Applied, _ Incarnation, body []byte) []byte {
+	k.last = append([]byte(nil), body...)
+	return k.last
+}
+
+func (k *echoKind) Snapshot(b []byte) []byte { return append(b, k.last...) }
+
+func (k *echoKind) Restore(b []byte, _ Micros) error {
+	k.last = append([]byte(nil), b...)
+	return nil
+}
+
+func (k *echoKind) Due(Micros, Presence) [][]byte { return nil }
+
+func TestWireFormat(t *testing.T) {
+	recodeCommand := func(b []byte) ([]byte, error) {
+		c, err := DecodeCommand(b)
+		return c.Encode(), err
+	}
+	recodeAnswer := func(b []byte) ([]byte, error) {
+		a, err := DecodeAnswer(b)
+		return a.Encode(), err
+	}
+	recodeMembers := func(b []byte) ([]byte, error) {
+		list, err := DecodeMembers(b)
+		return EncodeMembers(list), err
+	}
+	recodeSnapshot := func(b []byte) ([]byte, error) {
+		m := newMachine([]Kind{&echoKind{}}, nil)
+		err := m.restore(b, 0)
+		return m.snapshot(), err
+	}
+	m := newMachine([]Kind{&echoKind{}}, nil)
+	empty := m.snapshot()
+	m.members[1<<40] = Member{ID: 1 << 40, Name: "n2", Zone: "b"}
+	m.members[300] = Member{ID: 300, Name: "n1", Zone: "a"}
+	_, answer := m.apply(17, Command{Kind: 9, Version: 2, Asker: 5, Seq: 6, Body: []byte("body")}.Encode(), 0)
+	require.Equal(t, Answer{Seq: 6, Result: Committed, Body: []byte("body")}, answer)
+	_, foreign := m.apply(18, Command{Kind: 9, Version: 3, Seq: 7}.Encode(), 0)
+	require.Equal(t, Foreign, foreign.Result)
+	golden.Messages(t, "testdata/messages.txt", []golden.Message{
+		{Name: "command", Encoded: Command{Kind: 1, Version: 2, Asker: 1 << 61, Seq: 300, Body: []byte("body")}.Encode(), Recode: recodeCommand},
+		{Name: "command-empty", Encoded: Command{}.Encode(), Recode: recodeCommand},
+		{Name: "answer", Encoded: Answer{Seq: 300, Result: Committed, Leader: 1 << 40, Body: []byte("body")}.Encode(), Recode: recodeAnswer},
+		{Name: "answer-empty", Encoded: Answer{}.Encode(), Recode: recodeAnswer},
+		{Name: "answer-not-leader", Encoded: Answer{Seq: 1, Result: NotLeader, Leader: 2}.Encode(), Recode: recodeAnswer},
+		{Name: "members", Encoded: EncodeMembers([]Member{{ID: 1, Name: "n1", Zone: "a"}, {ID: 1 << 40, Name: "n2"}, {}}), Recode: recodeMembers},
+		{Name: "snapshot", Encoded: m.snapshot(), Recode: recodeSnapshot},
+		{Name: "snapshot-empty", Encoded: empty, Recode: recodeSnapshot},
+	})
+}
--- /dev/null
+++ b/ledger/store/golden_test.go
@@ -0,0 +1,190 @@
+package store_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"chutechute/budget"
+	"chutechute/budget/account"
+	"chutechute/decide"
+	"chutechute/internal/golden"
+	"chutechute/internal/raftlog"
+	"chutechute/ledger"
+	"chutechute/ledger/loads"
+	"chutechute/ledger/store"
+)
+
+const (
+	second    = 1_000_000
+	tick      = 50_000
+	owner     = "legon/n1"
+	foundDisk = "testdata/found"
+)
+
+// onlyCopy is a record's one copy, on a folder.
+type onlyCopy struct {
+	t       *testing.T
+	now     ledger.Micros
+	replica *ledger.Replica
+	loads   *loads.Loads
+	budgets *budget.Authority
+	store   *store.Store
+	answers map[uint64]ledger.Answer
+	seq     uint64
+}
+
+// everybody is a view of processes in which all are there.
+type everybody struct{}
+
+func (everybody) Gone(ledger.Incarnation) bool     { return false }
+func (everybody) Replaced(ledger.Incarnation) bool { return false }
+func (everybody) Missing(ledger.Incarnation) bool  { return false }
+func (everybody) Present() []ledger.Incarnation    { return nil }
+
+func openCopy(t *testing.T, folder string) *onlyCopy {
+	s, disk, err := store.Open(folder, owner, func() uint64 { return 1<<40 + 5 })
+	require.NoError(t, err)
+	c := &onlyCopy{t: t, now: 1000 * second, store: s, answers: map[uint64]ledger.Answer{},
+		loads:   loads.New(loads.Options{Bytes: 1 << 20, Keep: 60 * second, Orphan: 3 * second}),
+		budgets: budget.NewAuthority(budget.Options{Instances: 100})}
+	c.replica = ledger.New(ledger.Config{ID: s.Number(), Kinds: []ledger.Kind{c.loads, c.budgets}, Copies: 1, Tick: tick, Replace: 6 * second,
+		LogBytes: 1500, Logger: raftlog.New()})
+	require.NoError(t, c.replica.Open(c.now, disk))
+	c.carryOut()
+	return c
+}
+
+// carryOut writes what is to be saved until nothing is left.
+func (c *onlyCopy) carryOut() {
+	for {
+		list := c.replica.Actions()
+		if len(list) == 0 {
+			return
+		}
+		for _, action := range list {
+			switch action := action.(type) {
+			case ledger.Save:
+				err := c.store.Write([]ledger.Save{action})
+				require.NoError(c.t, err)
+				c.replica.Stored(c.now, action.Token, err)
+			case ledger.Reply:
+				c.answers[action.Answer.Seq] = action.Answer
+			}
+		}
+	}
+}
+
+func (c *onlyCopy) pass(span ledger.Micros) {
+	for until := c.now + span; c.now < until; c.now += tick {
+		c.replica.Tick(c.now, []ledger.Member{{ID: c.store.Number(), Name: "n1", Zone: "a"}}, everybody{})
+		c.carryOut()
+	}
+}
+
+func (c *onlyCopy) ask(kind uint32, asker ledger.Incarnation, body []byte) []byte {
+	c.seq++
+	c.replica.Ask(c.now, ledger.Command{Kind: kind, Version: 1, Asker: asker, Seq: c.seq, Body: body})
+	c.carryOut()
+	require.Equal(c.t, ledger.Committed, c.answers[c.seq].Result)
+	return c.answers[c.seq].Body
+}
+
+func (c *onlyCopy) askLoads(asker ledger.Incarnation, command loads.Command) loads.View {
+	v, err := loads.DecodeView(c.ask(c.loads.ID(), asker, command.Encode()))
+	require.NoError(c.t, err)
+	return v
+}
+
+// held is all that the copy holds, a line each.
+func (c *onlyCopy) held() []string {
+	index, sum := c.replica.Applied()
+	voters, learners := c.replica.Members()
+	notes, err := json.Marshal(c.loads.Show())
+	require.NoError(c.t, err)
+	standing, err := json.Marshal(c.budgets.Show(c.now, ""))
+	require.NoError(c.t, err)
+	return []string{
+		fmt.Sprintf("number %d group %d term %d applied %d sum %x", c.store.Number(), c.replica.Group(), c.replica.Term(), index, sum),
+		fmt.Sprintf("copies %v %v", voters, learners), string(notes), string(standing),
+		fmt.Sprintf("loads %x", c.loads.Snapshot(nil)), fmt.Sprintf("budgets %x", c.budgets.Snapshot(nil)),
+	}
+}
+
+// write makes a folder with a snapshot, a log after it and a write that was cut short. It made foundDisk, once.
+func writeFolder(t *testing.T, folder string) {
+	c := openCopy(t, folder)
+	require.NoError(t, c.replica.Found(c.now, 77, []ledger.Member{{ID: c.store.Number(), Name: "n1", Zone: "a"}}))
+	c.carryOut()
+	c.pass(3 * second)
+	take := func(asker ledger.Incarnation, once, key string) uint64 {
+		return c.askLoads(asker, loads.Command{Op: loads.Take, Once: once, Key: key, Tenant: "desk", Class: "load", Digest: []byte(once),
+			Call: "call-" + once, TTL: 25 * second}).Epoch
+	}
+	set := &budget.Set{Version: 3, Lease: 2 * second, Most: 5, Specs: []budget.Spec{
+		{Name: "places", Kind: account.Places, Whole: budget.Amount{Much: 6000}, Life: 25 * second, Least: 1000},
+		{Name: "rate", Kind: account.Rate, Whole: budget.Amount{Much: 8000, Rate: 6000}, Reserve: 700, Least: 1000}}}
+	holder := budget.NewHolder(budget.HolderConfig{Name: "n1", Set: set, Gap: second / 50}, askBudgets{c}, wantsAll{})
+	holder.Begin(c.now)
+	for i := range 20 {
+		once := fmt.Sprintf("once-%02d", i)
+		asker := ledger.Incarnation(5 + i%3)
+		epoch := take(asker, once, fmt.Sprintf("key-%d", i%4))
+		c.askLoads(asker, loads.Command{Op: loads.Start, Once: once, Epoch: epoch, Attempt: 1, Engine: "s-00000001", Call: "call-" + once})
+		if i%3 == 0 {
+			c.askLoads(asker, loads.Command{Op: loads.Finish, Once: once, Epoch: epoch, Outcome: loads.Served, Rows: []byte("rows of " + once)})
+		}
+		holder.Tick(c.now)
+		c.carryOut()
+		c.pass(second / 2)
+	}
+	require.NoError(t, c.store.Close())
+	files, err := filepath.Glob(filepath.Join(folder, "log*"))
+	require.NoError(t, err)
+	require.Len(t, files, 1)
+	log, err := os.ReadFile(files[0])
+	require.NoError(t, err)
+	require.NoError(t, os.WriteFile(files[0], log[:len(log)-7], 0o600))
+}
+
+// askBudgets puts a holder's questions to the copy.
+type askBudgets struct{ c *onlyCopy }
+
+func (a askBudgets) Ask(_ ledger.Micros, kind, _ uint32, body []byte, done func(ledger.Answer)) uint64 {
+	done(ledger.Answer{Result: ledger.Committed, Body: a.c.ask(kind, 5, body)})
+	return a.c.seq
+}
+
+func (askBudgets) Cancel(uint64) {}
+
+// The folder of a front end as an earlier version wrote it: its snapshot, its log, commands of both kinds, and a last write
+// that was cut short. All that it held is there.
+func TestFolderOfAnEarlierVersion(t *testing.T) {
+	if _, err := os.Stat(foundDisk); os.IsNotExist(err) && os.Getenv("CHUTECHUTE_GOLDEN_CREATE") != "" {
+		require.NoError(t, os.MkdirAll(foundDisk, 0o700))
+		writeFolder(t, foundDisk)
+	}
+	folder := t.TempDir()
+	require.NoError(t, os.CopyFS(filepath.Join(folder, "disk"), os.DirFS(foundDisk)))
+	c := openCopy(t, filepath.Join(folder, "disk"))
+	require.Empty(t, c.store.SetAside)
+	held := append([]string{fmt.Sprintf("cut off %d bytes", c.store.Cut)}, c.held()...)
+	golden.Lines(t, "testdata/found.txt", held)
+	c.pass(3 * second) // it goes on with it
+	require.True(t, c.replica.Leads())
+	require.Equal(t, loads.Served, c.askLoads(99, loads.Command{Op: loads.Look, Once: "once-00"}).Phase)
+	require.NoError(t, c.store.Close())
+}
+
+// wantsAll is a spender that wants some of both budgets.
+type wantsAll struct{}
+
+func (wantsAll) Demands(ledger.Micros) []decide.Demand {
+	return []decide.Demand{{Budget: "places", Want: 3000, InUse: 1000}, {Budget: "rate", Want: 5000}}
+}
+
+func (wantsAll) Allow(ledger.Micros, budget.Grant) {}
