--- a/Makefile
+++ b/Makefile
@@ -29,10 +29,10 @@
 	CHUTECHUTE_LONG=1 go test -count=1 -v -run '^Test(Fleet|CatchUp|Takeover)Figures$$' ./cmd/chutechute
 
 budgets: ## what dividing budgets costs and gives, for docs/design/budgets.md, and 10,000 histories of it
-	CHUTECHUTE_LONG=1 go test -count=1 -v -run 'Share|Cost' ./budget
-	go test -run XXX -bench Afford -benchmem ./decide
+	CHUTECHUTE_LONG=1 go test -count=1 -v -run 'Share|Cost' ./fleet/budget
+	go test -run XXX -bench Afford -benchmem ./scheduler
 	CHUTECHUTE_LONG=1 go test -count=1 -v -run '^TestTrafficMovesAndACut$$' ./cmd/chutechute
-	go test -count=1 -timeout 60m -run '^TestSumNeverExceedsTheWhole$$' ./budget -rapid.checks=10000
+	go test -count=1 -timeout 60m -run '^TestSumNeverExceedsTheWhole$$' ./fleet/budget -rapid.checks=10000
 
 histories: ## HISTORIES random histories of whole fleets from SEED on, in virtual time
 	CHUTECHUTE_HISTORIES=$(or $(HISTORIES),1000) CHUTECHUTE_SEED=$(or $(SEED),1) go test -count=1 -timeout 60m -run '^TestHistories$$' ./exercise
@@ -63,7 +63,7 @@
 	done
 	$(VIRTUAL) --processor --front-ends 353 --faults rest --json docs/capacity/virtual-rest-300.json
 	CHUTECHUTE_LONG=1 CHUTECHUTE_RESULTS=$(CURDIR)/docs/capacity go test -count=1 -v -p 1 -timeout 30m -run '^TestCapacityOf' \
-		./attach ./decide ./gateway ./budget ./cmd/chutechute
+		./fleet/membership ./scheduler ./gateway ./fleet/budget ./cmd/chutechute
 	bin/chutechute-scale fit $(addprefix docs/capacity/,$(addsuffix .json,decisions lists budgets loads connections connections-tls dials reloads primary-changes view))
 
 scale-hours: build ## hours with cut regions and lost messages at full size in virtual time, some 20 minutes and 4 GB each: docs/capacity
--- a/cmd/chutechute/attached_off_test.go
+++ b/cmd/chutechute/attached_off_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"chutechute/fleet/transport"
 	"chutechute/internal/proto"
 	"chutechute/internal/standin"
-	"chutechute/peer"
 )
 
 const (
@@ -26,26 +26,26 @@
 // census is what passed between front ends: frames by kind, and for the hello and the heartbeat the fields that they had.
 type census struct {
 	mu     sync.Mutex
-	kinds  map[peer.Kind]int
-	fields map[peer.Kind]map[int]bool
+	kinds  map[transport.Kind]int
+	fields map[transport.Kind]map[int]bool
 	broken []string
 }
 
 func newCensus() *census {
-	fields := map[peer.Kind]map[int]bool{peer.Hello: {}, peer.Welcome: {}, peer.Status: {}}
-	return &census{kinds: map[peer.Kind]int{}, fields: fields}
+	fields := map[transport.Kind]map[int]bool{transport.Hello: {}, transport.Welcome: {}, transport.Status: {}}
+	return &census{kinds: map[transport.Kind]int{}, fields: fields}
 }
 
 // see takes a frame; of a message in parts the first would not be read, and none of these is so long.
 func (c *census) see(frame []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kind, body := peer.Kind(frame[kindAt]), frame[bodyAt:]
+	kind, body := transport.Kind(frame[kindAt]), frame[bodyAt:]
 	c.kinds[kind]++
 	if c.fields[kind] == nil {
 		return
 	}
-	if kind != peer.Status { // sealed
+	if kind != transport.Status { // sealed
 		size, n := binary.Uvarint(body[1:])
 		body = body[1+n : 1+n+int(size)]
 	}
@@ -56,11 +56,11 @@
 
 // known is the kinds and fields that passed between front ends before any could attach.
 var known = struct {
-	kinds  []peer.Kind
-	fields map[peer.Kind]int // the highest number
-}{[]peer.Kind{peer.Challenge, peer.Hello, peer.Welcome, peer.Status, peer.Ledger, peer.Ask, peer.Answer, peer.Note, peer.Found,
-	peer.Relay},
-	map[peer.Kind]int{peer.Hello: 9, peer.Welcome: 9, peer.Status: 10}}
+	kinds  []transport.Kind
+	fields map[transport.Kind]int // the highest number
+}{[]transport.Kind{transport.Challenge, transport.Hello, transport.Welcome, transport.Status, transport.Ledger, transport.Ask, transport.Answer, transport.Note, transport.Found,
+	transport.Relay},
+	map[transport.Kind]int{transport.Hello: 9, transport.Welcome: 9, transport.Status: 10}}
 
 // Two fleets of three, one without a section on attached front ends and one where it is off; no faults. Load: one keyed load
 // through each front end. What must show: a process holds the same descriptors and goroutines in both; what passes has the
--- a/cmd/chutechute/copies_test.go
+++ b/cmd/chutechute/copies_test.go
@@ -301,7 +301,7 @@
 }
 
 // badDisk is the store's sync on a disk that takes half a second, or fails once and then succeeds, as files in the folder say.
-const badDisk = `package store
+const badDisk = `package wal
 
 import (
 	"errors"
@@ -326,7 +326,7 @@
 // it fails once: the copy ends at once and does not try again, though the disk would, and its front end goes on.
 func TestSlowAndFailingDiskOfTheLeader(t *testing.T) {
 	t.Parallel()
-	bad := standin.Variant(t, "ledger/store/sync.go", badDisk)
+	bad := standin.Variant(t, "fleet/replication/wal/sync.go", badDisk)
 	f := standin.NewFleet(t, bad, 3, lasting)
 	leader := f.Leader(3)
 	require.NoError(t, os.WriteFile(filepath.Join(leader.Folder, "slow"), nil, 0o600))
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -9,8 +9,8 @@
 	"io"
 	"os"
 
-	"chutechute/decide"
 	"chutechute/internal/wire"
+	"chutechute/scheduler"
 )
 
 func main() {
@@ -22,7 +22,7 @@
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	h := host{decoder: wire.NewDecoder(), instances: map[int]*decide.Dispatcher{}}
+	h := host{decoder: wire.NewDecoder(), instances: map[int]*scheduler.Dispatcher{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
@@ -46,7 +46,7 @@
 
 type host struct {
 	decoder   *wire.Decoder
-	instances map[int]*decide.Dispatcher
+	instances map[int]*scheduler.Dispatcher
 	reply     wire.Reply
 }
 
@@ -57,24 +57,24 @@
 		return nil, err
 	}
 	var order []int
-	events := map[int][]decide.Event{}
+	events := map[int][]scheduler.Event{}
 	for _, it := range items {
 		if _, seen := events[it.Instance]; !seen {
 			order = append(order, it.Instance)
-			events[it.Instance] = []decide.Event{}
+			events[it.Instance] = []scheduler.Event{}
 		}
 		switch {
 		case it.Stop:
 			delete(h.instances, it.Instance)
-			events[it.Instance] = []decide.Event{}
+			events[it.Instance] = []scheduler.Event{}
 		case it.Start != nil:
-			d, err := decide.New(it.Start.Config, it.Start.Seed)
+			d, err := scheduler.New(it.Start.Config, it.Start.Seed)
 			if err != nil {
 				h.reply.Broken(it.Instance, err.Error())
 				return h.reply.Line(), nil
 			}
 			h.instances[it.Instance] = d
-			events[it.Instance] = []decide.Event{}
+			events[it.Instance] = []scheduler.Event{}
 		default:
 			events[it.Instance] = append(events[it.Instance], it.Event)
 		}
--- a/exercise/copies_test.go
+++ b/exercise/copies_test.go
@@ -10,10 +10,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chutechute/budget"
-	"chutechute/budget/account"
-	"chutechute/budget/enforce"
 	"chutechute/exercise"
+	"chutechute/fleet/budget"
+	"chutechute/fleet/budget/account"
+	"chutechute/fleet/budget/enforce"
 	"chutechute/internal/golden"
 	"chutechute/internal/history"
 	"chutechute/internal/standin"
--- a/exercise/engine.go
+++ b/exercise/engine.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"chutechute/decide"
 	"chutechute/gateway"
 	"chutechute/internal/history"
+	"chutechute/scheduler"
 )
 
 const (
@@ -75,7 +75,7 @@
 		return
 	}
 	if !j.p.f.s.o.Variant.NoUntil && j.a.Until != 0 && j.p.f.local() >= j.a.Until {
-		j.end(decide.NotSent, nil)
+		j.end(scheduler.NotSent, nil)
 		return
 	}
 	j.written = true
@@ -91,7 +91,7 @@
 	once := j.a.Once
 	if last, known := s.seen[once]; known && s.now-last < window && !s.o.Variant.NoWindow {
 		s.Record.Add(history.Event{What: history.Repeat, Engine: e.name, Call: j.a.ID, Once: once})
-		s.after(s.between(200, 2*ms), func() { j.p.does(func() { j.end(decide.Errored, nil) }) })
+		s.after(s.between(200, 2*ms), func() { j.p.does(func() { j.end(scheduler.Errored, nil) }) })
 		return
 	}
 	s.seen[once] = s.now
@@ -185,9 +185,9 @@
 // answer brings a query's end to its front end.
 func (j *job) answer(r *run) {
 	if r.good {
-		j.end(decide.Done, []byte(r.rows))
+		j.end(scheduler.Done, []byte(r.rows))
 	} else {
-		j.end(decide.Errored, nil)
+		j.end(scheduler.Errored, nil)
 	}
 }
 
@@ -200,7 +200,7 @@
 	switch {
 	case j == nil || j.dropped:
 	case !j.written:
-		j.end(decide.NotSent, nil)
+		j.end(scheduler.NotSent, nil)
 	default:
 		j.dropped = true
 		if j.arrived { // a DELETE waits until the start was answered
@@ -215,16 +215,16 @@
 		if r := j.e.runs[j.a.ID]; r != nil && !r.over {
 			j.e.over(r, history.Deleted, false)
 		}
-		s.after(s.between(200, 2*ms), func() { j.p.does(func() { j.end(decide.Canceled, nil) }) })
+		s.after(s.between(200, 2*ms), func() { j.p.does(func() { j.end(scheduler.Canceled, nil) }) })
 	})
 }
 
 // Probe is answered at once: engines are idle enough.
 func (o pool) Probe(name string) {
-	o.p.core.Probed(name, decide.Done, ms, nil)
+	o.p.core.Probed(name, scheduler.Done, ms, nil)
 }
 
-func (j *job) end(result decide.Result, rows []byte) {
+func (j *job) end(result scheduler.Result, rows []byte) {
 	if j.done {
 		return
 	}
--- a/exercise/front.go
+++ b/exercise/front.go
@@ -5,18 +5,18 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"chutechute/budget"
-	"chutechute/budget/enforce"
-	"chutechute/decide"
 	"chutechute/fleet"
+	"chutechute/fleet/budget"
+	"chutechute/fleet/budget/enforce"
+	"chutechute/fleet/heartbeat"
+	"chutechute/fleet/idempotency"
+	"chutechute/fleet/idempotency/idempotencyclient"
+	"chutechute/fleet/replication"
+	"chutechute/fleet/transport"
 	"chutechute/gateway"
 	"chutechute/internal/counters"
 	"chutechute/internal/raftlog"
-	"chutechute/ledger"
-	"chutechute/ledger/loads"
-	"chutechute/member"
-	"chutechute/peer"
-	"chutechute/recordclient"
+	"chutechute/scheduler"
 )
 
 // Front is one front end: its name and its disk, and the process that runs now, if one does.
@@ -35,7 +35,7 @@
 // disk is what outlives a process.
 type disk struct {
 	number uint64
-	kept   ledger.Disk
+	kept   replication.Disk
 }
 
 // process is one run of a front end's program.
@@ -45,13 +45,13 @@
 	born        Micros // true time
 	core        *gateway.Core
 	node        *fleet.Node
-	records     *recordclient.Client
+	records     *idempotencyclient.Client
 	holder      *budget.Holder // nil without budgets
 	count       counters.Set
 	paused      bool
 	waiting     []func() // what comes while it stands still
 	jobs        map[*gateway.Attempt]*job
-	writes      []ledger.Save
+	writes      []replication.Save
 	wake        Micros // when the next turn for a timer of the core is due, by its clock
 }
 
@@ -88,7 +88,7 @@
 		f.number = number
 		f.disk = &disk{number: number}
 	}
-	kind := ledger.Kind(loads.New(loads.Options{Bytes: 4 << 20, Keep: keep, Orphan: 3 * second}))
+	kind := replication.Kind(idempotency.New(idempotency.Options{Bytes: 4 << 20, Keep: keep, Orphan: 3 * second}))
 	if s.o.Variant.Kind != nil {
 		kind = s.o.Variant.Kind(kind)
 	}
@@ -99,10 +99,10 @@
 		}
 	}
 	cfg := fleet.Config{Name: f.Name, Zone: f.zone, Incarnation: p.incarnation, Zones: zones, Beat: 2 * tick, Retry: 4 * tick,
-		Members: member.Config{Suspect: suspect, Dead: dead, Pause: suspect / 2},
+		Members: heartbeat.Config{Suspect: suspect, Dead: dead, Pause: suspect / 2},
 		Number:  func() uint64 { return s.rng.Uint64()>>2 | 1 },
-		Copies: ledger.Config{ID: f.disk.number, Copies: s.o.Copies, Tick: tick, Replace: replace, LogBytes: 16 << 10,
-			Logger: raftlog.New(), Kinds: []ledger.Kind{kind, budget.NewAuthority(budget.Options{Instances: 1000})}}}
+		Copies: replication.Config{ID: f.disk.number, Copies: s.o.Copies, Tick: tick, Replace: replace, LogBytes: 16 << 10,
+			Logger: raftlog.New(), Kinds: []replication.Kind{kind, budget.NewAuthority(budget.Options{Instances: 1000})}}}
 	p.node = fleet.New(cfg, func(about string) {
 		if about != budget.About {
 			p.records.Note(f.local(), about)
@@ -115,7 +115,7 @@
 		s.fail(err)
 		return
 	}
-	p.records = recordclient.New(recordclient.Config{Incarnation: p.incarnation, Poll: 8 * tick, Patience: keep, Full: second / 2}, p.node, p.core)
+	p.records = idempotencyclient.New(idempotencyclient.Config{Incarnation: p.incarnation, Poll: 8 * tick, Patience: keep, Full: second / 2}, p.node, p.core)
 	record := gateway.Record(p.records)
 	if s.o.Variant.Record != nil {
 		record = s.o.Variant.Record(record)
@@ -129,11 +129,11 @@
 		s.fail(err)
 		return
 	}
-	var list []decide.Entry
+	var list []scheduler.Entry
 	for _, e := range s.engines {
-		list = append(list, decide.Entry{Engine: e.name, Zone: s.site.Zones[0], Kind: s.site.Kinds[0].Name})
+		list = append(list, scheduler.Entry{Engine: e.name, Zone: s.site.Zones[0], Kind: s.site.Kinds[0].Name})
 	}
-	p.core.Listed(decide.ListComplete, list)
+	p.core.Listed(scheduler.ListComplete, list)
 	f.proc = p
 	p.ticks()
 }
@@ -241,7 +241,7 @@
 			switch a := a.(type) {
 			case fleet.Tell:
 				p.tell(a)
-			case ledger.Save:
+			case replication.Save:
 				p.save(a)
 			}
 		}
@@ -258,7 +258,7 @@
 		}
 	}
 	if s.cuts[[2]int{p.f.n, to.n}] {
-		if t.Kind == peer.Ledger {
+		if t.Kind == transport.Ledger {
 			s.after(0, func() { p.does(func() { p.node.Lost(t.To) }) })
 		}
 		return
@@ -285,7 +285,7 @@
 }
 
 // save writes to the disk: what is under way when the process ends is lost, what was done before is kept.
-func (p *process) save(a ledger.Save) {
+func (p *process) save(a replication.Save) {
 	s := p.f.s
 	if s.o.Variant.EarlyWord {
 		p.node.Stored(p.f.local(), a.Token, nil)
@@ -326,7 +326,7 @@
 }
 
 // write is what package store does to its file.
-func (d *disk) write(a ledger.Save) {
+func (d *disk) write(a replication.Save) {
 	k := &d.kept
 	if k.Group == 0 {
 		k.Group = a.Group
--- a/exercise/membership/account.go
+++ b/exercise/membership/account.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"chutechute/attach"
-	"chutechute/peer"
+	"chutechute/fleet/membership"
+	"chutechute/fleet/transport"
 )
 
 // messageKind says what a message was for, for the account.
@@ -24,20 +24,20 @@
 	return [...]string{"hello", "member heartbeat", "heartbeat", "view", "pull", "table"}[k]
 }
 
-func kindOf(k attach.Kind) messageKind {
+func kindOf(k membership.Kind) messageKind {
 	switch k {
-	case attach.Heartbeat:
+	case membership.Heartbeat:
 		return kindHeartbeat
-	case attach.ViewPart:
+	case membership.ViewPart:
 		return kindView
-	case attach.Pull:
+	case membership.Pull:
 		return kindPull
 	}
 	return kindTable
 }
 
 // frameHeader is what peer.AppendFrame adds to what it carries.
-var frameHeader = len(peer.AppendFrame(nil, peer.Status, 0, false, nil))
+var frameHeader = len(transport.AppendFrame(nil, transport.Status, 0, false, nil))
 
 // traffic is messages and their bytes.
 type traffic struct {
@@ -49,7 +49,7 @@
 		return
 	}
 	t.messages++
-	frames := (size + peer.MostBody - 1) / peer.MostBody
+	frames := (size + transport.MostBody - 1) / transport.MostBody
 	if kind == kindHello { // as in package scale, hellos are no payload
 		t.framing += int64(size)
 		return
@@ -96,13 +96,13 @@
 var hello = measureHello()
 
 func measureHello() handshake {
-	identity := func(name string, incarnation uint64) *peer.Identity {
-		return &peer.Identity{Site: "site", Name: name, Zone: "a", Incarnation: incarnation, Copy: incarnation,
-			Oldest: peer.OldestVersion, Newest: peer.NewestVersion, Settings: make([]byte, 8)}
+	identity := func(name string, incarnation uint64) *transport.Identity {
+		return &transport.Identity{Site: "site", Name: name, Zone: "a", Incarnation: incarnation, Copy: incarnation,
+			Oldest: transport.OldestVersion, Newest: transport.NewestVersion, Settings: make([]byte, 8)}
 	}
-	d := peer.Dialler{Self: identity("front-0001", 1<<62), To: "control-01"}
-	l := peer.Listener{Self: identity("control-01", 1<<61), Known: func(string) bool { return true }}
-	challenge := l.Greet([16]byte{}, peer.MostBody)
+	d := transport.Dialler{Self: identity("front-0001", 1<<62), To: "control-01"}
+	l := transport.Listener{Self: identity("control-01", 1<<61), Known: func(string) bool { return true }}
+	challenge := l.Greet([16]byte{}, transport.MostBody)
 	d.Feed(challenge)
 	said, err := d.Take()
 	if err != nil {
--- a/exercise/membership/control.go
+++ b/exercise/membership/control.go
@@ -4,8 +4,8 @@
 	"errors"
 	"slices"
 
-	"chutechute/attach"
-	"chutechute/member"
+	"chutechute/fleet/heartbeat"
+	"chutechute/fleet/membership"
 )
 
 // Spans among control members, as package config has them by default.
@@ -19,8 +19,8 @@
 // control is the process of a control member.
 type control struct {
 	q      *process
-	set    *member.Set
-	server *attach.Server
+	set    *heartbeat.Set
+	server *membership.Server
 	wires  []wire           // to the other control members, by place
 	list   []*link          // open ones
 	links  map[uint64]*link // the newest of each process
@@ -35,8 +35,8 @@
 			zones[c.name] = c.zoneName()
 		}
 	}
-	spans := member.Config{Suspect: controlSuspect, Dead: controlDead, Pause: controlSuspect / 2}
-	return &control{q: q, set: member.New(spans, zones), server: attach.NewServer(q.config()), links: map[uint64]*link{},
+	spans := heartbeat.Config{Suspect: controlSuspect, Dead: controlDead, Pause: controlSuspect / 2}
+	return &control{q: q, set: heartbeat.New(spans, zones), server: membership.NewServer(q.config()), links: map[uint64]*link{},
 		wires: make([]wire, len(q.s.controls))}
 }
 
@@ -65,20 +65,20 @@
 }
 
 // others is the other control members as package attach takes them.
-func (c *control) others() (list []attach.ControlMember) {
+func (c *control) others() (list []membership.ControlMember) {
 	for _, m := range c.set.List() {
-		o := attach.ControlMember{Name: m.Name, Zone: m.Zone, Incarnation: m.Incarnation, Challenged: m.Greeted}
+		o := membership.ControlMember{Name: m.Name, Zone: m.Zone, Incarnation: m.Incarnation, Challenged: m.Greeted}
 		switch m.State {
-		case member.Alive:
-			o.State = attach.Alive
-		case member.Cut:
-			o.State, o.Cut = attach.Alive, true
-		case member.Suspect:
-			o.State = attach.Suspect
-		case member.Left:
-			o.State = attach.Left
-		case member.Unseen, member.Dead:
-			o.State = attach.Dead
+		case heartbeat.Alive:
+			o.State = membership.Alive
+		case heartbeat.Cut:
+			o.State, o.Cut = membership.Alive, true
+		case heartbeat.Suspect:
+			o.State = membership.Suspect
+		case heartbeat.Left:
+			o.State = membership.Left
+		case heartbeat.Unseen, heartbeat.Dead:
+			o.State = membership.Dead
 		}
 		list = append(list, o)
 	}
@@ -87,16 +87,16 @@
 
 // beat sends a heartbeat to all other control members.
 func (c *control) beat() {
-	h := heartbeat{incarnation: c.q.incarnation, reports: c.set.Reports(), versions: c.server.Versions(c.q.local())}
+	h := controlHeartbeat{incarnation: c.q.incarnation, reports: c.set.Reports(), versions: c.server.Versions(c.q.local())}
 	body := h.encode()
-	read := func() *heartbeat {
+	read := func() *controlHeartbeat {
 		h, err := decodeHeartbeat(body)
 		c.q.s.fail(err)
 		return &h
 	}
 	if c.q.s.meter == nil { // reading it once for all takes a third off a run's time
 		shared := read()
-		read = func() *heartbeat { return shared }
+		read = func() *controlHeartbeat { return shared }
 	}
 	for _, o := range c.q.s.controls {
 		if o != c.q.p {
@@ -106,7 +106,7 @@
 }
 
 // heard takes a heartbeat.
-func (c *control) heard(from *process, greeted Micros, h *heartbeat) {
+func (c *control) heard(from *process, greeted Micros, h *controlHeartbeat) {
 	now := c.q.local()
 	if !c.set.Heard(now, from.p.name, h.incarnation, greeted, h.leaving, h.reports) {
 		return
@@ -136,7 +136,7 @@
 	}
 }
 
-func (c *control) send(m attach.Message) {
+func (c *control) send(m membership.Message) {
 	if m.Incarnation == 0 {
 		from := c.q
 		c.tell(c.q.s.byName[m.To], kindOf(m.Kind), len(m.Body), func(to *control, _ Micros) { to.received(from, m) })
@@ -152,7 +152,7 @@
 }
 
 // received takes a message of another control member.
-func (c *control) received(from *process, m attach.Message) {
+func (c *control) received(from *process, m membership.Message) {
 	if err := c.server.ReceiveControl(c.q.local(), from.p.name, from.incarnation, m.Kind, m.Body); err != nil {
 		c.q.s.account.fault(err)
 	}
@@ -160,9 +160,9 @@
 }
 
 // receive takes a message of an attached front end.
-func (c *control) receive(l *link, m attach.Message) {
+func (c *control) receive(l *link, m membership.Message) {
 	if err := c.server.Receive(c.q.local(), l.attached(), m.Kind, m.Body); err != nil {
-		if !errors.Is(err, attach.ErrReplaced) || l.front.runs() { // what a process that has ended sent last is refused as it ought to be
+		if !errors.Is(err, membership.ErrReplaced) || l.front.runs() { // what a process that has ended sent last is refused as it ought to be
 			c.q.s.account.fault(err)
 		}
 		l.close(controlSide)
@@ -171,7 +171,7 @@
 }
 
 // shut closes a link that the server wants closed.
-func (c *control) shut(which attach.Link) {
+func (c *control) shut(which membership.Link) {
 	for _, l := range slices.Clone(c.list) {
 		if l.front.incarnation == which.Incarnation && l.greeted == which.Greeted {
 			l.close(controlSide)
--- a/exercise/membership/front.go
+++ b/exercise/membership/front.go
@@ -3,13 +3,13 @@
 import (
 	"slices"
 
-	"chutechute/attach"
+	"chutechute/fleet/membership"
 )
 
 // front is the process of an attached front end.
 type front struct {
 	q      *process
-	client *attach.Client
+	client *membership.Client
 	links  []*link
 	retry  map[string]*retry
 	wake   Micros // when the next step is set; 0: none is
@@ -22,14 +22,14 @@
 }
 
 func newFront(q *process) *front {
-	return &front{q: q, retry: map[string]*retry{}, client: attach.NewClient(q.config())}
+	return &front{q: q, retry: map[string]*retry{}, client: membership.NewClient(q.config())}
 }
 
 // config is what a member of either role is told.
-func (q *process) config() attach.Config {
-	cfg := attach.Config{Name: q.p.name, Zone: q.p.zoneName(), Incarnation: q.incarnation, Seed: q.s.rng.Uint64()}
+func (q *process) config() membership.Config {
+	cfg := membership.Config{Name: q.p.name, Zone: q.p.zoneName(), Incarnation: q.incarnation, Seed: q.s.rng.Uint64()}
 	for _, c := range q.s.controls {
-		cfg.Controls = append(cfg.Controls, attach.ControlMember{Name: c.name, Zone: c.zoneName()})
+		cfg.Controls = append(cfg.Controls, membership.ControlMember{Name: c.name, Zone: c.zoneName()})
 	}
 	return cfg
 }
@@ -141,7 +141,7 @@
 }
 
 // receive takes a message of a control member.
-func (f *front) receive(l *link, m attach.Message) {
+func (f *front) receive(l *link, m membership.Message) {
 	err := f.client.Receive(f.q.local(), l.to.name, l.control.incarnation, m.Kind, m.Body)
 	if err != nil {
 		f.q.s.account.fault(err)
--- a/exercise/membership/heartbeat.go
+++ b/exercise/membership/heartbeat.go
@@ -1,20 +1,20 @@
 package membership
 
 import (
+	"chutechute/fleet/heartbeat"
 	"chutechute/internal/proto"
-	"chutechute/member"
 )
 
-// heartbeat is what control members send each other: package fleet's, without the fields about the record and with the versions
+// controlHeartbeat is what control members send each other: package fleet's, without the fields about the record and with the versions
 // of the tables.
-type heartbeat struct {
+type controlHeartbeat struct {
 	incarnation uint64
 	leaving     bool
-	reports     []member.Report
+	reports     []heartbeat.Report
 	versions    []byte
 }
 
-func (h *heartbeat) encode() []byte {
+func (h *controlHeartbeat) encode() []byte {
 	var b []byte
 	b = proto.Uint(b, 1, h.incarnation)
 	b = proto.Bool(b, 8, h.leaving)
@@ -24,7 +24,7 @@
 	return proto.Bytes(b, 11, h.versions)
 }
 
-func decodeHeartbeat(b []byte) (h heartbeat, err error) {
+func decodeHeartbeat(b []byte) (h controlHeartbeat, err error) {
 	err = proto.Each(b, func(f proto.Field) error {
 		switch f.Number {
 		case 1:
@@ -32,7 +32,7 @@
 		case 8:
 			h.leaving = f.Uint != 0
 		case 10:
-			r, err := member.DecodeReport(f.Data)
+			r, err := heartbeat.DecodeReport(f.Data)
 			h.reports = append(h.reports, r)
 			return err
 		case 11:
--- a/exercise/membership/link.go
+++ b/exercise/membership/link.go
@@ -1,6 +1,6 @@
 package membership
 
-import "chutechute/attach"
+import "chutechute/fleet/membership"
 
 // Spans and bounds of a link, as package epoll has them for links between front ends.
 const (
@@ -37,8 +37,8 @@
 }
 
 // attached is the link as package attach knows it.
-func (l *link) attached() attach.Link {
-	return attach.Link{From: l.front.p.name, Zone: l.front.p.zoneName(), Incarnation: l.front.incarnation, Greeted: l.greeted}
+func (l *link) attached() membership.Link {
+	return membership.Link{From: l.front.p.name, Zone: l.front.p.zoneName(), Incarnation: l.front.incarnation, Greeted: l.greeted}
 }
 
 func (l *link) process(at side) *process {
--- a/exercise/membership/meter.go
+++ b/exercise/membership/meter.go
@@ -4,7 +4,7 @@
 	"syscall"
 	"time"
 
-	"chutechute/attach"
+	"chutechute/fleet/membership"
 )
 
 // meter measures the processor time of each role's steps. A nil meter measures nothing.
@@ -39,14 +39,14 @@
 	return t
 }
 
-func (m *meter) end(began time.Time, role attach.Role) {
+func (m *meter) end(began time.Time, role membership.Role) {
 	if m != nil {
 		m.spent[role] += time.Since(began)
 	}
 }
 
 // of is the processor time that a role's steps took: the process's own, which has the collector's in it, divided as time passed.
-func (m *meter) of(role attach.Role) time.Duration {
+func (m *meter) of(role membership.Role) time.Duration {
 	elapsed := time.Since(m.began)
 	if elapsed <= 0 {
 		return 0
--- a/exercise/membership/network.go
+++ b/exercise/membership/network.go
@@ -1,6 +1,6 @@
 package membership
 
-import "chutechute/attach"
+import "chutechute/fleet/membership"
 
 // Latencies one way, while nothing is wrong. Regions lie on a ring.
 const (
@@ -58,7 +58,7 @@
 		return false
 	case from.away || to.away:
 		return true
-	case from.deaf && to.role == attach.Attached, to.deaf && from.role == attach.Attached:
+	case from.deaf && to.role == membership.Attached, to.deaf && from.role == membership.Attached:
 		return true
 	case n.halves != nil && n.halves(from) != n.halves(to):
 		return true
@@ -81,7 +81,7 @@
 func (n *network) severedNow() {
 	n.cuts++
 	for _, p := range n.s.places {
-		if p.proc == nil || p.role != attach.Attached {
+		if p.proc == nil || p.role != membership.Attached {
 			continue
 		}
 		p.proc.eachLink(func(l *link) {
--- a/exercise/membership/parts_test.go
+++ b/exercise/membership/parts_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chutechute/attach"
+	"chutechute/fleet/membership"
 	"chutechute/internal/scale"
 )
 
@@ -43,7 +43,7 @@
 // A heartbeat reads as it was written.
 func TestHeartbeatRoundTrip(t *testing.T) {
 	s := newSim(smallShape())
-	h := heartbeat{incarnation: 7, leaving: true, versions: []byte("v")}
+	h := controlHeartbeat{incarnation: 7, leaving: true, versions: []byte("v")}
 	set := newProcess(s, s.controls[0]).control.set
 	require.True(t, set.Heard(5*second, "control-02", 9, 0, false, nil))
 	set.Tick(6 * second)
@@ -66,43 +66,43 @@
 	for _, p := range s.places[:5] {
 		p.start()
 	}
-	sees := func(by, about int, order int, state attach.State) {
+	sees := func(by, about int, order int, state membership.State) {
 		truth.observe(s.places[by].proc, s.places[about], sightOf(order, state))
 	}
-	sees(0, 4, 1, attach.Alive)
+	sees(0, 4, 1, membership.Alive)
 	s.now = 100 * ms
-	sees(1, 4, 1, attach.Alive)
+	sees(1, 4, 1, membership.Alive)
 	assert.Empty(t, truth.closed, "a control member and an attached front end don't know yet")
 	s.now = 250 * ms
-	sees(2, 4, 1, attach.Suspect)
-	sees(3, 4, 1, attach.Alive)
+	sees(2, 4, 1, membership.Suspect)
+	sees(3, 4, 1, membership.Alive)
 	require.Len(t, truth.closed, 1)
 	assert.Equal(t, 250*ms, truth.closed[0].known-truth.closed[0].noticed)
 	assert.Zero(t, truth.falseDeaths.count)
 
-	sees(1, 4, 1, attach.Dead)
+	sees(1, 4, 1, membership.Dead)
 	assert.Equal(t, 1, truth.falseDeaths.count)
 	s.network.apart[[2]int{0, 1}] = true
-	sees(1, 4, 1, attach.Dead)
+	sees(1, 4, 1, membership.Dead)
 	assert.Equal(t, 2, truth.falseDeaths.count, "others still hear it")
 	s.places[4].away = true
-	sees(1, 4, 1, attach.Dead)
+	sees(1, 4, 1, membership.Dead)
 	assert.Equal(t, 2, truth.falseDeaths.count, "nobody can hear it")
 
 	s.places[4].away = false
 	s.places[4].end(false)
 	s.places[4].start()
-	sees(0, 4, 2, attach.Alive)
+	sees(0, 4, 2, membership.Alive)
 	assert.Zero(t, truth.pastBack.count)
-	sees(0, 4, 1, attach.Alive)
+	sees(0, 4, 1, membership.Alive)
 	assert.Equal(t, 1, truth.pastBack.count)
 	s.places[4].end(false)
 	s.places[4].start()
-	sees(2, 4, 3, attach.Alive)
-	sees(2, 4, 2, attach.Alive)
+	sees(2, 4, 3, membership.Alive)
+	sees(2, 4, 2, membership.Alive)
 	assert.Equal(t, 1, truth.pastBack.count)
 	assert.Equal(t, 1, truth.older.count, "it had never seen the second")
-	sees(0, 4, 3, attach.Alive)
+	sees(0, 4, 3, membership.Alive)
 	assert.True(t, agrees(s.places[4], truth.seen[0][4]))
 	assert.False(t, agrees(s.places[4], truth.seen[1][4]), "it sees the first process")
 	assert.Contains(t, truth.inWords(), "control-01 sees control-02: not at all")
@@ -116,7 +116,7 @@
 	s.places[1].start()
 	s.places[1].end(false)
 	s.places[1].start()
-	s.truth.observe(s.places[0].proc, s.places[1], sightOf(2, attach.Alive))
+	s.truth.observe(s.places[0].proc, s.places[1], sightOf(2, membership.Alive))
 	require.Len(t, s.truth.closed, 1)
 	assert.Equal(t, appeared, s.truth.closed[0].kind)
 	assert.Equal(t, 2, s.truth.closed[0].order)
@@ -131,9 +131,9 @@
 		p.start()
 	}
 	s.now = 10 * ms
-	s.truth.observe(s.places[0].proc, s.places[1], sightOf(1, attach.Alive))
+	s.truth.observe(s.places[0].proc, s.places[1], sightOf(1, membership.Alive))
 	s.now = 20 * ms
-	s.truth.observe(s.places[2].proc, s.places[1], sightOf(1, attach.Alive))
+	s.truth.observe(s.places[2].proc, s.places[1], sightOf(1, membership.Alive))
 	s.now = 30 * ms
 	s.places[3].end(false)
 	require.Len(t, s.truth.closed, 1)
--- a/exercise/membership/process.go
+++ b/exercise/membership/process.go
@@ -1,6 +1,6 @@
 package membership
 
-import "chutechute/attach"
+import "chutechute/fleet/membership"
 
 // process is one run of a member's program.
 type process struct {
@@ -32,7 +32,7 @@
 		offset: s.between(0, mostOffset), rate: 1 + drift*(2*s.rng.Float64()-1)}
 	p.proc = q
 	s.truth.began(q)
-	if p.role == attach.Control {
+	if p.role == membership.Control {
 		q.control = newControl(q)
 		q.control.begin()
 	} else {
@@ -129,7 +129,7 @@
 	}
 }
 
-func (q *process) view() *attach.View {
+func (q *process) view() *membership.View {
 	if q.control != nil {
 		return q.control.server.View()
 	}
--- a/exercise/membership/report.go
+++ b/exercise/membership/report.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"chutechute/attach"
+	"chutechute/fleet/membership"
 	"chutechute/internal/scale"
 )
 
@@ -32,7 +32,7 @@
 	r := &scale.Result{Name: scenario.Name, Mode: scale.ModeVirtual, FrontEnds: s.shape.Total(), Controls: s.shape.Controls,
 		Zones: s.shape.Zones, Seconds: s.shape.Seconds, Seed: s.shape.Seed, Faults: o.Faults}
 	out.Result = r
-	for _, role := range []attach.Role{attach.Attached, attach.Control} {
+	for _, role := range []membership.Role{membership.Attached, membership.Control} {
 		r.Roles = append(r.Roles, s.roleFigures(role))
 	}
 	front := r.Roles[0]
@@ -43,14 +43,14 @@
 }
 
 // members is the places of a role.
-func (s *Sim) members(role attach.Role) []*place {
-	if role == attach.Control {
+func (s *Sim) members(role membership.Role) []*place {
+	if role == membership.Control {
 		return s.controls
 	}
 	return s.attached
 }
 
-func (s *Sim) roleFigures(role attach.Role) scale.RoleFigures {
+func (s *Sim) roleFigures(role membership.Role) scale.RoleFigures {
 	list := s.members(role)
 	f := s.account.role(list)
 	ins, outs := sum(f.ins), sum(f.outs)
@@ -79,7 +79,7 @@
 				count++
 			}
 		})
-		if p.role == attach.Control {
+		if p.role == membership.Control {
 			count += 2 * (len(s.controls) - 1)
 		}
 	}
@@ -142,7 +142,7 @@
 	if out.Turns > 0 {
 		f["changes seen of the one that flaps count"] = float64(out.Turns)
 	}
-	for _, role := range []attach.Role{attach.Attached, attach.Control} {
+	for _, role := range []membership.Role{membership.Attached, membership.Control} {
 		s.addKinds(f, role)
 	}
 	return f
@@ -155,7 +155,7 @@
 }
 
 // addKinds adds the bytes of each kind of message.
-func (s *Sim) addKinds(f map[string]float64, role attach.Role) {
+func (s *Sim) addKinds(f map[string]float64, role membership.Role) {
 	list := s.members(role)
 	flow := s.account.role(list)
 	each := float64(s.account.measured) / float64(second) * float64(len(list))
--- a/exercise/membership/run.go
+++ b/exercise/membership/run.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"chutechute/attach"
+	"chutechute/fleet/membership"
 	"chutechute/internal/scale"
 )
 
@@ -189,8 +189,8 @@
 }
 
 // roleName is a role as results have it.
-func roleName(role attach.Role) string {
-	if role == attach.Control {
+func roleName(role membership.Role) string {
+	if role == membership.Control {
 		return scale.RoleControl
 	}
 	return scale.RoleFrontEnd
--- a/exercise/membership/scenarios_test.go
+++ b/exercise/membership/scenarios_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chutechute/attach"
 	"chutechute/exercise/membership"
+	fleetmembership "chutechute/fleet/membership"
 	"chutechute/internal/golden"
 	"chutechute/internal/scale"
 )
@@ -119,7 +119,7 @@
 	}
 	for err := range o.Rejected { // where repairs are lost or not read in time a link may end; nothing else is ever refused
 		harsh := scenario.Name == "trickle" || scenario.Name == "chaos"
-		assert.True(t, harsh && strings.HasPrefix(err, attach.ErrDisagree.Error()), err)
+		assert.True(t, harsh && strings.HasPrefix(err, fleetmembership.ErrDisagree.Error()), err)
 	}
 }
 
--- a/exercise/membership/sim.go
+++ b/exercise/membership/sim.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"chutechute/attach"
+	"chutechute/fleet/membership"
 	"chutechute/internal/scale"
 )
 
@@ -50,10 +50,10 @@
 func newSim(shape scale.Shape) *Sim {
 	s := &Sim{shape: shape, rng: rand.New(rand.NewPCG(shape.Seed, 1)), byName: map[string]*place{}}
 	for i := range shape.Controls {
-		s.controls = append(s.controls, s.newPlace(fmt.Sprintf("control-%02d", i+1), i%shape.Zones, attach.Control))
+		s.controls = append(s.controls, s.newPlace(fmt.Sprintf("control-%02d", i+1), i%shape.Zones, membership.Control))
 	}
 	for i := range shape.Attached() {
-		s.attached = append(s.attached, s.newPlace(fmt.Sprintf("front-%04d", i+1), i%shape.Zones, attach.Attached))
+		s.attached = append(s.attached, s.newPlace(fmt.Sprintf("front-%04d", i+1), i%shape.Zones, membership.Attached))
 	}
 	s.sorted = slices.SortedFunc(slices.Values(s.places), func(a, b *place) int { return strings.Compare(a.name, b.name) })
 	s.network = network{s: s, apart: map[[2]int]bool{}, ways: map[[2]int]bool{}}
@@ -68,7 +68,7 @@
 	name    string
 	zone    int
 	region  int
-	role    attach.Role
+	role    membership.Role
 	proc    *process // nil: none runs
 	resumed Micros   // when it last went on after it had stood still
 	off     bool     // the machine is off: nobody answers a dial or ends a connection
@@ -86,7 +86,7 @@
 // regions is how many regions the zones of a fleet lie in.
 const regions = 10
 
-func (s *Sim) newPlace(name string, zone int, role attach.Role) *place {
+func (s *Sim) newPlace(name string, zone int, role membership.Role) *place {
 	p := &place{s: s, index: len(s.places), name: name, zone: zone, role: role, room: linkQueue}
 	p.region = zone * min(regions, s.shape.Zones) / s.shape.Zones
 	s.places = append(s.places, p)
--- a/exercise/membership/truth.go
+++ b/exercise/membership/truth.go
@@ -4,16 +4,16 @@
 	"fmt"
 	"slices"
 
-	"chutechute/attach"
+	"chutechute/fleet/membership"
 )
 
 // sight is how one member sees another: the number of the other's process, from 1, and its state. 0: not in the view.
 type sight uint32
 
-func sightOf(order int, state attach.State) sight { return sight(order)<<2 | sight(state) }
+func sightOf(order int, state membership.State) sight { return sight(order)<<2 | sight(state) }
 
-func (v sight) order() int          { return int(v >> 2) }
-func (v sight) state() attach.State { return attach.State(v & 3) }
+func (v sight) order() int              { return int(v >> 2) }
+func (v sight) state() membership.State { return membership.State(v & 3) }
 
 // mostWords bounds the findings of a kind that are kept in words.
 const mostWords = 20
@@ -85,7 +85,7 @@
 	case v.order() > c.order:
 		return true
 	}
-	return c.kind == appeared || v.state() == attach.Dead || v.state() == attach.Left
+	return c.kind == appeared || v.state() == membership.Dead || v.state() == membership.Left
 }
 
 // shownBy says whether that is the change itself, and not a later one.
@@ -220,7 +220,7 @@
 // judge finds what a member ought not to see.
 func (t *truth) judge(q *process, subject *place, v sight) {
 	t.past(q, subject, v)
-	if v.state() == attach.Dead && t.wronglyDead(q.p, subject, v.order()) {
+	if v.state() == membership.Dead && t.wronglyDead(q.p, subject, v.order()) {
 		t.falseDeaths.add(t.s, "%s sees %s dead, which runs", q.p.name, subject.name)
 	}
 }
@@ -229,7 +229,7 @@
 func (t *truth) past(q *process, subject *place, v sight) {
 	highest, met := &t.highest[q.p.index][subject.index], &t.met[q.p.index][subject.index]
 	bit := uint64(1) << (v.order() % 64)
-	if v.order() < int(*highest) && v.state() != attach.Dead {
+	if v.order() < int(*highest) && v.state() != membership.Dead {
 		found := &t.older
 		if *met&bit != 0 {
 			found = &t.pastBack
@@ -358,11 +358,11 @@
 func agrees(subject *place, v sight) bool {
 	switch {
 	case subject.proc != nil:
-		return v != 0 && v.order() == subject.births && v.state() == attach.Alive
+		return v != 0 && v.order() == subject.births && v.state() == membership.Alive
 	case v == 0:
 		return true
 	}
-	return v.order() == subject.births && (v.state() == attach.Dead || v.state() == attach.Left)
+	return v.order() == subject.births && (v.state() == membership.Dead || v.state() == membership.Left)
 }
 
 func (v sight) String() string {
--- a/exercise/mutants_test.go
+++ b/exercise/mutants_test.go
@@ -6,22 +6,22 @@
 	"github.com/stretchr/testify/assert"
 
 	"chutechute/exercise"
+	"chutechute/fleet/idempotency"
+	"chutechute/fleet/replication"
 	"chutechute/gateway"
 	"chutechute/internal/history"
-	"chutechute/ledger"
-	"chutechute/ledger/loads"
 )
 
 // answers changes what a kind answers: the state stays right, and what is told is wrong.
 type answers struct {
-	ledger.Kind
-	change func(asker ledger.Incarnation, c *loads.Command, v *loads.View)
+	replication.Kind
+	change func(asker replication.Incarnation, c *idempotency.Command, v *idempotency.View)
 }
 
-func (a answers) Apply(at ledger.Applied, asker ledger.Incarnation, body []byte) []byte {
+func (a answers) Apply(at replication.Applied, asker replication.Incarnation, body []byte) []byte {
 	out := a.Kind.Apply(at, asker, body)
-	c, err := loads.Decode(body)
-	v, err2 := loads.DecodeView(out)
+	c, err := idempotency.Decode(body)
+	v, err2 := idempotency.DecodeView(out)
 	if err != nil || err2 != nil || len(out) == 0 {
 		return out
 	}
@@ -29,8 +29,8 @@
 	return v.Encode()
 }
 
-func telling(change func(asker ledger.Incarnation, c *loads.Command, v *loads.View)) *exercise.Variant {
-	return &exercise.Variant{Kind: func(k ledger.Kind) ledger.Kind { return answers{k, change} }}
+func telling(change func(asker replication.Incarnation, c *idempotency.Command, v *idempotency.View)) *exercise.Variant {
+	return &exercise.Variant{Kind: func(k replication.Kind) replication.Kind { return answers{k, change} }}
 }
 
 // unguarded has engines that drop no repeats.
@@ -48,9 +48,9 @@
 }
 
 // hasty has loads lapse long before their time.
-type hasty struct{ ledger.Kind }
+type hasty struct{ replication.Kind }
 
-func (h hasty) Due(now ledger.Micros, seen ledger.Presence) [][]byte {
+func (h hasty) Due(now replication.Micros, seen replication.Presence) [][]byte {
 	return h.Kind.Due(now+60*second, seen)
 }
 
@@ -77,27 +77,27 @@
 	}{
 		{"begins without a committed start", &exercise.Variant{Record: func(r gateway.Record) gateway.Record { return bold{r} }}, ""},
 		{"tells rows before they are kept", &exercise.Variant{Record: func(r gateway.Record) gateway.Record { return blunt{r} }}, ""},
-		{"grants a start out of turn", telling(func(_ ledger.Incarnation, c *loads.Command, v *loads.View) {
-			if c.Op == loads.Take {
+		{"grants a start out of turn", telling(func(_ replication.Incarnation, c *idempotency.Command, v *idempotency.View) {
+			if c.Op == idempotency.Take {
 				v.Turn = true
 			}
-			if c.Op == loads.Start && v.Status == loads.NotYet {
-				v.Status = loads.OK
+			if c.Op == idempotency.Start && v.Status == idempotency.NotYet {
+				v.Status = idempotency.OK
 			}
 		}), "two loads of a key at once"},
-		{"lets the old owner of an offered load start once more", unguarded(telling(func(asker ledger.Incarnation, c *loads.Command, v *loads.View) {
-			if c.Op == loads.Start && v.Phase == loads.Started && v.Owner != uint64(asker) {
-				v.Status = loads.OK
+		{"lets the old owner of an offered load start once more", unguarded(telling(func(asker replication.Incarnation, c *idempotency.Command, v *idempotency.View) {
+			if c.Op == idempotency.Start && v.Phase == idempotency.Started && v.Owner != uint64(asker) {
+				v.Status = idempotency.OK
 			}
 		})), ""},
-		{"lets a started load be adopted", unguarded(telling(func(asker ledger.Incarnation, c *loads.Command, v *loads.View) {
-			if v.Phase == loads.Started && v.Owner != uint64(asker) && (c.Op == loads.Take || c.Op == loads.Start) {
-				v.Phase, v.Owner, v.Status, v.Turn, v.Call = loads.Waiting, uint64(asker), loads.OK, true, c.Call
+		{"lets a started load be adopted", unguarded(telling(func(asker replication.Incarnation, c *idempotency.Command, v *idempotency.View) {
+			if v.Phase == idempotency.Started && v.Owner != uint64(asker) && (c.Op == idempotency.Take || c.Op == idempotency.Start) {
+				v.Phase, v.Owner, v.Status, v.Turn, v.Call = idempotency.Waiting, uint64(asker), idempotency.OK, true, c.Call
 			}
 		})), ""},
 		{"takes no care of how old the record's word is", &exercise.Variant{NoUntil: true}, ""},
 		{"fails at once what its engine does not know of a lost owner's", &exercise.Variant{HastySuccessor: true}, ""},
-		{"lets the first of a line go too early", &exercise.Variant{Kind: func(k ledger.Kind) ledger.Kind { return hasty{k} }}, ""},
+		{"lets the first of a line go too early", &exercise.Variant{Kind: func(k replication.Kind) replication.Kind { return hasty{k} }}, ""},
 		{"votes under the name of a lost disk", &exercise.Variant{SameNumber: true}, ""},
 		{"tells of a write before it is there", &exercise.Variant{EarlyWord: true}, ""},
 	} {
--- a/exercise/sim.go
+++ b/exercise/sim.go
@@ -13,11 +13,11 @@
 	"fmt"
 	"math/rand/v2"
 
-	"chutechute/budget"
+	"chutechute/fleet/budget"
+	"chutechute/fleet/replication"
 	"chutechute/gateway"
 	"chutechute/internal/history"
 	"chutechute/internal/settings"
-	"chutechute/ledger"
 )
 
 // Micros is a time or a span in microseconds of true time.
@@ -48,7 +48,7 @@
 // Variant is a fleet that breaks a rule on purpose, by which the checks are shown to see it.
 type Variant struct {
 	Record         func(gateway.Record) gateway.Record
-	Kind           func(ledger.Kind) ledger.Kind
+	Kind           func(replication.Kind) replication.Kind
 	SameNumber     bool // an emptied disk keeps its number: the copy votes under the name that it had
 	EarlyWord      bool // a write is told before it is there
 	NoUntil        bool // the last moment to begin is not looked at
--- a/fleet/attached.go
+++ b/fleet/attached.go
@@ -3,14 +3,14 @@
 import (
 	"fmt"
 
-	"chutechute/attach"
-	"chutechute/ledger"
-	"chutechute/peer"
+	"chutechute/fleet/membership"
+	"chutechute/fleet/replication"
+	"chutechute/fleet/transport"
 )
 
 // AttachedConfig is what an attached front end is told of its fleet.
 type AttachedConfig struct {
-	Attach attach.Config
+	Attach membership.Config
 	Retry  Micros // until a question is asked again
 }
 
@@ -18,7 +18,7 @@
 // carry messages both ways. It is a stepped module as Node is.
 type Attached struct {
 	cfg      AttachedConfig
-	client   *attach.Client
+	client   *membership.Client
 	requests requests
 	actions  []Action
 	now      Micros
@@ -28,16 +28,16 @@
 
 // NewAttached builds an attached front end. Note is told that something this front end waits for may have changed.
 func NewAttached(cfg AttachedConfig, note func(about string)) *Attached {
-	a := &Attached{cfg: cfg, client: attach.NewClient(cfg.Attach), note: note}
+	a := &Attached{cfg: cfg, client: membership.NewClient(cfg.Attach), note: note}
 	a.requests = newRequests(a, cfg.Attach.Incarnation, cfg.Retry)
 	return a
 }
 
 // Client is this front end's part of package attach.
-func (a *Attached) Client() *attach.Client { return a.client }
+func (a *Attached) Client() *membership.Client { return a.client }
 
 // View is all front ends of both roles, as the home has told.
-func (a *Attached) View() *attach.View { return a.client.View() }
+func (a *Attached) View() *membership.View { return a.client.View() }
 
 // Home is the control member that the view comes from and questions go to; empty without one.
 func (a *Attached) Home() string { return a.client.Home() }
@@ -61,21 +61,21 @@
 }
 
 // Receive takes a message of a control member; after an error the link is to be closed.
-func (a *Attached) Receive(now Micros, l Link, kind peer.Kind, body []byte) error {
+func (a *Attached) Receive(now Micros, l Link, kind transport.Kind, body []byte) error {
 	a.now = now
 	switch kind {
-	case peer.View:
-		return a.client.Receive(now, l.From, l.Incarnation, attach.ViewPart, body)
-	case peer.Answer:
-		answer, err := ledger.DecodeAnswer(body)
+	case transport.View:
+		return a.client.Receive(now, l.From, l.Incarnation, membership.ViewPart, body)
+	case transport.Answer:
+		answer, err := replication.DecodeAnswer(body)
 		if err != nil {
 			return err
 		}
 		a.requests.answered(now, answer)
-	case peer.Note:
+	case transport.Note:
 		a.note(string(body))
 	default:
-		return fmt.Errorf("%w: %s to an attached front end", peer.ErrKind, kind)
+		return fmt.Errorf("%w: %s to an attached front end", transport.ErrKind, kind)
 	}
 	return nil
 }
@@ -111,13 +111,13 @@
 	return list
 }
 
-func (a *Attached) tell(to string, kind peer.Kind, bulk bool, body []byte) {
+func (a *Attached) tell(to string, kind transport.Kind, bulk bool, body []byte) {
 	a.actions = append(a.actions, Tell{To: to, Kind: kind, Bulk: bulk, Body: body})
 }
 
 // Ask puts a question to the record, by way of the home. Done is called once with what was committed, from Receive; it is not
 // called any more after Cancel. A question that is taken back may still be committed.
-func (a *Attached) Ask(now Micros, kind, version uint32, body []byte, done func(ledger.Answer)) (id uint64) {
+func (a *Attached) Ask(now Micros, kind, version uint32, body []byte, done func(replication.Answer)) (id uint64) {
 	a.now = now
 	return a.requests.add(now, kind, version, body, done)
 }
@@ -134,7 +134,9 @@
 // target is the control member that questions go by.
 func (a *Attached) target() string { return a.client.Home() }
 
-func (a *Attached) ask(to string, c ledger.Command) { a.tell(to, peer.Ask, false, c.Encode()) }
+func (a *Attached) ask(to string, c replication.Command) {
+	a.tell(to, transport.Ask, false, c.Encode())
+}
 
 // redirected is always true: the home has taken the word of the copy that refused, and will pass the question on elsewhere.
 func (a *Attached) redirected(uint64, string) bool { return true }
--- a/fleet/attached_test.go
+++ b/fleet/attached_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chutechute/attach"
 	"chutechute/fleet"
-	"chutechute/ledger"
-	"chutechute/ledger/loads"
-	"chutechute/peer"
+	"chutechute/fleet/idempotency"
+	"chutechute/fleet/membership"
+	"chutechute/fleet/replication"
+	"chutechute/fleet/transport"
 )
 
 // An attached front end's questions reach the record through any control member, and their answers come back.
@@ -24,9 +24,9 @@
 		view, answers := r.take(a, "once-"+a.name)
 		r.until(2*second, "an answer", func() bool { return *answers > 0 })
 		assert.Equal(t, a.incarnation, view.Owner)
-		assert.Equal(t, loads.Waiting, view.Phase)
+		assert.Equal(t, idempotency.Waiting, view.Phase)
 		if a.Home() != leads.name {
-			assert.Positive(t, r.sent[sentMessage{a.Home(), leads.name, peer.Forward}])
+			assert.Positive(t, r.sent[sentMessage{a.Home(), leads.name, transport.Forward}])
 		}
 	}
 	r.pass(3 * second)
@@ -65,7 +65,7 @@
 	b.up = false
 	r.until(8*second, "dead", func() bool { return c.Gone(a.incarnation) && c.Gone(b.incarnation) })
 	e, _ := c.View().Of("x2")
-	assert.Equal(t, attach.Left, e.State)
+	assert.Equal(t, membership.Left, e.State)
 	for _, n := range r.controls {
 		assert.True(t, n.Gone(a.incarnation) && n.Gone(b.incarnation))
 		assert.False(t, n.Gone(c.incarnation))
@@ -79,10 +79,10 @@
 	a := r.attach("x1", zones[other.name])
 	r.ready(a)
 	require.Equal(t, other.name, a.Home(), "its zone's")
-	r.lose = func(_, to string, kind peer.Kind) bool { return kind == peer.Answer && to == a.name }
+	r.lose = func(_, to string, kind transport.Kind) bool { return kind == transport.Answer && to == a.name }
 	_, answers := r.take(a, "once")
 	r.until(second, "an answer that is lost", func() bool { // by its home, or straight from the leader where it has a link with that
-		return r.sent[sentMessage{other.name, a.name, peer.Answer}]+r.sent[sentMessage{leads.name, a.name, peer.Answer}] > 0
+		return r.sent[sentMessage{other.name, a.name, transport.Answer}]+r.sent[sentMessage{leads.name, a.name, transport.Answer}] > 0
 	})
 	require.Zero(t, *answers)
 	r.lose = nil
@@ -100,7 +100,7 @@
 	leads, other := r.leader()
 	a := r.attach("x1", zones[other.name])
 	r.ready(a)
-	r.lose = func(_, _ string, kind peer.Kind) bool { return kind == peer.Forward }
+	r.lose = func(_, _ string, kind transport.Kind) bool { return kind == transport.Forward }
 	_, answers := r.take(a, "once")
 	r.pass(2 * step)
 	leads.up = false
@@ -122,8 +122,8 @@
 	if first.Owner == b.incarnation {
 		owner, waits = b, a
 	}
-	finish := loads.Command{Op: loads.Finish, Once: "once", Epoch: first.Epoch, Outcome: loads.None}
-	owner.Ask(r.now, leads.kind.ID(), 1, finish.Encode(), func(ledger.Answer) {})
+	finish := idempotency.Command{Op: idempotency.Finish, Once: "once", Epoch: first.Epoch, Outcome: idempotency.None}
+	owner.Ask(r.now, leads.kind.ID(), 1, finish.Encode(), func(replication.Answer) {})
 	r.until(2*second, "a note", func() bool { return len(waits.notes) > 0 })
 	assert.Equal(t, "once", waits.notes[0])
 }
@@ -135,7 +135,7 @@
 	a := r.attach("x1", zones[other.name])
 	r.ready(a)
 	_, answers := r.take(a, "once")
-	r.until(second, "the question is on its way", func() bool { return r.sent[sentMessage{other.name, leads.name, peer.Forward}] > 0 })
+	r.until(second, "the question is on its way", func() bool { return r.sent[sentMessage{other.name, leads.name, transport.Forward}] > 0 })
 	for name := range zones { // it is gone before the answer comes
 		if _, ok := a.links[name]; ok {
 			r.unlink(a, name)
@@ -155,29 +155,29 @@
 	a := r.attach("x1", zones[other.name])
 	r.ready(a)
 	link := a.links[other.name]
-	for kind := peer.Status; kind <= peer.Forward; kind++ {
-		if kind == peer.Heartbeat || kind == peer.Ask {
+	for kind := transport.Status; kind <= transport.Forward; kind++ {
+		if kind == transport.Heartbeat || kind == transport.Ask {
 			continue
 		}
-		assert.ErrorIs(t, other.Receive(r.now, link, kind, nil), peer.ErrKind, kind.String())
+		assert.ErrorIs(t, other.Receive(r.now, link, kind, nil), transport.ErrKind, kind.String())
 	}
-	command := ledger.Command{Kind: 1, Version: 1, Asker: ledger.Incarnation(leads.incarnation), Seq: 1}
-	assert.ErrorIs(t, other.Receive(r.now, link, peer.Ask, command.Encode()), fleet.ErrAsker)
-	assert.Error(t, other.Receive(r.now, link, peer.Ask, []byte{0xff}))
-	assert.Error(t, other.Receive(r.now, link, peer.Heartbeat, []byte{0xff}))
+	command := replication.Command{Kind: 1, Version: 1, Asker: replication.Incarnation(leads.incarnation), Seq: 1}
+	assert.ErrorIs(t, other.Receive(r.now, link, transport.Ask, command.Encode()), fleet.ErrAsker)
+	assert.Error(t, other.Receive(r.now, link, transport.Ask, []byte{0xff}))
+	assert.Error(t, other.Receive(r.now, link, transport.Heartbeat, []byte{0xff}))
 	r.pump()
-	assert.Zero(t, r.sent[sentMessage{other.name, leads.name, peer.Forward}])
-	for kind := peer.Challenge; kind <= peer.Forward; kind++ {
-		if kind != peer.View && kind != peer.Answer && kind != peer.Note {
-			assert.ErrorIs(t, a.Receive(r.now, fleet.Link{From: other.name, Incarnation: other.incarnation}, kind, nil), peer.ErrKind, kind.String())
+	assert.Zero(t, r.sent[sentMessage{other.name, leads.name, transport.Forward}])
+	for kind := transport.Challenge; kind <= transport.Forward; kind++ {
+		if kind != transport.View && kind != transport.Answer && kind != transport.Note {
+			assert.ErrorIs(t, a.Receive(r.now, fleet.Link{From: other.name, Incarnation: other.incarnation}, kind, nil), transport.ErrKind, kind.String())
 		}
 	}
 
 	off := newRig(t, false)
 	n, _ := off.leader()
 	link = fleet.Link{From: "x1", Incarnation: 5, Greeted: off.now, Attached: true}
-	assert.ErrorIs(t, n.Receive(off.now, link, peer.Heartbeat, nil), fleet.ErrAttached)
-	assert.ErrorIs(t, n.Receive(off.now, fleet.Link{From: "n2", Incarnation: off.controls["n2"].incarnation}, peer.Table, nil), fleet.ErrAttached)
+	assert.ErrorIs(t, n.Receive(off.now, link, transport.Heartbeat, nil), fleet.ErrAttached)
+	assert.ErrorIs(t, n.Receive(off.now, fleet.Link{From: "n2", Incarnation: off.controls["n2"].incarnation}, transport.Table, nil), fleet.ErrAttached)
 	assert.Nil(t, n.View())
 }
 
@@ -186,15 +186,15 @@
 	r := newRig(t, true)
 	leads, other := r.leader()
 	link := fleet.Link{From: other.name, Incarnation: other.incarnation, Greeted: second}
-	ask := ledger.Command{Kind: 1, Version: 1, Asker: 7, Seq: 1}
+	ask := replication.Command{Kind: 1, Version: 1, Asker: 7, Seq: 1}
 	for want, body := range map[error][]byte{
-		fleet.ErrAsker: fleet.Forwarded(8, peer.Ask, ask.Encode()),
-		peer.ErrKind:   fleet.Forwarded(7, peer.Status, nil),
+		fleet.ErrAsker:    fleet.Forwarded(8, transport.Ask, ask.Encode()),
+		transport.ErrKind: fleet.Forwarded(7, transport.Status, nil),
 	} {
-		assert.ErrorIs(t, leads.Receive(r.now, link, peer.Forward, body), want)
+		assert.ErrorIs(t, leads.Receive(r.now, link, transport.Forward, body), want)
 	}
-	assert.Error(t, leads.Receive(r.now, link, peer.Forward, []byte{0xff}))
-	assert.Error(t, leads.Receive(r.now, link, peer.Forward, fleet.Forwarded(7, peer.Ask, []byte{0xff})))
+	assert.Error(t, leads.Receive(r.now, link, transport.Forward, []byte{0xff}))
+	assert.Error(t, leads.Receive(r.now, link, transport.Forward, fleet.Forwarded(7, transport.Ask, []byte{0xff})))
 }
 
 // What an attached front end has under way is never offered to others: a leader that sees its process dead leaves it alone, and
@@ -207,14 +207,14 @@
 	view, _ := r.take(a, "started")
 	_, answers := r.take(a, "waiting")
 	r.until(2*second, "answers", func() bool { return *answers > 0 })
-	start := loads.Command{Op: loads.Start, Once: "started", Epoch: view.Epoch, Attempt: 1, Engine: "s-1", Call: "call-started"}
+	start := idempotency.Command{Op: idempotency.Start, Once: "started", Epoch: view.Epoch, Attempt: 1, Engine: "s-1", Call: "call-started"}
 	var begun bool
-	a.Ask(r.now, leads.kind.ID(), 1, start.Encode(), func(ledger.Answer) { begun = true })
+	a.Ask(r.now, leads.kind.ID(), 1, start.Encode(), func(replication.Answer) { begun = true })
 	r.until(2*second, "a start", func() bool { return begun })
 	a.up = false
 	r.until(6*second, "gone", func() bool { return leads.Gone(a.incarnation) })
 	r.pass(3500 * ms)
-	phases := map[string]loads.Shown{}
+	phases := map[string]idempotency.Shown{}
 	for _, l := range leads.kind.Show() {
 		phases[l.Once] = l
 	}
@@ -232,12 +232,12 @@
 	view, answers := r.take(a, "once")
 	r.until(2*second, "an answer", func() bool { return *answers > 0 })
 	done := 0
-	for _, c := range []loads.Command{
-		{Op: loads.Start, Once: "once", Epoch: view.Epoch, Attempt: 1, Engine: "s-1", Call: "call-once"},
-		{Op: loads.Hand, Once: "once", Epoch: view.Epoch},
+	for _, c := range []idempotency.Command{
+		{Op: idempotency.Start, Once: "once", Epoch: view.Epoch, Attempt: 1, Engine: "s-1", Call: "call-once"},
+		{Op: idempotency.Hand, Once: "once", Epoch: view.Epoch},
 	} {
 		done = 0
-		a.Ask(r.now, leads.kind.ID(), 1, c.Encode(), func(ledger.Answer) { done++ })
+		a.Ask(r.now, leads.kind.ID(), 1, c.Encode(), func(replication.Answer) { done++ })
 		r.until(2*second, "done", func() bool { return done > 0 })
 	}
 	r.until(3*second, "an owner", func() bool {
--- a/budget/authority.go
+++ b/fleet/budget/authority.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
-	"chutechute/budget/account"
-	"chutechute/ledger"
+	"chutechute/fleet/budget/account"
+	"chutechute/fleet/replication"
 )
 
 // Options bound the record. All copies of one group have the same.
@@ -28,7 +28,7 @@
 	specs   map[string]*state
 	holders []*holder // by incarnation
 	insts   map[key]*inst
-	notes   map[ledger.Incarnation]bool
+	notes   map[replication.Incarnation]bool
 	now     Micros
 	index   uint64
 }
@@ -55,7 +55,7 @@
 
 // holder is one process that holds something.
 type holder struct {
-	who      ledger.Incarnation
+	who      replication.Incarnation
 	name     string
 	n        uint64 // the last report that was carried out
 	issue    uint64 // the grant that its answer told
@@ -108,7 +108,7 @@
 
 // NewAuthority is an empty record.
 func NewAuthority(o Options) *Authority {
-	return &Authority{o: o, specs: map[string]*state{}, insts: map[key]*inst{}, notes: map[ledger.Incarnation]bool{}}
+	return &Authority{o: o, specs: map[string]*state{}, insts: map[key]*inst{}, notes: map[replication.Incarnation]bool{}}
 }
 
 // ID is the kind's number in commands and snapshots.
@@ -121,7 +121,7 @@
 func (a *Authority) Version() uint32 { return 1 }
 
 // Apply carries out a committed command.
-func (a *Authority) Apply(at ledger.Applied, asker ledger.Incarnation, body []byte) []byte {
+func (a *Authority) Apply(at replication.Applied, asker replication.Incarnation, body []byte) []byte {
 	c, err := decodeCommand(body)
 	if err != nil {
 		return nil
@@ -152,7 +152,7 @@
 }
 
 // tell notes those whose division may change.
-func (a *Authority) tell(at ledger.Applied) {
+func (a *Authority) tell(at replication.Applied) {
 	if len(a.notes) == 0 {
 		return
 	}
@@ -165,7 +165,7 @@
 }
 
 // report carries out what a holder says, and gives its part anew.
-func (a *Authority) report(at ledger.Applied, who ledger.Incarnation, c *command) (ans answer) {
+func (a *Authority) report(at replication.Applied, who replication.Incarnation, c *command) (ans answer) {
 	ans.N = c.N
 	a.adopt(at, c, &ans)
 	if a.set == nil {
@@ -251,7 +251,7 @@
 }
 
 // adopt takes newer settings over, and says where a holder's are not the record's.
-func (a *Authority) adopt(at ledger.Applied, c *command, ans *answer) {
+func (a *Authority) adopt(at replication.Applied, c *command, ans *answer) {
 	if len(c.Set) > 0 && (a.set == nil || c.Version > a.set.Version) {
 		set, err := DecodeSet(c.Set)
 		if err != nil || set.Version != c.Version || !a.follows(set) {
--- a/budget/division.go
+++ b/fleet/budget/division.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"chutechute/budget/account"
-	"chutechute/ledger"
+	"chutechute/fleet/budget/account"
+	"chutechute/fleet/replication"
 )
 
 const (
@@ -52,7 +52,7 @@
 }
 
 // part is what a holder may have of one subject's budget from now on.
-func (a *Authority) part(at ledger.Applied, o *hold) Amount {
+func (a *Authority) part(at replication.Applied, o *hold) Amount {
 	p, s := a.set.Of(o.i.budget), a.specs[o.i.budget]
 	if p == nil || !s.open {
 		return Amount{}
--- a/budget/enforce/enforce.go
+++ b/fleet/budget/enforce/enforce.go
@@ -8,14 +8,14 @@
 	"fmt"
 	"slices"
 
-	"chutechute/budget"
-	"chutechute/budget/account"
-	"chutechute/decide"
+	"chutechute/fleet/budget"
+	"chutechute/fleet/budget/account"
 	"chutechute/internal/settings"
+	"chutechute/scheduler"
 )
 
 // Micros is a time or a span in microseconds of this machine's clock.
-type Micros = decide.Micros
+type Micros = scheduler.Micros
 
 // Scope is what a budget applies to. Each, "*", gives every one the whole for itself.
 type Scope struct {
@@ -35,16 +35,16 @@
 const Each = "*"
 
 var (
-	units = map[string]decide.Unit{"": decide.Queries, "queries": decide.Queries, "threads": decide.Threads, "work": decide.Work}
-	overs = map[string]decide.Over{"refuse": decide.Turned, "wait": decide.Waits, "last": decide.Last}
+	units = map[string]scheduler.Unit{"": scheduler.Queries, "queries": scheduler.Queries, "threads": scheduler.Threads, "work": scheduler.Work}
+	overs = map[string]scheduler.Over{"refuse": scheduler.Turned, "wait": scheduler.Waits, "last": scheduler.Last}
 )
 
 // Rule is the scope in the module's terms. An error names the faulty key.
-func (s *Scope) Rule(p *budget.Spec, site *settings.Settings) (r decide.Rule, err error) {
-	r = decide.Rule{Name: p.Name, Kind: p.Kind, Span: p.Span, Life: p.Life, Class: -1, Tenant: -1, EngineKind: s.EngineKind,
+func (s *Scope) Rule(p *budget.Spec, site *settings.Settings) (r scheduler.Rule, err error) {
+	r = scheduler.Rule{Name: p.Name, Kind: p.Kind, Span: p.Span, Life: p.Life, Class: -1, Tenant: -1, EngineKind: s.EngineKind,
 		Cold: s.Cold, Further: s.Further, Probes: s.Probes, Earned: int64(s.Share * account.Unit)}
 	var ok bool
-	fault := func(key, form string, args ...any) (decide.Rule, error) {
+	fault := func(key, form string, args ...any) (scheduler.Rule, error) {
 		return r, fmt.Errorf("%s: %s", key, fmt.Sprintf(form, args...))
 	}
 	if s.Class != "" {
@@ -60,7 +60,7 @@
 			return fault("tenant", "the site has no %q", s.Tenant)
 		}
 	}
-	if s.EngineKind != "" && !slices.ContainsFunc(site.Kinds, func(k decide.Kind) bool { return k.Name == s.EngineKind }) {
+	if s.EngineKind != "" && !slices.ContainsFunc(site.Kinds, func(k scheduler.Kind) bool { return k.Name == s.EngineKind }) {
 		return fault("engine_kind", "the site has no %q", s.EngineKind)
 	}
 	switch s.Engine {
@@ -81,11 +81,11 @@
 		return fault("engine", "\"*\" stands with tenant \"*\"")
 	case (r.Cold || r.EngineKind != "") && !r.EachEngine:
 		return fault("engine", "missing, with cold or engine_kind")
-	case r.Over == decide.Last && (!r.EachTenant && r.Tenant < 0 || r.EachEngine || r.Further):
+	case r.Over == scheduler.Last && (!r.EachTenant && r.Tenant < 0 || r.EachEngine || r.Further):
 		return fault("over", "\"last\" takes a tenant, and neither engine nor further")
 	case s.Share < 0 || s.Share > 1 || s.Share > 0 && (!s.Further || r.EachTenant || r.EachEngine || p.Kind != account.Rate):
 		return fault("share", "%g is not from 0 to 1, or stands without further and a rate, or with \"*\"", s.Share)
-	case r.Probes && (r.EachEngine || r.EachTenant || r.Tenant >= 0 || r.Class >= 0 || r.Further || r.Unit != decide.Queries):
+	case r.Probes && (r.EachEngine || r.EachTenant || r.Tenant >= 0 || r.Class >= 0 || r.Further || r.Unit != scheduler.Queries):
 		return fault("probes", "stands alone")
 	}
 	return r, nil
@@ -102,8 +102,8 @@
 
 // Core is the gateway's part of it.
 type Core interface {
-	Allow(ev decide.Amounts)
-	Demands(now Micros) []decide.Demand
+	Allow(ev scheduler.Amounts)
+	Demands(now Micros) []scheduler.Demand
 }
 
 // Enforcer has the decision module of one front end keep to what its budgets grant.
@@ -118,19 +118,19 @@
 func New(site *settings.Settings, core Core) *Enforcer { return &Enforcer{site: site, core: core} }
 
 // Demands is what the module wants and has in use.
-func (e *Enforcer) Demands(now Micros) []decide.Demand { return e.core.Demands(now) }
+func (e *Enforcer) Demands(now Micros) []scheduler.Demand { return e.core.Demands(now) }
 
 // Allow hands a grant over.
 func (e *Enforcer) Allow(_ Micros, g budget.Grant) {
-	ev := decide.Amounts{Until: g.Until, Leased: g.Leased, Static: g.Static}
+	ev := scheduler.Amounts{Until: g.Until, Leased: g.Leased, Static: g.Static}
 	if g.Set != nil {
-		ev.Rules = []decide.Rule{}
+		ev.Rules = []scheduler.Rule{}
 		e.Unknown = map[string]string{}
 		for i := range g.Set.Specs {
 			spec := &g.Set.Specs[i]
 			var s Scope
 			err := json.Unmarshal(spec.Scope, &s)
-			var r decide.Rule
+			var r scheduler.Rule
 			if err == nil {
 				r, err = s.Rule(spec, e.site)
 			}
--- a/budget/figures_test.go
+++ b/fleet/budget/figures_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chutechute/budget"
-	"chutechute/budget/account"
+	"chutechute/fleet/budget"
+	"chutechute/fleet/budget/account"
 )
 
 // fleetOf is a calm world of so many front ends with one budget of a rate and a burst of half a second's.
--- a/budget/golden_test.go
+++ b/fleet/budget/golden_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chutechute/budget/account"
+	"chutechute/fleet/budget/account"
+	"chutechute/fleet/replication"
 	"chutechute/internal/golden"
-	"chutechute/ledger"
 )
 
 // goldenSet is a set with a budget of each kind.
@@ -57,24 +57,26 @@
 }
 
 // noneGone is a view of processes in which all are there but those replaced.
-type noneGone struct{ replaced map[ledger.Incarnation]bool }
+type noneGone struct {
+	replaced map[replication.Incarnation]bool
+}
 
-func (p noneGone) Gone(i ledger.Incarnation) bool     { return p.replaced[i] }
-func (p noneGone) Replaced(i ledger.Incarnation) bool { return p.replaced[i] }
-func (p noneGone) Missing(i ledger.Incarnation) bool  { return p.replaced[i] }
-func (p noneGone) Present() []ledger.Incarnation      { return nil }
+func (p noneGone) Gone(i replication.Incarnation) bool     { return p.replaced[i] }
+func (p noneGone) Replaced(i replication.Incarnation) bool { return p.replaced[i] }
+func (p noneGone) Missing(i replication.Incarnation) bool  { return p.replaced[i] }
+func (p noneGone) Present() []replication.Incarnation      { return nil }
 
 // The answers to a sequence of reports, what time calls for meanwhile, the snapshot after it, and what operators see of it.
 func TestWireFormatOfStates(t *testing.T) {
 	a := NewAuthority(Options{Instances: 100})
-	at := ledger.Applied{Index: 100, Note: func(ledger.Incarnation, string) {}}
-	seen := noneGone{map[ledger.Incarnation]bool{}}
+	at := replication.Applied{Index: 100, Note: func(replication.Incarnation, string) {}}
+	seen := noneGone{map[replication.Incarnation]bool{}}
 	var list []golden.Message
 	recode := func(b []byte) ([]byte, error) {
 		ans, err := decodeAnswer(b)
 		return ans.encode(), err
 	}
-	apply := func(who ledger.Incarnation, body []byte) (ans answer) {
+	apply := func(who replication.Incarnation, body []byte) (ans answer) {
 		at.Index++
 		at.Now += second / 10
 		out := a.Apply(at, who, body)
@@ -93,7 +95,7 @@
 		}
 	}
 	set := goldenSet(1)
-	report := func(who ledger.Incarnation, n, adopted, static uint64, wants ...want) answer {
+	report := func(who replication.Incarnation, n, adopted, static uint64, wants ...want) answer {
 		c := command{Op: opReport, Name: fmt.Sprintf("n%d", who), N: n, Adopted: adopted, Static: static, Version: set.Version, Set: set.Encode(),
 			Wants: wants}
 		return apply(who, c.encode())
--- a/budget/history_test.go
+++ b/fleet/budget/history_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chutechute/budget"
-	"chutechute/budget/account"
-	"chutechute/decide"
-	"chutechute/ledger"
+	"chutechute/fleet/budget"
+	"chutechute/fleet/budget/account"
+	"chutechute/fleet/replication"
+	"chutechute/scheduler"
 )
 
 // A world plays the division in virtual time: copies of the record that apply the same commands at times of their own, holders
@@ -87,7 +87,7 @@
 	sets    []*budget.Set // all versions
 	copies  []*copyOf
 	log     [][]byte
-	askers  []ledger.Incarnation
+	askers  []replication.Incarnation
 	answers map[int]func([]byte) // by place in the log: who is told what the first copy says
 	holders []*holder
 	spends  []*spend
@@ -130,17 +130,17 @@
 	name  string
 	clock clock
 	proc  *process
-	past  []ledger.Incarnation // processes that are no more
-	want  float64              // queries a second
-	set   *budget.Set          // of its file
+	past  []replication.Incarnation // processes that are no more
+	want  float64                   // queries a second
+	set   *budget.Set               // of its file
 }
 
 type process struct {
 	h       *holder
-	who     ledger.Incarnation
+	who     replication.Incarnation
 	holder  *budget.Holder
 	books   map[string]*account.Book
-	open    map[uint64]func(ledger.Answer)
+	open    map[uint64]func(replication.Answer)
 	asked   uint64
 	paused  bool
 	waiting []func()
@@ -202,7 +202,7 @@
 }
 
 // commit adds a command to the record, and has the copies apply it, each in its time.
-func (w *world) commit(asker ledger.Incarnation, body []byte, told func([]byte)) {
+func (w *world) commit(asker replication.Incarnation, body []byte, told func([]byte)) {
 	w.log, w.askers = append(w.log, body), append(w.askers, asker)
 	if told != nil {
 		w.answers[len(w.log)] = told
@@ -234,7 +234,7 @@
 		if w.applying != nil {
 			applied = w.applying()
 		}
-		out := c.kind.Apply(ledger.Applied{Index: uint64(i + 1), Now: c.clock.at(w.now), Note: w.note}, w.askers[i], body)
+		out := c.kind.Apply(replication.Applied{Index: uint64(i + 1), Now: c.clock.at(w.now), Note: w.note}, w.askers[i], body)
 		applied()
 		if w.broken.noReserve && w.askers[i] != 0 {
 			out = budget.Larger(out, func(name string) budget.Amount { return w.set.Of(name).Reserved() })
@@ -247,7 +247,7 @@
 	}
 }
 
-func (w *world) note(to ledger.Incarnation, _ string) {
+func (w *world) note(to replication.Incarnation, _ string) {
 	for _, h := range w.holders {
 		if p := h.proc; p != nil && p.who == to {
 			if d, ok := w.travels(h.name); ok {
@@ -258,10 +258,10 @@
 }
 
 // Gone and Replaced are what copies see of processes.
-func (w *world) Gone(ledger.Incarnation) bool    { return false }
-func (w *world) Missing(ledger.Incarnation) bool { return false }
-func (w *world) Present() []ledger.Incarnation   { return nil }
-func (w *world) Replaced(who ledger.Incarnation) bool {
+func (w *world) Gone(replication.Incarnation) bool    { return false }
+func (w *world) Missing(replication.Incarnation) bool { return false }
+func (w *world) Present() []replication.Incarnation   { return nil }
+func (w *world) Replaced(who replication.Incarnation) bool {
 	for _, h := range w.holders {
 		if h.proc != nil && slices.Contains(h.past, who) {
 			return true
@@ -308,7 +308,7 @@
 		return
 	}
 	w := h.w
-	p := &process{h: h, who: ledger.Incarnation(w.rng.Uint64()>>1 | 1), books: map[string]*account.Book{}, open: map[uint64]func(ledger.Answer){}}
+	p := &process{h: h, who: replication.Incarnation(w.rng.Uint64()>>1 | 1), books: map[string]*account.Book{}, open: map[uint64]func(replication.Answer){}}
 	h.proc = p
 	p.holder = budget.NewHolder(budget.HolderConfig{Name: h.name, Set: h.set, Gap: 20 * ms}, p, p)
 	p.holder.Begin(p.local())
@@ -353,7 +353,7 @@
 }
 
 // Ask puts a question to the record: it may be committed not at all, late, or twice.
-func (p *process) Ask(_ micros, _, _ uint32, body []byte, done func(ledger.Answer)) uint64 {
+func (p *process) Ask(_ micros, _, _ uint32, body []byte, done func(replication.Answer)) uint64 {
 	w := p.h.w
 	p.asked++
 	id := p.asked
@@ -373,7 +373,7 @@
 					if w.broken.fromAnswer {
 						out = budget.Longer(out, p.local()-asked)
 					}
-					done(ledger.Answer{Seq: id, Result: ledger.Committed, Body: out})
+					done(replication.Answer{Seq: id, Result: replication.Committed, Body: out})
 				}
 			})
 		})
@@ -398,13 +398,13 @@
 func (p *process) Cancel(id uint64) { delete(p.open, id) }
 
 // Demands and Allow are the spender's side.
-func (p *process) Demands(now micros) (list []decide.Demand) {
+func (p *process) Demands(now micros) (list []scheduler.Demand) {
 	for i := range p.h.w.set.Specs {
 		name := p.h.w.set.Specs[i].Name
 		if b := p.books[name]; b != nil {
 			b.Each(func(subject string, a *account.Account) {
 				if want, inUse := a.Demand(now), a.InUse(now); want != 0 || inUse != 0 {
-					list = append(list, decide.Demand{Budget: name, Subject: subject, Want: want, InUse: inUse})
+					list = append(list, scheduler.Demand{Budget: name, Subject: subject, Want: want, InUse: inUse})
 				}
 			})
 			b.Forget(now)
--- a/budget/holder.go
+++ b/fleet/budget/holder.go
@@ -5,21 +5,21 @@
 	"math"
 	"slices"
 
-	"chutechute/budget/account"
-	"chutechute/decide"
-	"chutechute/ledger"
+	"chutechute/fleet/budget/account"
+	"chutechute/fleet/replication"
+	"chutechute/scheduler"
 )
 
 // Asker puts questions to the record; see fleet.Node.
 type Asker interface {
-	Ask(now Micros, kind, version uint32, body []byte, done func(ledger.Answer)) (id uint64)
+	Ask(now Micros, kind, version uint32, body []byte, done func(replication.Answer)) (id uint64)
 	Cancel(id uint64)
 }
 
 // Spender is who spends: it tells what it wants and has in use, and takes what it may. What it is allowed has to be in force
 // before it begins anything more.
 type Spender interface {
-	Demands(now Micros) []decide.Demand
+	Demands(now Micros) []scheduler.Demand
 	Allow(now Micros, g Grant)
 }
 
@@ -28,8 +28,8 @@
 	Set    *Set     // where it, or Waits, has changed; nil otherwise
 	Waits  []string // budgets of the set that are not in force yet
 	Until  Micros
-	Leased []decide.Part // by budget and subject
-	Static []decide.Part
+	Leased []scheduler.Part // by budget and subject
+	Static []scheduler.Part
 }
 
 // HolderConfig sets a holder up.
@@ -57,7 +57,7 @@
 	until   Micros
 	leased  map[key]Amount
 	static  uint64
-	statics []decide.Part
+	statics []scheduler.Part
 	pending uint64       // the question that is out; 0 without one
 	asked   Micros       // of the last report
 	soon    bool         // something calls for a report
@@ -82,11 +82,11 @@
 }
 
 // list is all that is leased, by budget and subject.
-func (h *Holder) list() (list []decide.Part) {
+func (h *Holder) list() (list []scheduler.Part) {
 	for k, m := range h.leased {
-		list = append(list, decide.Part{Budget: k.budget, Subject: k.subject, Amount: m})
+		list = append(list, scheduler.Part{Budget: k.budget, Subject: k.subject, Amount: m})
 	}
-	slices.SortFunc(list, func(a, b decide.Part) int {
+	slices.SortFunc(list, func(a, b scheduler.Part) int {
 		return key{a.Budget, a.Subject}.compare(key{b.Budget, b.Subject})
 	})
 	return list
@@ -123,7 +123,7 @@
 	if !h.leaving {
 		h.leaving, h.soon, h.asked = true, true, 0
 		h.cancel()
-		h.statics, h.static = []decide.Part{}, 0
+		h.statics, h.static = []scheduler.Part{}, 0
 		h.drop()
 	}
 }
@@ -262,10 +262,10 @@
 	h.base = 0 // until it is answered
 	h.idle = len(h.told) == 0 && len(h.leased) == 0
 	n, asked := h.n, h.now
-	h.pending = h.ask.Ask(h.now, 2, 1, c.encode(), func(a ledger.Answer) {
+	h.pending = h.ask.Ask(h.now, 2, 1, c.encode(), func(a replication.Answer) {
 		h.pending = 0
 		ans, err := decodeAnswer(a.Body)
-		if err != nil || a.Result != ledger.Committed || ans.N != n {
+		if err != nil || a.Result != replication.Committed || ans.N != n {
 			h.soon = true
 			return
 		}
@@ -289,7 +289,7 @@
 			h.Lapsed++
 		}
 		if ans.Unknown {
-			h.static, h.statics = 0, []decide.Part{}
+			h.static, h.statics = 0, []scheduler.Part{}
 		}
 		h.soon = true
 		h.drop()
@@ -326,10 +326,10 @@
 		h.until = max(h.until, until)
 	}
 	if ans.Static > h.static {
-		h.static, h.statics, changed = ans.Static, []decide.Part{}, true
+		h.static, h.statics, changed = ans.Static, []scheduler.Part{}, true
 		for _, p := range ans.Parts {
 			if p.Static {
-				h.statics = append(h.statics, decide.Part{Budget: p.Budget, Amount: p.Amount})
+				h.statics = append(h.statics, scheduler.Part{Budget: p.Budget, Amount: p.Amount})
 			}
 		}
 		h.soon = true
--- a/budget/holders.go
+++ b/fleet/budget/holders.go
@@ -4,15 +4,15 @@
 	"cmp"
 	"slices"
 
-	"chutechute/budget/account"
-	"chutechute/ledger"
+	"chutechute/fleet/budget/account"
+	"chutechute/fleet/replication"
 )
 
-func (a *Authority) place(who ledger.Incarnation) (int, bool) {
-	return slices.BinarySearchFunc(a.holders, who, func(h *holder, who ledger.Incarnation) int { return cmp.Compare(h.who, who) })
+func (a *Authority) place(who replication.Incarnation) (int, bool) {
+	return slices.BinarySearchFunc(a.holders, who, func(h *holder, who replication.Incarnation) int { return cmp.Compare(h.who, who) })
 }
 
-func (a *Authority) of(who ledger.Incarnation) *holder {
+func (a *Authority) of(who replication.Incarnation) *holder {
 	if i, ok := a.place(who); ok {
 		return a.holders[i]
 	}
@@ -58,7 +58,7 @@
 	}
 	i.lingers = max(i.lingers, p.lingers())
 	o := &hold{h: h, i: i}
-	at, _ := slices.BinarySearchFunc(i.holds, h.who, func(o *hold, who ledger.Incarnation) int { return cmp.Compare(o.h.who, who) })
+	at, _ := slices.BinarySearchFunc(i.holds, h.who, func(o *hold, who replication.Incarnation) int { return cmp.Compare(o.h.who, who) })
 	i.holds = slices.Insert(i.holds, at, o)
 	return o
 }
@@ -85,7 +85,7 @@
 }
 
 // enrol gives a holder its static parts, as far as there is one for it and others have given back what they hold of it.
-func (a *Authority) enrol(at ledger.Applied, h *holder) {
+func (a *Authority) enrol(at replication.Applied, h *holder) {
 	if !h.enrolled {
 		n := 0
 		for _, o := range a.holders {
@@ -159,7 +159,7 @@
 // ends is how long what lingers does so at most: that of places ends sooner where its process is certainly no more.
 func ends(lingers Micros, kind account.Kind, certain bool) Micros {
 	if certain && kind == account.Places {
-		return min(lingers, ledger.Unasked)
+		return min(lingers, replication.Unasked)
 	}
 	return lingers
 }
--- a/budget/message.go
+++ b/fleet/budget/message.go
@@ -1,8 +1,8 @@
 package budget
 
 import (
+	"chutechute/fleet/replication"
 	"chutechute/internal/proto"
-	"chutechute/ledger"
 )
 
 // op is what a command does.
@@ -27,10 +27,10 @@
 	Version uint64 // of the holder's settings
 	Set     []byte // where its settings may be newer than the record's
 	Wants   []want
-	Who     ledger.Incarnation // of a lapse and of a freeing
-	Span    Micros             // of a freeing: what lingers no longer than that is over
-	Certain bool               // of a freeing: its process is no more, so that its static part is free too
-	Budget  string             // of an opening
+	Who     replication.Incarnation // of a lapse and of a freeing
+	Span    Micros                  // of a freeing: what lingers no longer than that is over
+	Certain bool                    // of a freeing: its process is no more, so that its static part is free too
+	Budget  string                  // of an opening
 }
 
 // want is one line of a report.
@@ -100,7 +100,7 @@
 			c.Wants = append(c.Wants, w)
 			return err
 		case 9:
-			c.Who = ledger.Incarnation(f.Uint)
+			c.Who = replication.Incarnation(f.Uint)
 		case 10:
 			c.Span = bounded(f.Uint)
 		case 11:
--- a/budget/show.go
+++ b/fleet/budget/show.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"chutechute/budget/account"
+	"chutechute/fleet/budget/account"
 )
 
 // Standing is how a budget stands on record, for operators. Amounts are in units: queries, threads or milliseconds of work, a
--- a/budget/snapshot.go
+++ b/fleet/budget/snapshot.go
@@ -6,15 +6,15 @@
 	"maps"
 	"slices"
 
-	"chutechute/budget/account"
+	"chutechute/fleet/budget/account"
+	"chutechute/fleet/replication"
 	"chutechute/internal/proto"
-	"chutechute/ledger"
 )
 
 func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 // Due gives what has lapsed and what is over, by this machine's clock.
-func (a *Authority) Due(now Micros, seen ledger.Presence) (list [][]byte) {
+func (a *Authority) Due(now Micros, seen replication.Presence) (list [][]byte) {
 	if a.set == nil {
 		return nil
 	}
@@ -232,7 +232,7 @@
 	err := proto.Each(b, func(f proto.Field) error {
 		switch f.Number {
 		case 1:
-			h.who = ledger.Incarnation(f.Uint)
+			h.who = replication.Incarnation(f.Uint)
 		case 2:
 			h.name = f.Text()
 		case 3:
--- a/budget/spec.go
+++ b/fleet/budget/spec.go
@@ -35,13 +35,13 @@
 	"fmt"
 	"slices"
 
-	"chutechute/budget/account"
+	"chutechute/fleet/budget/account"
+	"chutechute/fleet/replication"
 	"chutechute/internal/proto"
-	"chutechute/ledger"
 )
 
 // Micros is a time or a span in microseconds of one machine's clock.
-type Micros = ledger.Micros
+type Micros = replication.Micros
 
 // Amount is a part of a budget; see package account.
 type Amount = account.Amount
@@ -84,7 +84,7 @@
 func (s *Spec) lingers() Micros {
 	switch s.Kind {
 	case account.Places:
-		return s.Life + ledger.Unasked
+		return s.Life + replication.Unasked
 	case account.Window:
 		return s.Span
 	}
--- a/fleet/control.go
+++ b/fleet/control.go
@@ -4,10 +4,10 @@
 	"errors"
 	"fmt"
 
-	"chutechute/attach"
-	"chutechute/ledger"
-	"chutechute/member"
-	"chutechute/peer"
+	"chutechute/fleet/heartbeat"
+	"chutechute/fleet/membership"
+	"chutechute/fleet/replication"
+	"chutechute/fleet/transport"
 )
 
 // Errors of a peer that says what its role doesn't allow; the link is closed.
@@ -25,15 +25,15 @@
 // attaching begins the part of a control member that others attach to, where the settings allow that.
 func (n *Node) attaching() {
 	if n.cfg.Attach != nil {
-		n.server, n.linked = attach.NewServer(*n.cfg.Attach), map[uint64]linkedFrontEnd{}
+		n.server, n.linked = membership.NewServer(*n.cfg.Attach), map[uint64]linkedFrontEnd{}
 	}
 }
 
 // Attaches is what serves the front ends that are attached here; nil where none may.
-func (n *Node) Attaches() *attach.Server { return n.server }
+func (n *Node) Attaches() *membership.Server { return n.server }
 
 // View is all front ends of both roles; nil where none may attach.
-func (n *Node) View() *attach.View {
+func (n *Node) View() *membership.View {
 	if n.server == nil {
 		return nil
 	}
@@ -43,8 +43,8 @@
 // AttachedHere is how many processes of attached front ends have a link to this control member.
 func (n *Node) AttachedHere() int { return len(n.linked) }
 
-func (l *Link) attach() attach.Link {
-	return attach.Link{From: l.From, Zone: l.Zone, Incarnation: l.Incarnation, Greeted: l.Greeted}
+func (l *Link) attach() membership.Link {
+	return membership.Link{From: l.From, Zone: l.Zone, Incarnation: l.Incarnation, Greeted: l.Greeted}
 }
 
 // Linked tells that an attached front end has proven itself over a link.
@@ -79,34 +79,34 @@
 }
 
 // receiveAttached takes a message of an attached front end, of which there are two kinds.
-func (n *Node) receiveAttached(l Link, kind peer.Kind, body []byte) (err error) {
+func (n *Node) receiveAttached(l Link, kind transport.Kind, body []byte) (err error) {
 	switch {
 	case n.server == nil:
 		return ErrAttached
-	case kind == peer.Heartbeat:
-		err = n.server.Receive(n.now, l.attach(), attach.Heartbeat, body)
-	case kind == peer.Ask:
+	case kind == transport.Heartbeat:
+		err = n.server.Receive(n.now, l.attach(), membership.Heartbeat, body)
+	case kind == transport.Ask:
 		err = n.forwardAsk(l, body)
 	default:
-		err = fmt.Errorf("%w: %s from an attached front end", peer.ErrKind, kind)
+		err = fmt.Errorf("%w: %s from an attached front end", transport.ErrKind, kind)
 	}
 	n.drain()
 	return err
 }
 
 // receiveAttaching takes what control members tell one another of attached front ends.
-func (n *Node) receiveAttaching(l Link, kind peer.Kind, body []byte) error {
+func (n *Node) receiveAttaching(l Link, kind transport.Kind, body []byte) error {
 	switch {
 	case n.server == nil:
 		return ErrAttached
-	case kind == peer.Forward:
+	case kind == transport.Forward:
 		return n.takeForwarded(body)
-	case kind == peer.Pull:
-		return n.server.ReceiveControl(n.now, l.From, l.Incarnation, attach.Pull, body)
-	case kind == peer.Table:
-		return n.server.ReceiveControl(n.now, l.From, l.Incarnation, attach.Table, body)
+	case kind == transport.Pull:
+		return n.server.ReceiveControl(n.now, l.From, l.Incarnation, membership.Pull, body)
+	case kind == transport.Table:
+		return n.server.ReceiveControl(n.now, l.From, l.Incarnation, membership.Table, body)
 	}
-	return fmt.Errorf("%w: %s from a control member", peer.ErrKind, kind)
+	return fmt.Errorf("%w: %s from a control member", transport.ErrKind, kind)
 }
 
 // tickServer lets time pass for the attached front ends.
@@ -125,32 +125,32 @@
 }
 
 // controlMember is a control member as package attach sees it.
-func controlMember(m *member.Member) attach.ControlMember {
-	c := attach.ControlMember{Name: m.Name, Zone: m.Zone, Incarnation: m.Incarnation, Cut: m.State == member.Cut, Challenged: m.Greeted}
+func controlMember(m *heartbeat.Member) membership.ControlMember {
+	c := membership.ControlMember{Name: m.Name, Zone: m.Zone, Incarnation: m.Incarnation, Cut: m.State == heartbeat.Cut, Challenged: m.Greeted}
 	switch m.State {
-	case member.Alive, member.Cut:
-		c.State = attach.Alive
-	case member.Suspect:
-		c.State = attach.Suspect
-	case member.Left:
-		c.State = attach.Left
+	case heartbeat.Alive, heartbeat.Cut:
+		c.State = membership.Alive
+	case heartbeat.Suspect:
+		c.State = membership.Suspect
+	case heartbeat.Left:
+		c.State = membership.Left
 	default:
-		c.State = attach.Dead
+		c.State = membership.Dead
 	}
 	return c
 }
 
 // frameKind is the kind of frame that carries a message of package attach.
-func frameKind(k attach.Kind) peer.Kind {
+func frameKind(k membership.Kind) transport.Kind {
 	switch k {
-	case attach.Heartbeat:
-		return peer.Heartbeat
-	case attach.Pull:
-		return peer.Pull
-	case attach.Table:
-		return peer.Table
-	}
-	return peer.View
+	case membership.Heartbeat:
+		return transport.Heartbeat
+	case membership.Pull:
+		return transport.Pull
+	case membership.Table:
+		return transport.Table
+	}
+	return transport.View
 }
 
 // drainServer turns what the server wants into this front end's actions.
@@ -171,7 +171,7 @@
 }
 
 // ofMember says whether a process is, or was, one of a control member's; this one's too.
-func (p presence) ofMember(i ledger.Incarnation) bool {
+func (p presence) ofMember(i replication.Incarnation) bool {
 	return uint64(i) == p.n.cfg.Incarnation || p.n.nameOfProcess(uint64(i)) != "" || p.Set.Replaced(uint64(i))
 }
 
@@ -179,7 +179,7 @@
 // merged view tells.
 func (n *Node) gone(incarnation uint64) bool {
 	p := presence{n.members, n}
-	if n.server == nil || p.ofMember(ledger.Incarnation(incarnation)) {
+	if n.server == nil || p.ofMember(replication.Incarnation(incarnation)) {
 		return n.members.Gone(incarnation)
 	}
 	return n.server.View().Gone(incarnation)
--- a/fleet/forward.go
+++ b/fleet/forward.go
@@ -1,9 +1,9 @@
 package fleet
 
 import (
+	"chutechute/fleet/replication"
+	"chutechute/fleet/transport"
 	"chutechute/internal/proto"
-	"chutechute/ledger"
-	"chutechute/peer"
 )
 
 // An attached front end asks the record through a control member that it has a link to, its home, and the record's leader answers
@@ -12,8 +12,8 @@
 
 // forwarded is a message between an attached front end and the record's leader, on its way from one control member to another.
 type forwarded struct {
-	Process uint64    // the attached front end's
-	Kind    peer.Kind // Ask to the leader; Answer or Note from it
+	Process uint64         // the attached front end's
+	Kind    transport.Kind // Ask to the leader; Answer or Note from it
 	Body    []byte
 }
 
@@ -30,7 +30,7 @@
 		case 1:
 			w.Process = f.Uint
 		case 2:
-			w.Kind = peer.Kind(min(f.Uint, 255))
+			w.Kind = transport.Kind(min(f.Uint, 255))
 		case 3:
 			w.Body = f.Copy()
 		}
@@ -41,7 +41,7 @@
 
 // forwardAsk passes the question of an attached front end to who leads the record. Where none is known it is dropped.
 func (n *Node) forwardAsk(l Link, body []byte) error {
-	c, err := ledger.DecodeCommand(body)
+	c, err := replication.DecodeCommand(body)
 	if err != nil {
 		return err
 	}
@@ -56,8 +56,8 @@
 		n.replica.Ask(n.now, c)
 	default:
 		n.Forwarded++
-		w := forwarded{l.Incarnation, peer.Ask, body}
-		n.tell(leader, peer.Forward, false, w.encode())
+		w := forwarded{l.Incarnation, transport.Ask, body}
+		n.tell(leader, transport.Forward, false, w.encode())
 	}
 	return nil
 }
@@ -69,8 +69,8 @@
 		return err
 	}
 	switch w.Kind {
-	case peer.Ask:
-		c, err := ledger.DecodeCommand(w.Body)
+	case transport.Ask:
+		c, err := replication.DecodeCommand(w.Body)
 		if err != nil {
 			return err
 		}
@@ -78,26 +78,26 @@
 			return ErrAsker
 		}
 		n.replica.Ask(n.now, c)
-	case peer.Answer:
+	case transport.Answer:
 		n.learnLeader(w.Body)
 		n.deliver(w.Process, w.Kind, w.Body)
-	case peer.Note:
+	case transport.Note:
 		n.deliver(w.Process, w.Kind, w.Body)
 	default:
-		return peer.ErrKind
+		return transport.ErrKind
 	}
 	return nil
 }
 
 // learnLeader has the next question of an attached front end go where a refusal points.
 func (n *Node) learnLeader(answer []byte) {
-	if a, err := ledger.DecodeAnswer(answer); err == nil && a.Result == ledger.NotLeader && a.Leader != 0 {
+	if a, err := replication.DecodeAnswer(answer); err == nil && a.Result == replication.NotLeader && a.Leader != 0 {
 		n.toLeader.redirected(a.Leader, "")
 	}
 }
 
 // toAttached sends a message of the record to a process of an attached front end, by way of a control member that has a link to it.
-func (n *Node) toAttached(process uint64, kind peer.Kind, body []byte) {
+func (n *Node) toAttached(process uint64, kind transport.Kind, body []byte) {
 	if process == 0 { // of the leader itself
 		return
 	}
@@ -109,12 +109,12 @@
 		n.deliver(process, kind, body)
 	default:
 		w := forwarded{process, kind, body}
-		n.tell(home, peer.Forward, false, w.encode())
+		n.tell(home, transport.Forward, false, w.encode())
 	}
 }
 
 // deliver sends a message over this control member's own link to an attached front end.
-func (n *Node) deliver(process uint64, kind peer.Kind, body []byte) {
+func (n *Node) deliver(process uint64, kind transport.Kind, body []byte) {
 	held, ok := n.linked[process]
 	if !ok {
 		n.Undeliverable++
--- a/member/member.go
+++ b/fleet/heartbeat/monitor.go
@@ -10,7 +10,7 @@
 // the one whose challenge was made later is the later one.
 //
 // It is a stepped module without I/O, clock, goroutines or map order.
-package member
+package heartbeat
 
 import "slices"
 
--- a/member/member_test.go
+++ b/fleet/heartbeat/monitor_test.go
@@ -1,21 +1,21 @@
-package member_test
+package heartbeat_test
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 
-	"chutechute/member"
+	"chutechute/fleet/heartbeat"
 )
 
 const ms = 1000
 
-func set() *member.Set {
-	return member.New(member.Config{Suspect: 600 * ms, Dead: 3000 * ms, Pause: 300 * ms}, map[string]string{"b": "x", "c": "y"})
+func set() *heartbeat.Set {
+	return heartbeat.New(heartbeat.Config{Suspect: 600 * ms, Dead: 3000 * ms, Pause: 300 * ms}, map[string]string{"b": "x", "c": "y"})
 }
 
 // run lets time pass in ticks; each is called with the time.
-func run(s *member.Set, from, to member.Micros, each func(now member.Micros)) {
+func run(s *heartbeat.Set, from, to heartbeat.Micros, each func(now heartbeat.Micros)) {
 	for now := from; now <= to; now += 100 * ms {
 		each(now)
 		s.Tick(now)
@@ -27,39 +27,39 @@
 func TestSilence(t *testing.T) {
 	s := set()
 	hears := true
-	both := func(now member.Micros) {
+	both := func(now heartbeat.Micros) {
 		s.Heard(now, "b", 1, 0, false, nil)
-		s.Heard(now, "c", 2, 0, false, []member.Report{{Name: "b", Incarnation: 1}})
+		s.Heard(now, "c", 2, 0, false, []heartbeat.Report{{Name: "b", Incarnation: 1}})
 	}
-	onlyC := func(now member.Micros) {
-		var r []member.Report
+	onlyC := func(now heartbeat.Micros) {
+		var r []heartbeat.Report
 		if hears {
-			r = append(r, member.Report{Name: "b", Incarnation: 1, Age: 50 * ms})
+			r = append(r, heartbeat.Report{Name: "b", Incarnation: 1, Age: 50 * ms})
 		}
 		s.Heard(now, "c", 2, 0, false, r)
 	}
 	run(s, 0, 1000*ms, both)
-	assert.Equal(t, member.Alive, s.Of("b").State)
+	assert.Equal(t, heartbeat.Alive, s.Of("b").State)
 	run(s, 1100*ms, 6000*ms, onlyC)
-	assert.Equal(t, member.Cut, s.Of("b").State)
+	assert.Equal(t, heartbeat.Cut, s.Of("b").State)
 	assert.False(t, s.Gone(1))
 	hears = false
 	run(s, 6100*ms, 7500*ms, onlyC)
-	assert.Equal(t, member.Suspect, s.Of("b").State)
+	assert.Equal(t, heartbeat.Suspect, s.Of("b").State)
 	run(s, 7600*ms, 10500*ms, onlyC)
-	assert.Equal(t, member.Dead, s.Of("b").State)
+	assert.Equal(t, heartbeat.Dead, s.Of("b").State)
 	assert.True(t, s.Gone(1))
 	run(s, 10600*ms, 10700*ms, both)
-	assert.Equal(t, member.Alive, s.Of("b").State)
+	assert.Equal(t, heartbeat.Alive, s.Of("b").State)
 	assert.False(t, s.Gone(1))
 }
 
 // A process that has stood still has heard nobody, which says nothing of the others.
 func TestOwnPause(t *testing.T) {
 	s := set()
-	run(s, 0, 1000*ms, func(now member.Micros) { s.Heard(now, "b", 1, 0, false, nil) })
+	run(s, 0, 1000*ms, func(now heartbeat.Micros) { s.Heard(now, "b", 1, 0, false, nil) })
 	s.Tick(20_000 * ms)
-	assert.Equal(t, member.Alive, s.Of("b").State)
+	assert.Equal(t, heartbeat.Alive, s.Of("b").State)
 }
 
 // A name that has come back with another process: the earlier is gone for certain, and what comes late of it counts for
@@ -80,23 +80,23 @@
 // Who says that it leaves has left once it is silent, without being suspected first.
 func TestLeaving(t *testing.T) {
 	s := set()
-	run(s, 0, 500*ms, func(now member.Micros) { s.Heard(now, "b", 1, 0, now > 300*ms, nil) })
-	run(s, 600*ms, 1300*ms, func(member.Micros) {})
-	assert.Equal(t, member.Left, s.Of("b").State)
+	run(s, 0, 500*ms, func(now heartbeat.Micros) { s.Heard(now, "b", 1, 0, now > 300*ms, nil) })
+	run(s, 600*ms, 1300*ms, func(heartbeat.Micros) {})
+	assert.Equal(t, heartbeat.Left, s.Of("b").State)
 }
 
 // What waited while this process stood still is heard before time has passed here. It was heard then and not later: who is silent
 // from then on is suspected and dead as soon as ever.
 func TestHeardRightAfterAPause(t *testing.T) {
 	s := set()
-	run(s, 0, 1000*ms, func(now member.Micros) { s.Heard(now, "b", 1, 0, false, nil) })
+	run(s, 0, 1000*ms, func(now heartbeat.Micros) { s.Heard(now, "b", 1, 0, false, nil) })
 	const goesOn = 11_000 * ms
 	s.Heard(goesOn, "b", 1, 0, false, nil)
-	silent := func(member.Micros) {}
+	silent := func(heartbeat.Micros) {}
 	run(s, goesOn, goesOn+500*ms, silent)
-	assert.Equal(t, member.Alive, s.Of("b").State)
+	assert.Equal(t, heartbeat.Alive, s.Of("b").State)
 	run(s, goesOn+600*ms, goesOn+700*ms, silent)
-	assert.Equal(t, member.Suspect, s.Of("b").State)
+	assert.Equal(t, heartbeat.Suspect, s.Of("b").State)
 	run(s, goesOn+800*ms, goesOn+3000*ms, silent)
-	assert.Equal(t, member.Dead, s.Of("b").State)
+	assert.Equal(t, heartbeat.Dead, s.Of("b").State)
 }
--- a/member/report.go
+++ b/fleet/heartbeat/report.go
@@ -1,4 +1,4 @@
-package member
+package heartbeat
 
 import "chutechute/internal/proto"
 
--- a/ledger/loads/golden_test.go
+++ b/fleet/idempotency/golden_test.go
@@ -1,4 +1,4 @@
-package loads
+package idempotency
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chutechute/fleet/replication"
 	"chutechute/internal/golden"
-	"chutechute/ledger"
 )
 
 func TestWireFormat(t *testing.T) {
@@ -37,9 +37,9 @@
 // The answers to a sequence of commands that reaches every phase, and the snapshot after it.
 func TestWireFormatOfStates(t *testing.T) {
 	s := New(Options{Bytes: 1 << 20, Keep: 60 * second, Orphan: 3 * second})
-	at := ledger.Applied{Index: 100, Note: func(ledger.Incarnation, string) {}}
+	at := replication.Applied{Index: 100, Note: func(replication.Incarnation, string) {}}
 	var list []golden.Message
-	apply := func(asker ledger.Incarnation, c Command) View {
+	apply := func(asker replication.Incarnation, c Command) View {
 		at.Index++
 		at.Now += 1000
 		answer := s.Apply(at, asker, c.Encode())
@@ -51,7 +51,7 @@
 		require.NoError(t, err)
 		return v
 	}
-	take := func(asker ledger.Incarnation, once, key string) uint64 {
+	take := func(asker replication.Incarnation, once, key string) uint64 {
 		return apply(asker, Command{Op: Take, Once: once, Key: key, Tenant: "desk", Class: "load", Digest: []byte(once + key), Call: "call-" + once,
 			TTL: 25 * second}).Epoch
 	}
--- a/recordclient/client.go
+++ b/fleet/idempotency/idempotencyclient/client.go
@@ -9,15 +9,15 @@
 //     a grant that comes then is not used, and the record is told that nothing ran.
 //  3. Refused is told only where no attempt of the load, as far as this front end can know, may have begun; and of the
 //     refused call itself nothing ever will.
-package recordclient
+package idempotencyclient
 
 import (
 	"crypto/sha256"
 	"log/slog"
 
+	"chutechute/fleet/idempotency"
+	"chutechute/fleet/replication"
 	"chutechute/gateway"
-	"chutechute/ledger"
-	"chutechute/ledger/loads"
 )
 
 // Micros is a time or a span in microseconds of this machine's clock.
@@ -25,7 +25,7 @@
 
 // Asker puts questions to the record; see fleet.Node.
 type Asker interface {
-	Ask(now Micros, kind, version uint32, body []byte, done func(ledger.Answer)) (id uint64)
+	Ask(now Micros, kind, version uint32, body []byte, done func(replication.Answer)) (id uint64)
 	Cancel(id uint64)
 	Gone(incarnation uint64) bool
 }
@@ -65,7 +65,7 @@
 	runner  *gateway.Entry // whose request the core has
 	mine    bool
 	epoch   uint64
-	phase   loads.Phase
+	phase   idempotency.Phase
 	clean   bool   // it was seen as this front end's with nothing begun: what began since is of its runners
 	asking  uint64 // the Take that is out; 0 without one
 	ending  bool   // a Finish is out
@@ -107,10 +107,10 @@
 	c.take(load, false)
 }
 
-func (c *Client) put(command *loads.Command, done func(v loads.View, ok bool)) uint64 {
-	return c.ask.Ask(c.now, 1, 1, command.Encode(), func(a ledger.Answer) {
-		v, err := loads.DecodeView(a.Body)
-		done(v, err == nil && a.Result == ledger.Committed)
+func (c *Client) put(command *idempotency.Command, done func(v idempotency.View, ok bool)) uint64 {
+	return c.ask.Ask(c.now, 1, 1, command.Encode(), func(a replication.Answer) {
+		v, err := idempotency.DecodeView(a.Body)
+		done(v, err == nil && a.Result == replication.Committed)
 	})
 }
 
@@ -123,9 +123,9 @@
 	e := load.entries[0]
 	call := e.Call()
 	load.call = call.ID
-	load.asking = c.put(&loads.Command{Op: loads.Take, Once: load.once, Key: call.Key, Tenant: call.Tenant, Class: call.Class,
+	load.asking = c.put(&idempotency.Command{Op: idempotency.Take, Once: load.once, Key: call.Key, Tenant: call.Tenant, Class: call.Class,
 		Digest: load.digest, Call: call.ID, TTL: uint64(max(1, e.Deadline()-c.now)), Adopt: adopt},
-		func(v loads.View, ok bool) {
+		func(v idempotency.View, ok bool) {
 			load.asking = 0
 			c.taken(load, v, ok, adopt)
 		})
@@ -161,7 +161,7 @@
 	}
 }
 
-func (c *Client) taken(load *trackedLoad, v loads.View, ok, adopt bool) {
+func (c *Client) taken(load *trackedLoad, v idempotency.View, ok, adopt bool) {
 	first := !load.noted
 	load.noted = true
 	for _, e := range load.entries {
@@ -170,16 +170,16 @@
 	if first {
 		defer c.next(load)
 	}
-	mine := ok && v.Status == loads.OK && v.Owner == c.cfg.Incarnation
-	if mine && adopt && !load.mine && v.Phase == loads.Waiting {
+	mine := ok && v.Status == idempotency.OK && v.Owner == c.cfg.Incarnation
+	if mine && adopt && !load.mine && v.Phase == idempotency.Waiting {
 		c.Adopted++
 		slog.Info("load adopted", "dedupe", load.once, "epoch", v.Epoch)
 	}
 	load.mine, load.epoch, load.phase = mine, v.Epoch, v.Phase
-	load.clean = mine && (load.clean || v.Phase == loads.Waiting)
+	load.clean = mine && (load.clean || v.Phase == idempotency.Waiting)
 	if len(load.entries) == 0 { // all have left meanwhile
-		if mine && v.Phase == loads.Waiting {
-			c.finish(load, loads.None, nil)
+		if mine && v.Phase == idempotency.Waiting {
+			c.finish(load, idempotency.None, nil)
 			return
 		}
 		c.close(load)
@@ -188,38 +188,38 @@
 	switch {
 	case !ok:
 		c.turnAll(load, c.cfg.Full)
-	case v.Status == loads.Conflict:
+	case v.Status == idempotency.Conflict:
 		c.Conflicts++
 		slog.Warn("refused: the idempotency key stands for another statement, key or class", "dedupe", load.once,
 			"call", load.entries[0].Call().ID)
 		c.turnAll(load, c.cfg.Full)
-	case v.Status == loads.Full:
+	case v.Status == idempotency.Full:
 		slog.Warn("refused: the record has no room for another load", "dedupe", load.once)
 		c.turnAll(load, c.cfg.Full)
 	case v.Phase.Over():
-		c.over(load, v.Phase == loads.Served, v.Rows)
-	case mine && v.Phase == loads.Waiting && v.Turn && v.Call != load.entries[0].Call().ID:
+		c.over(load, v.Phase == idempotency.Served, v.Rows)
+	case mine && v.Phase == idempotency.Waiting && v.Turn && v.Call != load.entries[0].Call().ID:
 		c.take(load, false) // who asked first has left; the record has to know how long the next one waits
-	case mine && v.Phase == loads.Waiting && v.Turn:
+	case mine && v.Phase == idempotency.Waiting && v.Turn:
 		load.runner = load.entries[0]
 		load.runner.Mine()
-	case mine && v.Phase == loads.Started && !load.clean && load.runner == nil:
+	case mine && v.Phase == idempotency.Started && !load.clean && load.runner == nil:
 		c.succeed(load, v)
-	case mine && v.Phase == loads.Started && load.clean && load.runner == nil:
-		c.finish(load, loads.None, nil) // its runner left before anything ran; the next one begins anew
+	case mine && v.Phase == idempotency.Started && load.clean && load.runner == nil:
+		c.finish(load, idempotency.None, nil) // its runner left before anything ran; the next one begins anew
 	case !mine:
 		if !load.waited {
 			load.waited = true
 			c.Waited++
 		}
-		if v.Phase == loads.Waiting && c.ask.Gone(v.Owner) {
+		if v.Phase == idempotency.Waiting && c.ask.Gone(v.Owner) {
 			c.take(load, true)
 		}
 	}
 }
 
 // succeed looks after what another front end has started: the record has made this one its owner.
-func (c *Client) succeed(load *trackedLoad, v loads.View) {
+func (c *Client) succeed(load *trackedLoad, v idempotency.View) {
 	e := c.core.Succeed(c.now, gateway.Succession{Run: v.Run, Engine: v.Engine, Once: load.once, Key: v.Key, Class: v.Class, TTL: Micros(v.TTL)})
 	if e == nil {
 		return // its own client's call goes by that id; the load ends by its time
@@ -233,13 +233,13 @@
 func (c *Client) Begin(now Micros, e *gateway.Entry, attempt int, engine string, granted func(Micros, bool)) {
 	c.now = now
 	load := e.Slot.(*trackedLoad)
-	c.put(&loads.Command{Op: loads.Start, Once: load.once, Epoch: load.epoch, Attempt: uint64(attempt), Engine: engine,
-		Call: e.Call().ID}, func(v loads.View, ok bool) {
+	c.put(&idempotency.Command{Op: idempotency.Start, Once: load.once, Epoch: load.epoch, Attempt: uint64(attempt), Engine: engine,
+		Call: e.Call().ID}, func(v idempotency.View, ok bool) {
 		if load.runner != e || load.gone {
 			return
 		}
 		load.phase = v.Phase
-		if ok && v.Status == loads.OK {
+		if ok && v.Status == idempotency.OK {
 			granted(c.now, true)
 			return
 		}
@@ -256,7 +256,7 @@
 	c.drop(e)
 	load := e.Slot.(*trackedLoad)
 	load.entries = append(load.entries, e) // it hears what is kept, if it still waits
-	c.finish(load, loads.Served, rows)
+	c.finish(load, idempotency.Served, rows)
 }
 
 // Leave ends a request's part in a load.
@@ -271,11 +271,11 @@
 	switch {
 	case load.ending || load.gone || load.asking != 0 && len(load.entries) == 0:
 	case runs && ran:
-		c.finish(load, loads.Failed, nil)
-	case runs && load.phase == loads.Waiting && len(load.entries) > 0:
+		c.finish(load, idempotency.Failed, nil)
+	case runs && load.phase == idempotency.Waiting && len(load.entries) > 0:
 		c.take(load, false) // the place in the line is kept by the next who asks
 	case load.mine && (runs || len(load.entries) == 0):
-		c.finish(load, loads.None, nil)
+		c.finish(load, idempotency.None, nil)
 	case len(load.entries) == 0:
 		c.close(load)
 		if !load.noted {
@@ -290,7 +290,7 @@
 	c.now = now
 	if load := e.Slot.(*trackedLoad); load.runner == e && !load.ending && !load.gone {
 		slog.Info("load handed on", "dedupe", load.once, "epoch", load.epoch)
-		c.put(&loads.Command{Op: loads.Hand, Once: load.once, Epoch: load.epoch}, func(loads.View, bool) {})
+		c.put(&idempotency.Command{Op: idempotency.Hand, Once: load.once, Epoch: load.epoch}, func(idempotency.View, bool) {})
 	}
 }
 
@@ -299,7 +299,7 @@
 // and not told that a load may have run whose rows others were told meanwhile (exercise, seed 43).
 func (c *Client) Doubt(e *gateway.Entry) bool {
 	load := e.Slot.(*trackedLoad)
-	return e.Seen && (load.phase == loads.Started && !(load.mine && load.clean) || load.phase.Over() || load.ending)
+	return e.Seen && (load.phase == idempotency.Started && !(load.mine && load.clean) || load.phase.Over() || load.ending)
 }
 
 // drop takes a request out of its load.
@@ -314,22 +314,22 @@
 }
 
 // finish commits an outcome; None takes the load out, as nothing of it ran.
-func (c *Client) finish(load *trackedLoad, outcome loads.Phase, rows []byte) {
+func (c *Client) finish(load *trackedLoad, outcome idempotency.Phase, rows []byte) {
 	if load.ending {
 		return
 	}
 	load.ending, load.endedAt = true, c.now
-	load.end = c.put(&loads.Command{Op: loads.Finish, Once: load.once, Epoch: load.epoch, Outcome: outcome, Rows: rows},
-		func(v loads.View, ok bool) {
+	load.end = c.put(&idempotency.Command{Op: idempotency.Finish, Once: load.once, Epoch: load.epoch, Outcome: outcome, Rows: rows},
+		func(v idempotency.View, ok bool) {
 			load.ending, load.mine, load.clean, load.runner = false, false, false, nil
 			switch {
 			case ok && v.Phase.Over():
 				c.Kept++
-				c.over(load, v.Phase == loads.Served, v.Rows)
-			case outcome == loads.None && len(load.entries) > 0: // it was taken out; a repeat came meanwhile
-				load.phase = loads.None
+				c.over(load, v.Phase == idempotency.Served, v.Rows)
+			case outcome == idempotency.None && len(load.entries) > 0: // it was taken out; a repeat came meanwhile
+				load.phase = idempotency.None
 				c.take(load, false)
-			case outcome == loads.None:
+			case outcome == idempotency.None:
 				c.close(load)
 			default: // lapsed, and forgotten since
 				c.over(load, false, nil)
@@ -381,11 +381,11 @@
 		return
 	}
 	// The record may take this front end for its owner by a command that was repeated late.
-	c.put(&loads.Command{Op: loads.Look, Once: once}, func(v loads.View, ok bool) {
+	c.put(&idempotency.Command{Op: idempotency.Look, Once: once}, func(v idempotency.View, ok bool) {
 		if !ok || v.Owner != c.cfg.Incarnation || c.tracked[once] != nil {
 			return
 		}
-		if v.Phase == loads.Started {
+		if v.Phase == idempotency.Started {
 			load := &trackedLoad{once: once, key: v.Key, digest: v.Digest, noted: true, mine: true, epoch: v.Epoch, phase: v.Phase}
 			c.tracked[once] = load
 			c.order = append(c.order, load)
@@ -395,8 +395,8 @@
 			}
 			return
 		}
-		if v.Phase == loads.Waiting {
-			c.put(&loads.Command{Op: loads.Finish, Once: once, Epoch: v.Epoch, Outcome: loads.None}, func(loads.View, bool) {})
+		if v.Phase == idempotency.Waiting {
+			c.put(&idempotency.Command{Op: idempotency.Finish, Once: once, Epoch: v.Epoch, Outcome: idempotency.None}, func(idempotency.View, bool) {})
 		}
 	})
 }
--- a/ledger/loads/message.go
+++ b/fleet/idempotency/message.go
@@ -1,4 +1,4 @@
-package loads
+package idempotency
 
 import "chutechute/internal/proto"
 
--- a/ledger/loads/loads.go
+++ b/fleet/idempotency/registry.go
@@ -18,7 +18,7 @@
 //  5. A Lapse rests on spans only: the owner begins and asks for a load no later than the client's time, counted from before
 //     the Take was asked for, and engines end a query 2 s unasked. The leader counts from when it applied the Take, which is
 //     later, adds the stated drift and the 2 s, and only then proposes.
-package loads
+package idempotency
 
 import (
 	"bytes"
@@ -28,8 +28,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"chutechute/fleet/replication"
 	"chutechute/internal/proto"
-	"chutechute/ledger"
 )
 
 const (
@@ -45,9 +45,9 @@
 
 // Options are the bounds of the record. All copies of one group have the same.
 type Options struct {
-	Bytes  int           // that records may take, with room for their outcomes
-	Keep   ledger.Micros // how long an outcome is kept
-	Orphan ledger.Micros // how long a load whose owner is gone keeps its place with nothing begun
+	Bytes  int                // that records may take, with room for their outcomes
+	Keep   replication.Micros // how long an outcome is kept
+	Orphan replication.Micros // how long a load whose owner is gone keeps its place with nothing begun
 }
 
 // load is one record.
@@ -57,16 +57,16 @@
 	call                     string
 	ttl                      uint64
 	place                    uint64
-	owner                    ledger.Incarnation
+	owner                    replication.Incarnation
 	epoch                    uint64
 	phase                    Phase
 	starts                   []start
 	rows                     []byte
-	watchers                 []ledger.Incarnation
+	watchers                 []replication.Incarnation
 	changed                  uint64
 
-	taken, at ledger.Micros // by this machine's clock: of the last Take that counts, of the last change; no part of the state
-	orphan    ledger.Micros // since when its owner is gone, by this machine
+	taken, at replication.Micros // by this machine's clock: of the last Take that counts, of the last change; no part of the state
+	orphan    replication.Micros // since when its owner is gone, by this machine
 }
 
 // start is an attempt that may have begun.
@@ -74,7 +74,7 @@
 	attempt uint64
 	engine  string
 	call    string
-	owner   ledger.Incarnation
+	owner   replication.Incarnation
 }
 
 // Loads is the record.
@@ -116,7 +116,7 @@
 }
 
 // Apply carries out a committed command.
-func (s *Loads) Apply(at ledger.Applied, asker ledger.Incarnation, body []byte) []byte {
+func (s *Loads) Apply(at replication.Applied, asker replication.Incarnation, body []byte) []byte {
 	c, err := Decode(body)
 	if err != nil {
 		return nil
@@ -147,8 +147,8 @@
 		if l == nil || l.changed != c.Changed || l.phase != Started {
 			return nil
 		}
-		if l.at = at.Now; l.owner != ledger.Incarnation(c.To) {
-			l.owner, l.epoch, l.changed, l.taken = ledger.Incarnation(c.To), at.Index, at.Index, at.Now
+		if l.at = at.Now; l.owner != replication.Incarnation(c.To) {
+			l.owner, l.epoch, l.changed, l.taken = replication.Incarnation(c.To), at.Index, at.Index, at.Now
 		}
 		at.Note(l.owner, l.once)
 		return nil
@@ -179,7 +179,7 @@
 
 func (s *Loads) first(l *load) bool { return l.key == "" || !l.phase.Over() && s.lines[l.key][0] == l }
 
-func (s *Loads) take(at ledger.Applied, asker ledger.Incarnation, c *Command, l *load) (*load, Status) {
+func (s *Loads) take(at replication.Applied, asker replication.Incarnation, c *Command, l *load) (*load, Status) {
 	if l != nil {
 		switch {
 		case !bytes.Equal(l.digest, c.Digest) || l.key != c.Key || l.class != c.Class:
@@ -218,7 +218,7 @@
 	}
 }
 
-func (s *Loads) start(at ledger.Applied, asker ledger.Incarnation, c *Command, l *load) Status {
+func (s *Loads) start(at replication.Applied, asker replication.Incarnation, c *Command, l *load) Status {
 	switch {
 	case l == nil:
 		return Unknown
@@ -234,7 +234,7 @@
 	return OK
 }
 
-func (s *Loads) finish(at ledger.Applied, asker ledger.Incarnation, c *Command, l *load) (*load, Status) {
+func (s *Loads) finish(at replication.Applied, asker replication.Incarnation, c *Command, l *load) (*load, Status) {
 	switch {
 	case l == nil:
 		return nil, Unknown
@@ -256,7 +256,7 @@
 }
 
 // over gives a load its outcome.
-func (s *Loads) over(at ledger.Applied, l *load, outcome Phase, rows []byte) {
+func (s *Loads) over(at replication.Applied, l *load, outcome Phase, rows []byte) {
 	s.bytes -= l.size()
 	s.leave(at, l)
 	l.phase, l.rows, l.changed, l.at = outcome, rows, at.Index, at.Now
@@ -265,7 +265,7 @@
 }
 
 // remove takes a load out of the record.
-func (s *Loads) remove(at ledger.Applied, l *load) {
+func (s *Loads) remove(at replication.Applied, l *load) {
 	s.bytes -= l.size()
 	if !l.phase.Over() {
 		s.leave(at, l)
@@ -289,7 +289,7 @@
 }
 
 // leave takes a load out of its key's line; the next may begin.
-func (s *Loads) leave(at ledger.Applied, l *load) {
+func (s *Loads) leave(at replication.Applied, l *load) {
 	if l.key == "" {
 		return
 	}
@@ -307,7 +307,7 @@
 }
 
 // tell notes those who wait with a load.
-func (s *Loads) tell(at ledger.Applied, l *load) {
+func (s *Loads) tell(at replication.Applied, l *load) {
 	for _, w := range l.watchers {
 		at.Note(w, l.once)
 	}
@@ -323,7 +323,7 @@
 
 // successor is who looks after a load whose owner is missing: by rendezvous of the load and the processes that are there, so that
 // nobody gets all of a lost one's.
-func successor(once string, present []ledger.Incarnation) (best ledger.Incarnation) {
+func successor(once string, present []replication.Incarnation) (best replication.Incarnation) {
 	most := uint64(0)
 	for _, i := range present {
 		if h := xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(once), uint64(i))); best == 0 || h > most {
@@ -334,18 +334,18 @@
 }
 
 // Due gives what has lapsed and what may be forgotten, by this machine's clock.
-func (s *Loads) Due(now ledger.Micros, seen ledger.Presence) (list [][]byte) {
+func (s *Loads) Due(now replication.Micros, seen replication.Presence) (list [][]byte) {
 	offers := 0
 	for _, l := range s.order {
 		if len(list) >= mostDue {
 			break
 		}
 		c := Command{Once: l.once, Changed: l.changed}
-		life := ledger.Micros(l.ttl) + ledger.Micros(l.ttl)/drift + second/2
+		life := replication.Micros(l.ttl) + replication.Micros(l.ttl)/drift + second/2
 		switch {
 		case l.phase.Over() && now-l.at >= s.o.Keep:
 			c.Op = Forget
-		case l.phase == Started && now-l.taken >= life+ledger.Unasked:
+		case l.phase == Started && now-l.taken >= life+replication.Unasked:
 			c.Op = Lapse
 		case l.phase == Started && offers < mostOffers && seen.Missing(l.owner):
 			if c.To = uint64(successor(l.once, seen.Present())); c.To == uint64(l.owner) {
@@ -412,7 +412,7 @@
 }
 
 // Restore takes a snapshot over. Its spans begin now, which is later than they did: nothing lapses early.
-func (s *Loads) Restore(b []byte, now ledger.Micros) error {
+func (s *Loads) Restore(b []byte, now replication.Micros) error {
 	*s = *New(s.o)
 	return proto.Each(b, func(f proto.Field) error {
 		l := &load{taken: now, at: now}
@@ -443,7 +443,7 @@
 	case 8:
 		l.place = f.Uint
 	case 9:
-		l.owner = ledger.Incarnation(f.Uint)
+		l.owner = replication.Incarnation(f.Uint)
 	case 10:
 		l.epoch = f.Uint
 	case 11:
@@ -459,7 +459,7 @@
 			case 3:
 				t.call = f.Text()
 			case 4:
-				t.owner = ledger.Incarnation(f.Uint)
+				t.owner = replication.Incarnation(f.Uint)
 			}
 			return nil
 		})
@@ -468,7 +468,7 @@
 	case 13:
 		l.rows = f.Copy()
 	case 14:
-		l.watchers = append(l.watchers, ledger.Incarnation(f.Uint))
+		l.watchers = append(l.watchers, replication.Incarnation(f.Uint))
 	case 15:
 		l.changed = f.Uint
 	}
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -1,13 +1,13 @@
 package fleet
 
 import (
-	"chutechute/ledger"
-	"chutechute/peer"
+	"chutechute/fleet/replication"
+	"chutechute/fleet/transport"
 )
 
 // Ask puts a question to the record. Done is called once with what was committed, from Receive, Tick or Stored; it is not
 // called any more after Cancel. A question that is taken back may still be committed.
-func (n *Node) Ask(now Micros, kind, version uint32, body []byte, done func(ledger.Answer)) (id uint64) {
+func (n *Node) Ask(now Micros, kind, version uint32, body []byte, done func(replication.Answer)) (id uint64) {
 	n.now = now
 	return n.requests.add(now, kind, version, body, done)
 }
@@ -25,12 +25,12 @@
 	at   Micros // of that
 }
 
-func (t *toLeader) ask(to string, c ledger.Command) {
+func (t *toLeader) ask(to string, c replication.Command) {
 	if to == t.n.cfg.Name {
 		t.n.replica.Ask(t.n.now, c)
 		return
 	}
-	t.n.tell(to, peer.Ask, false, c.Encode())
+	t.n.tell(to, transport.Ask, false, c.Encode())
 }
 
 func (t *toLeader) redirected(leader uint64, asked string) bool {
--- a/attach/counters.go
+++ b/fleet/membership/counters.go
@@ -1,4 +1,4 @@
-package attach
+package membership
 
 // Counters count what happened since the start; each side uses those that concern it.
 type Counters struct {
--- a/attach/damping.go
+++ b/fleet/membership/damping.go
@@ -1,4 +1,4 @@
-package attach
+package membership
 
 // rate bounds how often something happens: burst times at once, and then once in each gap. It is the generic cell rate
 // algorithm, whose whole state is when the next would be due if all came evenly.
--- a/attach/digest.go
+++ b/fleet/membership/digest.go
@@ -1,4 +1,4 @@
-package attach
+package membership
 
 // buckets is into how many parts a view is divided for finding what differs: at 2,700 entries one differing entry costs some 42.
 const buckets = 64
--- a/attach/attach.go
+++ b/fleet/membership/membership.go
@@ -23,7 +23,7 @@
 // Control, so the kind of message is ViewPart and a control member of the settings is a ControlMember.
 //
 // It is a stepped module without I/O, clock, goroutines or map order. All times are of this process's monotonic clock.
-package attach
+package membership
 
 import "errors"
 
--- a/attach/offset.go
+++ b/fleet/membership/offset.go
@@ -1,4 +1,4 @@
-package attach
+package membership
 
 // offsetSpan is for how long the least difference of two clocks counts at least: two drift apart by some 50 us a second, and the
 // least delay of 600 messages says more than that of the last.
--- a/attach/past.go
+++ b/fleet/membership/past.go
@@ -1,4 +1,4 @@
-package attach
+package membership
 
 // mostPast bounds the past incarnations that are remembered: at 3,000 restarts a day those of two days and more.
 const mostPast = 8192
--- a/attach/view_test.go
+++ b/fleet/membership/view_test.go
@@ -1,4 +1,4 @@
-package attach
+package membership
 
 import (
 	"fmt"
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -15,10 +15,10 @@
 import (
 	"slices"
 
-	"chutechute/attach"
-	"chutechute/ledger"
-	"chutechute/member"
-	"chutechute/peer"
+	"chutechute/fleet/heartbeat"
+	"chutechute/fleet/membership"
+	"chutechute/fleet/replication"
+	"chutechute/fleet/transport"
 )
 
 // Micros is a time or a span in microseconds of this machine's clock, which is monotonic.
@@ -30,11 +30,11 @@
 	Zone        string
 	Incarnation uint64
 	Zones       map[string]string // of the others, by name
-	Members     member.Config
-	Copies      ledger.Config  // its ID is this disk's number
-	Beat        Micros         // between heartbeats
-	Retry       Micros         // until a question is asked again
-	Attach      *attach.Config // of those that attach to this control member; nil where none may
+	Members     heartbeat.Config
+	Copies      replication.Config // its ID is this disk's number
+	Beat        Micros             // between heartbeats
+	Retry       Micros             // until a question is asked again
+	Attach      *membership.Config // of those that attach to this control member; nil where none may
 	// Number draws a number that was never used, for a new record.
 	Number func() uint64
 }
@@ -46,7 +46,7 @@
 type Tell struct {
 	To          string
 	Incarnation uint64 // 0: a control member; else that process of an attached front end, over a link that it has dialled
-	Kind        peer.Kind
+	Kind        transport.Kind
 	Bulk        bool
 	Body        []byte
 }
@@ -57,14 +57,14 @@
 // Node is one front end of a fleet.
 type Node struct {
 	cfg      Config
-	members  *member.Set
-	replica  *ledger.Replica
+	members  *heartbeat.Set
+	replica  *replication.Replica
 	others   map[string]*status // the last heartbeat of each, by name
 	requests requests
 	toLeader toLeader
-	server   *attach.Server            // nil where no front ends may attach
-	linked   map[uint64]linkedFrontEnd // attached front ends with links to this one, by their processes
-	controls []attach.ControlMember    // as of the last tick
+	server   *membership.Server         // nil where no front ends may attach
+	linked   map[uint64]linkedFrontEnd  // attached front ends with links to this one, by their processes
+	controls []membership.ControlMember // as of the last tick
 	actions  []Action
 	now      Micros
 	beatAt   Micros
@@ -76,13 +76,13 @@
 	// Forwarded counts the questions of attached front ends that were passed on, Undeliverable what was for them or from them and found no way.
 	Forwarded, Undeliverable int
 	// Changed is told of each change in how another front end is seen.
-	Changed func(*member.Member)
+	Changed func(*heartbeat.Member)
 }
 
 // New builds a front end of a fleet. Note is told that something this front end waits for may have changed.
 func New(cfg Config, note func(about string)) *Node {
-	n := &Node{cfg: cfg, members: member.New(cfg.Members, cfg.Zones), replica: ledger.New(cfg.Copies),
-		others: map[string]*status{}, note: note, Changed: func(*member.Member) {}}
+	n := &Node{cfg: cfg, members: heartbeat.New(cfg.Members, cfg.Zones), replica: replication.New(cfg.Copies),
+		others: map[string]*status{}, note: note, Changed: func(*heartbeat.Member) {}}
 	n.toLeader = toLeader{n: n}
 	n.requests = newRequests(&n.toLeader, cfg.Incarnation, cfg.Retry)
 	n.attaching()
@@ -90,16 +90,16 @@
 }
 
 // Open goes on with what this disk kept.
-func (n *Node) Open(now Micros, d *ledger.Disk) error {
+func (n *Node) Open(now Micros, d *replication.Disk) error {
 	n.now = now
 	return n.replica.Open(now, d)
 }
 
 // Replica is this front end's copy of the record, if it is one.
-func (n *Node) Replica() *ledger.Replica { return n.replica }
+func (n *Node) Replica() *replication.Replica { return n.replica }
 
 // Members is how the others are seen.
-func (n *Node) Members() *member.Set { return n.members }
+func (n *Node) Members() *heartbeat.Set { return n.members }
 
 // Leave says to the others that this front end will soon be gone.
 func (n *Node) Leave() { n.leaving = true }
@@ -122,13 +122,13 @@
 }
 
 // Receive takes a message that came over a link. An error says that it can't be read.
-func (n *Node) Receive(now Micros, l Link, kind peer.Kind, body []byte) error {
+func (n *Node) Receive(now Micros, l Link, kind transport.Kind, body []byte) error {
 	n.now = now
 	if l.Attached {
 		return n.receiveAttached(l, kind, body)
 	}
 	switch kind {
-	case peer.Status:
+	case transport.Status:
 		s, err := decodeStatus(body)
 		if err != nil {
 			return err
@@ -145,31 +145,31 @@
 				return err
 			}
 		}
-	case peer.Ledger:
+	case transport.Ledger:
 		group, message, err := decodeCopied(body)
 		if err != nil {
 			return err
 		}
 		return n.replica.Receive(now, group, message)
-	case peer.Ask:
-		c, err := ledger.DecodeCommand(body)
+	case transport.Ask:
+		c, err := replication.DecodeCommand(body)
 		if err != nil {
 			return err
 		}
 		if uint64(c.Asker) == l.Incarnation {
 			n.replica.Ask(now, c)
 		}
-	case peer.Answer:
-		a, err := ledger.DecodeAnswer(body)
+	case transport.Answer:
+		a, err := replication.DecodeAnswer(body)
 		if err != nil {
 			return err
 		}
 		n.requests.answered(now, a)
-	case peer.Note:
+	case transport.Note:
 		n.note(string(body))
-	case peer.Found:
+	case transport.Found:
 		return n.found(body)
-	case peer.Relay:
+	case transport.Relay:
 		return n.relay(l, body)
 	default:
 		if err := n.receiveAttaching(l, kind, body); err != nil {
@@ -186,7 +186,7 @@
 	if err != nil {
 		return err
 	}
-	members, err := ledger.DecodeMembers(w.Members)
+	members, err := replication.DecodeMembers(w.Members)
 	if err != nil {
 		return err
 	}
@@ -215,7 +215,7 @@
 func (n *Node) Next() Micros {
 	next := min(n.beatAt, n.now+n.cfg.Copies.Tick)
 	if n.server != nil {
-		next = min(next, n.now+attach.DefaultBatch)
+		next = min(next, n.now+membership.DefaultBatch)
 	}
 	return next
 }
@@ -240,15 +240,15 @@
 
 // presence is the members as the record's kinds see them.
 type presence struct {
-	*member.Set
+	*heartbeat.Set
 	n *Node
 }
 
-func (p presence) Gone(i ledger.Incarnation) bool { return p.n.gone(uint64(i)) }
+func (p presence) Gone(i replication.Incarnation) bool { return p.n.gone(uint64(i)) }
 
 // Replaced is certain of control members. Of attached front ends it is what the merged view says: what rests on it being certain,
 // the budgets, is not set where front ends may attach.
-func (p presence) Replaced(i ledger.Incarnation) bool {
+func (p presence) Replaced(i replication.Incarnation) bool {
 	if p.n.server == nil || p.ofMember(i) {
 		return p.Set.Replaced(uint64(i))
 	}
@@ -258,21 +258,21 @@
 // Missing is never said of a process that is no control member's, where front ends may attach: what an attached one has under way
 // is not offered to others in this version. It ends by its own time, and a repeat of it is told so. A load that an attached front
 // end hands on itself has no owner, and is offered.
-func (p presence) Missing(i ledger.Incarnation) bool {
+func (p presence) Missing(i replication.Incarnation) bool {
 	if p.n.server != nil && i != 0 && !p.ofMember(i) {
 		return false
 	}
 	return i == 0 || uint64(i) != p.n.cfg.Incarnation && p.Set.Missing(uint64(i))
 }
 
-func (p presence) Present() (list []ledger.Incarnation) {
+func (p presence) Present() (list []replication.Incarnation) {
 	n := p.n
 	if !n.leaving {
-		list = append(list, ledger.Incarnation(n.cfg.Incarnation))
+		list = append(list, replication.Incarnation(n.cfg.Incarnation))
 	}
 	for _, m := range p.List() {
-		if s := n.others[m.Name]; m.State == member.Alive && s != nil && !s.Leaving {
-			list = append(list, ledger.Incarnation(m.Incarnation))
+		if s := n.others[m.Name]; m.State == heartbeat.Alive && s != nil && !s.Leaving {
+			list = append(list, replication.Incarnation(m.Incarnation))
 		}
 	}
 	slices.Sort(list)
@@ -283,13 +283,13 @@
 func (n *Node) Gone(incarnation uint64) bool { return n.gone(incarnation) }
 
 // present is the front ends that are heard now and have a disk that serves, this one too.
-func (n *Node) present() (list []ledger.Member) {
+func (n *Node) present() (list []replication.Member) {
 	if n.replica.Err() == nil && !n.leaving {
-		list = append(list, ledger.Member{ID: n.replica.ID(), Name: n.cfg.Name, Zone: n.cfg.Zone})
+		list = append(list, replication.Member{ID: n.replica.ID(), Name: n.cfg.Name, Zone: n.cfg.Zone})
 	}
 	for _, m := range n.members.List() {
-		if s := n.others[m.Name]; m.State == member.Alive && s != nil && s.Incarnation == m.Incarnation && s.Copy != 0 && !s.Leaving {
-			list = append(list, ledger.Member{ID: s.Copy, Name: m.Name, Zone: m.Zone})
+		if s := n.others[m.Name]; m.State == heartbeat.Alive && s != nil && s.Incarnation == m.Incarnation && s.Copy != 0 && !s.Leaving {
+			list = append(list, replication.Member{ID: s.Copy, Name: m.Name, Zone: m.Zone})
 		}
 	}
 	return list
@@ -307,12 +307,12 @@
 	}
 	body := s.encode()
 	for _, m := range n.members.List() {
-		n.actions = append(n.actions, Tell{To: m.Name, Kind: peer.Status, Body: body})
+		n.actions = append(n.actions, Tell{To: m.Name, Kind: transport.Status, Body: body})
 	}
 }
 
 // begin founds a record where there surely is none, and sends the founding again to those who have not taken it in.
-func (n *Node) begin(present []ledger.Member) {
+func (n *Node) begin(present []replication.Member) {
 	if n.founded != nil {
 		if n.replica.Leader() != 0 {
 			n.founded = nil
@@ -330,7 +330,7 @@
 		}
 	}
 	first := choose(present, n.cfg.Copies.Copies)
-	w := founding{Group: n.cfg.Number(), Members: ledger.EncodeMembers(first)}
+	w := founding{Group: n.cfg.Number(), Members: replication.EncodeMembers(first)}
 	n.founded = w.encode()
 	if err := n.replica.Found(n.now, w.Group, first); err != nil {
 		n.founded = nil
@@ -342,15 +342,15 @@
 func (n *Node) spread() {
 	for _, m := range n.members.List() {
 		if s := n.others[m.Name]; s != nil && s.Group == 0 {
-			n.actions = append(n.actions, Tell{To: m.Name, Kind: peer.Found, Body: n.founded})
+			n.actions = append(n.actions, Tell{To: m.Name, Kind: transport.Found, Body: n.founded})
 		}
 	}
 }
 
 // choose takes the first copies: by name, and from as many zones as there are.
-func choose(present []ledger.Member, copies int) (list []ledger.Member) {
+func choose(present []replication.Member, copies int) (list []replication.Member) {
 	rest := slices.Clone(present)
-	slices.SortFunc(rest, func(a, b ledger.Member) int {
+	slices.SortFunc(rest, func(a, b replication.Member) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -399,30 +399,30 @@
 	n.drainServer()
 	for _, a := range n.replica.Actions() {
 		switch a := a.(type) {
-		case ledger.Send:
+		case replication.Send:
 			if to := n.NameOf(a.To); to != "" {
-				n.tell(to, peer.Ledger, a.Bulk, copied(n.replica.Group(), a.Message))
+				n.tell(to, transport.Ledger, a.Bulk, copied(n.replica.Group(), a.Message))
 			}
-		case ledger.Save:
+		case replication.Save:
 			n.actions = append(n.actions, a)
-		case ledger.Reply:
+		case replication.Reply:
 			if uint64(a.To) == n.cfg.Incarnation {
 				n.requests.answered(n.now, a.Answer)
 			} else if to := n.nameOfProcess(uint64(a.To)); to != "" {
-				n.tell(to, peer.Answer, false, a.Answer.Encode())
+				n.tell(to, transport.Answer, false, a.Answer.Encode())
 			} else if n.server != nil {
-				n.toAttached(uint64(a.To), peer.Answer, a.Answer.Encode())
+				n.toAttached(uint64(a.To), transport.Answer, a.Answer.Encode())
 			}
-		case ledger.Notify:
+		case replication.Notify:
 			if !n.replica.Leads() {
 				continue // the leader's is enough
 			}
 			if uint64(a.To) == n.cfg.Incarnation {
 				n.note(a.About)
 			} else if to := n.nameOfProcess(uint64(a.To)); to != "" {
-				n.tell(to, peer.Note, false, []byte(a.About))
+				n.tell(to, transport.Note, false, []byte(a.About))
 			} else if n.server != nil {
-				n.toAttached(uint64(a.To), peer.Note, []byte(a.About))
+				n.toAttached(uint64(a.To), transport.Note, []byte(a.About))
 			}
 		}
 	}
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -1,9 +1,9 @@
 package fleet
 
 import (
+	"chutechute/fleet/heartbeat"
+	"chutechute/fleet/transport"
 	"chutechute/internal/proto"
-	"chutechute/member"
-	"chutechute/peer"
 )
 
 // A way may fail in one direction alone. Who is heard and says in its heartbeats that it does not hear this front end is told
@@ -15,7 +15,7 @@
 	To          string
 	From        string
 	Incarnation uint64
-	Kind        peer.Kind
+	Kind        transport.Kind
 	Body        []byte
 }
 
@@ -38,7 +38,7 @@
 		case 3:
 			r.Incarnation = f.Uint
 		case 4:
-			r.Kind = peer.Kind(f.Uint)
+			r.Kind = transport.Kind(f.Uint)
 		case 5:
 			r.Body = f.Copy()
 		}
@@ -48,12 +48,12 @@
 }
 
 // tell sends a message, by way of another where the direct way is known to fail.
-func (n *Node) tell(to string, kind peer.Kind, bulk bool, body []byte) {
+func (n *Node) tell(to string, kind transport.Kind, bulk bool, body []byte) {
 	n.actions = append(n.actions, Tell{To: to, Kind: kind, Bulk: bulk, Body: body})
-	if via := n.detour(to); via != "" && !bulk && len(body) < peer.MostBody {
+	if via := n.detour(to); via != "" && !bulk && len(body) < transport.MostBody {
 		n.Relayed++
 		r := relayed{to, n.cfg.Name, n.cfg.Incarnation, kind, body}
-		n.actions = append(n.actions, Tell{To: via, Kind: peer.Relay, Body: r.encode()})
+		n.actions = append(n.actions, Tell{To: via, Kind: transport.Relay, Body: r.encode()})
 	}
 }
 
@@ -74,18 +74,18 @@
 		return ""
 	}
 	switch {
-	case m.State == member.Alive && !n.hears(s, n.cfg.Name, n.cfg.Incarnation):
+	case m.State == heartbeat.Alive && !n.hears(s, n.cfg.Name, n.cfg.Incarnation):
 		for _, o := range n.members.List() {
 			if o == m || o.Incarnation == 0 || !n.hears(s, o.Name, o.Incarnation) {
 				continue
 			}
-			if via == "" || o.State == member.Alive && n.members.Of(via).State != member.Alive {
+			if via == "" || o.State == heartbeat.Alive && n.members.Of(via).State != heartbeat.Alive {
 				via = o.Name
 			}
 		}
-	case m.State == member.Cut:
+	case m.State == heartbeat.Cut:
 		for _, o := range n.members.List() {
-			if os := n.others[o.Name]; o != m && o.State == member.Alive && os != nil && n.hears(os, to, m.Incarnation) {
+			if os := n.others[o.Name]; o != m && o.State == heartbeat.Alive && os != nil && n.hears(os, to, m.Incarnation) {
 				return o.Name
 			}
 		}
@@ -99,12 +99,12 @@
 	switch {
 	case err != nil:
 		return err
-	case r.Kind == peer.Relay || r.Kind == peer.Status || n.members.Of(r.From) == nil:
+	case r.Kind == transport.Relay || r.Kind == transport.Status || n.members.Of(r.From) == nil:
 		return nil
 	case r.To == n.cfg.Name:
 		return n.Receive(n.now, Link{From: r.From, Incarnation: r.Incarnation}, r.Kind, r.Body)
 	case r.From == l.From && n.members.Of(r.To) != nil:
-		n.actions = append(n.actions, Tell{To: r.To, Kind: peer.Relay, Body: body})
+		n.actions = append(n.actions, Tell{To: r.To, Kind: transport.Relay, Body: body})
 	}
 	return nil
 }
--- a/ledger/replica.go
+++ b/fleet/replication/replica.go
@@ -14,7 +14,7 @@
 // election, and when a copy that was not heard of is replaced, which is safe for one that lives too.
 //
 // Replica is a stepped module: events and time go in, actions come out. It does no I/O, reads no clock, and starts nothing.
-package ledger
+package replication
 
 import (
 	"errors"
--- a/ledger/replica_store.go
+++ b/fleet/replication/replica_store.go
@@ -1,4 +1,4 @@
-package ledger
+package replication
 
 import (
 	"errors"
--- a/ledger/kind.go
+++ b/fleet/replication/statemachine.go
@@ -1,4 +1,4 @@
-package ledger
+package replication
 
 // Micros is a time or a span in microseconds of one machine's own clock.
 type Micros = int64
--- a/ledger/store/golden_test.go
+++ b/fleet/replication/wal/golden_test.go
@@ -1,4 +1,4 @@
-package store_test
+package wal_test
 
 import (
 	"encoding/json"
@@ -9,14 +9,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chutechute/budget"
-	"chutechute/budget/account"
-	"chutechute/decide"
+	"chutechute/fleet/budget"
+	"chutechute/fleet/budget/account"
+	"chutechute/fleet/idempotency"
+	"chutechute/fleet/replication"
+	"chutechute/fleet/replication/wal"
 	"chutechute/internal/golden"
 	"chutechute/internal/raftlog"
-	"chutechute/ledger"
-	"chutechute/ledger/loads"
-	"chutechute/ledger/store"
+	"chutechute/scheduler"
 )
 
 const (
@@ -29,30 +29,30 @@
 // onlyCopy is a record's one copy, on a folder.
 type onlyCopy struct {
 	t       *testing.T
-	now     ledger.Micros
-	replica *ledger.Replica
-	loads   *loads.Loads
+	now     replication.Micros
+	replica *replication.Replica
+	loads   *idempotency.Loads
 	budgets *budget.Authority
-	store   *store.Store
-	answers map[uint64]ledger.Answer
+	store   *wal.Store
+	answers map[uint64]replication.Answer
 	seq     uint64
 }
 
 // everybody is a view of processes in which all are there.
 type everybody struct{}
 
-func (everybody) Gone(ledger.Incarnation) bool     { return false }
-func (everybody) Replaced(ledger.Incarnation) bool { return false }
-func (everybody) Missing(ledger.Incarnation) bool  { return false }
-func (everybody) Present() []ledger.Incarnation    { return nil }
+func (everybody) Gone(replication.Incarnation) bool     { return false }
+func (everybody) Replaced(replication.Incarnation) bool { return false }
+func (everybody) Missing(replication.Incarnation) bool  { return false }
+func (everybody) Present() []replication.Incarnation    { return nil }
 
 func openCopy(t *testing.T, folder string) *onlyCopy {
-	s, disk, err := store.Open(folder, owner, func() uint64 { return 1<<40 + 5 })
+	s, disk, err := wal.Open(folder, owner, func() uint64 { return 1<<40 + 5 })
 	require.NoError(t, err)
-	c := &onlyCopy{t: t, now: 1000 * second, store: s, answers: map[uint64]ledger.Answer{},
-		loads:   loads.New(loads.Options{Bytes: 1 << 20, Keep: 60 * second, Orphan: 3 * second}),
+	c := &onlyCopy{t: t, now: 1000 * second, store: s, answers: map[uint64]replication.Answer{},
+		loads:   idempotency.New(idempotency.Options{Bytes: 1 << 20, Keep: 60 * second, Orphan: 3 * second}),
 		budgets: budget.NewAuthority(budget.Options{Instances: 100})}
-	c.replica = ledger.New(ledger.Config{ID: s.Number(), Kinds: []ledger.Kind{c.loads, c.budgets}, Copies: 1, Tick: tick, Replace: 6 * second,
+	c.replica = replication.New(replication.Config{ID: s.Number(), Kinds: []replication.Kind{c.loads, c.budgets}, Copies: 1, Tick: tick, Replace: 6 * second,
 		LogBytes: 1500, Logger: raftlog.New()})
 	require.NoError(t, c.replica.Open(c.now, disk))
 	c.carryOut()
@@ -68,34 +68,34 @@
 		}
 		for _, action := range list {
 			switch action := action.(type) {
-			case ledger.Save:
-				err := c.store.Write([]ledger.Save{action})
+			case replication.Save:
+				err := c.store.Write([]replication.Save{action})
 				require.NoError(c.t, err)
 				c.replica.Stored(c.now, action.Token, err)
-			case ledger.Reply:
+			case replication.Reply:
 				c.answers[action.Answer.Seq] = action.Answer
 			}
 		}
 	}
 }
 
-func (c *onlyCopy) pass(span ledger.Micros) {
+func (c *onlyCopy) pass(span replication.Micros) {
 	for until := c.now + span; c.now < until; c.now += tick {
-		c.replica.Tick(c.now, []ledger.Member{{ID: c.store.Number(), Name: "n1", Zone: "a"}}, everybody{})
+		c.replica.Tick(c.now, []replication.Member{{ID: c.store.Number(), Name: "n1", Zone: "a"}}, everybody{})
 		c.carryOut()
 	}
 }
 
-func (c *onlyCopy) ask(kind uint32, asker ledger.Incarnation, body []byte) []byte {
+func (c *onlyCopy) ask(kind uint32, asker replication.Incarnation, body []byte) []byte {
 	c.seq++
-	c.replica.Ask(c.now, ledger.Command{Kind: kind, Version: 1, Asker: asker, Seq: c.seq, Body: body})
+	c.replica.Ask(c.now, replication.Command{Kind: kind, Version: 1, Asker: asker, Seq: c.seq, Body: body})
 	c.carryOut()
-	require.Equal(c.t, ledger.Committed, c.answers[c.seq].Result)
+	require.Equal(c.t, replication.Committed, c.answers[c.seq].Result)
 	return c.answers[c.seq].Body
 }
 
-func (c *onlyCopy) askLoads(asker ledger.Incarnation, command loads.Command) loads.View {
-	v, err := loads.DecodeView(c.ask(c.loads.ID(), asker, command.Encode()))
+func (c *onlyCopy) askLoads(asker replication.Incarnation, command idempotency.Command) idempotency.View {
+	v, err := idempotency.DecodeView(c.ask(c.loads.ID(), asker, command.Encode()))
 	require.NoError(c.t, err)
 	return v
 }
@@ -118,11 +118,11 @@
 // write makes a folder with a snapshot, a log after it and a write that was cut short. It made foundDisk, once.
 func writeFolder(t *testing.T, folder string) {
 	c := openCopy(t, folder)
-	require.NoError(t, c.replica.Found(c.now, 77, []ledger.Member{{ID: c.store.Number(), Name: "n1", Zone: "a"}}))
+	require.NoError(t, c.replica.Found(c.now, 77, []replication.Member{{ID: c.store.Number(), Name: "n1", Zone: "a"}}))
 	c.carryOut()
 	c.pass(3 * second)
-	take := func(asker ledger.Incarnation, once, key string) uint64 {
-		return c.askLoads(asker, loads.Command{Op: loads.Take, Once: once, Key: key, Tenant: "desk", Class: "load", Digest: []byte(once),
+	take := func(asker replication.Incarnation, once, key string) uint64 {
+		return c.askLoads(asker, idempotency.Command{Op: idempotency.Take, Once: once, Key: key, Tenant: "desk", Class: "load", Digest: []byte(once),
 			Call: "call-" + once, TTL: 25 * second}).Epoch
 	}
 	set := &budget.Set{Version: 3, Lease: 2 * second, Most: 5, Specs: []budget.Spec{
@@ -132,11 +132,11 @@
 	holder.Begin(c.now)
 	for i := range 20 {
 		once := fmt.Sprintf("once-%02d", i)
-		asker := ledger.Incarnation(5 + i%3)
+		asker := replication.Incarnation(5 + i%3)
 		epoch := take(asker, once, fmt.Sprintf("key-%d", i%4))
-		c.askLoads(asker, loads.Command{Op: loads.Start, Once: once, Epoch: epoch, Attempt: 1, Engine: "s-00000001", Call: "call-" + once})
+		c.askLoads(asker, idempotency.Command{Op: idempotency.Start, Once: once, Epoch: epoch, Attempt: 1, Engine: "s-00000001", Call: "call-" + once})
 		if i%3 == 0 {
-			c.askLoads(asker, loads.Command{Op: loads.Finish, Once: once, Epoch: epoch, Outcome: loads.Served, Rows: []byte("rows of " + once)})
+			c.askLoads(asker, idempotency.Command{Op: idempotency.Finish, Once: once, Epoch: epoch, Outcome: idempotency.Served, Rows: []byte("rows of " + once)})
 		}
 		holder.Tick(c.now)
 		c.carryOut()
@@ -154,8 +154,8 @@
 // askBudgets puts a holder's questions to the copy.
 type askBudgets struct{ c *onlyCopy }
 
-func (a askBudgets) Ask(_ ledger.Micros, kind, _ uint32, body []byte, done func(ledger.Answer)) uint64 {
-	done(ledger.Answer{Result: ledger.Committed, Body: a.c.ask(kind, 5, body)})
+func (a askBudgets) Ask(_ replication.Micros, kind, _ uint32, body []byte, done func(replication.Answer)) uint64 {
+	done(replication.Answer{Result: replication.Committed, Body: a.c.ask(kind, 5, body)})
 	return a.c.seq
 }
 
@@ -176,15 +176,15 @@
 	golden.Lines(t, "testdata/found.txt", held)
 	c.pass(3 * second) // it goes on with it
 	require.True(t, c.replica.Leads())
-	require.Equal(t, loads.Served, c.askLoads(99, loads.Command{Op: loads.Look, Once: "once-00"}).Phase)
+	require.Equal(t, idempotency.Served, c.askLoads(99, idempotency.Command{Op: idempotency.Look, Once: "once-00"}).Phase)
 	require.NoError(t, c.store.Close())
 }
 
 // wantsAll is a spender that wants some of both budgets.
 type wantsAll struct{}
 
-func (wantsAll) Demands(ledger.Micros) []decide.Demand {
-	return []decide.Demand{{Budget: "places", Want: 3000, InUse: 1000}, {Budget: "rate", Want: 5000}}
+func (wantsAll) Demands(replication.Micros) []scheduler.Demand {
+	return []scheduler.Demand{{Budget: "places", Want: 3000, InUse: 1000}, {Budget: "rate", Want: 5000}}
 }
 
-func (wantsAll) Allow(ledger.Micros, budget.Grant) {}
+func (wantsAll) Allow(replication.Micros, budget.Grant) {}
--- a/ledger/store/store.go
+++ b/fleet/replication/wal/store.go
@@ -8,7 +8,7 @@
 //
 // It was bbolt first. A file of it with flipped bits ended the process with a fault that can't be recovered from, in the
 // library's work on pages as they lie in memory; here nothing is read before its checksum was.
-package store
+package wal
 
 import (
 	"encoding/binary"
@@ -26,8 +26,8 @@
 	"golang.org/x/sys/unix"
 	"google.golang.org/protobuf/proto"
 
+	"chutechute/fleet/replication"
 	field "chutechute/internal/proto"
-	"chutechute/ledger"
 )
 
 // Errors of Open and Write.
@@ -67,7 +67,7 @@
 }
 
 // Open opens the folder of a front end, or begins with an empty one, for which number draws the disk's number.
-func Open(folder, owner string, number func() uint64) (*Store, *ledger.Disk, error) {
+func Open(folder, owner string, number func() uint64) (*Store, *replication.Disk, error) {
 	s, disk, err := open(folder, owner, number)
 	if !errors.Is(err, ErrSpoilt) {
 		return s, disk, err
@@ -87,8 +87,8 @@
 	return s, disk, nil
 }
 
-func open(folder, owner string, number func() uint64) (s *Store, disk *ledger.Disk, err error) {
-	s, disk = &Store{folder: folder}, &ledger.Disk{}
+func open(folder, owner string, number func() uint64) (s *Store, disk *replication.Disk, err error) {
+	s, disk = &Store{folder: folder}, &replication.Disk{}
 	defer func() {
 		if err != nil {
 			s.shut()
@@ -137,7 +137,7 @@
 }
 
 // recall takes in what an earlier process kept.
-func (s *Store) recall(owner string, meta []byte, disk *ledger.Disk) error {
+func (s *Store) recall(owner string, meta []byte, disk *replication.Disk) error {
 	body, rest, err := unsealed(meta)
 	if err != nil || len(rest) > 0 {
 		return fmt.Errorf("%w: %s", ErrSpoilt, metaName)
@@ -208,7 +208,7 @@
 
 // take follows one record.
 func (s *Store) take(body []byte) error {
-	var save ledger.Save
+	var save replication.Save
 	err := field.Each(body, func(f field.Field) error {
 		switch f.Number {
 		case 1:
@@ -233,7 +233,7 @@
 }
 
 // follow keeps in mind what the next log has to begin with.
-func (s *Store) follow(save ledger.Save) {
+func (s *Store) follow(save replication.Save) {
 	if s.group == 0 {
 		s.group = save.Group
 	}
@@ -260,7 +260,7 @@
 func (s *Store) Number() uint64 { return s.number }
 
 // Write makes a batch of saves last, in their order, with one sync; with a snapshot among them it takes a few.
-func (s *Store) Write(batch []ledger.Save) (err error) {
+func (s *Store) Write(batch []replication.Save) (err error) {
 	if s.ended {
 		return ErrEnded
 	}
@@ -297,14 +297,14 @@
 
 // snapshot puts a snapshot in place of the one before, and begins a new log behind it. A log that is older than the snapshot
 // only holds entries that it stands for, so whichever of the two steps is the last to be done, the folder can be read.
-func (s *Store) snapshot(save ledger.Save) error {
+func (s *Store) snapshot(save replication.Save) error {
 	body, err := proto.Marshal(save.Snapshot)
 	if err != nil {
 		return err
 	}
 	index := save.Snapshot.GetMetadata().GetIndex()
 	if save.Reset { // what the log holds behind the snapshot must not be taken for its continuation
-		reset, err := record(nil, ledger.Save{Group: save.Group, State: save.State, Reset: true})
+		reset, err := record(nil, replication.Save{Group: save.Group, State: save.State, Reset: true})
 		if err != nil {
 			return err
 		}
@@ -317,8 +317,8 @@
 		return err
 	}
 	s.snap = index
-	s.follow(ledger.Save{Group: save.Group, State: save.State, Entries: save.Entries})
-	b, err := record(nil, ledger.Save{Group: s.group, State: s.state, Entries: s.tail})
+	s.follow(replication.Save{Group: save.Group, State: save.State, Entries: save.Entries})
+	b, err := record(nil, replication.Save{Group: s.group, State: s.state, Entries: s.tail})
 	if err != nil {
 		return err
 	}
@@ -355,7 +355,7 @@
 	return errors.Join(fsync(d), d.Close())
 }
 
-func record(b []byte, save ledger.Save) ([]byte, error) {
+func record(b []byte, save replication.Save) ([]byte, error) {
 	body := field.Uint(nil, 1, save.Group)
 	if save.State != nil {
 		state, err := proto.Marshal(save.State)
--- a/ledger/store/store_test.go
+++ b/fleet/replication/wal/store_test.go
@@ -1,4 +1,4 @@
-package store
+package wal
 
 import (
 	"os"
@@ -10,8 +10,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"pgregory.net/rapid"
 
+	"chutechute/fleet/replication"
 	"chutechute/internal/standin"
-	"chutechute/ledger"
 )
 
 func TestMain(m *testing.M) { os.Exit(standin.Seeded(m)) }
@@ -32,7 +32,7 @@
 	return func() uint64 { n++; return n }
 }
 
-func last(d *ledger.Disk) uint64 {
+func last(d *replication.Disk) uint64 {
 	if n := len(d.Entries); n > 0 {
 		return d.Entries[n-1].GetIndex()
 	}
@@ -57,18 +57,18 @@
 			switch rapid.IntRange(0, 4).Draw(rt, "step") {
 			case 0, 1:
 				n := rapid.Uint64Range(1, 5).Draw(rt, "entries")
-				require.NoError(t, s.Write([]ledger.Save{{Group: 7, Entries: entries(term, at+1, at+n), State: state(term, at)}}))
+				require.NoError(t, s.Write([]replication.Save{{Group: 7, Entries: entries(term, at+1, at+n), State: state(term, at)}}))
 				at += n
 			case 2: // another leader's entries in place of the last
 				if at > snap {
 					term++
-					require.NoError(t, s.Write([]ledger.Save{{Group: 7, Entries: entries(term, at, at), State: state(term, at)}}))
+					require.NoError(t, s.Write([]replication.Save{{Group: 7, Entries: entries(term, at, at), State: state(term, at)}}))
 				}
 			case 3:
 				if at > snap {
 					snap = at
 					t := term
-					require.NoError(rt, s.Write([]ledger.Save{{Group: 7, Snapshot: &raftpb.Snapshot{Data: []byte("all"),
+					require.NoError(rt, s.Write([]replication.Save{{Group: 7, Snapshot: &raftpb.Snapshot{Data: []byte("all"),
 						Metadata: &raftpb.SnapshotMetadata{Index: &snap, Term: &t}}}}))
 				}
 			case 4:
@@ -85,7 +85,7 @@
 		}
 		before, err := os.ReadFile(filepath.Join(folder, logName))
 		require.NoError(t, err)
-		require.NoError(t, s.Write([]ledger.Save{{Group: 7, Entries: entries(term, at+1, at+3), State: state(term, at)}}))
+		require.NoError(t, s.Write([]replication.Save{{Group: 7, Entries: entries(term, at+1, at+3), State: state(term, at)}}))
 		require.NoError(t, s.Close())
 		log := filepath.Join(folder, logName)
 		b, err := os.ReadFile(log)
@@ -135,7 +135,7 @@
 	bad, err := os.Open(os.DevNull) // not for writing
 	require.NoError(t, err)
 	s.log = bad
-	require.Error(t, s.Write([]ledger.Save{{Group: 7, Entries: entries(1, 1, 2)}}))
+	require.Error(t, s.Write([]replication.Save{{Group: 7, Entries: entries(1, 1, 2)}}))
 	s.log = good
-	assert.ErrorIs(t, s.Write([]ledger.Save{{Group: 7, Entries: entries(1, 1, 2)}}), ErrEnded)
+	assert.ErrorIs(t, s.Write([]replication.Save{{Group: 7, Entries: entries(1, 1, 2)}}), ErrEnded)
 }
--- a/ledger/store/sync.go
+++ b/fleet/replication/wal/sync.go
@@ -1,4 +1,4 @@
-package store
+package wal
 
 import "os"
 
--- a/ledger/store/writer.go
+++ b/fleet/replication/wal/writer.go
@@ -1,9 +1,9 @@
-package store
+package wal
 
 import (
 	"sync"
 
-	"chutechute/ledger"
+	"chutechute/fleet/replication"
 )
 
 // Writer writes saves in a goroutine of its own, so that no sync holds up the loop. What waits while one sync runs goes with
@@ -12,7 +12,7 @@
 	store  *Store
 	stored func(token uint64, err error) // from the writer's goroutine
 	mu     sync.Mutex
-	list   []ledger.Save
+	list   []replication.Save
 	wake   chan struct{}
 	done   chan struct{}
 	ended  bool
@@ -26,7 +26,7 @@
 }
 
 // Add queues a save. The record bounds what waits: it commits nothing that is not stored.
-func (w *Writer) Add(s ledger.Save) {
+func (w *Writer) Add(s replication.Save) {
 	w.mu.Lock()
 	w.list = append(w.list, s)
 	w.mu.Unlock()
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -3,14 +3,14 @@
 import (
 	"slices"
 
-	"chutechute/ledger"
+	"chutechute/fleet/replication"
 )
 
 // requests puts this front end's questions to the record, again and again until one is answered. A question may so be committed
 // twice: every kind's commands bear that.
 type requests struct {
 	route route
-	asker ledger.Incarnation
+	asker replication.Incarnation
 	retry Micros
 	seq   uint64
 	open  map[uint64]*pendingRequest
@@ -22,14 +22,14 @@
 	// target is who is to be asked now; empty where none is known.
 	target() string
 	// ask sends a question there.
-	ask(to string, c ledger.Command)
+	ask(to string, c replication.Command)
 	// redirected takes the word of a copy that does not lead and names the one that does; false where that is who was asked.
 	redirected(leader uint64, asked string) bool
 }
 
 type pendingRequest struct {
-	command ledger.Command
-	done    func(ledger.Answer)
+	command replication.Command
+	done    func(replication.Answer)
 	asked   Micros
 	to      string
 	hops    int // refusals that were followed at once, since it was last asked in its turn
@@ -40,13 +40,13 @@
 const mostHops = 2
 
 func newRequests(way route, incarnation uint64, retry Micros) requests {
-	return requests{route: way, asker: ledger.Incarnation(incarnation), retry: retry, open: map[uint64]*pendingRequest{}}
+	return requests{route: way, asker: replication.Incarnation(incarnation), retry: retry, open: map[uint64]*pendingRequest{}}
 }
 
 // add puts a new question.
-func (r *requests) add(now Micros, kind, version uint32, body []byte, done func(ledger.Answer)) (id uint64) {
+func (r *requests) add(now Micros, kind, version uint32, body []byte, done func(replication.Answer)) (id uint64) {
 	r.seq++
-	q := &pendingRequest{done: done, command: ledger.Command{Kind: kind, Version: version, Asker: r.asker, Seq: r.seq, Body: body}}
+	q := &pendingRequest{done: done, command: replication.Command{Kind: kind, Version: version, Asker: r.asker, Seq: r.seq, Body: body}}
 	r.open[r.seq], r.ids = q, append(r.ids, r.seq)
 	r.put(now, q)
 	return r.seq
@@ -69,16 +69,16 @@
 	}
 }
 
-func (r *requests) answered(now Micros, a ledger.Answer) {
+func (r *requests) answered(now Micros, a replication.Answer) {
 	q := r.open[a.Seq]
 	if q == nil {
 		return
 	}
 	switch a.Result {
-	case ledger.Committed, ledger.Foreign:
+	case replication.Committed, replication.Foreign:
 		r.forget(a.Seq)
 		q.done(a)
-	case ledger.NotLeader:
+	case replication.NotLeader:
 		if a.Leader != 0 && q.hops < mostHops && r.route.redirected(a.Leader, q.to) {
 			q.hops++
 			r.put(now, q)
--- a/fleet/rig_test.go
+++ b/fleet/rig_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chutechute/attach"
 	"chutechute/fleet"
+	"chutechute/fleet/heartbeat"
+	"chutechute/fleet/idempotency"
+	"chutechute/fleet/membership"
+	"chutechute/fleet/replication"
+	"chutechute/fleet/transport"
 	"chutechute/internal/raftlog"
 	"chutechute/internal/standin"
-	"chutechute/ledger"
-	"chutechute/ledger/loads"
-	"chutechute/member"
-	"chutechute/peer"
 )
 
 func TestMain(m *testing.M) { os.Exit(standin.Seeded(m)) }
@@ -38,13 +38,13 @@
 	attached map[string]*attachedFront
 	onTheWay []func()
 	// lose says which messages are lost; nil: none.
-	lose func(from, to string, kind peer.Kind) bool
+	lose func(from, to string, kind transport.Kind) bool
 	sent map[sentMessage]int // how many so far
 }
 
 type sentMessage struct {
 	from, to string
-	kind     peer.Kind
+	kind     transport.Kind
 }
 
 type control struct {
@@ -52,7 +52,7 @@
 	name        string
 	incarnation uint64
 	up          bool
-	kind        *loads.Loads
+	kind        *idempotency.Loads
 }
 
 type attachedFront struct {
@@ -66,9 +66,9 @@
 
 var zones = map[string]string{"n1": "a", "n2": "b", "n3": "c"}
 
-func controlMembers() (list []attach.ControlMember) {
+func controlMembers() (list []membership.ControlMember) {
 	for _, name := range []string{"n1", "n2", "n3"} {
-		list = append(list, attach.ControlMember{Name: name, Zone: zones[name]})
+		list = append(list, membership.ControlMember{Name: name, Zone: zones[name]})
 	}
 	return list
 }
@@ -86,7 +86,7 @@
 func (r *rig) number() uint64 { r.numbers++; return r.numbers }
 
 func (r *rig) newControl(name string, allowed bool) *control {
-	c := &control{name: name, incarnation: r.number(), up: true, kind: loads.New(loads.Options{Bytes: 1 << 20, Keep: 60 * second, Orphan: 3 * second})}
+	c := &control{name: name, incarnation: r.number(), up: true, kind: idempotency.New(idempotency.Options{Bytes: 1 << 20, Keep: 60 * second, Orphan: 3 * second})}
 	others := map[string]string{}
 	for other, zone := range zones {
 		if other != name {
@@ -94,11 +94,11 @@
 		}
 	}
 	cfg := fleet.Config{Name: name, Zone: zones[name], Incarnation: c.incarnation, Zones: others, Beat: 2 * tick, Retry: 4 * tick, Number: r.number,
-		Members: member.Config{Suspect: 600 * ms, Dead: 3 * second, Pause: 300 * ms},
-		Copies: ledger.Config{ID: r.number(), Copies: 3, Tick: tick, Replace: 10 * second, LogBytes: 1 << 20, Logger: raftlog.New(),
-			Kinds: []ledger.Kind{c.kind}}}
+		Members: heartbeat.Config{Suspect: 600 * ms, Dead: 3 * second, Pause: 300 * ms},
+		Copies: replication.Config{ID: r.number(), Copies: 3, Tick: tick, Replace: 10 * second, LogBytes: 1 << 20, Logger: raftlog.New(),
+			Kinds: []replication.Kind{c.kind}}}
 	if allowed {
-		cfg.Attach = &attach.Config{Name: name, Zone: zones[name], Incarnation: c.incarnation, Controls: controlMembers()}
+		cfg.Attach = &membership.Config{Name: name, Zone: zones[name], Incarnation: c.incarnation, Controls: controlMembers()}
 	}
 	c.Node = fleet.New(cfg, func(string) {})
 	require.NoError(r.t, c.Open(r.now, nil))
@@ -108,7 +108,7 @@
 // attach starts an attached front end.
 func (r *rig) attach(name, zone string) *attachedFront {
 	a := &attachedFront{name: name, zone: zone, incarnation: r.number(), links: map[string]fleet.Link{}, up: true}
-	a.Attached = fleet.NewAttached(fleet.AttachedConfig{Retry: 4 * tick, Attach: attach.Config{Name: name, Zone: zone, Incarnation: a.incarnation,
+	a.Attached = fleet.NewAttached(fleet.AttachedConfig{Retry: 4 * tick, Attach: membership.Config{Name: name, Zone: zone, Incarnation: a.incarnation,
 		Controls: controlMembers(), Seed: a.incarnation}}, func(about string) { a.notes = append(a.notes, about) })
 	r.attached[name] = a
 	return a
@@ -198,7 +198,7 @@
 }
 
 // lost notes a message, and says whether it is lost.
-func (r *rig) lost(from, to string, kind peer.Kind) bool {
+func (r *rig) lost(from, to string, kind transport.Kind) bool {
 	r.sent[sentMessage{from, to, kind}]++
 	return r.lose != nil && r.lose(from, to, kind)
 }
@@ -217,7 +217,7 @@
 
 func (r *rig) fromControl(c *control, action fleet.Action) {
 	switch m := action.(type) {
-	case ledger.Save:
+	case replication.Save:
 		c.Stored(r.now, m.Token, nil)
 	case fleet.CloseLink:
 		if a := r.attached[m.Link.From]; a != nil && a.links[c.name] == m.Link {
@@ -289,13 +289,13 @@
 }
 
 // take asks for a load, and gives where its answer will be.
-func (r *rig) take(a *attachedFront, once string) (view *loads.View, answers *int) {
-	view, answers = &loads.View{}, new(int)
-	command := loads.Command{Op: loads.Take, Once: once, Digest: []byte("statement"), Call: fmt.Sprintf("call-%s", once), TTL: 8_000_000}
-	a.Ask(r.now, r.controls["n1"].kind.ID(), 1, command.Encode(), func(answer ledger.Answer) {
-		v, err := loads.DecodeView(answer.Body)
+func (r *rig) take(a *attachedFront, once string) (view *idempotency.View, answers *int) {
+	view, answers = &idempotency.View{}, new(int)
+	command := idempotency.Command{Op: idempotency.Take, Once: once, Digest: []byte("statement"), Call: fmt.Sprintf("call-%s", once), TTL: 8_000_000}
+	a.Ask(r.now, r.controls["n1"].kind.ID(), 1, command.Encode(), func(answer replication.Answer) {
+		v, err := idempotency.DecodeView(answer.Body)
 		require.NoError(r.t, err)
-		require.Equal(r.t, ledger.Committed, answer.Result)
+		require.Equal(r.t, replication.Committed, answer.Result)
 		*view = v
 		*answers++
 	})
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -1,8 +1,8 @@
 package fleet
 
 import (
+	"chutechute/fleet/heartbeat"
 	"chutechute/internal/proto"
-	"chutechute/member"
 )
 
 // status is a heartbeat: who sends it, how it stands with the record, and whom it hears.
@@ -15,7 +15,7 @@
 	Index, Sum  uint64 // of the last command carried out, and over all answers up to it
 	Leaving     bool
 	Voter       bool
-	Reports     []member.Report
+	Reports     []heartbeat.Report
 	Versions    []byte // of the tables of attached front ends; none where none may attach
 }
 
@@ -58,7 +58,7 @@
 		case 9:
 			s.Voter = f.Uint != 0
 		case 10:
-			r, err := member.DecodeReport(f.Data)
+			r, err := heartbeat.DecodeReport(f.Data)
 			s.Reports = append(s.Reports, r)
 			return err
 		case 11:
--- a/fleet/status_test.go
+++ b/fleet/status_test.go
@@ -7,27 +7,27 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chutechute/attach"
+	"chutechute/fleet/heartbeat"
+	"chutechute/fleet/membership"
+	"chutechute/fleet/replication"
+	"chutechute/fleet/transport"
 	"chutechute/internal/raftlog"
-	"chutechute/ledger"
-	"chutechute/member"
-	"chutechute/peer"
 )
 
 // A heartbeat has the bytes that it had before front ends could attach, unless the settings allow them.
 func TestHeartbeatIsAsBefore(t *testing.T) {
 	s := status{Incarnation: 0x1234567890, Copy: 7, Group: 8, Leader: 9, Term: 10, Index: 11, Sum: 12, Leaving: true, Voter: true,
-		Reports: []member.Report{{Name: "n2", Incarnation: 5, Age: 1234}}}
+		Reports: []heartbeat.Report{{Name: "n2", Incarnation: 5, Age: 1234}}}
 	const before = "0890f1d9a2a302100718082009280a300b380c4001480152090a026e32100518d209"
 	assert.Equal(t, before, hex.EncodeToString(s.encode()))
 
-	beat := func(attached *attach.Config) status {
+	beat := func(attached *membership.Config) status {
 		n := New(Config{Name: "n1", Incarnation: 5, Zones: map[string]string{"n2": ""}, Beat: 100_000, Retry: 200_000, Attach: attached,
-			Copies: ledger.Config{ID: 6, Copies: 1, Tick: 50_000, LogBytes: 1 << 20, Logger: raftlog.New()}}, func(string) {})
+			Copies: replication.Config{ID: 6, Copies: 1, Tick: 50_000, LogBytes: 1 << 20, Logger: raftlog.New()}}, func(string) {})
 		require.NoError(t, n.Open(1_000_000, nil))
 		n.Tick(1_000_000)
 		for _, a := range n.Actions() {
-			if a, ok := a.(Tell); ok && a.Kind == peer.Status {
+			if a, ok := a.(Tell); ok && a.Kind == transport.Status {
 				s, err := decodeStatus(a.Body)
 				require.NoError(t, err)
 				assert.Equal(t, attached == nil, len(s.Versions) == 0)
@@ -40,5 +40,5 @@
 		return status{}
 	}
 	assert.Empty(t, beat(nil).Versions)
-	assert.NotEmpty(t, beat(&attach.Config{Name: "n1", Incarnation: 5, Controls: []attach.ControlMember{{Name: "n1"}, {Name: "n2"}}}).Versions)
+	assert.NotEmpty(t, beat(&membership.Config{Name: "n1", Incarnation: 5, Controls: []membership.ControlMember{{Name: "n1"}, {Name: "n2"}}}).Versions)
 }
--- a/peer/attached_test.go
+++ b/fleet/transport/attached_test.go
@@ -1,4 +1,4 @@
-package peer_test
+package transport_test
 
 import (
 	"bytes"
@@ -10,18 +10,18 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chutechute/peer"
+	"chutechute/fleet/transport"
 )
 
 // The hello and the welcome of control members have the bytes that they had before front ends could attach.
 func TestHelloOfControlMembersIsAsBefore(t *testing.T) {
-	self := func(name, zone string, incarnation, disk uint64) *peer.Identity {
-		return &peer.Identity{Site: "legon", Name: name, Zone: zone, Incarnation: incarnation, Copy: disk, Oldest: 1, Newest: 1,
+	self := func(name, zone string, incarnation, disk uint64) *transport.Identity {
+		return &transport.Identity{Site: "legon", Name: name, Zone: zone, Incarnation: incarnation, Copy: disk, Oldest: 1, Newest: 1,
 			Settings: []byte{1, 2, 3, 4, 5, 6, 7, 8}}
 	}
-	secret := peer.Secret("0123456789abcdef")
-	d := &peer.Dialler{Self: self("n1", "room-a", 0x1234567890, 77), To: "n2", Secret: secret}
-	l := &peer.Listener{Self: self("n2", "room-b", 9, 78), Secret: secret, Known: func(string) bool { return true }, Attaches: true}
+	secret := transport.Secret("0123456789abcdef")
+	d := &transport.Dialler{Self: self("n1", "room-a", 0x1234567890, 77), To: "n2", Secret: secret}
+	l := &transport.Listener{Self: self("n2", "room-b", 9, 78), Secret: secret, Known: func(string) bool { return true }, Attaches: true}
 	d.Feed(l.Greet([16]byte{}, 1<<20))
 	hello, err := d.Take()
 	require.NoError(t, err)
@@ -44,16 +44,16 @@
 	}{
 		{"a control member, as ever", "a", false, false, nil},
 		{"a control member where others may attach", "a", false, true, nil},
-		{"a stranger that says it is a control member", "x", false, true, peer.ErrName},
+		{"a stranger that says it is a control member", "x", false, true, transport.ErrName},
 		{"an attached one", "x-1.Y_2", true, true, nil},
-		{"an attached one where none may", "x", true, false, peer.ErrRole},
-		{"an attached one under a control member's name", "a", true, true, peer.ErrRole},
-		{"an attached one under the listener's name", "b", true, true, peer.ErrRole},
-		{"no name", "", true, true, peer.ErrName},
-		{"a name with a line's end", "x\n", true, true, peer.ErrName},
-		{"a name that is not ASCII", "xé", true, true, peer.ErrName},
-		{"the longest name", strings.Repeat("x", peer.MostName), true, true, nil},
-		{"a name that is too long", strings.Repeat("x", peer.MostName+1), true, true, peer.ErrName},
+		{"an attached one where none may", "x", true, false, transport.ErrRole},
+		{"an attached one under a control member's name", "a", true, true, transport.ErrRole},
+		{"an attached one under the listener's name", "b", true, true, transport.ErrRole},
+		{"no name", "", true, true, transport.ErrName},
+		{"a name with a line's end", "x\n", true, true, transport.ErrName},
+		{"a name that is not ASCII", "xé", true, true, transport.ErrName},
+		{"the longest name", strings.Repeat("x", transport.MostName), true, true, nil},
+		{"a name that is too long", strings.Repeat("x", transport.MostName+1), true, true, transport.ErrName},
 	} {
 		d, l := pair(nil, nil)
 		d.Self.Name, d.Self.Attached, l.Attaches = c.name, c.attached, c.attache
@@ -68,17 +68,17 @@
 	}
 	d, l := pair(nil, nil)
 	l.Self.Attached = true
-	assert.ErrorIs(t, open(d, l), peer.ErrRole, "no front end attaches to an attached one")
-	d, l = attachedPair(peer.MostBody)
+	assert.ErrorIs(t, open(d, l), transport.ErrRole, "no front end attaches to an attached one")
+	d, l = attachedPair(transport.MostBody)
 	l.Full = true
-	assert.ErrorIs(t, open(d, l), peer.ErrFull)
+	assert.ErrorIs(t, open(d, l), transport.ErrFull)
 	d, l = pair(nil, nil)
 	l.Attaches, l.Full = true, true
 	assert.NoError(t, open(d, l), "there is always room for a control member")
 }
 
 // attachedPair is an attached front end, which takes messages up to a limit, and a control member.
-func attachedPair(limit int) (*peer.Dialler, *peer.Listener) {
+func attachedPair(limit int) (*transport.Dialler, *transport.Listener) {
 	d, l := pair(nil, nil)
 	d.Self.Name, d.Self.Attached, d.Limit, l.Attaches = "x", true, limit, true
 	return d, l
@@ -88,31 +88,31 @@
 func TestOnlyAttachedFrontEndsReceiveWhereTheyDial(t *testing.T) {
 	d, l := pair(nil, nil)
 	require.NoError(t, open(d, l))
-	d.Feed(peer.AppendFrame(nil, peer.View, 0, false, []byte("view")))
+	d.Feed(transport.AppendFrame(nil, transport.View, 0, false, []byte("view")))
 	_, err := d.Take()
-	assert.ErrorIs(t, err, peer.ErrOrder)
+	assert.ErrorIs(t, err, transport.ErrOrder)
 	assert.Empty(t, d.Messages())
 
-	d, l = attachedPair(4 * peer.MostBody)
+	d, l = attachedPair(4 * transport.MostBody)
 	require.NoError(t, open(d, l))
-	q := peer.Queue{MostUrgent: 1 << 20, MostBulk: 1 << 20}
-	long := bytes.Repeat([]byte("v"), 3*peer.MostBody)
-	require.True(t, q.Push(peer.View, true, long))
+	q := transport.Queue{MostUrgent: 1 << 20, MostBulk: 1 << 20}
+	long := bytes.Repeat([]byte("v"), 3*transport.MostBody)
+	require.True(t, q.Push(transport.View, true, long))
 	d.Feed(q.Pop())
-	require.True(t, q.Push(peer.View, false, []byte("urgent")), "between two parts of the same kind")
+	require.True(t, q.Push(transport.View, false, []byte("urgent")), "between two parts of the same kind")
 	for frame := q.Pop(); frame != nil; frame = q.Pop() {
 		d.Feed(frame)
 		_, err := d.Take()
 		require.NoError(t, err)
 	}
-	assert.Equal(t, []peer.Message{{Kind: peer.View, Body: []byte("urgent")}, {Kind: peer.View, Body: long}}, d.Messages())
+	assert.Equal(t, []transport.Message{{Kind: transport.View, Body: []byte("urgent")}, {Kind: transport.View, Body: long}}, d.Messages())
 	assert.Empty(t, d.Messages())
-	require.True(t, q.Push(peer.View, true, bytes.Repeat([]byte("v"), 5*peer.MostBody)))
+	require.True(t, q.Push(transport.View, true, bytes.Repeat([]byte("v"), 5*transport.MostBody)))
 	for frame := q.Pop(); frame != nil; frame = q.Pop() {
 		d.Feed(frame)
 	}
 	_, err = d.Take()
-	assert.ErrorIs(t, err, peer.ErrLength)
+	assert.ErrorIs(t, err, transport.ErrLength)
 	assert.Empty(t, d.Messages(), "a message above the limit")
 }
 
@@ -121,17 +121,17 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		d, l := attachedPair(1 << 22)
 		require.NoError(rt, open(d, l))
-		q := peer.Queue{MostUrgent: 1 << 22, MostBulk: 1 << 22}
+		q := transport.Queue{MostUrgent: 1 << 22, MostBulk: 1 << 22}
 		sent := 0
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 3).Draw(rt, "step") {
 			case 0:
-				body := bytes.Repeat([]byte{byte(sent)}, rapid.IntRange(1, 4*peer.MostBody).Draw(rt, "size"))
-				if q.Push(peer.View, true, body) {
+				body := bytes.Repeat([]byte{byte(sent)}, rapid.IntRange(1, 4*transport.MostBody).Draw(rt, "size"))
+				if q.Push(transport.View, true, body) {
 					sent++
 				}
 			case 1:
-				require.True(rt, q.Push(peer.Answer, false, make([]byte, rapid.IntRange(1, 2*peer.MostBody).Draw(rt, "size"))))
+				require.True(rt, q.Push(transport.Answer, false, make([]byte, rapid.IntRange(1, 2*transport.MostBody).Draw(rt, "size"))))
 			case 2:
 				q.DropWaiting()
 			default:
@@ -139,12 +139,12 @@
 			}
 		}
 		q.DropWaiting()
-		require.LessOrEqual(rt, q.Len(), 8*(peer.MostBody+10))
+		require.LessOrEqual(rt, q.Len(), 8*(transport.MostBody+10))
 		for frame := q.Pop(); frame != nil; frame = q.Pop() {
 			d.Feed(frame)
 		}
 		require.Zero(rt, q.Len())
-		require.True(rt, q.Push(peer.View, true, bytes.Repeat([]byte{255}, 3*peer.MostBody)))
+		require.True(rt, q.Push(transport.View, true, bytes.Repeat([]byte{255}, 3*transport.MostBody)))
 		for frame := q.Pop(); frame != nil; frame = q.Pop() {
 			d.Feed(frame)
 		}
@@ -152,7 +152,7 @@
 		require.NoError(rt, err)
 		list := d.Messages()
 		require.NotEmpty(rt, list)
-		require.Len(rt, list[len(list)-1].Body, 3*peer.MostBody)
+		require.Len(rt, list[len(list)-1].Body, 3*transport.MostBody)
 		for _, m := range list {
 			require.Equal(rt, len(m.Body), bytes.Count(m.Body, m.Body[:1]), "a message is of one piece")
 		}
@@ -162,15 +162,15 @@
 // FuzzListener feeds what anyone may send to a listener that attached front ends may link to: it never panics, gives no message before
 // a hello that holds, and takes none that is longer than its bound.
 func FuzzListener(f *testing.F) {
-	identity := &peer.Identity{Site: "s", Name: "x", Zone: "z", Incarnation: 3, Oldest: 1, Newest: 1, Settings: []byte("x"), Attached: true}
-	d := &peer.Dialler{Self: identity, To: "b"}
-	d.Feed(peer.AppendFrame(nil, peer.Challenge, 0, false, make([]byte, 16)))
+	identity := &transport.Identity{Site: "s", Name: "x", Zone: "z", Incarnation: 3, Oldest: 1, Newest: 1, Settings: []byte("x"), Attached: true}
+	d := &transport.Dialler{Self: identity, To: "b"}
+	d.Feed(transport.AppendFrame(nil, transport.Challenge, 0, false, make([]byte, 16)))
 	hello, err := d.Take()
 	require.NoError(f, err)
 	f.Add(hello)
-	f.Add(append(bytes.Clone(hello), peer.AppendFrame(nil, peer.Heartbeat, 0, false, []byte("beat"))...))
-	f.Add(append(bytes.Clone(hello), peer.AppendFrame(nil, peer.Ask, 0, true, []byte("part"))...))
-	f.Add(append(bytes.Clone(hello), peer.AppendFrame(nil, peer.Ask, 7, false, []byte("later part"))...))
+	f.Add(append(bytes.Clone(hello), transport.AppendFrame(nil, transport.Heartbeat, 0, false, []byte("beat"))...))
+	f.Add(append(bytes.Clone(hello), transport.AppendFrame(nil, transport.Ask, 0, true, []byte("part"))...))
+	f.Add(append(bytes.Clone(hello), transport.AppendFrame(nil, transport.Ask, 7, false, []byte("later part"))...))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 2, 0, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		const most = 1 << 17
@@ -186,7 +186,7 @@
 				t.Fatal("a message before the hello")
 			}
 			for _, m := range list {
-				if m.Kind <= peer.Welcome || len(m.Body) > most {
+				if m.Kind <= transport.Welcome || len(m.Body) > most {
 					t.Fatalf("%s of %d bytes", m.Kind, len(m.Body))
 				}
 			}
--- a/peer/frame.go
+++ b/fleet/transport/frame.go
@@ -3,7 +3,7 @@
 // so that two front ends have two and each direction can fail alone.
 //
 // Nothing rests on a link's order or on its delivering: a message may be lost with its connection, come late or come twice.
-package peer
+package transport
 
 import (
 	"encoding/binary"
--- a/peer/hello.go
+++ b/fleet/transport/hello.go
@@ -1,4 +1,4 @@
-package peer
+package transport
 
 import (
 	"crypto/hmac"
--- a/peer/queue.go
+++ b/fleet/transport/queue.go
@@ -1,4 +1,4 @@
-package peer
+package transport
 
 // Queue holds what a link has to send: what is urgent first, and between two parts of a bulk message too, so that bulk never
 // delays a heartbeat. Both sides are bounded; what finds no room is dropped and counted, as a link may lose it anyway.
--- a/peer/peer_test.go
+++ b/fleet/transport/transport_test.go
@@ -1,4 +1,4 @@
-package peer_test
+package transport_test
 
 import (
 	"bytes"
@@ -9,22 +9,22 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"chutechute/fleet/transport"
 	"chutechute/internal/standin"
-	"chutechute/peer"
 )
 
 func TestMain(m *testing.M) { os.Exit(standin.Seeded(m)) }
 
-func pair(secretA, secretB peer.Secret) (*peer.Dialler, *peer.Listener) {
-	self := func(name string, n uint64) *peer.Identity {
-		return &peer.Identity{Site: "s", Name: name, Incarnation: n, Copy: n, Oldest: 1, Newest: 1, Settings: []byte("x")}
+func pair(secretA, secretB transport.Secret) (*transport.Dialler, *transport.Listener) {
+	self := func(name string, n uint64) *transport.Identity {
+		return &transport.Identity{Site: "s", Name: name, Incarnation: n, Copy: n, Oldest: 1, Newest: 1, Settings: []byte("x")}
 	}
-	return &peer.Dialler{Self: self("a", 1), To: "b", Secret: secretA}, &peer.Listener{Self: self("b", 2), Secret: secretB,
+	return &transport.Dialler{Self: self("a", 1), To: "b", Secret: secretA}, &transport.Listener{Self: self("b", 2), Secret: secretB,
 		Known: func(name string) bool { return name == "a" }}
 }
 
 // open goes through the hello of both sides.
-func open(d *peer.Dialler, l *peer.Listener) error {
+func open(d *transport.Dialler, l *transport.Listener) error {
 	d.Feed(l.Greet([16]byte{1, 2, 3}, 1<<20))
 	hello, err := d.Take()
 	if err != nil {
@@ -43,15 +43,15 @@
 // Messages come whole and in the order of their kind, however the bytes are cut, and a part that comes twice does no harm.
 func TestMessagesComeWhole(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d, l := pair(peer.Secret("k"), peer.Secret("k"))
+		d, l := pair(transport.Secret("k"), transport.Secret("k"))
 		require.NoError(t, open(d, l))
 		require.True(t, d.Open() && l.Open())
-		q := peer.Queue{MostUrgent: 1 << 20, MostBulk: 1 << 22}
+		q := transport.Queue{MostUrgent: 1 << 20, MostBulk: 1 << 22}
 		twice := rapid.Bool().Draw(rt, "frames come twice")
 		var want [][]byte
 		for i := range rapid.IntRange(1, 6).Draw(rt, "messages") {
-			body := bytes.Repeat([]byte{byte(i + 1)}, rapid.IntRange(0, 3*peer.MostBody).Draw(rt, "size"))
-			if q.Push(peer.Ledger, true, body) {
+			body := bytes.Repeat([]byte{byte(i + 1)}, rapid.IntRange(0, 3*transport.MostBody).Draw(rt, "size"))
+			if q.Push(transport.Ledger, true, body) {
 				want = append(want, body)
 			}
 		}
@@ -70,7 +70,7 @@
 			_, list, err := l.Take()
 			if err != nil { // a last part that comes twice follows nothing: the link ends
 				require.True(rt, twice, "%v", err)
-				require.ErrorIs(rt, err, peer.ErrPart)
+				require.ErrorIs(rt, err, transport.ErrPart)
 				break
 			}
 			for _, m := range list {
@@ -92,14 +92,14 @@
 
 // A heartbeat goes before bulk that waits, and only the newest one.
 func TestBulkDelaysNoHeartbeat(t *testing.T) {
-	q := peer.Queue{MostUrgent: 1 << 20, MostBulk: 1 << 22}
-	require.True(t, q.Push(peer.Ledger, true, make([]byte, 10*peer.MostBody)))
+	q := transport.Queue{MostUrgent: 1 << 20, MostBulk: 1 << 22}
+	require.True(t, q.Push(transport.Ledger, true, make([]byte, 10*transport.MostBody)))
 	q.Pop()
-	require.True(t, q.Push(peer.Status, false, []byte("old")))
-	require.True(t, q.Push(peer.Status, false, []byte("new")))
+	require.True(t, q.Push(transport.Status, false, []byte("old")))
+	require.True(t, q.Push(transport.Status, false, []byte("new")))
 	assert.Contains(t, string(q.Pop()), "new")
-	assert.Greater(t, len(q.Pop()), peer.MostBody)
-	assert.False(t, q.Push(peer.Ledger, true, make([]byte, 1<<22)), "the queue has a bound")
+	assert.Greater(t, len(q.Pop()), transport.MostBody)
+	assert.False(t, q.Push(transport.Ledger, true, make([]byte, 1<<22)), "the queue has a bound")
 	assert.Equal(t, 1, q.Dropped)
 }
 
@@ -118,23 +118,23 @@
 			assert.Empty(t, list)
 		}
 	})
-	d, l := pair(peer.Secret("right"), peer.Secret("wrong"))
-	assert.ErrorIs(t, open(d, l), peer.ErrProof)
+	d, l := pair(transport.Secret("right"), transport.Secret("wrong"))
+	assert.ErrorIs(t, open(d, l), transport.ErrProof)
 	d, l = pair(nil, nil)
 	d.Self.Settings = []byte("other")
-	assert.ErrorIs(t, open(d, l), peer.ErrSettings)
+	assert.ErrorIs(t, open(d, l), transport.ErrSettings)
 	d, l = pair(nil, nil)
 	d.Self.Site = "other"
-	assert.ErrorIs(t, open(d, l), peer.ErrSite)
+	assert.ErrorIs(t, open(d, l), transport.ErrSite)
 	d, l = pair(nil, nil)
 	d.Self.Oldest, d.Self.Newest = 7, 9
-	assert.ErrorIs(t, open(d, l), peer.ErrVersion)
+	assert.ErrorIs(t, open(d, l), transport.ErrVersion)
 	d, l = pair(nil, nil)
 	d.Self.Name = "stranger"
-	assert.ErrorIs(t, open(d, l), peer.ErrName)
-	l = &peer.Listener{Self: l.Self}
+	assert.ErrorIs(t, open(d, l), transport.ErrName)
+	l = &transport.Listener{Self: l.Self}
 	l.Greet([16]byte{}, 1<<20)
 	l.Feed([]byte{0xff, 0xff, 0xff, 0xff, 2, 0, 0, 0, 0, 0})
 	_, _, err := l.Take()
-	assert.ErrorIs(t, err, peer.ErrLength)
+	assert.ErrorIs(t, err, transport.ErrLength)
 }
--- a/gateway/budgets.go
+++ b/gateway/budgets.go
@@ -1,15 +1,15 @@
 package gateway
 
-import "chutechute/decide"
+import "chutechute/scheduler"
 
 // Allow tells the module what it may spend of the fleet's budgets. It is in force before the module begins anything more.
-func (c *Core) Allow(ev decide.Amounts) { c.events = append(c.events, ev) }
+func (c *Core) Allow(ev scheduler.Amounts) { c.events = append(c.events, ev) }
 
 // Demands is what the module wants of the fleet's budgets and has in use.
-func (c *Core) Demands(now Micros) []decide.Demand { return c.module.Demands(now) }
+func (c *Core) Demands(now Micros) []scheduler.Demand { return c.module.Demands(now) }
 
 // Spendings is how the fleet's budgets stand here.
-func (c *Core) Spendings(now Micros) []decide.Spending { return c.module.Spendings(now) }
+func (c *Core) Spendings(now Micros) []scheduler.Spending { return c.module.Spendings(now) }
 
 // Denial is a request that was turned away for want of room in a budget.
 type Denial struct {
--- a/gateway/capacity_test.go
+++ b/gateway/capacity_test.go
@@ -8,7 +8,6 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chutechute/decide"
 	"chutechute/gateway"
 	"chutechute/internal/counters"
 	"chutechute/internal/journal"
@@ -17,6 +16,7 @@
 	"chutechute/internal/scale"
 	"chutechute/internal/settings"
 	"chutechute/internal/standin"
+	"chutechute/scheduler"
 )
 
 // noEngines takes the core's commands and does nothing.
@@ -51,13 +51,13 @@
 			require.NoError(t, err)
 			follower := journal.Follower{Names: journal.Names{Zones: []string{"a"}, Kinds: []string{"k"}}}
 			in := ring.New(journal.MaxFrame, &ring.Budget{Most: journal.MaxFrame})
-			now := decide.Second
+			now := scheduler.Second
 			feed := func(frame []byte) {
 				_, err := in.Write(frame)
 				require.NoError(t, err)
 				event, news, ok, err := follower.Next(in)
 				require.True(t, ok && news && err == nil)
-				entries := make([]decide.Entry, len(event.Engines))
+				entries := make([]scheduler.Entry, len(event.Engines))
 				for i, engine := range event.Engines {
 					entries[i] = engine.Entry
 				}
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chutechute/decide"
 	"chutechute/internal/counters"
 	"chutechute/internal/settings"
+	"chutechute/scheduler"
 )
 
 const smallSite = `{"balancers":2,"rank":0,"zone":"a","discovery":"push","failure_domains":["a"],"host_types":["k"],
@@ -99,8 +99,8 @@
 			assert.True(t, before.over(), "%s: before %s of its key was over", at.ID, before.id)
 		}
 		if a.ran {
-			assert.Less(t, s.now, a.first+3*decide.Second/2, "%s: after the window", at.ID)
-			assert.Equal(t, a.first+3*decide.Second/2, at.Until)
+			assert.Less(t, s.now, a.first+3*scheduler.Second/2, "%s: after the window", at.ID)
+			assert.Equal(t, a.first+3*scheduler.Second/2, at.Until)
 		}
 	case 2:
 		assert.False(t, a.ran, "%s: again though it may have run", at.ID)
@@ -114,14 +114,14 @@
 	assert.True(s.t, s.out[at], "told of what has ended")
 	assert.True(s.t, at.Priority >= 0 && at.Priority <= 3)
 }
-func (s *shift) Probe(engine string) { s.core.Probed(engine, decide.Done, 1000, nil) }
+func (s *shift) Probe(engine string) { s.core.Probed(engine, scheduler.Done, 1000, nil) }
 
 // end ends an attempt.
-func (s *shift) end(at *Attempt, result decide.Result) {
+func (s *shift) end(at *Attempt, result scheduler.Result) {
 	a := s.asked[at.ID]
 	delete(s.out, at)
 	delete(s.given, at)
-	if result != decide.Full && result != decide.NoConnection && result != decide.NotSent && result != decide.Done {
+	if result != scheduler.Full && result != scheduler.NoConnection && result != scheduler.NotSent && result != scheduler.Done {
 		if !a.ran {
 			a.first = at.at
 		}
@@ -133,9 +133,9 @@
 func (s *shift) take() {
 	s.next++
 	a := &askedFor{s: s, id: fmt.Sprintf("%016x", s.next), class: s.rng.IntN(3)}
-	ttl := decide.Second/10 + s.rng.Int64N([]Micros{3, 6, 4}[a.class]*decide.Second)
+	ttl := scheduler.Second/10 + s.rng.Int64N([]Micros{3, 6, 4}[a.class]*scheduler.Second)
 	a.due = s.now + ttl
-	call := &Call{ID: a.id, Class: []string{"look", "load", "stamp"}[a.class], TTL: ttl, Cost: 1000 + s.rng.Int64N(decide.Second),
+	call := &Call{ID: a.id, Class: []string{"look", "load", "stamp"}[a.class], TTL: ttl, Cost: 1000 + s.rng.Int64N(scheduler.Second),
 		Statement: []byte(fmt.Sprintf("SELECT 1 FROM s_%d.t", s.rng.IntN(5)))}
 	if a.class == 1 {
 		call.Key, call.Once = fmt.Sprint(s.rng.IntN(3)), a.id
@@ -147,16 +147,16 @@
 	a.r = r
 }
 
-func (s *shift) list(state decide.EngineState, names ...string) {
-	var entries []decide.Entry
+func (s *shift) list(state scheduler.EngineState, names ...string) {
+	var entries []scheduler.Entry
 	for _, n := range names {
-		entries = append(entries, decide.Entry{Engine: n, Kind: "k", Zone: "a", State: state})
+		entries = append(entries, scheduler.Entry{Engine: n, Kind: "k", Zone: "a", State: state})
 		delete(s.drained, n)
-		if state != decide.Serving {
+		if state != scheduler.Serving {
 			s.drained[n] = s.now // in the step that hears of it already
 		}
 	}
-	s.core.Listed(decide.ListChanges, entries)
+	s.core.Listed(scheduler.ListChanges, entries)
 }
 
 // some is one of the attempts that are out, in an order that a seed gives again.
@@ -176,25 +176,25 @@
 // planned end) each request gets one answer in time or its client has left, nothing begins for who has left, nothing runs beside
 // itself or again against its class, keys keep their order, and nothing is left over.
 func TestRulesOverRandomEndings(t *testing.T) {
-	results := []decide.Result{decide.Done, decide.Done, decide.Done, decide.Errored, decide.Full, decide.NoConnection, decide.Reset,
-		decide.NotSent, decide.TimedOut, decide.Canceled}
+	results := []scheduler.Result{scheduler.Done, scheduler.Done, scheduler.Done, scheduler.Errored, scheduler.Full, scheduler.NoConnection, scheduler.Reset,
+		scheduler.NotSent, scheduler.TimedOut, scheduler.Canceled}
 	for seed := range uint64(300) {
 		twice := seed%3 == 0
 		conf, err := settings.Parse([]byte(fmt.Sprintf(smallSite, twice)))
 		require.NoError(t, err)
-		s := &shift{t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: decide.Second, out: map[*Attempt]bool{}, given: map[*Attempt]bool{},
+		s := &shift{t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: scheduler.Second, out: map[*Attempt]bool{}, given: map[*Attempt]bool{},
 			drained: map[string]Micros{}, asked: map[string]*askedFor{}, order: map[string][]*askedFor{}, twice: twice}
 		s.core, err = New(conf, seed, Bounds{Open: 100, Held: 1 << 20}, s, &counters.Set{})
 		require.NoError(t, err)
 		names := []string{"a", "b", "c", "e"}
-		s.list(decide.Serving, names...)
+		s.list(scheduler.Serving, names...)
 		s.core.Step(s.now)
-		const length = 20 * decide.Second
+		const length = 20 * scheduler.Second
 		for s.now < length {
 			s.now += 1000 + s.rng.Int64N(20_000)
 			for range s.rng.IntN(4) {
 				switch n := s.rng.IntN(20); {
-				case n < 6 && s.now < length-7*decide.Second:
+				case n < 6 && s.now < length-7*scheduler.Second:
 					s.take()
 				case n < 14:
 					if at := s.some(); at != nil {
@@ -202,7 +202,7 @@
 					}
 				case n < 16:
 					for at := range s.given {
-						s.end(at, decide.Canceled) // as a DELETE's answer
+						s.end(at, scheduler.Canceled) // as a DELETE's answer
 						break
 					}
 				case n < 17:
@@ -211,8 +211,8 @@
 						s.core.Cancel(a.r)
 					}
 				case n < 18:
-					s.list(decide.EngineState(s.rng.IntN(3)), names[s.rng.IntN(4)])
-				case n < 19 && s.now > length-3*decide.Second:
+					s.list(scheduler.EngineState(s.rng.IntN(3)), names[s.rng.IntN(4)])
+				case n < 19 && s.now > length-3*scheduler.Second:
 					s.core.ExpireAll()
 				}
 			}
@@ -223,7 +223,7 @@
 			}
 		}
 		for at := range s.out { // engines give up what nobody asks for
-			s.end(at, decide.Reset)
+			s.end(at, scheduler.Reset)
 		}
 		s.core.Step(s.now)
 		for _, a := range s.asked {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -13,21 +13,21 @@
 	"maps"
 	"slices"
 
-	"chutechute/decide"
 	"chutechute/identity"
 	"chutechute/internal/counters"
 	"chutechute/internal/settings"
+	"chutechute/scheduler"
 	"chutechute/statement"
 )
 
 // Micros is a time or a span in microseconds.
-type Micros = decide.Micros
+type Micros = scheduler.Micros
 
 const (
 	// margin is how long before the client gives up its final answer is due, for the loop and the wire.
-	margin = 60 * decide.Second / 1000
+	margin = 60 * scheduler.Second / 1000
 	// busyAfter is when a client turned away for want of room may come back.
-	busyAfter = decide.Second / 2
+	busyAfter = scheduler.Second / 2
 )
 
 // Call is a request as the core sees it. ID, Once and Statement go to engines byte for byte. Class may be left
@@ -113,8 +113,8 @@
 	number  int
 	asking  bool // the record has not said yet whether it may begin
 	at      Micros
-	due     *timer        // of its time-out; nil without one
-	reason  decide.Result // of giving it up; Done while it is not
+	due     *timer           // of its time-out; nil without one
+	reason  scheduler.Result // of giving it up; Done while it is not
 	dropped bool
 	ended   bool
 }
@@ -128,7 +128,7 @@
 // Core is one front end.
 type Core struct {
 	settings *settings.Settings
-	module   *decide.Dispatcher
+	module   *scheduler.Dispatcher
 	engines  Engines
 	count    *counters.Set
 
@@ -136,7 +136,7 @@
 	seed       uint64
 	lastID     uint64
 	lastTimer  uint64
-	events     []decide.Event
+	events     []scheduler.Event
 	open       map[uint64]*Request
 	ids        map[string]bool // the clients' ids of open requests
 	held       int             // bytes of their statements
@@ -154,7 +154,7 @@
 
 // New builds a front end's core.
 func New(s *settings.Settings, seed uint64, bounds Bounds, engines Engines, count *counters.Set) (*Core, error) {
-	module, err := decide.New(s.Config, seed)
+	module, err := scheduler.New(s.Config, seed)
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
@@ -199,7 +199,7 @@
 	if call.TTL <= 0 {
 		return nil, ErrTTL
 	}
-	if call.Once == "" && !c.statements.complete && c.settings.Classes[class].Repeat == decide.Keyed {
+	if call.Once == "" && !c.statements.complete && c.settings.Classes[class].Repeat == scheduler.Keyed {
 		return nil, ErrOnce // engines could not tell its repeats
 	}
 	if c.ids[call.ID] {
@@ -226,13 +226,13 @@
 	c.open[r.id] = r
 	c.ids[call.ID] = true
 	c.held += len(call.Statement)
-	event := decide.Request{ID: r.id, Class: class, Tenant: tenant, Key: call.Key,
+	event := scheduler.Request{ID: r.id, Class: class, Tenant: tenant, Key: call.Key,
 		Deadline: r.deadline, Cost: call.Cost, MemoryMB: call.MemoryMB, Group: call.Group}
 	if read != nil {
 		event.Class, event.Unsafe, event.Single = read.Class, read.Unsafe, read.Single
 		event.Guessed, event.Measured = read.Guessed, true
 	}
-	r.strict = event.Unsafe || c.settings.Classes[event.Class].Repeat != decide.Safe || c.settings.Classes[event.Class].Ordered
+	r.strict = event.Unsafe || c.settings.Classes[event.Class].Repeat != scheduler.Safe || c.settings.Classes[event.Class].Ordered
 	r.due = c.after(r.deadline, func() { c.expire(r) })
 	if !c.enter(now, r, event) {
 		c.events = append(c.events, event)
@@ -262,8 +262,8 @@
 	}
 	r.answered = true
 	c.count.Cancelled++
-	c.events = append(c.events, decide.Gone{ID: r.id})
-	c.giveUp(r, decide.Canceled)
+	c.events = append(c.events, scheduler.Gone{ID: r.id})
+	c.giveUp(r, scheduler.Canceled)
 	c.forget(r)
 }
 
@@ -276,8 +276,8 @@
 	if c.expireEntry(r) {
 		return
 	}
-	c.events = append(c.events, decide.Gone{ID: r.id, Owed: true})
-	c.giveUp(r, decide.TimedOut)
+	c.events = append(c.events, scheduler.Gone{ID: r.id, Owed: true})
+	c.giveUp(r, scheduler.TimedOut)
 }
 
 // ExpireAll ends all that is open, as at its deadline, in the order in which it came. A load that runs and that a record vouches for
@@ -296,19 +296,19 @@
 	}
 }
 
-func (c *Core) giveUp(r *Request, reason decide.Result) {
+func (c *Core) giveUp(r *Request, reason scheduler.Result) {
 	for _, a := range r.attempts {
 		c.drop(a, reason)
 	}
 }
 
-func (c *Core) drop(a *Attempt, reason decide.Result) {
+func (c *Core) drop(a *Attempt, reason scheduler.Result) {
 	if a.ended || a.dropped {
 		return
 	}
 	a.dropped, a.reason = true, reason
 	if a.asking { // nothing of it was handed on, and nothing will be
-		c.Ended(c.now, a, decide.NotSent, nil, nil)
+		c.Ended(c.now, a, scheduler.NotSent, nil, nil)
 		return
 	}
 	c.engines.GiveUp(a)
@@ -316,61 +316,61 @@
 
 // Ended tells how an attempt ended. A time-out is not its end: it is out until the engine is known to
 // have been told. What had ended well before that is still served.
-func (c *Core) Ended(now Micros, a *Attempt, result decide.Result, rows []byte, load *decide.Load) {
+func (c *Core) Ended(now Micros, a *Attempt, result scheduler.Result, rows []byte, load *scheduler.Load) {
 	if a.ended {
 		return
 	}
 	if a.Running && result.NeverRan() { // it was not asked after here, which says nothing of what runs there
-		c.after(now+Unasked, func() { c.Ended(c.now, a, decide.Reset, nil, nil) })
+		c.after(now+Unasked, func() { c.Ended(c.now, a, scheduler.Reset, nil, nil) })
 		return
 	}
 	a.ended = true
 	c.cancel(a.due)
 	c.out--
 	a.out--
-	if a.dropped && result != decide.Done && !result.NeverRan() {
+	if a.dropped && result != scheduler.Done && !result.NeverRan() {
 		result = a.reason
 	}
 	c.tally(result)
 	c.trace.ended(a, result, now-a.at)
 	final := a.answered
 	switch {
-	case result == decide.Done && a.entry != nil:
+	case result == scheduler.Done && a.entry != nil:
 		final = true
 		c.settle(now, a, rows)
 	case a.entry != nil && !result.NeverRan():
 		a.entry.ran = true
-	case result == decide.Done && !a.answered:
+	case result == scheduler.Done && !a.answered:
 		a.answered, final = true, true
 		c.count.Served++
 		c.statements.served(a.Request)
 		c.trace.answered(a.Request, "served", now)
 		a.caller.Served(rows)
 	}
-	if a.Running && result != decide.Done { // the module does not have it, and nobody waits for an answer to it
+	if a.Running && result != scheduler.Done { // the module does not have it, and nobody waits for an answer to it
 		a.answered = true
 	}
-	c.events = append(c.events, decide.Outcome{ID: a.id, Attempt: a.number, Engine: a.Engine, Result: result,
+	c.events = append(c.events, scheduler.Outcome{ID: a.id, Attempt: a.number, Engine: a.Engine, Result: result,
 		Elapsed: now - a.at, Final: final, Load: load, Spent: a.Spent, NeededMB: a.NeededMB})
 	if final { // nobody waits for a second copy
-		c.giveUp(a.Request, decide.Canceled)
+		c.giveUp(a.Request, scheduler.Canceled)
 	}
 	c.forget(a.Request)
 }
 
 // Probed answers a probe.
-func (c *Core) Probed(engine string, result decide.Result, elapsed Micros, load *decide.Load) {
-	c.events = append(c.events, decide.Probed{Engine: engine, Result: result, Elapsed: elapsed, Load: load})
+func (c *Core) Probed(engine string, result scheduler.Result, elapsed Micros, load *scheduler.Load) {
+	c.events = append(c.events, scheduler.Probed{Engine: engine, Result: result, Elapsed: elapsed, Load: load})
 }
 
 // Unheard tells that an engine did not answer in time.
 func (c *Core) Unheard(engine string) {
-	c.events = append(c.events, decide.Unheard{Engine: engine})
+	c.events = append(c.events, scheduler.Unheard{Engine: engine})
 }
 
 // Listed brings news of the list of engines.
-func (c *Core) Listed(kind decide.ListKind, entries []decide.Entry) {
-	c.events = append(c.events, decide.List{Kind: kind, Entries: entries})
+func (c *Core) Listed(kind scheduler.ListKind, entries []scheduler.Entry) {
+	c.events = append(c.events, scheduler.List{Kind: kind, Entries: entries})
 }
 
 // Pending says whether events wait for the next step.
@@ -411,20 +411,20 @@
 	return c.timers[0].at, true
 }
 
-func (c *Core) act(action decide.Action) {
+func (c *Core) act(action scheduler.Action) {
 	switch a := action.(type) {
-	case decide.Send:
+	case scheduler.Send:
 		c.send(a)
-	case decide.Terms:
+	case scheduler.Terms:
 		if r := c.open[a.ID]; r != nil {
 			r.grantMB = a.GrantMB
 			c.renice(r, a.Priority)
 		}
-	case decide.Cancel:
+	case scheduler.Cancel:
 		if r := c.open[a.ID]; r != nil && a.Attempt < len(r.attempts) {
-			c.drop(r.attempts[a.Attempt], decide.Canceled)
+			c.drop(r.attempts[a.Attempt], scheduler.Canceled)
 		}
-	case decide.Refuse:
+	case scheduler.Refuse:
 		if r := c.open[a.ID]; r != nil && !r.answered {
 			if r.entry.doubtful() {
 				r.fail(c)
@@ -436,19 +436,19 @@
 			}
 			c.forget(r)
 		}
-	case decide.Fail:
+	case scheduler.Fail:
 		if r := c.open[a.ID]; r != nil && !r.answered {
 			r.fail(c)
 			c.forget(r)
 		}
-	case decide.Probe:
+	case scheduler.Probe:
 		c.count.Probes++
 		c.engines.Probe(a.Engine)
-	case decide.SetTimer:
-		c.after(a.At, func() { c.events = append(c.events, decide.Timer{Token: a.Token}) })
-	case decide.Measure:
+	case scheduler.SetTimer:
+		c.after(a.At, func() { c.events = append(c.events, scheduler.Timer{Token: a.Token}) })
+	case scheduler.Measure:
 		c.statements.measured(a, c.now)
-	case decide.Log:
+	case scheduler.Log:
 		slog.Info(a.Text)
 	}
 }
@@ -467,12 +467,12 @@
 }
 
 // Noted brings an engine's word on a running attempt. What comes after its end, or where engines send none, says nothing.
-func (c *Core) Noted(a *Attempt, kind decide.NoteKind, value float64) {
+func (c *Core) Noted(a *Attempt, kind scheduler.NoteKind, value float64) {
 	if a.ended || a.dropped || c.settings.NotePeriod <= 0 {
 		return
 	}
 	c.count.Notes++
-	c.events = append(c.events, decide.Note{ID: a.id, Attempt: a.number, Engine: a.Engine, Kind: kind, Value: value})
+	c.events = append(c.events, scheduler.Note{ID: a.id, Attempt: a.number, Engine: a.Engine, Kind: kind, Value: value})
 }
 
 func (r *Request) refuse(c *Core, after Micros) {
@@ -489,7 +489,7 @@
 	r.caller.Failed()
 }
 
-func (c *Core) send(s decide.Send) {
+func (c *Core) send(s scheduler.Send) {
 	r := c.open[s.ID]
 	if r == nil {
 		return
@@ -499,7 +499,7 @@
 	a.Wait, a.Strict = r.deadline-c.now, r.strict
 	if s.Timeout > 0 && s.Timeout < a.Wait {
 		a.Wait = s.Timeout
-		a.due = c.after(c.now+a.Wait, func() { c.drop(a, decide.TimedOut) })
+		a.due = c.after(c.now+a.Wait, func() { c.drop(a, scheduler.TimedOut) })
 	}
 	r.attempts = append(r.attempts, a)
 	r.out++
@@ -525,9 +525,9 @@
 	}
 }
 
-func (c *Core) tally(r decide.Result) {
+func (c *Core) tally(r scheduler.Result) {
 	n := c.count
-	*[...]*int{decide.Done: &n.Done, decide.Errored: &n.Errored, decide.Full: &n.Full, decide.TimedOut: &n.TimedOut,
-		decide.NoConnection: &n.NoConnection, decide.Reset: &n.Reset, decide.Canceled: &n.Dropped,
-		decide.NotSent: &n.NotSent}[r]++
+	*[...]*int{scheduler.Done: &n.Done, scheduler.Errored: &n.Errored, scheduler.Full: &n.Full, scheduler.TimedOut: &n.TimedOut,
+		scheduler.NoConnection: &n.NoConnection, scheduler.Reset: &n.Reset, scheduler.Canceled: &n.Dropped,
+		scheduler.NotSent: &n.NotSent}[r]++
 }
--- a/gateway/phase.go
+++ b/gateway/phase.go
@@ -1,6 +1,6 @@
 package gateway
 
-import "chutechute/decide"
+import "chutechute/scheduler"
 
 // Phase is a state of a front end between its start and its exit.
 type Phase int
@@ -24,13 +24,13 @@
 // connections for 0.2 s more, each 50 ms late at most. What comes later than 0.7 s after the signal has to be answered before
 // the process may be killed, and nothing is taken any more by then.
 const (
-	closeAfter  = 500 * decide.Second / 1000
-	answerAfter = 650 * decide.Second / 1000
+	closeAfter  = 500 * scheduler.Second / 1000
+	answerAfter = 650 * scheduler.Second / 1000
 	// The process may be killed so long after the longest deadline, which counts as no more than longestCounted.
-	killAfter      = 700 * decide.Second / 1000
-	longestCounted = 3 * decide.Second
-	expireBefore   = 400 * decide.Second / 1000 // it is killed: all that is open is answered by then
-	stopBefore     = 150 * decide.Second / 1000 // it is killed: its connections have ended by then
+	killAfter      = 700 * scheduler.Second / 1000
+	longestCounted = 3 * scheduler.Second
+	expireBefore   = 400 * scheduler.Second / 1000 // it is killed: all that is open is answered by then
+	stopBefore     = 150 * scheduler.Second / 1000 // it is killed: its connections have ended by then
 )
 
 // Life is the front end's way through its phases. Its zero value counts the longest deadline for as much as may be.
