--- a/cmd/chutechute/attached_off_test.go
+++ b/cmd/chutechute/attached_off_test.go
@@ -32,7 +32,7 @@
 }
 
 func newCensus() *census {
-	fields := map[transport.Kind]map[int]bool{transport.Hello: {}, transport.Welcome: {}, transport.Status: {}}
+	fields := map[transport.Kind]map[int]bool{transport.Hello: {}, transport.Welcome: {}, transport.ControlHeartbeat: {}}
 	return &census{kinds: map[transport.Kind]int{}, fields: fields}
 }
 
@@ -45,7 +45,7 @@
 	if c.fields[kind] == nil {
 		return
 	}
-	if kind != transport.Status { // sealed
+	if kind != transport.ControlHeartbeat { // sealed
 		size, n := binary.Uvarint(body[1:])
 		body = body[1+n : 1+n+int(size)]
 	}
@@ -58,9 +58,9 @@
 var known = struct {
 	kinds  []transport.Kind
 	fields map[transport.Kind]int // the highest number
-}{[]transport.Kind{transport.Challenge, transport.Hello, transport.Welcome, transport.Status, transport.Ledger, transport.Ask, transport.Answer, transport.Note, transport.Found,
+}{[]transport.Kind{transport.Challenge, transport.Hello, transport.Welcome, transport.ControlHeartbeat, transport.Replication, transport.Proposal, transport.Response, transport.Notification, transport.Bootstrap,
 	transport.Relay},
-	map[transport.Kind]int{transport.Hello: 9, transport.Welcome: 9, transport.Status: 10}}
+	map[transport.Kind]int{transport.Hello: 9, transport.Welcome: 9, transport.ControlHeartbeat: 10}}
 
 // Two fleets of three, one without a section on attached front ends and one where it is off; no faults. Load: one keyed load
 // through each front end. What must show: a process holds the same descriptors and goroutines in both; what passes has the
--- a/cmd/chutechute/budget.go
+++ b/cmd/chutechute/budget.go
@@ -42,7 +42,7 @@
 			return table(cmd, func(line func(...any)) {
 				line("BUDGET", "KIND", "WHOLE", "DIVIDED", "EACH WITHOUT A LEASE", "KEPT FOR NEWCOMERS", "A LOST ONE'S IS FREE AFTER")
 				for _, p := range plans {
-					line(p.Name, p.Kind, p.Whole, p.Divided, p.Static, p.Newcomers, p.Lost)
+					line(p.Name, p.Kind, p.Total, p.Divided, p.Static, p.Newcomers, p.Lost)
 				}
 			})
 		}),
@@ -64,8 +64,8 @@
 	}
 	return table(cmd, func(line func(...any)) {
 		line("front end", b.Name)
-		line("version", fmt.Sprintf("%d in force, %d in this front end's file", b.Version, b.Holder.Own))
-		line("lease", fmt.Sprintf("%d ms left; %d reports, %d changes, %d lapsed", b.Holder.LeftUS/1000, b.Holder.Reports, b.Holder.Moved, b.Holder.Lapsed))
+		line("version", fmt.Sprintf("%d in force, %d in this front end's file", b.Version, b.Holder.OwnVersion))
+		line("lease", fmt.Sprintf("%d ms left; %d reports, %d changes, %d lapsed", b.Holder.LeaseRemainingUS/1000, b.Holder.Reports, b.Holder.ChangedGrants, b.Holder.ExpiredLeases))
 		if b.Holder.Differs {
 			line("SETTINGS DIFFER", "this file has the version in force and says something else: the record's hold")
 		}
@@ -92,7 +92,7 @@
 			case p.SinceMS > 0:
 				state = fmt.Sprintf("in force for %d s", p.SinceMS/1000)
 			}
-			line(p.Name, "", "", "", "", "", "", p.Whole, "", state)
+			line(p.Name, "", "", "", "", "", "", p.Total, "", state)
 			for _, s := range p.Subjects {
 				for _, h := range s.Holders {
 					lapsed := ""
@@ -137,7 +137,7 @@
 			for _, h := range s.Holders {
 				held += h.Counted
 			}
-			fmt.Fprintf(out, "%s %s on record: whole %.4g, held by %d front ends %.4g, static parts %.4g, free %.4g\n", p.Name, s.Subject, p.Whole,
+			fmt.Fprintf(out, "%s %s on record: whole %.4g, held by %d front ends %.4g, static parts %.4g, free %.4g\n", p.Name, s.Subject, p.Total,
 				len(s.Holders), held, p.Reserve, s.Free)
 		}
 	}
--- a/cmd/chutechute/fleet.go
+++ b/cmd/chutechute/fleet.go
@@ -247,7 +247,7 @@
 	return table(cmd, func(line func(...any)) {
 		line("DEDUPE", "KEY", "CLASS", "PHASE", "EPOCH", "PLACE", "OWNER", "STARTS")
 		for _, l := range s.Loads {
-			line(l.Once, l.Key, l.Class, l.Phase, l.Epoch, l.Place, l.Owner, strings.Join(l.Starts, "; "))
+			line(l.IdempotencyKey, l.OrderKey, l.Class, l.Phase, l.Epoch, l.Index, l.Owner, strings.Join(l.Starts, "; "))
 		}
 	})
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -22,7 +22,7 @@
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	h := host{decoder: wire.NewDecoder(), instances: map[int]*scheduler.Dispatcher{}}
+	h := host{decoder: wire.NewDecoder(), instances: map[int]*scheduler.Scheduler{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
@@ -46,7 +46,7 @@
 
 type host struct {
 	decoder   *wire.Decoder
-	instances map[int]*scheduler.Dispatcher
+	instances map[int]*scheduler.Scheduler
 	reply     wire.Reply
 }
 
--- a/exercise/client.go
+++ b/exercise/client.go
@@ -41,14 +41,14 @@
 	w.told(how)
 }
 
-// Served and the others are the front end's answer.
-func (w *wait) Served(rows []byte) { w.tell(history.Answer, append([]byte(nil), rows...)) }
+// Respond and the others are the front end's answer.
+func (w *wait) Respond(rows []byte) { w.tell(history.Answer, append([]byte(nil), rows...)) }
 
-// Refused turns the try away.
-func (w *wait) Refused(Micros) { w.tell(history.Shed, nil) }
+// Reject turns the try away.
+func (w *wait) Reject(Micros) { w.tell(history.Shed, nil) }
 
-// Failed promises nothing.
-func (w *wait) Failed() { w.tell(history.Fault, nil) }
+// Fail promises nothing.
+func (w *wait) Fail() { w.tell(history.Fault, nil) }
 
 // Load sends a try to a front end; told hears how it ended.
 func (s *Sim) Load(f *Front, try Try, told func(how string)) {
@@ -68,7 +68,7 @@
 				return // the client has closed its connection
 			}
 			var err error
-			r, err = p.core.Take(p.f.local(), &gateway.Call{ID: w.call, Class: "load", Key: try.Key, Once: try.Once, TTL: try.TTL,
+			r, err = p.core.Submit(p.f.local(), &gateway.Call{ID: w.call, Class: "load", Key: try.Key, IdempotencyKey: try.Once, TTL: try.TTL,
 				Cost: 10 * ms, Statement: []byte(try.Statement)}, w)
 			if err != nil {
 				s.fail(err)
--- a/exercise/copies_test.go
+++ b/exercise/copies_test.go
@@ -23,12 +23,12 @@
 
 // bounds are budgets of the loads' class: so many at a time, and so many a second.
 func bounds() *budget.Set {
-	set := &budget.Set{Version: 1, Lease: 2 * second, Most: 5}
+	set := &budget.Set{Version: 1, Lease: 2 * second, MaxFrontEnds: 5}
 	for _, p := range []budget.Spec{
-		{Name: "places", Kind: account.Places, Whole: budget.Amount{Much: 6000}, Life: 25 * second, Least: 1000},
-		{Name: "rate", Kind: account.Rate, Whole: budget.Amount{Much: 8000, Rate: 6000}, Reserve: 20, Least: 1000},
+		{Name: "places", Kind: account.Concurrency, Total: budget.Amount{Capacity: 6000}, MaxAttemptDuration: 25 * second, MinPart: 1000},
+		{Name: "rate", Kind: account.Rate, Total: budget.Amount{Capacity: 8000, Rate: 6000}, Reserve: 20, MinPart: 1000},
 	} {
-		p.Scope = (&enforce.Scope{Class: "load", Over: "wait"}).Encode()
+		p.Scope = (&enforce.Scope{Class: "load", OnExceeded: "wait"}).Encode()
 		set.Specs = append(set.Specs, p)
 	}
 	return set
--- a/exercise/engine.go
+++ b/exercise/engine.go
@@ -56,7 +56,7 @@
 	}
 	j := &job{p: p, a: a, e: e, begun: s.now}
 	p.jobs[a] = j
-	if a.Running {
+	if a.AlreadyRunning {
 		j.written = true
 		s.after(s.between(200, 3*ms), func() { p.does(j.takeOver) })
 		return
@@ -74,7 +74,7 @@
 	if j.done {
 		return
 	}
-	if !j.p.f.s.o.Variant.NoUntil && j.a.Until != 0 && j.p.f.local() >= j.a.Until {
+	if !j.p.f.s.o.Variant.NoUntil && j.a.StartBy != 0 && j.p.f.local() >= j.a.StartBy {
 		j.end(scheduler.NotSent, nil)
 		return
 	}
@@ -88,7 +88,7 @@
 	s, e := j.p.f.s, j.e
 	j.arrived = true
 	s.after(s.between(0, ms), func() { s.at("begun", j.p.f) })
-	once := j.a.Once
+	once := j.a.IdempotencyKey
 	if last, known := s.seen[once]; known && s.now-last < window && !s.o.Variant.NoWindow {
 		s.Record.Add(history.Event{What: history.Repeat, Engine: e.name, Call: j.a.ID, Once: once})
 		s.after(s.between(200, 2*ms), func() { j.p.does(func() { j.end(scheduler.Errored, nil) }) })
@@ -168,7 +168,7 @@
 func (e *engine) over(r *run, how string, good bool) {
 	r.over, r.good = true, good
 	first := r.jobs[0]
-	e.s.Record.Add(history.Event{What: how, Engine: e.name, Call: first.a.ID, Once: first.a.Once, Key: first.a.Key})
+	e.s.Record.Add(history.Event{What: how, Engine: e.name, Call: first.a.ID, Once: first.a.IdempotencyKey, Key: first.a.Key})
 	e.s.after(e.s.between(0, 5*ms), func() { e.s.at("over", first.p.f) })
 	if how != history.Ended {
 		return
@@ -185,7 +185,7 @@
 // answer brings a query's end to its front end.
 func (j *job) answer(r *run) {
 	if r.good {
-		j.end(scheduler.Done, []byte(r.rows))
+		j.end(scheduler.Succeeded, []byte(r.rows))
 	} else {
 		j.end(scheduler.Errored, nil)
 	}
@@ -193,9 +193,9 @@
 
 // GiveUp ends an attempt early.
 // Renice does nothing: these engines heed no priorities.
-func (o pool) Renice(*gateway.Attempt) {}
+func (o pool) SetPriority(*gateway.Attempt) {}
 
-func (o pool) GiveUp(a *gateway.Attempt) {
+func (o pool) Cancel(a *gateway.Attempt) {
 	j := o.p.jobs[a]
 	switch {
 	case j == nil || j.dropped:
@@ -219,9 +219,9 @@
 	})
 }
 
-// Probe is answered at once: engines are idle enough.
-func (o pool) Probe(name string) {
-	o.p.core.Probed(name, scheduler.Done, ms, nil)
+// HealthCheck is answered at once: engines are idle enough.
+func (o pool) HealthCheck(name string) {
+	o.p.core.HealthCheckEnded(name, scheduler.Succeeded, ms, nil)
 }
 
 func (j *job) end(result scheduler.Result, rows []byte) {
@@ -230,6 +230,6 @@
 	}
 	j.done = true
 	delete(j.p.jobs, j.a)
-	j.p.core.Ended(j.p.f.local(), j.a, result, rows, nil)
+	j.p.core.AttemptEnded(j.p.f.local(), j.a, result, rows, nil)
 	j.p.f.s.after(0, func() { j.p.does(j.p.turn) })
 }
--- a/exercise/faults.go
+++ b/exercise/faults.go
@@ -99,7 +99,7 @@
 		}
 	case 11: // the leader
 		for _, x := range s.Fronts {
-			if x.Up() && x.proc.node.Replica().Leads() {
+			if x.Up() && x.proc.node.Replica().IsLeader() {
 				x.Pause()
 				s.after(s.between(second, 6*second), x.Resume)
 				return
--- a/exercise/front.go
+++ b/exercise/front.go
@@ -35,7 +35,7 @@
 // disk is what outlives a process.
 type disk struct {
 	number uint64
-	kept   replication.Disk
+	kept   replication.PersistedState
 }
 
 // process is one run of a front end's program.
@@ -46,7 +46,7 @@
 	core        *gateway.Core
 	node        *fleet.Node
 	records     *idempotencyclient.Client
-	holder      *budget.Holder // nil without budgets
+	holder      *budget.LeaseHolder // nil without budgets
 	count       counters.Set
 	paused      bool
 	waiting     []func() // what comes while it stands still
@@ -88,7 +88,7 @@
 		f.number = number
 		f.disk = &disk{number: number}
 	}
-	kind := replication.Kind(idempotency.New(idempotency.Options{Bytes: 4 << 20, Keep: keep, Orphan: 3 * second}))
+	kind := replication.StateMachine(idempotency.NewRegistry(idempotency.Options{MaxBytes: 4 << 20, Retention: keep, OrphanTimeout: 3 * second}))
 	if s.o.Variant.Kind != nil {
 		kind = s.o.Variant.Kind(kind)
 	}
@@ -98,42 +98,42 @@
 			zones[o.Name] = o.zone
 		}
 	}
-	cfg := fleet.Config{Name: f.Name, Zone: f.zone, Incarnation: p.incarnation, Zones: zones, Beat: 2 * tick, Retry: 4 * tick,
-		Members: heartbeat.Config{Suspect: suspect, Dead: dead, Pause: suspect / 2},
-		Number:  func() uint64 { return s.rng.Uint64()>>2 | 1 },
-		Copies: replication.Config{ID: f.disk.number, Copies: s.o.Copies, Tick: tick, Replace: replace, LogBytes: 16 << 10,
-			Logger: raftlog.New(), Kinds: []replication.Kind{kind, budget.NewAuthority(budget.Options{Instances: 1000})}}}
-	p.node = fleet.New(cfg, func(about string) {
-		if about != budget.About {
-			p.records.Note(f.local(), about)
+	cfg := fleet.Config{Name: f.Name, Zone: f.zone, Incarnation: p.incarnation, Zones: zones, HeartbeatInterval: 2 * tick, RetryInterval: 4 * tick,
+		Heartbeat: heartbeat.Config{SuspectAfter: suspect, DeadAfter: dead, PauseThreshold: suspect / 2},
+		NewID:     func() uint64 { return s.rng.Uint64()>>2 | 1 },
+		Replication: replication.Config{ID: f.disk.number, Replicas: s.o.Copies, TickInterval: tick, ReplaceAfter: replace, SnapshotLogBytes: 16 << 10,
+			Logger: raftlog.New(), StateMachines: []replication.StateMachine{kind, budget.NewAuthority(budget.Options{Instances: 1000})}}}
+	p.node = fleet.NewNode(cfg, func(about string) {
+		if about != budget.NotificationTopic {
+			p.records.Notify(f.local(), about)
 		} else if p.holder != nil {
-			p.holder.Note(f.local())
+			p.holder.Notify(f.local())
 		}
 	})
 	var err error
-	if p.core, err = gateway.New(s.site, s.rng.Uint64(), gateway.Bounds{Open: 10000, Held: 1 << 24}, pool{p}, &p.count); err != nil {
+	if p.core, err = gateway.New(s.site, s.rng.Uint64(), gateway.Limits{MaxOpen: 10000, MaxStatementBytes: 1 << 24}, pool{p}, &p.count); err != nil {
 		s.fail(err)
 		return
 	}
-	p.records = idempotencyclient.New(idempotencyclient.Config{Incarnation: p.incarnation, Poll: 8 * tick, Patience: keep, Full: second / 2}, p.node, p.core)
-	record := gateway.Record(p.records)
+	p.records = idempotencyclient.New(idempotencyclient.Config{Incarnation: p.incarnation, PollInterval: 8 * tick, CommitTimeout: keep, CapacityRetryAfter: second / 2}, p.node, p.core)
+	record := gateway.IdempotencyStore(p.records)
 	if s.o.Variant.Record != nil {
 		record = s.o.Variant.Record(record)
 	}
-	p.core.UseRecord(record)
+	p.core.UseIdempotencyStore(record)
 	if s.o.Budgets != nil {
-		p.holder = budget.NewHolder(budget.HolderConfig{Name: f.Name, Set: s.o.Budgets, Gap: 20 * ms}, p.node, enforce.New(s.site, p.core))
-		p.holder.Begin(f.local())
+		p.holder = budget.NewLeaseHolder(budget.LeaseHolderConfig{Name: f.Name, Set: s.o.Budgets, MinReportInterval: 20 * ms}, p.node, enforce.New(s.site, p.core))
+		p.holder.Start(f.local())
 	}
-	if err := p.node.Open(f.local(), &f.disk.kept); err != nil {
+	if err := p.node.Recover(f.local(), &f.disk.kept); err != nil {
 		s.fail(err)
 		return
 	}
-	var list []scheduler.Entry
+	var list []scheduler.Endpoint
 	for _, e := range s.engines {
-		list = append(list, scheduler.Entry{Engine: e.name, Zone: s.site.Zones[0], Kind: s.site.Kinds[0].Name})
+		list = append(list, scheduler.Endpoint{Engine: e.name, Zone: s.site.Zones[0], Kind: s.site.Kinds[0].Name})
 	}
-	p.core.Listed(scheduler.ListComplete, list)
+	p.core.UpdateEndpoints(scheduler.UpdateComplete, list)
 	f.proc = p
 	p.ticks()
 }
@@ -181,9 +181,9 @@
 	case p.paused:
 		p.waiting = append(p.waiting, func() { p.does(do) })
 	default:
-		p.records.At(p.f.local())
+		p.records.SetNow(p.f.local())
 		if p.holder != nil {
-			p.holder.At(p.f.local())
+			p.holder.SetNow(p.f.local())
 		}
 		do()
 	}
@@ -216,7 +216,7 @@
 		return
 	}
 	now := p.f.local()
-	p.records.At(now)
+	p.records.SetNow(now)
 	p.pump()
 	p.core.Step(now)
 	p.pump()
@@ -239,7 +239,7 @@
 		}
 		for _, a := range list {
 			switch a := a.(type) {
-			case fleet.Tell:
+			case fleet.Send:
 				p.tell(a)
 			case replication.Save:
 				p.save(a)
@@ -249,7 +249,7 @@
 }
 
 // tell sends a message: it may be lost, late or doubled.
-func (p *process) tell(t fleet.Tell) {
+func (p *process) tell(t fleet.Send) {
 	s := p.f.s
 	var to *Front
 	for _, o := range s.Fronts {
@@ -258,8 +258,8 @@
 		}
 	}
 	if s.cuts[[2]int{p.f.n, to.n}] {
-		if t.Kind == transport.Ledger {
-			s.after(0, func() { p.does(func() { p.node.Lost(t.To) }) })
+		if t.Kind == transport.Replication {
+			s.after(0, func() { p.does(func() { p.node.SendFailed(t.To) }) })
 		}
 		return
 	}
@@ -269,7 +269,7 @@
 			return
 		}
 		q.does(func() {
-			link := fleet.Link{From: p.f.Name, Incarnation: p.incarnation, Greeted: to.at(max(p.born, q.born))}
+			link := fleet.Link{From: p.f.Name, Incarnation: p.incarnation, ChallengedAt: to.at(max(p.born, q.born))}
 			s.fail(q.node.Receive(to.local(), link, t.Kind, t.Body))
 			q.turn()
 		})
@@ -288,7 +288,7 @@
 func (p *process) save(a replication.Save) {
 	s := p.f.s
 	if s.o.Variant.EarlyWord {
-		p.node.Stored(p.f.local(), a.Token, nil)
+		p.node.Persisted(p.f.local(), a.Token, nil)
 	}
 	p.writes = append(p.writes, a)
 	if len(p.writes) == 1 {
@@ -317,7 +317,7 @@
 		d.write(a)
 	}
 	for _, a := range batch {
-		p.does(func() { p.node.Stored(p.f.local(), a.Token, nil) }) // a second time says nothing
+		p.does(func() { p.node.Persisted(p.f.local(), a.Token, nil) }) // a second time says nothing
 	}
 	p.does(p.turn)
 	if len(p.writes) > 0 {
@@ -335,14 +335,14 @@
 		k.Snapshot = a.Snapshot
 		var rest []*raftpb.Entry
 		for _, e := range k.Entries {
-			if !a.Reset && e.GetIndex() > a.Snapshot.GetMetadata().GetIndex() {
+			if !a.DiscardLog && e.GetIndex() > a.Snapshot.GetMetadata().GetIndex() {
 				rest = append(rest, e)
 			}
 		}
 		k.Entries = rest
 	}
-	if a.State != nil {
-		k.State = a.State
+	if a.HardState != nil {
+		k.HardState = a.HardState
 	}
 	if len(a.Entries) > 0 {
 		first := a.Entries[0].GetIndex()
@@ -358,7 +358,7 @@
 
 // Leads says whether the front end holds itself for the leader, with full copies whose disks are there.
 func (f *Front) Leads() bool {
-	if !f.Up() || !f.proc.node.Replica().Leads() {
+	if !f.Up() || !f.proc.node.Replica().IsLeader() {
 		return false
 	}
 	voters, learners := f.proc.node.Replica().Members()
@@ -372,15 +372,15 @@
 			continue
 		}
 		voters, _ := f.proc.node.Replica().Members()
-		if f.proc.node.Replica().Changing() {
+		if f.proc.node.Replica().Reconfiguring() {
 			return false // the majorities of before and after count
 		}
-		index, _ := f.proc.node.Replica().Applied()
+		index, _ := f.proc.node.Replica().LastApplied()
 		for _, v := range voters {
 			there := false
 			for _, o := range s.Fronts {
 				if o.disk != nil && o.disk.number == v.ID && o.Up() {
-					at, _ := o.proc.node.Replica().Applied()
+					at, _ := o.proc.node.Replica().LastApplied()
 					there = at+16 >= index && o.proc.node.Replica().Term() == f.proc.node.Replica().Term()
 				}
 			}
@@ -399,8 +399,8 @@
 		return f.Name + ": down"
 	}
 	r := f.proc.node.Replica()
-	index, sum := r.Applied()
+	index, sum := r.LastApplied()
 	voters, learners := r.Members()
 	return fmt.Sprintf("%s: paused=%v leads=%v votes=%v term=%d applied=%d sum=%x voters=%v learners=%v held=%+v err=%v", f.Name, f.proc.paused,
-		r.Leads(), r.Votes(), r.Term(), index, sum, voters, learners, f.proc.records.Show(), r.Err())
+		r.IsLeader(), r.IsVoter(), r.Term(), index, sum, voters, learners, f.proc.records.Records(), r.Err())
 }
--- a/exercise/membership/account.go
+++ b/exercise/membership/account.go
@@ -28,16 +28,16 @@
 	switch k {
 	case membership.Heartbeat:
 		return kindHeartbeat
-	case membership.ViewPart:
+	case membership.ViewUpdate:
 		return kindView
-	case membership.Pull:
+	case membership.TablePull:
 		return kindPull
 	}
 	return kindTable
 }
 
 // frameHeader is what peer.AppendFrame adds to what it carries.
-var frameHeader = len(transport.AppendFrame(nil, transport.Status, 0, false, nil))
+var frameHeader = len(transport.AppendFrame(nil, transport.ControlHeartbeat, 0, false, nil))
 
 // traffic is messages and their bytes.
 type traffic struct {
@@ -49,7 +49,7 @@
 		return
 	}
 	t.messages++
-	frames := (size + transport.MostBody - 1) / transport.MostBody
+	frames := (size + transport.MaxFrameBody - 1) / transport.MaxFrameBody
 	if kind == kindHello { // as in package scale, hellos are no payload
 		t.framing += int64(size)
 		return
@@ -97,19 +97,19 @@
 
 func measureHello() handshake {
 	identity := func(name string, incarnation uint64) *transport.Identity {
-		return &transport.Identity{Site: "site", Name: name, Zone: "a", Incarnation: incarnation, Copy: incarnation,
-			Oldest: transport.OldestVersion, Newest: transport.NewestVersion, Settings: make([]byte, 8)}
+		return &transport.Identity{Site: "site", Name: name, Zone: "a", Incarnation: incarnation, ReplicaID: incarnation,
+			MinVersion: transport.MinVersion, MaxVersion: transport.MaxVersion, SettingsDigest: make([]byte, 8)}
 	}
-	d := transport.Dialler{Self: identity("front-0001", 1<<62), To: "control-01"}
-	l := transport.Listener{Self: identity("control-01", 1<<61), Known: func(string) bool { return true }}
-	challenge := l.Greet([16]byte{}, transport.MostBody)
+	d := transport.Dialer{Local: identity("front-0001", 1<<62), ExpectedName: "control-01"}
+	l := transport.Listener{Local: identity("control-01", 1<<61), IsControlMember: func(string) bool { return true }}
+	challenge := l.Challenge([16]byte{}, transport.MaxFrameBody)
 	d.Feed(challenge)
-	said, err := d.Take()
+	said, err := d.Process()
 	if err != nil {
 		panic(fmt.Sprintf("membership: hello: %v", err))
 	}
 	l.Feed(said)
-	welcome, _, err := l.Take()
+	welcome, _, err := l.Process()
 	if err != nil {
 		panic(fmt.Sprintf("membership: welcome: %v", err))
 	}
--- a/exercise/membership/control.go
+++ b/exercise/membership/control.go
@@ -19,7 +19,7 @@
 // control is the process of a control member.
 type control struct {
 	q      *process
-	set    *heartbeat.Set
+	set    *heartbeat.Monitor
 	server *membership.Server
 	wires  []wire           // to the other control members, by place
 	list   []*link          // open ones
@@ -35,8 +35,8 @@
 			zones[c.name] = c.zoneName()
 		}
 	}
-	spans := heartbeat.Config{Suspect: controlSuspect, Dead: controlDead, Pause: controlSuspect / 2}
-	return &control{q: q, set: heartbeat.New(spans, zones), server: membership.NewServer(q.config()), links: map[uint64]*link{},
+	spans := heartbeat.Config{SuspectAfter: controlSuspect, DeadAfter: controlDead, PauseThreshold: controlSuspect / 2}
+	return &control{q: q, set: heartbeat.NewMonitor(spans, zones), server: membership.NewServer(q.config()), links: map[uint64]*link{},
 		wires: make([]wire, len(q.s.controls))}
 }
 
@@ -66,18 +66,18 @@
 
 // others is the other control members as package attach takes them.
 func (c *control) others() (list []membership.ControlMember) {
-	for _, m := range c.set.List() {
-		o := membership.ControlMember{Name: m.Name, Zone: m.Zone, Incarnation: m.Incarnation, Challenged: m.Greeted}
+	for _, m := range c.set.Peers() {
+		o := membership.ControlMember{Name: m.Name, Zone: m.Zone, Incarnation: m.Incarnation, ChallengedAt: m.ChallengedAt}
 		switch m.State {
 		case heartbeat.Alive:
 			o.State = membership.Alive
-		case heartbeat.Cut:
-			o.State, o.Cut = membership.Alive, true
+		case heartbeat.IndirectlyAlive:
+			o.State, o.IndirectlyAlive = membership.Alive, true
 		case heartbeat.Suspect:
 			o.State = membership.Suspect
 		case heartbeat.Left:
 			o.State = membership.Left
-		case heartbeat.Unseen, heartbeat.Dead:
+		case heartbeat.NeverSeen, heartbeat.Dead:
 			o.State = membership.Dead
 		}
 		list = append(list, o)
@@ -108,10 +108,10 @@
 // heard takes a heartbeat.
 func (c *control) heard(from *process, greeted Micros, h *controlHeartbeat) {
 	now := c.q.local()
-	if !c.set.Heard(now, from.p.name, h.incarnation, greeted, h.leaving, h.reports) {
+	if !c.set.Observe(now, from.p.name, h.incarnation, greeted, h.leaving, h.reports) {
 		return
 	}
-	if err := c.server.PeerVersions(now, from.p.name, h.incarnation, h.versions); err != nil {
+	if err := c.server.ReceiveVersions(now, from.p.name, h.incarnation, h.versions); err != nil {
 		c.q.s.account.fault(err)
 	}
 	c.pump()
@@ -120,7 +120,7 @@
 // pump sends what the server has to send, and closes what it wants closed.
 func (c *control) pump() {
 	for {
-		list, closing := c.server.Actions(), c.server.Close()
+		list, closing := c.server.Actions(), c.server.LinksToClose()
 		if len(list) == 0 && len(closing) == 0 {
 			break
 		}
@@ -147,13 +147,13 @@
 		return
 	}
 	if !l.send(controlSide, kindOf(m.Kind), len(m.Body), func() { l.front.front.receive(l, m) }) {
-		c.server.Refused(c.q.local(), m.To, m.Incarnation)
+		c.server.QueueFull(c.q.local(), m.To, m.Incarnation)
 	}
 }
 
 // received takes a message of another control member.
 func (c *control) received(from *process, m membership.Message) {
-	if err := c.server.ReceiveControl(c.q.local(), from.p.name, from.incarnation, m.Kind, m.Body); err != nil {
+	if err := c.server.ReceiveFromControl(c.q.local(), from.p.name, from.incarnation, m.Kind, m.Body); err != nil {
 		c.q.s.account.fault(err)
 	}
 	c.pump()
@@ -162,7 +162,7 @@
 // receive takes a message of an attached front end.
 func (c *control) receive(l *link, m membership.Message) {
 	if err := c.server.Receive(c.q.local(), l.attached(), m.Kind, m.Body); err != nil {
-		if !errors.Is(err, membership.ErrReplaced) || l.front.runs() { // what a process that has ended sent last is refused as it ought to be
+		if !errors.Is(err, membership.ErrSuperseded) || l.front.runs() { // what a process that has ended sent last is refused as it ought to be
 			c.q.s.account.fault(err)
 		}
 		l.close(controlSide)
@@ -173,7 +173,7 @@
 // shut closes a link that the server wants closed.
 func (c *control) shut(which membership.Link) {
 	for _, l := range slices.Clone(c.list) {
-		if l.front.incarnation == which.Incarnation && l.greeted == which.Greeted {
+		if l.front.incarnation == which.Incarnation && l.greeted == which.ChallengedAt {
 			l.close(controlSide)
 		}
 	}
@@ -183,7 +183,7 @@
 func (c *control) linked(l *link) {
 	c.list = append(c.list, l)
 	c.links[l.front.incarnation] = l
-	c.server.Linked(c.q.local(), l.attached())
+	c.server.LinkOpened(c.q.local(), l.attached())
 	c.pump()
 }
 
@@ -195,7 +195,7 @@
 	if c.links[l.front.incarnation] == l {
 		delete(c.links, l.front.incarnation)
 	}
-	c.server.Unlinked(c.q.local(), l.attached())
+	c.server.LinkClosed(c.q.local(), l.attached())
 	c.pump()
 }
 
--- a/exercise/membership/front.go
+++ b/exercise/membership/front.go
@@ -29,7 +29,7 @@
 func (q *process) config() membership.Config {
 	cfg := membership.Config{Name: q.p.name, Zone: q.p.zoneName(), Incarnation: q.incarnation, Seed: q.s.rng.Uint64()}
 	for _, c := range q.s.controls {
-		cfg.Controls = append(cfg.Controls, membership.ControlMember{Name: c.name, Zone: c.zoneName()})
+		cfg.ControlMembers = append(cfg.ControlMembers, membership.ControlMember{Name: c.name, Zone: c.zoneName()})
 	}
 	return cfg
 }
@@ -98,7 +98,7 @@
 // linked follows a link's opening.
 func (f *front) linked(l *link) {
 	delete(f.retry, l.to.name)
-	f.client.Linked(f.q.local(), l.to.name, l.control.incarnation)
+	f.client.LinkOpened(f.q.local(), l.to.name, l.control.incarnation)
 	f.step()
 }
 
@@ -110,7 +110,7 @@
 	}
 	f.links = slices.Delete(f.links, place, place+1)
 	f.later(l.to.name)
-	f.client.Unlinked(f.q.local(), l.to.name)
+	f.client.LinkClosed(f.q.local(), l.to.name)
 	f.step()
 }
 
--- a/exercise/membership/link.go
+++ b/exercise/membership/link.go
@@ -38,7 +38,7 @@
 
 // attached is the link as package attach knows it.
 func (l *link) attached() membership.Link {
-	return membership.Link{From: l.front.p.name, Zone: l.front.p.zoneName(), Incarnation: l.front.incarnation, Greeted: l.greeted}
+	return membership.Link{From: l.front.p.name, Zone: l.front.p.zoneName(), Incarnation: l.front.incarnation, ChallengedAt: l.greeted}
 }
 
 func (l *link) process(at side) *process {
--- a/exercise/membership/parts_test.go
+++ b/exercise/membership/parts_test.go
@@ -45,7 +45,7 @@
 	s := newSim(smallShape())
 	h := controlHeartbeat{incarnation: 7, leaving: true, versions: []byte("v")}
 	set := newProcess(s, s.controls[0]).control.set
-	require.True(t, set.Heard(5*second, "control-02", 9, 0, false, nil))
+	require.True(t, set.Observe(5*second, "control-02", 9, 0, false, nil))
 	set.Tick(6 * second)
 	h.reports = set.Reports()
 	got, err := decodeHeartbeat(h.encode())
--- a/exercise/membership/report.go
+++ b/exercise/membership/report.go
@@ -26,7 +26,7 @@
 	}
 	for _, c := range s.controls {
 		if c.proc != nil {
-			out.Refused += c.proc.control.server.Counters.Refused
+			out.Refused += c.proc.control.server.Counters.FullQueues
 		}
 	}
 	r := &scale.Result{Name: scenario.Name, Mode: scale.ModeVirtual, FrontEnds: s.shape.Total(), Controls: s.shape.Controls,
--- a/exercise/membership/scenarios_test.go
+++ b/exercise/membership/scenarios_test.go
@@ -119,7 +119,7 @@
 	}
 	for err := range o.Rejected { // where repairs are lost or not read in time a link may end; nothing else is ever refused
 		harsh := scenario.Name == "trickle" || scenario.Name == "chaos"
-		assert.True(t, harsh && strings.HasPrefix(err, fleetmembership.ErrDisagree.Error()), err)
+		assert.True(t, harsh && strings.HasPrefix(err, fleetmembership.ErrDigestMismatch.Error()), err)
 	}
 }
 
--- a/exercise/membership/truth.go
+++ b/exercise/membership/truth.go
@@ -165,7 +165,7 @@
 // lookAt compares how a process sees one other with how it did.
 func (t *truth) lookAt(q *process, subject *place) {
 	v := sight(0)
-	if e, ok := q.view().Of(subject.name); ok {
+	if e, ok := q.view().Lookup(subject.name); ok {
 		v = sightOf(t.order(subject, e.Incarnation), e.State)
 	}
 	if v != t.seen[q.p.index][subject.index] {
@@ -175,7 +175,7 @@
 
 // look compares a process's view with what it was, and gives who differs. Both are by name, so that one walk finds all.
 func (t *truth) look(q *process) (differing []*place) {
-	list := q.view().List()
+	list := q.view().Entries()
 	seen := t.seen[q.p.index]
 	for _, subject := range t.s.sorted {
 		v := sight(0)
--- a/exercise/mutants_test.go
+++ b/exercise/mutants_test.go
@@ -14,14 +14,14 @@
 
 // answers changes what a kind answers: the state stays right, and what is told is wrong.
 type answers struct {
-	replication.Kind
-	change func(asker replication.Incarnation, c *idempotency.Command, v *idempotency.View)
+	replication.StateMachine
+	change func(asker replication.Incarnation, c *idempotency.Command, v *idempotency.Response)
 }
 
-func (a answers) Apply(at replication.Applied, asker replication.Incarnation, body []byte) []byte {
-	out := a.Kind.Apply(at, asker, body)
-	c, err := idempotency.Decode(body)
-	v, err2 := idempotency.DecodeView(out)
+func (a answers) Apply(at replication.ApplyContext, asker replication.Incarnation, body []byte) []byte {
+	out := a.StateMachine.Apply(at, asker, body)
+	c, err := idempotency.DecodeCommand(body)
+	v, err2 := idempotency.DecodeResponse(out)
 	if err != nil || err2 != nil || len(out) == 0 {
 		return out
 	}
@@ -29,8 +29,8 @@
 	return v.Encode()
 }
 
-func telling(change func(asker replication.Incarnation, c *idempotency.Command, v *idempotency.View)) *exercise.Variant {
-	return &exercise.Variant{Kind: func(k replication.Kind) replication.Kind { return answers{k, change} }}
+func telling(change func(asker replication.Incarnation, c *idempotency.Command, v *idempotency.Response)) *exercise.Variant {
+	return &exercise.Variant{Kind: func(k replication.StateMachine) replication.StateMachine { return answers{k, change} }}
 }
 
 // unguarded has engines that drop no repeats.
@@ -48,24 +48,24 @@
 }
 
 // hasty has loads lapse long before their time.
-type hasty struct{ replication.Kind }
+type hasty struct{ replication.StateMachine }
 
-func (h hasty) Due(now replication.Micros, seen replication.Presence) [][]byte {
-	return h.Kind.Due(now+60*second, seen)
+func (h hasty) DueCommands(now replication.Micros, seen replication.FailureDetector) [][]byte {
+	return h.StateMachine.DueCommands(now+60*second, seen)
 }
 
 // bold begins attempts without asking; blunt tells rows before they are kept.
-type bold struct{ gateway.Record }
+type bold struct{ gateway.IdempotencyStore }
 
-func (b bold) Begin(now gateway.Micros, _ *gateway.Entry, _ int, _ string, granted func(gateway.Micros, bool)) {
+func (b bold) Authorize(now gateway.Micros, _ *gateway.Registration, _ int, _ string, granted func(gateway.Micros, bool)) {
 	granted(now, true)
 }
 
-type blunt struct{ gateway.Record }
+type blunt struct{ gateway.IdempotencyStore }
 
-func (b blunt) Keep(now gateway.Micros, e *gateway.Entry, rows []byte) {
-	b.Record.Keep(now, e, rows)
-	e.Over(now, true, rows)
+func (b blunt) Commit(now gateway.Micros, e *gateway.Registration, rows []byte) {
+	b.IdempotencyStore.Commit(now, e, rows)
+	e.Finish(now, true, rows)
 }
 
 // Each broken variant breaks a rule that the checks see, within a few histories; what they see is the rule meant.
@@ -75,29 +75,29 @@
 		variant *exercise.Variant
 		sees    string
 	}{
-		{"begins without a committed start", &exercise.Variant{Record: func(r gateway.Record) gateway.Record { return bold{r} }}, ""},
-		{"tells rows before they are kept", &exercise.Variant{Record: func(r gateway.Record) gateway.Record { return blunt{r} }}, ""},
-		{"grants a start out of turn", telling(func(_ replication.Incarnation, c *idempotency.Command, v *idempotency.View) {
-			if c.Op == idempotency.Take {
-				v.Turn = true
+		{"begins without a committed start", &exercise.Variant{Record: func(r gateway.IdempotencyStore) gateway.IdempotencyStore { return bold{r} }}, ""},
+		{"tells rows before they are kept", &exercise.Variant{Record: func(r gateway.IdempotencyStore) gateway.IdempotencyStore { return blunt{r} }}, ""},
+		{"grants a start out of turn", telling(func(_ replication.Incarnation, c *idempotency.Command, v *idempotency.Response) {
+			if c.Op == idempotency.Register {
+				v.FirstOfKey = true
 			}
-			if c.Op == idempotency.Start && v.Status == idempotency.NotYet {
+			if c.Op == idempotency.AuthorizeAttempt && v.Status == idempotency.Blocked {
 				v.Status = idempotency.OK
 			}
 		}), "two loads of a key at once"},
-		{"lets the old owner of an offered load start once more", unguarded(telling(func(asker replication.Incarnation, c *idempotency.Command, v *idempotency.View) {
-			if c.Op == idempotency.Start && v.Phase == idempotency.Started && v.Owner != uint64(asker) {
+		{"lets the old owner of an offered load start once more", unguarded(telling(func(asker replication.Incarnation, c *idempotency.Command, v *idempotency.Response) {
+			if c.Op == idempotency.AuthorizeAttempt && v.Phase == idempotency.Started && v.Owner != uint64(asker) {
 				v.Status = idempotency.OK
 			}
 		})), ""},
-		{"lets a started load be adopted", unguarded(telling(func(asker replication.Incarnation, c *idempotency.Command, v *idempotency.View) {
-			if v.Phase == idempotency.Started && v.Owner != uint64(asker) && (c.Op == idempotency.Take || c.Op == idempotency.Start) {
-				v.Phase, v.Owner, v.Status, v.Turn, v.Call = idempotency.Waiting, uint64(asker), idempotency.OK, true, c.Call
+		{"lets a started load be adopted", unguarded(telling(func(asker replication.Incarnation, c *idempotency.Command, v *idempotency.Response) {
+			if v.Phase == idempotency.Started && v.Owner != uint64(asker) && (c.Op == idempotency.Register || c.Op == idempotency.AuthorizeAttempt) {
+				v.Phase, v.Owner, v.Status, v.FirstOfKey, v.OwnerRequestID = idempotency.Waiting, uint64(asker), idempotency.OK, true, c.RequestID
 			}
 		})), ""},
 		{"takes no care of how old the record's word is", &exercise.Variant{NoUntil: true}, ""},
 		{"fails at once what its engine does not know of a lost owner's", &exercise.Variant{HastySuccessor: true}, ""},
-		{"lets the first of a line go too early", &exercise.Variant{Kind: func(k replication.Kind) replication.Kind { return hasty{k} }}, ""},
+		{"lets the first of a line go too early", &exercise.Variant{Kind: func(k replication.StateMachine) replication.StateMachine { return hasty{k} }}, ""},
 		{"votes under the name of a lost disk", &exercise.Variant{SameNumber: true}, ""},
 		{"tells of a write before it is there", &exercise.Variant{EarlyWord: true}, ""},
 	} {
--- a/exercise/sim.go
+++ b/exercise/sim.go
@@ -47,8 +47,8 @@
 
 // Variant is a fleet that breaks a rule on purpose, by which the checks are shown to see it.
 type Variant struct {
-	Record         func(gateway.Record) gateway.Record
-	Kind           func(replication.Kind) replication.Kind
+	Record         func(gateway.IdempotencyStore) gateway.IdempotencyStore
+	Kind           func(replication.StateMachine) replication.StateMachine
 	SameNumber     bool // an emptied disk keeps its number: the copy votes under the name that it had
 	EarlyWord      bool // a write is told before it is there
 	NoUntil        bool // the last moment to begin is not looked at
--- a/fleet/attached.go
+++ b/fleet/attached.go
@@ -10,13 +10,13 @@
 
 // AttachedConfig is what an attached front end is told of its fleet.
 type AttachedConfig struct {
-	Attach membership.Config
-	Retry  Micros // until a question is asked again
+	Membership    membership.Config
+	RetryInterval Micros // until a question is asked again
 }
 
-// Attached is a front end that the settings do not name. It keeps no record and listens to none: its links to two control members
+// AttachedNode is a front end that the settings do not name. It keeps no record and listens to none: its links to two control members
 // carry messages both ways. It is a stepped module as Node is.
-type Attached struct {
+type AttachedNode struct {
 	cfg      AttachedConfig
 	client   *membership.Client
 	requests requests
@@ -26,62 +26,62 @@
 	note     func(about string)
 }
 
-// NewAttached builds an attached front end. Note is told that something this front end waits for may have changed.
-func NewAttached(cfg AttachedConfig, note func(about string)) *Attached {
-	a := &Attached{cfg: cfg, client: membership.NewClient(cfg.Attach), note: note}
-	a.requests = newRequests(a, cfg.Attach.Incarnation, cfg.Retry)
+// NewAttachedNode builds an attached front end. Note is told that something this front end waits for may have changed.
+func NewAttachedNode(cfg AttachedConfig, note func(about string)) *AttachedNode {
+	a := &AttachedNode{cfg: cfg, client: membership.NewClient(cfg.Membership), note: note}
+	a.requests = newRequests(a, cfg.Membership.Incarnation, cfg.RetryInterval)
 	return a
 }
 
-// Client is this front end's part of package attach.
-func (a *Attached) Client() *membership.Client { return a.client }
+// MembershipClient is this front end's part of package attach.
+func (a *AttachedNode) MembershipClient() *membership.Client { return a.client }
 
 // View is all front ends of both roles, as the home has told.
-func (a *Attached) View() *membership.View { return a.client.View() }
+func (a *AttachedNode) View() *membership.View { return a.client.View() }
 
 // Home is the control member that the view comes from and questions go to; empty without one.
-func (a *Attached) Home() string { return a.client.Home() }
+func (a *AttachedNode) Home() string { return a.client.Home() }
 
 // Targets is the control members to keep links with now. Links to others are to be closed.
-func (a *Attached) Targets(now Micros) []string {
+func (a *AttachedNode) Targets(now Micros) []string {
 	a.now = now
 	return a.client.Targets(now)
 }
 
-// Linked tells that a link to that process of a control member is open.
-func (a *Attached) Linked(now Micros, control string, incarnation uint64) {
+// LinkOpened tells that a link to that process of a control member is open.
+func (a *AttachedNode) LinkOpened(now Micros, control string, incarnation uint64) {
 	a.now = now
-	a.client.Linked(now, control, incarnation)
+	a.client.LinkOpened(now, control, incarnation)
 }
 
-// Unlinked tells that the link to a control member is closed, or could not be opened.
-func (a *Attached) Unlinked(now Micros, control string) {
+// LinkClosed tells that the link to a control member is closed, or could not be opened.
+func (a *AttachedNode) LinkClosed(now Micros, control string) {
 	a.now = now
-	a.client.Unlinked(now, control)
+	a.client.LinkClosed(now, control)
 }
 
 // Receive takes a message of a control member; after an error the link is to be closed.
-func (a *Attached) Receive(now Micros, l Link, kind transport.Kind, body []byte) error {
+func (a *AttachedNode) Receive(now Micros, l Link, kind transport.Kind, body []byte) error {
 	a.now = now
 	switch kind {
-	case transport.View:
-		return a.client.Receive(now, l.From, l.Incarnation, membership.ViewPart, body)
-	case transport.Answer:
-		answer, err := replication.DecodeAnswer(body)
+	case transport.ViewUpdate:
+		return a.client.Receive(now, l.From, l.Incarnation, membership.ViewUpdate, body)
+	case transport.Response:
+		answer, err := replication.DecodeResponse(body)
 		if err != nil {
 			return err
 		}
 		a.requests.answered(now, answer)
-	case transport.Note:
+	case transport.Notification:
 		a.note(string(body))
 	default:
-		return fmt.Errorf("%w: %s to an attached front end", transport.ErrKind, kind)
+		return fmt.Errorf("%w: %s to an attached front end", transport.ErrUnknownKind, kind)
 	}
 	return nil
 }
 
 // Tick lets time pass.
-func (a *Attached) Tick(now Micros) {
+func (a *AttachedNode) Tick(now Micros) {
 	a.now = now
 	if a.leaving {
 		a.client.Leave()
@@ -91,18 +91,18 @@
 }
 
 // Next is when Tick should be called at the latest.
-func (a *Attached) Next() Micros {
+func (a *AttachedNode) Next() Micros {
 	if len(a.requests.ids) > 0 {
-		return min(a.client.Next(), a.now+a.cfg.Retry/4)
+		return min(a.client.Next(), a.now+a.cfg.RetryInterval/4)
 	}
 	return a.client.Next()
 }
 
 // Leave says to the others that this front end will soon be gone.
-func (a *Attached) Leave() { a.leaving = true }
+func (a *AttachedNode) Leave() { a.leaving = true }
 
 // Actions gives what is to be done and forgets it.
-func (a *Attached) Actions() []Action {
+func (a *AttachedNode) Actions() []Action {
 	for _, m := range a.client.Actions() {
 		a.tell(m.To, frameKind(m.Kind), m.Bulk, m.Body)
 	}
@@ -111,32 +111,34 @@
 	return list
 }
 
-func (a *Attached) tell(to string, kind transport.Kind, bulk bool, body []byte) {
-	a.actions = append(a.actions, Tell{To: to, Kind: kind, Bulk: bulk, Body: body})
+func (a *AttachedNode) tell(to string, kind transport.Kind, bulk bool, body []byte) {
+	a.actions = append(a.actions, Send{To: to, Kind: kind, Bulk: bulk, Body: body})
 }
 
-// Ask puts a question to the record, by way of the home. Done is called once with what was committed, from Receive; it is not
+// Propose puts a question to the record, by way of the home. Done is called once with what was committed, from Receive; it is not
 // called any more after Cancel. A question that is taken back may still be committed.
-func (a *Attached) Ask(now Micros, kind, version uint32, body []byte, done func(replication.Answer)) (id uint64) {
+func (a *AttachedNode) Propose(now Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64) {
 	a.now = now
 	return a.requests.add(now, kind, version, body, done)
 }
 
 // Cancel takes a question back.
-func (a *Attached) Cancel(id uint64) { a.requests.forget(id) }
+func (a *AttachedNode) Cancel(id uint64) { a.requests.forget(id) }
 
-// Asked is how many questions were put so far.
-func (a *Attached) Asked() int { return int(a.requests.seq) }
+// Proposals is how many questions were put so far.
+func (a *AttachedNode) Proposals() int { return int(a.requests.seq) }
 
-// Gone says whether a process of the fleet is held for no more, as far as the view tells.
-func (a *Attached) Gone(incarnation uint64) bool { return a.client.View().Gone(incarnation) }
+// PresumedDead says whether a process of the fleet is held for no more, as far as the view tells.
+func (a *AttachedNode) PresumedDead(incarnation uint64) bool {
+	return a.client.View().PresumedDead(incarnation)
+}
 
 // target is the control member that questions go by.
-func (a *Attached) target() string { return a.client.Home() }
+func (a *AttachedNode) target() string { return a.client.Home() }
 
-func (a *Attached) ask(to string, c replication.Command) {
-	a.tell(to, transport.Ask, false, c.Encode())
+func (a *AttachedNode) ask(to string, c replication.Command) {
+	a.tell(to, transport.Proposal, false, c.Encode())
 }
 
 // redirected is always true: the home has taken the word of the copy that refused, and will pass the question on elsewhere.
-func (a *Attached) redirected(uint64, string) bool { return true }
+func (a *AttachedNode) redirected(uint64, string) bool { return true }
--- a/fleet/attached_test.go
+++ b/fleet/attached_test.go
@@ -35,7 +35,7 @@
 		assert.Zero(t, c.Undeliverable)
 	}
 	for _, a := range r.attached {
-		assert.Equal(t, 1, a.Asked())
+		assert.Equal(t, 1, a.Proposals())
 	}
 }
 
@@ -51,24 +51,24 @@
 	for _, x := range r.attached {
 		for _, y := range r.attached {
 			assert.True(t, x.View().Alive(y.incarnation))
-			assert.False(t, x.Gone(y.incarnation))
+			assert.False(t, x.PresumedDead(y.incarnation))
 		}
 		for _, n := range r.controls {
 			assert.True(t, x.View().Alive(n.incarnation))
 			assert.True(t, n.View().Alive(x.incarnation))
-			assert.False(t, n.Gone(x.incarnation))
+			assert.False(t, n.PresumedDead(x.incarnation))
 		}
 	}
 	a.up = false
 	b.Leave()
 	r.pass(step)
 	b.up = false
-	r.until(8*second, "dead", func() bool { return c.Gone(a.incarnation) && c.Gone(b.incarnation) })
-	e, _ := c.View().Of("x2")
+	r.until(8*second, "dead", func() bool { return c.PresumedDead(a.incarnation) && c.PresumedDead(b.incarnation) })
+	e, _ := c.View().Lookup("x2")
 	assert.Equal(t, membership.Left, e.State)
 	for _, n := range r.controls {
-		assert.True(t, n.Gone(a.incarnation) && n.Gone(b.incarnation))
-		assert.False(t, n.Gone(c.incarnation))
+		assert.True(t, n.PresumedDead(a.incarnation) && n.PresumedDead(b.incarnation))
+		assert.False(t, n.PresumedDead(c.incarnation))
 	}
 }
 
@@ -79,10 +79,10 @@
 	a := r.attach("x1", zones[other.name])
 	r.ready(a)
 	require.Equal(t, other.name, a.Home(), "its zone's")
-	r.lose = func(_, to string, kind transport.Kind) bool { return kind == transport.Answer && to == a.name }
+	r.lose = func(_, to string, kind transport.Kind) bool { return kind == transport.Response && to == a.name }
 	_, answers := r.take(a, "once")
 	r.until(second, "an answer that is lost", func() bool { // by its home, or straight from the leader where it has a link with that
-		return r.sent[sentMessage{other.name, a.name, transport.Answer}]+r.sent[sentMessage{leads.name, a.name, transport.Answer}] > 0
+		return r.sent[sentMessage{other.name, a.name, transport.Response}]+r.sent[sentMessage{leads.name, a.name, transport.Response}] > 0
 	})
 	require.Zero(t, *answers)
 	r.lose = nil
@@ -122,8 +122,8 @@
 	if first.Owner == b.incarnation {
 		owner, waits = b, a
 	}
-	finish := idempotency.Command{Op: idempotency.Finish, Once: "once", Epoch: first.Epoch, Outcome: idempotency.None}
-	owner.Ask(r.now, leads.kind.ID(), 1, finish.Encode(), func(replication.Answer) {})
+	finish := idempotency.Command{Op: idempotency.Complete, IdempotencyKey: "once", Epoch: first.Epoch, Outcome: idempotency.Unregistered}
+	owner.Propose(r.now, leads.kind.ID(), 1, finish.Encode(), func(replication.Response) {})
 	r.until(2*second, "a note", func() bool { return len(waits.notes) > 0 })
 	assert.Equal(t, "once", waits.notes[0])
 }
@@ -155,29 +155,29 @@
 	a := r.attach("x1", zones[other.name])
 	r.ready(a)
 	link := a.links[other.name]
-	for kind := transport.Status; kind <= transport.Forward; kind++ {
-		if kind == transport.Heartbeat || kind == transport.Ask {
+	for kind := transport.ControlHeartbeat; kind <= transport.Forward; kind++ {
+		if kind == transport.AttachedHeartbeat || kind == transport.Proposal {
 			continue
 		}
-		assert.ErrorIs(t, other.Receive(r.now, link, kind, nil), transport.ErrKind, kind.String())
+		assert.ErrorIs(t, other.Receive(r.now, link, kind, nil), transport.ErrUnknownKind, kind.String())
 	}
-	command := replication.Command{Kind: 1, Version: 1, Asker: replication.Incarnation(leads.incarnation), Seq: 1}
-	assert.ErrorIs(t, other.Receive(r.now, link, transport.Ask, command.Encode()), fleet.ErrAsker)
-	assert.Error(t, other.Receive(r.now, link, transport.Ask, []byte{0xff}))
-	assert.Error(t, other.Receive(r.now, link, transport.Heartbeat, []byte{0xff}))
+	command := replication.Command{StateMachine: 1, Version: 1, Proposer: replication.Incarnation(leads.incarnation), Sequence: 1}
+	assert.ErrorIs(t, other.Receive(r.now, link, transport.Proposal, command.Encode()), fleet.ErrProposerMismatch)
+	assert.Error(t, other.Receive(r.now, link, transport.Proposal, []byte{0xff}))
+	assert.Error(t, other.Receive(r.now, link, transport.AttachedHeartbeat, []byte{0xff}))
 	r.pump()
 	assert.Zero(t, r.sent[sentMessage{other.name, leads.name, transport.Forward}])
 	for kind := transport.Challenge; kind <= transport.Forward; kind++ {
-		if kind != transport.View && kind != transport.Answer && kind != transport.Note {
-			assert.ErrorIs(t, a.Receive(r.now, fleet.Link{From: other.name, Incarnation: other.incarnation}, kind, nil), transport.ErrKind, kind.String())
+		if kind != transport.ViewUpdate && kind != transport.Response && kind != transport.Notification {
+			assert.ErrorIs(t, a.Receive(r.now, fleet.Link{From: other.name, Incarnation: other.incarnation}, kind, nil), transport.ErrUnknownKind, kind.String())
 		}
 	}
 
 	off := newRig(t, false)
 	n, _ := off.leader()
-	link = fleet.Link{From: "x1", Incarnation: 5, Greeted: off.now, Attached: true}
-	assert.ErrorIs(t, n.Receive(off.now, link, transport.Heartbeat, nil), fleet.ErrAttached)
-	assert.ErrorIs(t, n.Receive(off.now, fleet.Link{From: "n2", Incarnation: off.controls["n2"].incarnation}, transport.Table, nil), fleet.ErrAttached)
+	link = fleet.Link{From: "x1", Incarnation: 5, ChallengedAt: off.now, Attached: true}
+	assert.ErrorIs(t, n.Receive(off.now, link, transport.AttachedHeartbeat, nil), fleet.ErrAttachmentDisabled)
+	assert.ErrorIs(t, n.Receive(off.now, fleet.Link{From: "n2", Incarnation: off.controls["n2"].incarnation}, transport.TableUpdate, nil), fleet.ErrAttachmentDisabled)
 	assert.Nil(t, n.View())
 }
 
@@ -185,16 +185,16 @@
 func TestForwardedIsChecked(t *testing.T) {
 	r := newRig(t, true)
 	leads, other := r.leader()
-	link := fleet.Link{From: other.name, Incarnation: other.incarnation, Greeted: second}
-	ask := replication.Command{Kind: 1, Version: 1, Asker: 7, Seq: 1}
+	link := fleet.Link{From: other.name, Incarnation: other.incarnation, ChallengedAt: second}
+	ask := replication.Command{StateMachine: 1, Version: 1, Proposer: 7, Sequence: 1}
 	for want, body := range map[error][]byte{
-		fleet.ErrAsker:    fleet.Forwarded(8, transport.Ask, ask.Encode()),
-		transport.ErrKind: fleet.Forwarded(7, transport.Status, nil),
+		fleet.ErrProposerMismatch: fleet.Forwarded(8, transport.Proposal, ask.Encode()),
+		transport.ErrUnknownKind:  fleet.Forwarded(7, transport.ControlHeartbeat, nil),
 	} {
 		assert.ErrorIs(t, leads.Receive(r.now, link, transport.Forward, body), want)
 	}
 	assert.Error(t, leads.Receive(r.now, link, transport.Forward, []byte{0xff}))
-	assert.Error(t, leads.Receive(r.now, link, transport.Forward, fleet.Forwarded(7, transport.Ask, []byte{0xff})))
+	assert.Error(t, leads.Receive(r.now, link, transport.Forward, fleet.Forwarded(7, transport.Proposal, []byte{0xff})))
 }
 
 // What an attached front end has under way is never offered to others: a leader that sees its process dead leaves it alone, and
@@ -207,16 +207,16 @@
 	view, _ := r.take(a, "started")
 	_, answers := r.take(a, "waiting")
 	r.until(2*second, "answers", func() bool { return *answers > 0 })
-	start := idempotency.Command{Op: idempotency.Start, Once: "started", Epoch: view.Epoch, Attempt: 1, Engine: "s-1", Call: "call-started"}
+	start := idempotency.Command{Op: idempotency.AuthorizeAttempt, IdempotencyKey: "started", Epoch: view.Epoch, Attempt: 1, Engine: "s-1", RequestID: "call-started"}
 	var begun bool
-	a.Ask(r.now, leads.kind.ID(), 1, start.Encode(), func(replication.Answer) { begun = true })
+	a.Propose(r.now, leads.kind.ID(), 1, start.Encode(), func(replication.Response) { begun = true })
 	r.until(2*second, "a start", func() bool { return begun })
 	a.up = false
-	r.until(6*second, "gone", func() bool { return leads.Gone(a.incarnation) })
+	r.until(6*second, "gone", func() bool { return leads.PresumedDead(a.incarnation) })
 	r.pass(3500 * ms)
-	phases := map[string]idempotency.Shown{}
-	for _, l := range leads.kind.Show() {
-		phases[l.Once] = l
+	phases := map[string]idempotency.RecordStatus{}
+	for _, l := range leads.kind.Records() {
+		phases[l.IdempotencyKey] = l
 	}
 	assert.Equal(t, "started", phases["started"].Phase)
 	assert.Equal(t, view.Epoch, phases["started"].Epoch, "it has been offered to nobody")
@@ -233,16 +233,16 @@
 	r.until(2*second, "an answer", func() bool { return *answers > 0 })
 	done := 0
 	for _, c := range []idempotency.Command{
-		{Op: idempotency.Start, Once: "once", Epoch: view.Epoch, Attempt: 1, Engine: "s-1", Call: "call-once"},
-		{Op: idempotency.Hand, Once: "once", Epoch: view.Epoch},
+		{Op: idempotency.AuthorizeAttempt, IdempotencyKey: "once", Epoch: view.Epoch, Attempt: 1, Engine: "s-1", RequestID: "call-once"},
+		{Op: idempotency.Transfer, IdempotencyKey: "once", Epoch: view.Epoch},
 	} {
 		done = 0
-		a.Ask(r.now, leads.kind.ID(), 1, c.Encode(), func(replication.Answer) { done++ })
+		a.Propose(r.now, leads.kind.ID(), 1, c.Encode(), func(replication.Response) { done++ })
 		r.until(2*second, "done", func() bool { return done > 0 })
 	}
 	r.until(3*second, "an owner", func() bool {
 		for _, n := range r.controls {
-			if leads.kind.Show()[0].Owner == fmt.Sprintf("%016x", n.incarnation) {
+			if leads.kind.Records()[0].Owner == fmt.Sprintf("%016x", n.incarnation) {
 				return true
 			}
 		}
--- a/fleet/budget/account/account.go
+++ b/fleet/budget/account/account.go
@@ -22,9 +22,9 @@
 
 // The kinds.
 const (
-	Rate   Kind = iota + 1 // so much a second, with a burst
-	Places                 // so much at a time
-	Window                 // so much within any window
+	Rate        Kind = iota + 1 // so much a second, with a burst
+	Concurrency                 // so much at a time
+	Window                      // so much within any window
 )
 
 func (k Kind) String() string { return [...]string{"", "rate", "places", "window"}[k] }
@@ -32,24 +32,24 @@
 // Unit is one query, thread or millisecond of work in amounts.
 const Unit = 1000
 
-// Drift is the bound on how much faster one machine's clock may run than another's, as one part in so many.
-const Drift = 100
+// ClockDriftDivisor is the bound on how much faster one machine's clock may run than another's, as one part in so many.
+const ClockDriftDivisor = 100
 
 // Amount is a part of a budget, in thousandths: Much is a rate's burst, places, or what a window takes; Rate is a second's, for
 // rates alone.
-type Amount struct{ Much, Rate int64 }
+type Amount struct{ Capacity, Rate int64 }
 
 // Add, Sub, Max and Min go by each of the two.
-func (a Amount) Add(b Amount) Amount { return Amount{a.Much + b.Much, a.Rate + b.Rate} }
+func (a Amount) Add(b Amount) Amount { return Amount{a.Capacity + b.Capacity, a.Rate + b.Rate} }
 
 // Sub takes another amount off.
-func (a Amount) Sub(b Amount) Amount { return Amount{a.Much - b.Much, a.Rate - b.Rate} }
+func (a Amount) Sub(b Amount) Amount { return Amount{a.Capacity - b.Capacity, a.Rate - b.Rate} }
 
 // Max is the larger of each.
-func (a Amount) Max(b Amount) Amount { return Amount{max(a.Much, b.Much), max(a.Rate, b.Rate)} }
+func (a Amount) Max(b Amount) Amount { return Amount{max(a.Capacity, b.Capacity), max(a.Rate, b.Rate)} }
 
 // Min is the smaller of each.
-func (a Amount) Min(b Amount) Amount { return Amount{min(a.Much, b.Much), min(a.Rate, b.Rate)} }
+func (a Amount) Min(b Amount) Amount { return Amount{min(a.Capacity, b.Capacity), min(a.Rate, b.Rate)} }
 
 // bucket is one part of a rate: tokens in thousandths of a thousandth of a thousandth, so that a rate in thousandths a second
 // times microseconds is exact.
@@ -65,7 +65,7 @@
 func (b *bucket) set(now Micros, a Amount) {
 	b.fill(now)
 	b.Amount = a
-	b.level = min(b.level, a.Much*nano)
+	b.level = min(b.level, a.Capacity*nano)
 }
 
 func (b *bucket) fill(now Micros) {
@@ -73,7 +73,7 @@
 	if b.at = max(b.at, now); span <= 0 || b.Rate <= 0 {
 		return
 	}
-	full := b.Much * nano
+	full := b.Capacity * nano
 	if missing := full - b.level; span > missing/b.Rate {
 		b.level = max(b.level, full)
 		return
@@ -105,12 +105,12 @@
 
 // New is an empty balance; span is a window's.
 func New(kind Kind, span Micros) *Account {
-	return &Account{kind: kind, span: span + span/Drift}
+	return &Account{kind: kind, span: span + span/ClockDriftDivisor}
 }
 
 // slowed is a rate by a clock that may be fast by Drift.
 func (a *Account) slowed(m Amount) Amount {
-	m.Rate -= (m.Rate + Drift - 1) / Drift
+	m.Rate -= (m.Rate + ClockDriftDivisor - 1) / ClockDriftDivisor
 	return m
 }
 
@@ -158,11 +158,11 @@
 	if a.kind == Rate {
 		return a.earned >= n || a.lease.level >= n*nano || a.static.level >= n*nano
 	}
-	return a.used+n <= a.lease.Much+a.static.Much
+	return a.used+n <= a.lease.Capacity+a.static.Capacity
 }
 
-// Room says whether n may be spent now.
-func (a *Account) Room(now Micros, n int64) bool {
+// CanSpend says whether n may be spent now.
+func (a *Account) CanSpend(now Micros, n int64) bool {
 	a.turn(now)
 	return a.room(n)
 }
@@ -185,38 +185,38 @@
 			until = a.until
 		}
 	default:
-		a.Count(now, n)
+		a.RecordUnbounded(now, n)
 	}
-	if a.kind != Rate && a.used > a.static.Much {
+	if a.kind != Rate && a.used > a.static.Capacity {
 		until = a.until
 	}
 	a.Spent += n
 	return until, true
 }
 
-// Count notes what is spent whatever there is room for: of a budget that is not in force yet, so that what runs when it comes into
+// RecordUnbounded notes what is spent whatever there is room for: of a budget that is not in force yet, so that what runs when it comes into
 // force is known.
-func (a *Account) Count(now Micros, n int64) {
+func (a *Account) RecordUnbounded(now Micros, n int64) {
 	a.turn(now)
 	switch a.kind {
 	case Window:
 		a.spent[a.slot%(slots+1)] += n
 		a.used += n
-	case Places:
+	case Concurrency:
 		a.used += n
 	}
 }
 
-// MostEarned bounds what is earned and not spent, in thousandths.
-const MostEarned = 2 * Unit
+// MaxEarned bounds what is earned and not spent, in thousandths.
+const MaxEarned = 2 * Unit
 
 // Earn adds to a rate what something done here is worth. It is this front end's own and never leased: what all of them spend so
 // is no more than what was earned by then and MostEarned of each.
-func (a *Account) Earn(n int64) { a.earned = min(MostEarned, a.earned+n) }
+func (a *Account) Earn(n int64) { a.earned = min(MaxEarned, a.earned+n) }
 
-// Back gives places back: what held them is over for certain.
-func (a *Account) Back(n int64) {
-	if a.kind == Places {
+// Release gives places back: what held them is over for certain.
+func (a *Account) Release(n int64) {
+	if a.kind == Concurrency {
 		a.used -= n
 	}
 }
@@ -224,7 +224,7 @@
 // InUse is what is held, or was spent within the window, beyond the static part.
 func (a *Account) InUse(now Micros) int64 {
 	a.turn(now)
-	return max(0, a.used-a.static.Much)
+	return max(0, a.used-a.static.Capacity)
 }
 
 // Used is all that is held or was spent within the window.
@@ -233,9 +233,9 @@
 	return a.used
 }
 
-// Wait is when n will be there for one who is turned away now, as a span; each who asks is told a time of his own. Zero says
+// RetryAfter is when n will be there for one who is turned away now, as a span; each who asks is told a time of his own. Zero says
 // that nobody knows.
-func (a *Account) Wait(now Micros, n int64) Micros {
+func (a *Account) RetryAfter(now Micros, n int64) Micros {
 	rate := a.lease.Rate + a.static.Rate
 	if a.kind != Rate || rate <= 0 {
 		return 0
--- a/fleet/budget/account/book.go
+++ b/fleet/budget/account/book.go
@@ -14,19 +14,19 @@
 // Book is one front end's balances for all subjects of one budget.
 type Book struct {
 	Kind     Kind
-	Span     Micros
+	Window   Micros
 	static   Amount
 	accounts map[string]*Account
 }
 
-// Of is one subject's balance.
-func (b *Book) Of(now Micros, subject string) *Account {
+// Account is one subject's balance.
+func (b *Book) Account(now Micros, subject string) *Account {
 	a := b.accounts[subject]
 	if a == nil {
 		if b.accounts == nil {
 			b.accounts = map[string]*Account{}
 		}
-		a = New(b.Kind, b.Span)
+		a = New(b.Kind, b.Window)
 		a.Static(now, b.static)
 		b.accounts[subject] = a
 	}
@@ -46,7 +46,7 @@
 	named := make(map[string]bool, len(list))
 	for _, l := range list {
 		named[l.Subject] = true
-		b.Of(now, l.Subject).Lease(now, l.Amount, until)
+		b.Account(now, l.Subject).Lease(now, l.Amount, until)
 	}
 	for subject, a := range b.accounts {
 		if !named[subject] {
@@ -62,8 +62,8 @@
 	}
 }
 
-// Forget drops balances of which nothing is held, wanted or leased.
-func (b *Book) Forget(now Micros) {
+// EvictIdle drops balances of which nothing is held, wanted or leased.
+func (b *Book) EvictIdle(now Micros) {
 	maps.DeleteFunc(b.accounts, func(subject string, a *Account) bool {
 		lease, _, _ := a.Amounts(now)
 		return subject != "" && lease == (Amount{}) && a.Used(now) == 0 && a.Demand(now) == 0
--- a/fleet/budget/account/demand.go
+++ b/fleet/budget/account/demand.go
@@ -32,8 +32,8 @@
 	first  Micros // since when something has been asked for without a rest
 }
 
-// Want notes that n were asked for, whatever became of it. For places, held ones count besides.
-func (a *Account) Want(now Micros, n int64) {
+// RecordDemand notes that n were asked for, whatever became of it. For places, held ones count besides.
+func (a *Account) RecordDemand(now Micros, n int64) {
 	d := &a.demand
 	if d.at == 0 {
 		d.unit = float64(n)
@@ -52,8 +52,8 @@
 	a.wanted(now, a.used+n)
 }
 
-// Waits notes that n wait for places at this time.
-func (a *Account) Waits(now Micros, n int64) { a.wanted(now, a.used+n) }
+// RecordQueued notes that n wait for places at this time.
+func (a *Account) RecordQueued(now Micros, n int64) { a.wanted(now, a.used+n) }
 
 func (a *Account) wanted(now Micros, n int64) {
 	d := &a.demand
@@ -66,8 +66,8 @@
 	d.peak = max(d.peak, n)
 }
 
-// New says whether who asks is the first in a while and nothing was leased for him yet: it may only take the record's answer.
-func (a *Account) New(now Micros) bool {
+// AwaitsFirstLease says whether who asks is the first in a while and nothing was leased for him yet: it may only take the record's answer.
+func (a *Account) AwaitsFirstLease(now Micros) bool {
 	return now-a.demand.first < newSpan && a.demand.at != 0 && a.lease.Amount == (Amount{})
 }
 
@@ -107,8 +107,8 @@
 	case Rate:
 		return max(0, int64(d.moved(now))-a.static.Rate)
 	case Window:
-		return max(0, a.used-a.static.Much, int64(d.moved(now)*float64(a.span)/second)-a.static.Much)
+		return max(0, a.used-a.static.Capacity, int64(d.moved(now)*float64(a.span)/second)-a.static.Capacity)
 	}
 	a.wanted(now, a.used)
-	return max(0, max(d.peak, d.before)-a.static.Much)
+	return max(0, max(d.peak, d.before)-a.static.Capacity)
 }
--- a/fleet/budget/authority.go
+++ b/fleet/budget/authority.go
@@ -14,11 +14,11 @@
 	Instances int // budgets of single subjects that may be held at a time
 }
 
-// MostInstances is the bound that the program uses.
-const MostInstances = 1 << 16
+// MaxInstances is the bound that the program uses.
+const MaxInstances = 1 << 16
 
-// About is what Note says to a holder whose division may change.
-const About = "\x00budget"
+// NotificationTopic is what Note says to a holder whose division may change.
+const NotificationTopic = "\x00budget"
 
 // Authority is the record of who holds what, a kind of the ledger.
 type Authority struct {
@@ -102,7 +102,7 @@
 
 func (o *hold) counted() Amount {
 	c := o.pair.counted()
-	c.Much = max(c.Much, o.inUse)
+	c.Capacity = max(c.Capacity, o.inUse)
 	return c
 }
 
@@ -121,7 +121,7 @@
 func (a *Authority) Version() uint32 { return 1 }
 
 // Apply carries out a committed command.
-func (a *Authority) Apply(at replication.Applied, asker replication.Incarnation, body []byte) []byte {
+func (a *Authority) Apply(at replication.ApplyContext, asker replication.Incarnation, body []byte) []byte {
 	c, err := decodeCommand(body)
 	if err != nil {
 		return nil
@@ -152,20 +152,20 @@
 }
 
 // tell notes those whose division may change.
-func (a *Authority) tell(at replication.Applied) {
+func (a *Authority) tell(at replication.ApplyContext) {
 	if len(a.notes) == 0 {
 		return
 	}
 	for _, h := range a.holders {
 		if a.notes[h.who] {
-			at.Note(h.who, About)
+			at.Notify(h.who, NotificationTopic)
 		}
 	}
 	clear(a.notes)
 }
 
 // report carries out what a holder says, and gives its part anew.
-func (a *Authority) report(at replication.Applied, who replication.Incarnation, c *command) (ans answer) {
+func (a *Authority) report(at replication.ApplyContext, who replication.Incarnation, c *command) (ans answer) {
 	ans.N = c.N
 	a.adopt(at, c, &ans)
 	if a.set == nil {
@@ -173,7 +173,7 @@
 	}
 	h := a.of(who)
 	if h == nil {
-		if c.Adopted != 0 || c.Static != 0 || c.Leaving || len(a.holders) >= mostHolders*a.set.Most {
+		if c.Adopted != 0 || c.Static != 0 || c.Leaving || len(a.holders) >= mostHolders*a.set.MaxFrontEnds {
 			ans.Over, ans.Unknown = true, true
 			return ans
 		}
@@ -251,7 +251,7 @@
 }
 
 // adopt takes newer settings over, and says where a holder's are not the record's.
-func (a *Authority) adopt(at replication.Applied, c *command, ans *answer) {
+func (a *Authority) adopt(at replication.ApplyContext, c *command, ans *answer) {
 	if len(c.Set) > 0 && (a.set == nil || c.Version > a.set.Version) {
 		set, err := DecodeSet(c.Set)
 		if err != nil || set.Version != c.Version || !a.follows(set) {
@@ -286,17 +286,17 @@
 	for i := range set.Specs {
 		p := &set.Specs[i]
 		if a.set != nil {
-			if old := a.set.Of(p.Name); old != nil && (old.Kind != p.Kind || old.Span != p.Span || old.Least != p.Least) {
+			if old := a.set.Lookup(p.Name); old != nil && (old.Kind != p.Kind || old.Window != p.Window || old.MinPart != p.MinPart) {
 				return false
 			}
 		}
 	}
 	for _, i := range a.insts {
-		if p := set.Of(i.budget); p != nil && (p.Kind != i.kind || i.kind == account.Window && p.Span != i.lingers) {
+		if p := set.Lookup(i.budget); p != nil && (p.Kind != i.kind || i.kind == account.Window && p.Window != i.lingers) {
 			return false
 		}
 	}
-	return a.set == nil || set.Most >= a.set.Most // static parts are out for as many
+	return a.set == nil || set.MaxFrontEnds >= a.set.MaxFrontEnds // static parts are out for as many
 }
 
 // put puts a set into force. A budget that is new in it stays closed for a while, as an earlier record may have granted of it.
--- a/fleet/budget/division.go
+++ b/fleet/budget/division.go
@@ -17,7 +17,7 @@
 // room notes those who could have more of what was given back, once it is worth it.
 func (a *Authority) room(from *hold) {
 	i := from.i
-	if p := a.set.Of(i.budget); p == nil || i.freed < max(1, i.of(p.Whole)/worth) {
+	if p := a.set.Lookup(i.budget); p == nil || i.freed < max(1, i.of(p.Total)/worth) {
 		return
 	}
 	i.freed = 0
@@ -36,7 +36,7 @@
 	if i.kind == account.Rate {
 		return m.Rate
 	}
-	return m.Much
+	return m.Capacity
 }
 
 // wants takes over what a holder wants.
@@ -48,18 +48,18 @@
 
 // kept is what of a budget is kept back for newcomers.
 func (p *Spec) kept() Amount {
-	return Amount{Much: p.Whole.Much * p.Newcomers / 1000, Rate: p.Whole.Rate * p.Newcomers / 1000}
+	return Amount{Capacity: p.Total.Capacity * p.NewcomerReserve / 1000, Rate: p.Total.Rate * p.NewcomerReserve / 1000}
 }
 
 // part is what a holder may have of one subject's budget from now on.
-func (a *Authority) part(at replication.Applied, o *hold) Amount {
-	p, s := a.set.Of(o.i.budget), a.specs[o.i.budget]
+func (a *Authority) part(at replication.ApplyContext, o *hold) Amount {
+	p, s := a.set.Lookup(o.i.budget), a.specs[o.i.budget]
 	if p == nil || !s.open {
 		return Amount{}
 	}
 	o.i.lingers = max(o.i.lingers, p.lingers())
 	turn := uint64(0)
-	if p.Kind != account.Rate && p.Whole.Much/p.Least < 4*int64(len(o.i.holds)) {
+	if p.Kind != account.Rate && p.Total.Capacity/p.MinPart < 4*int64(len(o.i.holds)) {
 		turn = at.Index / turns
 	}
 	if o.seen > o.i.change && o.seen > s.changed && o.turn == turn {
@@ -71,7 +71,7 @@
 	counted := o.counted()
 	// What is free may be less than nothing: the whole was lowered, or a holder that had lapsed has come back and still counts what
 	// surely is over as in use. Then nobody may have what he holds, until it is not.
-	free := p.Whole.Sub(o.i.leased).Sub(s.reserved)
+	free := p.Total.Sub(o.i.leased).Sub(s.reserved)
 	room := free
 	if counted != (Amount{}) {
 		room = free.Sub(p.kept()).Max(Amount{})
@@ -79,7 +79,7 @@
 	most := counted.Add(free.Min(room)).Max(Amount{})
 	target := share
 	now, then := o.i.of(o.cur), o.i.of(share)
-	contested := free.Much < 0 || free.Rate < 0
+	contested := free.Capacity < 0 || free.Rate < 0
 	for j, other := range o.i.holds {
 		contested = contested || other.want > other.i.of(other.cur) && other.i.of(other.cur) < other.i.of(shares[j])*15/16
 	}
@@ -88,11 +88,11 @@
 	}
 	cur := target.Min(most)
 	if p.Kind != account.Rate {
-		cur.Much -= cur.Much % p.Least
+		cur.Capacity -= cur.Capacity % p.MinPart
 	} else if cur.Rate == 0 {
-		cur.Much = 0
+		cur.Capacity = 0
 	}
-	if cur.Much < p.Least {
+	if cur.Capacity < p.MinPart {
 		cur = Amount{}
 	}
 	if o.i.of(cur) < o.i.of(target)*7/8 { // others have what is this one's
@@ -114,28 +114,28 @@
 
 // shares divides one subject's budget among all who hold or want some.
 func (a *Authority) shares(p *Spec, i *inst, index uint64) []Amount {
-	pool := p.Whole.Sub(a.specs[p.Name].reserved).Sub(p.kept())
+	pool := p.Total.Sub(a.specs[p.Name].reserved).Sub(p.kept())
 	claims := make([]claim, len(i.holds))
 	for j, o := range i.holds {
 		if o.h.lapsed {
 			pool = pool.Sub(o.counted())
 			continue
 		}
-		claims[j] = claim{want: o.want, floor: i.of(p.Whole) / 1000 * p.Floor, weight: p.weight(o.h.name)}
+		claims[j] = claim{want: o.want, floor: i.of(p.Total) / 1000 * p.Floor, weight: p.weight(o.h.name)}
 	}
 	pool = pool.Max(Amount{})
 	list := divide(i.of(pool), claims)
 	amounts := make([]Amount, len(list))
 	if i.kind != account.Rate {
-		round(pool.Much, p.Least, index/turns, claims, list)
+		round(pool.Capacity, p.MinPart, index/turns, claims, list)
 		for j, n := range list {
-			amounts[j].Much = n
+			amounts[j].Capacity = n
 		}
 		return amounts
 	}
 	for j, n := range list {
 		if n > 0 {
-			amounts[j] = Amount{Much: max(p.Least, mulDiv(pool.Much, n, pool.Rate)), Rate: n}
+			amounts[j] = Amount{Capacity: max(p.MinPart, mulDiv(pool.Capacity, n, pool.Rate)), Rate: n}
 		}
 	}
 	return amounts
@@ -146,8 +146,8 @@
 	for i := range a.set.Specs {
 		p := &a.set.Specs[i]
 		s := a.specs[p.Name]
-		each := p.part(a.set.Most)
-		rest := int64(a.set.Most)
+		each := p.part(a.set.MaxFrontEnds)
+		rest := int64(a.set.MaxFrontEnds)
 		real, reserved := s.real, s.reserved
 		s.real, s.reserved = Amount{}, Amount{}
 		for _, h := range a.holders {
@@ -162,7 +162,7 @@
 			}
 			s.reserved = s.reserved.Add(c)
 		}
-		s.reserved = s.reserved.Add(Amount{Much: each.Much * rest, Rate: each.Rate * rest})
+		s.reserved = s.reserved.Add(Amount{Capacity: each.Capacity * rest, Rate: each.Rate * rest})
 		if s.real != real || s.reserved != reserved {
 			s.changed = a.index
 		}
--- a/fleet/budget/export_test.go
+++ b/fleet/budget/export_test.go
@@ -44,7 +44,7 @@
 
 // Reserved is all static parts together.
 func (s *Spec) Reserved() Amount {
-	return Amount{Much: s.Whole.Much * s.Reserve / 1000, Rate: s.Whole.Rate * s.Reserve / 1000}
+	return Amount{Capacity: s.Total.Capacity * s.Reserve / 1000, Rate: s.Total.Rate * s.Reserve / 1000}
 }
 
 // Longer is an answer with a longer lease.
--- a/fleet/budget/figures_test.go
+++ b/fleet/budget/figures_test.go
@@ -14,8 +14,8 @@
 
 // fleetOf is a calm world of so many front ends with one budget of a rate and a burst of half a second's.
 func fleetOf(n int, rate int64, lease micros) *world {
-	set := &budget.Set{Version: 1, Lease: lease, Most: n, Specs: []budget.Spec{{Name: "rate", Kind: account.Rate,
-		Whole: budget.Amount{Much: rate * 500, Rate: rate * 1000}, Reserve: 20, Newcomers: 5, Least: 1000}}}
+	set := &budget.Set{Version: 1, Lease: lease, MaxFrontEnds: n, Specs: []budget.Spec{{Name: "rate", Kind: account.Rate,
+		Total: budget.Amount{Capacity: rate * 500, Rate: rate * 1000}, Reserve: 20, NewcomerReserve: 5, MinPart: 1000}}}
 	w := newWorld(1, set, n, broken{})
 	for _, h := range w.holders {
 		h.want = 1
@@ -29,13 +29,13 @@
 	for _, h := range w.holders {
 		total += h.want
 	}
-	return min(total, float64(w.set.Specs[0].Whole.Rate)/1000)
+	return min(total, float64(w.set.Specs[0].Total.Rate)/1000)
 }
 
 // even is what an even division would let be spent in a second, and guess what each front end's guess at its part does, which is
 // its demand over 1.4 times the whole and an even part at least: what it would let be spent may be more than the whole.
 func (w *world) even() (even, guess float64) {
-	whole := float64(w.set.Specs[0].Whole.Rate) / 1000
+	whole := float64(w.set.Specs[0].Total.Rate) / 1000
 	for _, h := range w.holders {
 		even += min(h.want, whole/float64(len(w.holders)))
 		guess += min(h.want, whole*max(min(1, h.want/(1.4*whole)), 1/float64(len(w.holders))))
@@ -44,7 +44,7 @@
 }
 
 func (w *world) rate(span micros) float64 {
-	return w.used(&w.set.Specs[0], span) * float64(w.set.Specs[0].Whole.Rate) / 1000
+	return w.used(&w.set.Specs[0], span) * float64(w.set.Specs[0].Total.Rate) / 1000
 }
 
 // The whole is in use under steady, skewed and moving demand, against an oracle; and how soon a move of demand is followed.
@@ -82,7 +82,7 @@
 	moved := w.now
 	has := func() float64 {
 		now := w.holders[3].proc.local()
-		lease, static, _ := w.holders[3].proc.books["rate"].Of(now, "").Amounts(now)
+		lease, static, _ := w.holders[3].proc.books["rate"].Account(now, "").Amounts(now)
 		return float64(lease.Rate + static.Rate)
 	}
 	followed := map[micros]float64{}
@@ -110,7 +110,7 @@
 	// 5 and 30 are served whole; the other three share 165 evenly
 	for i, share := range []float64{5, 30, 55, 55, 55} {
 		now := w.holders[i].proc.local()
-		lease, static, _ := w.holders[i].proc.books["rate"].Of(now, "").Amounts(now)
+		lease, static, _ := w.holders[i].proc.books["rate"].Account(now, "").Amounts(now)
 		assert.InDelta(t, share, float64(lease.Rate+static.Rate)/1000, share*0.2+3, "of %d", i)
 	}
 }
@@ -134,11 +134,11 @@
 		require.Empty(t, w.check())
 	}
 	for _, each := range []int{100, 2000, 10000} {
-		set := &budget.Set{Version: 1, Lease: 2 * second, Most: 9, Specs: []budget.Spec{{Name: "each", Kind: account.Window, Span: second,
-			Whole: budget.Amount{Much: 20_000}, Reserve: 30, Newcomers: 10, Least: 1}}}
+		set := &budget.Set{Version: 1, Lease: 2 * second, MaxFrontEnds: 9, Specs: []budget.Spec{{Name: "each", Kind: account.Window, Window: second,
+			Total: budget.Amount{Capacity: 20_000}, Reserve: 30, NewcomerReserve: 10, MinPart: 1}}}
 		w := newWorld(1, set, 9, broken{})
 		for _, c := range w.copies {
-			c.kind = budget.NewAuthority(budget.Options{Instances: budget.MostInstances})
+			c.kind = budget.NewAuthority(budget.Options{Instances: budget.MaxInstances})
 		}
 		w.each = each
 		for _, h := range w.holders {
@@ -157,8 +157,8 @@
 // within its bound.
 func TestThousandsOfBudgets(t *testing.T) {
 	for _, each := range []int{2000, 10000} {
-		set := &budget.Set{Version: 1, Lease: 2 * second, Most: 5, Specs: []budget.Spec{{Name: "each", Kind: account.Window, Span: second,
-			Whole: budget.Amount{Much: 5_000}, Reserve: 0, Least: 1000}}}
+		set := &budget.Set{Version: 1, Lease: 2 * second, MaxFrontEnds: 5, Specs: []budget.Spec{{Name: "each", Kind: account.Window, Window: second,
+			Total: budget.Amount{Capacity: 5_000}, Reserve: 0, MinPart: 1000}}}
 		w := newWorld(1, set, 5, broken{})
 		for _, c := range w.copies {
 			c.kind = budget.NewAuthority(budget.Options{Instances: each / 2})
@@ -176,7 +176,7 @@
 			require.Empty(t, checkSpends(&set.Specs[0], list), subject)
 		}
 		assert.Greater(t, len(bySubject), each/8, "subjects of which something was spent")
-		for _, s := range w.copies[0].kind.Show(0, "") {
+		for _, s := range w.copies[0].kind.Status(0, "") {
 			assert.LessOrEqual(t, len(s.Subjects), 100)
 		}
 	}
--- a/fleet/budget/golden_test.go
+++ b/fleet/budget/golden_test.go
@@ -14,11 +14,11 @@
 
 // goldenSet is a set with a budget of each kind.
 func goldenSet(version uint64) *Set {
-	return &Set{Version: version, Lease: 2 * second, Most: 5, Specs: []Spec{
-		{Name: "places", Kind: account.Places, Whole: Amount{Much: 6000}, Life: 25 * second, Newcomers: 100, Floor: 50, Least: 1000},
-		{Name: "rate", Kind: account.Rate, Whole: Amount{Much: 8000, Rate: 6000}, Reserve: 700, Least: 1000,
+	return &Set{Version: version, Lease: 2 * second, MaxFrontEnds: 5, Specs: []Spec{
+		{Name: "places", Kind: account.Concurrency, Total: Amount{Capacity: 6000}, MaxAttemptDuration: 25 * second, NewcomerReserve: 100, Floor: 50, MinPart: 1000},
+		{Name: "rate", Kind: account.Rate, Total: Amount{Capacity: 8000, Rate: 6000}, Reserve: 700, MinPart: 1000,
 			Weights: []Weight{{"n1", 2000}, {"n2", 500}}, Scope: []byte(`{"class":"load"}`)},
-		{Name: "window", Kind: account.Window, Whole: Amount{Much: 90_000}, Span: 60 * second, Least: 10},
+		{Name: "window", Kind: account.Window, Total: Amount{Capacity: 90_000}, Window: 60 * second, MinPart: 10},
 	}}
 }
 
@@ -48,11 +48,11 @@
 	}
 	reply := answer{N: 300, Late: true, Over: true, Unknown: true, Index: 1 << 40, Static: 298, Lease: 2 * second, Version: 3,
 		Set: goldenSet(3).Encode(), Differs: true, Waits: []string{"rate", "window"},
-		Parts: []part{{"places", "", false, Amount{Much: 2000}}, {"rate", "s-00000001", true, Amount{Much: 300, Rate: 200}}, {}}}
+		Parts: []part{{"places", "", false, Amount{Capacity: 2000}}, {"rate", "s-00000001", true, Amount{Capacity: 300, Rate: 200}}, {}}}
 	list = append(list, golden.Message{Name: "answer", Encoded: reply.encode(), Recode: recodeAnswer},
 		golden.Message{Name: "answer-empty", Encoded: (&answer{}).encode(), Recode: recodeAnswer},
 		golden.Message{Name: "set", Encoded: goldenSet(3).Encode(), Recode: recodeSet},
-		golden.Message{Name: "set-empty", Encoded: (&Set{Version: 1, Lease: second, Most: 1}).Encode(), Recode: recodeSet})
+		golden.Message{Name: "set-empty", Encoded: (&Set{Version: 1, Lease: second, MaxFrontEnds: 1}).Encode(), Recode: recodeSet})
 	golden.Messages(t, "testdata/messages.txt", list)
 }
 
@@ -61,15 +61,15 @@
 	replaced map[replication.Incarnation]bool
 }
 
-func (p noneGone) Gone(i replication.Incarnation) bool     { return p.replaced[i] }
-func (p noneGone) Replaced(i replication.Incarnation) bool { return p.replaced[i] }
-func (p noneGone) Missing(i replication.Incarnation) bool  { return p.replaced[i] }
-func (p noneGone) Present() []replication.Incarnation      { return nil }
+func (p noneGone) PresumedDead(i replication.Incarnation) bool { return p.replaced[i] }
+func (p noneGone) Superseded(i replication.Incarnation) bool   { return p.replaced[i] }
+func (p noneGone) Unreachable(i replication.Incarnation) bool  { return p.replaced[i] }
+func (p noneGone) Live() []replication.Incarnation             { return nil }
 
 // The answers to a sequence of reports, what time calls for meanwhile, the snapshot after it, and what operators see of it.
 func TestWireFormatOfStates(t *testing.T) {
 	a := NewAuthority(Options{Instances: 100})
-	at := replication.Applied{Index: 100, Note: func(replication.Incarnation, string) {}}
+	at := replication.ApplyContext{Index: 100, Notify: func(replication.Incarnation, string) {}}
 	seen := noneGone{map[replication.Incarnation]bool{}}
 	var list []golden.Message
 	recode := func(b []byte) ([]byte, error) {
@@ -86,7 +86,7 @@
 		return ans
 	}
 	due := func() {
-		for _, body := range a.Due(at.Now, seen) {
+		for _, body := range a.DueCommands(at.Now, seen) {
 			list = append(list, golden.Message{Name: fmt.Sprintf("due-%d-%d", at.Index, len(list)), Encoded: body, Recode: func(b []byte) ([]byte, error) {
 				c, err := decodeCommand(b)
 				return c.encode(), err
@@ -115,15 +115,15 @@
 	seen.replaced[2] = true
 	due()
 	set = goldenSet(2)
-	set.Specs[1].Whole = Amount{Much: 4000, Rate: 3000}
+	set.Specs[1].Total = Amount{Capacity: 4000, Rate: 3000}
 	report(4, 1, 0, 0, want{"places", "", 2000, 500}, want{"rate", "", 3000, 0})
-	list = append(list, golden.Message{Name: "snapshot", Encoded: a.Snapshot(nil), Recode: func(b []byte) ([]byte, error) {
+	list = append(list, golden.Message{Name: "snapshot", Encoded: a.AppendSnapshot(nil), Recode: func(b []byte) ([]byte, error) {
 		other := NewAuthority(Options{Instances: 100})
 		err := other.Restore(b, at.Now)
-		return other.Snapshot(nil), err
-	}}, golden.Message{Name: "snapshot-empty", Encoded: NewAuthority(Options{}).Snapshot(nil)})
+		return other.AppendSnapshot(nil), err
+	}}, golden.Message{Name: "snapshot-empty", Encoded: NewAuthority(Options{}).AppendSnapshot(nil)})
 	golden.Messages(t, "testdata/states.txt", list)
-	page, err := json.Marshal(a.Show(at.Now, ""))
+	page, err := json.Marshal(a.Status(at.Now, ""))
 	require.NoError(t, err)
 	plan, err := json.Marshal(set.Plan())
 	require.NoError(t, err)
--- a/fleet/budget/history_test.go
+++ b/fleet/budget/history_test.go
@@ -138,9 +138,9 @@
 type process struct {
 	h       *holder
 	who     replication.Incarnation
-	holder  *budget.Holder
+	holder  *budget.LeaseHolder
 	books   map[string]*account.Book
-	open    map[uint64]func(replication.Answer)
+	open    map[uint64]func(replication.Response)
 	asked   uint64
 	paused  bool
 	waiting []func()
@@ -234,10 +234,10 @@
 		if w.applying != nil {
 			applied = w.applying()
 		}
-		out := c.kind.Apply(replication.Applied{Index: uint64(i + 1), Now: c.clock.at(w.now), Note: w.note}, w.askers[i], body)
+		out := c.kind.Apply(replication.ApplyContext{Index: uint64(i + 1), Now: c.clock.at(w.now), Notify: w.note}, w.askers[i], body)
 		applied()
 		if w.broken.noReserve && w.askers[i] != 0 {
-			out = budget.Larger(out, func(name string) budget.Amount { return w.set.Of(name).Reserved() })
+			out = budget.Larger(out, func(name string) budget.Amount { return w.set.Lookup(name).Reserved() })
 		}
 		if told := w.answers[i+1]; told != nil {
 			w.bytes += len(out)
@@ -251,17 +251,17 @@
 	for _, h := range w.holders {
 		if p := h.proc; p != nil && p.who == to {
 			if d, ok := w.travels(h.name); ok {
-				w.after(d, func() { p.does(func() { p.holder.Note(p.local()) }) })
+				w.after(d, func() { p.does(func() { p.holder.Notify(p.local()) }) })
 			}
 		}
 	}
 }
 
-// Gone and Replaced are what copies see of processes.
-func (w *world) Gone(replication.Incarnation) bool    { return false }
-func (w *world) Missing(replication.Incarnation) bool { return false }
-func (w *world) Present() []replication.Incarnation   { return nil }
-func (w *world) Replaced(who replication.Incarnation) bool {
+// PresumedDead and Replaced are what copies see of processes.
+func (w *world) PresumedDead(replication.Incarnation) bool { return false }
+func (w *world) Unreachable(replication.Incarnation) bool  { return false }
+func (w *world) Live() []replication.Incarnation           { return nil }
+func (w *world) Superseded(who replication.Incarnation) bool {
 	for _, h := range w.holders {
 		if h.proc != nil && slices.Contains(h.past, who) {
 			return true
@@ -277,12 +277,12 @@
 			continue
 		}
 		now := c.clock.at(w.now)
-		list := c.kind.Due(now, w)
+		list := c.kind.DueCommands(now, w)
 		for _, early := range []struct {
 			is   bool
 			what func([]byte) bool
 		}{{w.broken.trustsClock, budget.IsLapse}, {w.broken.freesAtLapse, budget.IsFree}, {w.broken.opensAtOnce, budget.IsOpen}} {
-			for _, body := range c.kind.Due(now+60*second, w) {
+			for _, body := range c.kind.DueCommands(now+60*second, w) {
 				if early.is && early.what(body) {
 					list = append(list, body)
 				}
@@ -308,10 +308,10 @@
 		return
 	}
 	w := h.w
-	p := &process{h: h, who: replication.Incarnation(w.rng.Uint64()>>1 | 1), books: map[string]*account.Book{}, open: map[uint64]func(replication.Answer){}}
+	p := &process{h: h, who: replication.Incarnation(w.rng.Uint64()>>1 | 1), books: map[string]*account.Book{}, open: map[uint64]func(replication.Response){}}
 	h.proc = p
-	p.holder = budget.NewHolder(budget.HolderConfig{Name: h.name, Set: h.set, Gap: 20 * ms}, p, p)
-	p.holder.Begin(p.local())
+	p.holder = budget.NewLeaseHolder(budget.LeaseHolderConfig{Name: h.name, Set: h.set, MinReportInterval: 20 * ms}, p, p)
+	p.holder.Start(p.local())
 	p.tick()
 	p.next()
 }
@@ -339,7 +339,7 @@
 	case p.paused:
 		p.waiting = append(p.waiting, func() { p.does(do) })
 	default:
-		p.holder.At(p.local())
+		p.holder.SetNow(p.local())
 		do()
 	}
 }
@@ -352,8 +352,8 @@
 	p.h.w.after(25*ms, p.tick)
 }
 
-// Ask puts a question to the record: it may be committed not at all, late, or twice.
-func (p *process) Ask(_ micros, _, _ uint32, body []byte, done func(replication.Answer)) uint64 {
+// Propose puts a question to the record: it may be committed not at all, late, or twice.
+func (p *process) Propose(_ micros, _, _ uint32, body []byte, done func(replication.Response)) uint64 {
 	w := p.h.w
 	p.asked++
 	id := p.asked
@@ -373,7 +373,7 @@
 					if w.broken.fromAnswer {
 						out = budget.Longer(out, p.local()-asked)
 					}
-					done(replication.Answer{Seq: id, Result: replication.Committed, Body: out})
+					done(replication.Response{Sequence: id, Result: replication.Committed, Body: out})
 				}
 			})
 		})
@@ -397,23 +397,23 @@
 // Cancel takes a question back; it may still be committed.
 func (p *process) Cancel(id uint64) { delete(p.open, id) }
 
-// Demands and Allow are the spender's side.
-func (p *process) Demands(now micros) (list []scheduler.Demand) {
+// BudgetDemands and Allow are the spender's side.
+func (p *process) BudgetDemands(now micros) (list []scheduler.BudgetDemand) {
 	for i := range p.h.w.set.Specs {
 		name := p.h.w.set.Specs[i].Name
 		if b := p.books[name]; b != nil {
 			b.Each(func(subject string, a *account.Account) {
 				if want, inUse := a.Demand(now), a.InUse(now); want != 0 || inUse != 0 {
-					list = append(list, scheduler.Demand{Budget: name, Subject: subject, Want: want, InUse: inUse})
+					list = append(list, scheduler.BudgetDemand{Budget: name, Subject: subject, Want: want, InUse: inUse})
 				}
 			})
-			b.Forget(now)
+			b.EvictIdle(now)
 		}
 	}
 	return list
 }
 
-func (p *process) Allow(now micros, g budget.Grant) {
+func (p *process) GrantBudgets(now micros, g budget.Grant) {
 	if p.h.w.broken.lateAllow && g.Set == nil {
 		p.h.w.after(300*ms, func() { p.does(func() { p.allow(p.local(), g) }) })
 		return
@@ -426,7 +426,7 @@
 		for i := range g.Set.Specs {
 			s := &g.Set.Specs[i]
 			if p.books[s.Name] == nil {
-				p.books[s.Name] = &account.Book{Kind: s.Kind, Span: s.Span}
+				p.books[s.Name] = &account.Book{Kind: s.Kind, Window: s.Window}
 			}
 		}
 	}
@@ -436,10 +436,10 @@
 			if q.Budget == name {
 				list = append(list, account.Lease{Subject: q.Subject, Amount: q.Amount})
 				if b.Kind == account.Rate {
-					if q.Amount.Much > p.much {
-						p.bonus = int(q.Amount.Much / 1000)
+					if q.Amount.Capacity > p.much {
+						p.bonus = int(q.Amount.Capacity / 1000)
 					}
-					p.much = q.Amount.Much
+					p.much = q.Amount.Capacity
 				}
 			}
 		}
@@ -467,7 +467,7 @@
 		for i := range w.set.Specs {
 			spec, subject := &w.set.Specs[i], w.subject()
 			if b := p.books[spec.Name]; b != nil {
-				b.Of(now, subject).Want(now, account.Unit)
+				b.Account(now, subject).RecordDemand(now, account.Unit)
 				p.try(spec, subject)
 			}
 		}
@@ -478,12 +478,12 @@
 // try spends one query's, if it may; who is the first in a while waits for the record's answer.
 func (p *process) try(spec *budget.Spec, subject string) {
 	w, now := p.h.w, p.local()
-	a := p.books[spec.Name].Of(now, subject)
+	a := p.books[spec.Name].Account(now, subject)
 	if _, ok := a.Spend(now, account.Unit); !ok {
 		switch {
 		case w.broken.keepsTokens && spec.Kind == account.Rate && p.bonus > 0:
 			p.bonus--
-		case a.New(now):
+		case a.AwaitsFirstLease(now):
 			w.after(20*ms, func() { p.does(func() { p.try(spec, subject) }) })
 			return
 		default:
@@ -492,11 +492,11 @@
 	}
 	s := &spend{budget: spec.Name, subject: subject, at: w.now, over: w.now, n: account.Unit}
 	w.spends = append(w.spends, s)
-	if spec.Kind == account.Places {
+	if spec.Kind == account.Concurrency {
 		t := &taken{s, a}
 		s.over = w.now + w.between(10*ms, 600*ms)
 		if w.rng.IntN(20) == 0 {
-			s.over = w.now + w.between(0, spec.Life)
+			s.over = w.now + w.between(0, spec.MaxAttemptDuration)
 		}
 		p.held = append(p.held, t)
 		w.after(s.over-w.now, func() { p.does(func() { p.back(t) }) })
@@ -515,7 +515,7 @@
 
 func (p *process) back(t *taken) {
 	p.held = slices.DeleteFunc(p.held, func(o *taken) bool { return o == t })
-	t.a.Back(account.Unit)
+	t.a.Release(account.Unit)
 }
 
 // fault is one of a script.
@@ -572,7 +572,7 @@
 		from := w.copies[(f.Who+1)%len(w.copies)]
 		if !from.stopped {
 			k := budget.NewAuthority(budget.Options{Instances: 100})
-			if err := k.Restore(from.kind.Snapshot(nil), c.clock.at(w.now)); err != nil {
+			if err := k.Restore(from.kind.AppendSnapshot(nil), c.clock.at(w.now)); err != nil {
 				panic(err)
 			}
 			c.kind, c.applied = k, from.applied
@@ -585,8 +585,8 @@
 			next.Version++
 			next.Specs = slices.Clone(next.Specs)
 			for i := range next.Specs {
-				by, first := int64(1+f.Span%20), theSet(next.Lease).Specs[i].Whole
-				next.Specs[i].Whole = budget.Amount{Much: max(6000, first.Much*by/10), Rate: first.Rate * by / 10}
+				by, first := int64(1+f.Span%20), theSet(next.Lease).Specs[i].Total
+				next.Specs[i].Total = budget.Amount{Capacity: max(6000, first.Capacity*by/10), Rate: first.Rate * by / 10}
 			}
 			w.set, w.sets = &next, append(w.sets, &next)
 		}
@@ -652,7 +652,7 @@
 		last := &w.set.Specs[i]
 		spec := *last // the largest whole that was ever in force: of those in between the sum is not stated
 		for _, set := range w.sets {
-			spec.Whole = spec.Whole.Max(set.Specs[i].Whole)
+			spec.Total = spec.Total.Max(set.Specs[i].Total)
 		}
 		var list, late []*spend
 		for _, s := range w.spends {
@@ -670,17 +670,17 @@
 }
 
 func checkSpends(spec *budget.Spec, list []*spend) (breaches []string) {
-	whole := float64(spec.Whole.Much)
+	whole := float64(spec.Total.Capacity)
 	switch spec.Kind {
 	case account.Rate:
 		level, at := whole, micros(0)
 		for _, s := range list {
-			level, at = min(whole, level+float64(spec.Whole.Rate)*float64(s.at-at)/float64(second)), s.at
+			level, at = min(whole, level+float64(spec.Total.Rate)*float64(s.at-at)/float64(second)), s.at
 			if level -= float64(s.n); level < -0.5 {
 				return []string{fmt.Sprintf("%s: %.3f over at %d us", spec.Name, -level/1000, s.at)}
 			}
 		}
-	case account.Places:
+	case account.Concurrency:
 		type edge struct {
 			at micros
 			n  int64
@@ -697,20 +697,20 @@
 		})
 		sum := int64(0)
 		for _, e := range edges {
-			if sum += e.n; sum > spec.Whole.Much {
-				return []string{fmt.Sprintf("%s: %d of %d places at %d us", spec.Name, sum/1000, spec.Whole.Much/1000, e.at)}
+			if sum += e.n; sum > spec.Total.Capacity {
+				return []string{fmt.Sprintf("%s: %d of %d places at %d us", spec.Name, sum/1000, spec.Total.Capacity/1000, e.at)}
 			}
 		}
 	case account.Window:
 		sum, first := int64(0), 0
 		for i, s := range list {
 			sum += s.n
-			for list[first].at <= s.at-spec.Span {
+			for list[first].at <= s.at-spec.Window {
 				sum -= list[first].n
 				first++
 			}
-			if sum > spec.Whole.Much {
-				return []string{fmt.Sprintf("%s: %d of %d within a window at %d us", spec.Name, sum/1000, spec.Whole.Much/1000, list[i].at)}
+			if sum > spec.Total.Capacity {
+				return []string{fmt.Sprintf("%s: %d of %d within a window at %d us", spec.Name, sum/1000, spec.Total.Capacity/1000, list[i].at)}
 			}
 		}
 	}
@@ -727,18 +727,18 @@
 	}
 	switch spec.Kind {
 	case account.Rate:
-		return n / (float64(spec.Whole.Rate) * float64(span) / float64(second))
+		return n / (float64(spec.Total.Rate) * float64(span) / float64(second))
 	case account.Window:
-		return n / (float64(spec.Whole.Much) * float64(span) / float64(spec.Span))
+		return n / (float64(spec.Total.Capacity) * float64(span) / float64(spec.Window))
 	}
 	return 1
 }
 
 func theSet(lease micros) *budget.Set {
-	return &budget.Set{Version: 1, Lease: lease, Most: most, Specs: []budget.Spec{
-		{Name: "places", Kind: account.Places, Whole: budget.Amount{Much: 12_000}, Life: 3 * second, Reserve: 420, Least: 1000},
-		{Name: "rate", Kind: account.Rate, Whole: budget.Amount{Much: 40_000, Rate: 50_000}, Reserve: 130, Newcomers: 20, Least: 1000},
-		{Name: "window", Kind: account.Window, Whole: budget.Amount{Much: 60_000}, Span: 2 * second, Reserve: 100, Least: 1000},
+	return &budget.Set{Version: 1, Lease: lease, MaxFrontEnds: most, Specs: []budget.Spec{
+		{Name: "places", Kind: account.Concurrency, Total: budget.Amount{Capacity: 12_000}, MaxAttemptDuration: 3 * second, Reserve: 420, MinPart: 1000},
+		{Name: "rate", Kind: account.Rate, Total: budget.Amount{Capacity: 40_000, Rate: 50_000}, Reserve: 130, NewcomerReserve: 20, MinPart: 1000},
+		{Name: "window", Kind: account.Window, Total: budget.Amount{Capacity: 60_000}, Window: 2 * second, Reserve: 100, MinPart: 1000},
 	}}
 }
 
@@ -772,14 +772,14 @@
 		w.run(w.now + 10*ms)
 		for _, c := range w.copies {
 			c.apply()
-			require.Equal(t, w.copies[0].kind.Snapshot(nil), c.kind.Snapshot(nil), "copies differ")
+			require.Equal(t, w.copies[0].kind.AppendSnapshot(nil), c.kind.AppendSnapshot(nil), "copies differ")
 		}
 		total := 0.0
 		for _, h := range w.holders {
 			total += h.want
 		}
 		if len(w.sets) == 1 && total > 80 {
-			require.Greater(t, w.used(w.set.Of("rate"), 4*second), 0.7, "of the rate is in use in the end: clients ask at random")
+			require.Greater(t, w.used(w.set.Lookup("rate"), 4*second), 0.7, "of the rate is in use in the end: clients ask at random")
 		}
 	})
 }
--- a/fleet/budget/holder.go
+++ b/fleet/budget/holder.go
@@ -10,41 +10,41 @@
 	"chutechute/scheduler"
 )
 
-// Asker puts questions to the record; see fleet.Node.
-type Asker interface {
-	Ask(now Micros, kind, version uint32, body []byte, done func(replication.Answer)) (id uint64)
+// Proposer puts questions to the record; see fleet.Node.
+type Proposer interface {
+	Propose(now Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64)
 	Cancel(id uint64)
 }
 
-// Spender is who spends: it tells what it wants and has in use, and takes what it may. What it is allowed has to be in force
+// Consumer is who spends: it tells what it wants and has in use, and takes what it may. What it is allowed has to be in force
 // before it begins anything more.
-type Spender interface {
-	Demands(now Micros) []scheduler.Demand
-	Allow(now Micros, g Grant)
+type Consumer interface {
+	BudgetDemands(now Micros) []scheduler.BudgetDemand
+	GrantBudgets(now Micros, g Grant)
 }
 
 // Grant is what a front end may spend from now on.
 type Grant struct {
-	Set    *Set     // where it, or Waits, has changed; nil otherwise
-	Waits  []string // budgets of the set that are not in force yet
-	Until  Micros
-	Leased []scheduler.Part // by budget and subject
-	Static []scheduler.Part
+	Set        *Set     // where it, or Waits, has changed; nil otherwise
+	NotInForce []string // budgets of the set that are not in force yet
+	Until      Micros
+	Leased     []scheduler.BudgetAmount // by budget and subject
+	Static     []scheduler.BudgetAmount
 }
 
-// HolderConfig sets a holder up.
-type HolderConfig struct {
-	Name string
-	Set  *Set   // of this front end's settings
-	Gap  Micros // the least span between two reports
+// LeaseHolderConfig sets a holder up.
+type LeaseHolderConfig struct {
+	Name              string
+	Set               *Set   // of this front end's settings
+	MinReportInterval Micros // the least span between two reports
 }
 
-// Holder is one front end's side of the division. It counts a lease from before it asked for it, lets go of it when its time is
+// LeaseHolder is one front end's side of the division. It counts a lease from before it asked for it, lets go of it when its time is
 // over by its own clock, and takes no answer to a question from before that.
-type Holder struct {
-	cfg     HolderConfig
-	ask     Asker
-	spender Spender
+type LeaseHolder struct {
+	cfg     LeaseHolderConfig
+	ask     Proposer
+	spender Consumer
 	now     Micros
 	set     *Set // in force: the record's, once it is known
 	text    []byte
@@ -57,7 +57,7 @@
 	until   Micros
 	leased  map[key]Amount
 	static  uint64
-	statics []scheduler.Part
+	statics []scheduler.BudgetAmount
 	pending uint64       // the question that is out; 0 without one
 	asked   Micros       // of the last report
 	soon    bool         // something calls for a report
@@ -69,69 +69,69 @@
 	left    bool
 
 	// Moved counts grants that changed something, Lapsed leases that ended without another, Late answers that came too late.
-	Reports, Moved, Lapsed, Late int
-	Differs                      bool // this front end's settings have the record's version and say something else
-	Behind                       bool // the record has a newer version
+	Reports, ChangedGrants, ExpiredLeases, LateResponses int
+	SettingsConflict                                     bool // this front end's settings have the record's version and say something else
+	SettingsOutdated                                     bool // the record has a newer version
 }
 
-// NewHolder is a front end that may spend nothing yet.
-func NewHolder(cfg HolderConfig, ask Asker, spender Spender) *Holder {
-	h := &Holder{cfg: cfg, ask: ask, spender: spender, told: map[key]want{}, leased: map[key]Amount{}}
+// NewLeaseHolder is a front end that may spend nothing yet.
+func NewLeaseHolder(cfg LeaseHolderConfig, ask Proposer, spender Consumer) *LeaseHolder {
+	h := &LeaseHolder{cfg: cfg, ask: ask, spender: spender, told: map[key]want{}, leased: map[key]Amount{}}
 	h.use(cfg.Set)
 	return h
 }
 
 // list is all that is leased, by budget and subject.
-func (h *Holder) list() (list []scheduler.Part) {
+func (h *LeaseHolder) list() (list []scheduler.BudgetAmount) {
 	for k, m := range h.leased {
-		list = append(list, scheduler.Part{Budget: k.budget, Subject: k.subject, Amount: m})
+		list = append(list, scheduler.BudgetAmount{Budget: k.budget, Subject: k.subject, Amount: m})
 	}
-	slices.SortFunc(list, func(a, b scheduler.Part) int {
+	slices.SortFunc(list, func(a, b scheduler.BudgetAmount) int {
 		return key{a.Budget, a.Subject}.compare(key{b.Budget, b.Subject})
 	})
 	return list
 }
 
-func (h *Holder) use(set *Set) { h.set, h.text = set, set.Encode() }
+func (h *LeaseHolder) use(set *Set) { h.set, h.text = set, set.Encode() }
 
 // Reload puts this front end's own settings into another form; they count once the record has taken them.
-func (h *Holder) Reload(now Micros, set *Set) {
-	h.now, h.cfg.Set, h.soon, h.Differs, h.agreed = now, set, true, false, false
+func (h *LeaseHolder) Reload(now Micros, set *Set) {
+	h.now, h.cfg.Set, h.soon, h.SettingsConflict, h.agreed = now, set, true, false, false
 }
 
 // put has the spender go by another set. What is leased stays in force: it is the record's word.
-func (h *Holder) put(set *Set) {
+func (h *LeaseHolder) put(set *Set) {
 	h.use(set)
-	h.spender.Allow(h.now, Grant{Set: set, Waits: h.waits, Until: h.until, Leased: h.list(), Static: h.statics})
+	h.spender.GrantBudgets(h.now, Grant{Set: set, NotInForce: h.waits, Until: h.until, Leased: h.list(), Static: h.statics})
 }
 
-// Begin tells the spender of the budgets, of which it has nothing yet.
-func (h *Holder) Begin(now Micros) {
+// Start tells the spender of the budgets, of which it has nothing yet.
+func (h *LeaseHolder) Start(now Micros) {
 	h.now = now
 	h.put(h.set)
 }
 
-// At sets the time for what comes before the next Tick.
-func (h *Holder) At(now Micros) { h.now = now }
+// SetNow sets the time for what comes before the next Tick.
+func (h *LeaseHolder) SetNow(now Micros) { h.now = now }
 
-// Note tells that the division may change.
-func (h *Holder) Note(now Micros) { h.now, h.soon = now, true }
+// Notify tells that the division may change.
+func (h *LeaseHolder) Notify(now Micros) { h.now, h.soon = now, true }
 
-// Leave gives all back: nothing is spent any more. Left says whether the record knows it.
-func (h *Holder) Leave(now Micros) {
+// Release gives all back: nothing is spent any more. Left says whether the record knows it.
+func (h *LeaseHolder) Release(now Micros) {
 	h.now = now
 	if !h.leaving {
 		h.leaving, h.soon, h.asked = true, true, 0
 		h.cancel()
-		h.statics, h.static = []scheduler.Part{}, 0
+		h.statics, h.static = []scheduler.BudgetAmount{}, 0
 		h.drop()
 	}
 }
 
-// Left says whether all was given back, or never had.
-func (h *Holder) Left() bool { return h.left || h.n == 0 }
+// Released says whether all was given back, or never had.
+func (h *LeaseHolder) Released() bool { return h.left || h.n == 0 }
 
-func (h *Holder) cancel() {
+func (h *LeaseHolder) cancel() {
 	if h.pending != 0 {
 		h.ask.Cancel(h.pending)
 		h.pending = 0
@@ -139,17 +139,17 @@
 }
 
 // drop lets go of the lease; what was asked before is not taken any more.
-func (h *Holder) drop() {
+func (h *LeaseHolder) drop() {
 	h.adopted, h.until, h.floor = 0, h.now, h.n+1
 	clear(h.leased)
-	h.spender.Allow(h.now, Grant{Until: h.now, Static: h.statics})
+	h.spender.GrantBudgets(h.now, Grant{Until: h.now, Static: h.statics})
 }
 
 // Tick lets time pass.
-func (h *Holder) Tick(now Micros) {
+func (h *LeaseHolder) Tick(now Micros) {
 	h.now = now
 	if h.adopted != 0 && now >= h.until {
-		h.Lapsed++
+		h.ExpiredLeases++
 		h.soon = true
 		h.drop()
 	}
@@ -163,7 +163,7 @@
 		h.cancel() // the next says anew what is to be known
 		h.soon = true
 	}
-	if now-h.asked < h.cfg.Gap+Micros(len(h.told))*perLine {
+	if now-h.asked < h.cfg.MinReportInterval+Micros(len(h.told))*perLine {
 		return
 	}
 	if !h.soon {
@@ -181,7 +181,7 @@
 )
 
 // look sees whether a report is due: in time for the lease, and sooner where demand has moved.
-func (h *Holder) look() {
+func (h *LeaseHolder) look() {
 	every := h.set.Lease / 4
 	if h.idle {
 		every = h.set.Lease
@@ -194,7 +194,7 @@
 		return
 	}
 	h.looked = h.now
-	for _, d := range h.spender.Demands(h.now) {
+	for _, d := range h.spender.BudgetDemands(h.now) {
 		if told, ok := h.told[key{d.Budget, d.Subject}]; !ok || moved(told.Want, d.Want) {
 			h.soon = true
 			return
@@ -210,7 +210,7 @@
 
 // lines is what a report has to tell: all, or the changes to the last one that was answered. What is in use counts only
 // where that is more than what is leased.
-func (h *Holder) lines() (list []want) {
+func (h *LeaseHolder) lines() (list []want) {
 	all := h.base == 0
 	if all {
 		clear(h.told)
@@ -222,13 +222,13 @@
 			h.told[k] = w
 		}
 	}
-	for _, d := range h.spender.Demands(h.now) {
+	for _, d := range h.spender.BudgetDemands(h.now) {
 		k := key{d.Budget, d.Subject}
 		w := want{d.Budget, d.Subject, d.Want, d.InUse}
 		if h.leaving {
 			w.Want = 0
 		}
-		if w.InUse <= h.leased[k].Much {
+		if w.InUse <= h.leased[k].Capacity {
 			w.InUse = 0
 		}
 		seen[k] = true
@@ -246,7 +246,7 @@
 	return list
 }
 
-func (h *Holder) report() {
+func (h *LeaseHolder) report() {
 	h.n++
 	h.Reports++
 	h.soon, h.asked = false, h.now
@@ -255,14 +255,14 @@
 	}
 	c := command{Op: opReport, Name: h.cfg.Name, N: h.n, Adopted: h.adopted, Static: h.static, Base: h.base, Leaving: h.leaving,
 		Version: h.cfg.Set.Version}
-	if !h.agreed && !h.Behind {
+	if !h.agreed && !h.SettingsOutdated {
 		c.Set = h.cfg.Set.Encode()
 	}
 	c.Wants = h.lines()
 	h.base = 0 // until it is answered
 	h.idle = len(h.told) == 0 && len(h.leased) == 0
 	n, asked := h.n, h.now
-	h.pending = h.ask.Ask(h.now, 2, 1, c.encode(), func(a replication.Answer) {
+	h.pending = h.ask.Propose(h.now, 2, 1, c.encode(), func(a replication.Response) {
 		h.pending = 0
 		ans, err := decodeAnswer(a.Body)
 		if err != nil || a.Result != replication.Committed || ans.N != n {
@@ -274,7 +274,7 @@
 }
 
 // take goes by an answer.
-func (h *Holder) take(n uint64, asked Micros, ans *answer) {
+func (h *LeaseHolder) take(n uint64, asked Micros, ans *answer) {
 	if h.leaving {
 		h.left = h.left || n >= h.floor && !ans.Late
 		return
@@ -286,10 +286,10 @@
 		return
 	case ans.Over:
 		if h.adopted != 0 {
-			h.Lapsed++
+			h.ExpiredLeases++
 		}
 		if ans.Unknown {
-			h.static, h.statics = 0, []scheduler.Part{}
+			h.static, h.statics = 0, []scheduler.BudgetAmount{}
 		}
 		h.soon = true
 		h.drop()
@@ -303,7 +303,7 @@
 	}
 	until := asked + ans.Lease
 	if h.now >= until {
-		h.Late++
+		h.LateResponses++
 		h.soon = true
 		return
 	}
@@ -326,29 +326,29 @@
 		h.until = max(h.until, until)
 	}
 	if ans.Static > h.static {
-		h.static, h.statics, changed = ans.Static, []scheduler.Part{}, true
+		h.static, h.statics, changed = ans.Static, []scheduler.BudgetAmount{}, true
 		for _, p := range ans.Parts {
 			if p.Static {
-				h.statics = append(h.statics, scheduler.Part{Budget: p.Budget, Amount: p.Amount})
+				h.statics = append(h.statics, scheduler.BudgetAmount{Budget: p.Budget, Amount: p.Amount})
 			}
 		}
 		h.soon = true
 	}
 	if changed {
-		h.Moved++
-		h.spender.Allow(h.now, Grant{Until: h.until, Leased: h.list(), Static: h.statics})
+		h.ChangedGrants++
+		h.spender.GrantBudgets(h.now, Grant{Until: h.until, Leased: h.list(), Static: h.statics})
 	}
 }
 
 // settings goes by the record's set, where it is not this front end's.
-func (h *Holder) settings(ans *answer) {
-	if ans.Differs && !h.Differs {
+func (h *LeaseHolder) settings(ans *answer) {
+	if ans.Differs && !h.SettingsConflict {
 		slog.Error("budgets: this front end's settings have the version that is in force and say something else, or change what a budget "+
 			"bounds: the record's are in force", "version", ans.Version)
 	}
-	h.Differs = ans.Differs
-	if behind := h.cfg.Set.Version < ans.Version; behind != h.Behind {
-		h.Behind = behind
+	h.SettingsConflict = ans.Differs
+	if behind := h.cfg.Set.Version < ans.Version; behind != h.SettingsOutdated {
+		h.SettingsOutdated = behind
 		if behind {
 			slog.Warn("budgets: a newer version than this front end's settings is in force", "own", h.cfg.Set.Version, "record", ans.Version)
 		}
@@ -370,21 +370,21 @@
 	}
 }
 
-// Shown is how a front end stands with the division, for operators.
-type Shown struct {
-	Version  uint64 `json:"version"`
-	Own      uint64 `json:"own_version"`
-	Differs  bool   `json:"differs"`
-	Adopted  uint64 `json:"grant"`
-	LeftUS   Micros `json:"lease_left_us"`
-	Reports  int    `json:"reports"`
-	Moved    int    `json:"moved"`
-	Lapsed   int    `json:"lapsed"`
-	TooLate  int    `json:"too_late"`
-	Enrolled bool   `json:"static_part"`
+// LeaseStatus is how a front end stands with the division, for operators.
+type LeaseStatus struct {
+	Version          uint64 `json:"version"`
+	OwnVersion       uint64 `json:"own_version"`
+	Differs          bool   `json:"differs"`
+	Grant            uint64 `json:"grant"`
+	LeaseRemainingUS Micros `json:"lease_left_us"`
+	Reports          int    `json:"reports"`
+	ChangedGrants    int    `json:"moved"`
+	ExpiredLeases    int    `json:"lapsed"`
+	LateResponses    int    `json:"too_late"`
+	HasStaticPart    bool   `json:"static_part"`
 }
 
-// Show is how this front end stands.
-func (h *Holder) Show(now Micros) Shown {
-	return Shown{h.set.Version, h.cfg.Set.Version, h.Differs, h.adopted, max(0, h.until-now), h.Reports, h.Moved, h.Lapsed, h.Late, h.static != 0}
+// Status is how this front end stands.
+func (h *LeaseHolder) Status(now Micros) LeaseStatus {
+	return LeaseStatus{h.set.Version, h.cfg.Set.Version, h.SettingsConflict, h.adopted, max(0, h.until-now), h.Reports, h.ChangedGrants, h.ExpiredLeases, h.LateResponses, h.static != 0}
 }
--- a/fleet/budget/holders.go
+++ b/fleet/budget/holders.go
@@ -47,7 +47,7 @@
 
 // hold begins one; nil where there is no such budget, or no room for another.
 func (a *Authority) hold(h *holder, k key) *hold {
-	p := a.set.Of(k.budget)
+	p := a.set.Lookup(k.budget)
 	i := a.insts[k]
 	if p == nil || len(k.subject) > mostName || i == nil && len(a.insts) >= a.o.Instances {
 		return nil
@@ -85,7 +85,7 @@
 }
 
 // enrol gives a holder its static parts, as far as there is one for it and others have given back what they hold of it.
-func (a *Authority) enrol(at replication.Applied, h *holder) {
+func (a *Authority) enrol(at replication.ApplyContext, h *holder) {
 	if !h.enrolled {
 		n := 0
 		for _, o := range a.holders {
@@ -93,7 +93,7 @@
 				n++
 			}
 		}
-		if n >= a.set.Most {
+		if n >= a.set.MaxFrontEnds {
 			return
 		}
 		h.enrolled = true
@@ -111,7 +111,7 @@
 			q = &pair{}
 			h.statics[p.Name] = q
 		}
-		want := p.part(a.set.Most)
+		want := p.part(a.set.MaxFrontEnds)
 		if want == q.cur {
 			continue
 		}
@@ -121,8 +121,8 @@
 				most[i.budget] = most[i.budget].Max(i.leased)
 			}
 		}
-		room := p.Whole.Sub(most[p.Name]).Sub(s.real).Max(Amount{})
-		if want = want.Min(q.prev.Add(room)); want.Much < p.Least {
+		room := p.Total.Sub(most[p.Name]).Sub(s.real).Max(Amount{})
+		if want = want.Min(q.prev.Add(room)); want.Capacity < p.MinPart {
 			want = Amount{}
 		}
 		if want != q.cur {
@@ -131,7 +131,7 @@
 		}
 	}
 	for name, q := range h.statics {
-		if a.set.Of(name) == nil && q.cur != (Amount{}) {
+		if a.set.Lookup(name) == nil && q.cur != (Amount{}) {
 			q.cur, changed = Amount{}, true
 		}
 	}
@@ -158,8 +158,8 @@
 
 // ends is how long what lingers does so at most: that of places ends sooner where its process is certainly no more.
 func ends(lingers Micros, kind account.Kind, certain bool) Micros {
-	if certain && kind == account.Places {
-		return min(lingers, replication.Unasked)
+	if certain && kind == account.Concurrency {
+		return min(lingers, replication.AbandonTimeout)
 	}
 	return lingers
 }
@@ -174,7 +174,7 @@
 	a.sweep(h)
 	if certain {
 		for name := range h.statics {
-			p := a.set.Of(name)
+			p := a.set.Lookup(name)
 			if p == nil || ends(p.lingers(), p.Kind, certain) <= span {
 				delete(h.statics, name)
 			}
--- a/fleet/budget/message.go
+++ b/fleet/budget/message.go
@@ -160,7 +160,7 @@
 		m = proto.String(m[:0], 1, p.Budget)
 		m = proto.String(m, 2, p.Subject)
 		m = proto.Bool(m, 3, p.Static)
-		m = proto.Uint(m, 4, uint64(p.Amount.Much))
+		m = proto.Uint(m, 4, uint64(p.Amount.Capacity))
 		m = proto.Uint(m, 5, uint64(p.Amount.Rate))
 		b = proto.Message(b, 9, m)
 	}
@@ -197,7 +197,7 @@
 				case 3:
 					p.Static = f.Uint != 0
 				case 4:
-					p.Amount.Much = bounded(f.Uint)
+					p.Amount.Capacity = bounded(f.Uint)
 				case 5:
 					p.Amount.Rate = bounded(f.Uint)
 				}
--- a/fleet/budget/show.go
+++ b/fleet/budget/show.go
@@ -7,32 +7,32 @@
 	"chutechute/fleet/budget/account"
 )
 
-// Standing is how a budget stands on record, for operators. Amounts are in units: queries, threads or milliseconds of work, a
+// Status is how a budget stands on record, for operators. Amounts are in units: queries, threads or milliseconds of work, a
 // second's for rates.
-type Standing struct {
-	Name      string  `json:"name"`
-	Kind      string  `json:"kind"`
-	Whole     float64 `json:"whole"`
-	Burst     float64 `json:"burst,omitempty"`
-	WindowMS  int64   `json:"window_ms,omitempty"`
-	Reserve   float64 `json:"reserve"`   // static parts, handed out or not
-	Newcomers float64 `json:"newcomers"` // kept back
-	Open      bool    `json:"open"`      // given out: a new record holds it back until what an earlier one granted is over
-	InForce   bool    `json:"in_force"`  // no more is held than the whole: false for a while after it was lowered
-	SinceMS   int64   `json:"in_force_ms"`
-	Subjects  []Held  `json:"subjects"`
+type Status struct {
+	Name      string          `json:"name"`
+	Kind      string          `json:"kind"`
+	Total     float64         `json:"whole"`
+	Burst     float64         `json:"burst,omitempty"`
+	WindowMS  int64           `json:"window_ms,omitempty"`
+	Reserve   float64         `json:"reserve"`   // static parts, handed out or not
+	Newcomers float64         `json:"newcomers"` // kept back
+	Open      bool            `json:"open"`      // given out: a new record holds it back until what an earlier one granted is over
+	InForce   bool            `json:"in_force"`  // no more is held than the whole: false for a while after it was lowered
+	SinceMS   int64           `json:"in_force_ms"`
+	Subjects  []SubjectStatus `json:"subjects"`
 }
 
-// Held is one subject's division.
-type Held struct {
-	Subject string  `json:"subject,omitempty"`
-	Leased  float64 `json:"leased"`
-	Free    float64 `json:"free"`
-	Holders []Holds `json:"holders"`
+// SubjectStatus is one subject's division.
+type SubjectStatus struct {
+	Subject string         `json:"subject,omitempty"`
+	Leased  float64        `json:"leased"`
+	Free    float64        `json:"free"`
+	Holders []HolderStatus `json:"holders"`
 }
 
-// Holds is what one process holds of it.
-type Holds struct {
+// HolderStatus is what one process holds of it.
+type HolderStatus struct {
 	Name    string  `json:"name"`
 	Process string  `json:"process"`
 	Want    float64 `json:"want"`
@@ -50,7 +50,7 @@
 	if s.Kind == account.Rate {
 		return float64(m.Rate) / account.Unit
 	}
-	return float64(m.Much) / account.Unit
+	return float64(m.Capacity) / account.Unit
 }
 
 // SetVersion is the version of the settings on record; 0 without any.
@@ -61,9 +61,9 @@
 	return a.set.Version
 }
 
-// Show is how all budgets stand, or the one of a name.
-func (a *Authority) Show(now Micros, name string) []Standing {
-	list := []Standing{}
+// Status is how all budgets stand, or the one of a name.
+func (a *Authority) Status(now Micros, name string) []Status {
+	list := []Status{}
 	if a.set == nil {
 		return list
 	}
@@ -74,10 +74,10 @@
 			continue
 		}
 		s := a.specs[p.Name]
-		v := Standing{Name: p.Name, Kind: p.Kind.String(), Whole: p.units(p.Whole), WindowMS: p.Span / 1000, Reserve: p.units(s.reserved),
-			Newcomers: p.units(p.kept()), Open: s.open, InForce: !a.above(p), Subjects: []Held{}}
+		v := Status{Name: p.Name, Kind: p.Kind.String(), Total: p.units(p.Total), WindowMS: p.Window / 1000, Reserve: p.units(s.reserved),
+			Newcomers: p.units(p.kept()), Open: s.open, InForce: !a.above(p), Subjects: []SubjectStatus{}}
 		if p.Kind == account.Rate {
-			v.Burst = float64(p.Whole.Much) / account.Unit
+			v.Burst = float64(p.Total.Capacity) / account.Unit
 		}
 		if v.InForce && s.below != 0 {
 			v.SinceMS = (now - s.below) / 1000
@@ -87,9 +87,9 @@
 				continue
 			}
 			i := a.insts[k]
-			h := Held{Subject: k.subject, Leased: p.units(i.leased), Free: p.units(p.Whole.Sub(i.leased).Sub(s.reserved)), Holders: []Holds{}}
+			h := SubjectStatus{Subject: k.subject, Leased: p.units(i.leased), Free: p.units(p.Total.Sub(i.leased).Sub(s.reserved)), Holders: []HolderStatus{}}
 			for _, o := range i.holds {
-				h.Holders = append(h.Holders, Holds{Name: o.h.name, Process: fmt.Sprintf("%016x", uint64(o.h.who)),
+				h.Holders = append(h.Holders, HolderStatus{Name: o.h.name, Process: fmt.Sprintf("%016x", uint64(o.h.who)),
 					Want: float64(o.want) / account.Unit, Granted: p.units(o.cur), Counted: p.units(o.counted()),
 					InUse: float64(o.inUse) / account.Unit, Lapsed: o.h.lapsed})
 			}
@@ -103,7 +103,7 @@
 // above says whether more may be held of some subject than the whole: it was lowered, and earlier leases are not back or over.
 func (a *Authority) above(p *Spec) bool {
 	s := a.specs[p.Name]
-	over := func(m Amount) bool { return m.Much > p.Whole.Much || m.Rate > p.Whole.Rate }
+	over := func(m Amount) bool { return m.Capacity > p.Total.Capacity || m.Rate > p.Total.Rate }
 	if over(s.real) {
 		return true
 	}
@@ -119,7 +119,7 @@
 type Plan struct {
 	Name      string  `json:"name"`
 	Kind      string  `json:"kind"`
-	Whole     float64 `json:"whole"`
+	Total     float64 `json:"whole"`
 	Divided   float64 `json:"divided"`
 	Static    float64 `json:"static"` // of each front end
 	Newcomers float64 `json:"newcomers"`
@@ -130,13 +130,13 @@
 func (s *Set) Plan() (list []Plan) {
 	for i := range s.Specs {
 		p := &s.Specs[i]
-		each := p.part(s.Most)
-		all := Amount{Much: each.Much * int64(s.Most), Rate: each.Rate * int64(s.Most)}
+		each := p.part(s.MaxFrontEnds)
+		all := Amount{Capacity: each.Capacity * int64(s.MaxFrontEnds), Rate: each.Rate * int64(s.MaxFrontEnds)}
 		lost := certainly(s.Lease)
 		if p.lingers() > 0 {
 			lost += certainly(p.lingers())
 		}
-		list = append(list, Plan{p.Name, p.Kind.String(), p.units(p.Whole), p.units(p.Whole.Sub(all).Sub(p.kept())), p.units(each), p.units(p.kept()),
+		list = append(list, Plan{p.Name, p.Kind.String(), p.units(p.Total), p.units(p.Total.Sub(all).Sub(p.kept())), p.units(each), p.units(p.kept()),
 			(time.Duration(lost) * time.Microsecond).Round(time.Millisecond).String()})
 	}
 	return list
--- a/fleet/budget/snapshot.go
+++ b/fleet/budget/snapshot.go
@@ -13,8 +13,8 @@
 
 func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Due gives what has lapsed and what is over, by this machine's clock.
-func (a *Authority) Due(now Micros, seen replication.Presence) (list [][]byte) {
+// DueCommands gives what has lapsed and what is over, by this machine's clock.
+func (a *Authority) DueCommands(now Micros, seen replication.FailureDetector) (list [][]byte) {
 	if a.set == nil {
 		return nil
 	}
@@ -24,7 +24,7 @@
 		if !s.open && now-s.since >= a.quiet(name) {
 			put(command{Op: opOpen, Budget: name, Version: a.set.Version})
 		}
-		switch above := a.above(a.set.Of(name)); {
+		switch above := a.above(a.set.Lookup(name)); {
 		case above:
 			s.below = 0
 		case s.below == 0:
@@ -33,7 +33,7 @@
 		}
 	}
 	for _, h := range a.holders {
-		if h.replaced == 0 && seen.Replaced(h.who) {
+		if h.replaced == 0 && seen.Superseded(h.who) {
 			h.replaced = now
 		}
 		switch {
@@ -50,7 +50,7 @@
 
 // quiet is how long a new record holds a budget back: what an earlier one granted of it may be in force until then.
 func (a *Authority) quiet(name string) Micros {
-	p := a.set.Of(name)
+	p := a.set.Lookup(name)
 	return certainly(a.set.Lease) + certainly(p.lingers())
 }
 
@@ -66,7 +66,7 @@
 		return false
 	}
 	for name := range h.statics {
-		p := a.set.Of(name)
+		p := a.set.Lookup(name)
 		if p == nil || over(p.lingers(), p.Kind) {
 			return true
 		}
@@ -74,8 +74,8 @@
 	return h.enrolled && len(h.statics) == 0
 }
 
-// Snapshot adds the whole state.
-func (a *Authority) Snapshot(b []byte) []byte {
+// AppendSnapshot adds the whole state.
+func (a *Authority) AppendSnapshot(b []byte) []byte {
 	if a.set == nil {
 		return b
 	}
@@ -133,20 +133,20 @@
 }
 
 func (p *pair) encode(b []byte) []byte {
-	b = proto.Uint(b, 3, uint64(p.prev.Much))
+	b = proto.Uint(b, 3, uint64(p.prev.Capacity))
 	b = proto.Uint(b, 4, uint64(p.prev.Rate))
-	b = proto.Uint(b, 5, uint64(p.cur.Much))
+	b = proto.Uint(b, 5, uint64(p.cur.Capacity))
 	return proto.Uint(b, 6, uint64(p.cur.Rate))
 }
 
 func (p *pair) decode(f proto.Field) {
 	switch f.Number {
 	case 3:
-		p.prev.Much = bounded(f.Uint)
+		p.prev.Capacity = bounded(f.Uint)
 	case 4:
 		p.prev.Rate = bounded(f.Uint)
 	case 5:
-		p.cur.Much = bounded(f.Uint)
+		p.cur.Capacity = bounded(f.Uint)
 	case 6:
 		p.cur.Rate = bounded(f.Uint)
 	}
--- a/fleet/budget/spec.go
+++ b/fleet/budget/spec.go
@@ -18,7 +18,7 @@
 //     over for certain.
 //  2. Spans, each on one machine's clock. A holder counts a lease from before it asked for it; who lets it lapse counts from
 //     after the command was carried out, and adds the drift and a slack. So clocks may differ by anything and drift by one part in
-//     account.Drift. Beyond that (a machine whose monotonic clock runs slower than that) a holder may spend for as long as
+//     account.ClockDriftDivisor. Beyond that (a machine whose monotonic clock runs slower than that) a holder may spend for as long as
 //     its clock is behind; it stops with the first answer, which says that its lease is over.
 //  3. What moves from one front end to another moves empty: tokens are gone on one side before the other's first comes, a
 //     place is free when what held it is over, and what was spent within a window is free a window later.
@@ -53,25 +53,27 @@
 )
 
 // certainly is a span by a clock that may run fast, with the slack: after it another machine's span is over.
-func certainly(span Micros) Micros { return span + span/account.Drift + slack }
+func certainly(span Micros) Micros { return span + span/account.ClockDriftDivisor + slack }
 
 // surely is the longest span that is certainly over when this one has passed.
-func surely(span Micros) Micros { return max(0, span-slack) * account.Drift / (account.Drift + 1) }
+func surely(span Micros) Micros {
+	return max(0, span-slack) * account.ClockDriftDivisor / (account.ClockDriftDivisor + 1)
+}
 
 // Spec is one budget, as all front ends have it. Where its scope names many (every tenant, every engine), each of them has the
 // whole for itself.
 type Spec struct {
-	Name      string
-	Kind      account.Kind
-	Whole     Amount
-	Span      Micros // of a window
-	Life      Micros // the longest that a holder asks after what holds a place
-	Reserve   int64  // thousandths of the whole that are divided evenly, for good, among as many front ends as there may be
-	Newcomers int64  // thousandths that are kept back for who holds nothing yet
-	Floor     int64  // thousandths that each front end with any demand gets first
-	Least     int64  // the least part that is of use, in thousandths of a unit
-	Weights   []Weight
-	Scope     []byte // what it applies to, in the words of the settings; no part of the division
+	Name               string
+	Kind               account.Kind
+	Total              Amount
+	Window             Micros // of a window
+	MaxAttemptDuration Micros // the longest that a holder asks after what holds a place
+	Reserve            int64  // thousandths of the whole that are divided evenly, for good, among as many front ends as there may be
+	NewcomerReserve    int64  // thousandths that are kept back for who holds nothing yet
+	Floor              int64  // thousandths that each front end with any demand gets first
+	MinPart            int64  // the least part that is of use, in thousandths of a unit
+	Weights            []Weight
+	Scope              []byte // what it applies to, in the words of the settings; no part of the division
 }
 
 // Weight is a front end that counts for more or less than others, in thousandths.
@@ -83,10 +85,10 @@
 // lingers is how long what was begun under a lease may go on when that is over.
 func (s *Spec) lingers() Micros {
 	switch s.Kind {
-	case account.Places:
-		return s.Life + replication.Unasked
+	case account.Concurrency:
+		return s.MaxAttemptDuration + replication.AbandonTimeout
 	case account.Window:
-		return s.Span
+		return s.Window
 	}
 	return 0
 }
@@ -94,12 +96,12 @@
 // part is the static part of one front end of so many.
 func (s *Spec) part(most int) Amount {
 	n := int64(most)
-	a := Amount{Much: s.Whole.Much * s.Reserve / 1000 / n, Rate: s.Whole.Rate * s.Reserve / 1000 / n}
-	if a.Much < s.Least { // it would be of no use to anybody
+	a := Amount{Capacity: s.Total.Capacity * s.Reserve / 1000 / n, Rate: s.Total.Rate * s.Reserve / 1000 / n}
+	if a.Capacity < s.MinPart { // it would be of no use to anybody
 		return Amount{}
 	}
-	if s.Kind == account.Places {
-		a.Much -= a.Much % s.Least
+	if s.Kind == account.Concurrency {
+		a.Capacity -= a.Capacity % s.MinPart
 	}
 	return a
 }
@@ -115,15 +117,15 @@
 
 // Set is all budgets in force, of one version of the settings.
 type Set struct {
-	Version uint64
-	Lease   Micros
-	Most    int    // front ends that there may be
-	Specs   []Spec // by name
+	Version      uint64
+	Lease        Micros
+	MaxFrontEnds int    // front ends that there may be
+	Specs        []Spec // by name
 }
 
 // Bounds of a set.
 const (
-	MostSpecs = 256
+	MaxSpecs  = 256
 	mostName  = 64
 	mostScope = 512
 	mostWhole = 1_000_000_000_000 // a billion units
@@ -133,16 +135,16 @@
 
 // Check says what of a set can't be used.
 func (s *Set) Check() error {
-	if s.Version == 0 || s.Lease < second/10 || s.Lease > 600*second || s.Most < 1 || s.Most > 10000 || len(s.Specs) > MostSpecs {
-		return fmt.Errorf("%w: version %d, lease %d, most %d, %d budgets", errSet, s.Version, s.Lease, s.Most, len(s.Specs))
+	if s.Version == 0 || s.Lease < second/10 || s.Lease > 600*second || s.MaxFrontEnds < 1 || s.MaxFrontEnds > 10000 || len(s.Specs) > MaxSpecs {
+		return fmt.Errorf("%w: version %d, lease %d, most %d, %d budgets", errSet, s.Version, s.Lease, s.MaxFrontEnds, len(s.Specs))
 	}
 	for i := range s.Specs {
 		p := &s.Specs[i]
-		bad := p.Name == "" || len(p.Name) > mostName || len(p.Scope) > mostScope || len(p.Weights) > s.Most ||
-			p.Kind < account.Rate || p.Kind > account.Window || p.Whole.Much < 1 || p.Whole.Much > mostWhole ||
-			(p.Kind == account.Rate) != (p.Whole.Rate > 0) || p.Whole.Rate > mostWhole ||
-			p.Reserve < 0 || p.Newcomers < 0 || p.Floor < 0 || p.Reserve+p.Newcomers+p.Floor*int64(s.Most) > 1000 || p.Least < 1 ||
-			(p.Kind == account.Window) != (p.Span > 0) || p.Span > 3600*second || p.Life < 0 || p.Life > 3600*second ||
+		bad := p.Name == "" || len(p.Name) > mostName || len(p.Scope) > mostScope || len(p.Weights) > s.MaxFrontEnds ||
+			p.Kind < account.Rate || p.Kind > account.Window || p.Total.Capacity < 1 || p.Total.Capacity > mostWhole ||
+			(p.Kind == account.Rate) != (p.Total.Rate > 0) || p.Total.Rate > mostWhole ||
+			p.Reserve < 0 || p.NewcomerReserve < 0 || p.Floor < 0 || p.Reserve+p.NewcomerReserve+p.Floor*int64(s.MaxFrontEnds) > 1000 || p.MinPart < 1 ||
+			(p.Kind == account.Window) != (p.Window > 0) || p.Window > 3600*second || p.MaxAttemptDuration < 0 || p.MaxAttemptDuration > 3600*second ||
 			i > 0 && s.Specs[i-1].Name >= p.Name
 		for _, w := range p.Weights {
 			bad = bad || w.Parts < 1 || w.Parts > 1_000_000
@@ -154,8 +156,8 @@
 	return nil
 }
 
-// Of is the budget of that name; nil without one.
-func (s *Set) Of(name string) *Spec {
+// Lookup is the budget of that name; nil without one.
+func (s *Set) Lookup(name string) *Spec {
 	i, ok := slices.BinarySearchFunc(s.Specs, name, func(p Spec, name string) int {
 		switch {
 		case p.Name < name:
@@ -176,20 +178,20 @@
 	var b []byte
 	b = proto.Uint(b, 1, s.Version)
 	b = proto.Uint(b, 2, uint64(s.Lease))
-	b = proto.Uint(b, 3, uint64(s.Most))
+	b = proto.Uint(b, 3, uint64(s.MaxFrontEnds))
 	for i := range s.Specs {
 		p := &s.Specs[i]
 		var m []byte
 		m = proto.String(m, 1, p.Name)
 		m = proto.Uint(m, 2, uint64(p.Kind))
-		m = proto.Uint(m, 3, uint64(p.Whole.Much))
-		m = proto.Uint(m, 4, uint64(p.Whole.Rate))
-		m = proto.Uint(m, 5, uint64(p.Span))
-		m = proto.Uint(m, 6, uint64(p.Life))
+		m = proto.Uint(m, 3, uint64(p.Total.Capacity))
+		m = proto.Uint(m, 4, uint64(p.Total.Rate))
+		m = proto.Uint(m, 5, uint64(p.Window))
+		m = proto.Uint(m, 6, uint64(p.MaxAttemptDuration))
 		m = proto.Uint(m, 7, uint64(p.Reserve))
-		m = proto.Uint(m, 8, uint64(p.Newcomers))
+		m = proto.Uint(m, 8, uint64(p.NewcomerReserve))
 		m = proto.Uint(m, 9, uint64(p.Floor))
-		m = proto.Uint(m, 10, uint64(p.Least))
+		m = proto.Uint(m, 10, uint64(p.MinPart))
 		for _, w := range p.Weights {
 			m = proto.Message(m, 11, proto.Uint(proto.String(nil, 1, w.Name), 2, uint64(w.Parts)))
 		}
@@ -209,7 +211,7 @@
 		case 2:
 			s.Lease = bounded(f.Uint)
 		case 3:
-			s.Most = int(bounded(f.Uint))
+			s.MaxFrontEnds = int(bounded(f.Uint))
 		case 4:
 			p := Spec{}
 			err := proto.Each(f.Data, p.decode)
@@ -234,21 +236,21 @@
 	case 2:
 		p.Kind = account.Kind(bounded(f.Uint))
 	case 3:
-		p.Whole.Much = bounded(f.Uint)
+		p.Total.Capacity = bounded(f.Uint)
 	case 4:
-		p.Whole.Rate = bounded(f.Uint)
+		p.Total.Rate = bounded(f.Uint)
 	case 5:
-		p.Span = bounded(f.Uint)
+		p.Window = bounded(f.Uint)
 	case 6:
-		p.Life = bounded(f.Uint)
+		p.MaxAttemptDuration = bounded(f.Uint)
 	case 7:
 		p.Reserve = bounded(f.Uint)
 	case 8:
-		p.Newcomers = bounded(f.Uint)
+		p.NewcomerReserve = bounded(f.Uint)
 	case 9:
 		p.Floor = bounded(f.Uint)
 	case 10:
-		p.Least = bounded(f.Uint)
+		p.MinPart = bounded(f.Uint)
 	case 11:
 		var w Weight
 		err := proto.Each(f.Data, func(f proto.Field) error {
--- a/fleet/forward.go
+++ b/fleet/forward.go
@@ -45,18 +45,18 @@
 	if err != nil {
 		return err
 	}
-	if uint64(c.Asker) != l.Incarnation {
-		return ErrAsker
+	if uint64(c.Proposer) != l.Incarnation {
+		return ErrProposerMismatch
 	}
 	switch leader := n.toLeader.target(); leader {
 	case "":
 		n.Undeliverable++
 	case n.cfg.Name:
 		n.Forwarded++
-		n.replica.Ask(n.now, c)
+		n.replica.Propose(n.now, c)
 	default:
 		n.Forwarded++
-		w := forwarded{l.Incarnation, transport.Ask, body}
+		w := forwarded{l.Incarnation, transport.Proposal, body}
 		n.tell(leader, transport.Forward, false, w.encode())
 	}
 	return nil
@@ -69,29 +69,29 @@
 		return err
 	}
 	switch w.Kind {
-	case transport.Ask:
+	case transport.Proposal:
 		c, err := replication.DecodeCommand(w.Body)
 		if err != nil {
 			return err
 		}
-		if uint64(c.Asker) != w.Process {
-			return ErrAsker
+		if uint64(c.Proposer) != w.Process {
+			return ErrProposerMismatch
 		}
-		n.replica.Ask(n.now, c)
-	case transport.Answer:
+		n.replica.Propose(n.now, c)
+	case transport.Response:
 		n.learnLeader(w.Body)
 		n.deliver(w.Process, w.Kind, w.Body)
-	case transport.Note:
+	case transport.Notification:
 		n.deliver(w.Process, w.Kind, w.Body)
 	default:
-		return transport.ErrKind
+		return transport.ErrUnknownKind
 	}
 	return nil
 }
 
 // learnLeader has the next question of an attached front end go where a refusal points.
 func (n *Node) learnLeader(answer []byte) {
-	if a, err := replication.DecodeAnswer(answer); err == nil && a.Result == replication.NotLeader && a.Leader != 0 {
+	if a, err := replication.DecodeResponse(answer); err == nil && a.Result == replication.NotLeader && a.Leader != 0 {
 		n.toLeader.redirected(a.Leader, "")
 	}
 }
@@ -120,5 +120,5 @@
 		n.Undeliverable++
 		return
 	}
-	n.actions = append(n.actions, Tell{To: held.name, Incarnation: process, Kind: kind, Body: body})
+	n.actions = append(n.actions, Send{To: held.name, Incarnation: process, Kind: kind, Body: body})
 }
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -41,9 +41,9 @@
 		{Name: "founding-empty", Encoded: (&founding{}).encode(), Recode: recodeFounding},
 		{Name: "copied", Encoded: copied(77, []byte("a raft message")), Recode: recodeCopied},
 		{Name: "copied-empty", Encoded: copied(0, nil), Recode: recodeCopied},
-		{Name: "relayed", Encoded: (&relayed{"n3", "n1", 1 << 61, transport.Ledger, []byte("body")}).encode(), Recode: recodeRelayed},
+		{Name: "relayed", Encoded: (&relayed{"n3", "n1", 1 << 61, transport.Replication, []byte("body")}).encode(), Recode: recodeRelayed},
 		{Name: "relayed-empty", Encoded: (&relayed{}).encode(), Recode: recodeRelayed},
-		{Name: "forwarded", Encoded: (&forwarded{1 << 61, transport.Answer, []byte("body")}).encode(), Recode: recodeForwarded},
+		{Name: "forwarded", Encoded: (&forwarded{1 << 61, transport.Response, []byte("body")}).encode(), Recode: recodeForwarded},
 		{Name: "forwarded-empty", Encoded: (&forwarded{}).encode(), Recode: recodeForwarded},
 	})
 }
--- a/fleet/heartbeat/monitor.go
+++ b/fleet/heartbeat/monitor.go
@@ -22,12 +22,12 @@
 
 // The states.
 const (
-	Unseen  State = iota // never heard since this process began
-	Alive                // heard here of late
-	Cut                  // not heard here, but elsewhere
-	Suspect              // heard nowhere for a while
-	Dead                 // heard nowhere for long
-	Left                 // it said that it leaves, and was not heard since
+	NeverSeen       State = iota // never heard since this process began
+	Alive                        // heard here of late
+	IndirectlyAlive              // not heard here, but elsewhere
+	Suspect                      // heard nowhere for a while
+	Dead                         // heard nowhere for long
+	Left                         // it said that it leaves, and was not heard since
 )
 
 func (s State) String() string {
@@ -36,10 +36,10 @@
 
 // Config sets the spans.
 type Config struct {
-	Suspect Micros // of silence
-	Dead    Micros // of silence everywhere
-	// Pause is a gap between two ticks above which this process was stopped: what it has not heard meanwhile says nothing.
-	Pause Micros
+	SuspectAfter Micros // of silence
+	DeadAfter    Micros // of silence everywhere
+	// PauseThreshold is a gap between two ticks above which this process was stopped: what it has not heard meanwhile says nothing.
+	PauseThreshold Micros
 }
 
 // Report is how long ago a front end heard another.
@@ -49,13 +49,13 @@
 	Age         Micros
 }
 
-// Member is another front end.
-type Member struct {
-	Name        string
-	Zone        string
-	Incarnation uint64 // the last that was heard; 0: none was
-	State       State
-	Greeted     Micros // when the first link of this incarnation was challenged here
+// Peer is another front end.
+type Peer struct {
+	Name         string
+	Zone         string
+	Incarnation  uint64 // the last that was heard; 0: none was
+	State        State
+	ChallengedAt Micros // when the first link of this incarnation was challenged here
 
 	lastHeard     Micros // here
 	challenged    Micros // when the newest link of this incarnation was challenged
@@ -67,23 +67,23 @@
 // mostPast bounds the earlier incarnations that are remembered of one name.
 const mostPast = 64
 
-// Set is the fleet's other front ends.
-type Set struct {
+// Monitor is the fleet's other front ends.
+type Monitor struct {
 	cfg    Config
-	list   []*Member // by name
-	byName map[string]*Member
+	list   []*Peer // by name
+	byName map[string]*Peer
 	now    Micros
 }
 
-// New begins with those that the settings name; zones by name.
-func New(cfg Config, zones map[string]string) *Set {
-	s := &Set{cfg: cfg, byName: map[string]*Member{}}
+// NewMonitor begins with those that the settings name; zones by name.
+func NewMonitor(cfg Config, zones map[string]string) *Monitor {
+	s := &Monitor{cfg: cfg, byName: map[string]*Peer{}}
 	for name, zone := range zones {
-		m := &Member{Name: name, Zone: zone}
+		m := &Peer{Name: name, Zone: zone}
 		s.list = append(s.list, m)
 		s.byName[name] = m
 	}
-	slices.SortFunc(s.list, func(a, b *Member) int {
+	slices.SortFunc(s.list, func(a, b *Peer) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -92,9 +92,9 @@
 	return s
 }
 
-// Heard takes a heartbeat that came over a link whose challenge was made here at the time greeted. It is false for one of an
+// Observe takes a heartbeat that came over a link whose challenge was made here at the time greeted. It is false for one of an
 // incarnation that is gone, which must not count.
-func (s *Set) Heard(now Micros, name string, incarnation uint64, greeted Micros, leaving bool, reports []Report) bool {
+func (s *Monitor) Observe(now Micros, name string, incarnation uint64, greeted Micros, leaving bool, reports []Report) bool {
 	s.pass(now)
 	m := s.byName[name]
 	if m == nil || slices.Contains(m.past, incarnation) || m.Incarnation != incarnation && m.Incarnation != 0 && greeted <= m.challenged {
@@ -108,9 +108,9 @@
 				m.past = m.past[1:]
 			}
 		}
-		m.Incarnation, m.lastElsewhere, m.Greeted = incarnation, 0, greeted
+		m.Incarnation, m.lastElsewhere, m.ChallengedAt = incarnation, 0, greeted
 	}
-	m.Greeted = min(m.Greeted, greeted)
+	m.ChallengedAt = min(m.ChallengedAt, greeted)
 	m.lastHeard, m.leaving = now, leaving
 	for _, r := range reports {
 		if o := s.byName[r.Name]; o != nil && o != m && o.Incarnation == r.Incarnation && r.Age >= 0 {
@@ -122,8 +122,8 @@
 
 // pass lets time pass. After a stop of this process it comes before anything that was heard since, which would else be moved into
 // the future.
-func (s *Set) pass(now Micros) {
-	if gap := now - s.now; s.now != 0 && gap > s.cfg.Pause {
+func (s *Monitor) pass(now Micros) {
+	if gap := now - s.now; s.now != 0 && gap > s.cfg.PauseThreshold {
 		for _, m := range s.list {
 			if m.Incarnation != 0 {
 				m.lastHeard, m.lastElsewhere = m.lastHeard+gap, m.lastElsewhere+gap
@@ -134,7 +134,7 @@
 }
 
 // Tick lets time pass, and gives those whose state has changed.
-func (s *Set) Tick(now Micros) (changed []*Member) {
+func (s *Monitor) Tick(now Micros) (changed []*Peer) {
 	s.pass(now)
 	for _, m := range s.list {
 		if state := s.state(m); state != m.State {
@@ -145,25 +145,25 @@
 	return changed
 }
 
-func (s *Set) state(m *Member) State {
+func (s *Monitor) state(m *Peer) State {
 	here, anywhere := s.now-m.lastHeard, s.now-max(m.lastHeard, m.lastElsewhere)
 	switch {
 	case m.Incarnation == 0:
-		return Unseen
-	case here < s.cfg.Suspect:
+		return NeverSeen
+	case here < s.cfg.SuspectAfter:
 		return Alive
-	case m.leaving && anywhere >= s.cfg.Suspect:
+	case m.leaving && anywhere >= s.cfg.SuspectAfter:
 		return Left
-	case anywhere < s.cfg.Suspect:
-		return Cut
-	case anywhere < s.cfg.Dead:
+	case anywhere < s.cfg.SuspectAfter:
+		return IndirectlyAlive
+	case anywhere < s.cfg.DeadAfter:
 		return Suspect
 	}
 	return Dead
 }
 
 // Reports is what this front end tells the others of whom it hears.
-func (s *Set) Reports() (list []Report) {
+func (s *Monitor) Reports() (list []Report) {
 	for _, m := range s.list {
 		if m.Incarnation != 0 {
 			list = append(list, Report{m.Name, m.Incarnation, s.now - m.lastHeard})
@@ -172,14 +172,14 @@
 	return list
 }
 
-// List is all others, by name.
-func (s *Set) List() []*Member { return s.list }
+// Peers is all others, by name.
+func (s *Monitor) Peers() []*Peer { return s.list }
 
-// Of is one other; nil for a name that is not of the fleet.
-func (s *Set) Of(name string) *Member { return s.byName[name] }
+// Lookup is one other; nil for a name that is not of the fleet.
+func (s *Monitor) Lookup(name string) *Peer { return s.byName[name] }
 
-// Gone says whether a process is held for no more: its name has another, it has left, or it is heard nowhere for long.
-func (s *Set) Gone(incarnation uint64) bool {
+// PresumedDead says whether a process is held for no more: its name has another, it has left, or it is heard nowhere for long.
+func (s *Monitor) PresumedDead(incarnation uint64) bool {
 	for _, m := range s.list {
 		if m.Incarnation == incarnation {
 			return m.State == Dead || m.State == Left
@@ -191,13 +191,13 @@
 	return false
 }
 
-// Replaced says whether a process is no more for certain: its name has come back with a later one.
-func (s *Set) Replaced(incarnation uint64) bool {
-	return slices.ContainsFunc(s.list, func(m *Member) bool { return slices.Contains(m.past, incarnation) })
+// Superseded says whether a process is no more for certain: its name has come back with a later one.
+func (s *Monitor) Superseded(incarnation uint64) bool {
+	return slices.ContainsFunc(s.list, func(m *Peer) bool { return slices.Contains(m.past, incarnation) })
 }
 
-// Missing says whether a process is heard nowhere now. One that nobody knows of is, once all names have another.
-func (s *Set) Missing(incarnation uint64) bool {
+// Unreachable says whether a process is heard nowhere now. One that nobody knows of is, once all names have another.
+func (s *Monitor) Unreachable(incarnation uint64) bool {
 	all := true
 	for _, m := range s.list {
 		if m.Incarnation == incarnation {
--- a/fleet/idempotency/idempotencyclient/client.go
+++ b/fleet/idempotency/idempotencyclient/client.go
@@ -23,36 +23,36 @@
 // Micros is a time or a span in microseconds of this machine's clock.
 type Micros = gateway.Micros
 
-// Asker puts questions to the record; see fleet.Node.
-type Asker interface {
-	Ask(now Micros, kind, version uint32, body []byte, done func(replication.Answer)) (id uint64)
+// Proposer puts questions to the record; see fleet.Node.
+type Proposer interface {
+	Propose(now Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64)
 	Cancel(id uint64)
-	Gone(incarnation uint64) bool
+	PresumedDead(incarnation uint64) bool
 }
 
 // Core is the gateway's part in what another front end has started.
 type Core interface {
-	Succeed(now Micros, s gateway.Succession) *gateway.Entry
+	TakeOver(now Micros, s gateway.Takeover) *gateway.Registration
 }
 
 // Config sets the spans.
 type Config struct {
-	Incarnation uint64
-	Poll        Micros // between looks at a load that others hold, or whose turn has not come
-	Patience    Micros // how long an outcome is offered to the record
-	Full        Micros // when a load turned away for want of room may come back
+	Incarnation        uint64
+	PollInterval       Micros // between looks at a load that others hold, or whose turn has not come
+	CommitTimeout      Micros // how long an outcome is offered to the record
+	CapacityRetryAfter Micros // when a load turned away for want of room may come back
 }
 
 // Client is one front end's loads.
 type Client struct {
 	cfg     Config
-	ask     Asker
+	ask     Proposer
 	core    Core
 	now     Micros
 	tracked map[string]*trackedLoad
 	order   []*trackedLoad // those of tracked, in the order in which they came
 	// Conflicts counts repeats with another statement, Adopted loads taken over, Waited repeats that waited with another's.
-	Conflicts, Adopted, Waited, Kept int
+	Conflicts, TakenOver, JoinedWaits, Committed int
 }
 
 // trackedLoad is one load here, with all requests for it.
@@ -61,8 +61,8 @@
 	key     string
 	digest  []byte
 	noted   bool // the record has said how it stands
-	entries []*gateway.Entry
-	runner  *gateway.Entry // whose request the core has
+	entries []*gateway.Registration
+	runner  *gateway.Registration // whose request the core has
 	mine    bool
 	epoch   uint64
 	phase   idempotency.Phase
@@ -78,38 +78,38 @@
 }
 
 // New is a client without loads.
-func New(cfg Config, ask Asker, core Core) *Client {
+func New(cfg Config, ask Proposer, core Core) *Client {
 	return &Client{cfg: cfg, ask: ask, core: core, tracked: map[string]*trackedLoad{}}
 }
 
-// At sets the time for what comes before the next Tick.
-func (c *Client) At(now Micros) { c.now = now }
+// SetNow sets the time for what comes before the next Tick.
+func (c *Client) SetNow(now Micros) { c.now = now }
 
 func digest(statement []byte) []byte {
 	sum := sha256.Sum256(statement)
 	return sum[:16]
 }
 
-// Enter notes a load that was taken.
-func (c *Client) Enter(now Micros, e *gateway.Entry) {
+// Register notes a load that was taken.
+func (c *Client) Register(now Micros, e *gateway.Registration) {
 	c.now = now
 	call := e.Call()
-	load := c.tracked[call.Once]
+	load := c.tracked[call.IdempotencyKey]
 	if load != nil {
 		e.Slot = load
 		load.entries = append(load.entries, e)
 		return // a conflict shows in the next tick, between the core's steps
 	}
-	load = &trackedLoad{once: call.Once, key: call.Key, digest: digest(call.Statement), entries: []*gateway.Entry{e}}
+	load = &trackedLoad{once: call.IdempotencyKey, key: call.Key, digest: digest(call.Statement), entries: []*gateway.Registration{e}}
 	e.Slot = load
-	c.tracked[call.Once] = load
+	c.tracked[call.IdempotencyKey] = load
 	c.order = append(c.order, load)
 	c.take(load, false)
 }
 
-func (c *Client) put(command *idempotency.Command, done func(v idempotency.View, ok bool)) uint64 {
-	return c.ask.Ask(c.now, 1, 1, command.Encode(), func(a replication.Answer) {
-		v, err := idempotency.DecodeView(a.Body)
+func (c *Client) put(command *idempotency.Command, done func(v idempotency.Response, ok bool)) uint64 {
+	return c.ask.Propose(c.now, 1, 1, command.Encode(), func(a replication.Response) {
+		v, err := idempotency.DecodeResponse(a.Body)
 		done(v, err == nil && a.Result == replication.Committed)
 	})
 }
@@ -119,13 +119,13 @@
 	if load.asking != 0 || load.ending || len(load.entries) == 0 || c.behind(load) {
 		return
 	}
-	load.poll = c.now + c.cfg.Poll
+	load.poll = c.now + c.cfg.PollInterval
 	e := load.entries[0]
 	call := e.Call()
 	load.call = call.ID
-	load.asking = c.put(&idempotency.Command{Op: idempotency.Take, Once: load.once, Key: call.Key, Tenant: call.Tenant, Class: call.Class,
-		Digest: load.digest, Call: call.ID, TTL: uint64(max(1, e.Deadline()-c.now)), Adopt: adopt},
-		func(v idempotency.View, ok bool) {
+	load.asking = c.put(&idempotency.Command{Op: idempotency.Register, IdempotencyKey: load.once, OrderKey: call.Key, Tenant: call.Tenant, Class: call.Class,
+		StatementDigest: load.digest, RequestID: call.ID, TTL: uint64(max(1, e.Deadline()-c.now)), TakeOver: adopt},
+		func(v idempotency.Response, ok bool) {
 			load.asking = 0
 			c.taken(load, v, ok, adopt)
 		})
@@ -161,7 +161,7 @@
 	}
 }
 
-func (c *Client) taken(load *trackedLoad, v idempotency.View, ok, adopt bool) {
+func (c *Client) taken(load *trackedLoad, v idempotency.Response, ok, adopt bool) {
 	first := !load.noted
 	load.noted = true
 	for _, e := range load.entries {
@@ -172,14 +172,14 @@
 	}
 	mine := ok && v.Status == idempotency.OK && v.Owner == c.cfg.Incarnation
 	if mine && adopt && !load.mine && v.Phase == idempotency.Waiting {
-		c.Adopted++
+		c.TakenOver++
 		slog.Info("load adopted", "dedupe", load.once, "epoch", v.Epoch)
 	}
 	load.mine, load.epoch, load.phase = mine, v.Epoch, v.Phase
 	load.clean = mine && (load.clean || v.Phase == idempotency.Waiting)
 	if len(load.entries) == 0 { // all have left meanwhile
 		if mine && v.Phase == idempotency.Waiting {
-			c.finish(load, idempotency.None, nil)
+			c.finish(load, idempotency.Unregistered, nil)
 			return
 		}
 		c.close(load)
@@ -187,54 +187,54 @@
 	}
 	switch {
 	case !ok:
-		c.turnAll(load, c.cfg.Full)
+		c.turnAll(load, c.cfg.CapacityRetryAfter)
 	case v.Status == idempotency.Conflict:
 		c.Conflicts++
 		slog.Warn("refused: the idempotency key stands for another statement, key or class", "dedupe", load.once,
 			"call", load.entries[0].Call().ID)
-		c.turnAll(load, c.cfg.Full)
-	case v.Status == idempotency.Full:
+		c.turnAll(load, c.cfg.CapacityRetryAfter)
+	case v.Status == idempotency.CapacityExceeded:
 		slog.Warn("refused: the record has no room for another load", "dedupe", load.once)
-		c.turnAll(load, c.cfg.Full)
-	case v.Phase.Over():
+		c.turnAll(load, c.cfg.CapacityRetryAfter)
+	case v.Phase.Finished():
 		c.over(load, v.Phase == idempotency.Served, v.Rows)
-	case mine && v.Phase == idempotency.Waiting && v.Turn && v.Call != load.entries[0].Call().ID:
+	case mine && v.Phase == idempotency.Waiting && v.FirstOfKey && v.OwnerRequestID != load.entries[0].Call().ID:
 		c.take(load, false) // who asked first has left; the record has to know how long the next one waits
-	case mine && v.Phase == idempotency.Waiting && v.Turn:
+	case mine && v.Phase == idempotency.Waiting && v.FirstOfKey:
 		load.runner = load.entries[0]
-		load.runner.Mine()
+		load.runner.Owned()
 	case mine && v.Phase == idempotency.Started && !load.clean && load.runner == nil:
 		c.succeed(load, v)
 	case mine && v.Phase == idempotency.Started && load.clean && load.runner == nil:
-		c.finish(load, idempotency.None, nil) // its runner left before anything ran; the next one begins anew
+		c.finish(load, idempotency.Unregistered, nil) // its runner left before anything ran; the next one begins anew
 	case !mine:
 		if !load.waited {
 			load.waited = true
-			c.Waited++
+			c.JoinedWaits++
 		}
-		if v.Phase == idempotency.Waiting && c.ask.Gone(v.Owner) {
+		if v.Phase == idempotency.Waiting && c.ask.PresumedDead(v.Owner) {
 			c.take(load, true)
 		}
 	}
 }
 
 // succeed looks after what another front end has started: the record has made this one its owner.
-func (c *Client) succeed(load *trackedLoad, v idempotency.View) {
-	e := c.core.Succeed(c.now, gateway.Succession{Run: v.Run, Engine: v.Engine, Once: load.once, Key: v.Key, Class: v.Class, TTL: Micros(v.TTL)})
+func (c *Client) succeed(load *trackedLoad, v idempotency.Response) {
+	e := c.core.TakeOver(c.now, gateway.Takeover{RequestID: v.StartedRequestID, Engine: v.Engine, IdempotencyKey: load.once, Key: v.OrderKey, Class: v.Class, TTL: Micros(v.TTL)})
 	if e == nil {
 		return // its own client's call goes by that id; the load ends by its time
 	}
-	slog.Info("load taken over", "dedupe", load.once, "engine", v.Engine, "call", v.Run, "epoch", v.Epoch)
+	slog.Info("load taken over", "dedupe", load.once, "engine", v.Engine, "call", v.StartedRequestID, "epoch", v.Epoch)
 	e.Slot, e.Checked, load.runner = load, true, e
 	load.entries = append(load.entries, e)
 }
 
-// Begin asks whether an attempt may begin.
-func (c *Client) Begin(now Micros, e *gateway.Entry, attempt int, engine string, granted func(Micros, bool)) {
+// Authorize asks whether an attempt may begin.
+func (c *Client) Authorize(now Micros, e *gateway.Registration, attempt int, engine string, granted func(Micros, bool)) {
 	c.now = now
 	load := e.Slot.(*trackedLoad)
-	c.put(&idempotency.Command{Op: idempotency.Start, Once: load.once, Epoch: load.epoch, Attempt: uint64(attempt), Engine: engine,
-		Call: e.Call().ID}, func(v idempotency.View, ok bool) {
+	c.put(&idempotency.Command{Op: idempotency.AuthorizeAttempt, IdempotencyKey: load.once, Epoch: load.epoch, Attempt: uint64(attempt), Engine: engine,
+		RequestID: e.Call().ID}, func(v idempotency.Response, ok bool) {
 		if load.runner != e || load.gone {
 			return
 		}
@@ -245,13 +245,13 @@
 		}
 		load.mine, load.clean, load.runner = false, false, nil
 		granted(c.now, false)
-		e.Yield()
+		e.Suspend()
 		c.take(load, false)
 	})
 }
 
-// Keep notes a load's rows as its outcome.
-func (c *Client) Keep(now Micros, e *gateway.Entry, rows []byte) {
+// Commit notes a load's rows as its outcome.
+func (c *Client) Commit(now Micros, e *gateway.Registration, rows []byte) {
 	c.now = now
 	c.drop(e)
 	load := e.Slot.(*trackedLoad)
@@ -259,8 +259,8 @@
 	c.finish(load, idempotency.Served, rows)
 }
 
-// Leave ends a request's part in a load.
-func (c *Client) Leave(now Micros, e *gateway.Entry, ran bool) {
+// Release ends a request's part in a load.
+func (c *Client) Release(now Micros, e *gateway.Registration, ran bool) {
 	c.now = now
 	load := e.Slot.(*trackedLoad)
 	c.drop(e)
@@ -275,7 +275,7 @@
 	case runs && load.phase == idempotency.Waiting && len(load.entries) > 0:
 		c.take(load, false) // the place in the line is kept by the next who asks
 	case load.mine && (runs || len(load.entries) == 0):
-		c.finish(load, idempotency.None, nil)
+		c.finish(load, idempotency.Unregistered, nil)
 	case len(load.entries) == 0:
 		c.close(load)
 		if !load.noted {
@@ -284,26 +284,26 @@
 	}
 }
 
-// HandOn gives a load that runs back to the record, which offers it to another front end. What comes of it here counts only if it
+// Transfer gives a load that runs back to the record, which offers it to another front end. What comes of it here counts only if it
 // is committed before.
-func (c *Client) HandOn(now Micros, e *gateway.Entry) {
+func (c *Client) Transfer(now Micros, e *gateway.Registration) {
 	c.now = now
 	if load := e.Slot.(*trackedLoad); load.runner == e && !load.ending && !load.gone {
 		slog.Info("load handed on", "dedupe", load.once, "epoch", load.epoch)
-		c.put(&idempotency.Command{Op: idempotency.Hand, Once: load.once, Epoch: load.epoch}, func(idempotency.View, bool) {})
+		c.put(&idempotency.Command{Op: idempotency.Transfer, IdempotencyKey: load.once, Epoch: load.epoch}, func(idempotency.Response, bool) {})
 	}
 }
 
-// Doubt says whether some attempt of the load may have begun, by what the record has said since the request came. What it had said
+// OutcomeUnknown says whether some attempt of the load may have begun, by what the record has said since the request came. What it had said
 // before may be out of date: a repeat that it never heard of is turned away like one at a front end that knows nothing of the load,
 // and not told that a load may have run whose rows others were told meanwhile (exercise, seed 43).
-func (c *Client) Doubt(e *gateway.Entry) bool {
+func (c *Client) OutcomeUnknown(e *gateway.Registration) bool {
 	load := e.Slot.(*trackedLoad)
-	return e.Seen && (load.phase == idempotency.Started && !(load.mine && load.clean) || load.phase.Over() || load.ending)
+	return e.Seen && (load.phase == idempotency.Started && !(load.mine && load.clean) || load.phase.Finished() || load.ending)
 }
 
 // drop takes a request out of its load.
-func (c *Client) drop(e *gateway.Entry) {
+func (c *Client) drop(e *gateway.Registration) {
 	load := e.Slot.(*trackedLoad)
 	for i, other := range load.entries {
 		if other == e {
@@ -319,17 +319,17 @@
 		return
 	}
 	load.ending, load.endedAt = true, c.now
-	load.end = c.put(&idempotency.Command{Op: idempotency.Finish, Once: load.once, Epoch: load.epoch, Outcome: outcome, Rows: rows},
-		func(v idempotency.View, ok bool) {
+	load.end = c.put(&idempotency.Command{Op: idempotency.Complete, IdempotencyKey: load.once, Epoch: load.epoch, Outcome: outcome, Rows: rows},
+		func(v idempotency.Response, ok bool) {
 			load.ending, load.mine, load.clean, load.runner = false, false, false, nil
 			switch {
-			case ok && v.Phase.Over():
-				c.Kept++
+			case ok && v.Phase.Finished():
+				c.Committed++
 				c.over(load, v.Phase == idempotency.Served, v.Rows)
-			case outcome == idempotency.None && len(load.entries) > 0: // it was taken out; a repeat came meanwhile
-				load.phase = idempotency.None
+			case outcome == idempotency.Unregistered && len(load.entries) > 0: // it was taken out; a repeat came meanwhile
+				load.phase = idempotency.Unregistered
 				c.take(load, false)
-			case outcome == idempotency.None:
+			case outcome == idempotency.Unregistered:
 				c.close(load)
 			default: // lapsed, and forgotten since
 				c.over(load, false, nil)
@@ -343,7 +343,7 @@
 	load.entries = nil
 	c.close(load)
 	for _, e := range entries {
-		e.Over(c.now, served, rows)
+		e.Finish(c.now, served, rows)
 	}
 }
 
@@ -352,7 +352,7 @@
 	load.entries = nil
 	c.close(load)
 	for _, e := range entries {
-		e.Turn(c.now, after)
+		e.Reject(c.now, after)
 	}
 }
 
@@ -371,8 +371,8 @@
 	}
 }
 
-// Note tells that a load may have changed.
-func (c *Client) Note(now Micros, once string) {
+// Notify tells that a load may have changed.
+func (c *Client) Notify(now Micros, once string) {
 	c.now = now
 	if load := c.tracked[once]; load != nil {
 		if load.runner == nil {
@@ -381,12 +381,12 @@
 		return
 	}
 	// The record may take this front end for its owner by a command that was repeated late.
-	c.put(&idempotency.Command{Op: idempotency.Look, Once: once}, func(v idempotency.View, ok bool) {
+	c.put(&idempotency.Command{Op: idempotency.Inspect, IdempotencyKey: once}, func(v idempotency.Response, ok bool) {
 		if !ok || v.Owner != c.cfg.Incarnation || c.tracked[once] != nil {
 			return
 		}
 		if v.Phase == idempotency.Started {
-			load := &trackedLoad{once: once, key: v.Key, digest: v.Digest, noted: true, mine: true, epoch: v.Epoch, phase: v.Phase}
+			load := &trackedLoad{once: once, key: v.OrderKey, digest: v.StatementDigest, noted: true, mine: true, epoch: v.Epoch, phase: v.Phase}
 			c.tracked[once] = load
 			c.order = append(c.order, load)
 			c.succeed(load, v)
@@ -396,7 +396,7 @@
 			return
 		}
 		if v.Phase == idempotency.Waiting {
-			c.put(&idempotency.Command{Op: idempotency.Finish, Once: once, Epoch: v.Epoch, Outcome: idempotency.None}, func(idempotency.View, bool) {})
+			c.put(&idempotency.Command{Op: idempotency.Complete, IdempotencyKey: once, Epoch: v.Epoch, Outcome: idempotency.Unregistered}, func(idempotency.Response, bool) {})
 		}
 	})
 }
@@ -408,7 +408,7 @@
 		c.sort(load)
 		switch {
 		case load.gone:
-		case load.ending && now-load.endedAt >= c.cfg.Patience:
+		case load.ending && now-load.endedAt >= c.cfg.CommitTimeout:
 			c.ask.Cancel(load.end)
 			c.over(load, false, nil)
 		case load.runner == nil && now >= load.poll:
@@ -419,7 +419,7 @@
 
 // sort turns away the requests for a load that have another statement.
 func (c *Client) sort(load *trackedLoad) {
-	var wrong []*gateway.Entry
+	var wrong []*gateway.Registration
 	for _, e := range load.entries {
 		if !e.Checked {
 			e.Checked = true
@@ -432,32 +432,32 @@
 		c.Conflicts++
 		slog.Warn("refused: the idempotency key stands for another statement", "dedupe", load.once, "call", e.Call().ID)
 		c.drop(e)
-		e.Turn(c.now, c.cfg.Full)
+		e.Reject(c.now, c.cfg.CapacityRetryAfter)
 	}
 }
 
 // Len is how many loads are tracked here.
 func (c *Client) Len() int { return len(c.order) }
 
-// Tracked is a load tracked here, as operators see it.
-type Tracked struct {
-	Once     string `json:"dedupe"`
-	Key      string `json:"key,omitempty"`
-	Requests int    `json:"requests"`
-	Mine     bool   `json:"mine"`
-	Phase    string `json:"phase"`
-	Epoch    uint64 `json:"epoch"`
-	Runs     bool   `json:"runs"`   // the decision module has it
-	Asking   bool   `json:"asking"` // a question about it has no answer yet
-	Ending   bool   `json:"ending"` // its outcome is being kept
-	Noted    bool   `json:"noted"`
+// RecordStatus is a load tracked here, as operators see it.
+type RecordStatus struct {
+	IdempotencyKey string `json:"dedupe"`
+	OrderKey       string `json:"key,omitempty"`
+	Requests       int    `json:"requests"`
+	Owned          bool   `json:"mine"`
+	Phase          string `json:"phase"`
+	Epoch          uint64 `json:"epoch"`
+	Dispatched     bool   `json:"runs"`   // the decision module has it
+	Proposing      bool   `json:"asking"` // a question about it has no answer yet
+	Committing     bool   `json:"ending"` // its outcome is being kept
+	Registered     bool   `json:"noted"`
 }
 
-// Show is all loads tracked here, in the order in which they came.
-func (c *Client) Show() []Tracked {
-	list := []Tracked{}
+// Records is all loads tracked here, in the order in which they came.
+func (c *Client) Records() []RecordStatus {
+	list := []RecordStatus{}
 	for _, load := range c.order {
-		list = append(list, Tracked{load.once, load.key, len(load.entries), load.mine, load.phase.String(), load.epoch, load.runner != nil, load.asking != 0,
+		list = append(list, RecordStatus{load.once, load.key, len(load.entries), load.mine, load.phase.String(), load.epoch, load.runner != nil, load.asking != 0,
 			load.ending, load.noted})
 	}
 	return list
--- a/fleet/idempotency/message.go
+++ b/fleet/idempotency/message.go
@@ -7,14 +7,14 @@
 
 // The commands.
 const (
-	Take   Op = iota + 1 // a load was taken: note it, or attach to the one that is there
-	Start                // may this attempt begin?
-	Finish               // its outcome
-	Lapse                // by the leader: its time is over for certain
-	Forget               // by the leader: its outcome was kept long enough
-	Look                 // how it stands, as of this place in the order of commits
-	Offer                // by the leader: its owner is missing; another is to ask after what was started
-	Hand                 // its owner ends as planned: another is to ask after what was started
+	Register         Op = iota + 1 // a load was taken: note it, or attach to the one that is there
+	AuthorizeAttempt               // may this attempt begin?
+	Complete                       // its outcome
+	Expire                         // by the leader: its time is over for certain
+	Forget                         // by the leader: its outcome was kept long enough
+	Inspect                        // how it stands, as of this place in the order of commits
+	OfferTransfer                  // by the leader: its owner is missing; another is to ask after what was started
+	Transfer                       // its owner ends as planned: another is to ask after what was started
 )
 
 // Phase is how far a load is.
@@ -22,15 +22,15 @@
 
 // The phases.
 const (
-	None    Phase = iota // not noted
-	Waiting              // taken; nothing of it has begun
-	Started              // an attempt may have begun
-	Served               // over, with its rows
-	Failed               // over, and may have run
+	Unregistered Phase = iota // not noted
+	Waiting                   // taken; nothing of it has begun
+	Started                   // an attempt may have begun
+	Served                    // over, with its rows
+	Failed                    // over, and may have run
 )
 
-// Over says whether the load has its outcome.
-func (p Phase) Over() bool { return p >= Served }
+// Finished says whether the load has its outcome.
+func (p Phase) Finished() bool { return p >= Served }
 
 func (p Phase) String() string {
 	return [...]string{"none", "waiting", "started", "served", "failed"}[min(p, Failed)]
@@ -38,65 +38,65 @@
 
 // Command is one command on loads. Epoch and Changed tell a stale one.
 type Command struct {
-	Op                       Op
-	Once, Key, Tenant, Class string
-	Digest                   []byte // of the statement
-	Call                     string
-	TTL                      uint64 // microseconds that its client waits, from before it was asked
-	Adopt                    bool   // take it over where nothing has begun
-	Epoch                    uint64
-	Attempt                  uint64
-	Engine                   string
-	Outcome                  Phase // None: it never ran, and is taken out
-	Rows                     []byte
-	Changed                  uint64
-	To                       uint64 // incarnation, of an Offer
+	Op                                      Op
+	IdempotencyKey, OrderKey, Tenant, Class string
+	StatementDigest                         []byte // of the statement
+	RequestID                               string
+	TTL                                     uint64 // microseconds that its client waits, from before it was asked
+	TakeOver                                bool   // take it over where nothing has begun
+	Epoch                                   uint64
+	Attempt                                 uint64
+	Engine                                  string
+	Outcome                                 Phase // None: it never ran, and is taken out
+	Rows                                    []byte
+	ChangedIndex                            uint64
+	NewOwner                                uint64 // incarnation, of an Offer
 }
 
 // Encode gives the command's bytes.
 func (c *Command) Encode() []byte {
 	b := make([]byte, 0, 128+len(c.Rows))
 	b = proto.Uint(b, 1, uint64(c.Op))
-	b = proto.String(b, 2, c.Once)
-	b = proto.String(b, 3, c.Key)
+	b = proto.String(b, 2, c.IdempotencyKey)
+	b = proto.String(b, 3, c.OrderKey)
 	b = proto.String(b, 4, c.Tenant)
 	b = proto.String(b, 5, c.Class)
-	b = proto.Bytes(b, 6, c.Digest)
-	b = proto.String(b, 7, c.Call)
+	b = proto.Bytes(b, 6, c.StatementDigest)
+	b = proto.String(b, 7, c.RequestID)
 	b = proto.Uint(b, 8, c.TTL)
-	b = proto.Bool(b, 9, c.Adopt)
+	b = proto.Bool(b, 9, c.TakeOver)
 	b = proto.Uint(b, 10, c.Epoch)
 	b = proto.Uint(b, 11, c.Attempt)
 	b = proto.String(b, 12, c.Engine)
 	b = proto.Uint(b, 13, uint64(c.Outcome))
 	b = proto.Bytes(b, 14, c.Rows)
-	b = proto.Uint(b, 15, c.Changed)
-	return proto.Uint(b, 16, c.To)
+	b = proto.Uint(b, 15, c.ChangedIndex)
+	return proto.Uint(b, 16, c.NewOwner)
 }
 
-// Decode reads a command.
-func Decode(b []byte) (*Command, error) {
+// DecodeCommand reads a command.
+func DecodeCommand(b []byte) (*Command, error) {
 	c := &Command{}
 	err := proto.Each(b, func(f proto.Field) error {
 		switch f.Number {
 		case 1:
 			c.Op = Op(f.Uint)
 		case 2:
-			c.Once = f.Text()
+			c.IdempotencyKey = f.Text()
 		case 3:
-			c.Key = f.Text()
+			c.OrderKey = f.Text()
 		case 4:
 			c.Tenant = f.Text()
 		case 5:
 			c.Class = f.Text()
 		case 6:
-			c.Digest = f.Copy()
+			c.StatementDigest = f.Copy()
 		case 7:
-			c.Call = f.Text()
+			c.RequestID = f.Text()
 		case 8:
 			c.TTL = f.Uint
 		case 9:
-			c.Adopt = f.Uint != 0
+			c.TakeOver = f.Uint != 0
 		case 10:
 			c.Epoch = f.Uint
 		case 11:
@@ -108,9 +108,9 @@
 		case 14:
 			c.Rows = f.Copy()
 		case 15:
-			c.Changed = f.Uint
+			c.ChangedIndex = f.Uint
 		case 16:
-			c.To = f.Uint
+			c.NewOwner = f.Uint
 		}
 		return nil
 	})
@@ -122,53 +122,53 @@
 
 // The statuses.
 const (
-	OK       Status = iota + 1
-	Denied          // not the owner, of another epoch, or over: see the rest of the view
-	NotYet          // others of its key come first
-	Conflict        // the same idempotency key with another statement or key
-	Full            // no room for another load and its outcome
-	Unknown         // not noted
+	OK               Status = iota + 1
+	Denied                  // not the owner, of another epoch, or over: see the rest of the view
+	Blocked                 // others of its key come first
+	Conflict                // the same idempotency key with another statement or key
+	CapacityExceeded        // no room for another load and its outcome
+	NotFound                // not noted
 )
 
-// View is how a load stands, as the answer to a command on it.
-type View struct {
-	Status Status
-	Phase  Phase
-	Owner  uint64 // incarnation
-	Epoch  uint64
-	Place  uint64 // in the order of commits
-	Turn   bool   // nothing of its key stands before it
-	Call   string // of the try that its owner holds
-	Rows   []byte
-	TTL    uint64 // that its client waits, where something was started
-	Engine string // of the last start
-	Run    string // its call
-	Class  string
-	Key    string
-	Digest []byte
+// Response is how a load stands, as the answer to a command on it.
+type Response struct {
+	Status           Status
+	Phase            Phase
+	Owner            uint64 // incarnation
+	Epoch            uint64
+	Index            uint64 // in the order of commits
+	FirstOfKey       bool   // nothing of its key stands before it
+	OwnerRequestID   string // of the try that its owner holds
+	Rows             []byte
+	TTL              uint64 // that its client waits, where something was started
+	Engine           string // of the last start
+	StartedRequestID string // its call
+	Class            string
+	OrderKey         string
+	StatementDigest  []byte
 }
 
 // Encode gives the view's bytes.
-func (v *View) Encode() []byte {
+func (v *Response) Encode() []byte {
 	b := make([]byte, 0, 64+len(v.Rows))
 	b = proto.Uint(b, 1, uint64(v.Status))
 	b = proto.Uint(b, 2, uint64(v.Phase))
 	b = proto.Uint(b, 3, v.Owner)
 	b = proto.Uint(b, 4, v.Epoch)
-	b = proto.Uint(b, 5, v.Place)
-	b = proto.Bool(b, 6, v.Turn)
-	b = proto.String(b, 7, v.Call)
+	b = proto.Uint(b, 5, v.Index)
+	b = proto.Bool(b, 6, v.FirstOfKey)
+	b = proto.String(b, 7, v.OwnerRequestID)
 	b = proto.Bytes(b, 8, v.Rows)
 	b = proto.Uint(b, 9, v.TTL)
 	b = proto.String(b, 10, v.Engine)
-	b = proto.String(b, 11, v.Run)
+	b = proto.String(b, 11, v.StartedRequestID)
 	b = proto.String(b, 12, v.Class)
-	b = proto.String(b, 13, v.Key)
-	return proto.Bytes(b, 14, v.Digest)
+	b = proto.String(b, 13, v.OrderKey)
+	return proto.Bytes(b, 14, v.StatementDigest)
 }
 
-// DecodeView reads one.
-func DecodeView(b []byte) (v View, err error) {
+// DecodeResponse reads one.
+func DecodeResponse(b []byte) (v Response, err error) {
 	err = proto.Each(b, func(f proto.Field) error {
 		switch f.Number {
 		case 1:
@@ -180,11 +180,11 @@
 		case 4:
 			v.Epoch = f.Uint
 		case 5:
-			v.Place = f.Uint
+			v.Index = f.Uint
 		case 6:
-			v.Turn = f.Uint != 0
+			v.FirstOfKey = f.Uint != 0
 		case 7:
-			v.Call = f.Text()
+			v.OwnerRequestID = f.Text()
 		case 8:
 			v.Rows = f.Copy()
 		case 9:
@@ -192,13 +192,13 @@
 		case 10:
 			v.Engine = f.Text()
 		case 11:
-			v.Run = f.Text()
+			v.StartedRequestID = f.Text()
 		case 12:
 			v.Class = f.Text()
 		case 13:
-			v.Key = f.Text()
+			v.OrderKey = f.Text()
 		case 14:
-			v.Digest = f.Copy()
+			v.StatementDigest = f.Copy()
 		}
 		return nil
 	})
--- a/fleet/idempotency/registry.go
+++ b/fleet/idempotency/registry.go
@@ -39,15 +39,15 @@
 	drift = 100
 	// overhead is what a record takes besides its texts, in bytes.
 	overhead = 400
-	// MostRows is the most that an outcome's rows may take, by the protocol.
-	MostRows = 48_000
+	// MaxOutcomeBytes is the most that an outcome's rows may take, by the protocol.
+	MaxOutcomeBytes = 48_000
 )
 
 // Options are the bounds of the record. All copies of one group have the same.
 type Options struct {
-	Bytes  int                // that records may take, with room for their outcomes
-	Keep   replication.Micros // how long an outcome is kept
-	Orphan replication.Micros // how long a load whose owner is gone keeps its place with nothing begun
+	MaxBytes      int                // that records may take, with room for their outcomes
+	Retention     replication.Micros // how long an outcome is kept
+	OrphanTimeout replication.Micros // how long a load whose owner is gone keeps its place with nothing begun
 }
 
 // load is one record.
@@ -77,8 +77,8 @@
 	owner   replication.Incarnation
 }
 
-// Loads is the record.
-type Loads struct {
+// Registry is the record.
+type Registry struct {
 	o     Options
 	once  map[string]*load
 	order []*load            // by place
@@ -86,56 +86,56 @@
 	bytes int
 }
 
-// New is an empty record.
-func New(o Options) *Loads {
-	return &Loads{o: o, once: map[string]*load{}, lines: map[string][]*load{}}
+// NewRegistry is an empty record.
+func NewRegistry(o Options) *Registry {
+	return &Registry{o: o, once: map[string]*load{}, lines: map[string][]*load{}}
 }
 
 // ID is the kind's number in commands and snapshots.
-func (s *Loads) ID() uint32 { return 1 }
+func (s *Registry) ID() uint32 { return 1 }
 
 // Name is the kind's name.
-func (s *Loads) Name() string { return "loads" }
+func (s *Registry) Name() string { return "loads" }
 
 // Version is the form of its commands.
-func (s *Loads) Version() uint32 { return 1 }
+func (s *Registry) Version() uint32 { return 1 }
 
 // Len is how many loads are noted, and Bytes what they take.
-func (s *Loads) Len() int { return len(s.order) }
+func (s *Registry) Len() int { return len(s.order) }
 
 // Bytes is the room that is taken or kept back for outcomes.
-func (s *Loads) Bytes() int { return s.bytes }
+func (s *Registry) Bytes() int { return s.bytes }
 
 // size is the room of a load; one without an outcome keeps back what that may take.
 func (l *load) size() int {
 	n := overhead + len(l.once) + len(l.key) + len(l.tenant) + len(l.class) + len(l.digest)
-	if l.phase.Over() {
+	if l.phase.Finished() {
 		return n + len(l.rows)
 	}
-	return n + MostRows
+	return n + MaxOutcomeBytes
 }
 
 // Apply carries out a committed command.
-func (s *Loads) Apply(at replication.Applied, asker replication.Incarnation, body []byte) []byte {
-	c, err := Decode(body)
+func (s *Registry) Apply(at replication.ApplyContext, asker replication.Incarnation, body []byte) []byte {
+	c, err := DecodeCommand(body)
 	if err != nil {
 		return nil
 	}
-	l := s.once[c.Once]
+	l := s.once[c.IdempotencyKey]
 	status := OK
 	switch c.Op {
-	case Take:
+	case Register:
 		l, status = s.take(at, asker, c, l)
-	case Start:
+	case AuthorizeAttempt:
 		status = s.start(at, asker, c, l)
-	case Finish:
+	case Complete:
 		l, status = s.finish(at, asker, c, l)
-	case Look:
+	case Inspect:
 		if l == nil {
-			status = Unknown
+			status = NotFound
 		}
-	case Lapse:
-		if l != nil && l.changed == c.Changed && !l.phase.Over() {
+	case Expire:
+		if l != nil && l.changed == c.ChangedIndex && !l.phase.Finished() {
 			if l.phase == Started {
 				s.over(at, l, Failed, nil)
 			} else {
@@ -143,109 +143,111 @@
 			}
 		}
 		return nil
-	case Offer:
-		if l == nil || l.changed != c.Changed || l.phase != Started {
+	case OfferTransfer:
+		if l == nil || l.changed != c.ChangedIndex || l.phase != Started {
 			return nil
 		}
-		if l.at = at.Now; l.owner != replication.Incarnation(c.To) {
-			l.owner, l.epoch, l.changed, l.taken = replication.Incarnation(c.To), at.Index, at.Index, at.Now
+		if l.at = at.Now; l.owner != replication.Incarnation(c.NewOwner) {
+			l.owner, l.epoch, l.changed, l.taken = replication.Incarnation(c.NewOwner), at.Index, at.Index, at.Now
 		}
-		at.Note(l.owner, l.once)
+		at.Notify(l.owner, l.once)
 		return nil
-	case Hand:
+	case Transfer:
 		if l != nil && l.owner == asker && l.epoch == c.Epoch && l.phase == Started {
 			l.owner, l.epoch, l.changed = 0, at.Index, at.Index
 		}
 		return nil
 	case Forget:
-		if l != nil && l.changed == c.Changed && l.phase.Over() {
+		if l != nil && l.changed == c.ChangedIndex && l.phase.Finished() {
 			s.remove(at, l)
 		}
 		return nil
 	default:
 		return nil
 	}
-	v := View{Status: status}
+	v := Response{Status: status}
 	if l != nil && status != Conflict {
-		v.Phase, v.Owner, v.Epoch, v.Place, v.Call, v.Rows = l.phase, uint64(l.owner), l.epoch, l.place, l.call, l.rows
-		v.Turn = s.first(l)
+		v.Phase, v.Owner, v.Epoch, v.Index, v.OwnerRequestID, v.Rows = l.phase, uint64(l.owner), l.epoch, l.place, l.call, l.rows
+		v.FirstOfKey = s.first(l)
 		if l.phase == Started {
 			last := l.starts[len(l.starts)-1]
-			v.TTL, v.Engine, v.Run, v.Class, v.Key, v.Digest = l.ttl, last.engine, last.call, l.class, l.key, l.digest
+			v.TTL, v.Engine, v.StartedRequestID, v.Class, v.OrderKey, v.StatementDigest = l.ttl, last.engine, last.call, l.class, l.key, l.digest
 		}
 	}
 	return v.Encode()
 }
 
-func (s *Loads) first(l *load) bool { return l.key == "" || !l.phase.Over() && s.lines[l.key][0] == l }
+func (s *Registry) first(l *load) bool {
+	return l.key == "" || !l.phase.Finished() && s.lines[l.key][0] == l
+}
 
-func (s *Loads) take(at replication.Applied, asker replication.Incarnation, c *Command, l *load) (*load, Status) {
+func (s *Registry) take(at replication.ApplyContext, asker replication.Incarnation, c *Command, l *load) (*load, Status) {
 	if l != nil {
 		switch {
-		case !bytes.Equal(l.digest, c.Digest) || l.key != c.Key || l.class != c.Class:
+		case !bytes.Equal(l.digest, c.StatementDigest) || l.key != c.OrderKey || l.class != c.Class:
 			return l, Conflict
-		case l.phase.Over():
+		case l.phase.Finished():
 		case l.owner == asker:
-			if l.phase == Waiting && l.call != c.Call { // another try of it, whose client waits for longer
-				l.call, l.ttl, l.changed, l.taken, l.at = c.Call, c.TTL, at.Index, at.Now, at.Now
+			if l.phase == Waiting && l.call != c.RequestID { // another try of it, whose client waits for longer
+				l.call, l.ttl, l.changed, l.taken, l.at = c.RequestID, c.TTL, at.Index, at.Now, at.Now
 				l.epoch = at.Index
 			}
-		case l.phase == Waiting && c.Adopt:
-			at.Note(l.owner, l.once)
-			l.owner, l.call, l.ttl, l.epoch = asker, c.Call, c.TTL, at.Index
+		case l.phase == Waiting && c.TakeOver:
+			at.Notify(l.owner, l.once)
+			l.owner, l.call, l.ttl, l.epoch = asker, c.RequestID, c.TTL, at.Index
 			l.changed, l.taken, l.at, l.orphan = at.Index, at.Now, at.Now, 0
 		case !slices.Contains(l.watchers, asker):
 			l.watchers = append(l.watchers, asker)
-			at.Note(l.owner, l.once) // who holds it no more says so
+			at.Notify(l.owner, l.once) // who holds it no more says so
 		}
 		return l, OK
 	}
-	l = &load{once: c.Once, key: c.Key, tenant: c.Tenant, class: c.Class, digest: c.Digest, call: c.Call, ttl: c.TTL,
+	l = &load{once: c.IdempotencyKey, key: c.OrderKey, tenant: c.Tenant, class: c.Class, digest: c.StatementDigest, call: c.RequestID, ttl: c.TTL,
 		place: at.Index, owner: asker, epoch: at.Index, phase: Waiting, changed: at.Index, taken: at.Now, at: at.Now}
-	if s.bytes+l.size() > s.o.Bytes {
-		return nil, Full
+	if s.bytes+l.size() > s.o.MaxBytes {
+		return nil, CapacityExceeded
 	}
 	s.add(l)
 	return l, OK
 }
 
-func (s *Loads) add(l *load) {
+func (s *Registry) add(l *load) {
 	s.once[l.once] = l
 	s.order = append(s.order, l)
 	s.bytes += l.size()
-	if l.key != "" && !l.phase.Over() {
+	if l.key != "" && !l.phase.Finished() {
 		s.lines[l.key] = append(s.lines[l.key], l)
 	}
 }
 
-func (s *Loads) start(at replication.Applied, asker replication.Incarnation, c *Command, l *load) Status {
+func (s *Registry) start(at replication.ApplyContext, asker replication.Incarnation, c *Command, l *load) Status {
 	switch {
 	case l == nil:
-		return Unknown
-	case l.phase.Over() || l.owner != asker || l.epoch != c.Epoch:
+		return NotFound
+	case l.phase.Finished() || l.owner != asker || l.epoch != c.Epoch:
 		return Denied
 	case !s.first(l):
-		return NotYet
+		return Blocked
 	case slices.ContainsFunc(l.starts, func(t start) bool { return t.attempt == c.Attempt }):
 		return OK // asked again
 	}
-	l.starts = append(l.starts, start{c.Attempt, c.Engine, c.Call, asker})
+	l.starts = append(l.starts, start{c.Attempt, c.Engine, c.RequestID, asker})
 	l.phase, l.changed, l.at = Started, at.Index, at.Now
 	return OK
 }
 
-func (s *Loads) finish(at replication.Applied, asker replication.Incarnation, c *Command, l *load) (*load, Status) {
+func (s *Registry) finish(at replication.ApplyContext, asker replication.Incarnation, c *Command, l *load) (*load, Status) {
 	switch {
 	case l == nil:
-		return nil, Unknown
-	case l.phase.Over():
+		return nil, NotFound
+	case l.phase.Finished():
 		return l, OK // the first stays
 	case l.owner != asker || l.epoch != c.Epoch:
 		return l, Denied
-	case c.Outcome == None:
+	case c.Outcome == Unregistered:
 		s.remove(at, l)
 		return nil, OK
-	case c.Outcome == Served && len(c.Rows) > MostRows:
+	case c.Outcome == Served && len(c.Rows) > MaxOutcomeBytes:
 		s.over(at, l, Failed, nil)
 	case c.Outcome == Served || c.Outcome == Failed:
 		s.over(at, l, c.Outcome, c.Rows)
@@ -256,7 +258,7 @@
 }
 
 // over gives a load its outcome.
-func (s *Loads) over(at replication.Applied, l *load, outcome Phase, rows []byte) {
+func (s *Registry) over(at replication.ApplyContext, l *load, outcome Phase, rows []byte) {
 	s.bytes -= l.size()
 	s.leave(at, l)
 	l.phase, l.rows, l.changed, l.at = outcome, rows, at.Index, at.Now
@@ -265,11 +267,11 @@
 }
 
 // remove takes a load out of the record.
-func (s *Loads) remove(at replication.Applied, l *load) {
+func (s *Registry) remove(at replication.ApplyContext, l *load) {
 	s.bytes -= l.size()
-	if !l.phase.Over() {
+	if !l.phase.Finished() {
 		s.leave(at, l)
-		at.Note(l.owner, l.once)
+		at.Notify(l.owner, l.once)
 		s.tell(at, l)
 	}
 	delete(s.once, l.once)
@@ -289,7 +291,7 @@
 }
 
 // leave takes a load out of its key's line; the next may begin.
-func (s *Loads) leave(at replication.Applied, l *load) {
+func (s *Registry) leave(at replication.ApplyContext, l *load) {
 	if l.key == "" {
 		return
 	}
@@ -302,14 +304,14 @@
 	}
 	s.lines[l.key] = line
 	if i == 0 {
-		at.Note(line[0].owner, line[0].once)
+		at.Notify(line[0].owner, line[0].once)
 	}
 }
 
 // tell notes those who wait with a load.
-func (s *Loads) tell(at replication.Applied, l *load) {
+func (s *Registry) tell(at replication.ApplyContext, l *load) {
 	for _, w := range l.watchers {
-		at.Note(w, l.once)
+		at.Notify(w, l.once)
 	}
 	l.watchers = nil
 }
@@ -333,39 +335,39 @@
 	return best
 }
 
-// Due gives what has lapsed and what may be forgotten, by this machine's clock.
-func (s *Loads) Due(now replication.Micros, seen replication.Presence) (list [][]byte) {
+// DueCommands gives what has lapsed and what may be forgotten, by this machine's clock.
+func (s *Registry) DueCommands(now replication.Micros, seen replication.FailureDetector) (list [][]byte) {
 	offers := 0
 	for _, l := range s.order {
 		if len(list) >= mostDue {
 			break
 		}
-		c := Command{Once: l.once, Changed: l.changed}
+		c := Command{IdempotencyKey: l.once, ChangedIndex: l.changed}
 		life := replication.Micros(l.ttl) + replication.Micros(l.ttl)/drift + second/2
 		switch {
-		case l.phase.Over() && now-l.at >= s.o.Keep:
+		case l.phase.Finished() && now-l.at >= s.o.Retention:
 			c.Op = Forget
-		case l.phase == Started && now-l.taken >= life+replication.Unasked:
-			c.Op = Lapse
-		case l.phase == Started && offers < mostOffers && seen.Missing(l.owner):
-			if c.To = uint64(successor(l.once, seen.Present())); c.To == uint64(l.owner) {
+		case l.phase == Started && now-l.taken >= life+replication.AbandonTimeout:
+			c.Op = Expire
+		case l.phase == Started && offers < mostOffers && seen.Unreachable(l.owner):
+			if c.NewOwner = uint64(successor(l.once, seen.Live())); c.NewOwner == uint64(l.owner) {
 				continue
 			}
-			c.Op = Offer
+			c.Op = OfferTransfer
 			offers++
 		case l.phase == Started && offers < mostOffers && l.starts[len(l.starts)-1].owner != l.owner && now-l.at >= second:
-			c.Op, c.To = Offer, uint64(l.owner) // the word that it is the owner may have been lost
+			c.Op, c.NewOwner = OfferTransfer, uint64(l.owner) // the word that it is the owner may have been lost
 			offers++
 		case l.phase == Waiting && now-l.taken >= life:
-			c.Op = Lapse
-		case l.phase == Waiting && seen.Gone(l.owner):
+			c.Op = Expire
+		case l.phase == Waiting && seen.PresumedDead(l.owner):
 			if l.orphan == 0 {
 				l.orphan = now
 			}
-			if now-l.orphan < s.o.Orphan {
+			if now-l.orphan < s.o.OrphanTimeout {
 				continue
 			}
-			c.Op = Lapse
+			c.Op = Expire
 		default:
 			l.orphan = 0
 			continue
@@ -375,8 +377,8 @@
 	return list
 }
 
-// Snapshot adds all records, by place.
-func (s *Loads) Snapshot(b []byte) []byte {
+// AppendSnapshot adds all records, by place.
+func (s *Registry) AppendSnapshot(b []byte) []byte {
 	for _, l := range s.order {
 		b = proto.Message(b, 1, l.encode())
 	}
@@ -412,8 +414,8 @@
 }
 
 // Restore takes a snapshot over. Its spans begin now, which is later than they did: nothing lapses early.
-func (s *Loads) Restore(b []byte, now replication.Micros) error {
-	*s = *New(s.o)
+func (s *Registry) Restore(b []byte, now replication.Micros) error {
+	*s = *NewRegistry(s.o)
 	return proto.Each(b, func(f proto.Field) error {
 		l := &load{taken: now, at: now}
 		if err := proto.Each(f.Data, l.decode); err != nil {
@@ -475,25 +477,25 @@
 	return nil
 }
 
-// Shown is a record as operators see it.
-type Shown struct {
-	Once   string   `json:"dedupe"`
-	Key    string   `json:"key,omitempty"`
-	Class  string   `json:"class"`
-	Phase  string   `json:"phase"`
-	Owner  string   `json:"owner"`
-	Epoch  uint64   `json:"epoch"`
-	Place  uint64   `json:"place"`
-	Starts []string `json:"starts,omitempty"`
-	Bytes  int      `json:"bytes"`
+// RecordStatus is a record as operators see it.
+type RecordStatus struct {
+	IdempotencyKey string   `json:"dedupe"`
+	OrderKey       string   `json:"key,omitempty"`
+	Class          string   `json:"class"`
+	Phase          string   `json:"phase"`
+	Owner          string   `json:"owner"`
+	Epoch          uint64   `json:"epoch"`
+	Index          uint64   `json:"place"`
+	Starts         []string `json:"starts,omitempty"`
+	Bytes          int      `json:"bytes"`
 }
 
-// Show is all records, by place.
-func (s *Loads) Show() (list []Shown) {
-	list = []Shown{}
+// Records is all records, by place.
+func (s *Registry) Records() (list []RecordStatus) {
+	list = []RecordStatus{}
 	for _, l := range s.order {
-		v := Shown{Once: l.once, Key: l.key, Class: l.class, Phase: l.phase.String(), Owner: fmt.Sprintf("%016x", uint64(l.owner)),
-			Epoch: l.epoch, Place: l.place, Bytes: len(l.rows)}
+		v := RecordStatus{IdempotencyKey: l.once, OrderKey: l.key, Class: l.class, Phase: l.phase.String(), Owner: fmt.Sprintf("%016x", uint64(l.owner)),
+			Epoch: l.epoch, Index: l.place, Bytes: len(l.rows)}
 		for _, t := range l.starts {
 			v.Starts = append(v.Starts, fmt.Sprintf("%d on %s as %s", t.attempt, t.engine, t.call))
 		}
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -5,9 +5,9 @@
 	"chutechute/fleet/transport"
 )
 
-// Ask puts a question to the record. Done is called once with what was committed, from Receive, Tick or Stored; it is not
+// Propose puts a question to the record. Done is called once with what was committed, from Receive, Tick or Stored; it is not
 // called any more after Cancel. A question that is taken back may still be committed.
-func (n *Node) Ask(now Micros, kind, version uint32, body []byte, done func(replication.Answer)) (id uint64) {
+func (n *Node) Propose(now Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64) {
 	n.now = now
 	return n.requests.add(now, kind, version, body, done)
 }
@@ -15,8 +15,8 @@
 // Cancel takes a question back.
 func (n *Node) Cancel(id uint64) { n.requests.forget(id) }
 
-// Asked is how many questions were put so far.
-func (n *Node) Asked() int { return int(n.requests.seq) }
+// Proposals is how many questions were put so far.
+func (n *Node) Proposals() int { return int(n.requests.seq) }
 
 // toLeader is the route of a front end that knows the copies: straight to who leads the record.
 type toLeader struct {
@@ -27,14 +27,14 @@
 
 func (t *toLeader) ask(to string, c replication.Command) {
 	if to == t.n.cfg.Name {
-		t.n.replica.Ask(t.n.now, c)
+		t.n.replica.Propose(t.n.now, c)
 		return
 	}
-	t.n.tell(to, transport.Ask, false, c.Encode())
+	t.n.tell(to, transport.Proposal, false, c.Encode())
 }
 
 func (t *toLeader) redirected(leader uint64, asked string) bool {
-	if t.n.NameOf(leader) == asked {
+	if t.n.ReplicaName(leader) == asked {
 		return false
 	}
 	t.hint, t.at = leader, t.n.now
@@ -45,14 +45,14 @@
 // and else by the newest election that any of the others tells of.
 func (t *toLeader) target() string {
 	n := t.n
-	if n.replica.Votes() && n.replica.Leader() != 0 {
-		return n.NameOf(n.replica.Leader())
+	if n.replica.IsVoter() && n.replica.Leader() != 0 {
+		return n.ReplicaName(n.replica.Leader())
 	}
-	if t.hint != 0 && n.now-t.at < n.cfg.Retry {
-		return n.NameOf(t.hint)
+	if t.hint != 0 && n.now-t.at < n.cfg.RetryInterval {
+		return n.ReplicaName(t.hint)
 	}
 	var best *status
-	for _, m := range n.members.List() {
+	for _, m := range n.members.Peers() {
 		s := n.others[m.Name]
 		if s != nil && s.Incarnation == m.Incarnation && s.Leader != 0 && (best == nil || s.Term > best.Term) {
 			best = s
@@ -61,5 +61,5 @@
 	if best == nil {
 		return ""
 	}
-	return n.NameOf(best.Leader)
+	return n.ReplicaName(best.Leader)
 }
--- a/fleet/membership/bound_test.go
+++ b/fleet/membership/bound_test.go
@@ -11,24 +11,24 @@
 // A front end that is dead for long is forgotten by its home and in the view, and may come back.
 func TestRetention(t *testing.T) {
 	r := newTrio(t)
-	r.servers["m0"].Linked(r.now, r.link("f", 7))
+	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(keepSpan - second)
 	r.shows("f", 7, Dead)
 	r.run(8 * second)
 	for _, c := range trioControls {
 		s := r.servers[c.Name]
-		_, ok := s.View().Of("f")
+		_, ok := s.View().Lookup("f")
 		require.False(t, ok, c.Name)
-		require.True(t, s.View().Gone(7), c.Name)
+		require.True(t, s.View().PresumedDead(7), c.Name)
 		require.Len(t, s.names, 3, c.Name)
 	}
 	require.Empty(t, r.servers["m0"].leases)
 	require.Empty(t, r.servers["m0"].lessees)
 	require.Empty(t, r.servers["m0"].own.rows)
-	r.servers["m0"].Linked(r.now, r.link("f", 7))
+	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(200 * ms)
 	r.shows("f", 7, Alive)
-	require.False(t, r.servers["m1"].View().Gone(7))
+	require.False(t, r.servers["m1"].View().PresumedDead(7))
 }
 
 // A control member that restarts without end leaves a bounded number of tables.
@@ -37,7 +37,7 @@
 	for i := range uint64(20) {
 		r.begin("m0", 2000+i)
 		r.run(100 * ms)
-		r.servers["m0"].Linked(r.now, r.link(fmt.Sprintf("f%02d", i), 100+i))
+		r.servers["m0"].LinkOpened(r.now, r.link(fmt.Sprintf("f%02d", i), 100+i))
 		r.run(300 * ms)
 	}
 	s := r.servers["m1"]
@@ -50,14 +50,14 @@
 func TestPullsAreBounded(t *testing.T) {
 	r := newTrio(t)
 	s := r.servers["m0"]
-	s.Linked(r.now, r.link("f", 7))
+	s.LinkOpened(r.now, r.link("f", 7))
 	r.run(100 * ms)
 	p := pullMessage{home: "m0", epoch: 1000, whole: true}
 	for range 100 {
-		require.NoError(t, s.ReceiveControl(r.now, "m1", 1001, Pull, p.encode()))
+		require.NoError(t, s.ReceiveFromControl(r.now, "m1", 1001, TablePull, p.encode()))
 	}
 	require.Len(t, s.Actions(), 3)
-	require.NoError(t, s.ReceiveControl(r.now, "m2", 1002, Pull, p.encode()))
+	require.NoError(t, s.ReceiveFromControl(r.now, "m2", 1002, TablePull, p.encode()))
 	require.Len(t, s.Actions(), 1, "another is not held up")
 }
 
@@ -66,7 +66,7 @@
 	p := newPair(t, 2000)
 	before := p.server.Counters
 	subscribe := func(incarnation uint64) {
-		l := Link{From: "odd", Zone: "za", Incarnation: incarnation, Greeted: p.now}
+		l := Link{From: "odd", Zone: "za", Incarnation: incarnation, ChallengedAt: p.now}
 		h := heartbeat{name: "odd", sent: p.now, subscribe: true, resume: true}
 		require.NoError(t, p.server.Receive(p.now, l, Heartbeat, h.encode()))
 	}
@@ -92,7 +92,7 @@
 	p := newPair(t, 5)
 	before := p.server.Counters.Snapshots
 	for i := range uint64(20) {
-		l := Link{From: "odd", Zone: "za", Incarnation: 5000 + i, Greeted: p.now}
+		l := Link{From: "odd", Zone: "za", Incarnation: 5000 + i, ChallengedAt: p.now}
 		h := heartbeat{name: "odd", sent: p.now, subscribe: true, resume: true}
 		require.NoError(t, p.server.Receive(p.now, l, Heartbeat, h.encode()))
 		p.run(200 * ms)
@@ -106,7 +106,7 @@
 	sequence, digest := p.server.sequence, p.server.View().Digest()
 	p.other(9, 9)
 	p.run(100 * ms)
-	l := Link{From: "odd", Zone: "za", Incarnation: 3, Greeted: p.now}
+	l := Link{From: "odd", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
 	before := p.server.Counters.CatchUps
 	for range 100 {
 		h := heartbeat{name: "odd", subscribe: true, resume: true, epoch: 1, sequence: sequence, digest: digest}
@@ -123,14 +123,14 @@
 		for _, c := range trioControls {
 			r.servers[c.Name].now = r.now
 		}
-		r.servers["m0"].Linked(r.now, r.link("f", 100+i))
+		r.servers["m0"].LinkOpened(r.now, r.link("f", 100+i))
 		r.run(100 * ms)
 	}
 	require.Empty(t, r.errors)
 	r.shows("f", 109, Alive)
 	require.Len(t, r.servers["m0"].own.rows["f"].past, toldPast)
 	for i := range uint64(9) {
-		require.True(t, r.servers["m1"].View().Replaced(100+i))
+		require.True(t, r.servers["m1"].View().Superseded(100+i))
 	}
 }
 
@@ -140,9 +140,9 @@
 	closed := 0
 	for i := range 10 {
 		l := p.link
-		l.Greeted += Micros(i + 1)
-		p.server.Linked(p.now, l)
-		closed += len(p.server.Close())
+		l.ChallengedAt += Micros(i + 1)
+		p.server.LinkOpened(p.now, l)
+		closed += len(p.server.LinksToClose())
 	}
 	require.Equal(t, 11-mostLinks, closed)
 	require.Len(t, p.server.lessees["f"].links, mostLinks)
@@ -161,22 +161,22 @@
 // change of their rows.
 func TestOrderFollowsTheClocks(t *testing.T) {
 	r := newTrio(t)
-	s := NewServer(Config{Name: "m2", Zone: "zc", Incarnation: 1002, Controls: trioControls})
+	s := NewServer(Config{Name: "m2", Zone: "zc", Incarnation: 1002, ControlMembers: trioControls})
 	s.Tick(r.now, r.seen("m2"))
 	push := func(home string, epoch, incarnation uint64, sent, challenged Micros) {
 		m := tableMessage{version: version{home, epoch, 1, 0}, sent: sent, rows: []row{{name: "f", zone: "za", incarnation: incarnation, challenged: challenged}}}
 		m.sum = m.rows[0].digest()
-		require.NoError(t, s.ReceiveControl(r.now, home, epoch, Table, m.encode()))
+		require.NoError(t, s.ReceiveFromControl(r.now, home, epoch, TableUpdate, m.encode()))
 	}
 	// The earlier process is told of in a message that took 10 s.
 	push("m0", 1000, 9, r.now-10*second, r.now-10*second-100*ms)
 	push("m1", 1001, 5, r.now, r.now-second)
 	s.Tick(r.now+50*ms, nil)
-	e, _ := s.View().Of("f")
+	e, _ := s.View().Lookup("f")
 	require.Equal(t, uint64(9), e.Incarnation)
-	require.NoError(t, s.PeerVersions(r.now+60*ms, "m0", 1000, encodeVersions(r.now+59*ms, nil)))
+	require.NoError(t, s.ReceiveVersions(r.now+60*ms, "m0", 1000, encodeVersions(r.now+59*ms, nil)))
 	s.Tick(r.now+100*ms, nil)
-	e, _ = s.View().Of("f")
+	e, _ = s.View().Lookup("f")
 	require.Equal(t, uint64(5), e.Incarnation)
 }
 
@@ -184,7 +184,7 @@
 func TestSlotsLeaveEachOtherTheirs(t *testing.T) {
 	controls := []ControlMember{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z2"}, {Name: "c", Zone: "z2"}}
 	for i := range 50 {
-		c := NewClient(Config{Name: fmt.Sprint("f", i), Zone: "z1", Incarnation: 7, Controls: controls})
+		c := NewClient(Config{Name: fmt.Sprint("f", i), Zone: "z1", Incarnation: 7, ControlMembers: controls})
 		c.Tick(0)
 		second := c.slots[1].preferred
 		first := c.slots[0].preferred
--- a/fleet/membership/client.go
+++ b/fleet/membership/client.go
@@ -54,7 +54,7 @@
 	cfg = cfg.withDefaults()
 	c := &Client{cfg: cfg, view: newView(), byName: map[string]*control{}}
 	c.random = random(fnvOffset.text(cfg.Name).number(cfg.Seed).number(cfg.Incarnation).mixed())
-	for _, o := range cfg.Controls {
+	for _, o := range cfg.ControlMembers {
 		if c.byName[o.Name] == nil && o.Name != cfg.Name {
 			kept := &control{name: o.Name, zone: o.Zone}
 			c.controls = append(c.controls, kept)
@@ -72,7 +72,7 @@
 		c.started, c.first, c.now = true, now, now
 		c.prefer()
 	}
-	if gap := now - c.due; c.due != 0 && gap > c.cfg.Pause {
+	if gap := now - c.due; c.due != 0 && gap > c.cfg.PauseThreshold {
 		c.Counters.Pauses++
 		for _, o := range c.controls {
 			o.heard, o.asked = o.heard+gap, o.asked+gap
@@ -98,14 +98,14 @@
 	for _, o := range c.wanted() {
 		if o.linked && c.now >= o.beat {
 			c.sendHeartbeat(o)
-			o.beat = c.now + c.cfg.Heartbeat
+			o.beat = c.now + c.cfg.HeartbeatInterval
 		}
 	}
 }
 
 // Next is when Tick has something to do.
 func (c *Client) Next() Micros {
-	next := c.now + c.cfg.Heartbeat
+	next := c.now + c.cfg.HeartbeatInterval
 	for i := range c.slots {
 		s := &c.slots[i]
 		if s.current == nil && s.preferred != nil {
@@ -119,7 +119,7 @@
 		if o.linked {
 			next = min(next, o.beat)
 		}
-		for _, span := range []Micros{c.cfg.Suspect, c.cfg.Dead} {
+		for _, span := range []Micros{c.cfg.SuspectAfter, c.cfg.DeadAfter} {
 			if at := max(o.heard, o.asked) + span; at > c.now {
 				next = min(next, at)
 			}
@@ -128,8 +128,8 @@
 	return max(next, c.now)
 }
 
-// Linked says that a link to that process of a control member is open.
-func (c *Client) Linked(now Micros, control string, incarnation uint64) {
+// LinkOpened says that a link to that process of a control member is open.
+func (c *Client) LinkOpened(now Micros, control string, incarnation uint64) {
 	c.pass(now)
 	defer c.planned()
 	o := c.byName[control]
@@ -144,12 +144,12 @@
 	c.chooseHome()
 	c.beat()
 	// The next ones of front ends that started together are spread over the span.
-	o.beat = c.now + c.cfg.Heartbeat/2 + c.random.span(0, c.cfg.Heartbeat/2)
+	o.beat = c.now + c.cfg.HeartbeatInterval/2 + c.random.span(0, c.cfg.HeartbeatInterval/2)
 }
 
-// Unlinked says that the link to a control member is closed, or could not be opened. One that closes the link before it has sent
+// LinkClosed says that the link to a control member is closed, or could not be opened. One that closes the link before it has sent
 // anything doesn't take this front end, and is as good as not reached.
-func (c *Client) Unlinked(now Micros, control string) {
+func (c *Client) LinkClosed(now Micros, control string) {
 	c.pass(now)
 	defer c.planned()
 	o := c.byName[control]
@@ -166,7 +166,7 @@
 
 // fresh says whether a control member was heard of late.
 func (c *Client) fresh(o *control) bool {
-	return o != nil && o.linked && !o.leaving && c.now-o.heard < c.cfg.Suspect
+	return o != nil && o.linked && !o.leaving && c.now-o.heard < c.cfg.SuspectAfter
 }
 
 // chooseHome takes the view from the first slot, and from the second at once where the first is lost.
@@ -279,11 +279,11 @@
 	o := c.byName[control]
 	if o == nil {
 		c.Counters.UnknownHomes++
-		return fmt.Errorf("%w: %q", ErrHome, control)
+		return fmt.Errorf("%w: %q", ErrUnknownHome, control)
 	}
-	if kind != ViewPart {
+	if kind != ViewUpdate {
 		c.Counters.Malformed++
-		return fmt.Errorf("%w: %s", ErrKind, kind)
+		return fmt.Errorf("%w: %s", ErrUnexpectedKind, kind)
 	}
 	m, err := decodeView(body)
 	if err != nil {
@@ -297,7 +297,7 @@
 	if !o.linked {
 		return nil // given up
 	}
-	if c.now-o.heard >= c.cfg.Suspect {
+	if c.now-o.heard >= c.cfg.SuspectAfter {
 		o.steady = c.now
 	}
 	o.served, o.heard, o.failures = true, c.now, 0
@@ -350,7 +350,7 @@
 	}
 	o.behind = true
 	if same {
-		c.Counters.Disagreements++
+		c.Counters.DigestMismatches++
 		o.wantsSums = true
 	}
 }
@@ -409,7 +409,7 @@
 	for i := range entries {
 		if entries[i].removed || m.mask&(1<<bucketOf(entries[i].Name)) == 0 {
 			c.Counters.Malformed++
-			return fmt.Errorf("%w: %q is not of the parts told", ErrForm, entries[i].Name)
+			return fmt.Errorf("%w: %q is not of the parts told", ErrMalformed, entries[i].Name)
 		}
 	}
 	whole := m.mask == allBuckets
@@ -428,17 +428,17 @@
 	b := m.entries
 	var err error
 	if m.packed {
-		b, err = c.unpacker.unpack(b, c.cfg.Most*entrySize)
+		b, err = c.unpacker.unpack(b, c.cfg.MaxEntries*entrySize)
 	}
 	var list []change
 	if err == nil {
-		list, err = decodeChanges(&o.clock, b, c.cfg.Most)
+		list, err = decodeChanges(&o.clock, b, c.cfg.MaxEntries)
 	}
 	if err == nil {
 		for i := range list {
 			if !list[i].removed && c.byName[list[i].Home] == nil {
 				c.Counters.UnknownHomes++
-				return nil, fmt.Errorf("%w: %q", ErrHome, list[i].Home)
+				return nil, fmt.Errorf("%w: %q", ErrUnknownHome, list[i].Home)
 			}
 		}
 		return list, nil
@@ -453,9 +453,9 @@
 
 // take applies changes where the view then has the digest that was told; else it stays as it is, and the rest is asked for.
 func (c *Client) take(o *control, m *viewMessage, changes []change, whole bool) error {
-	if c.view.lenAfter(changes) > c.cfg.Most {
+	if c.view.lenAfter(changes) > c.cfg.MaxEntries {
 		c.Counters.Oversized++
-		return ErrOversized
+		return ErrTooManyEntries
 	}
 	if c.view.digestAfter(changes) != m.digest {
 		return c.disagree(o, m, whole)
@@ -478,11 +478,11 @@
 
 // disagree asks for the parts that differ, and for the whole view where that did not help.
 func (c *Client) disagree(o *control, m *viewMessage, whole bool) error {
-	c.Counters.Disagreements++
+	c.Counters.DigestMismatches++
 	c.failures++
 	if whole || c.failures > mostFailures {
 		c.Counters.Malformed++
-		return fmt.Errorf("%w: what %q sends", ErrDisagree, o.name)
+		return fmt.Errorf("%w: what %q sends", ErrDigestMismatch, o.name)
 	}
 	c.whole = m.content == someBuckets
 	o.wantsSums = true
