--- a/fleet/membership/control_replaced_test.go
+++ b/fleet/membership/control_replaced_test.go
@@ -20,8 +20,8 @@
 
 // The processes of m2, and when each answered its first challenge.
 var (
-	earlierProcess = ControlMember{Name: "m2", Zone: "zc", Incarnation: 21, State: Alive, Challenged: 90 * second}
-	laterProcess   = ControlMember{Name: "m2", Zone: "zc", Incarnation: 20, State: Alive, Challenged: 101 * second}
+	earlierProcess = ControlMember{Name: "m2", Zone: "zc", Incarnation: 21, State: Alive, ChallengedAt: 90 * second}
+	laterProcess   = ControlMember{Name: "m2", Zone: "zc", Incarnation: 20, State: Alive, ChallengedAt: 101 * second}
 )
 
 // newReplacedControl has both control members see such a process of m2 first, and the front end follow m0.
@@ -29,19 +29,19 @@
 	controls := []ControlMember{{Name: "m0", Zone: "za"}, {Name: "m1", Zone: "zb"}, {Name: "m2", Zone: "zc"}}
 	r := &replacedControl{t: t, now: 100 * second, servers: map[string]*Server{}, sees: map[string]ControlMember{"m0": atM0, "m1": atM1}}
 	for i, name := range []string{"m0", "m1"} {
-		r.servers[name] = NewServer(Config{Name: name, Zone: controls[i].Zone, Incarnation: uint64(i + 1), Controls: controls})
+		r.servers[name] = NewServer(Config{Name: name, Zone: controls[i].Zone, Incarnation: uint64(i + 1), ControlMembers: controls})
 	}
 	for i := range 100 {
-		r.client = NewClient(Config{Name: fmt.Sprintf("f%d", i), Zone: "za", Incarnation: 9, Controls: controls})
+		r.client = NewClient(Config{Name: fmt.Sprintf("f%d", i), Zone: "za", Incarnation: 9, ControlMembers: controls})
 		if r.client.Targets(r.now); r.client.slots[1].preferred.name == "m1" {
 			break
 		}
 	}
-	r.link = Link{From: r.client.cfg.Name, Zone: "za", Incarnation: 9, Greeted: r.now}
+	r.link = Link{From: r.client.cfg.Name, Zone: "za", Incarnation: 9, ChallengedAt: r.now}
 	r.run(second)
 	for name, server := range r.servers {
-		server.Linked(r.now, r.link)
-		r.client.Linked(r.now, name, server.cfg.Incarnation)
+		server.LinkOpened(r.now, r.link)
+		r.client.LinkOpened(r.now, name, server.cfg.Incarnation)
 	}
 	r.run(2 * second)
 	require.Equal(t, "m0", r.client.Home())
@@ -74,7 +74,7 @@
 
 func (r *replacedControl) shows(incarnation uint64, state State) {
 	r.t.Helper()
-	e, ok := r.client.View().Of("m2")
+	e, ok := r.client.View().Lookup("m2")
 	require.True(r.t, ok)
 	assert.Equal(r.t, Entry{Name: "m2", Zone: "zc", Role: Control, Incarnation: incarnation, State: state, Home: "m2"}, e)
 }
@@ -88,7 +88,7 @@
 	r.run(second)
 	r.shows(laterProcess.Incarnation, Alive)
 
-	r.client.Unlinked(r.now, "m0")
+	r.client.LinkClosed(r.now, "m0")
 	require.Equal(t, "m1", r.client.Home())
 	r.run(second)
 	r.shows(earlierProcess.Incarnation, Dead)
@@ -104,9 +104,9 @@
 func TestHomeBehindShowsAnUnknownEarlierProcess(t *testing.T) {
 	r := newReplacedControl(t, laterProcess, earlierProcess)
 	r.shows(laterProcess.Incarnation, Alive)
-	r.client.Unlinked(r.now, "m0")
+	r.client.LinkClosed(r.now, "m0")
 	r.run(second)
 	r.shows(earlierProcess.Incarnation, Dead)
 	assert.False(t, r.client.View().Alive(earlierProcess.Incarnation))
-	assert.False(t, r.client.View().Replaced(laterProcess.Incarnation))
+	assert.False(t, r.client.View().Superseded(laterProcess.Incarnation))
 }
--- a/fleet/membership/cost_test.go
+++ b/fleet/membership/cost_test.go
@@ -23,7 +23,7 @@
 		controls = append(controls, ControlMember{Name: fmt.Sprintf("front-control-%02d", i), Zone: fmt.Sprintf("zone-%02d", i%23),
 			Incarnation: weight("c", fmt.Sprint(i), 1)})
 	}
-	s = NewServer(Config{Name: controls[0].Name, Zone: controls[0].Zone, Incarnation: controls[0].Incarnation, Controls: controls})
+	s = NewServer(Config{Name: controls[0].Name, Zone: controls[0].Zone, Incarnation: controls[0].Incarnation, ControlMembers: controls})
 	s.Tick(now, controls)
 	for i := 1; i < fullControls; i++ {
 		var rows []row
@@ -33,7 +33,7 @@
 		}
 		m := tableMessage{version: version{controls[i].Name, controls[i].Incarnation, 1, 0}, rows: rows}
 		m.sum = newTable("", 0).sumAfter(rows)
-		require.NoError(t, s.ReceiveControl(now, controls[i].Name, controls[i].Incarnation, Table, m.encode()))
+		require.NoError(t, s.ReceiveFromControl(now, controls[i].Name, controls[i].Incarnation, TableUpdate, m.encode()))
 	}
 	for i := range each {
 		beatOf(t, s, now, i, true)
@@ -50,16 +50,16 @@
 	if !current {
 		h.epoch, h.sequence, h.digest, h.resume = 0, 0, 0, true
 	}
-	require.NoError(t, s.Receive(now, Link{From: name, Zone: "zone-00", Incarnation: weight(name, "", 2), Greeted: now}, Heartbeat, h.encode()))
+	require.NoError(t, s.Receive(now, Link{From: name, Zone: "zone-00", Incarnation: weight(name, "", 2), ChallengedAt: now}, Heartbeat, h.encode()))
 }
 
 // holding is a front end that has taken a whole view from its home.
 func holding(t testing.TB, s *Server, now Micros, body []byte) *Client {
-	c := NewClient(Config{Name: "front-00-000", Zone: "zone-00", Incarnation: 5, Controls: s.cfg.Controls})
+	c := NewClient(Config{Name: "front-00-000", Zone: "zone-00", Incarnation: 5, ControlMembers: s.cfg.ControlMembers})
 	c.Tick(now)
-	c.Linked(now+second, s.cfg.Name, s.cfg.Incarnation)
+	c.LinkOpened(now+second, s.cfg.Name, s.cfg.Incarnation)
 	c.home = c.byName[s.cfg.Name]
-	require.NoError(t, c.Receive(now+second, s.cfg.Name, s.cfg.Incarnation, ViewPart, body))
+	require.NoError(t, c.Receive(now+second, s.cfg.Name, s.cfg.Incarnation, ViewUpdate, body))
 	return c
 }
 
@@ -86,13 +86,13 @@
 	m := tableMessage{version: version{s.controls[1].Name, s.controls[1].Incarnation, 2, 0}, base: 1,
 		rows: []row{{name: "front-01-007", zone: s.controls[1].Zone, incarnation: 99, serves: true, challenged: now}}}
 	m.sum = s.controls[1].tables[0].sumAfter(m.rows)
-	require.NoError(t, s.ReceiveControl(now, m.home, m.epoch, Table, m.encode()))
+	require.NoError(t, s.ReceiveFromControl(now, m.home, m.epoch, TableUpdate, m.encode()))
 	s.Tick(now+50*ms, nil)
 	change := s.Actions()[0]
 	t.Logf("a change has %d bytes", len(change.Body))
 	assert.Less(t, len(change.Body), 140)
 	allocations := testing.AllocsPerRun(1, func() {
-		require.NoError(t, c.Receive(now+second, s.cfg.Name, s.cfg.Incarnation, ViewPart, change.Body))
+		require.NoError(t, c.Receive(now+second, s.cfg.Name, s.cfg.Incarnation, ViewUpdate, change.Body))
 	})
 	assert.Less(t, allocations, 60.0, "a change does not cost as much as the view")
 	require.Equal(t, s.View().Digest(), c.View().Digest())
@@ -131,16 +131,16 @@
 	for b.Loop() {
 		for range 20 {
 			now += 50 * ms
-			s.Tick(now, s.cfg.Controls)
+			s.Tick(now, s.cfg.ControlMembers)
 		}
 		for i := range 51 {
 			beatOf(b, s, now, i, true)
 		}
 		for i, c := range s.controls[1:] {
 			for range 9 {
-				_ = s.PeerVersions(now, c.Name, c.Incarnation, versions[i+1])
+				_ = s.ReceiveVersions(now, c.Name, c.Incarnation, versions[i+1])
 			}
-			_ = s.PeerVersions(now, c.Name, c.Incarnation, encodeVersions(now, all))
+			_ = s.ReceiveVersions(now, c.Name, c.Incarnation, encodeVersions(now, all))
 		}
 		s.Versions(now)
 		s.Actions()
--- a/fleet/membership/fault_test.go
+++ b/fleet/membership/fault_test.go
@@ -20,17 +20,17 @@
 	r.run(3500 * ms)
 	for _, o := range r.clients {
 		if o != c {
-			e, _ := o.View().Of("f003")
+			e, _ := o.View().Lookup("f003")
 			require.Equal(t, Suspect, e.State, o.cfg.Name)
-			require.False(t, o.View().Gone(before))
+			require.False(t, o.View().PresumedDead(before))
 			require.False(t, o.View().Alive(before))
 		}
 	}
 	r.run(1500 * ms)
 	for _, o := range r.clients {
 		if o != c {
-			require.True(t, o.View().Gone(before), o.cfg.Name)
-			require.False(t, o.View().Replaced(before), "silence alone is not certain")
+			require.True(t, o.View().PresumedDead(before), o.cfg.Name)
+			require.False(t, o.View().Superseded(before), "silence alone is not certain")
 		}
 	}
 	r.restart(c)
@@ -38,7 +38,7 @@
 	r.agreed()
 	for _, o := range r.clients {
 		if o != c {
-			require.True(t, o.View().Replaced(before), o.cfg.Name)
+			require.True(t, o.View().Superseded(before), o.cfg.Name)
 			require.True(t, o.View().Alive(c.cfg.Incarnation))
 		}
 	}
@@ -62,7 +62,7 @@
 		before := c.cfg.Incarnation
 		r.halt(c)
 		r.run(5 * second)
-		everyone(func(v *View) bool { return v.Gone(before) }, fmt.Sprint("death ", i))
+		everyone(func(v *View) bool { return v.PresumedDead(before) }, fmt.Sprint("death ", i))
 		r.restart(c)
 		r.run(3 * second)
 		everyone(func(v *View) bool { return v.Alive(c.cfg.Incarnation) }, fmt.Sprint("start ", i))
@@ -155,14 +155,14 @@
 	r.check = func() {
 		for _, s := range r.servers {
 			for _, c := range r.clients {
-				require.False(t, s.View().Gone(c.cfg.Incarnation), "%s at %s after %d ms", c.cfg.Name, s.cfg.Name, r.now/ms)
+				require.False(t, s.View().PresumedDead(c.cfg.Incarnation), "%s at %s after %d ms", c.cfg.Name, s.cfg.Name, r.now/ms)
 			}
 		}
 	}
 	r.run(4500 * ms)
 	r.cut = func(from, to string) bool { return (cut[from] || cut[to]) && (from == "m00" || to == "m00") }
 	r.run(12 * second)
-	require.NotZero(t, r.names["m00"].Counters.Doubts)
+	require.NotZero(t, r.names["m00"].Counters.SelfSuspicions)
 	r.check = func() {}
 	r.cut = func(_, _ string) bool { return false }
 	r.run(60 * second)
@@ -178,19 +178,19 @@
 	r.run(6 * second)
 	r.halt(r.clients[0])
 	r.run(5 * second)
-	require.True(t, r.servers[0].View().Gone(r.clients[0].cfg.Incarnation))
+	require.True(t, r.servers[0].View().PresumedDead(r.clients[0].cfg.Incarnation))
 	for _, c := range r.clients[1:8] {
 		r.halt(c)
 	}
 	r.run(6 * second)
 	for _, c := range r.clients[1:8] {
-		require.False(t, r.servers[0].View().Gone(c.cfg.Incarnation), "in doubt")
+		require.False(t, r.servers[0].View().PresumedDead(c.cfg.Incarnation), "in doubt")
 	}
 	r.run(doubtSpan)
 	for _, c := range r.clients[1:8] {
-		require.True(t, r.servers[0].View().Gone(c.cfg.Incarnation), "the doubt is over")
+		require.True(t, r.servers[0].View().PresumedDead(c.cfg.Incarnation), "the doubt is over")
 	}
-	require.Equal(t, 1, r.servers[0].Counters.Doubts)
+	require.Equal(t, 1, r.servers[0].Counters.SelfSuspicions)
 }
 
 // The rows of a home that is dead lapse: Suspect at first, and Dead after a further span, unless another home holds them.
@@ -208,13 +208,13 @@
 	}
 	r.halt(c)
 	r.run(second)
-	e, _ := other.View().Of("f000")
+	e, _ := other.View().Lookup("f000")
 	require.Equal(t, Suspect, e.State, "the evidence of %s", home.cfg.Name)
 	r.run(lapseSpan - 2*second)
-	e, _ = other.View().Of("f000")
+	e, _ = other.View().Lookup("f000")
 	require.Equal(t, Suspect, e.State)
 	r.run(2 * second)
-	e, _ = other.View().Of("f000")
+	e, _ = other.View().Lookup("f000")
 	require.Equal(t, Dead, e.State)
 }
 
@@ -237,7 +237,7 @@
 	r.run(5 * second)
 	for _, s := range r.servers[2:] {
 		for _, c := range r.clients {
-			require.Equal(t, c.cfg.Zone == "za", s.View().Gone(c.cfg.Incarnation), "%s at %s", c.cfg.Name, s.cfg.Name)
+			require.Equal(t, c.cfg.Zone == "za", s.View().PresumedDead(c.cfg.Incarnation), "%s at %s", c.cfg.Name, s.cfg.Name)
 		}
 	}
 }
@@ -259,10 +259,10 @@
 		}
 	}
 	r.run(7 * second)
-	e, _ := first.View().Of("f000")
+	e, _ := first.View().Lookup("f000")
 	require.Equal(t, Suspect, e.State)
 	r.run(lapseSpan)
-	require.True(t, first.View().Gone(c.cfg.Incarnation))
+	require.True(t, first.View().PresumedDead(c.cfg.Incarnation))
 }
 
 // One that was not heard at its other home for long has, since its home was lost, as much time as any before it is dead.
@@ -277,10 +277,10 @@
 	r.stop(home)
 	r.run(3 * second)
 	require.Equal(t, Dead, other.lessees["f000"].state)
-	e, _ := other.View().Of("f000")
+	e, _ := other.View().Lookup("f000")
 	require.Equal(t, Suspect, e.State)
 	r.run(1200 * ms)
-	require.True(t, other.View().Gone(c.cfg.Incarnation))
+	require.True(t, other.View().PresumedDead(c.cfg.Incarnation))
 }
 
 // Who says that it leaves is alive while it is heard, and has left once it is silent, without being suspected first.
@@ -295,7 +295,7 @@
 	}
 	r.check = func() {
 		for _, s := range r.servers {
-			e, _ := s.View().Of("f001")
+			e, _ := s.View().Lookup("f001")
 			require.Contains(t, []State{Alive, Left}, e.State)
 		}
 	}
@@ -303,9 +303,9 @@
 	r.run(4 * second)
 	for _, o := range r.clients {
 		if o != c {
-			e, _ := o.View().Of("f001")
+			e, _ := o.View().Lookup("f001")
 			require.Equal(t, Left, e.State, o.cfg.Name)
-			require.True(t, o.View().Gone(c.cfg.Incarnation))
+			require.True(t, o.View().PresumedDead(c.cfg.Incarnation))
 		}
 	}
 }
@@ -379,5 +379,5 @@
 	require.Less(t, 30*second, c.View().Age(r.now))
 	r.run(8 * second)
 	r.agreed()
-	require.Zero(t, c.Counters.Losses, "its control members were not silent")
+	require.Zero(t, c.Counters.LostControlMembers, "its control members were not silent")
 }
--- a/fleet/membership/fuzz_test.go
+++ b/fleet/membership/fuzz_test.go
@@ -9,10 +9,10 @@
 // fuzzServer is a control member with a table of another's and front ends of its own.
 func fuzzServer() (*Server, Micros) {
 	now := 100 * second
-	s := NewServer(Config{Name: "m0", Zone: "za", Incarnation: 1000, Controls: trioControls, Most: 50})
+	s := NewServer(Config{Name: "m0", Zone: "za", Incarnation: 1000, ControlMembers: trioControls, MaxEntries: 50})
 	s.Tick(now, []ControlMember{{Name: "m1", Zone: "zb", Incarnation: 1001}, {Name: "m2", Zone: "zc", Incarnation: 1002}})
-	for _, l := range []Link{{From: "f", Zone: "za", Incarnation: 7, Greeted: now}, {From: "g", Zone: "za", Incarnation: 8, Greeted: now}} {
-		s.Linked(now, l)
+	for _, l := range []Link{{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: now}, {From: "g", Zone: "za", Incarnation: 8, ChallengedAt: now}} {
+		s.LinkOpened(now, l)
 	}
 	s.Tick(now+second, nil)
 	s.Actions()
@@ -21,7 +21,7 @@
 
 // right checks what has to hold of a control member whatever it was told.
 func right(t *testing.T, s *Server) {
-	require.LessOrEqual(t, s.View().Len(), s.cfg.Most)
+	require.LessOrEqual(t, s.View().Len(), s.cfg.MaxEntries)
 	rightView(t, s.View())
 	for _, c := range s.controls {
 		require.LessOrEqual(t, len(c.tables), mostTables+1)
@@ -36,7 +36,7 @@
 		}
 	}
 	for _, name := range []string{"m0", "m1", "m2"} {
-		e, ok := s.View().Of(name)
+		e, ok := s.View().Lookup(name)
 		require.True(t, ok)
 		require.Equal(t, Control, e.Role)
 	}
@@ -64,22 +64,22 @@
 	for _, h := range []heartbeat{whole, sums, other} {
 		f.Add(h.encode(), h.encode(), uint8(Heartbeat))
 	}
-	f.Add([]byte{0x0a, 0x01, 'f'}, []byte("garbage"), uint8(ViewPart))
+	f.Add([]byte{0x0a, 0x01, 'f'}, []byte("garbage"), uint8(ViewUpdate))
 	f.Fuzz(func(t *testing.T, first, second []byte, kind uint8) {
 		s, now := fuzzServer()
-		l := Link{From: "f", Zone: "za", Incarnation: 7, Greeted: now - second1}
-		before, _ := s.View().Of("g")
+		l := Link{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: now - second1}
+		before, _ := s.View().Lookup("g")
 		digest := s.own.rows["g"].digest()
 		_ = s.Receive(now, l, Kind(kind), first)
 		_ = s.Receive(now, l, Heartbeat, second)
 		s.Tick(now+100*ms, nil)
-		after, _ := s.View().Of("g")
+		after, _ := s.View().Lookup("g")
 		require.Equal(t, before, after)
 		require.Equal(t, digest, s.own.rows["g"].digest())
 		require.Equal(t, 5, s.View().Len())
 		right(t, s)
 		s.Actions()
-		s.Close()
+		s.LinksToClose()
 	})
 }
 
@@ -93,27 +93,27 @@
 	for i := range rows {
 		m.sum += rows[i].digest()
 	}
-	f.Add(uint8(Table), m.encode(), uint8(Table), m.encode())
+	f.Add(uint8(TableUpdate), m.encode(), uint8(TableUpdate), m.encode())
 	m.whole = true
-	f.Add(uint8(Table), m.encode(), uint8(Pull), (&pullMessage{home: "m0", epoch: 1000}).encode())
+	f.Add(uint8(TableUpdate), m.encode(), uint8(TablePull), (&pullMessage{home: "m0", epoch: 1000}).encode())
 	m.version.home = "m0"
-	f.Add(uint8(Table), m.encode(), uint8(0), encodeVersions(5, []version{{"m1", 1001, 3, 4}, {"m2", 1002, 0, 9}}))
-	f.Add(uint8(Pull), (&pullMessage{home: "m1", epoch: 1001, whole: true}).encode(), uint8(9), []byte("garbage"))
+	f.Add(uint8(TableUpdate), m.encode(), uint8(0), encodeVersions(5, []version{{"m1", 1001, 3, 4}, {"m2", 1002, 0, 9}}))
+	f.Add(uint8(TablePull), (&pullMessage{home: "m1", epoch: 1001, whole: true}).encode(), uint8(9), []byte("garbage"))
 	f.Fuzz(func(t *testing.T, kind1 uint8, first []byte, kind2 uint8, second []byte) {
 		s, now := fuzzServer()
 		before := s.own.version()
 		for _, m := range []Message{{Kind: Kind(kind1), Body: first}, {Kind: Kind(kind2), Body: second}} {
 			if m.Kind == 0 {
-				_ = s.PeerVersions(now, "m1", 1001, m.Body)
+				_ = s.ReceiveVersions(now, "m1", 1001, m.Body)
 				continue
 			}
-			_ = s.ReceiveControl(now, "m1", 1001, m.Kind, m.Body)
+			_ = s.ReceiveFromControl(now, "m1", 1001, m.Kind, m.Body)
 		}
 		s.Tick(now+100*ms, nil)
 		require.Equal(t, before, s.own.version())
 		right(t, s)
 		for _, m := range s.Actions() {
-			require.Contains(t, []Kind{Pull, Table, ViewPart}, m.Kind)
+			require.Contains(t, []Kind{TablePull, TableUpdate, ViewUpdate}, m.Kind)
 		}
 	})
 }
@@ -137,14 +137,14 @@
 	f.Add(packed.encode(), m.encode())
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		now := 100 * second1
-		c := NewClient(Config{Name: "f", Zone: "za", Incarnation: 7, Controls: trioControls, Most: 50})
+		c := NewClient(Config{Name: "f", Zone: "za", Incarnation: 7, ControlMembers: trioControls, MaxEntries: 50})
 		c.Tick(now)
 		c.Tick(now + second1)
-		c.Linked(now+second1, "m0", 1000)
+		c.LinkOpened(now+second1, "m0", 1000)
 		require.Equal(t, "m0", c.Home())
 		for _, body := range [][]byte{first, second} {
 			before, sequence := c.View().Digest(), c.sequence
-			err := c.Receive(now+second1, "m0", 1000, ViewPart, body)
+			err := c.Receive(now+second1, "m0", 1000, ViewUpdate, body)
 			told, bad := decodeView(body)
 			require.True(t, bad == nil || err != nil)
 			if after := c.View().Digest(); after != before {
@@ -157,7 +157,7 @@
 			}
 			require.LessOrEqual(t, c.View().Len(), 50)
 			rightView(t, c.View())
-			for _, e := range c.View().List() {
+			for _, e := range c.View().Entries() {
 				require.NotNil(t, c.byName[e.Home])
 			}
 		}
--- a/fleet/membership/lease.go
+++ b/fleet/membership/lease.go
@@ -36,34 +36,34 @@
 // that answered a challenge lived after that was made, so the one with the later challenge is the later one.
 func (s *Server) hear(l Link) (*lease, error) {
 	if s.byName[l.From] != nil || !goodName(l.From) || len(l.Zone) > longestName || l.Incarnation == 0 {
-		s.Counters.WrongNames++
-		return nil, fmt.Errorf("%w: %q may not attach", ErrName, l.From)
+		s.Counters.NameMismatches++
+		return nil, fmt.Errorf("%w: %q may not attach", ErrNameMismatch, l.From)
 	}
 	if s.past.contains(l.Incarnation) {
-		s.Counters.LateOfReplaced++
-		return nil, ErrReplaced
+		s.Counters.LateOfSuperseded++
+		return nil, ErrSuperseded
 	}
 	old := s.lessees[l.From]
 	switch {
 	case old == nil:
-		if len(s.leases) >= s.cfg.Most {
+		if len(s.leases) >= s.cfg.MaxEntries {
 			s.Counters.Oversized++
-			return nil, ErrOversized
+			return nil, ErrTooManyEntries
 		}
 		old = &lease{name: l.From}
 		at, _ := slices.BinarySearchFunc(s.leases, l.From, func(l *lease, name string) int { return strings.Compare(l.name, name) })
 		s.leases = slices.Insert(s.leases, at, old)
 		s.lessees[l.From] = old
 	case old.incarnation == l.Incarnation:
-		old.greeted = max(old.greeted, l.Greeted)
+		old.greeted = max(old.greeted, l.ChallengedAt)
 		return s.heardNow(old, l), nil
-	case l.Greeted <= old.greeted:
-		s.Counters.LateOfReplaced++
-		return nil, ErrReplaced
+	case l.ChallengedAt <= old.greeted:
+		s.Counters.LateOfSuperseded++
+		return nil, ErrSuperseded
 	default:
 		s.replace(old)
 	}
-	old.zone, old.incarnation, old.first, old.greeted = l.Zone, l.Incarnation, l.Greeted, l.Greeted
+	old.zone, old.incarnation, old.first, old.greeted = l.Zone, l.Incarnation, l.ChallengedAt, l.ChallengedAt
 	old.leaving, old.doubt, old.reader = false, 0, reader{}
 	s.leaseTouched(old)
 	return s.heardNow(old, l), nil
@@ -71,7 +71,7 @@
 
 // replace ends a lease's process: its name has come back with another.
 func (s *Server) replace(old *lease) {
-	s.Counters.Replaced++
+	s.Counters.Superseded++
 	s.past.add(old.incarnation)
 	old.past = append(old.past, old.incarnation)
 	if len(old.past) > toldPast {
@@ -101,16 +101,16 @@
 	}
 }
 
-// Linked says that an attached front end has proven itself over a new link.
-func (s *Server) Linked(now Micros, l Link) {
+// LinkOpened says that an attached front end has proven itself over a new link.
+func (s *Server) LinkOpened(now Micros, l Link) {
 	s.pass(now)
 	if _, err := s.hear(l); err != nil {
 		s.closing = append(s.closing, l)
 	}
 }
 
-// Unlinked says that such a link is closed. The lease goes on: a broken link alone is no death.
-func (s *Server) Unlinked(now Micros, l Link) {
+// LinkClosed says that such a link is closed. The lease goes on: a broken link alone is no death.
+func (s *Server) LinkClosed(now Micros, l Link) {
 	s.pass(now)
 	held := s.lessees[l.From]
 	if held == nil || held.incarnation != l.Incarnation {
@@ -143,7 +143,7 @@
 		switch {
 		case l.state == Dead || l.state == Left:
 			continue
-		case silence < s.cfg.Suspect:
+		case silence < s.cfg.SuspectAfter:
 			s.become(l, Alive)
 		case l.leaving:
 			s.become(l, Left)
@@ -151,7 +151,7 @@
 		default:
 			s.become(l, Suspect)
 			lost++
-			if silence >= s.cfg.Dead && s.now >= l.doubt {
+			if silence >= s.cfg.DeadAfter && s.now >= l.doubt {
 				ending = append(ending, l)
 			}
 		}
@@ -166,11 +166,11 @@
 	any := false
 	for _, l := range s.leases {
 		if l.state == Suspect && l.doubt == 0 {
-			l.doubt, any = l.heard+s.cfg.Dead+doubtSpan, true
+			l.doubt, any = l.heard+s.cfg.DeadAfter+doubtSpan, true
 		}
 	}
 	if any && s.now >= s.doubted {
-		s.Counters.Doubts++
+		s.Counters.SelfSuspicions++
 		s.doubted = s.now + doubtSpan
 	}
 }
--- a/fleet/membership/membership.go
+++ b/fleet/membership/membership.go
@@ -76,20 +76,20 @@
 
 // ControlMember is a control member as package member sees it.
 type ControlMember struct {
-	Name        string
-	Zone        string
-	Incarnation uint64 // 0: never seen
-	State       State  // Alive also for one that is heard only by others
-	Cut         bool   // Alive, but not heard here
-	Challenged  Micros // when its process answered its first challenge here; 0 where that is not known
+	Name            string
+	Zone            string
+	Incarnation     uint64 // 0: never seen
+	State           State  // Alive also for one that is heard only by others
+	IndirectlyAlive bool   // Alive, but not heard here
+	ChallengedAt    Micros // when its process answered its first challenge here; 0 where that is not known
 }
 
 // Link is a proven link of an attached front end to this control member.
 type Link struct {
-	From        string
-	Zone        string
-	Incarnation uint64
-	Greeted     Micros // when this side challenged it
+	From         string
+	Zone         string
+	Incarnation  uint64
+	ChallengedAt Micros // when this side challenged it
 }
 
 // Kind says what a message is; package peer gives each a kind of frame of its own.
@@ -97,14 +97,14 @@
 
 // The kinds.
 const (
-	Heartbeat Kind = iota + 1 // attached to control
-	ViewPart                  // control to attached: an answer to a heartbeat, changes or a snapshot
-	Pull                      // control to control: asks for a table
-	Table                     // control to control: changes or a snapshot of a table
+	Heartbeat   Kind = iota + 1 // attached to control
+	ViewUpdate                  // control to attached: an answer to a heartbeat, changes or a snapshot
+	TablePull                   // control to control: asks for a table
+	TableUpdate                 // control to control: changes or a snapshot of a table
 )
 
 func (k Kind) String() string {
-	if k == 0 || k > Table {
+	if k == 0 || k > TableUpdate {
 		return "unknown"
 	}
 	return [...]string{"", "heartbeat", "view", "pull", "table"}[k]
@@ -124,26 +124,26 @@
 	Name        string
 	Zone        string
 	Incarnation uint64
-	// Controls are all control members that the settings name, with name and zone; this one too where it is one.
-	Controls  []ControlMember
-	Heartbeat Micros // between two heartbeats of an attached front end
-	Suspect   Micros // of silence
-	Dead      Micros // of silence
-	// Pause is how much later than due a call comes where this process was stopped: what it has not heard meanwhile says nothing.
-	Pause Micros
-	Batch Micros // how long changes are collected
-	Most  int    // entries that a view may have
-	Seed  uint64 // for jitter; the same seed, the same run
+	// ControlMembers are all control members that the settings name, with name and zone; this one too where it is one.
+	ControlMembers    []ControlMember
+	HeartbeatInterval Micros // between two heartbeats of an attached front end
+	SuspectAfter      Micros // of silence
+	DeadAfter         Micros // of silence
+	// PauseThreshold is how much later than due a call comes where this process was stopped: what it has not heard meanwhile says nothing.
+	PauseThreshold Micros
+	BatchDelay     Micros // how long changes are collected
+	MaxEntries     int    // entries that a view may have
+	Seed           uint64 // for jitter; the same seed, the same run
 }
 
 // Defaults of a configuration's spans and bounds.
 const (
-	DefaultHeartbeat Micros = 1_000_000
-	DefaultSuspect   Micros = 2_500_000
-	DefaultDead      Micros = 4_000_000
-	DefaultPause     Micros = 600_000
-	DefaultBatch     Micros = 50_000
-	DefaultMost             = 8192
+	DefaultHeartbeatInterval Micros = 1_000_000
+	DefaultSuspectAfter      Micros = 2_500_000
+	DefaultDeadAfter         Micros = 4_000_000
+	DefaultPauseThreshold    Micros = 600_000
+	DefaultBatchDelay        Micros = 50_000
+	DefaultMaxEntries               = 8192
 )
 
 // withDefaults fills in what was left out.
@@ -153,24 +153,24 @@
 			*value = otherwise
 		}
 	}
-	span(&c.Heartbeat, DefaultHeartbeat)
-	span(&c.Suspect, DefaultSuspect)
-	span(&c.Dead, DefaultDead)
-	span(&c.Pause, DefaultPause)
-	span(&c.Batch, DefaultBatch)
-	if c.Most <= 0 {
-		c.Most = DefaultMost
+	span(&c.HeartbeatInterval, DefaultHeartbeatInterval)
+	span(&c.SuspectAfter, DefaultSuspectAfter)
+	span(&c.DeadAfter, DefaultDeadAfter)
+	span(&c.PauseThreshold, DefaultPauseThreshold)
+	span(&c.BatchDelay, DefaultBatchDelay)
+	if c.MaxEntries <= 0 {
+		c.MaxEntries = DefaultMaxEntries
 	}
 	return c
 }
 
 // Errors of a peer that does not keep to the form or to what its link has proven; the link is closed.
 var (
-	ErrForm      = errors.New("attach: malformed message")
-	ErrKind      = errors.New("attach: a message that this side does not take")
-	ErrName      = errors.New("attach: a name that is not the link's")
-	ErrHome      = errors.New("attach: an unknown control member")
-	ErrReplaced  = errors.New("attach: a process whose name has a later one")
-	ErrOversized = errors.New("attach: more entries than a view may have")
-	ErrDisagree  = errors.New("attach: digests that never agree")
+	ErrMalformed      = errors.New("attach: malformed message")
+	ErrUnexpectedKind = errors.New("attach: a message that this side does not take")
+	ErrNameMismatch   = errors.New("attach: a name that is not the link's")
+	ErrUnknownHome    = errors.New("attach: an unknown control member")
+	ErrSuperseded     = errors.New("attach: a process whose name has a later one")
+	ErrTooManyEntries = errors.New("attach: more entries than a view may have")
+	ErrDigestMismatch = errors.New("attach: digests that never agree")
 )
--- a/fleet/membership/merge.go
+++ b/fleet/membership/merge.go
@@ -169,7 +169,7 @@
 func (s *Server) entry(n *nameState) (e change, ok bool) {
 	if c := s.byName[n.name]; c != nil {
 		e.Entry = Entry{Name: c.Name, Zone: c.Zone, Role: Control, Incarnation: c.Incarnation, State: c.State, Home: c.Name}
-		e.challenged = c.Challenged
+		e.challenged = c.ChallengedAt
 		return e, c.Incarnation != 0
 	}
 	if len(n.rows) == 0 {
--- a/fleet/membership/message.go
+++ b/fleet/membership/message.go
@@ -78,7 +78,7 @@
 			h.digest = f.Uint
 		case 9:
 			if len(f.Data) != 4*buckets {
-				return fmt.Errorf("%w: %d bytes of sums", ErrForm, len(f.Data))
+				return fmt.Errorf("%w: %d bytes of sums", ErrMalformed, len(f.Data))
 			}
 			h.sums = make([]uint32, buckets)
 			for i := range h.sums {
@@ -166,7 +166,7 @@
 		return nil
 	})
 	if err == nil && m.content > someBuckets {
-		err = fmt.Errorf("%w: content %d", ErrForm, m.content)
+		err = fmt.Errorf("%w: content %d", ErrMalformed, m.content)
 	}
 	return m, formError(err)
 }
@@ -200,14 +200,14 @@
 			return nil
 		}
 		if len(list) == most {
-			return ErrOversized
+			return ErrTooManyEntries
 		}
 		c, err := decodeChange(clock, f.Data)
 		if err != nil {
 			return err
 		}
 		if len(list) > 0 && list[len(list)-1].Name >= c.Name {
-			return fmt.Errorf("%w: %q after %q", ErrForm, c.Name, list[len(list)-1].Name)
+			return fmt.Errorf("%w: %q after %q", ErrMalformed, c.Name, list[len(list)-1].Name)
 		}
 		list = append(list, c)
 		return nil
@@ -241,7 +241,7 @@
 		return c, err
 	}
 	if !goodName(c.Name) || len(c.Zone) > longestName || c.Role > Attached || c.State > Left || !c.removed && c.Incarnation == 0 {
-		return c, fmt.Errorf("%w: the entry %q", ErrForm, c.Name)
+		return c, fmt.Errorf("%w: the entry %q", ErrMalformed, c.Name)
 	}
 	return c, nil
 }
@@ -253,5 +253,5 @@
 	if err == nil || isOurs(err) {
 		return err
 	}
-	return fmt.Errorf("%w: %w", ErrForm, err)
+	return fmt.Errorf("%w: %w", ErrMalformed, err)
 }
--- a/fleet/membership/pack.go
+++ b/fleet/membership/pack.go
@@ -51,14 +51,14 @@
 	if u.reader == nil {
 		u.reader = flate.NewReader(source)
 	} else if err := u.reader.(flate.Resetter).Reset(source, nil); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrForm, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	out, err := io.ReadAll(io.LimitReader(u.reader, int64(most)+1))
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("%w: %w", ErrForm, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	case len(out) > most:
-		return nil, errors.Join(ErrOversized, ErrForm)
+		return nil, errors.Join(ErrTooManyEntries, ErrMalformed)
 	}
 	return out, nil
 }
--- a/fleet/membership/property_test.go
+++ b/fleet/membership/property_test.go
@@ -68,9 +68,9 @@
 			return
 		}
 		l.digest = v.Digest()
-		for _, e := range v.List() {
+		for _, e := range v.Entries() {
 			before := l.last[e.Name]
-			if before == e.Incarnation || !strict && v.Gone(e.Incarnation) {
+			if before == e.Incarnation || !strict && v.PresumedDead(e.Incarnation) {
 				continue
 			}
 			l.past[before] = true
--- a/fleet/membership/replication.go
+++ b/fleet/membership/replication.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		s.Counters.TablePushes++
-		s.send(Message{To: c.Name, Kind: Table, Body: body})
+		s.send(Message{To: c.Name, Kind: TableUpdate, Body: body})
 	}
 }
 
@@ -116,8 +116,8 @@
 	return encodeVersions(s.now, list)
 }
 
-// PeerVersions takes what Versions gave at another control member, and pulls what is missing here.
-func (s *Server) PeerVersions(now Micros, from string, incarnation uint64, b []byte) error {
+// ReceiveVersions takes what Versions gave at another control member, and pulls what is missing here.
+func (s *Server) ReceiveVersions(now Micros, from string, incarnation uint64, b []byte) error {
 	s.pass(now)
 	sender, err := s.sender(from, incarnation)
 	if sender == nil {
@@ -133,10 +133,10 @@
 		home := s.byName[v.home]
 		if home == nil {
 			s.Counters.UnknownHomes++
-			return fmt.Errorf("%w: %q", ErrHome, v.home)
+			return fmt.Errorf("%w: %q", ErrUnknownHome, v.home)
 		}
 		// A home that is heard here tells its own version; others are asked for what can't be had from it.
-		if home == s.self || home != sender && home.State == Alive && !home.Cut {
+		if home == s.self || home != sender && home.State == Alive && !home.IndirectlyAlive {
 			continue
 		}
 		s.compare(home, sender, v)
@@ -151,7 +151,7 @@
 	switch {
 	case c == nil || c == s.self:
 		s.Counters.UnknownHomes++
-		return nil, fmt.Errorf("%w: %q", ErrHome, from)
+		return nil, fmt.Errorf("%w: %q", ErrUnknownHome, from)
 	case c.Incarnation == incarnation:
 		return c, nil
 	case c.pastEpochs.contains(incarnation):
@@ -192,38 +192,38 @@
 
 func (s *Server) pull(t *table, from *controlState, whole bool) {
 	if !pullRate.allow(s.now, &t.pulled) {
-		s.Counters.Limited++
+		s.Counters.RateLimited++
 		return
 	}
 	s.Counters.Pulls++
 	message := pullMessage{home: t.home, epoch: t.epoch, sequence: t.sequence, whole: whole}
-	s.send(Message{To: from.Name, Kind: Pull, Body: message.encode()})
+	s.send(Message{To: from.Name, Kind: TablePull, Body: message.encode()})
 }
 
 // repair pulls a whole table since this side's differs at the same version.
 func (s *Server) repair(t *table, from *controlState) {
 	if !sumRate.allow(s.now, &t.sumPulled) {
-		s.Counters.Limited++
+		s.Counters.RateLimited++
 		return
 	}
 	s.Counters.SumRepairs++
 	s.pull(t, from, true)
 }
 
-// ReceiveControl takes a Pull or Table of a control member.
-func (s *Server) ReceiveControl(now Micros, from string, incarnation uint64, kind Kind, body []byte) error {
+// ReceiveFromControl takes a Pull or Table of a control member.
+func (s *Server) ReceiveFromControl(now Micros, from string, incarnation uint64, kind Kind, body []byte) error {
 	s.pass(now)
 	sender, err := s.sender(from, incarnation)
 	if sender == nil {
 		return err
 	}
 	switch kind {
-	case Pull:
+	case TablePull:
 		return s.receivePull(sender, body)
-	case Table:
+	case TableUpdate:
 		return s.receiveTable(sender, body)
 	}
-	return fmt.Errorf("%w: %s", ErrKind, kind)
+	return fmt.Errorf("%w: %s", ErrUnexpectedKind, kind)
 }
 
 func (s *Server) receivePull(sender *controlState, body []byte) error {
@@ -235,7 +235,7 @@
 	home := s.byName[p.home]
 	if home == nil {
 		s.Counters.UnknownHomes++
-		return fmt.Errorf("%w: %q", ErrHome, p.home)
+		return fmt.Errorf("%w: %q", ErrUnknownHome, p.home)
 	}
 	t := home.table(p.epoch)
 	if t == nil || t.epoch != home.Incarnation {
@@ -243,7 +243,7 @@
 		return nil
 	}
 	if !answerRate.allow(s.now, s.answered(sender, t)) {
-		s.Counters.Limited++
+		s.Counters.RateLimited++
 		return nil
 	}
 	message := t.message(p.sequence, p.whole)
@@ -251,7 +251,7 @@
 	if message.whole {
 		s.Counters.TableSnapshots++
 	}
-	s.send(Message{To: sender.Name, Kind: Table, Bulk: message.whole, Body: message.encode()})
+	s.send(Message{To: sender.Name, Kind: TableUpdate, Bulk: message.whole, Body: message.encode()})
 	return nil
 }
 
@@ -269,7 +269,7 @@
 }
 
 func (s *Server) receiveTable(sender *controlState, body []byte) error {
-	m, err := decodeTable(body, s.cfg.Most)
+	m, err := decodeTable(body, s.cfg.MaxEntries)
 	if err != nil {
 		s.countBad(err)
 		return err
@@ -278,17 +278,17 @@
 	switch {
 	case home == nil:
 		s.Counters.UnknownHomes++
-		return fmt.Errorf("%w: %q", ErrHome, m.home)
+		return fmt.Errorf("%w: %q", ErrUnknownHome, m.home)
 	case home == s.self:
-		s.Counters.WrongNames++
-		return fmt.Errorf("%w: a table of this control member", ErrName)
+		s.Counters.NameMismatches++
+		return fmt.Errorf("%w: a table of this control member", ErrNameMismatch)
 	case m.epoch != home.Incarnation:
 		s.Counters.StaleEpochs++
 		return nil
 	}
 	if bad := slices.IndexFunc(m.rows, func(r row) bool { return s.byName[r.name] != nil }); bad >= 0 {
-		s.Counters.WrongNames++
-		return fmt.Errorf("%w: the control member %q is attached", ErrName, m.rows[bad].name)
+		s.Counters.NameMismatches++
+		return fmt.Errorf("%w: the control member %q is attached", ErrNameMismatch, m.rows[bad].name)
 	}
 	sender.clock.observe(s.now, m.sent)
 	for i := range m.rows {
@@ -313,10 +313,10 @@
 		return nil
 	}
 	if t.sumAfter(rows) != m.sum {
-		s.Counters.Disagreements++
+		s.Counters.DigestMismatches++
 		if m.whole {
 			s.Counters.Malformed++
-			return fmt.Errorf("%w: the rows of %q do not have their sum", ErrForm, t.home)
+			return fmt.Errorf("%w: the rows of %q do not have their sum", ErrMalformed, t.home)
 		}
 		s.repair(t, sender)
 		return nil
--- a/fleet/membership/rig_test.go
+++ b/fleet/membership/rig_test.go
@@ -96,7 +96,7 @@
 		r.controls = append(r.controls, ControlMember{Name: fmt.Sprintf("m%02d", i), Zone: zone})
 	}
 	for _, c := range r.controls {
-		s := &rigServer{cfg: Config{Name: c.Name, Zone: c.Zone, Controls: r.controls, Seed: seed}}
+		s := &rigServer{cfg: Config{Name: c.Name, Zone: c.Zone, ControlMembers: r.controls, Seed: seed}}
 		r.servers = append(r.servers, s)
 		r.names[c.Name] = s
 		r.start(s)
@@ -159,14 +159,14 @@
 		if o == s {
 			continue
 		}
-		m := ControlMember{Name: o.cfg.Name, Zone: o.cfg.Zone, Incarnation: o.cfg.Incarnation, State: Alive, Challenged: o.began}
+		m := ControlMember{Name: o.cfg.Name, Zone: o.cfg.Zone, Incarnation: o.cfg.Incarnation, State: Alive, ChallengedAt: o.began}
 		switch cut := r.cut(o.cfg.Name, s.cfg.Name); {
 		case !o.up || o.paused:
 			m.State = Dead
 		case cut && slices.ContainsFunc(r.servers, func(via *rigServer) bool {
 			return via != o && via != s && via.up && !r.cut(o.cfg.Name, via.cfg.Name) && !r.cut(via.cfg.Name, s.cfg.Name)
 		}):
-			m.Cut = true
+			m.IndirectlyAlive = true
 		case cut:
 			m.State = Dead
 		}
@@ -193,7 +193,7 @@
 		if o != s {
 			r.carry(s.cfg.Name, o.cfg.Name, func() {
 				r.atServer(o, func() {
-					if err := o.PeerVersions(r.now, s.cfg.Name, incarnation, body); err != nil {
+					if err := o.ReceiveVersions(r.now, s.cfg.Name, incarnation, body); err != nil {
 						r.errors = append(r.errors, err)
 					}
 				})
@@ -245,7 +245,7 @@
 			o := r.names[m.To]
 			r.carry(s.cfg.Name, m.To, func() {
 				r.atServer(o, func() {
-					if err := o.ReceiveControl(r.now, s.cfg.Name, incarnation, m.Kind, m.Body); err != nil {
+					if err := o.ReceiveFromControl(r.now, s.cfg.Name, incarnation, m.Kind, m.Body); err != nil {
 						r.errors = append(r.errors, err)
 					}
 				})
@@ -261,14 +261,14 @@
 			continue
 		}
 		if r.refuse(c) {
-			s.Refused(r.now, m.To, m.Incarnation)
+			s.QueueFull(r.now, m.To, m.Incarnation)
 			continue
 		}
 		s.bytes += len(m.Body) + 50
 		c.in += len(m.Body) + 50
 		r.carry(s.cfg.Name, c.cfg.Name, func() { r.deliver(c, l, m) })
 	}
-	for _, l := range s.Close() {
+	for _, l := range s.LinksToClose() {
 		if c := r.byName[l.From]; c != nil {
 			if o := c.links[s.cfg.Name]; o != nil && o.link == l {
 				r.closeLink(o)
@@ -297,10 +297,10 @@
 	delete(l.client.links, l.name())
 	r.after(ms, func() {
 		if l.server.cfg.Incarnation == l.control {
-			r.atServer(l.server, func() { l.server.Unlinked(r.now, l.link) })
+			r.atServer(l.server, func() { l.server.LinkClosed(r.now, l.link) })
 		}
 		if l.client.cfg.Incarnation == l.link.Incarnation {
-			r.atClient(l.client, func() { l.client.Unlinked(r.now, l.server.cfg.Name) })
+			r.atClient(l.client, func() { l.client.LinkClosed(r.now, l.server.cfg.Name) })
 		}
 	})
 }
@@ -309,7 +309,7 @@
 
 // attach adds a client.
 func (r *rig) attach(name, zone string) *rigClient {
-	c := &rigClient{cfg: Config{Name: name, Zone: zone, Controls: r.controls, Seed: 1}}
+	c := &rigClient{cfg: Config{Name: name, Zone: zone, ControlMembers: r.controls, Seed: 1}}
 	r.clients = append(r.clients, c)
 	r.byName[name] = c
 	r.restart(c)
@@ -394,15 +394,15 @@
 	name := s.cfg.Name
 	delete(c.dialling, name)
 	if !s.up || s.paused || c.paused || r.cut(c.cfg.Name, name) || r.cut(name, c.cfg.Name) {
-		r.atClient(c, func() { c.Unlinked(r.now, name) })
+		r.atClient(c, func() { c.LinkClosed(r.now, name) })
 		return
 	}
 	l := &rigLink{client: c, server: s, control: s.cfg.Incarnation,
-		link: Link{From: c.cfg.Name, Zone: c.cfg.Zone, Incarnation: incarnation, Greeted: r.now - ms/2}}
+		link: Link{From: c.cfg.Name, Zone: c.cfg.Zone, Incarnation: incarnation, ChallengedAt: r.now - ms/2}}
 	c.links[name] = l
-	r.atServer(s, func() { s.Linked(r.now, l.link) })
+	r.atServer(s, func() { s.LinkOpened(r.now, l.link) })
 	if !l.closed {
-		r.atClient(c, func() { c.Linked(r.now, name, l.control) })
+		r.atClient(c, func() { c.LinkOpened(r.now, name, l.control) })
 	}
 }
 
@@ -442,7 +442,7 @@
 		}
 		r.same(first, c.View(), "client "+c.cfg.Name)
 		require.Less(r.t, c.View().Age(r.now), 3*second, c.cfg.Name)
-		e, _ := first.Of(c.cfg.Name)
+		e, _ := first.Lookup(c.cfg.Name)
 		require.Equal(r.t, c.cfg.Incarnation, e.Incarnation, c.cfg.Name)
 		require.Equal(r.t, Alive, e.State, c.cfg.Name)
 		require.Equal(r.t, c.Home(), e.Home, c.cfg.Name)
@@ -451,6 +451,6 @@
 
 func (r *rig) same(a, b *View, who string) {
 	r.t.Helper()
-	require.Equal(r.t, a.List(), b.List(), who)
+	require.Equal(r.t, a.Entries(), b.Entries(), who)
 	require.Equal(r.t, a.Digest(), b.Digest(), who)
 }
--- a/fleet/membership/serve.go
+++ b/fleet/membership/serve.go
@@ -42,7 +42,7 @@
 		if l.reader.live && l.reader.subscribed {
 			s.Counters.Pushes++
 			s.Counters.PushBytes += len(body)
-			s.send(Message{To: l.name, Incarnation: l.incarnation, Kind: ViewPart, Bulk: true, Body: body})
+			s.send(Message{To: l.name, Incarnation: l.incarnation, Kind: ViewUpdate, Bulk: true, Body: body})
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	s.pass(now)
 	if kind != Heartbeat {
 		s.Counters.Malformed++
-		return fmt.Errorf("%w: %s", ErrKind, kind)
+		return fmt.Errorf("%w: %s", ErrUnexpectedKind, kind)
 	}
 	h, err := decodeHeartbeat(body)
 	if err != nil {
@@ -71,8 +71,8 @@
 		return err
 	}
 	if h.name != l.From {
-		s.Counters.WrongNames++
-		return fmt.Errorf("%w: %q over the link of %q", ErrName, h.name, l.From)
+		s.Counters.NameMismatches++
+		return fmt.Errorf("%w: %q over the link of %q", ErrNameMismatch, h.name, l.From)
 	}
 	held, err := s.hear(l)
 	if err != nil {
@@ -103,9 +103,9 @@
 	if err != nil {
 		return err
 	}
-	s.send(Message{To: l.name, Incarnation: l.incarnation, Kind: ViewPart, Body: answer.encode()})
+	s.send(Message{To: l.name, Incarnation: l.incarnation, Kind: ViewUpdate, Body: answer.encode()})
 	if more != nil {
-		s.send(Message{To: l.name, Incarnation: l.incarnation, Kind: ViewPart, Bulk: true, Body: more})
+		s.send(Message{To: l.name, Incarnation: l.incarnation, Kind: ViewUpdate, Bulk: true, Body: more})
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 
 func (s *Server) catchUp(l *lease, h *heartbeat) []byte {
 	if !catchUpRate.allow(s.now, &l.reader.caughtUp) {
-		s.Counters.Limited++
+		s.Counters.RateLimited++
 		return nil
 	}
 	names, _ := s.log.after(h.sequence)
@@ -158,12 +158,12 @@
 	mask := s.differing(h)
 	whole := bits.OnesCount64(mask) >= manyBuckets
 	if whole && !snapshotRate.allows(s.now, l.snapshots) || !repairRate.allow(s.now, &l.reader.repaired) {
-		s.Counters.Limited++
+		s.Counters.RateLimited++
 		return nil, false, nil
 	}
 	if l.reader.repairs++; l.reader.repairs > mostRepairs {
 		l.reader.repairs = 0 // its next link begins anew; the rate stays bounded
-		return nil, false, fmt.Errorf("%w: after %d repairs of %q", ErrDisagree, mostRepairs, l.name)
+		return nil, false, fmt.Errorf("%w: after %d repairs of %q", ErrDigestMismatch, mostRepairs, l.name)
 	}
 	l.reader.live = true
 	if whole {
@@ -210,14 +210,14 @@
 	return m.encode()
 }
 
-// Refused says that the queue of the link to that process was full. What waits there is to be dropped; the process resumes by
+// QueueFull says that the queue of the link to that process was full. What waits there is to be dropped; the process resumes by
 // its next heartbeat.
-func (s *Server) Refused(now Micros, name string, incarnation uint64) {
+func (s *Server) QueueFull(now Micros, name string, incarnation uint64) {
 	s.pass(now)
-	s.Counters.Refused++
+	s.Counters.FullQueues++
 	if l := s.lessees[name]; l != nil && l.incarnation == incarnation {
 		l.reader.live = false
 	}
 }
 
-func isOversized(err error) bool { return errors.Is(err, ErrOversized) }
+func isOversized(err error) bool { return errors.Is(err, ErrTooManyEntries) }
--- a/fleet/membership/serve_test.go
+++ b/fleet/membership/serve_test.go
@@ -26,13 +26,13 @@
 
 func newPair(t *testing.T, others int) *pair {
 	p := &pair{t: t, now: 100 * second, others: others, lose: func(Message) bool { return false }}
-	p.server = NewServer(Config{Name: "m0", Zone: "za", Incarnation: 1, Controls: pairControls})
-	p.client = NewClient(Config{Name: "f", Zone: "za", Incarnation: 2, Controls: pairControls})
-	p.link = Link{From: "f", Zone: "za", Incarnation: 2, Greeted: p.now}
+	p.server = NewServer(Config{Name: "m0", Zone: "za", Incarnation: 1, ControlMembers: pairControls})
+	p.client = NewClient(Config{Name: "f", Zone: "za", Incarnation: 2, ControlMembers: pairControls})
+	p.link = Link{From: "f", Zone: "za", Incarnation: 2, ChallengedAt: p.now}
 	p.othersBeat()
 	p.run(second)
-	p.server.Linked(p.now, p.link)
-	p.client.Linked(p.now, "m0", 1)
+	p.server.LinkOpened(p.now, p.link)
+	p.client.LinkOpened(p.now, "m0", 1)
 	p.run(second)
 	p.agreed()
 	p.got = nil
@@ -41,7 +41,7 @@
 
 func (p *pair) other(i int, incarnation uint64) {
 	name := fmt.Sprintf("o%04d", i)
-	l := Link{From: name, Zone: "za", Incarnation: incarnation, Greeted: p.now}
+	l := Link{From: name, Zone: "za", Incarnation: incarnation, ChallengedAt: p.now}
 	h := heartbeat{name: name, sent: p.now}
 	require.NoError(p.t, p.server.Receive(p.now, l, Heartbeat, h.encode()))
 }
@@ -87,7 +87,7 @@
 
 func (p *pair) agreed() {
 	p.t.Helper()
-	require.Equal(p.t, p.server.View().List(), p.client.View().List())
+	require.Equal(p.t, p.server.View().Entries(), p.client.View().Entries())
 	require.Equal(p.t, p.server.View().Digest(), p.client.View().Digest())
 	require.Less(p.t, p.client.View().Age(p.now), 2*second)
 }
@@ -143,7 +143,7 @@
 		p.server.Actions()
 	}
 	p.lose = func(Message) bool { return false }
-	p.client.Linked(p.now, "m0", 1)
+	p.client.LinkOpened(p.now, "m0", 1)
 	p.run(2 * second)
 	p.agreed()
 	require.Equal(t, 1, p.client.Counters.Snapshots)
@@ -154,16 +154,16 @@
 // A front end that does not read gets nothing more until its next heartbeat, and then from the log; others are not delayed.
 func TestSlowReader(t *testing.T) {
 	p := newPair(t, 20)
-	quick := Link{From: "quick", Zone: "za", Incarnation: 3, Greeted: p.now}
+	quick := Link{From: "quick", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
 	h := heartbeat{name: "quick", sent: p.now, subscribe: true, resume: true}
 	require.NoError(t, p.server.Receive(p.now, quick, Heartbeat, h.encode()))
 	p.run(100 * ms)
-	p.server.Refused(p.now, "f", 2)
+	p.server.QueueFull(p.now, "f", 2)
 	p.run(1500 * ms)
 	p.agreed()
 	require.Zero(t, p.server.Counters.CatchUps, "nothing was missed")
-	p.server.Refused(p.now, "f", 2)
-	require.Equal(t, 2, p.server.Counters.Refused)
+	p.server.QueueFull(p.now, "f", 2)
+	require.Equal(t, 2, p.server.Counters.FullQueues)
 	to := map[string]int{}
 	for i := range 5 {
 		p.other(100+i, uint64(1000+i))
@@ -187,7 +187,7 @@
 	var bodies [][]byte
 	for _, name := range []string{"a", "b", "c"} {
 		h := heartbeat{name: name, subscribe: true, resume: true}
-		require.NoError(t, p.server.Receive(p.now, Link{From: name, Zone: "za", Incarnation: weight(name, "", 0), Greeted: p.now}, Heartbeat, h.encode()))
+		require.NoError(t, p.server.Receive(p.now, Link{From: name, Zone: "za", Incarnation: weight(name, "", 0), ChallengedAt: p.now}, Heartbeat, h.encode()))
 	}
 	for _, m := range p.server.Actions() {
 		if p.carries(m) == someBuckets {
@@ -212,7 +212,7 @@
 // A front end whose digests never agree gets repairs at a bounded rate, and its link is closed in the end.
 func TestNeverAgrees(t *testing.T) {
 	p := newPair(t, 20)
-	l := Link{From: "odd", Zone: "za", Incarnation: 3, Greeted: p.now}
+	l := Link{From: "odd", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
 	var err error
 	beats, repairs := 0, -p.server.Counters.Snapshots-p.server.Counters.DigestRepairs
 	for ; err == nil && beats < 1000; beats++ {
@@ -221,25 +221,25 @@
 		err = p.server.Receive(p.now, l, Heartbeat, h.encode())
 		p.server.Tick(p.now, nil)
 	}
-	require.ErrorIs(t, err, ErrDisagree)
+	require.ErrorIs(t, err, ErrDigestMismatch)
 	repairs += p.server.Counters.Snapshots + p.server.Counters.DigestRepairs
 	require.Equal(t, mostRepairs, repairs)
-	p.server.Unlinked(p.now, l)
-	l.Greeted = p.now
-	p.server.Linked(p.now, l)
+	p.server.LinkClosed(p.now, l)
+	l.ChallengedAt = p.now
+	p.server.LinkOpened(p.now, l)
 	for range 100 {
 		p.now += 100 * ms
 		h := heartbeat{name: "odd", subscribe: true, resume: true}
 		require.NoError(t, p.server.Receive(p.now, l, Heartbeat, h.encode()), "over its next link it is not closed at once")
 	}
 	require.Greater(t, beats, 80, "over 8 s at least")
-	require.Greater(t, p.server.Counters.Limited, 70)
+	require.Greater(t, p.server.Counters.RateLimited, 70)
 }
 
 // Repairs that helped are forgotten.
 func TestRepairsThatHelp(t *testing.T) {
 	p := newPair(t, 20)
-	l := Link{From: "odd", Zone: "za", Incarnation: 3, Greeted: p.now}
+	l := Link{From: "odd", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
 	for range 3 * mostRepairs {
 		p.now += 10 * second
 		p.server.now = p.now // no pause
@@ -273,13 +273,13 @@
 // A client's view is bounded over many messages too.
 func TestClientOversized(t *testing.T) {
 	p := newPair(t, 4)
-	p.client.cfg.Most = p.client.View().Len()
+	p.client.cfg.MaxEntries = p.client.View().Len()
 	e := change{Entry: Entry{Name: "n", Zone: "za", Role: Attached, Incarnation: 77, Home: "m0"}}
 	m := p.server.versionMessage()
 	m.sequence++
 	m.digest = p.client.View().digestAfter([]change{e})
 	m.content, m.base, m.entries = someChanges, p.client.sequence, encodeChanges([]change{e})
-	require.ErrorIs(t, p.client.Receive(p.now, "m0", 1, ViewPart, m.encode()), ErrOversized)
+	require.ErrorIs(t, p.client.Receive(p.now, "m0", 1, ViewUpdate, m.encode()), ErrTooManyEntries)
 	require.Equal(t, 1, p.client.Counters.Oversized)
 	p.agreed()
 }
@@ -287,15 +287,15 @@
 // A name that is not the link's, another kind, and garbage close the link and count for nothing.
 func TestBadHeartbeats(t *testing.T) {
 	p := newPair(t, 3)
-	l := Link{From: "g", Zone: "za", Incarnation: 9, Greeted: p.now}
+	l := Link{From: "g", Zone: "za", Incarnation: 9, ChallengedAt: p.now}
 	h := heartbeat{name: "f", sent: p.now}
-	require.ErrorIs(t, p.server.Receive(p.now, l, Heartbeat, h.encode()), ErrName)
-	require.Equal(t, 1, p.server.Counters.WrongNames)
-	require.ErrorIs(t, p.server.Receive(p.now, l, Heartbeat, []byte("garbage")), ErrForm)
-	require.ErrorIs(t, p.server.Receive(p.now, l, ViewPart, nil), ErrKind)
+	require.ErrorIs(t, p.server.Receive(p.now, l, Heartbeat, h.encode()), ErrNameMismatch)
+	require.Equal(t, 1, p.server.Counters.NameMismatches)
+	require.ErrorIs(t, p.server.Receive(p.now, l, Heartbeat, []byte("garbage")), ErrMalformed)
+	require.ErrorIs(t, p.server.Receive(p.now, l, ViewUpdate, nil), ErrUnexpectedKind)
 	require.Equal(t, 2, p.server.Counters.Malformed)
 	p.run(200 * ms)
-	_, ok := p.server.View().Of("g")
+	_, ok := p.server.View().Lookup("g")
 	require.False(t, ok)
 }
 
@@ -320,7 +320,7 @@
 	stranger := with(Entry{Name: "n", Zone: "za", Role: Attached, Incarnation: 77, Home: "mx"})
 	bomb, packed := (&packer{}).pack(make([]byte, 8192*entrySize+1000))
 	require.True(t, packed)
-	many := make([]change, DefaultMost+1)
+	many := make([]change, DefaultMaxEntries+1)
 	for i := range many {
 		many[i] = change{Entry: Entry{Name: fmt.Sprintf("x%05d", i), Role: Attached, Incarnation: uint64(i + 1), Home: "m0"}}
 	}
@@ -333,27 +333,27 @@
 		target error
 		body   []byte
 	}{
-		{"an unknown home", &c.Counters.UnknownHomes, ErrHome, p.bad(allBuckets, stranger, nothing)},
-		{"more than the bound", &c.Counters.Oversized, ErrOversized, p.bad(allBuckets, many, nothing)},
-		{"unpacked more than the bound", &c.Counters.Oversized, ErrOversized,
+		{"an unknown home", &c.Counters.UnknownHomes, ErrUnknownHome, p.bad(allBuckets, stranger, nothing)},
+		{"more than the bound", &c.Counters.Oversized, ErrTooManyEntries, p.bad(allBuckets, many, nothing)},
+		{"unpacked more than the bound", &c.Counters.Oversized, ErrTooManyEntries,
 			p.bad(allBuckets, nil, func(m *viewMessage) { m.entries, m.packed = bomb, true })},
-		{"not packed", &c.Counters.Malformed, ErrForm, p.bad(allBuckets, list, func(m *viewMessage) { m.packed = true })},
-		{"out of order", &c.Counters.Malformed, ErrForm, p.bad(allBuckets, reversed, nothing)},
-		{"not of the part", &c.Counters.Malformed, ErrForm, p.bad(1<<(1+bucketOf("m0"))%buckets, list[:1], nothing)},
-		{"an unknown content", &c.Counters.Malformed, ErrForm, p.bad(allBuckets, list, func(m *viewMessage) { m.content = 9 })},
-		{"another digest", &c.Counters.Disagreements, ErrDisagree, p.bad(allBuckets, list[1:], nothing)},
-		{"a whole one of an empty view", &c.Counters.Disagreements, ErrDisagree, p.bad(allBuckets, nil, nothing)},
+		{"not packed", &c.Counters.Malformed, ErrMalformed, p.bad(allBuckets, list, func(m *viewMessage) { m.packed = true })},
+		{"out of order", &c.Counters.Malformed, ErrMalformed, p.bad(allBuckets, reversed, nothing)},
+		{"not of the part", &c.Counters.Malformed, ErrMalformed, p.bad(1<<(1+bucketOf("m0"))%buckets, list[:1], nothing)},
+		{"an unknown content", &c.Counters.Malformed, ErrMalformed, p.bad(allBuckets, list, func(m *viewMessage) { m.content = 9 })},
+		{"another digest", &c.Counters.DigestMismatches, ErrDigestMismatch, p.bad(allBuckets, list[1:], nothing)},
+		{"a whole one of an empty view", &c.Counters.DigestMismatches, ErrDigestMismatch, p.bad(allBuckets, nil, nothing)},
 	} {
-		before, view := *step.count, c.View().List()
-		err := c.Receive(p.now, "m0", 1, ViewPart, step.body)
+		before, view := *step.count, c.View().Entries()
+		err := c.Receive(p.now, "m0", 1, ViewUpdate, step.body)
 		require.ErrorIs(t, err, step.target, step.name)
 		require.Equal(t, before+1, *step.count, step.name)
-		require.Equal(t, view, c.View().List(), step.name)
+		require.Equal(t, view, c.View().Entries(), step.name)
 	}
-	require.ErrorIs(t, c.Receive(p.now, "mx", 1, ViewPart, nil), ErrHome)
-	require.ErrorIs(t, c.Receive(p.now, "m0", 1, Heartbeat, nil), ErrKind)
-	require.NoError(t, c.Receive(p.now, "m0", 1, ViewPart, p.bad(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })))
-	require.NoError(t, c.Receive(p.now, "m0", 7, ViewPart, p.bad(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })))
+	require.ErrorIs(t, c.Receive(p.now, "mx", 1, ViewUpdate, nil), ErrUnknownHome)
+	require.ErrorIs(t, c.Receive(p.now, "m0", 1, Heartbeat, nil), ErrUnexpectedKind)
+	require.NoError(t, c.Receive(p.now, "m0", 1, ViewUpdate, p.bad(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })))
+	require.NoError(t, c.Receive(p.now, "m0", 7, ViewUpdate, p.bad(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })))
 	require.Equal(t, 2, c.Counters.StaleEpochs)
 	p.agreed()
 	p.run(3 * second)
@@ -371,18 +371,18 @@
 		m.content, m.base, m.entries = someChanges, p.client.sequence, encodeChanges([]change{{Entry: e}})
 		return m.encode()
 	}
-	require.NoError(t, p.client.Receive(p.now, "m0", 1, ViewPart, wrong()))
-	_, ok := p.client.View().Of("n")
+	require.NoError(t, p.client.Receive(p.now, "m0", 1, ViewUpdate, wrong()))
+	_, ok := p.client.View().Lookup("n")
 	require.False(t, ok)
 	p.run(2 * second)
 	p.agreed()
-	require.Equal(t, 1, p.client.Counters.Disagreements)
+	require.Equal(t, 1, p.client.Counters.DigestMismatches)
 	var err error
 	tries := 0
 	for ; err == nil && tries < 100; tries++ {
-		err = p.client.Receive(p.now, "m0", 1, ViewPart, wrong())
+		err = p.client.Receive(p.now, "m0", 1, ViewUpdate, wrong())
 	}
-	require.ErrorIs(t, err, ErrDisagree)
+	require.ErrorIs(t, err, ErrDigestMismatch)
 	require.Equal(t, mostFailures+1, tries)
 	beats := len(p.client.Actions())
 	require.LessOrEqual(t, beats, 1, "what it asks is bounded too")
@@ -407,7 +407,7 @@
 		p.other(77, 10_599)
 		p.run(second)
 	}
-	e, _ := p.client.View().Of("o0077")
+	e, _ := p.client.View().Lookup("o0077")
 	require.Equal(t, Entry{Name: "o0077", Zone: "za", Role: Attached, Incarnation: 10_599, State: Alive, Home: "m0"}, e)
 	p.agreed()
 }
--- a/fleet/membership/server.go
+++ b/fleet/membership/server.go
@@ -91,13 +91,13 @@
 	s := &Server{cfg: cfg, byName: map[string]*controlState{}, lessees: map[string]*lease{}, names: map[string]*nameState{}}
 	s.view = newView()
 	s.view.authority = true
-	for _, c := range cfg.Controls {
+	for _, c := range cfg.ControlMembers {
 		if s.byName[c.Name] == nil && c.Name != cfg.Name {
 			s.add(ControlMember{Name: c.Name, Zone: c.Zone, State: Dead})
 		}
 	}
 	// What may attach leaves room for the control members.
-	s.mostAttached = cfg.Most - len(s.controls) - 1
+	s.mostAttached = cfg.MaxEntries - len(s.controls) - 1
 	s.self = s.add(ControlMember{Name: cfg.Name, Zone: cfg.Zone, Incarnation: cfg.Incarnation, State: Alive})
 	s.own = newTable(cfg.Name, cfg.Incarnation)
 	s.own.present = true
@@ -116,7 +116,7 @@
 
 // pass lets time pass. A gap above Pause says that this process was stopped: the leases are extended by it.
 func (s *Server) pass(now Micros) {
-	if gap := now - s.now; s.started && gap > s.cfg.Pause {
+	if gap := now - s.now; s.started && gap > s.cfg.PauseThreshold {
 		s.Counters.Pauses++
 		for _, l := range s.leases {
 			l.heard += gap
@@ -133,7 +133,7 @@
 	}
 	if !s.started {
 		s.self.since = now
-		s.self.Challenged = cmp.Or(now, -1) // it began before any other challenges it
+		s.self.ChallengedAt = cmp.Or(now, -1) // it began before any other challenges it
 	}
 	s.started = true
 	s.now = max(s.now, now)
@@ -148,7 +148,7 @@
 	}
 	s.expireTables()
 	s.expireLeases()
-	if s.now-s.batched < s.cfg.Batch {
+	if s.now-s.batched < s.cfg.BatchDelay {
 		return
 	}
 	s.batched = s.now
@@ -162,9 +162,9 @@
 	if c == nil || c == s.self || seen.Incarnation == 0 {
 		return
 	}
-	c.Challenged = seen.Challenged
+	c.ChallengedAt = seen.ChallengedAt
 	if c.Incarnation == seen.Incarnation && c.State == seen.State {
-		c.Cut = seen.Cut
+		c.IndirectlyAlive = seen.IndirectlyAlive
 		c.noteHeard(s.now)
 		return
 	}
@@ -176,7 +176,7 @@
 	if c.Incarnation != seen.Incarnation || c.State != Alive && c.State != Suspect {
 		c.since = s.now
 	}
-	c.Incarnation, c.State, c.Cut = seen.Incarnation, seen.State, seen.Cut
+	c.Incarnation, c.State, c.IndirectlyAlive = seen.Incarnation, seen.State, seen.IndirectlyAlive
 	s.touched(s.nameState(c.Name))
 	for _, t := range c.tables {
 		s.setPresent(t, t.epoch == c.Incarnation && (c.State == Alive || c.State == Suspect))
@@ -220,7 +220,7 @@
 
 // expireTable lets the evidence of a home that is gone count less with time.
 func (s *Server) expireTable(t *table) {
-	silent := !t.present && s.now-t.heard >= s.cfg.Dead
+	silent := !t.present && s.now-t.heard >= s.cfg.DeadAfter
 	lapsed := !t.present && s.now-t.absent >= lapseSpan
 	if silent != t.silent || lapsed != t.lapsed {
 		t.silent, t.lapsed = silent, lapsed
@@ -238,7 +238,7 @@
 	body := message.encode()
 	for _, l := range s.leases {
 		if len(l.links) > 0 {
-			s.send(Message{To: l.name, Incarnation: l.incarnation, Kind: ViewPart, Body: body})
+			s.send(Message{To: l.name, Incarnation: l.incarnation, Kind: ViewUpdate, Body: body})
 		}
 	}
 }
@@ -259,8 +259,8 @@
 	return list
 }
 
-// Close gives the links that are to be closed, and forgets them: of a replaced process, or after bad input.
-func (s *Server) Close() []Link {
+// LinksToClose gives the links that are to be closed, and forgets them: of a replaced process, or after bad input.
+func (s *Server) LinksToClose() []Link {
 	list := s.closing
 	s.closing = nil
 	s.Counters.ClosedLinks += len(list)
--- a/fleet/membership/table_test.go
+++ b/fleet/membership/table_test.go
@@ -34,7 +34,7 @@
 
 func (r *trio) begin(name string, epoch uint64) {
 	r.epochs[name] = epoch
-	r.servers[name] = NewServer(Config{Name: name, Incarnation: epoch, Controls: trioControls, Most: 500})
+	r.servers[name] = NewServer(Config{Name: name, Incarnation: epoch, ControlMembers: trioControls, MaxEntries: 500})
 }
 
 func (r *trio) seen(by string) (list []ControlMember) {
@@ -62,7 +62,7 @@
 			versions := r.servers[c.Name].Versions(r.now)
 			for _, o := range trioControls {
 				if o != c && !r.lose(c.Name, o.Name, 0) {
-					r.note(r.servers[o.Name].PeerVersions(r.now, c.Name, r.epochs[c.Name], versions))
+					r.note(r.servers[o.Name].ReceiveVersions(r.now, c.Name, r.epochs[c.Name], versions))
 				}
 			}
 		}
@@ -77,7 +77,7 @@
 		for _, m := range r.servers[c.Name].Actions() {
 			if m.Incarnation == 0 && !r.lose(c.Name, m.To, m.Kind) {
 				r.carried[m.Kind]++
-				r.note(r.servers[m.To].ReceiveControl(r.now, c.Name, r.epochs[c.Name], m.Kind, m.Body))
+				r.note(r.servers[m.To].ReceiveFromControl(r.now, c.Name, r.epochs[c.Name], m.Kind, m.Body))
 			}
 		}
 	}
@@ -98,7 +98,7 @@
 func (r *trio) shows(name string, incarnation uint64, state State) {
 	r.t.Helper()
 	for _, c := range trioControls {
-		e, ok := r.servers[c.Name].View().Of(name)
+		e, ok := r.servers[c.Name].View().Lookup(name)
 		require.True(r.t, ok, c.Name)
 		require.Equal(r.t, incarnation, e.Incarnation, "%s at %s", name, c.Name)
 		require.Equal(r.t, state, e.State, "%s at %s", name, c.Name)
@@ -106,7 +106,7 @@
 }
 
 func (r *trio) link(name string, incarnation uint64) Link {
-	return Link{From: name, Zone: "za", Incarnation: incarnation, Greeted: r.now}
+	return Link{From: name, Zone: "za", Incarnation: incarnation, ChallengedAt: r.now}
 }
 
 // Two processes of one name at one home: the one challenged later is the later one, in whichever order they are heard. The
@@ -117,27 +117,27 @@
 	r.run(100 * ms)
 	later := r.link("f", 5)
 	s := r.servers["m0"]
-	s.Linked(r.now, earlier)
+	s.LinkOpened(r.now, earlier)
 	require.NoError(t, r.beat("m0", earlier))
 	r.run(100 * ms)
 	r.shows("f", 9, Alive)
-	s.Linked(r.now, later)
-	assert.Equal(t, []Link{earlier}, s.Close())
-	require.ErrorIs(t, r.beat("m0", earlier), ErrReplaced)
+	s.LinkOpened(r.now, later)
+	assert.Equal(t, []Link{earlier}, s.LinksToClose())
+	require.ErrorIs(t, r.beat("m0", earlier), ErrSuperseded)
 	r.now += ms
-	require.ErrorIs(t, r.beat("m0", r.link("f", 9)), ErrReplaced, "over a new link, at once")
+	require.ErrorIs(t, r.beat("m0", r.link("f", 9)), ErrSuperseded, "over a new link, at once")
 	r.run(100 * ms)
 	r.shows("f", 5, Alive)
 	for _, c := range trioControls {
-		assert.True(t, r.servers[c.Name].View().Replaced(9))
-		assert.True(t, r.servers[c.Name].View().Gone(9))
+		assert.True(t, r.servers[c.Name].View().Superseded(9))
+		assert.True(t, r.servers[c.Name].View().PresumedDead(9))
 	}
 	// It dials again, here and at another home, which knows it from here.
 	for _, home := range []string{"m0", "m1"} {
 		again := r.link("f", 9)
-		r.servers[home].Linked(r.now, again)
-		assert.Equal(t, []Link{again}, r.servers[home].Close(), home)
-		require.ErrorIs(t, r.beat(home, again), ErrReplaced, home)
+		r.servers[home].LinkOpened(r.now, again)
+		assert.Equal(t, []Link{again}, r.servers[home].LinksToClose(), home)
+		require.ErrorIs(t, r.beat(home, again), ErrSuperseded, home)
 	}
 	r.run(100 * ms)
 	r.shows("f", 5, Alive)
@@ -146,9 +146,9 @@
 	earlier = r.link("g", 19)
 	r.run(100 * ms)
 	later = r.link("g", 15)
-	s.Linked(r.now, later)
-	s.Linked(r.now, earlier)
-	assert.Equal(t, []Link{earlier}, s.Close())
+	s.LinkOpened(r.now, later)
+	s.LinkOpened(r.now, earlier)
+	assert.Equal(t, []Link{earlier}, s.LinksToClose())
 	r.run(100 * ms)
 	r.shows("g", 15, Alive)
 }
@@ -160,10 +160,10 @@
 		for _, later := range []uint64{5, 9} {
 			r := newTrio(t)
 			latest := map[string]string{"m0": "m1", "m1": "m0"}[first]
-			earlier := Link{From: "f", Zone: "za", Incarnation: 7, Greeted: r.now - 3*ms}
-			latter := Link{From: "f", Zone: "za", Incarnation: later, Greeted: r.now - ms}
-			r.servers["m0"].Linked(r.now, earlier)
-			r.servers["m1"].Linked(r.now, latter)
+			earlier := Link{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: r.now - 3*ms}
+			latter := Link{From: "f", Zone: "za", Incarnation: later, ChallengedAt: r.now - ms}
+			r.servers["m0"].LinkOpened(r.now, earlier)
+			r.servers["m1"].LinkOpened(r.now, latter)
 			r.lose = func(from, _ string, _ Kind) bool { return from == latest }
 			r.run(500 * ms)
 			r.lose = func(string, string, Kind) bool { return false }
@@ -182,8 +182,8 @@
 func TestTwoHomesAtOnce(t *testing.T) {
 	for _, homes := range [][]string{{"m0", "m1"}, {"m1", "m0"}} {
 		r := newTrio(t)
-		r.servers[homes[0]].Linked(r.now, r.link("f", 7))
-		r.servers[homes[1]].Linked(r.now, r.link("f", 5))
+		r.servers[homes[0]].LinkOpened(r.now, r.link("f", 7))
+		r.servers[homes[1]].LinkOpened(r.now, r.link("f", 5))
 		r.run(500 * ms)
 		r.shows("f", 7, Alive)
 	}
@@ -192,10 +192,10 @@
 // Ages are told with an error. A process that is alive for long beside a later one that is dead is shown in the end.
 func TestAliveInTheEnd(t *testing.T) {
 	r := newTrio(t)
-	wrong := Link{From: "f", Zone: "za", Incarnation: 7, Greeted: r.now}
-	right := Link{From: "f", Zone: "za", Incarnation: 9, Greeted: r.now - second}
-	r.servers["m0"].Linked(r.now, wrong)
-	r.servers["m1"].Linked(r.now, right)
+	wrong := Link{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: r.now}
+	right := Link{From: "f", Zone: "za", Incarnation: 9, ChallengedAt: r.now - second}
+	r.servers["m0"].LinkOpened(r.now, wrong)
+	r.servers["m1"].LinkOpened(r.now, right)
 	for i := range 20 {
 		require.NoError(t, r.beat("m1", right))
 		r.run(second)
@@ -210,18 +210,18 @@
 func TestLostPush(t *testing.T) {
 	r := newTrio(t)
 	for i := range 20 {
-		r.servers["m0"].Linked(r.now, r.link(fmt.Sprintf("f%02d", i), uint64(i+1)))
+		r.servers["m0"].LinkOpened(r.now, r.link(fmt.Sprintf("f%02d", i), uint64(i+1)))
 	}
 	r.run(200 * ms)
 	lost := false
 	r.lose = func(_, to string, kind Kind) bool {
-		if kind == Table && to == "m1" && !lost {
+		if kind == TableUpdate && to == "m1" && !lost {
 			lost = true
 			return true
 		}
 		return false
 	}
-	r.servers["m0"].Linked(r.now, r.link("g", 99))
+	r.servers["m0"].LinkOpened(r.now, r.link("g", 99))
 	r.run(150 * ms)
 	require.True(t, lost)
 	r.shows("g", 99, Alive)
@@ -233,10 +233,10 @@
 func TestGap(t *testing.T) {
 	r := newTrio(t)
 	r.lose = func(from, to string, _ Kind) bool { return from == "m0" && to == "m1" }
-	r.servers["m0"].Linked(r.now, r.link("f", 7))
+	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(100 * ms)
 	r.lose = func(from, to string, kind Kind) bool { return from == "m0" && to == "m1" && kind == 0 }
-	r.servers["m0"].Linked(r.now, r.link("g", 8))
+	r.servers["m0"].LinkOpened(r.now, r.link("g", 8))
 	r.run(100 * ms)
 	assert.Equal(t, 1, r.servers["m1"].Counters.Gaps)
 	assert.Zero(t, r.servers["m0"].Counters.TableSnapshots)
@@ -255,7 +255,7 @@
 		m.sent, m.whole, m.sequence = r.now, true, uint64(i+1)
 		m.rows = []row{{name: "f", zone: "za", incarnation: 7, state: State(i % 2), challenged: r.now}}
 		m.sum = m.rows[0].digest()
-		require.NoError(t, s.ReceiveControl(r.now, "m0", 1000, Table, m.encode()))
+		require.NoError(t, s.ReceiveFromControl(r.now, "m0", 1000, TableUpdate, m.encode()))
 		s.Tick(r.now, nil)
 	}
 	changes = s.Counters.Changes - changes
@@ -265,18 +265,18 @@
 		r.now += 100 * ms
 		s.Tick(r.now, nil)
 	}
-	e, _ := s.View().Of("f")
+	e, _ := s.View().Lookup("f")
 	require.Equal(t, m.rows[0].state, e.State)
 }
 
 // A gap that the log does not reach back over is filled by one snapshot.
 func TestLongCut(t *testing.T) {
 	r := newTrio(t)
-	r.servers["m0"].Linked(r.now, r.link("f", 50))
+	r.servers["m0"].LinkOpened(r.now, r.link("f", 50))
 	r.run(200 * ms)
 	r.lose = func(from, to string, _ Kind) bool { return from == "m0" && to == "m1" }
 	for i := range mostBatches + 10 {
-		r.servers["m0"].Linked(r.now, r.link(fmt.Sprintf("f%03d", i%400), uint64(i+100)))
+		r.servers["m0"].LinkOpened(r.now, r.link(fmt.Sprintf("f%03d", i%400), uint64(i+100)))
 		r.run(50 * ms)
 	}
 	r.lose = func(string, string, Kind) bool { return false }
@@ -291,20 +291,20 @@
 	r := newTrio(t)
 	cut := func(a, b string) bool { return a == "m0" && b == "m1" || a == "m1" && b == "m0" }
 	r.lose = func(from, to string, _ Kind) bool { return cut(from, to) }
-	r.servers["m0"].Linked(r.now, r.link("f", 7))
+	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(2 * second)
-	_, ok := r.servers["m1"].View().Of("f")
+	_, ok := r.servers["m1"].View().Lookup("f")
 	require.False(t, ok, "as long as m1 hears m0 it asks nobody else")
 	// Package member sees the cut.
 	for range 30 {
 		r.now += 50 * ms
 		seen := r.seen("m1")
-		seen[0].Cut = true
+		seen[0].IndirectlyAlive = true
 		r.servers["m1"].Tick(r.now, seen)
-		require.NoError(t, r.servers["m1"].PeerVersions(r.now, "m2", r.epochs["m2"], r.servers["m2"].Versions(r.now)))
+		require.NoError(t, r.servers["m1"].ReceiveVersions(r.now, "m2", r.epochs["m2"], r.servers["m2"].Versions(r.now)))
 		r.carry()
 	}
-	e, ok := r.servers["m1"].View().Of("f")
+	e, ok := r.servers["m1"].View().Lookup("f")
 	require.True(t, ok)
 	require.Equal(t, uint64(7), e.Incarnation)
 }
@@ -312,7 +312,7 @@
 // Messages of an earlier process of a home are dropped and counted, also where another control member brings them.
 func TestOlderEpoch(t *testing.T) {
 	r := newTrio(t)
-	r.servers["m0"].Linked(r.now, r.link("f", 7))
+	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(200 * ms)
 	m := tableMessage{version: version{"m0", r.epochs["m0"], 50, 0}, whole: true}
 	m.rows = []row{{name: "late", zone: "za", incarnation: 3, challenged: r.now}}
@@ -321,33 +321,33 @@
 	r.begin("m0", 2000)
 	r.run(200 * ms)
 	s := r.servers["m1"]
-	require.NoError(t, s.ReceiveControl(r.now, "m0", old, Table, m.encode()))
+	require.NoError(t, s.ReceiveFromControl(r.now, "m0", old, TableUpdate, m.encode()))
 	require.Equal(t, 1, s.Counters.StaleEpochs)
-	require.NoError(t, s.ReceiveControl(r.now, "m2", r.epochs["m2"], Table, m.encode()))
+	require.NoError(t, s.ReceiveFromControl(r.now, "m2", r.epochs["m2"], TableUpdate, m.encode()))
 	require.Equal(t, 2, s.Counters.StaleEpochs)
-	require.NoError(t, s.PeerVersions(r.now, "m0", old, encodeVersions(r.now, []version{{"m0", old, 99, 1}})))
+	require.NoError(t, s.ReceiveVersions(r.now, "m0", old, encodeVersions(r.now, []version{{"m0", old, 99, 1}})))
 	require.Equal(t, 3, s.Counters.StaleEpochs)
 	seen := r.seen("m1")
-	seen[0].Cut = true
+	seen[0].IndirectlyAlive = true
 	s.Tick(r.now, seen)
-	require.NoError(t, s.PeerVersions(r.now, "m2", r.epochs["m2"], encodeVersions(r.now, []version{{"m0", old, 99, 1}})))
+	require.NoError(t, s.ReceiveVersions(r.now, "m2", r.epochs["m2"], encodeVersions(r.now, []version{{"m0", old, 99, 1}})))
 	require.Equal(t, 4, s.Counters.StaleEpochs)
 	r.run(200 * ms)
-	_, ok := s.View().Of("late")
+	_, ok := s.View().Lookup("late")
 	require.False(t, ok)
 	assert.Zero(t, s.Counters.Pulls)
 	// What the earlier process held lapses at those that had it, and is forgotten in the end.
 	state := func() State {
-		e, _ := s.View().Of("f")
+		e, _ := s.View().Lookup("f")
 		return e.State
 	}
 	require.Equal(t, Suspect, state())
 	r.run(lapseSpan)
 	require.Equal(t, Dead, state())
 	r.run(keepSpan + second)
-	_, ok = s.View().Of("f")
+	_, ok = s.View().Lookup("f")
 	require.False(t, ok)
-	require.True(t, s.View().Gone(7))
+	require.True(t, s.View().PresumedDead(7))
 	require.Len(t, s.names, 3, "nothing is kept of it")
 }
 
@@ -377,24 +377,24 @@
 		kind   Kind
 		body   []byte
 	}{
-		{"unknown home", &s.Counters.UnknownHomes, ErrHome, "m0", Table, table("mx", 1, rows("f"))},
-		{"unknown home", &s.Counters.UnknownHomes, ErrHome, "m0", Pull, pull.encode()},
-		{"unknown sender", &s.Counters.UnknownHomes, ErrHome, "mx", Table, table("m0", 1000, rows("f"))},
-		{"this one's table", &s.Counters.WrongNames, ErrName, "m0", Table, table("m1", 1001, rows("f"))},
-		{"a control member attached", &s.Counters.WrongNames, ErrName, "m0", Table, table("m0", 1000, rows("m2"))},
-		{"too many rows", &s.Counters.Oversized, ErrOversized, "m0", Table, table("m0", 1000, many)},
-		{"rows out of order", &s.Counters.Malformed, ErrForm, "m0", Table, table("m0", 1000, append(rows("g"), rows("f")...))},
-		{"garbage", &s.Counters.Malformed, ErrForm, "m0", Table, []byte("garbage")},
-		{"garbage", &s.Counters.Malformed, ErrForm, "m0", Pull, []byte("garbage")},
+		{"unknown home", &s.Counters.UnknownHomes, ErrUnknownHome, "m0", TableUpdate, table("mx", 1, rows("f"))},
+		{"unknown home", &s.Counters.UnknownHomes, ErrUnknownHome, "m0", TablePull, pull.encode()},
+		{"unknown sender", &s.Counters.UnknownHomes, ErrUnknownHome, "mx", TableUpdate, table("m0", 1000, rows("f"))},
+		{"this one's table", &s.Counters.NameMismatches, ErrNameMismatch, "m0", TableUpdate, table("m1", 1001, rows("f"))},
+		{"a control member attached", &s.Counters.NameMismatches, ErrNameMismatch, "m0", TableUpdate, table("m0", 1000, rows("m2"))},
+		{"too many rows", &s.Counters.Oversized, ErrTooManyEntries, "m0", TableUpdate, table("m0", 1000, many)},
+		{"rows out of order", &s.Counters.Malformed, ErrMalformed, "m0", TableUpdate, table("m0", 1000, append(rows("g"), rows("f")...))},
+		{"garbage", &s.Counters.Malformed, ErrMalformed, "m0", TableUpdate, []byte("garbage")},
+		{"garbage", &s.Counters.Malformed, ErrMalformed, "m0", TablePull, []byte("garbage")},
 	} {
 		before := *c.count
-		err := s.ReceiveControl(r.now, c.from, r.epochs[c.from], c.kind, c.body)
+		err := s.ReceiveFromControl(r.now, c.from, r.epochs[c.from], c.kind, c.body)
 		require.ErrorIs(t, err, c.target, c.name)
 		require.Equal(t, before+1, *c.count, c.name)
 	}
-	require.ErrorIs(t, s.PeerVersions(r.now, "m0", 1000, encodeVersions(r.now, []version{{"mx", 1, 1, 1}})), ErrHome)
-	require.ErrorIs(t, s.PeerVersions(r.now, "m0", 1000, []byte("garbage")), ErrForm)
-	require.ErrorIs(t, s.ReceiveControl(r.now, "m0", 1000, Heartbeat, nil), ErrKind)
+	require.ErrorIs(t, s.ReceiveVersions(r.now, "m0", 1000, encodeVersions(r.now, []version{{"mx", 1, 1, 1}})), ErrUnknownHome)
+	require.ErrorIs(t, s.ReceiveVersions(r.now, "m0", 1000, []byte("garbage")), ErrMalformed)
+	require.ErrorIs(t, s.ReceiveFromControl(r.now, "m0", 1000, Heartbeat, nil), ErrUnexpectedKind)
 	r.run(200 * ms)
 	require.Equal(t, digest, s.View().Digest())
 }
@@ -403,7 +403,7 @@
 // not taken in.
 func TestSumDiffers(t *testing.T) {
 	r := newTrio(t)
-	r.servers["m0"].Linked(r.now, r.link("f", 7))
+	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(200 * ms)
 	s := r.servers["m1"]
 	replica := s.byName["m0"].tables[0]
@@ -411,15 +411,15 @@
 	r.run(200 * ms)
 	require.Equal(t, 1, s.Counters.SumRepairs)
 	require.Equal(t, r.servers["m0"].own.sum, replica.sum)
-	_, ok := s.View().Of("wrong")
+	_, ok := s.View().Lookup("wrong")
 	require.False(t, ok)
 
 	m := tableMessage{version: version{"m0", 1000, replica.sequence + 1, 1}, base: replica.sequence, rows: []row{{name: "wrong", incarnation: 3}}}
 	before := replica.version()
-	require.NoError(t, s.ReceiveControl(r.now, "m0", 1000, Table, m.encode()))
+	require.NoError(t, s.ReceiveFromControl(r.now, "m0", 1000, TableUpdate, m.encode()))
 	require.Equal(t, before, replica.version())
 	m.whole = true
-	require.ErrorIs(t, s.ReceiveControl(r.now, "m0", 1000, Table, m.encode()), ErrForm)
+	require.ErrorIs(t, s.ReceiveFromControl(r.now, "m0", 1000, TableUpdate, m.encode()), ErrMalformed)
 	require.Equal(t, before, replica.version())
 
 	// One that never agrees is pulled at a bounded rate.
@@ -428,10 +428,10 @@
 	for range 600 {
 		r.now += 50 * ms
 		s.Tick(r.now, r.seen("m1"))
-		require.NoError(t, s.PeerVersions(r.now, "m0", 1000, encodeVersions(r.now, []version{before})))
+		require.NoError(t, s.ReceiveVersions(r.now, "m0", 1000, encodeVersions(r.now, []version{before})))
 	}
 	assert.LessOrEqual(t, s.Counters.Pulls-pulls, 8, "in 30 s")
-	assert.Greater(t, s.Counters.Limited, 500)
+	assert.Greater(t, s.Counters.RateLimited, 500)
 }
 
 // Nobody attaches under a control member's name, nor more than a view may have.
@@ -439,17 +439,17 @@
 	r := newTrio(t)
 	s := r.servers["m0"]
 	for _, l := range []Link{r.link("m1", 7), r.link("m0", 7), r.link("", 7), r.link("f", 0)} {
-		s.Linked(r.now, l)
-		require.Equal(t, []Link{l}, s.Close())
+		s.LinkOpened(r.now, l)
+		require.Equal(t, []Link{l}, s.LinksToClose())
 	}
-	require.Equal(t, 4, s.Counters.WrongNames)
+	require.Equal(t, 4, s.Counters.NameMismatches)
 	for i := range 501 {
-		s.Linked(r.now, r.link(fmt.Sprintf("f%03d", i), uint64(i+1)))
+		s.LinkOpened(r.now, r.link(fmt.Sprintf("f%03d", i), uint64(i+1)))
 	}
-	require.Len(t, s.Close(), 1)
+	require.Len(t, s.LinksToClose(), 1)
 	require.Equal(t, 1, s.Counters.Oversized)
 	for i := range 100 {
-		r.servers["m1"].Linked(r.now, r.link(fmt.Sprintf("g%03d", i), uint64(i+1000)))
+		r.servers["m1"].LinkOpened(r.now, r.link(fmt.Sprintf("g%03d", i), uint64(i+1000)))
 	}
 	r.run(300 * ms)
 	for _, c := range trioControls {
@@ -461,8 +461,8 @@
 func TestHomeOf(t *testing.T) {
 	r := newTrio(t)
 	l := r.link("f", 7)
-	r.servers["m0"].Linked(r.now, l)
-	r.servers["m1"].Linked(r.now, l)
+	r.servers["m0"].LinkOpened(r.now, l)
+	r.servers["m1"].LinkOpened(r.now, l)
 	r.run(200 * ms)
 	home := func(at string) string {
 		name, _ := r.servers[at].HomeOf(7)
@@ -471,7 +471,7 @@
 	require.Equal(t, "m0", home("m0"))
 	require.Equal(t, "m1", home("m1"))
 	require.Equal(t, "m0", home("m2"))
-	r.servers["m0"].Unlinked(r.now, l)
+	r.servers["m0"].LinkClosed(r.now, l)
 	require.Equal(t, "m1", home("m0"), "its own link is gone")
 	require.Equal(t, "", func() string { name, _ := r.servers["m0"].HomeOf(1001); return name }(), "a control member")
 	require.Equal(t, "", func() string { name, _ := r.servers["m0"].HomeOf(8); return name }())
--- a/fleet/membership/tablemessage.go
+++ b/fleet/membership/tablemessage.go
@@ -10,7 +10,7 @@
 )
 
 func isOurs(err error) bool {
-	return errors.Is(err, ErrForm) || errors.Is(err, ErrOversized) || errors.Is(err, ErrHome) || errors.Is(err, ErrName)
+	return errors.Is(err, ErrMalformed) || errors.Is(err, ErrTooManyEntries) || errors.Is(err, ErrUnknownHome) || errors.Is(err, ErrNameMismatch)
 }
 
 // version is how far a table of a home is known.
@@ -43,7 +43,7 @@
 			return nil
 		}
 		if len(list) == most {
-			return ErrOversized
+			return ErrTooManyEntries
 		}
 		var v version
 		err := proto.Each(f.Data, func(f proto.Field) error {
@@ -159,14 +159,14 @@
 			t.base = f.Uint
 		case 7:
 			if len(t.rows) == most {
-				return ErrOversized
+				return ErrTooManyEntries
 			}
 			r, err := decodeRow(f.Data)
 			if err != nil {
 				return err
 			}
 			if len(t.rows) > 0 && t.rows[len(t.rows)-1].name >= r.name {
-				return fmt.Errorf("%w: %q after %q", ErrForm, r.name, t.rows[len(t.rows)-1].name)
+				return fmt.Errorf("%w: %q after %q", ErrMalformed, r.name, t.rows[len(t.rows)-1].name)
 			}
 			t.rows = append(t.rows, r)
 		case 8:
@@ -196,7 +196,7 @@
 			r.removed = f.Uint != 0
 		case 8:
 			if len(r.past) == toldPast {
-				return fmt.Errorf("%w: too many past processes of %q", ErrForm, r.name)
+				return fmt.Errorf("%w: too many past processes of %q", ErrMalformed, r.name)
 			}
 			r.past = append(r.past, f.Uint)
 		}
@@ -206,7 +206,7 @@
 		return r, err
 	}
 	if !goodName(r.name) || len(r.zone) > longestName || r.state > Left || !r.removed && r.incarnation == 0 {
-		return r, fmt.Errorf("%w: the row %q", ErrForm, r.name)
+		return r, fmt.Errorf("%w: the row %q", ErrMalformed, r.name)
 	}
 	return r, nil
 }
--- a/fleet/membership/targets.go
+++ b/fleet/membership/targets.go
@@ -152,7 +152,7 @@
 		c.lose(s.beside, true)
 	}
 	switch o := s.beside; {
-	case s.current == nil || c.silence(s.current) < c.cfg.Suspect:
+	case s.current == nil || c.silence(s.current) < c.cfg.SuspectAfter:
 		s.beside = nil
 	case o == nil && !s.returning:
 		if s.beside = c.replacement(s); s.beside != nil {
@@ -167,7 +167,7 @@
 func (c *Client) silence(o *control) Micros { return c.now - max(o.heard, o.asked) }
 
 // silent says whether such a one is to be given up.
-func (c *Client) silent(o *control) bool { return o.leaving || c.silence(o) >= c.cfg.Dead }
+func (c *Client) silent(o *control) bool { return o.leaving || c.silence(o) >= c.cfg.DeadAfter }
 
 // alone says whether no control member of a slot was heard of late.
 func (c *Client) alone() bool {
@@ -193,7 +193,7 @@
 		if s.current != o {
 			continue
 		}
-		c.Counters.Losses++
+		c.Counters.LostControlMembers++
 		s.current, s.beside = s.beside, nil
 		s.due = c.now + c.pause(unreachable)
 	}
@@ -270,7 +270,7 @@
 		}
 		return
 	}
-	e, ok := c.view.Of(s.preferred.name)
+	e, ok := c.view.Lookup(s.preferred.name)
 	taken := slices.ContainsFunc(c.slots[:], func(other slot) bool { return other.current == s.preferred || other.beside == s.preferred })
 	switch {
 	case !ok || e.State != Alive || c.now < s.preferred.avoidedUntil || taken:
--- a/fleet/membership/targets_test.go
+++ b/fleet/membership/targets_test.go
@@ -23,7 +23,7 @@
 func linked(zones, each int, controls []ControlMember) (clients []*Client, now Micros) {
 	for i := range zones * each {
 		clients = append(clients, NewClient(Config{Name: fmt.Sprintf("f%04d", i), Zone: fmt.Sprintf("z%02d", i/each),
-			Incarnation: uint64(1000 + i), Controls: controls}))
+			Incarnation: uint64(1000 + i), ControlMembers: controls}))
 	}
 	for now = 0; now < 2*second; now += 50 * ms {
 		for _, c := range clients {
@@ -37,7 +37,7 @@
 func link(c *Client, now Micros) {
 	for _, name := range c.Targets(now) {
 		if o := c.byName[name]; !o.linked {
-			c.Linked(now, name, 1+weight(name, "", 0)%1000)
+			c.LinkOpened(now, name, 1+weight(name, "", 0)%1000)
 		}
 	}
 	for _, m := range c.Actions() {
@@ -47,7 +47,7 @@
 		}
 		h, _ := decodeHeartbeat(m.Body)
 		answer := viewMessage{epoch: o.incarnation, answers: true, echo: h.sent}
-		_ = c.Receive(now, m.To, o.incarnation, ViewPart, answer.encode())
+		_ = c.Receive(now, m.To, o.incarnation, ViewUpdate, answer.encode())
 	}
 }
 
@@ -86,7 +86,7 @@
 			continue
 		}
 		moved = append(moved, c)
-		c.Unlinked(now, lost)
+		c.LinkClosed(now, lost)
 		other := list[0]
 		if other == lost {
 			other = list[1]
@@ -99,11 +99,11 @@
 	for end := now + 4*second; now < end; now += 50 * ms {
 		for _, c := range moved {
 			if slices.Contains(c.Targets(now), lost) {
-				c.Unlinked(now, lost) // the dial fails
+				c.LinkClosed(now, lost) // the dial fails
 			}
-			before := c.Counters.Losses
+			before := c.Counters.LostControlMembers
 			link(c, now)
-			require.Equal(t, before, c.Counters.Losses)
+			require.Equal(t, before, c.Counters.LostControlMembers)
 			if list := c.Targets(now); len(list) == 2 && c.byName[list[0]].linked && c.byName[list[1]].linked && where[c.cfg.Name] == 0 {
 				where[c.cfg.Name] = 1
 				when[now/(200*ms)]++
@@ -138,7 +138,7 @@
 	clients, now := linked(3, 1, manyControls(3, 2))
 	c := clients[0]
 	list := c.Targets(now)
-	c.Unlinked(now, list[0])
+	c.LinkClosed(now, list[0])
 	require.Equal(t, list[1:], c.Targets(now), "after a pause")
 	for end := now + second; now < end; now += 50 * ms {
 		link(c, now)
@@ -154,7 +154,7 @@
 	answer := func(name string) {
 		o := c.byName[name]
 		m := viewMessage{epoch: o.incarnation, answers: true, echo: now}
-		require.NoError(t, c.Receive(now, name, o.incarnation, ViewPart, m.encode()))
+		require.NoError(t, c.Receive(now, name, o.incarnation, ViewUpdate, m.encode()))
 	}
 	answer(list[0])
 	began := now
@@ -191,7 +191,7 @@
 					dialled = at - now
 				}
 				if !c.byName[name].linked {
-					c.Linked(at+ms, name, 1)
+					c.LinkOpened(at+ms, name, 1)
 				}
 			}
 			answerTo(c, at+2*ms, others)
@@ -211,7 +211,7 @@
 		if o := c.byName[m.To]; slices.Contains(names, m.To) && o.linked {
 			h, _ := decodeHeartbeat(m.Body)
 			answer := viewMessage{epoch: o.incarnation, answers: true, echo: h.sent}
-			_ = c.Receive(now, m.To, o.incarnation, ViewPart, answer.encode())
+			_ = c.Receive(now, m.To, o.incarnation, ViewUpdate, answer.encode())
 		}
 	}
 }
@@ -229,7 +229,7 @@
 		for _, name := range list {
 			o := c.byName[name]
 			answer := viewMessage{epoch: o.incarnation, answers: true, echo: now}
-			require.NoError(t, c.Receive(at, name, o.incarnation, ViewPart, answer.encode()))
+			require.NoError(t, c.Receive(at, name, o.incarnation, ViewUpdate, answer.encode()))
 		}
 		require.Equal(t, list, c.Targets(at+50*ms))
 	}
@@ -241,8 +241,8 @@
 	var slow int
 	for _, c := range clients {
 		list := c.Targets(now)
-		c.Unlinked(now, list[0])
-		c.Unlinked(now, list[1])
+		c.LinkClosed(now, list[0])
+		c.LinkClosed(now, list[1])
 		c.Tick(now + rescueHigh)
 		require.NotNil(t, c.slots[1].current, c.cfg.Name)
 		require.LessOrEqual(t, c.slots[1].due, now+rescueHigh)
@@ -258,7 +258,7 @@
 func TestClosedAfterHello(t *testing.T) {
 	for _, refusing := range []int{1, 6} {
 		controls := manyControls(3, 2)
-		c := NewClient(Config{Name: "f", Zone: "z00", Incarnation: 7, Controls: controls})
+		c := NewClient(Config{Name: "f", Zone: "z00", Incarnation: 7, ControlMembers: controls})
 		c.Tick(second)
 		first := c.slots[0].preferred.name
 		hellos := 0
@@ -266,10 +266,10 @@
 			for _, name := range c.Targets(now) {
 				if o := c.byName[name]; refusing == 6 || name == first {
 					hellos++
-					c.Linked(now, name, 1)
-					c.Unlinked(now, name)
+					c.LinkOpened(now, name, 1)
+					c.LinkClosed(now, name)
 				} else if !o.linked {
-					c.Linked(now, name, 1)
+					c.LinkOpened(now, name, 1)
 				}
 			}
 			answerTo(c, now, c.Targets(now))
@@ -286,7 +286,7 @@
 
 // Where nobody can be reached dials become rare, and go on for ever.
 func TestNobodyThere(t *testing.T) {
-	c := NewClient(Config{Name: "f", Zone: "z00", Incarnation: 7, Controls: manyControls(3, 2)})
+	c := NewClient(Config{Name: "f", Zone: "z00", Incarnation: 7, ControlMembers: manyControls(3, 2)})
 	dials, late := 0, 0
 	for now := Micros(0); now < 1200*second; now += 50 * ms {
 		for _, name := range c.Targets(now) {
@@ -294,7 +294,7 @@
 			if now > 1000*second {
 				late++
 			}
-			c.Unlinked(now, name)
+			c.LinkClosed(now, name)
 		}
 	}
 	assert.Less(t, dials, 250)
@@ -317,7 +317,7 @@
 func TestSlotsDiffer(t *testing.T) {
 	for seed := range 20 {
 		controls := manyControls(2, 2)
-		c := NewClient(Config{Name: fmt.Sprint("f", seed), Zone: "z00", Incarnation: 7, Controls: controls})
+		c := NewClient(Config{Name: fmt.Sprint("f", seed), Zone: "z00", Incarnation: 7, ControlMembers: controls})
 		for _, o := range controls {
 			c.view.apply([]change{{Entry: Entry{Name: o.Name, Zone: o.Zone, Home: o.Name, Incarnation: 1 + weight(o.Name, "", 0)%1000}}}, followed)
 		}
@@ -330,13 +330,13 @@
 			}
 			for i, o := range controls {
 				if mask>>i&1 == 1 && slices.Contains(c.Targets(now), o.Name) {
-					c.Unlinked(now, o.Name)
+					c.LinkClosed(now, o.Name)
 				}
 			}
 			for _, name := range c.Targets(now) {
 				i := slices.IndexFunc(controls, func(o ControlMember) bool { return o.Name == name })
 				if mask>>i&1 == 0 && !c.byName[name].linked {
-					c.Linked(now, name, 1+weight(name, "", 0)%1000)
+					c.LinkOpened(now, name, 1+weight(name, "", 0)%1000)
 				}
 			}
 			answerAll(c, now, mask, controls)
@@ -361,6 +361,6 @@
 		}
 		h, _ := decodeHeartbeat(m.Body)
 		answer := viewMessage{epoch: o.incarnation, answers: true, echo: h.sent}
-		_ = c.Receive(now, m.To, o.incarnation, ViewPart, answer.encode())
+		_ = c.Receive(now, m.To, o.incarnation, ViewUpdate, answer.encode())
 	}
 }
--- a/fleet/membership/view.go
+++ b/fleet/membership/view.go
@@ -38,8 +38,8 @@
 	return &View{byName: map[string]*kept{}, byIncarnation: map[uint64]*kept{}, texts: map[string]string{}}
 }
 
-// List is all entries by name. It is the caller's own.
-func (v *View) List() []Entry {
+// Entries is all entries by name. It is the caller's own.
+func (v *View) Entries() []Entry {
 	list := make([]Entry, len(v.list))
 	for i, e := range v.list {
 		list[i] = v.shown(e)
@@ -56,8 +56,8 @@
 	return shown
 }
 
-// Of is the entry of a name.
-func (v *View) Of(name string) (Entry, bool) {
+// Lookup is the entry of a name.
+func (v *View) Lookup(name string) (Entry, bool) {
 	e := v.byName[name]
 	if e == nil {
 		return Entry{}, false
@@ -71,8 +71,8 @@
 // Digest is over all entries: views with the same entries have the same.
 func (v *View) Digest() uint64 { return v.total }
 
-// Gone says whether a process is held for no more: its name has another, it has left, or it is heard nowhere for long.
-func (v *View) Gone(incarnation uint64) bool {
+// PresumedDead says whether a process is held for no more: its name has another, it has left, or it is heard nowhere for long.
+func (v *View) PresumedDead(incarnation uint64) bool {
 	if e := v.byIncarnation[incarnation]; e != nil && (e.State == Dead || e.State == Left) {
 		return true
 	}
@@ -85,8 +85,8 @@
 	return e != nil && e.State == Alive && !v.past.contains(incarnation)
 }
 
-// Replaced says whether the view has had a later process under that one's name.
-func (v *View) Replaced(incarnation uint64) bool {
+// Superseded says whether the view has had a later process under that one's name.
+func (v *View) Superseded(incarnation uint64) bool {
 	return v.past.contains(incarnation)
 }
 
--- a/fleet/membership/view_test.go
+++ b/fleet/membership/view_test.go
@@ -20,20 +20,20 @@
 		v.apply(tells("f", 9, Alive, 100*second), followed)
 		if between != "" {
 			v.apply([]change{{Entry: Entry{Name: "f"}, removed: true}}, resumed)
-			require.False(t, v.Gone(9), "it was only missed")
+			require.False(t, v.PresumedDead(9), "it was only missed")
 		}
 		v.apply(tells("f", 5, Alive, 50*second), resumed)
-		e, _ := v.Of("f")
+		e, _ := v.Lookup("f")
 		require.Equal(t, uint64(5), e.Incarnation)
 		require.Equal(t, Dead, e.State)
-		require.Equal(t, Dead, v.List()[0].State)
+		require.Equal(t, Dead, v.Entries()[0].State)
 		require.False(t, v.Alive(5))
-		require.True(t, v.Gone(5))
-		require.True(t, v.Replaced(5))
-		require.False(t, v.Gone(9))
+		require.True(t, v.PresumedDead(5))
+		require.True(t, v.Superseded(5))
+		require.False(t, v.PresumedDead(9))
 		v.apply(tells("f", 9, Alive, 101*second), followed)
 		require.True(t, v.Alive(9), "the home has heard of it")
-		require.True(t, v.Replaced(5))
+		require.True(t, v.Superseded(5))
 	}
 }
 
@@ -44,17 +44,17 @@
 	v.apply([]change{{Entry: Entry{Name: "f"}, removed: true}}, followed)
 	require.Zero(t, v.Len())
 	require.Zero(t, v.Digest())
-	require.True(t, v.Gone(9))
-	require.False(t, v.Replaced(9))
+	require.True(t, v.PresumedDead(9))
+	require.False(t, v.Superseded(9))
 	v.apply(tells("f", 9, Alive, 100*second), followed)
 	require.True(t, v.Alive(9))
-	require.False(t, v.Gone(9))
+	require.False(t, v.PresumedDead(9))
 }
 
 // A home that goes on showing a process alive which was held for replaced is believed in the end, and not before.
 func TestBelieveInTheEnd(t *testing.T) {
 	p := newPair(t, 3)
-	e, _ := p.client.View().Of("o0001")
+	e, _ := p.client.View().Lookup("o0001")
 	p.client.view.past.add(e.Incarnation)
 	p.client.view.conflict = true
 	p.run(conflictSpan - 2*second)
@@ -145,6 +145,6 @@
 	runtime.ReadMemStats(&before)
 	_, err := u.unpack(bomb, 1<<20)
 	runtime.ReadMemStats(&after)
-	require.ErrorIs(t, err, ErrOversized)
+	require.ErrorIs(t, err, ErrTooManyEntries)
 	assert.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(8<<20))
 }
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -26,24 +26,24 @@
 
 // Config is what a front end is told of its fleet.
 type Config struct {
-	Name        string
-	Zone        string
-	Incarnation uint64
-	Zones       map[string]string // of the others, by name
-	Members     heartbeat.Config
-	Copies      replication.Config // its ID is this disk's number
-	Beat        Micros             // between heartbeats
-	Retry       Micros             // until a question is asked again
-	Attach      *membership.Config // of those that attach to this control member; nil where none may
-	// Number draws a number that was never used, for a new record.
-	Number func() uint64
+	Name              string
+	Zone              string
+	Incarnation       uint64
+	Zones             map[string]string // of the others, by name
+	Heartbeat         heartbeat.Config
+	Replication       replication.Config // its ID is this disk's number
+	HeartbeatInterval Micros             // between heartbeats
+	RetryInterval     Micros             // until a question is asked again
+	Membership        *membership.Config // of those that attach to this control member; nil where none may
+	// NewID draws a number that was never used, for a new record.
+	NewID func() uint64
 }
 
 // Action is one of the types below, or a ledger.Save.
 type Action any
 
-// Tell sends a message to another front end. Its body may be shared with other messages.
-type Tell struct {
+// Send sends a message to another front end. Its body may be shared with other messages.
+type Send struct {
 	To          string
 	Incarnation uint64 // 0: a control member; else that process of an attached front end, over a link that it has dialled
 	Kind        transport.Kind
@@ -57,7 +57,7 @@
 // Node is one front end of a fleet.
 type Node struct {
 	cfg      Config
-	members  *heartbeat.Set
+	members  *heartbeat.Monitor
 	replica  *replication.Replica
 	others   map[string]*status // the last heartbeat of each, by name
 	requests requests
@@ -75,31 +75,31 @@
 	Relayed int
 	// Forwarded counts the questions of attached front ends that were passed on, Undeliverable what was for them or from them and found no way.
 	Forwarded, Undeliverable int
-	// Changed is told of each change in how another front end is seen.
-	Changed func(*heartbeat.Member)
+	// OnPeerChange is told of each change in how another front end is seen.
+	OnPeerChange func(*heartbeat.Peer)
 }
 
-// New builds a front end of a fleet. Note is told that something this front end waits for may have changed.
-func New(cfg Config, note func(about string)) *Node {
-	n := &Node{cfg: cfg, members: heartbeat.New(cfg.Members, cfg.Zones), replica: replication.New(cfg.Copies),
-		others: map[string]*status{}, note: note, Changed: func(*heartbeat.Member) {}}
+// NewNode builds a front end of a fleet. Note is told that something this front end waits for may have changed.
+func NewNode(cfg Config, note func(about string)) *Node {
+	n := &Node{cfg: cfg, members: heartbeat.NewMonitor(cfg.Heartbeat, cfg.Zones), replica: replication.New(cfg.Replication),
+		others: map[string]*status{}, note: note, OnPeerChange: func(*heartbeat.Peer) {}}
 	n.toLeader = toLeader{n: n}
-	n.requests = newRequests(&n.toLeader, cfg.Incarnation, cfg.Retry)
+	n.requests = newRequests(&n.toLeader, cfg.Incarnation, cfg.RetryInterval)
 	n.attaching()
 	return n
 }
 
-// Open goes on with what this disk kept.
-func (n *Node) Open(now Micros, d *replication.Disk) error {
+// Recover goes on with what this disk kept.
+func (n *Node) Recover(now Micros, d *replication.PersistedState) error {
 	n.now = now
-	return n.replica.Open(now, d)
+	return n.replica.Recover(now, d)
 }
 
 // Replica is this front end's copy of the record, if it is one.
 func (n *Node) Replica() *replication.Replica { return n.replica }
 
 // Members is how the others are seen.
-func (n *Node) Members() *heartbeat.Set { return n.members }
+func (n *Node) Members() *heartbeat.Monitor { return n.members }
 
 // Leave says to the others that this front end will soon be gone.
 func (n *Node) Leave() { n.leaving = true }
@@ -114,11 +114,11 @@
 
 // Link is where a message came from: the front end's name, the incarnation that has proven itself, and when it was challenged.
 type Link struct {
-	From        string
-	Incarnation uint64
-	Greeted     Micros
-	Attached    bool   // an attached front end's, which has dialled it
-	Zone        string // that an attached front end says it is in
+	From         string
+	Incarnation  uint64
+	ChallengedAt Micros
+	Attached     bool   // an attached front end's, which has dialled it
+	Zone         string // that an attached front end says it is in
 }
 
 // Receive takes a message that came over a link. An error says that it can't be read.
@@ -128,46 +128,46 @@
 		return n.receiveAttached(l, kind, body)
 	}
 	switch kind {
-	case transport.Status:
+	case transport.ControlHeartbeat:
 		s, err := decodeStatus(body)
 		if err != nil {
 			return err
 		}
-		if s.Incarnation != l.Incarnation || !n.members.Heard(now, l.From, l.Incarnation, l.Greeted, s.Leaving, s.Reports) {
+		if s.Incarnation != l.Incarnation || !n.members.Observe(now, l.From, l.Incarnation, l.ChallengedAt, s.Leaving, s.Reports) {
 			return nil
 		}
 		n.others[l.From] = &s
 		if s.Group != 0 && s.Group == n.replica.Group() {
-			n.replica.Compare(s.Index, s.Sum)
+			n.replica.CheckDivergence(s.Index, s.Sum)
 		}
 		if n.server != nil && len(s.Versions) > 0 {
-			if err := n.server.PeerVersions(now, l.From, l.Incarnation, s.Versions); err != nil {
+			if err := n.server.ReceiveVersions(now, l.From, l.Incarnation, s.Versions); err != nil {
 				return err
 			}
 		}
-	case transport.Ledger:
+	case transport.Replication:
 		group, message, err := decodeCopied(body)
 		if err != nil {
 			return err
 		}
 		return n.replica.Receive(now, group, message)
-	case transport.Ask:
+	case transport.Proposal:
 		c, err := replication.DecodeCommand(body)
 		if err != nil {
 			return err
 		}
-		if uint64(c.Asker) == l.Incarnation {
-			n.replica.Ask(now, c)
+		if uint64(c.Proposer) == l.Incarnation {
+			n.replica.Propose(now, c)
 		}
-	case transport.Answer:
-		a, err := replication.DecodeAnswer(body)
+	case transport.Response:
+		a, err := replication.DecodeResponse(body)
 		if err != nil {
 			return err
 		}
 		n.requests.answered(now, a)
-	case transport.Note:
+	case transport.Notification:
 		n.note(string(body))
-	case transport.Found:
+	case transport.Bootstrap:
 		return n.found(body)
 	case transport.Relay:
 		return n.relay(l, body)
@@ -192,30 +192,30 @@
 	}
 	if n.replica.Group() == 0 && w.Group != 0 {
 		n.founded = body
-		return n.replica.Found(n.now, w.Group, members)
+		return n.replica.Bootstrap(n.now, w.Group, members)
 	}
 	return nil
 }
 
-// Lost tells that messages to a front end may not arrive.
-func (n *Node) Lost(name string) {
+// SendFailed tells that messages to a front end may not arrive.
+func (n *Node) SendFailed(name string) {
 	if s := n.others[name]; s != nil && s.Copy != 0 {
 		n.replica.Unreachable(s.Copy)
 	}
 }
 
-// Stored tells that a Save has been written, or why not.
-func (n *Node) Stored(now Micros, token uint64, err error) {
+// Persisted tells that a Save has been written, or why not.
+func (n *Node) Persisted(now Micros, token uint64, err error) {
 	n.now = now
-	n.replica.Stored(now, token, err)
+	n.replica.Persisted(now, token, err)
 	n.drain()
 }
 
 // Next is when Tick should be called at the latest.
 func (n *Node) Next() Micros {
-	next := min(n.beatAt, n.now+n.cfg.Copies.Tick)
+	next := min(n.beatAt, n.now+n.cfg.Replication.TickInterval)
 	if n.server != nil {
-		next = min(next, n.now+membership.DefaultBatch)
+		next = min(next, n.now+membership.DefaultBatchDelay)
 	}
 	return next
 }
@@ -224,12 +224,12 @@
 func (n *Node) Tick(now Micros) {
 	n.now = now
 	for _, m := range n.members.Tick(now) {
-		n.Changed(m)
+		n.OnPeerChange(m)
 	}
 	present := n.present()
 	n.replica.Tick(now, present, presence{n.members, n})
 	if now >= n.beatAt {
-		n.beatAt = now + n.cfg.Beat
+		n.beatAt = now + n.cfg.HeartbeatInterval
 		n.beat()
 		n.begin(present)
 	}
@@ -240,37 +240,37 @@
 
 // presence is the members as the record's kinds see them.
 type presence struct {
-	*heartbeat.Set
+	*heartbeat.Monitor
 	n *Node
 }
 
-func (p presence) Gone(i replication.Incarnation) bool { return p.n.gone(uint64(i)) }
+func (p presence) PresumedDead(i replication.Incarnation) bool { return p.n.gone(uint64(i)) }
 
-// Replaced is certain of control members. Of attached front ends it is what the merged view says: what rests on it being certain,
+// Superseded is certain of control members. Of attached front ends it is what the merged view says: what rests on it being certain,
 // the budgets, is not set where front ends may attach.
-func (p presence) Replaced(i replication.Incarnation) bool {
+func (p presence) Superseded(i replication.Incarnation) bool {
 	if p.n.server == nil || p.ofMember(i) {
-		return p.Set.Replaced(uint64(i))
+		return p.Monitor.Superseded(uint64(i))
 	}
-	return p.n.server.View().Replaced(uint64(i))
+	return p.n.server.View().Superseded(uint64(i))
 }
 
-// Missing is never said of a process that is no control member's, where front ends may attach: what an attached one has under way
+// Unreachable is never said of a process that is no control member's, where front ends may attach: what an attached one has under way
 // is not offered to others in this version. It ends by its own time, and a repeat of it is told so. A load that an attached front
 // end hands on itself has no owner, and is offered.
-func (p presence) Missing(i replication.Incarnation) bool {
+func (p presence) Unreachable(i replication.Incarnation) bool {
 	if p.n.server != nil && i != 0 && !p.ofMember(i) {
 		return false
 	}
-	return i == 0 || uint64(i) != p.n.cfg.Incarnation && p.Set.Missing(uint64(i))
+	return i == 0 || uint64(i) != p.n.cfg.Incarnation && p.Monitor.Unreachable(uint64(i))
 }
 
-func (p presence) Present() (list []replication.Incarnation) {
+func (p presence) Live() (list []replication.Incarnation) {
 	n := p.n
 	if !n.leaving {
 		list = append(list, replication.Incarnation(n.cfg.Incarnation))
 	}
-	for _, m := range p.List() {
+	for _, m := range p.Peers() {
 		if s := n.others[m.Name]; m.State == heartbeat.Alive && s != nil && !s.Leaving {
 			list = append(list, replication.Incarnation(m.Incarnation))
 		}
@@ -279,15 +279,15 @@
 	return list
 }
 
-// Gone says whether a process of the fleet is held for no more.
-func (n *Node) Gone(incarnation uint64) bool { return n.gone(incarnation) }
+// PresumedDead says whether a process of the fleet is held for no more.
+func (n *Node) PresumedDead(incarnation uint64) bool { return n.gone(incarnation) }
 
 // present is the front ends that are heard now and have a disk that serves, this one too.
 func (n *Node) present() (list []replication.Member) {
 	if n.replica.Err() == nil && !n.leaving {
 		list = append(list, replication.Member{ID: n.replica.ID(), Name: n.cfg.Name, Zone: n.cfg.Zone})
 	}
-	for _, m := range n.members.List() {
+	for _, m := range n.members.Peers() {
 		if s := n.others[m.Name]; m.State == heartbeat.Alive && s != nil && s.Incarnation == m.Incarnation && s.Copy != 0 && !s.Leaving {
 			list = append(list, replication.Member{ID: s.Copy, Name: m.Name, Zone: m.Zone})
 		}
@@ -296,9 +296,9 @@
 }
 
 func (n *Node) beat() {
-	index, sum := n.replica.Applied()
+	index, sum := n.replica.LastApplied()
 	s := status{Incarnation: n.cfg.Incarnation, Copy: n.replica.ID(), Group: n.replica.Group(), Leader: n.replica.Leader(),
-		Term: n.replica.Term(), Index: index, Sum: sum, Leaving: n.leaving, Voter: n.replica.Votes(), Reports: n.members.Reports()}
+		Term: n.replica.Term(), Index: index, Sum: sum, Leaving: n.leaving, Voter: n.replica.IsVoter(), Reports: n.members.Reports()}
 	if n.replica.Err() != nil {
 		s.Copy = 0
 	}
@@ -306,8 +306,8 @@
 		s.Versions = n.server.Versions(n.now)
 	}
 	body := s.encode()
-	for _, m := range n.members.List() {
-		n.actions = append(n.actions, Tell{To: m.Name, Kind: transport.Status, Body: body})
+	for _, m := range n.members.Peers() {
+		n.actions = append(n.actions, Send{To: m.Name, Kind: transport.ControlHeartbeat, Body: body})
 	}
 }
 
@@ -324,15 +324,15 @@
 	if n.replica.Group() != 0 || n.replica.Err() != nil || len(present) != len(n.cfg.Zones)+1 {
 		return
 	}
-	for _, m := range n.members.List() {
+	for _, m := range n.members.Peers() {
 		if n.others[m.Name].Group != 0 || m.Name < n.cfg.Name { // the first by name founds
 			return
 		}
 	}
-	first := choose(present, n.cfg.Copies.Copies)
-	w := founding{Group: n.cfg.Number(), Members: replication.EncodeMembers(first)}
+	first := choose(present, n.cfg.Replication.Replicas)
+	w := founding{Group: n.cfg.NewID(), Members: replication.EncodeMembers(first)}
 	n.founded = w.encode()
-	if err := n.replica.Found(n.now, w.Group, first); err != nil {
+	if err := n.replica.Bootstrap(n.now, w.Group, first); err != nil {
 		n.founded = nil
 		return
 	}
@@ -340,9 +340,9 @@
 }
 
 func (n *Node) spread() {
-	for _, m := range n.members.List() {
+	for _, m := range n.members.Peers() {
 		if s := n.others[m.Name]; s != nil && s.Group == 0 {
-			n.actions = append(n.actions, Tell{To: m.Name, Kind: transport.Found, Body: n.founded})
+			n.actions = append(n.actions, Send{To: m.Name, Kind: transport.Bootstrap, Body: n.founded})
 		}
 	}
 }
@@ -371,12 +371,12 @@
 	return list
 }
 
-// NameOf is the front end that has the disk with that number; empty where none is known.
-func (n *Node) NameOf(copy uint64) string {
+// ReplicaName is the front end that has the disk with that number; empty where none is known.
+func (n *Node) ReplicaName(copy uint64) string {
 	if copy == n.replica.ID() {
 		return n.cfg.Name
 	}
-	for _, m := range n.members.List() {
+	for _, m := range n.members.Peers() {
 		if s := n.others[m.Name]; s != nil && s.Copy == copy {
 			return m.Name
 		}
@@ -386,7 +386,7 @@
 
 // nameOfProcess is the front end whose process that is; empty where none is known.
 func (n *Node) nameOfProcess(incarnation uint64) string {
-	for _, m := range n.members.List() {
+	for _, m := range n.members.Peers() {
 		if m.Incarnation == incarnation {
 			return m.Name
 		}
@@ -400,29 +400,29 @@
 	for _, a := range n.replica.Actions() {
 		switch a := a.(type) {
 		case replication.Send:
-			if to := n.NameOf(a.To); to != "" {
-				n.tell(to, transport.Ledger, a.Bulk, copied(n.replica.Group(), a.Message))
+			if to := n.ReplicaName(a.To); to != "" {
+				n.tell(to, transport.Replication, a.Bulk, copied(n.replica.Group(), a.Message))
 			}
 		case replication.Save:
 			n.actions = append(n.actions, a)
 		case replication.Reply:
 			if uint64(a.To) == n.cfg.Incarnation {
-				n.requests.answered(n.now, a.Answer)
+				n.requests.answered(n.now, a.Response)
 			} else if to := n.nameOfProcess(uint64(a.To)); to != "" {
-				n.tell(to, transport.Answer, false, a.Answer.Encode())
+				n.tell(to, transport.Response, false, a.Response.Encode())
 			} else if n.server != nil {
-				n.toAttached(uint64(a.To), transport.Answer, a.Answer.Encode())
+				n.toAttached(uint64(a.To), transport.Response, a.Response.Encode())
 			}
 		case replication.Notify:
-			if !n.replica.Leads() {
+			if !n.replica.IsLeader() {
 				continue // the leader's is enough
 			}
 			if uint64(a.To) == n.cfg.Incarnation {
-				n.note(a.About)
+				n.note(a.Topic)
 			} else if to := n.nameOfProcess(uint64(a.To)); to != "" {
-				n.tell(to, transport.Note, false, []byte(a.About))
+				n.tell(to, transport.Notification, false, []byte(a.Topic))
 			} else if n.server != nil {
-				n.toAttached(uint64(a.To), transport.Note, []byte(a.About))
+				n.toAttached(uint64(a.To), transport.Notification, []byte(a.Topic))
 			}
 		}
 	}
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -49,11 +49,11 @@
 
 // tell sends a message, by way of another where the direct way is known to fail.
 func (n *Node) tell(to string, kind transport.Kind, bulk bool, body []byte) {
-	n.actions = append(n.actions, Tell{To: to, Kind: kind, Bulk: bulk, Body: body})
-	if via := n.detour(to); via != "" && !bulk && len(body) < transport.MostBody {
+	n.actions = append(n.actions, Send{To: to, Kind: kind, Bulk: bulk, Body: body})
+	if via := n.detour(to); via != "" && !bulk && len(body) < transport.MaxFrameBody {
 		n.Relayed++
 		r := relayed{to, n.cfg.Name, n.cfg.Incarnation, kind, body}
-		n.actions = append(n.actions, Tell{To: via, Kind: transport.Relay, Body: r.encode()})
+		n.actions = append(n.actions, Send{To: via, Kind: transport.Relay, Body: r.encode()})
 	}
 }
 
@@ -61,7 +61,7 @@
 func (n *Node) hears(s *status, name string, incarnation uint64) bool {
 	for _, r := range s.Reports {
 		if r.Name == name {
-			return r.Incarnation == incarnation && r.Age < n.cfg.Members.Suspect
+			return r.Incarnation == incarnation && r.Age < n.cfg.Heartbeat.SuspectAfter
 		}
 	}
 	return false
@@ -69,22 +69,22 @@
 
 // detour is the front end by way of which another is to be told; empty where the direct way serves.
 func (n *Node) detour(to string) (via string) {
-	m, s := n.members.Of(to), n.others[to]
+	m, s := n.members.Lookup(to), n.others[to]
 	if m == nil || s == nil || s.Incarnation != m.Incarnation {
 		return ""
 	}
 	switch {
 	case m.State == heartbeat.Alive && !n.hears(s, n.cfg.Name, n.cfg.Incarnation):
-		for _, o := range n.members.List() {
+		for _, o := range n.members.Peers() {
 			if o == m || o.Incarnation == 0 || !n.hears(s, o.Name, o.Incarnation) {
 				continue
 			}
-			if via == "" || o.State == heartbeat.Alive && n.members.Of(via).State != heartbeat.Alive {
+			if via == "" || o.State == heartbeat.Alive && n.members.Lookup(via).State != heartbeat.Alive {
 				via = o.Name
 			}
 		}
-	case m.State == heartbeat.Cut:
-		for _, o := range n.members.List() {
+	case m.State == heartbeat.IndirectlyAlive:
+		for _, o := range n.members.Peers() {
 			if os := n.others[o.Name]; o != m && o.State == heartbeat.Alive && os != nil && n.hears(os, to, m.Incarnation) {
 				return o.Name
 			}
@@ -99,12 +99,12 @@
 	switch {
 	case err != nil:
 		return err
-	case r.Kind == transport.Relay || r.Kind == transport.Status || n.members.Of(r.From) == nil:
+	case r.Kind == transport.Relay || r.Kind == transport.ControlHeartbeat || n.members.Lookup(r.From) == nil:
 		return nil
 	case r.To == n.cfg.Name:
 		return n.Receive(n.now, Link{From: r.From, Incarnation: r.Incarnation}, r.Kind, r.Body)
-	case r.From == l.From && n.members.Of(r.To) != nil:
-		n.actions = append(n.actions, Tell{To: r.To, Kind: transport.Relay, Body: body})
+	case r.From == l.From && n.members.Lookup(r.To) != nil:
+		n.actions = append(n.actions, Send{To: r.To, Kind: transport.Relay, Body: body})
 	}
 	return nil
 }
--- a/fleet/replication/keeper.go
+++ b/fleet/replication/keeper.go
@@ -43,13 +43,13 @@
 		now[m.Name] = m.ID
 	}
 	k.heard[r.cfg.ID] = r.now
-	if len(r.conf.GetVotersOutgoing()) > 0 || k.asked != 0 && r.now-k.asked < changeEvery*r.cfg.Tick {
+	if len(r.conf.GetVotersOutgoing()) > 0 || k.asked != 0 && r.now-k.asked < changeEvery*r.cfg.TickInterval {
 		return
 	}
 	lost := func(id uint64) (gone, silent bool) {
 		m := r.member(id)
 		gone = now[m.Name] != 0 && now[m.Name] != id // its name has come back with another disk
-		return gone, gone || r.now-max(k.heard[id], k.since) >= r.cfg.Replace
+		return gone, gone || r.now-max(k.heard[id], k.since) >= r.cfg.ReplaceAfter
 	}
 	for _, id := range r.conf.GetLearners() {
 		if _, silent := lost(id); silent {
@@ -63,7 +63,7 @@
 			out = id
 		}
 	}
-	if out == 0 && len(r.conf.GetVoters()) >= r.cfg.Copies {
+	if out == 0 && len(r.conf.GetVoters()) >= r.cfg.Replicas {
 		return
 	}
 	for _, id := range r.conf.GetLearners() {
--- a/fleet/replication/machine.go
+++ b/fleet/replication/machine.go
@@ -57,8 +57,8 @@
 // machine is the replicated state: what the kinds hold, who the copies are, and a sum over all answers so far, by which
 // copies that differ are found.
 type machine struct {
-	kinds   map[uint32]Kind
-	order   []Kind // in the order in which they were registered
+	kinds   map[uint32]StateMachine
+	order   []StateMachine // in the order in which they were registered
 	members map[uint64]Member
 	index   uint64
 	sum     uint64
@@ -66,8 +66,8 @@
 	note    func(Incarnation, string)
 }
 
-func newMachine(kinds []Kind, note func(Incarnation, string)) *machine {
-	m := &machine{kinds: map[uint32]Kind{}, order: kinds, members: map[uint64]Member{}, note: note}
+func newMachine(kinds []StateMachine, note func(Incarnation, string)) *machine {
+	m := &machine{kinds: map[uint32]StateMachine{}, order: kinds, members: map[uint64]Member{}, note: note}
 	for _, k := range kinds {
 		m.kinds[k.ID()] = k
 	}
@@ -75,13 +75,13 @@
 }
 
 // apply carries out a committed command.
-func (m *machine) apply(index uint64, data []byte, now Micros) (c Command, a Answer) {
+func (m *machine) apply(index uint64, data []byte, now Micros) (c Command, a Response) {
 	c, err := DecodeCommand(data)
-	a = Answer{Seq: c.Seq, Result: Foreign}
-	kind := m.kinds[c.Kind]
+	a = Response{Sequence: c.Sequence, Result: Unsupported}
+	kind := m.kinds[c.StateMachine]
 	if err == nil && kind != nil && c.Version <= kind.Version() {
 		a.Result = Committed
-		a.Body = kind.Apply(Applied{Index: index, Now: now, Note: m.note}, c.Asker, c.Body)
+		a.Body = kind.Apply(ApplyContext{Index: index, Now: now, Notify: m.note}, c.Proposer, c.Body)
 	}
 	m.count(index, a.Body)
 	return c, a
@@ -109,7 +109,7 @@
 	for _, k := range m.order {
 		part := proto.Uint(nil, 1, uint64(k.ID()))
 		part = proto.Uint(part, 2, uint64(k.Version()))
-		part = proto.Message(part, 3, k.Snapshot(nil))
+		part = proto.Message(part, 3, k.AppendSnapshot(nil))
 		b = proto.Message(b, 3, part)
 	}
 	for _, id := range sortedIDs(m.members) {
--- a/fleet/replication/replica.go
+++ b/fleet/replication/replica.go
@@ -30,13 +30,13 @@
 
 // Config is what a copy is told at its start.
 type Config struct {
-	ID       uint64 // drawn with the empty disk
-	Kinds    []Kind
-	Copies   int    // that there should be
-	Tick     Micros // the unit of the elections' spans
-	Replace  Micros // after this silence a copy is replaced where another front end is free
-	LogBytes int    // of the log after which a snapshot is taken
-	Logger   raft.Logger
+	ID               uint64 // drawn with the empty disk
+	StateMachines    []StateMachine
+	Replicas         int    // that there should be
+	TickInterval     Micros // the unit of the elections' spans
+	ReplaceAfter     Micros // after this silence a copy is replaced where another front end is free
+	SnapshotLogBytes int    // of the log after which a snapshot is taken
+	Logger           raft.Logger
 }
 
 const (
@@ -61,22 +61,22 @@
 	}
 	// Save writes to what lasts, in order; Stored tells that it is there.
 	Save struct {
-		Token    uint64
-		Group    uint64
-		Entries  []*raftpb.Entry
-		State    *raftpb.HardState
-		Snapshot *raftpb.Snapshot
-		Reset    bool // the snapshot came from the leader: no entry of before stays
+		Token      uint64
+		Group      uint64
+		Entries    []*raftpb.Entry
+		HardState  *raftpb.HardState
+		Snapshot   *raftpb.Snapshot
+		DiscardLog bool // the snapshot came from the leader: no entry of before stays
 	}
 	// Reply answers a front end's question.
 	Reply struct {
-		To     Incarnation
-		Answer Answer
+		To       Incarnation
+		Response Response
 	}
 	// Notify tells a front end that something it waits for may have changed.
 	Notify struct {
 		To    Incarnation
-		About string
+		Topic string
 	}
 )
 
@@ -99,14 +99,14 @@
 	pruned     Micros
 	logBytes   int
 	dueAt      Micros
-	seen       Presence
+	seen       FailureDetector
 	keeper     keeper
 	handedOver Micros
 	// Elections counts how often this copy asked for votes, Commits the commands applied, Differing the copies seen to differ.
-	Elections, Commits, Snapshots, Differing int
-	// HandOvers counts how often it let another lead for the sake of its disk.
-	HandOvers int
-	lastState raft.StateType
+	Elections, Commits, Snapshots, Divergent int
+	// LeaderTransfers counts how often it let another lead for the sake of its disk.
+	LeaderTransfers int
+	lastState       raft.StateType
 }
 
 type route struct {
@@ -117,7 +117,7 @@
 // New is a front end that is no copy yet.
 func New(cfg Config) *Replica {
 	r := &Replica{cfg: cfg, saving: map[uint64]save{}, routes: map[route]Micros{}}
-	r.machine = newMachine(cfg.Kinds, func(to Incarnation, about string) {
+	r.machine = newMachine(cfg.StateMachines, func(to Incarnation, about string) {
 		r.actions = append(r.actions, Notify{to, about})
 	})
 	r.keeper.reset()
@@ -138,14 +138,16 @@
 	return r.node.BasicStatus().Lead
 }
 
-// Leads says whether this copy holds itself for the leader.
-func (r *Replica) Leads() bool { return r.node != nil && r.Leader() == r.cfg.ID }
+// IsLeader says whether this copy holds itself for the leader.
+func (r *Replica) IsLeader() bool { return r.node != nil && r.Leader() == r.cfg.ID }
 
-// Votes says whether this copy is a full member.
-func (r *Replica) Votes() bool { return r.conf != nil && slices.Contains(r.conf.GetVoters(), r.cfg.ID) }
+// IsVoter says whether this copy is a full member.
+func (r *Replica) IsVoter() bool {
+	return r.conf != nil && slices.Contains(r.conf.GetVoters(), r.cfg.ID)
+}
 
-// Changing says whether the copies are being changed, as far as this one has applied: the majorities of before and after count.
-func (r *Replica) Changing() bool { return len(r.conf.GetVotersOutgoing()) > 0 }
+// Reconfiguring says whether the copies are being changed, as far as this one has applied: the majorities of before and after count.
+func (r *Replica) Reconfiguring() bool { return len(r.conf.GetVotersOutgoing()) > 0 }
 
 // Err says why this is a copy no longer; nil otherwise.
 func (r *Replica) Err() error { return r.err }
@@ -168,8 +170,8 @@
 	return Member{ID: id}
 }
 
-// Applied is the last command that was carried out, and the sum over all answers up to it.
-func (r *Replica) Applied() (index, sum uint64) { return r.machine.index, r.machine.sum }
+// LastApplied is the last command that was carried out, and the sum over all answers up to it.
+func (r *Replica) LastApplied() (index, sum uint64) { return r.machine.index, r.machine.sum }
 
 // Term is the election that this copy knows of.
 func (r *Replica) Term() uint64 {
@@ -179,10 +181,10 @@
 	return r.node.BasicStatus().HardState.GetTerm()
 }
 
-// Compare counts a copy whose sum differs at an index that both have applied.
-func (r *Replica) Compare(index, sum uint64) bool {
+// CheckDivergence counts a copy whose sum differs at an index that both have applied.
+func (r *Replica) CheckDivergence(index, sum uint64) bool {
 	if r.machine.differs(index, sum) {
-		r.Differing++
+		r.Divergent++
 		return false
 	}
 	return true
@@ -196,16 +198,16 @@
 }
 
 // Tick lets time pass. Present are the front ends that are heard of now, this one too; seen is how their processes are seen.
-func (r *Replica) Tick(now Micros, present []Member, seen Presence) {
+func (r *Replica) Tick(now Micros, present []Member, seen FailureDetector) {
 	defer r.guard()
 	r.now, r.seen = now, seen
 	if r.node == nil {
 		return
 	}
-	if now-r.nextTick > 4*r.cfg.Tick { // the process stood still: others may lead by now, and it has to hear them first
-		r.nextTick = now - 4*r.cfg.Tick
+	if now-r.nextTick > 4*r.cfg.TickInterval { // the process stood still: others may lead by now, and it has to hear them first
+		r.nextTick = now - 4*r.cfg.TickInterval
 	}
-	for ; r.nextTick <= now; r.nextTick += r.cfg.Tick {
+	for ; r.nextTick <= now; r.nextTick += r.cfg.TickInterval {
 		r.node.Tick()
 	}
 	if r.node.BasicStatus().RaftState == raft.StateLeader {
@@ -230,9 +232,9 @@
 func (r *Replica) handOver() {
 	slow := false
 	for _, s := range r.saving {
-		slow = slow || r.now-s.at >= slowTicks*r.cfg.Tick
+		slow = slow || r.now-s.at >= slowTicks*r.cfg.TickInterval
 	}
-	if !slow || r.now < r.handedOver+restTicks*r.cfg.Tick {
+	if !slow || r.now < r.handedOver+restTicks*r.cfg.TickInterval {
 		return
 	}
 	var to, match uint64
@@ -243,7 +245,7 @@
 	})
 	if to != 0 {
 		r.handedOver = r.now
-		r.HandOvers++
+		r.LeaderTransfers++
 		r.node.TransferLeader(to)
 	}
 }
@@ -251,15 +253,15 @@
 // lapse proposes what time alone calls for. A new leader gives what is under way a moment first.
 func (r *Replica) lapse() {
 	if r.dueAt == 0 {
-		r.dueAt = r.now + 2*electionTicks*r.cfg.Tick
+		r.dueAt = r.now + 2*electionTicks*r.cfg.TickInterval
 	}
 	if r.now < r.dueAt {
 		return
 	}
-	r.dueAt = r.now + r.cfg.Tick*4
+	r.dueAt = r.now + r.cfg.TickInterval*4
 	for _, k := range r.machine.order {
-		for _, body := range k.Due(r.now, r.seen) {
-			_ = r.node.Propose(Command{Kind: k.ID(), Version: k.Version(), Body: body}.Encode()) // if dropped, it is due again
+		for _, body := range k.DueCommands(r.now, r.seen) {
+			_ = r.node.Propose(Command{StateMachine: k.ID(), Version: k.Version(), Body: body}.Encode()) // if dropped, it is due again
 		}
 	}
 }
@@ -303,26 +305,26 @@
 	return err
 }
 
-// Ask takes a front end's question.
-func (r *Replica) Ask(now Micros, c Command) {
+// Propose takes a front end's question.
+func (r *Replica) Propose(now Micros, c Command) {
 	defer r.guard()
 	r.now = now
 	refuse := func(result Result) {
 		leader := r.Leader()
-		r.actions = append(r.actions, Reply{c.Asker, Answer{Seq: c.Seq, Result: result, Leader: leader}})
+		r.actions = append(r.actions, Reply{c.Proposer, Response{Sequence: c.Sequence, Result: result, Leader: leader}})
 	}
-	kind := r.machine.kinds[c.Kind]
+	kind := r.machine.kinds[c.StateMachine]
 	switch {
-	case !r.Leads():
+	case !r.IsLeader():
 		refuse(NotLeader)
 	case kind == nil || c.Version > kind.Version():
-		refuse(Foreign)
+		refuse(Unsupported)
 	default:
 		if err := r.node.Propose(c.Encode()); err != nil {
 			refuse(Busy)
 			return
 		}
-		r.routes[route{c.Asker, c.Seq}] = now
+		r.routes[route{c.Proposer, c.Sequence}] = now
 		r.ready()
 	}
 }
--- a/fleet/replication/replica_open.go
+++ b/fleet/replication/replica_open.go
@@ -9,25 +9,25 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Disk is what a copy had kept when its process ended.
-type Disk struct {
-	Group    uint64
-	State    *raftpb.HardState
-	Snapshot *raftpb.Snapshot
-	Entries  []*raftpb.Entry
+// PersistedState is what a copy had kept when its process ended.
+type PersistedState struct {
+	Group     uint64
+	HardState *raftpb.HardState
+	Snapshot  *raftpb.Snapshot
+	Entries   []*raftpb.Entry
 }
 
-// ErrGap is the error of a disk whose log does not follow its snapshot.
-var ErrGap = errors.New("ledger: the log does not follow the snapshot")
+// ErrLogGap is the error of a disk whose log does not follow its snapshot.
+var ErrLogGap = errors.New("ledger: the log does not follow the snapshot")
 
-// Open goes on with what the disk kept.
-func (r *Replica) Open(now Micros, d *Disk) error {
+// Recover goes on with what the disk kept.
+func (r *Replica) Recover(now Micros, d *PersistedState) error {
 	defer r.guard()
 	if d == nil || d.Group == 0 {
 		return nil
 	}
 	if len(d.Entries) > 0 && d.Entries[0].GetIndex() > d.Snapshot.GetMetadata().GetIndex()+1 {
-		return ErrGap
+		return ErrLogGap
 	}
 	log := raft.NewMemoryStorage()
 	if !raft.IsEmptySnap(d.Snapshot) { // a copy that had joined and not caught up has none
@@ -35,8 +35,8 @@
 			return err
 		}
 	}
-	if d.State != nil {
-		if err := log.SetHardState(d.State); err != nil {
+	if d.HardState != nil {
+		if err := log.SetHardState(d.HardState); err != nil {
 			return err
 		}
 	}
@@ -46,14 +46,14 @@
 	return r.begin(now, d.Group, log, d.Snapshot)
 }
 
-// Found makes this front end one of the first copies of a new record.
-func (r *Replica) Found(now Micros, group uint64, members []Member) error {
+// Bootstrap makes this front end one of the first copies of a new record.
+func (r *Replica) Bootstrap(now Micros, group uint64, members []Member) error {
 	defer r.guard()
 	if r.group != 0 || !slices.ContainsFunc(members, func(m Member) bool { return m.ID == r.cfg.ID }) {
 		return nil
 	}
 	voters := []uint64{}
-	first := newMachine(r.cfg.Kinds, nil)
+	first := newMachine(r.cfg.StateMachines, nil)
 	for _, m := range members {
 		voters = append(voters, m.ID)
 		first.members[m.ID] = m
@@ -96,7 +96,7 @@
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
-	r.group, r.log, r.node, r.nextTick = group, log, node, now+r.cfg.Tick
+	r.group, r.log, r.node, r.nextTick = group, log, node, now+r.cfg.TickInterval
 	r.ready()
 	return nil
 }
--- a/fleet/replication/replica_store.go
+++ b/fleet/replication/replica_store.go
@@ -20,9 +20,9 @@
 	responses []*raftpb.Message
 }
 
-// Stored tells that what a Save held has been written, or why it was not: then this copy ends at once, since what a disk
+// Persisted tells that what a Save held has been written, or why it was not: then this copy ends at once, since what a disk
 // holds after a failed write nobody knows.
-func (r *Replica) Stored(now Micros, token uint64, err error) {
+func (r *Replica) Persisted(now Micros, token uint64, err error) {
 	defer r.guard()
 	r.now = now
 	s, ok := r.saving[token]
@@ -56,16 +56,16 @@
 	return r.log.Append(s.entries)
 }
 
-// Broken is the library's word that a copy's log can't be what it has to be. It ends the copy, not the front end.
-type Broken string
+// InvariantError is the library's word that a copy's log can't be what it has to be. It ends the copy, not the front end.
+type InvariantError string
 
-func (b Broken) Error() string { return "ledger: " + string(b) }
+func (b InvariantError) Error() string { return "ledger: " + string(b) }
 
 // guard ends the copy where the library has found it broken.
 func (r *Replica) guard() {
 	switch p := recover().(type) {
 	case nil:
-	case Broken:
+	case InvariantError:
 		r.fail(p)
 	default:
 		panic(p)
@@ -85,8 +85,8 @@
 	r.token++
 	s.at = r.now
 	r.saving[r.token] = s
-	r.actions = append(r.actions, Save{Token: r.token, Group: r.group, Entries: s.entries, State: s.state, Snapshot: s.snapshot,
-		Reset: reset})
+	r.actions = append(r.actions, Save{Token: r.token, Group: r.group, Entries: s.entries, HardState: s.state, Snapshot: s.snapshot,
+		DiscardLog: reset})
 }
 
 // ready takes what the library has ready.
@@ -163,9 +163,9 @@
 		}
 		c, a := r.machine.apply(e.GetIndex(), e.GetData(), r.now)
 		r.Commits++
-		if to := (route{c.Asker, c.Seq}); r.routes[to] != 0 {
+		if to := (route{c.Proposer, c.Sequence}); r.routes[to] != 0 {
 			delete(r.routes, to)
-			r.actions = append(r.actions, Reply{c.Asker, a})
+			r.actions = append(r.actions, Reply{c.Proposer, a})
 		}
 	}
 	return nil
@@ -173,7 +173,7 @@
 
 // compact takes a snapshot once the log has grown.
 func (r *Replica) compact() {
-	if r.logBytes < r.cfg.LogBytes || r.node == nil {
+	if r.logBytes < r.cfg.SnapshotLogBytes || r.node == nil {
 		return
 	}
 	r.logBytes = 0
--- a/fleet/replication/wal/golden_test.go
+++ b/fleet/replication/wal/golden_test.go
@@ -31,30 +31,30 @@
 	t       *testing.T
 	now     replication.Micros
 	replica *replication.Replica
-	loads   *idempotency.Loads
+	loads   *idempotency.Registry
 	budgets *budget.Authority
 	store   *wal.Store
-	answers map[uint64]replication.Answer
+	answers map[uint64]replication.Response
 	seq     uint64
 }
 
 // everybody is a view of processes in which all are there.
 type everybody struct{}
 
-func (everybody) Gone(replication.Incarnation) bool     { return false }
-func (everybody) Replaced(replication.Incarnation) bool { return false }
-func (everybody) Missing(replication.Incarnation) bool  { return false }
-func (everybody) Present() []replication.Incarnation    { return nil }
+func (everybody) PresumedDead(replication.Incarnation) bool { return false }
+func (everybody) Superseded(replication.Incarnation) bool   { return false }
+func (everybody) Unreachable(replication.Incarnation) bool  { return false }
+func (everybody) Live() []replication.Incarnation           { return nil }
 
 func openCopy(t *testing.T, folder string) *onlyCopy {
 	s, disk, err := wal.Open(folder, owner, func() uint64 { return 1<<40 + 5 })
 	require.NoError(t, err)
-	c := &onlyCopy{t: t, now: 1000 * second, store: s, answers: map[uint64]replication.Answer{},
-		loads:   idempotency.New(idempotency.Options{Bytes: 1 << 20, Keep: 60 * second, Orphan: 3 * second}),
+	c := &onlyCopy{t: t, now: 1000 * second, store: s, answers: map[uint64]replication.Response{},
+		loads:   idempotency.NewRegistry(idempotency.Options{MaxBytes: 1 << 20, Retention: 60 * second, OrphanTimeout: 3 * second}),
 		budgets: budget.NewAuthority(budget.Options{Instances: 100})}
-	c.replica = replication.New(replication.Config{ID: s.Number(), Kinds: []replication.Kind{c.loads, c.budgets}, Copies: 1, Tick: tick, Replace: 6 * second,
-		LogBytes: 1500, Logger: raftlog.New()})
-	require.NoError(t, c.replica.Open(c.now, disk))
+	c.replica = replication.New(replication.Config{ID: s.ReplicaID(), StateMachines: []replication.StateMachine{c.loads, c.budgets}, Replicas: 1, TickInterval: tick, ReplaceAfter: 6 * second,
+		SnapshotLogBytes: 1500, Logger: raftlog.New()})
+	require.NoError(t, c.replica.Recover(c.now, disk))
 	c.carryOut()
 	return c
 }
@@ -71,9 +71,9 @@
 			case replication.Save:
 				err := c.store.Write([]replication.Save{action})
 				require.NoError(c.t, err)
-				c.replica.Stored(c.now, action.Token, err)
+				c.replica.Persisted(c.now, action.Token, err)
 			case replication.Reply:
-				c.answers[action.Answer.Seq] = action.Answer
+				c.answers[action.Response.Sequence] = action.Response
 			}
 		}
 	}
@@ -81,62 +81,62 @@
 
 func (c *onlyCopy) pass(span replication.Micros) {
 	for until := c.now + span; c.now < until; c.now += tick {
-		c.replica.Tick(c.now, []replication.Member{{ID: c.store.Number(), Name: "n1", Zone: "a"}}, everybody{})
+		c.replica.Tick(c.now, []replication.Member{{ID: c.store.ReplicaID(), Name: "n1", Zone: "a"}}, everybody{})
 		c.carryOut()
 	}
 }
 
 func (c *onlyCopy) ask(kind uint32, asker replication.Incarnation, body []byte) []byte {
 	c.seq++
-	c.replica.Ask(c.now, replication.Command{Kind: kind, Version: 1, Asker: asker, Seq: c.seq, Body: body})
+	c.replica.Propose(c.now, replication.Command{StateMachine: kind, Version: 1, Proposer: asker, Sequence: c.seq, Body: body})
 	c.carryOut()
 	require.Equal(c.t, replication.Committed, c.answers[c.seq].Result)
 	return c.answers[c.seq].Body
 }
 
-func (c *onlyCopy) askLoads(asker replication.Incarnation, command idempotency.Command) idempotency.View {
-	v, err := idempotency.DecodeView(c.ask(c.loads.ID(), asker, command.Encode()))
+func (c *onlyCopy) askLoads(asker replication.Incarnation, command idempotency.Command) idempotency.Response {
+	v, err := idempotency.DecodeResponse(c.ask(c.loads.ID(), asker, command.Encode()))
 	require.NoError(c.t, err)
 	return v
 }
 
 // held is all that the copy holds, a line each.
 func (c *onlyCopy) held() []string {
-	index, sum := c.replica.Applied()
+	index, sum := c.replica.LastApplied()
 	voters, learners := c.replica.Members()
-	notes, err := json.Marshal(c.loads.Show())
+	notes, err := json.Marshal(c.loads.Records())
 	require.NoError(c.t, err)
-	standing, err := json.Marshal(c.budgets.Show(c.now, ""))
+	standing, err := json.Marshal(c.budgets.Status(c.now, ""))
 	require.NoError(c.t, err)
 	return []string{
-		fmt.Sprintf("number %d group %d term %d applied %d sum %x", c.store.Number(), c.replica.Group(), c.replica.Term(), index, sum),
+		fmt.Sprintf("number %d group %d term %d applied %d sum %x", c.store.ReplicaID(), c.replica.Group(), c.replica.Term(), index, sum),
 		fmt.Sprintf("copies %v %v", voters, learners), string(notes), string(standing),
-		fmt.Sprintf("loads %x", c.loads.Snapshot(nil)), fmt.Sprintf("budgets %x", c.budgets.Snapshot(nil)),
+		fmt.Sprintf("loads %x", c.loads.AppendSnapshot(nil)), fmt.Sprintf("budgets %x", c.budgets.AppendSnapshot(nil)),
 	}
 }
 
 // write makes a folder with a snapshot, a log after it and a write that was cut short. It made foundDisk, once.
 func writeFolder(t *testing.T, folder string) {
 	c := openCopy(t, folder)
-	require.NoError(t, c.replica.Found(c.now, 77, []replication.Member{{ID: c.store.Number(), Name: "n1", Zone: "a"}}))
+	require.NoError(t, c.replica.Bootstrap(c.now, 77, []replication.Member{{ID: c.store.ReplicaID(), Name: "n1", Zone: "a"}}))
 	c.carryOut()
 	c.pass(3 * second)
 	take := func(asker replication.Incarnation, once, key string) uint64 {
-		return c.askLoads(asker, idempotency.Command{Op: idempotency.Take, Once: once, Key: key, Tenant: "desk", Class: "load", Digest: []byte(once),
-			Call: "call-" + once, TTL: 25 * second}).Epoch
+		return c.askLoads(asker, idempotency.Command{Op: idempotency.Register, IdempotencyKey: once, OrderKey: key, Tenant: "desk", Class: "load", StatementDigest: []byte(once),
+			RequestID: "call-" + once, TTL: 25 * second}).Epoch
 	}
-	set := &budget.Set{Version: 3, Lease: 2 * second, Most: 5, Specs: []budget.Spec{
-		{Name: "places", Kind: account.Places, Whole: budget.Amount{Much: 6000}, Life: 25 * second, Least: 1000},
-		{Name: "rate", Kind: account.Rate, Whole: budget.Amount{Much: 8000, Rate: 6000}, Reserve: 700, Least: 1000}}}
-	holder := budget.NewHolder(budget.HolderConfig{Name: "n1", Set: set, Gap: second / 50}, askBudgets{c}, wantsAll{})
-	holder.Begin(c.now)
+	set := &budget.Set{Version: 3, Lease: 2 * second, MaxFrontEnds: 5, Specs: []budget.Spec{
+		{Name: "places", Kind: account.Concurrency, Total: budget.Amount{Capacity: 6000}, MaxAttemptDuration: 25 * second, MinPart: 1000},
+		{Name: "rate", Kind: account.Rate, Total: budget.Amount{Capacity: 8000, Rate: 6000}, Reserve: 700, MinPart: 1000}}}
+	holder := budget.NewLeaseHolder(budget.LeaseHolderConfig{Name: "n1", Set: set, MinReportInterval: second / 50}, askBudgets{c}, wantsAll{})
+	holder.Start(c.now)
 	for i := range 20 {
 		once := fmt.Sprintf("once-%02d", i)
 		asker := replication.Incarnation(5 + i%3)
 		epoch := take(asker, once, fmt.Sprintf("key-%d", i%4))
-		c.askLoads(asker, idempotency.Command{Op: idempotency.Start, Once: once, Epoch: epoch, Attempt: 1, Engine: "s-00000001", Call: "call-" + once})
+		c.askLoads(asker, idempotency.Command{Op: idempotency.AuthorizeAttempt, IdempotencyKey: once, Epoch: epoch, Attempt: 1, Engine: "s-00000001", RequestID: "call-" + once})
 		if i%3 == 0 {
-			c.askLoads(asker, idempotency.Command{Op: idempotency.Finish, Once: once, Epoch: epoch, Outcome: idempotency.Served, Rows: []byte("rows of " + once)})
+			c.askLoads(asker, idempotency.Command{Op: idempotency.Complete, IdempotencyKey: once, Epoch: epoch, Outcome: idempotency.Served, Rows: []byte("rows of " + once)})
 		}
 		holder.Tick(c.now)
 		c.carryOut()
@@ -154,8 +154,8 @@
 // askBudgets puts a holder's questions to the copy.
 type askBudgets struct{ c *onlyCopy }
 
-func (a askBudgets) Ask(_ replication.Micros, kind, _ uint32, body []byte, done func(replication.Answer)) uint64 {
-	done(replication.Answer{Result: replication.Committed, Body: a.c.ask(kind, 5, body)})
+func (a askBudgets) Propose(_ replication.Micros, kind, _ uint32, body []byte, done func(replication.Response)) uint64 {
+	done(replication.Response{Result: replication.Committed, Body: a.c.ask(kind, 5, body)})
 	return a.c.seq
 }
 
@@ -171,20 +171,20 @@
 	folder := t.TempDir()
 	require.NoError(t, os.CopyFS(filepath.Join(folder, "disk"), os.DirFS(foundDisk)))
 	c := openCopy(t, filepath.Join(folder, "disk"))
-	require.Empty(t, c.store.SetAside)
-	held := append([]string{fmt.Sprintf("cut off %d bytes", c.store.Cut)}, c.held()...)
+	require.Empty(t, c.store.QuarantinedPath)
+	held := append([]string{fmt.Sprintf("cut off %d bytes", c.store.TruncatedBytes)}, c.held()...)
 	golden.Lines(t, "testdata/found.txt", held)
 	c.pass(3 * second) // it goes on with it
-	require.True(t, c.replica.Leads())
-	require.Equal(t, idempotency.Served, c.askLoads(99, idempotency.Command{Op: idempotency.Look, Once: "once-00"}).Phase)
+	require.True(t, c.replica.IsLeader())
+	require.Equal(t, idempotency.Served, c.askLoads(99, idempotency.Command{Op: idempotency.Inspect, IdempotencyKey: "once-00"}).Phase)
 	require.NoError(t, c.store.Close())
 }
 
 // wantsAll is a spender that wants some of both budgets.
 type wantsAll struct{}
 
-func (wantsAll) Demands(replication.Micros) []scheduler.Demand {
-	return []scheduler.Demand{{Budget: "places", Want: 3000, InUse: 1000}, {Budget: "rate", Want: 5000}}
+func (wantsAll) BudgetDemands(replication.Micros) []scheduler.BudgetDemand {
+	return []scheduler.BudgetDemand{{Budget: "places", Want: 3000, InUse: 1000}, {Budget: "rate", Want: 5000}}
 }
 
-func (wantsAll) Allow(replication.Micros, budget.Grant) {}
+func (wantsAll) GrantBudgets(replication.Micros, budget.Grant) {}
--- a/fleet/replication/wal/store.go
+++ b/fleet/replication/wal/store.go
@@ -32,10 +32,10 @@
 
 // Errors of Open and Write.
 var (
-	ErrLocked  = errors.New("store: another process has the folder")
-	ErrForeign = errors.New("store: the folder is another front end's")
-	ErrSpoilt  = errors.New("store: spoilt")
-	ErrEnded   = errors.New("store: ended by an earlier failure")
+	ErrLocked     = errors.New("store: another process has the folder")
+	ErrWrongOwner = errors.New("store: the folder is another front end's")
+	ErrCorrupt    = errors.New("store: spoilt")
+	ErrFailed     = errors.New("store: ended by an earlier failure")
 )
 
 const (
@@ -60,16 +60,16 @@
 	group  uint64
 	tail   []*raftpb.Entry // behind the snapshot, for the next log
 	snap   uint64          // index of the snapshot
-	// SetAside is the path to which a spoilt folder was moved; empty where none was. Cut is how many bytes of a write that was
+	// QuarantinedPath is the path to which a spoilt folder was moved; empty where none was. Cut is how many bytes of a write that was
 	// under way were cut off.
-	SetAside string
-	Cut      int64
+	QuarantinedPath string
+	TruncatedBytes  int64
 }
 
 // Open opens the folder of a front end, or begins with an empty one, for which number draws the disk's number.
-func Open(folder, owner string, number func() uint64) (*Store, *replication.Disk, error) {
+func Open(folder, owner string, number func() uint64) (*Store, *replication.PersistedState, error) {
 	s, disk, err := open(folder, owner, number)
-	if !errors.Is(err, ErrSpoilt) {
+	if !errors.Is(err, ErrCorrupt) {
 		return s, disk, err
 	}
 	aside := fmt.Sprintf("%s.spoilt-%d", strings.TrimRight(folder, "/"), time.Now().UnixNano())
@@ -83,12 +83,12 @@
 	if again != nil {
 		return nil, nil, errors.Join(err, again)
 	}
-	s.SetAside = aside
+	s.QuarantinedPath = aside
 	return s, disk, nil
 }
 
-func open(folder, owner string, number func() uint64) (s *Store, disk *replication.Disk, err error) {
-	s, disk = &Store{folder: folder}, &replication.Disk{}
+func open(folder, owner string, number func() uint64) (s *Store, disk *replication.PersistedState, err error) {
+	s, disk = &Store{folder: folder}, &replication.PersistedState{}
 	defer func() {
 		if err != nil {
 			s.shut()
@@ -120,7 +120,7 @@
 func (s *Store) found(owner string, number func() uint64) (err error) {
 	for _, name := range []string{logName, snapName} {
 		if _, err := os.Stat(s.path(name)); err == nil {
-			return fmt.Errorf("%w: %s is there and %s is not", ErrSpoilt, name, metaName)
+			return fmt.Errorf("%w: %s is there and %s is not", ErrCorrupt, name, metaName)
 		}
 	}
 	s.number = number()
@@ -137,10 +137,10 @@
 }
 
 // recall takes in what an earlier process kept.
-func (s *Store) recall(owner string, meta []byte, disk *replication.Disk) error {
+func (s *Store) recall(owner string, meta []byte, disk *replication.PersistedState) error {
 	body, rest, err := unsealed(meta)
 	if err != nil || len(rest) > 0 {
-		return fmt.Errorf("%w: %s", ErrSpoilt, metaName)
+		return fmt.Errorf("%w: %s", ErrCorrupt, metaName)
 	}
 	var of string
 	var kept uint64
@@ -155,16 +155,16 @@
 		}
 		return nil
 	}); err != nil {
-		return fmt.Errorf("%w: %w", ErrSpoilt, err)
+		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if of != owner || kept != form {
-		return fmt.Errorf("%w: of %q, form %d", ErrForeign, of, kept)
+		return fmt.Errorf("%w: of %q, form %d", ErrWrongOwner, of, kept)
 	}
 	if b, err := os.ReadFile(s.path(snapName)); err == nil {
 		body, rest, err := unsealed(b)
 		disk.Snapshot = &raftpb.Snapshot{}
 		if err != nil || len(rest) > 0 || proto.Unmarshal(body, disk.Snapshot) != nil {
-			return fmt.Errorf("%w: %s", ErrSpoilt, snapName)
+			return fmt.Errorf("%w: %s", ErrCorrupt, snapName)
 		}
 		s.snap = disk.Snapshot.GetMetadata().GetIndex()
 	} else if !errors.Is(err, fs.ErrNotExist) {
@@ -173,9 +173,9 @@
 	if err := s.replay(); err != nil {
 		return err
 	}
-	disk.Group, disk.State, disk.Entries = s.group, s.state, s.tail
+	disk.Group, disk.HardState, disk.Entries = s.group, s.state, s.tail
 	if len(s.tail) > 0 && s.tail[0].GetIndex() > s.snap+1 {
-		return fmt.Errorf("%w: a gap behind the snapshot", ErrSpoilt)
+		return fmt.Errorf("%w: a gap behind the snapshot", ErrCorrupt)
 	}
 	return nil
 }
@@ -184,7 +184,7 @@
 func (s *Store) replay() error {
 	b, err := os.ReadFile(s.path(logName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("%w: no %s", ErrSpoilt, logName)
+		return fmt.Errorf("%w: no %s", ErrCorrupt, logName)
 	}
 	if err != nil {
 		return err
@@ -193,9 +193,9 @@
 		body, next, err := unsealed(rest)
 		if err != nil {
 			if !torn(rest, err) {
-				return fmt.Errorf("%w: %s at %d", ErrSpoilt, logName, len(b)-len(rest))
+				return fmt.Errorf("%w: %s at %d", ErrCorrupt, logName, len(b)-len(rest))
 			}
-			s.Cut = int64(len(rest))
+			s.TruncatedBytes = int64(len(rest))
 			return os.Truncate(s.path(logName), int64(len(b)-len(rest)))
 		}
 		if err := s.take(body); err != nil {
@@ -214,19 +214,19 @@
 		case 1:
 			save.Group = f.Uint
 		case 2:
-			save.State = &raftpb.HardState{}
-			return proto.Unmarshal(f.Data, save.State)
+			save.HardState = &raftpb.HardState{}
+			return proto.Unmarshal(f.Data, save.HardState)
 		case 3:
 			e := &raftpb.Entry{}
 			save.Entries = append(save.Entries, e)
 			return proto.Unmarshal(f.Data, e)
 		case 4:
-			save.Reset = f.Uint != 0
+			save.DiscardLog = f.Uint != 0
 		}
 		return nil
 	})
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrSpoilt, err)
+		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	s.follow(save)
 	return nil
@@ -237,10 +237,10 @@
 	if s.group == 0 {
 		s.group = save.Group
 	}
-	if save.State != nil {
-		s.state = save.State
+	if save.HardState != nil {
+		s.state = save.HardState
 	}
-	if save.Reset {
+	if save.DiscardLog {
 		s.tail = nil
 	}
 	for _, e := range save.Entries {
@@ -256,13 +256,13 @@
 	}
 }
 
-// Number is the disk's number.
-func (s *Store) Number() uint64 { return s.number }
+// ReplicaID is the disk's number.
+func (s *Store) ReplicaID() uint64 { return s.number }
 
 // Write makes a batch of saves last, in their order, with one sync; with a snapshot among them it takes a few.
 func (s *Store) Write(batch []replication.Save) (err error) {
 	if s.ended {
-		return ErrEnded
+		return ErrFailed
 	}
 	defer func() { s.ended = err != nil }()
 	var b []byte
@@ -303,8 +303,8 @@
 		return err
 	}
 	index := save.Snapshot.GetMetadata().GetIndex()
-	if save.Reset { // what the log holds behind the snapshot must not be taken for its continuation
-		reset, err := record(nil, replication.Save{Group: save.Group, State: save.State, Reset: true})
+	if save.DiscardLog { // what the log holds behind the snapshot must not be taken for its continuation
+		reset, err := record(nil, replication.Save{Group: save.Group, HardState: save.HardState, DiscardLog: true})
 		if err != nil {
 			return err
 		}
@@ -317,8 +317,8 @@
 		return err
 	}
 	s.snap = index
-	s.follow(replication.Save{Group: save.Group, State: save.State, Entries: save.Entries})
-	b, err := record(nil, replication.Save{Group: s.group, State: s.state, Entries: s.tail})
+	s.follow(replication.Save{Group: save.Group, HardState: save.HardState, Entries: save.Entries})
+	b, err := record(nil, replication.Save{Group: s.group, HardState: s.state, Entries: s.tail})
 	if err != nil {
 		return err
 	}
@@ -357,14 +357,14 @@
 
 func record(b []byte, save replication.Save) ([]byte, error) {
 	body := field.Uint(nil, 1, save.Group)
-	if save.State != nil {
-		state, err := proto.Marshal(save.State)
+	if save.HardState != nil {
+		state, err := proto.Marshal(save.HardState)
 		if err != nil {
 			return nil, err
 		}
 		body = field.Message(body, 2, state)
 	}
-	body = field.Bool(body, 4, save.Reset)
+	body = field.Bool(body, 4, save.DiscardLog)
 	for _, e := range save.Entries {
 		entry, err := proto.Marshal(e)
 		if err != nil {
@@ -406,14 +406,14 @@
 	size := binary.BigEndian.Uint32(b)
 	n := int(size)
 	if ofLength(size) != binary.BigEndian.Uint32(b[4:]) || n > mostRecord {
-		return nil, nil, ErrSpoilt
+		return nil, nil, ErrCorrupt
 	}
 	if len(b)-headSize < n {
 		return nil, nil, errTorn
 	}
 	body = b[headSize : headSize+n]
 	if binary.BigEndian.Uint64(b[8:]) != sum(body) {
-		return nil, nil, ErrSpoilt
+		return nil, nil, ErrCorrupt
 	}
 	return body, b[headSize+n:], nil
 }
--- a/fleet/replication/wal/store_test.go
+++ b/fleet/replication/wal/store_test.go
@@ -32,7 +32,7 @@
 	return func() uint64 { n++; return n }
 }
 
-func last(d *replication.Disk) uint64 {
+func last(d *replication.PersistedState) uint64 {
 	if n := len(d.Entries); n > 0 {
 		return d.Entries[n-1].GetIndex()
 	}
@@ -51,18 +51,18 @@
 		s, disk, err := Open(folder, "site/n1", next)
 		require.NoError(t, err)
 		require.Zero(t, last(disk), "a new folder holds nothing")
-		number := s.Number()
+		number := s.ReplicaID()
 		at, term, snap := uint64(0), uint64(1), uint64(0)
 		for range rapid.IntRange(1, 12).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 4).Draw(rt, "step") {
 			case 0, 1:
 				n := rapid.Uint64Range(1, 5).Draw(rt, "entries")
-				require.NoError(t, s.Write([]replication.Save{{Group: 7, Entries: entries(term, at+1, at+n), State: state(term, at)}}))
+				require.NoError(t, s.Write([]replication.Save{{Group: 7, Entries: entries(term, at+1, at+n), HardState: state(term, at)}}))
 				at += n
 			case 2: // another leader's entries in place of the last
 				if at > snap {
 					term++
-					require.NoError(t, s.Write([]replication.Save{{Group: 7, Entries: entries(term, at, at), State: state(term, at)}}))
+					require.NoError(t, s.Write([]replication.Save{{Group: 7, Entries: entries(term, at, at), HardState: state(term, at)}}))
 				}
 			case 3:
 				if at > snap {
@@ -75,7 +75,7 @@
 				require.NoError(t, s.Close())
 				s, disk, err = Open(folder, "site/n1", next)
 				require.NoError(t, err)
-				require.Equal(t, number, s.Number())
+				require.Equal(t, number, s.ReplicaID())
 				require.Equal(t, at, last(disk))
 				require.Equal(t, snap, disk.Snapshot.GetMetadata().GetIndex())
 				if n := len(disk.Entries); n > 0 {
@@ -85,7 +85,7 @@
 		}
 		before, err := os.ReadFile(filepath.Join(folder, logName))
 		require.NoError(t, err)
-		require.NoError(t, s.Write([]replication.Save{{Group: 7, Entries: entries(term, at+1, at+3), State: state(term, at)}}))
+		require.NoError(t, s.Write([]replication.Save{{Group: 7, Entries: entries(term, at+1, at+3), HardState: state(term, at)}}))
 		require.NoError(t, s.Close())
 		log := filepath.Join(folder, logName)
 		b, err := os.ReadFile(log)
@@ -94,8 +94,8 @@
 		require.NoError(t, os.WriteFile(log, b[:cut], 0o600))
 		s, disk, err = Open(folder, "site/n1", next)
 		require.NoError(t, err)
-		assert.Empty(t, s.SetAside)
-		assert.Equal(t, number, s.Number())
+		assert.Empty(t, s.QuarantinedPath)
+		assert.Equal(t, number, s.ReplicaID())
 		assert.Equal(t, at, last(disk))
 		require.NoError(t, s.Close())
 		if len(before) > 0 {
@@ -105,8 +105,8 @@
 			require.NoError(t, os.WriteFile(log, flipped, 0o600))
 			s, disk, err = Open(folder, "site/n1", next)
 			require.NoError(t, err)
-			assert.NotEmpty(t, s.SetAside)
-			assert.NotEqual(t, number, s.Number(), "a spoilt disk must not vote under its old number")
+			assert.NotEmpty(t, s.QuarantinedPath)
+			assert.NotEqual(t, number, s.ReplicaID(), "a spoilt disk must not vote under its old number")
 			assert.Zero(t, disk.Group)
 			require.NoError(t, s.Close())
 		}
@@ -122,7 +122,7 @@
 	assert.ErrorIs(t, err, ErrLocked)
 	require.NoError(t, s.Close())
 	_, _, err = Open(folder, "site/n2", numbers())
-	assert.ErrorIs(t, err, ErrForeign)
+	assert.ErrorIs(t, err, ErrWrongOwner)
 	_, _, err = Open(filepath.Join(folder, "missing"), "site/n1", numbers())
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
@@ -137,5 +137,5 @@
 	s.log = bad
 	require.Error(t, s.Write([]replication.Save{{Group: 7, Entries: entries(1, 1, 2)}}))
 	s.log = good
-	assert.ErrorIs(t, s.Write([]replication.Save{{Group: 7, Entries: entries(1, 1, 2)}}), ErrEnded)
+	assert.ErrorIs(t, s.Write([]replication.Save{{Group: 7, Entries: entries(1, 1, 2)}}), ErrFailed)
 }
--- a/fleet/replication/wal/writer.go
+++ b/fleet/replication/wal/writer.go
@@ -25,8 +25,8 @@
 	return w
 }
 
-// Add queues a save. The record bounds what waits: it commits nothing that is not stored.
-func (w *Writer) Add(s replication.Save) {
+// Enqueue queues a save. The record bounds what waits: it commits nothing that is not stored.
+func (w *Writer) Enqueue(s replication.Save) {
 	w.mu.Lock()
 	w.list = append(w.list, s)
 	w.mu.Unlock()
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -29,7 +29,7 @@
 
 type pendingRequest struct {
 	command replication.Command
-	done    func(replication.Answer)
+	done    func(replication.Response)
 	asked   Micros
 	to      string
 	hops    int // refusals that were followed at once, since it was last asked in its turn
@@ -44,9 +44,9 @@
 }
 
 // add puts a new question.
-func (r *requests) add(now Micros, kind, version uint32, body []byte, done func(replication.Answer)) (id uint64) {
+func (r *requests) add(now Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64) {
 	r.seq++
-	q := &pendingRequest{done: done, command: replication.Command{Kind: kind, Version: version, Asker: r.asker, Seq: r.seq, Body: body}}
+	q := &pendingRequest{done: done, command: replication.Command{StateMachine: kind, Version: version, Proposer: r.asker, Sequence: r.seq, Body: body}}
 	r.open[r.seq], r.ids = q, append(r.ids, r.seq)
 	r.put(now, q)
 	return r.seq
@@ -69,14 +69,14 @@
 	}
 }
 
-func (r *requests) answered(now Micros, a replication.Answer) {
-	q := r.open[a.Seq]
+func (r *requests) answered(now Micros, a replication.Response) {
+	q := r.open[a.Sequence]
 	if q == nil {
 		return
 	}
 	switch a.Result {
-	case replication.Committed, replication.Foreign:
-		r.forget(a.Seq)
+	case replication.Committed, replication.Unsupported:
+		r.forget(a.Sequence)
 		q.done(a)
 	case replication.NotLeader:
 		if a.Leader != 0 && q.hops < mostHops && r.route.redirected(a.Leader, q.to) {
--- a/fleet/rig_test.go
+++ b/fleet/rig_test.go
@@ -52,11 +52,11 @@
 	name        string
 	incarnation uint64
 	up          bool
-	kind        *idempotency.Loads
+	kind        *idempotency.Registry
 }
 
 type attachedFront struct {
-	*fleet.Attached
+	*fleet.AttachedNode
 	name, zone  string
 	incarnation uint64
 	links       map[string]fleet.Link // by control member, as its side has them
@@ -86,30 +86,30 @@
 func (r *rig) number() uint64 { r.numbers++; return r.numbers }
 
 func (r *rig) newControl(name string, allowed bool) *control {
-	c := &control{name: name, incarnation: r.number(), up: true, kind: idempotency.New(idempotency.Options{Bytes: 1 << 20, Keep: 60 * second, Orphan: 3 * second})}
+	c := &control{name: name, incarnation: r.number(), up: true, kind: idempotency.NewRegistry(idempotency.Options{MaxBytes: 1 << 20, Retention: 60 * second, OrphanTimeout: 3 * second})}
 	others := map[string]string{}
 	for other, zone := range zones {
 		if other != name {
 			others[other] = zone
 		}
 	}
-	cfg := fleet.Config{Name: name, Zone: zones[name], Incarnation: c.incarnation, Zones: others, Beat: 2 * tick, Retry: 4 * tick, Number: r.number,
-		Members: heartbeat.Config{Suspect: 600 * ms, Dead: 3 * second, Pause: 300 * ms},
-		Copies: replication.Config{ID: r.number(), Copies: 3, Tick: tick, Replace: 10 * second, LogBytes: 1 << 20, Logger: raftlog.New(),
-			Kinds: []replication.Kind{c.kind}}}
+	cfg := fleet.Config{Name: name, Zone: zones[name], Incarnation: c.incarnation, Zones: others, HeartbeatInterval: 2 * tick, RetryInterval: 4 * tick, NewID: r.number,
+		Heartbeat: heartbeat.Config{SuspectAfter: 600 * ms, DeadAfter: 3 * second, PauseThreshold: 300 * ms},
+		Replication: replication.Config{ID: r.number(), Replicas: 3, TickInterval: tick, ReplaceAfter: 10 * second, SnapshotLogBytes: 1 << 20, Logger: raftlog.New(),
+			StateMachines: []replication.StateMachine{c.kind}}}
 	if allowed {
-		cfg.Attach = &membership.Config{Name: name, Zone: zones[name], Incarnation: c.incarnation, Controls: controlMembers()}
+		cfg.Membership = &membership.Config{Name: name, Zone: zones[name], Incarnation: c.incarnation, ControlMembers: controlMembers()}
 	}
-	c.Node = fleet.New(cfg, func(string) {})
-	require.NoError(r.t, c.Open(r.now, nil))
+	c.Node = fleet.NewNode(cfg, func(string) {})
+	require.NoError(r.t, c.Recover(r.now, nil))
 	return c
 }
 
 // attach starts an attached front end.
 func (r *rig) attach(name, zone string) *attachedFront {
 	a := &attachedFront{name: name, zone: zone, incarnation: r.number(), links: map[string]fleet.Link{}, up: true}
-	a.Attached = fleet.NewAttached(fleet.AttachedConfig{Retry: 4 * tick, Attach: membership.Config{Name: name, Zone: zone, Incarnation: a.incarnation,
-		Controls: controlMembers(), Seed: a.incarnation}}, func(about string) { a.notes = append(a.notes, about) })
+	a.AttachedNode = fleet.NewAttachedNode(fleet.AttachedConfig{RetryInterval: 4 * tick, Membership: membership.Config{Name: name, Zone: zone, Incarnation: a.incarnation,
+		ControlMembers: controlMembers(), Seed: a.incarnation}}, func(about string) { a.notes = append(a.notes, about) })
 	r.attached[name] = a
 	return a
 }
@@ -158,22 +158,22 @@
 		}
 		c := r.controls[name]
 		if !c.up {
-			a.Unlinked(r.now, name)
+			a.LinkClosed(r.now, name)
 			continue
 		}
-		l := fleet.Link{From: a.name, Zone: a.zone, Incarnation: a.incarnation, Greeted: r.now, Attached: true}
+		l := fleet.Link{From: a.name, Zone: a.zone, Incarnation: a.incarnation, ChallengedAt: r.now, Attached: true}
 		a.links[name] = l
-		a.Linked(r.now, name, c.incarnation)
-		c.Linked(r.now, l)
+		a.LinkOpened(r.now, name, c.incarnation)
+		c.LinkOpened(r.now, l)
 	}
 }
 
 func (r *rig) unlink(a *attachedFront, name string) {
 	l := a.links[name]
 	delete(a.links, name)
-	a.Unlinked(r.now, name)
+	a.LinkClosed(r.now, name)
 	if c := r.controls[name]; c.up {
-		c.Unlinked(r.now, l)
+		c.LinkClosed(r.now, l)
 	}
 }
 
@@ -183,7 +183,7 @@
 		a := r.attached[name]
 		for _, action := range a.Actions() {
 			if a.up {
-				r.fromAttached(a, action.(fleet.Tell))
+				r.fromAttached(a, action.(fleet.Send))
 			}
 		}
 	}
@@ -203,7 +203,7 @@
 	return r.lose != nil && r.lose(from, to, kind)
 }
 
-func (r *rig) fromAttached(a *attachedFront, m fleet.Tell) {
+func (r *rig) fromAttached(a *attachedFront, m fleet.Send) {
 	l, ok := a.links[m.To]
 	if !ok || r.lost(a.name, m.To, m.Kind) {
 		return
@@ -218,19 +218,19 @@
 func (r *rig) fromControl(c *control, action fleet.Action) {
 	switch m := action.(type) {
 	case replication.Save:
-		c.Stored(r.now, m.Token, nil)
+		c.Persisted(r.now, m.Token, nil)
 	case fleet.CloseLink:
 		if a := r.attached[m.Link.From]; a != nil && a.links[c.name] == m.Link {
 			r.unlink(a, c.name)
 		}
-	case fleet.Tell:
+	case fleet.Send:
 		if !c.up || r.lost(c.name, m.To, m.Kind) {
 			return
 		}
 		if m.Incarnation == 0 {
 			r.onTheWay = append(r.onTheWay, func() {
 				if o := r.controls[m.To]; o.up {
-					require.NoError(r.t, o.Receive(r.now, fleet.Link{From: c.name, Incarnation: c.incarnation, Greeted: second}, m.Kind, m.Body))
+					require.NoError(r.t, o.Receive(r.now, fleet.Link{From: c.name, Incarnation: c.incarnation, ChallengedAt: second}, m.Kind, m.Body))
 				}
 			})
 			return
@@ -269,13 +269,13 @@
 		for _, name := range sorted(r.controls) {
 			switch c := r.controls[name]; {
 			case !c.up:
-			case c.Replica().Leads():
+			case c.Replica().IsLeader():
 				leads = c
 			default:
 				other = c
 			}
 		}
-		return leads != nil && other != nil && other.NameOf(other.Replica().Leader()) == leads.name
+		return leads != nil && other != nil && other.ReplicaName(other.Replica().Leader()) == leads.name
 	})
 	return leads, other
 }
@@ -289,11 +289,11 @@
 }
 
 // take asks for a load, and gives where its answer will be.
-func (r *rig) take(a *attachedFront, once string) (view *idempotency.View, answers *int) {
-	view, answers = &idempotency.View{}, new(int)
-	command := idempotency.Command{Op: idempotency.Take, Once: once, Digest: []byte("statement"), Call: fmt.Sprintf("call-%s", once), TTL: 8_000_000}
-	a.Ask(r.now, r.controls["n1"].kind.ID(), 1, command.Encode(), func(answer replication.Answer) {
-		v, err := idempotency.DecodeView(answer.Body)
+func (r *rig) take(a *attachedFront, once string) (view *idempotency.Response, answers *int) {
+	view, answers = &idempotency.Response{}, new(int)
+	command := idempotency.Command{Op: idempotency.Register, IdempotencyKey: once, StatementDigest: []byte("statement"), RequestID: fmt.Sprintf("call-%s", once), TTL: 8_000_000}
+	a.Propose(r.now, r.controls["n1"].kind.ID(), 1, command.Encode(), func(answer replication.Response) {
+		v, err := idempotency.DecodeResponse(answer.Body)
 		require.NoError(r.t, err)
 		require.Equal(r.t, replication.Committed, answer.Result)
 		*view = v
--- a/fleet/status_test.go
+++ b/fleet/status_test.go
@@ -22,12 +22,12 @@
 	assert.Equal(t, before, hex.EncodeToString(s.encode()))
 
 	beat := func(attached *membership.Config) status {
-		n := New(Config{Name: "n1", Incarnation: 5, Zones: map[string]string{"n2": ""}, Beat: 100_000, Retry: 200_000, Attach: attached,
-			Copies: replication.Config{ID: 6, Copies: 1, Tick: 50_000, LogBytes: 1 << 20, Logger: raftlog.New()}}, func(string) {})
-		require.NoError(t, n.Open(1_000_000, nil))
+		n := NewNode(Config{Name: "n1", Incarnation: 5, Zones: map[string]string{"n2": ""}, HeartbeatInterval: 100_000, RetryInterval: 200_000, Membership: attached,
+			Replication: replication.Config{ID: 6, Replicas: 1, TickInterval: 50_000, SnapshotLogBytes: 1 << 20, Logger: raftlog.New()}}, func(string) {})
+		require.NoError(t, n.Recover(1_000_000, nil))
 		n.Tick(1_000_000)
 		for _, a := range n.Actions() {
-			if a, ok := a.(Tell); ok && a.Kind == transport.Status {
+			if a, ok := a.(Send); ok && a.Kind == transport.ControlHeartbeat {
 				s, err := decodeStatus(a.Body)
 				require.NoError(t, err)
 				assert.Equal(t, attached == nil, len(s.Versions) == 0)
@@ -40,5 +40,5 @@
 		return status{}
 	}
 	assert.Empty(t, beat(nil).Versions)
-	assert.NotEmpty(t, beat(&membership.Config{Name: "n1", Incarnation: 5, Controls: []membership.ControlMember{{Name: "n1"}, {Name: "n2"}}}).Versions)
+	assert.NotEmpty(t, beat(&membership.Config{Name: "n1", Incarnation: 5, ControlMembers: []membership.ControlMember{{Name: "n1"}, {Name: "n2"}}}).Versions)
 }
--- a/fleet/transport/frame.go
+++ b/fleet/transport/frame.go
@@ -19,19 +19,19 @@
 	Challenge Kind = iota + 1
 	Hello
 	Welcome
-	Status // who is there, as the sender sees it
-	Ledger // between copies of the record
-	Ask
-	Answer
-	Note
-	Found
+	ControlHeartbeat // who is there, as the sender sees it
+	Replication      // between copies of the record
+	Proposal
+	Response
+	Notification
+	Bootstrap
 	Relay // one of the others, by way of a third
 	// Of front ends that are attached to control members; see package attach.
-	Heartbeat // of an attached front end
-	View      // to an attached front end
-	Pull      // asks a control member for a table
-	Table     // of one control member's attached front ends
-	Forward   // for the record or from it, by way of an attached front end's control member
+	AttachedHeartbeat // of an attached front end
+	ViewUpdate        // to an attached front end
+	TablePull         // asks a control member for a table
+	TableUpdate       // of one control member's attached front ends
+	Forward           // for the record or from it, by way of an attached front end's control member
 	kinds
 )
 
@@ -45,18 +45,18 @@
 
 const (
 	header = 10 // length:4 kind:1 flags:1 offset:4
-	// MostBody is the most that one frame carries; longer messages go in parts.
-	MostBody = 64 << 10
-	flagsAt  = 5
-	moreFlag = 1
+	// MaxFrameBody is the most that one frame carries; longer messages go in parts.
+	MaxFrameBody = 64 << 10
+	flagsAt      = 5
+	moreFlag     = 1
 )
 
 // Errors of a peer that does not keep to the form; the link is closed.
 var (
-	ErrLength = errors.New("peer: a length out of range")
-	ErrKind   = errors.New("peer: an unknown kind of frame")
-	ErrPart   = errors.New("peer: parts that do not follow one another")
-	ErrOrder  = errors.New("peer: a frame before the hello")
+	ErrFrameLength     = errors.New("peer: a length out of range")
+	ErrUnknownKind     = errors.New("peer: an unknown kind of frame")
+	ErrFragmentOrder   = errors.New("peer: parts that do not follow one another")
+	ErrUnexpectedFrame = errors.New("peer: a frame before the hello")
 )
 
 // AppendFrame adds a frame with a part of a message.
@@ -73,10 +73,10 @@
 
 // Reader puts messages together again from the bytes of one link.
 type Reader struct {
-	// Most is how long a message may be.
-	Most  int
-	buf   []byte
-	parts [kinds][]byte
+	// MaxMessage is how long a message may be.
+	MaxMessage int
+	buf        []byte
+	parts      [kinds][]byte
 }
 
 // Feed adds bytes that have come.
@@ -89,12 +89,12 @@
 			return 0, nil, false, nil
 		}
 		size := int(binary.BigEndian.Uint32(r.buf)) - (header - 4)
-		if size < 0 || size > MostBody {
-			return 0, nil, false, fmt.Errorf("%w: %d", ErrLength, size)
+		if size < 0 || size > MaxFrameBody {
+			return 0, nil, false, fmt.Errorf("%w: %d", ErrFrameLength, size)
 		}
 		kind = Kind(r.buf[4])
 		if kind == 0 || kind >= kinds {
-			return 0, nil, false, fmt.Errorf("%w: %d", ErrKind, kind)
+			return 0, nil, false, fmt.Errorf("%w: %d", ErrUnknownKind, kind)
 		}
 		if len(r.buf) < header+size {
 			return 0, nil, false, nil
@@ -113,10 +113,10 @@
 		case offset < len(have):
 			continue // it came twice
 		case offset != len(have):
-			return 0, nil, false, fmt.Errorf("%w: %s", ErrPart, kind)
+			return 0, nil, false, fmt.Errorf("%w: %s", ErrFragmentOrder, kind)
 		}
-		if offset+len(part) > r.Most {
-			return 0, nil, false, fmt.Errorf("%w: a message of over %d", ErrLength, r.Most)
+		if offset+len(part) > r.MaxMessage {
+			return 0, nil, false, fmt.Errorf("%w: a message of over %d", ErrFrameLength, r.MaxMessage)
 		}
 		have = append(have, part...)
 		if more {
--- a/fleet/transport/hello.go
+++ b/fleet/transport/hello.go
@@ -11,21 +11,21 @@
 
 // The versions of the protocol that this build speaks.
 const (
-	OldestVersion = 1
-	NewestVersion = 1
+	MinVersion = 1
+	MaxVersion = 1
 )
 
 // Identity is what one side of a link says of itself.
 type Identity struct {
-	Site        string
-	Name        string
-	Zone        string
-	Incarnation uint64 // of its process
-	Copy        uint64 // the number of its disk
-	Oldest      uint64 // versions that it speaks
-	Newest      uint64
-	Settings    []byte // a digest of what all front ends of a site must agree on
-	Attached    bool   // it is no control member: it attaches to them
+	Site           string
+	Name           string
+	Zone           string
+	Incarnation    uint64 // of its process
+	ReplicaID      uint64 // the number of its disk
+	MinVersion     uint64 // versions that it speaks
+	MaxVersion     uint64
+	SettingsDigest []byte // a digest of what all front ends of a site must agree on
+	Attached       bool   // it is no control member: it attaches to them
 }
 
 func (i *Identity) encode(to string) []byte {
@@ -34,10 +34,10 @@
 	b = proto.String(b, 2, i.Name)
 	b = proto.String(b, 3, i.Zone)
 	b = proto.Uint(b, 4, i.Incarnation)
-	b = proto.Uint(b, 5, i.Copy)
-	b = proto.Uint(b, 6, i.Oldest)
-	b = proto.Uint(b, 7, i.Newest)
-	b = proto.Bytes(b, 8, i.Settings)
+	b = proto.Uint(b, 5, i.ReplicaID)
+	b = proto.Uint(b, 6, i.MinVersion)
+	b = proto.Uint(b, 7, i.MaxVersion)
+	b = proto.Bytes(b, 8, i.SettingsDigest)
 	b = proto.String(b, 9, to)
 	return proto.Bool(b, 10, i.Attached)
 }
@@ -54,13 +54,13 @@
 		case 4:
 			i.Incarnation = f.Uint
 		case 5:
-			i.Copy = f.Uint
+			i.ReplicaID = f.Uint
 		case 6:
-			i.Oldest = f.Uint
+			i.MinVersion = f.Uint
 		case 7:
-			i.Newest = f.Uint
+			i.MaxVersion = f.Uint
 		case 8:
-			i.Settings = f.Copy()
+			i.SettingsDigest = f.Copy()
 		case 9:
 			to = f.Text()
 		case 10:
@@ -75,14 +75,14 @@
 
 // Errors of a hello; the link is closed.
 var (
-	ErrProof    = errors.New("peer: the hello's proof does not hold")
-	ErrSite     = errors.New("peer: of another site")
-	ErrName     = errors.New("peer: not the front end that was meant")
-	ErrVersion  = errors.New("peer: no version in common")
-	ErrSettings = errors.New("peer: its settings differ")
-	ErrSelf     = errors.New("peer: this process itself")
-	ErrRole     = errors.New("peer: a role that does not fit")
-	ErrFull     = errors.New("peer: no room for another attached front end")
+	ErrAuthentication   = errors.New("peer: the hello's proof does not hold")
+	ErrSiteMismatch     = errors.New("peer: of another site")
+	ErrNameMismatch     = errors.New("peer: not the front end that was meant")
+	ErrNoCommonVersion  = errors.New("peer: no version in common")
+	ErrSettingsMismatch = errors.New("peer: its settings differ")
+	ErrSelfConnection   = errors.New("peer: this process itself")
+	ErrRoleMismatch     = errors.New("peer: a role that does not fit")
+	ErrAtCapacity       = errors.New("peer: no room for another attached front end")
 )
 
 // Secret proves both sides of a link to one another. Without one only loopback addresses are allowed, where whoever may
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	if !hmac.Equal(proof, s.proof(side, nonce, said)) {
-		return nil, ErrProof
+		return nil, ErrAuthentication
 	}
 	return said, nil
 }
@@ -125,23 +125,23 @@
 func (i *Identity) check(other *Identity) error {
 	switch {
 	case other.Site != i.Site:
-		return fmt.Errorf("%w: %q", ErrSite, other.Site)
-	case other.Newest < i.Oldest || other.Oldest > i.Newest:
-		return fmt.Errorf("%w: it speaks %d to %d, this one %d to %d", ErrVersion, other.Oldest, other.Newest, i.Oldest, i.Newest)
+		return fmt.Errorf("%w: %q", ErrSiteMismatch, other.Site)
+	case other.MaxVersion < i.MinVersion || other.MinVersion > i.MaxVersion:
+		return fmt.Errorf("%w: it speaks %d to %d, this one %d to %d", ErrNoCommonVersion, other.MinVersion, other.MaxVersion, i.MinVersion, i.MaxVersion)
 	case other.Incarnation == i.Incarnation:
-		return ErrSelf
-	case string(other.Settings) != string(i.Settings):
-		return fmt.Errorf("%w: %q", ErrSettings, other.Name)
+		return ErrSelfConnection
+	case string(other.SettingsDigest) != string(i.SettingsDigest):
+		return fmt.Errorf("%w: %q", ErrSettingsMismatch, other.Name)
 	}
 	return nil
 }
 
-// MostName is the longest name of an attached front end, in bytes.
-const MostName = 64
+// MaxNameLength is the longest name of an attached front end, in bytes.
+const MaxNameLength = 64
 
 // ValidName says whether an attached front end may have a name: 1 to MostName letters, digits, dots, hyphens and underscores.
 func ValidName(name string) bool {
-	if name == "" || len(name) > MostName {
+	if name == "" || len(name) > MaxNameLength {
 		return false
 	}
 	for i := range len(name) {
@@ -154,33 +154,33 @@
 	return true
 }
 
-// Dialler is the sending side of a link. That of an attached front end receives messages on it too.
-type Dialler struct {
+// Dialer is the sending side of a link. That of an attached front end receives messages on it too.
+type Dialer struct {
 	Reader
-	Self   *Identity
-	To     string // the name that is meant
-	Secret Secret
-	Limit  int      // of a message from the listener, in bytes, where this side is attached
-	Other  Identity // once it is open
-	nonce  []byte
-	open   bool
-	list   []Message
+	Local        *Identity
+	ExpectedName string // the name that is meant
+	Secret       Secret
+	MaxInbound   int      // of a message from the listener, in bytes, where this side is attached
+	Remote       Identity // once it is open
+	nonce        []byte
+	open         bool
+	list         []Message
 }
 
-// Open says whether messages may be sent.
-func (d *Dialler) Open() bool { return d.open }
+// Established says whether messages may be sent.
+func (d *Dialer) Established() bool { return d.open }
 
 // Messages gives what the listener has sent to an attached front end, and forgets it.
-func (d *Dialler) Messages() []Message {
+func (d *Dialer) Messages() []Message {
 	list := d.list
 	d.list = nil
 	return list
 }
 
-// Take handles what the listener sends; reply goes out before all else. Messages gives what came after the welcome.
-func (d *Dialler) Take() (reply []byte, err error) {
+// Process handles what the listener sends; reply goes out before all else. Messages gives what came after the welcome.
+func (d *Dialer) Process() (reply []byte, err error) {
 	if !d.open {
-		d.Most = MostBody
+		d.MaxMessage = MaxFrameBody
 	}
 	for {
 		kind, body, ok, err := d.Next()
@@ -190,7 +190,7 @@
 		switch {
 		case kind == Challenge && d.nonce == nil && len(body) == nonceSize:
 			d.nonce = body
-			reply = AppendFrame(reply, Hello, 0, false, d.Secret.sealed(1, d.nonce, d.Self.encode(d.To)))
+			reply = AppendFrame(reply, Hello, 0, false, d.Secret.sealed(1, d.nonce, d.Local.encode(d.ExpectedName)))
 		case kind == Welcome && d.nonce != nil && !d.open:
 			said, err := d.Secret.opened(2, d.nonce, body)
 			if err != nil {
@@ -200,23 +200,23 @@
 			if err != nil {
 				return nil, err
 			}
-			if err := d.Self.check(&other); err != nil {
+			if err := d.Local.check(&other); err != nil {
 				return nil, err
 			}
-			if other.Name != d.To || to != d.Self.Name {
-				return nil, fmt.Errorf("%w: %q instead of %q", ErrName, other.Name, d.To)
+			if other.Name != d.ExpectedName || to != d.Local.Name {
+				return nil, fmt.Errorf("%w: %q instead of %q", ErrNameMismatch, other.Name, d.ExpectedName)
 			}
 			if other.Attached {
-				return nil, fmt.Errorf("%w: %q is attached itself", ErrRole, other.Name)
+				return nil, fmt.Errorf("%w: %q is attached itself", ErrRoleMismatch, other.Name)
 			}
-			d.Other, d.open = other, true
-			if d.Self.Attached {
-				d.Most = max(d.Limit, MostBody)
+			d.Remote, d.open = other, true
+			if d.Local.Attached {
+				d.MaxMessage = max(d.MaxInbound, MaxFrameBody)
 			}
-		case d.open && d.Self.Attached && kind > Welcome:
+		case d.open && d.Local.Attached && kind > Welcome:
 			d.list = append(d.list, Message{kind, body})
 		default:
-			return nil, fmt.Errorf("%w: %s", ErrOrder, kind)
+			return nil, fmt.Errorf("%w: %s", ErrUnexpectedFrame, kind)
 		}
 	}
 }
@@ -224,28 +224,28 @@
 // Listener is the receiving side of a link.
 type Listener struct {
 	Reader
-	Self   *Identity
+	Local  *Identity
 	Secret Secret
-	// Known says whether a name is a control member's.
-	Known func(name string) bool
-	// Attaches says that front ends of other names may attach here.
-	Attaches bool
-	// Full says, before a hello comes, that there is no room for another of these.
-	Full  bool
-	Other Identity // once it is open
-	nonce []byte
-	open  bool
-	limit int
+	// IsControlMember says whether a name is a control member's.
+	IsControlMember func(name string) bool
+	// AcceptsAttached says that front ends of other names may attach here.
+	AcceptsAttached bool
+	// AtCapacity says, before a hello comes, that there is no room for another of these.
+	AtCapacity bool
+	Remote     Identity // once it is open
+	nonce      []byte
+	open       bool
+	limit      int
 }
 
-// Greet begins: the nonce has to be new for each link.
-func (l *Listener) Greet(nonce [nonceSize]byte, most int) []byte {
-	l.nonce, l.Most, l.limit = nonce[:], MostBody, most
+// Challenge begins: the nonce has to be new for each link.
+func (l *Listener) Challenge(nonce [nonceSize]byte, most int) []byte {
+	l.nonce, l.MaxMessage, l.limit = nonce[:], MaxFrameBody, most
 	return AppendFrame(nil, Challenge, 0, false, l.nonce)
 }
 
-// Open says whether the other side has proven itself.
-func (l *Listener) Open() bool { return l.open }
+// Established says whether the other side has proven itself.
+func (l *Listener) Established() bool { return l.open }
 
 // Message is one message of a peer.
 type Message struct {
@@ -253,8 +253,8 @@
 	Body []byte
 }
 
-// Take handles what the dialler sends: the hello, whose welcome is the reply, and then messages.
-func (l *Listener) Take() (reply []byte, list []Message, err error) {
+// Process handles what the dialler sends: the hello, whose welcome is the reply, and then messages.
+func (l *Listener) Process() (reply []byte, list []Message, err error) {
 	for {
 		kind, body, ok, err := l.Next()
 		if !ok || err != nil {
@@ -262,13 +262,13 @@
 		}
 		if l.open {
 			if kind <= Welcome {
-				return reply, list, fmt.Errorf("%w: %s", ErrOrder, kind)
+				return reply, list, fmt.Errorf("%w: %s", ErrUnexpectedFrame, kind)
 			}
 			list = append(list, Message{kind, body})
 			continue
 		}
 		if kind != Hello {
-			return reply, list, fmt.Errorf("%w: %s", ErrOrder, kind)
+			return reply, list, fmt.Errorf("%w: %s", ErrUnexpectedFrame, kind)
 		}
 		said, err := l.Secret.opened(1, l.nonce, body)
 		if err != nil {
@@ -278,29 +278,29 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		if err := l.Self.check(&other); err != nil {
+		if err := l.Local.check(&other); err != nil {
 			return nil, nil, err
 		}
 		if err := l.admits(&other, to); err != nil {
 			return nil, nil, err
 		}
-		l.Other, l.open, l.Most = other, true, l.limit
-		reply = AppendFrame(reply, Welcome, 0, false, l.Secret.sealed(2, l.nonce, l.Self.encode(other.Name)))
+		l.Remote, l.open, l.MaxMessage = other, true, l.limit
+		reply = AppendFrame(reply, Welcome, 0, false, l.Secret.sealed(2, l.nonce, l.Local.encode(other.Name)))
 	}
 }
 
 // admits checks that the dialler's name and role fit one another, and that this side is meant.
 func (l *Listener) admits(other *Identity, to string) error {
-	member := l.Known(other.Name)
+	member := l.IsControlMember(other.Name)
 	switch {
-	case to != l.Self.Name || !other.Attached && !member || other.Attached && !ValidName(other.Name):
-		return fmt.Errorf("%w: from %q to %q", ErrName, other.Name, to)
-	case other.Attached && !l.Attaches:
-		return fmt.Errorf("%w: %q is attached, and no front ends may attach here", ErrRole, other.Name)
-	case other.Attached && (member || other.Name == l.Self.Name):
-		return fmt.Errorf("%w: %q is attached under a control member's name", ErrRole, other.Name)
-	case other.Attached && l.Full:
-		return fmt.Errorf("%w: %q", ErrFull, other.Name)
+	case to != l.Local.Name || !other.Attached && !member || other.Attached && !ValidName(other.Name):
+		return fmt.Errorf("%w: from %q to %q", ErrNameMismatch, other.Name, to)
+	case other.Attached && !l.AcceptsAttached:
+		return fmt.Errorf("%w: %q is attached, and no front ends may attach here", ErrRoleMismatch, other.Name)
+	case other.Attached && (member || other.Name == l.Local.Name):
+		return fmt.Errorf("%w: %q is attached under a control member's name", ErrRoleMismatch, other.Name)
+	case other.Attached && l.AtCapacity:
+		return fmt.Errorf("%w: %q", ErrAtCapacity, other.Name)
 	}
 	return nil
 }
--- a/fleet/transport/queue.go
+++ b/fleet/transport/queue.go
@@ -3,9 +3,9 @@
 // Queue holds what a link has to send: what is urgent first, and between two parts of a bulk message too, so that bulk never
 // delays a heartbeat. Both sides are bounded; what finds no room is dropped and counted, as a link may lose it anyway.
 type Queue struct {
-	// MostUrgent and MostBulk bound the bytes that wait.
-	MostUrgent, MostBulk int
-	Dropped              int
+	// MaxUrgentBytes and MostBulk bound the bytes that wait.
+	MaxUrgentBytes, MaxBulkBytes int
+	Dropped                      int
 
 	urgent, bulk   [][]byte // frames
 	urgentN, bulkN int      // bytes
@@ -16,29 +16,29 @@
 
 // Push adds a message; false says that there was no room.
 func (q *Queue) Push(kind Kind, bulk bool, body []byte) bool {
-	length := len(body) + header*(1+len(body)/MostBody)
-	if bulk && q.bulkN+length > q.MostBulk || !bulk && q.urgentN+length > q.MostUrgent {
+	length := len(body) + header*(1+len(body)/MaxFrameBody)
+	if bulk && q.bulkN+length > q.MaxBulkBytes || !bulk && q.urgentN+length > q.MaxUrgentBytes {
 		q.Dropped++
 		return false
 	}
-	if kind == Status && q.status > 0 {
+	if kind == ControlHeartbeat && q.status > 0 {
 		frame := AppendFrame(nil, kind, 0, false, body)
 		q.urgentN += len(frame) - len(q.urgent[q.status-1])
 		q.urgent[q.status-1] = frame
 		return true
 	}
-	for offset := 0; ; offset += MostBody {
+	for offset := 0; ; offset += MaxFrameBody {
 		part := body[offset:]
-		further := len(part) > MostBody
+		further := len(part) > MaxFrameBody
 		if further {
-			part = part[:MostBody]
+			part = part[:MaxFrameBody]
 		}
 		frame := AppendFrame(nil, kind, offset, further, part)
 		if bulk {
 			q.bulk, q.bulkN = append(q.bulk, frame), q.bulkN+len(frame)
 		} else {
 			q.urgent, q.urgentN = append(q.urgent, frame), q.urgentN+len(frame)
-			if kind == Status {
+			if kind == ControlHeartbeat {
 				q.status = len(q.urgent)
 			}
 		}
@@ -81,9 +81,9 @@
 	q.urgentMid, q.bulkMid = false, false
 }
 
-// DropWaiting drops the messages of which nothing has been popped, while the connection goes on: of one that was begun the rest
+// DropUnstarted drops the messages of which nothing has been popped, while the connection goes on: of one that was begun the rest
 // stays, without which the other side could not read what follows.
-func (q *Queue) DropWaiting() {
+func (q *Queue) DropUnstarted() {
 	urgent, bulk := begun(q.urgent, q.urgentMid), begun(q.bulk, q.bulkMid)
 	urgentMid, bulkMid := q.urgentMid, q.bulkMid
 	q.Clear()
--- a/fleet/transport/transport_test.go
+++ b/fleet/transport/transport_test.go
@@ -15,28 +15,28 @@
 
 func TestMain(m *testing.M) { os.Exit(standin.Seeded(m)) }
 
-func pair(secretA, secretB transport.Secret) (*transport.Dialler, *transport.Listener) {
+func pair(secretA, secretB transport.Secret) (*transport.Dialer, *transport.Listener) {
 	self := func(name string, n uint64) *transport.Identity {
-		return &transport.Identity{Site: "s", Name: name, Incarnation: n, Copy: n, Oldest: 1, Newest: 1, Settings: []byte("x")}
+		return &transport.Identity{Site: "s", Name: name, Incarnation: n, ReplicaID: n, MinVersion: 1, MaxVersion: 1, SettingsDigest: []byte("x")}
 	}
-	return &transport.Dialler{Self: self("a", 1), To: "b", Secret: secretA}, &transport.Listener{Self: self("b", 2), Secret: secretB,
-		Known: func(name string) bool { return name == "a" }}
+	return &transport.Dialer{Local: self("a", 1), ExpectedName: "b", Secret: secretA}, &transport.Listener{Local: self("b", 2), Secret: secretB,
+		IsControlMember: func(name string) bool { return name == "a" }}
 }
 
 // open goes through the hello of both sides.
-func open(d *transport.Dialler, l *transport.Listener) error {
-	d.Feed(l.Greet([16]byte{1, 2, 3}, 1<<20))
-	hello, err := d.Take()
+func open(d *transport.Dialer, l *transport.Listener) error {
+	d.Feed(l.Challenge([16]byte{1, 2, 3}, 1<<20))
+	hello, err := d.Process()
 	if err != nil {
 		return err
 	}
 	l.Feed(hello)
-	welcome, _, err := l.Take()
+	welcome, _, err := l.Process()
 	if err != nil {
 		return err
 	}
 	d.Feed(welcome)
-	_, err = d.Take()
+	_, err = d.Process()
 	return err
 }
 
@@ -45,13 +45,13 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		d, l := pair(transport.Secret("k"), transport.Secret("k"))
 		require.NoError(t, open(d, l))
-		require.True(t, d.Open() && l.Open())
-		q := transport.Queue{MostUrgent: 1 << 20, MostBulk: 1 << 22}
+		require.True(t, d.Established() && l.Established())
+		q := transport.Queue{MaxUrgentBytes: 1 << 20, MaxBulkBytes: 1 << 22}
 		twice := rapid.Bool().Draw(rt, "frames come twice")
 		var want [][]byte
 		for i := range rapid.IntRange(1, 6).Draw(rt, "messages") {
-			body := bytes.Repeat([]byte{byte(i + 1)}, rapid.IntRange(0, 3*transport.MostBody).Draw(rt, "size"))
-			if q.Push(transport.Ledger, true, body) {
+			body := bytes.Repeat([]byte{byte(i + 1)}, rapid.IntRange(0, 3*transport.MaxFrameBody).Draw(rt, "size"))
+			if q.Push(transport.Replication, true, body) {
 				want = append(want, body)
 			}
 		}
@@ -67,10 +67,10 @@
 			n := min(len(wire), rapid.IntRange(1, 100_000).Draw(rt, "cut"))
 			l.Feed(wire[:n])
 			wire = wire[n:]
-			_, list, err := l.Take()
+			_, list, err := l.Process()
 			if err != nil { // a last part that comes twice follows nothing: the link ends
 				require.True(rt, twice, "%v", err)
-				require.ErrorIs(rt, err, transport.ErrPart)
+				require.ErrorIs(rt, err, transport.ErrFragmentOrder)
 				break
 			}
 			for _, m := range list {
@@ -92,14 +92,14 @@
 
 // A heartbeat goes before bulk that waits, and only the newest one.
 func TestBulkDelaysNoHeartbeat(t *testing.T) {
-	q := transport.Queue{MostUrgent: 1 << 20, MostBulk: 1 << 22}
-	require.True(t, q.Push(transport.Ledger, true, make([]byte, 10*transport.MostBody)))
+	q := transport.Queue{MaxUrgentBytes: 1 << 20, MaxBulkBytes: 1 << 22}
+	require.True(t, q.Push(transport.Replication, true, make([]byte, 10*transport.MaxFrameBody)))
 	q.Pop()
-	require.True(t, q.Push(transport.Status, false, []byte("old")))
-	require.True(t, q.Push(transport.Status, false, []byte("new")))
+	require.True(t, q.Push(transport.ControlHeartbeat, false, []byte("old")))
+	require.True(t, q.Push(transport.ControlHeartbeat, false, []byte("new")))
 	assert.Contains(t, string(q.Pop()), "new")
-	assert.Greater(t, len(q.Pop()), transport.MostBody)
-	assert.False(t, q.Push(transport.Ledger, true, make([]byte, 1<<22)), "the queue has a bound")
+	assert.Greater(t, len(q.Pop()), transport.MaxFrameBody)
+	assert.False(t, q.Push(transport.Replication, true, make([]byte, 1<<22)), "the queue has a bound")
 	assert.Equal(t, 1, q.Dropped)
 }
 
@@ -110,31 +110,31 @@
 		if rapid.Bool().Draw(rt, "open") {
 			require.NoError(t, open(d, l))
 		} else {
-			l.Greet([16]byte{}, 1<<20)
+			l.Challenge([16]byte{}, 1<<20)
 		}
 		l.Feed(rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "bytes"))
-		_, list, err := l.Take()
-		if err == nil && !l.Open() {
+		_, list, err := l.Process()
+		if err == nil && !l.Established() {
 			assert.Empty(t, list)
 		}
 	})
 	d, l := pair(transport.Secret("right"), transport.Secret("wrong"))
-	assert.ErrorIs(t, open(d, l), transport.ErrProof)
+	assert.ErrorIs(t, open(d, l), transport.ErrAuthentication)
 	d, l = pair(nil, nil)
-	d.Self.Settings = []byte("other")
-	assert.ErrorIs(t, open(d, l), transport.ErrSettings)
+	d.Local.SettingsDigest = []byte("other")
+	assert.ErrorIs(t, open(d, l), transport.ErrSettingsMismatch)
 	d, l = pair(nil, nil)
-	d.Self.Site = "other"
-	assert.ErrorIs(t, open(d, l), transport.ErrSite)
+	d.Local.Site = "other"
+	assert.ErrorIs(t, open(d, l), transport.ErrSiteMismatch)
 	d, l = pair(nil, nil)
-	d.Self.Oldest, d.Self.Newest = 7, 9
-	assert.ErrorIs(t, open(d, l), transport.ErrVersion)
+	d.Local.MinVersion, d.Local.MaxVersion = 7, 9
+	assert.ErrorIs(t, open(d, l), transport.ErrNoCommonVersion)
 	d, l = pair(nil, nil)
-	d.Self.Name = "stranger"
-	assert.ErrorIs(t, open(d, l), transport.ErrName)
-	l = &transport.Listener{Self: l.Self}
-	l.Greet([16]byte{}, 1<<20)
+	d.Local.Name = "stranger"
+	assert.ErrorIs(t, open(d, l), transport.ErrNameMismatch)
+	l = &transport.Listener{Local: l.Local}
+	l.Challenge([16]byte{}, 1<<20)
 	l.Feed([]byte{0xff, 0xff, 0xff, 0xff, 2, 0, 0, 0, 0, 0})
-	_, _, err := l.Take()
-	assert.ErrorIs(t, err, transport.ErrLength)
+	_, _, err := l.Process()
+	assert.ErrorIs(t, err, transport.ErrFrameLength)
 }
--- a/gateway/budgets.go
+++ b/gateway/budgets.go
@@ -2,21 +2,23 @@
 
 import "chutechute/scheduler"
 
-// Allow tells the module what it may spend of the fleet's budgets. It is in force before the module begins anything more.
-func (c *Core) Allow(ev scheduler.Amounts) { c.events = append(c.events, ev) }
+// GrantBudgets tells the module what it may spend of the fleet's budgets. It is in force before the module begins anything more.
+func (c *Core) GrantBudgets(ev scheduler.BudgetGrant) { c.events = append(c.events, ev) }
 
-// Demands is what the module wants of the fleet's budgets and has in use.
-func (c *Core) Demands(now Micros) []scheduler.Demand { return c.module.Demands(now) }
+// BudgetDemands is what the module wants of the fleet's budgets and has in use.
+func (c *Core) BudgetDemands(now Micros) []scheduler.BudgetDemand { return c.module.BudgetDemands(now) }
 
-// Spendings is how the fleet's budgets stand here.
-func (c *Core) Spendings(now Micros) []scheduler.Spending { return c.module.Spendings(now) }
+// BudgetStatuses is how the fleet's budgets stand here.
+func (c *Core) BudgetStatuses(now Micros) []scheduler.BudgetStatus {
+	return c.module.BudgetStatuses(now)
+}
 
 // Denial is a request that was turned away for want of room in a budget.
 type Denial struct {
-	At     Micros
-	Call   string
-	Budget string
-	After  Micros // when it was told to come back
+	At         Micros
+	RequestID  string
+	Budget     string
+	RetryAfter Micros // when it was told to come back
 }
 
 // mostDenials bounds those that are remembered.
@@ -41,7 +43,7 @@
 func (c *Core) Denials(of string) (list []Denial) {
 	for i := range c.denials.list {
 		d := c.denials.list[(c.denials.next+len(c.denials.list)-1-i)%len(c.denials.list)]
-		if of == "" || of == d.Budget || of == d.Call {
+		if of == "" || of == d.Budget || of == d.RequestID {
 			list = append(list, d)
 		}
 	}
--- a/gateway/capacity_test.go
+++ b/gateway/capacity_test.go
@@ -22,10 +22,10 @@
 // noEngines takes the core's commands and does nothing.
 type noEngines struct{}
 
-func (noEngines) Start(*gateway.Attempt)  {}
-func (noEngines) GiveUp(*gateway.Attempt) {}
-func (noEngines) Renice(*gateway.Attempt) {}
-func (noEngines) Probe(string)            {}
+func (noEngines) Start(*gateway.Attempt)       {}
+func (noEngines) Cancel(*gateway.Attempt)      {}
+func (noEngines) SetPriority(*gateway.Attempt) {}
+func (noEngines) HealthCheck(string)           {}
 
 // journalRecord is the journal's record of an engine, written apart from the program's codec.
 func journalRecord(number int, state byte) []byte {
@@ -47,7 +47,7 @@
 		for _, engines := range []int{64, 256, 1024, 2048, 8192, 34000} {
 			site, err := settings.Parse([]byte(standin.Settings))
 			require.NoError(t, err)
-			core, err := gateway.New(site, 7, gateway.Bounds{Open: 1000, Held: 1 << 20}, noEngines{}, &counters.Set{})
+			core, err := gateway.New(site, 7, gateway.Limits{MaxOpen: 1000, MaxStatementBytes: 1 << 20}, noEngines{}, &counters.Set{})
 			require.NoError(t, err)
 			follower := journal.Follower{Names: journal.Names{Zones: []string{"a"}, Kinds: []string{"k"}}}
 			in := ring.New(journal.MaxFrame, &ring.Budget{Most: journal.MaxFrame})
@@ -57,11 +57,11 @@
 				require.NoError(t, err)
 				event, news, ok, err := follower.Next(in)
 				require.True(t, ok && news && err == nil)
-				entries := make([]scheduler.Entry, len(event.Engines))
+				entries := make([]scheduler.Endpoint, len(event.Engines))
 				for i, engine := range event.Engines {
-					entries[i] = engine.Entry
+					entries[i] = engine.Endpoint
 				}
-				core.Listed(event.Kind, entries)
+				core.UpdateEndpoints(event.Kind, entries)
 				now += 100
 				core.Step(now)
 			}
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -56,9 +56,9 @@
 	assert.False(a.s.t, a.gone, "%s: %s though its client has left", a.id, how)
 	assert.LessOrEqual(a.s.t, a.s.now, a.due, "%s: late", a.id)
 }
-func (a *askedFor) Served([]byte) { a.answer("served") }
-func (a *askedFor) Failed()       { a.answer("failed") }
-func (a *askedFor) Refused(Micros) {
+func (a *askedFor) Respond([]byte) { a.answer("served") }
+func (a *askedFor) Fail()          { a.answer("failed") }
+func (a *askedFor) Reject(Micros) {
 	a.answer("refused")
 	assert.False(a.s.t, a.class == 2 && (a.ran || a.outNow() > 0), "%s: called refused though it may have run", a.id)
 }
@@ -100,7 +100,7 @@
 		}
 		if a.ran {
 			assert.Less(t, s.now, a.first+3*scheduler.Second/2, "%s: after the window", at.ID)
-			assert.Equal(t, a.first+3*scheduler.Second/2, at.Until)
+			assert.Equal(t, a.first+3*scheduler.Second/2, at.StartBy)
 		}
 	case 2:
 		assert.False(t, a.ran, "%s: again though it may have run", at.ID)
@@ -109,25 +109,27 @@
 	s.out[at] = true
 }
 
-func (s *shift) GiveUp(at *Attempt) { s.given[at] = true }
-func (s *shift) Renice(at *Attempt) {
+func (s *shift) Cancel(at *Attempt) { s.given[at] = true }
+func (s *shift) SetPriority(at *Attempt) {
 	assert.True(s.t, s.out[at], "told of what has ended")
 	assert.True(s.t, at.Priority >= 0 && at.Priority <= 3)
 }
-func (s *shift) Probe(engine string) { s.core.Probed(engine, scheduler.Done, 1000, nil) }
+func (s *shift) HealthCheck(engine string) {
+	s.core.HealthCheckEnded(engine, scheduler.Succeeded, 1000, nil)
+}
 
 // end ends an attempt.
 func (s *shift) end(at *Attempt, result scheduler.Result) {
 	a := s.asked[at.ID]
 	delete(s.out, at)
 	delete(s.given, at)
-	if result != scheduler.Full && result != scheduler.NoConnection && result != scheduler.NotSent && result != scheduler.Done {
+	if result != scheduler.Rejected && result != scheduler.NoConnection && result != scheduler.NotSent && result != scheduler.Succeeded {
 		if !a.ran {
 			a.first = at.at
 		}
 		a.ran = true
 	}
-	s.core.Ended(s.now, at, result, []byte("x"), nil)
+	s.core.AttemptEnded(s.now, at, result, []byte("x"), nil)
 }
 
 func (s *shift) take() {
@@ -138,25 +140,25 @@
 	call := &Call{ID: a.id, Class: []string{"look", "load", "stamp"}[a.class], TTL: ttl, Cost: 1000 + s.rng.Int64N(scheduler.Second),
 		Statement: []byte(fmt.Sprintf("SELECT 1 FROM s_%d.t", s.rng.IntN(5)))}
 	if a.class == 1 {
-		call.Key, call.Once = fmt.Sprint(s.rng.IntN(3)), a.id
+		call.Key, call.IdempotencyKey = fmt.Sprint(s.rng.IntN(3)), a.id
 		s.order[call.Key] = append(s.order[call.Key], a)
 	}
 	s.asked[a.id] = a
-	r, err := s.core.Take(s.now, call, a)
+	r, err := s.core.Submit(s.now, call, a)
 	require.NoError(s.t, err)
 	a.r = r
 }
 
 func (s *shift) list(state scheduler.EngineState, names ...string) {
-	var entries []scheduler.Entry
+	var entries []scheduler.Endpoint
 	for _, n := range names {
-		entries = append(entries, scheduler.Entry{Engine: n, Kind: "k", Zone: "a", State: state})
+		entries = append(entries, scheduler.Endpoint{Engine: n, Kind: "k", Zone: "a", State: state})
 		delete(s.drained, n)
 		if state != scheduler.Serving {
 			s.drained[n] = s.now // in the step that hears of it already
 		}
 	}
-	s.core.Listed(scheduler.ListChanges, entries)
+	s.core.UpdateEndpoints(scheduler.UpdateChanges, entries)
 }
 
 // some is one of the attempts that are out, in an order that a seed gives again.
@@ -176,7 +178,7 @@
 // planned end) each request gets one answer in time or its client has left, nothing begins for who has left, nothing runs beside
 // itself or again against its class, keys keep their order, and nothing is left over.
 func TestRulesOverRandomEndings(t *testing.T) {
-	results := []scheduler.Result{scheduler.Done, scheduler.Done, scheduler.Done, scheduler.Errored, scheduler.Full, scheduler.NoConnection, scheduler.Reset,
+	results := []scheduler.Result{scheduler.Succeeded, scheduler.Succeeded, scheduler.Succeeded, scheduler.Errored, scheduler.Rejected, scheduler.NoConnection, scheduler.Reset,
 		scheduler.NotSent, scheduler.TimedOut, scheduler.Canceled}
 	for seed := range uint64(300) {
 		twice := seed%3 == 0
@@ -184,7 +186,7 @@
 		require.NoError(t, err)
 		s := &shift{t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: scheduler.Second, out: map[*Attempt]bool{}, given: map[*Attempt]bool{},
 			drained: map[string]Micros{}, asked: map[string]*askedFor{}, order: map[string][]*askedFor{}, twice: twice}
-		s.core, err = New(conf, seed, Bounds{Open: 100, Held: 1 << 20}, s, &counters.Set{})
+		s.core, err = New(conf, seed, Limits{MaxOpen: 100, MaxStatementBytes: 1 << 20}, s, &counters.Set{})
 		require.NoError(t, err)
 		names := []string{"a", "b", "c", "e"}
 		s.list(scheduler.Serving, names...)
