--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -62,18 +62,18 @@
 )
 
 // New builds a gateway.
-func New(cfg Config, seed uint64) (*Dispatcher, error) {
+func New(cfg Config, seed uint64) (*Scheduler, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*engine{},
+	d := &Scheduler{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*engine{},
 		orders: map[int][]*engine{}, queries: map[uint64]*query{}, lines: map[string]*line{},
 		popular: newPopular(), probeAt: map[string]Micros{},
 		fullAt: -fullMemory, median: 1}
 	for _, c := range cfg.Classes {
-		k := &class{Class: c, best: math.Inf(1), work: float64(c.Aim) * float64(c.Threads), scatter: 1}
+		k := &class{Class: c, best: math.Inf(1), work: float64(c.LatencyObjective) * float64(c.Threads), scatter: 1}
 		d.classes = append(d.classes, k)
-		d.someWait = d.someWait || c.Waits
+		d.someWait = d.someWait || c.WaitsForTableGroup
 	}
 	for _, t := range cfg.Tenants {
 		d.tenants = append(d.tenants, &tenant{Tenant: t, tokens: t.Quota})
@@ -84,7 +84,7 @@
 }
 
 // Step takes the events of one instant and returns what to do; the result is valid until the next call.
-func (d *Dispatcher) Step(now Micros, events []Event) []Action {
+func (d *Scheduler) Step(now Micros, events []Event) []Action {
 	d.now, d.out = now, nil
 	for _, ev := range events {
 		d.apply(ev)
@@ -102,11 +102,11 @@
 	return d.out
 }
 
-func (d *Dispatcher) do(a Action) { d.out = append(d.out, a) }
+func (d *Scheduler) do(a Action) { d.out = append(d.out, a) }
 
-func (d *Dispatcher) apply(ev Event) {
+func (d *Scheduler) apply(ev Event) {
 	switch ev := ev.(type) {
-	case List:
+	case EndpointUpdate:
 		d.list(ev)
 	case Request:
 		d.request(ev)
@@ -117,30 +117,30 @@
 			a.streaming = true
 			d.heard(a.engine)
 		}
-	case Note:
+	case ProgressReport:
 		if _, a := d.attempt(ev.ID, ev.Attempt); a != nil {
 			d.heard(a.engine)
 		}
-	case Gone:
-		if q := d.queries[ev.ID]; q != nil && ev.Owed && !q.answered {
+	case ClientDisconnected:
+		if q := d.queries[ev.ID]; q != nil && ev.AnswerDue && !q.answered {
 			d.end(q)
 		} else if q != nil {
 			d.close(q)
 		}
-	case Unheard:
+	case EngineUnresponsive:
 		if e := d.byName[ev.Engine]; e != nil {
 			d.eject(e)
 		}
-	case Probed:
+	case HealthCheckResult:
 		if e := d.byName[ev.Engine]; e != nil {
 			e.probed = false
-			if ev.Result == Done {
+			if ev.Result == Succeeded {
 				d.heard(e)
 			} else if e.out {
 				d.eject(e)
 			}
 		}
-	case Amounts:
+	case BudgetGrant:
 		d.amounts(ev)
 	case Timer:
 		if ev.Token == "sweep" {
@@ -151,15 +151,15 @@
 }
 
 // list takes over what a list says of the engines.
-func (d *Dispatcher) list(l List) {
-	if l.Kind == ListFailed {
+func (d *Scheduler) list(l EndpointUpdate) {
+	if l.Kind == UpdateFailed {
 		d.tries++
 		wait := askRetry << min(d.tries, 4)
 		d.subscribeAt = d.now + wait + d.rng.Int64N(wait)
 		return
 	}
 	d.tries = 0
-	if l.Kind != ListSaved {
+	if l.Kind != UpdateCached {
 		d.subscribeAt = math.MaxInt64
 	}
 	listed := map[string]bool{}
@@ -168,7 +168,7 @@
 		d.entry(en)
 	}
 	for _, e := range d.engines {
-		if l.Kind != ListChanges && !listed[e.Engine] {
+		if l.Kind != UpdateChanges && !listed[e.Engine] {
 			e.gone, e.State = true, Removed
 		}
 	}
@@ -176,7 +176,7 @@
 	d.dropRemoved()
 }
 
-func (d *Dispatcher) entry(en Entry) {
+func (d *Scheduler) entry(en Endpoint) {
 	e := d.byName[en.Engine]
 	if e == nil {
 		e = newEngine(en.Engine)
@@ -184,43 +184,43 @@
 		d.byName[en.Engine], d.engines = e, append(d.engines, e)
 	}
 	restarted := en.Started > 0 && en.Started != e.Started
-	e.Entry, e.gone = en, en.State != Serving
+	e.Endpoint, e.gone = en, en.State != Serving
 	for _, k := range d.cfg.Kinds {
 		if k.Name == en.Kind {
 			e.cores, e.memory = float64(k.Cores), k.MemoryMB
 		}
 	}
-	if restarted && d.now < en.Started+d.cfg.Rules.Cold {
+	if restarted && d.now < en.Started+d.cfg.Rules.WarmUp {
 		d.startCold(e, en.Started, false)
 		e.out, e.backoff, e.slow = false, 0, 1
 	}
 }
 
 // startCold begins an engine's cold span, supposed where its absence tells of that and not the list.
-func (d *Dispatcher) startCold(e *engine, from Micros, supposed bool) {
+func (d *Scheduler) startCold(e *engine, from Micros, supposed bool) {
 	e.cold, e.coldFrom, e.supposed = true, from, supposed
 	e.credit = credit{at: d.now, phase: d.rng.Float64()}
 }
 
 // keepListed subscribes where lists must be asked for, and again after failures, by a timer of its own.
-func (d *Dispatcher) keepListed() {
-	if d.cfg.AskList && d.now >= d.subscribeAt {
-		d.subscribeAt = d.now + d.cfg.Rules.AskWithin/2
+func (d *Scheduler) keepListed() {
+	if d.cfg.PollEndpoints && d.now >= d.subscribeAt {
+		d.subscribeAt = d.now + d.cfg.Rules.ResponseTimeout/2
 		d.do(Subscribe{})
 	}
-	if d.cfg.AskList && d.subscribeAt < math.MaxInt64 && d.listTimer != d.subscribeAt {
+	if d.cfg.PollEndpoints && d.subscribeAt < math.MaxInt64 && d.listTimer != d.subscribeAt {
 		d.listTimer = d.subscribeAt
 		d.do(SetTimer{At: d.subscribeAt, Token: "list"})
 	}
 }
 
 // request takes a query in: its price, its deadline and its place in its key's line.
-func (d *Dispatcher) request(r Request) {
+func (d *Scheduler) request(r Request) {
 	c := d.classes[r.Class]
 	q := &query{Request: r, class: c, arrived: d.now, asked: d.now, held: true, priority: -1}
-	c.guessed = c.guessed || r.Guessed
+	c.guessed = c.guessed || r.EstimatedHere
 	if c.estimate == 0 { // the first query seeds the ratio to the class's aim
-		c.estimate, c.latency = q.estimate(), float64(c.Aim)
+		c.estimate, c.latency = q.estimate(), float64(c.LatencyObjective)
 	}
 	q.due = d.now + Micros(multiplier*d.price(q))
 	d.rate.add(d.now)
@@ -229,13 +229,13 @@
 	d.wants(q)
 	if d.retryPastAim(q) || r.Tenant >= 0 && d.overShare(q) {
 		q.over = true
-		q.due += c.GiveUp
+		q.due += c.ClientTimeout
 	}
 	if c.Ordered && r.Key != "" {
 		d.enqueue(q)
 	}
-	if r.Cost > 0 && r.Cost <= c.GiveUp*Micros(c.Threads) { // more is no usual work, and may be made up
-		c.work += decay * (float64(r.Cost) - c.work)
+	if r.EstimatedWork > 0 && r.EstimatedWork <= c.ClientTimeout*Micros(c.Threads) { // more is no usual work, and may be made up
+		c.work += decay * (float64(r.EstimatedWork) - c.work)
 	}
 	d.queries[r.ID], d.held = q, append(d.held, q)
 }
@@ -243,28 +243,28 @@
 // retryPastAim recognises a client's later try: it has less time left than first tries of its class, but
 // more than a client that is short of time from the start. Its aim counts from when its client first asked;
 // where that has passed it goes last, so that a storm of retries does not take the places of first tries.
-func (d *Dispatcher) retryPastAim(q *query) bool {
+func (d *Scheduler) retryPastAim(q *query) bool {
 	c, left := q.class, q.Deadline-d.now
-	if left <= c.GiveUp { // what waits longer is no usual client
+	if left <= c.ClientTimeout { // what waits longer is no usual client
 		c.longest = max(c.longest, left)
 	}
-	if left < c.longest-c.GiveUp/retrySlack && left > c.Aim {
-		q.asked = min(d.now, q.Deadline-c.GiveUp)
+	if left < c.longest-c.ClientTimeout/retrySlack && left > c.LatencyObjective {
+		q.asked = min(d.now, q.Deadline-c.ClientTimeout)
 	}
 	return d.now > d.aim(q)
 }
 
 // price is the query's ExecTime.
-func (d *Dispatcher) price(q *query) float64 {
+func (d *Scheduler) price(q *query) float64 {
 	return q.estimate() * q.class.latency / q.class.estimate
 }
 
 // overShare says whether a query is beyond its tenant's share: by the fleet's budgets where one bounds who of
 // it comes first, and else by this gateway's part.
-func (d *Dispatcher) overShare(q *query) (over bool) {
+func (d *Scheduler) overShare(q *query) (over bool) {
 	divided := false
 	for _, b := range d.budgets.list {
-		if b.Over != Last || b.Counted || !b.EachTenant && b.Tenant != q.Tenant ||
+		if b.Overflow != DeprioritizeOverflow || b.CountOnly || !b.EachTenant && b.Tenant != q.Tenant ||
 			b.Class >= 0 && b.Class != q.Request.Class {
 			continue
 		}
@@ -273,8 +273,8 @@
 		if b.EachTenant {
 			subject = d.cfg.Tenants[q.Tenant].Name
 		}
-		a, n := b.book.Of(d.now, subject), b.units(q)
-		a.Want(d.now, n)
+		a, n := b.book.Account(d.now, subject), b.units(q)
+		a.RecordDemand(d.now, n)
 		if _, ok := a.Spend(d.now, n); !ok {
 			a.Denied++
 			over = true
@@ -287,7 +287,7 @@
 }
 
 // withinShare draws on the tenant's share of this gateway.
-func (d *Dispatcher) withinShare(t *tenant) bool {
+func (d *Scheduler) withinShare(t *tenant) bool {
 	if t.Quota <= 0 {
 		return true
 	}
@@ -302,7 +302,7 @@
 }
 
 // release sends held queries by group EDF for as long as engines can be found.
-func (d *Dispatcher) release() {
+func (d *Scheduler) release() {
 	d.refuseLapsed()
 	var blocked []*query
 	for {
@@ -327,13 +327,13 @@
 }
 
 // turnAway refuses at once what a budget of the fleet has no room for, and tells when it will have some.
-func (d *Dispatcher) turnAway() {
+func (d *Scheduler) turnAway() {
 	for _, q := range slices.Clone(d.held) {
 		if b, after := d.short(q); b != nil && d.refusable(q) {
 			if after == 0 {
 				after = Micros(d.price(q))
 			}
-			d.do(Refuse{ID: q.ID, Budget: b.Name, After: min(d.cfg.Limits.MaxRetryAfter, after)})
+			d.do(Reject{ID: q.ID, Budget: b.Name, After: min(d.cfg.Limits.MaxRetryAfter, after)})
 			d.close(q)
 		} else if b != nil {
 			d.end(q)
@@ -342,21 +342,21 @@
 }
 
 // short is the first budget without room that turns queries away, and when it will have some.
-func (d *Dispatcher) short(q *query) (b *budget, after Micros) {
+func (d *Scheduler) short(q *query) (b *budget, after Micros) {
 	for _, b := range d.budgets.list {
-		if b.Over != Turned || b.EachEngine || b.Counted {
+		if b.Overflow != RejectOverflow || b.EachEngine || b.CountOnly {
 			continue
 		}
-		if a, n := d.charge(b, q, nil); a != nil && !a.Room(d.now, n) && !a.New(d.now) {
+		if a, n := d.charge(b, q, nil); a != nil && !a.CanSpend(d.now, n) && !a.AwaitsFirstLease(d.now) {
 			a.Denied++
-			return b, a.Wait(d.now, n)
+			return b, a.RetryAfter(d.now, n)
 		}
 	}
 	return nil, 0
 }
 
 // next is the group EDF pick: the smallest ExecTime among those due soon after the earliest.
-func (d *Dispatcher) next() *query {
+func (d *Scheduler) next() *query {
 	first := d.pick(func(q, best *query) bool { return q.due < best.due })
 	if first == nil {
 		return nil
@@ -371,7 +371,7 @@
 }
 
 // pick is the first held query that comes before all others.
-func (d *Dispatcher) pick(before func(q, best *query) bool) *query {
+func (d *Scheduler) pick(before func(q, best *query) bool) *query {
 	var best *query
 	for _, q := range d.held {
 		if q.held && !(q.class.blocked && q.fresh()) && d.hasPlace(q) && d.affords(q, nil) &&
@@ -385,7 +385,7 @@
 // hasPlace says whether a query may leave within the gateway's part of the fleet's share. That is over all
 // engines, as an engine's is less than one query where there are many gateways, and leaves aside longer
 // classes, so that one long query does not hold up short ones.
-func (d *Dispatcher) hasPlace(q *query) bool {
+func (d *Scheduler) hasPlace(q *query) bool {
 	if d.budgets.threads { // the fleet's threads are divided
 		return true
 	}
@@ -401,7 +401,7 @@
 // refuseLapsed turns away what can no longer finish. What has only just arrived gets its chance of an
 // engine with room first: a price inflated by a jam must not refuse all that could measure it anew. Only
 // one whose client gives up before the sweep could come back to it is answered at once.
-func (d *Dispatcher) refuseLapsed() {
+func (d *Scheduler) refuseLapsed() {
 	pressed := d.pressure()
 	for _, q := range slices.Clone(d.held) {
 		if d.now > q.Deadline-2*sweepEvery || q.arrived < d.now && d.now+Micros(d.price(q)) > d.lapse(q, pressed) {
@@ -412,19 +412,19 @@
 
 // lapse is the time by which a held query must be able to finish: under pressure that is its aim, since
 // a place on an engine goes first to what can still earn its full worth.
-func (d *Dispatcher) lapse(q *query, pressed bool) Micros {
+func (d *Scheduler) lapse(q *query, pressed bool) Micros {
 	if pressed { // by the best price: the one inflated by a jam would refuse short queries at once
 		inflated := d.price(q) - q.estimate()*min(q.class.best, q.class.latency/q.class.estimate)
 		return min(q.due, d.aim(q)+Micros(inflated), q.Deadline-2*sweepEvery)
 	}
-	return min(q.due, q.arrived+q.class.GiveUp, q.Deadline-2*sweepEvery)
+	return min(q.due, q.arrived+q.class.ClientTimeout, q.Deadline-2*sweepEvery)
 }
 
 // end gives the final answer to a query that was not served: a refusal where that is true.
-func (d *Dispatcher) end(q *query) {
+func (d *Scheduler) end(q *query) {
 	after := min(d.cfg.Limits.MaxRetryAfter, Micros(d.price(q)))
 	if d.refusable(q) {
-		d.do(Refuse{ID: q.ID, After: after})
+		d.do(Reject{ID: q.ID, After: after})
 	} else {
 		d.do(Fail{ID: q.ID})
 	}
@@ -432,15 +432,15 @@
 }
 
 // refusable says whether a retry would do no harm.
-func (d *Dispatcher) refusable(q *query) bool {
-	if q.repeat() == Safe || q.repeat() == Keyed && q.class.Scope == ScopeAll {
+func (d *Scheduler) refusable(q *query) bool {
+	if q.repeat() == Idempotent || q.repeat() == IdempotentByKey && q.class.DedupeScope == ScopeAll {
 		return true
 	}
 	return !slices.ContainsFunc(q.attempts, func(a attempt) bool { return !a.harmless })
 }
 
 // close forgets a query once it is answered and nothing of it is out.
-func (d *Dispatcher) close(q *query) {
+func (d *Scheduler) close(q *query) {
 	q.answered = true
 	d.held, q.held = remove(d.held, q), false
 	if q.open > 0 {
@@ -461,7 +461,7 @@
 	}
 }
 
-func (d *Dispatcher) cancel(q *query, i int) {
+func (d *Scheduler) cancel(q *query, i int) {
 	a := &q.attempts[i]
 	if a.open && !a.canceled && !a.streaming {
 		a.canceled = true
@@ -471,7 +471,7 @@
 
 // choose walks the group's hash order: the least loaded of its homes, the first two and more for a popular
 // group, and on past the spill mark.
-func (d *Dispatcher) choose(q *query) *engine {
+func (d *Scheduler) choose(q *query) *engine {
 	if !d.mayGo(q) {
 		return nil
 	}
@@ -505,14 +505,14 @@
 // prefer puts aside engines that this query has failed on, and those where its table group stands still
 // behind a load, unless no other is left. Loads start further down the order than the first two, where the
 // queries of their group go, each gateway at a place of its own.
-func (d *Dispatcher) prefer(q *query, able []*engine) []*engine {
+func (d *Scheduler) prefer(q *query, able []*engine) []*engine {
 	able = subset(able, func(e *engine) bool {
 		return !slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.engine == e })
 	})
-	if !d.someWait || !q.class.Loads && !q.class.Waits {
+	if !d.someWait || !q.class.LocksTableGroup && !q.class.WaitsForTableGroup {
 		return able
 	}
-	if q.class.Loads && len(able) > 2 {
+	if q.class.LocksTableGroup && len(able) > 2 {
 		start := len(able)/2 + int(q.ID%uint64(len(able)/2))
 		able = slices.Concat(able[start:], able[:start])
 	}
@@ -520,7 +520,7 @@
 }
 
 // order is the rendezvous order of a table group, weighted by cores: the same at every gateway.
-func (d *Dispatcher) order(group int) []*engine {
+func (d *Scheduler) order(group int) []*engine {
 	if order, ok := d.orders[group]; ok {
 		return order
 	}
@@ -546,12 +546,12 @@
 // load is this gateway's own threads on the engine, a core, and, the thinner these are spread, what was sent
 // lately: all gateways share the hash order, so what one would pile up, all would, and what each keeps even
 // is even over all.
-func (d *Dispatcher) load(e *engine) float64 {
+func (d *Scheduler) load(e *engine) float64 {
 	return (float64(e.threads) + d.thin*d.recent(e)) / d.size(e)
 }
 
 // size is the cores that an engine is worth: fewer while cold, or while slower than its peers.
-func (d *Dispatcher) size(e *engine) float64 {
+func (d *Scheduler) size(e *engine) float64 {
 	size := e.cores
 	if r := d.relative(e); r > slowFrom {
 		size /= r
@@ -560,21 +560,21 @@
 }
 
 // warmth is the part of its capacity that an engine has: a straight line over the cold span.
-func (d *Dispatcher) warmth(e *engine) float64 {
+func (d *Scheduler) warmth(e *engine) float64 {
 	if !e.cold {
 		return 1
 	}
-	age := float64(d.now-e.coldFrom) / float64(max(1, d.cfg.Rules.Cold))
-	return min(1, d.cfg.Rules.ColdFrom+(1-d.cfg.Rules.ColdFrom)*max(0, age))
+	age := float64(d.now-e.coldFrom) / float64(max(1, d.cfg.Rules.WarmUp))
+	return min(1, d.cfg.Rules.InitialWarmth+(1-d.cfg.Rules.InitialWarmth)*max(0, age))
 }
 
 // relative is an engine's slowness against the median of the ready ones: what slows all is load.
-func (d *Dispatcher) relative(e *engine) float64 { return min(slowMost, e.slow/d.median) }
+func (d *Scheduler) relative(e *engine) float64 { return min(slowMost, e.slow/d.median) }
 
 // survey takes stock of the ready engines once a step: their median slowness and mean load, how thinly
 // threads are spread over them, and the share. That does not bind without pressure, but hardShare times it
 // always does: a jam starts sooner than latency can tell of it.
-func (d *Dispatcher) survey() {
+func (d *Scheduler) survey() {
 	var slow []float64
 	d.countLost()
 	threads, load, cores, sizes := 0, 0.0, 0.0, 0.0
@@ -597,7 +597,7 @@
 
 // pastShare says whether the engine runs this gateway's part of its share, which longer classes do not take
 // from shorter ones while no engine is full.
-func (d *Dispatcher) pastShare(q *query, e *engine) bool {
+func (d *Scheduler) pastShare(q *query, e *engine) bool {
 	if d.now-e.fullAt < fullMemory && d.now-e.sentAt < fullPause { // else what it refuses makes it look idle
 		return true
 	}
@@ -610,42 +610,42 @@
 }
 
 // pressure is a full refusal of late, or a class's latency well above its best.
-func (d *Dispatcher) pressure() bool {
+func (d *Scheduler) pressure() bool {
 	return d.now-d.fullAt < fullMemory || slices.ContainsFunc(d.classes, func(c *class) bool {
 		return c.estimate > 0 && c.latency/c.estimate > pressureAt*c.best
 	})
 }
 
 // mayGo holds the rules that bind a query whatever the engine.
-func (d *Dispatcher) mayGo(q *query) bool {
+func (d *Scheduler) mayGo(q *query) bool {
 	if q.answered || len(q.attempts) >= d.mostAttempts(q) || q.open > 0 && !d.mayCopy(q) {
 		return false
 	}
 	if q.line != nil && (q.line.queue[0] != q || q.line.quiet > d.now && q.line.except != q) {
 		return false
 	}
-	if r := d.cfg.Rules; len(q.attempts) > 0 && r.Budgeted {
-		taken := d.arrivals.since(d.now - r.LookBack + 1)
-		return d.extras.since(d.now-r.LookBack)+1 <= r.MinExtra+r.ExtraRatio*taken
+	if r := d.cfg.Rules; len(q.attempts) > 0 && r.RetryBudget {
+		taken := d.arrivals.since(d.now - r.RetryBudgetWindow + 1)
+		return d.extras.since(d.now-r.RetryBudgetWindow)+1 <= r.MinRetries+r.RetryRatio*taken
 	}
 	return true
 }
 
 // admissible is the guard of every send: drains, placement, effects and the cold budget.
-func (d *Dispatcher) admissible(q *query, e *engine) bool {
+func (d *Scheduler) admissible(q *query, e *engine) bool {
 	return !e.gone && !q.on(e) && allowed(q.class.Zones, e.Zone) && allowed(q.class.Kinds, e.Kind) &&
 		d.effectSafe(q, e) && d.coldRoom(q, e) && d.affords(q, e)
 }
 
 // affords says whether the fleet's budgets have room for an attempt: those of engines with one, and else all
 // others. What is asked for first is noted as wanted.
-func (d *Dispatcher) affords(q *query, e *engine) bool {
+func (d *Scheduler) affords(q *query, e *engine) bool {
 	ok := true
 	for _, b := range d.budgets.list {
-		if a, n := d.charge(b, q, e); a != nil && !b.Counted && !a.Room(d.now, n) {
+		if a, n := d.charge(b, q, e); a != nil && !b.CountOnly && !a.CanSpend(d.now, n) {
 			ok = false
 			if e != nil && !q.wanted {
-				a.Want(d.now, n)
+				a.RecordDemand(d.now, n)
 			}
 		}
 	}
@@ -653,22 +653,22 @@
 }
 
 // mostAttempts is how often a query may be sent.
-func (d *Dispatcher) mostAttempts(q *query) int {
-	if q.Single {
+func (d *Scheduler) mostAttempts(q *query) int {
+	if q.NoRetry {
 		return 1
 	}
 	return d.cfg.Limits.MaxAttempts
 }
 
 // effectSafe says whether a send to e cannot make an effect happen twice.
-func (d *Dispatcher) effectSafe(q *query, e *engine) bool {
+func (d *Scheduler) effectSafe(q *query, e *engine) bool {
 	for _, a := range q.attempts {
-		if a.harmless || q.repeat() == Safe {
+		if a.harmless || q.repeat() == Idempotent {
 			continue
 		}
-		same := q.class.Scope == ScopeAll || q.class.Scope == ScopeZone && a.zone == e.Zone ||
-			q.class.Scope == ScopeCell && a.cell == e.Cell
-		if q.repeat() == Unsafe || !same || d.now >= q.repeatUntil() {
+		same := q.class.DedupeScope == ScopeAll || q.class.DedupeScope == ScopeZone && a.zone == e.Zone ||
+			q.class.DedupeScope == ScopeCell && a.cell == e.Cell
+		if q.repeat() == NonIdempotent || !same || d.now >= q.repeatUntil() {
 			return false
 		}
 	}
@@ -680,32 +680,32 @@
 // gateways adds up to coldLight of the budget, however uneven they are. Heavy ones take turns: one gateway,
 // drawn by hash, has coldHeavy of the budget for all but one of turnSpans spans, so that no span meets two
 // turns. A gateway that has just started sits its turn out, having forgotten its own.
-func (d *Dispatcher) coldRoom(q *query, e *engine) bool {
+func (d *Scheduler) coldRoom(q *query, e *engine) bool {
 	r, n, work := d.cfg.Rules, uint64(d.cfg.Gateways), q.class.work
-	if !e.cold || r.Fall <= 0 || d.budgets.cold {
+	if !e.cold || r.OverloadWindow <= 0 || d.budgets.cold {
 		return true
 	}
-	budget, longest := r.FallMultiple*coldUtil*e.cores*d.warmth(e)*float64(r.Fall), 0.0
+	budget, longest := r.OverloadMultiple*coldUtil*e.cores*d.warmth(e)*float64(r.OverloadWindow), 0.0
 	for _, c := range d.classes {
 		longest = max(longest, c.work)
 	}
 	if part := coldMargin * budget / float64(n); part >= longest {
-		return e.sentCold.since(d.now-r.Fall)+work <= part
+		return e.sentCold.since(d.now-r.OverloadWindow)+work <= part
 	}
 	if work <= coldLot*budget {
-		e.credit.accrue(d.now, coldLight*budget*d.ownPart()/float64(r.Fall), work)
+		e.credit.accrue(d.now, coldLight*budget*d.ownPart()/float64(r.OverloadWindow), work)
 		return e.credit.left >= work
 	}
-	at := uint64(d.now/r.Fall) + e.hash%turnSpans
+	at := uint64(d.now/r.OverloadWindow) + e.hash%turnSpans
 	mine := (mix(e.hash^at/turnSpans)+uint64(d.cfg.Rank))%n == 0
-	return mine && at%turnSpans > 0 && d.now >= d.startedAt+r.Fall &&
-		e.sentCold.since(d.now-r.Fall)+work <= coldHeavy*budget
+	return mine && at%turnSpans > 0 && d.now >= d.startedAt+r.OverloadWindow &&
+		e.sentCold.since(d.now-r.OverloadWindow)+work <= coldHeavy*budget
 }
 
 // ownPart is this gateway's part of the fleet's traffic: its own rate of arrivals over what all tenants'
 // quotas allow, and surge on top, so that the parts don't add up to more than one in an overload; or, where
 // no quotas are set, an even part.
-func (d *Dispatcher) ownPart() float64 {
+func (d *Scheduler) ownPart() float64 {
 	if d.quota == 0 {
 		return 1 / float64(d.cfg.Gateways)
 	}
@@ -713,10 +713,10 @@
 }
 
 // part is the part of what all gateways may have that this one takes for its own: an even part at least.
-func (d *Dispatcher) part() float64 { return max(d.ownPart(), 1/float64(d.cfg.Gateways)) }
+func (d *Scheduler) part() float64 { return max(d.ownPart(), 1/float64(d.cfg.Gateways)) }
 
 // send starts an attempt. Every send passes here, after mayGo and admissible.
-func (d *Dispatcher) send(q *query, e *engine) {
+func (d *Scheduler) send(q *query, e *engine) {
 	if len(q.attempts) > 0 {
 		d.ration(&d.extras)
 	}
@@ -740,41 +740,41 @@
 	d.terms(q)
 	timeout := Micros(0)
 	// What can't be called off must end by itself, unless a second copy goes beside it.
-	if l := d.cfg.Limits; !l.Cancel && !l.Duplicates && q.repeat() == Safe {
+	if l := d.cfg.Limits; !l.Cancel && !l.HedgedRequests && q.repeat() == Idempotent {
 		timeout = Micros(q.class.patience() * exec)
 	}
 	if life > 0 && (timeout == 0 || life < timeout) {
 		timeout = life
 	}
-	d.do(Send{ID: q.ID, Engine: e.Engine, Timeout: timeout, Until: until})
+	d.do(StartAttempt{ID: q.ID, Engine: e.Engine, Timeout: timeout, StartBy: until})
 }
 
-func (d *Dispatcher) terms(q *query) {
+func (d *Scheduler) terms(q *query) {
 	if p := d.priority(q); d.cfg.Priorities && q.priority != p {
 		q.priority = p
-		d.do(Terms{ID: q.ID, Priority: p})
+		d.do(AttemptParameters{ID: q.ID, Priority: p})
 	}
 }
 
 // priority favours classes of much worth for their work, then loads, and drops what is past its aim.
-func (d *Dispatcher) priority(q *query) int {
+func (d *Scheduler) priority(q *query) int {
 	top := 0.0
 	for _, c := range d.classes {
-		top = max(top, c.Worth/c.work)
+		top = max(top, c.PriorityWeight/c.work)
 	}
 	switch {
 	case q.over || d.now > d.aim(q):
 		return 0
-	case q.class.Loads:
+	case q.class.LocksTableGroup:
 		return 2
-	case q.class.Worth/q.class.work > top/2:
+	case q.class.PriorityWeight/q.class.work > top/2:
 		return 3
 	}
 	return 1
 }
 
 // aim is the time until which the answer earns its full worth, as far as told.
-func (d *Dispatcher) aim(q *query) Micros {
+func (d *Scheduler) aim(q *query) Micros {
 	return q.asked + q.class.aimFor(q.work())
 }
 
@@ -782,7 +782,7 @@
 func (c *class) patience() float64 { return 1 + planScatter*c.scatter }
 
 // outcome books the end of an attempt and decides what becomes of the query.
-func (d *Dispatcher) outcome(o Outcome) {
+func (d *Scheduler) outcome(o Outcome) {
 	q, a := d.attempt(o.ID, o.Attempt)
 	if a == nil || !a.open {
 		return
@@ -794,7 +794,7 @@
 	d.book(q, a.engine, -1)
 	d.judge(q, a, o)
 	if q.line != nil && (o.Result == TimedOut || o.Result == Reset || o.Result == Canceled) {
-		q.line.quiet, q.line.except = d.now+d.cfg.Rules.Settle+1, q
+		q.line.quiet, q.line.except = d.now+d.cfg.Rules.KeyQuietPeriod+1, q
 	}
 	switch {
 	case o.Final || q.answered:
@@ -809,7 +809,7 @@
 }
 
 // again says whether a further attempt could still serve the query.
-func (d *Dispatcher) again(q *query) bool {
+func (d *Scheduler) again(q *query) bool {
 	if len(q.attempts) >= d.mostAttempts(q) || d.now+2*sweepEvery >= q.Deadline {
 		return false
 	}
@@ -817,16 +817,16 @@
 }
 
 // judge learns from an outcome: the class's price, and the engine's soundness.
-func (d *Dispatcher) judge(q *query, a *attempt, o Outcome) {
+func (d *Scheduler) judge(q *query, a *attempt, o Outcome) {
 	switch o.Result {
-	case Done:
-		q.took(o.Spent)
-		if q.Measured {
-			d.do(Measure{ID: q.ID, Elapsed: o.Elapsed, Slowdown: d.slowdown(q, a)})
+	case Succeeded:
+		q.took(o.WorkUsed)
+		if q.MeasureLatency {
+			d.do(LatencyMeasurement{ID: q.ID, Elapsed: o.Elapsed, Slowdown: d.slowdown(q, a)})
 		}
 		d.measure(q, a, float64(o.Elapsed))
 		d.heard(a.engine)
-	case Full:
+	case Rejected:
 		d.fullAt, a.engine.fullAt = d.now, d.now
 		d.heard(a.engine)
 	case Errored: // it looks idle, and is as bad as one that takes some times as long
@@ -840,22 +840,22 @@
 }
 
 // measure takes a served attempt's latency into its class's ratio.
-func (d *Dispatcher) measure(q *query, a *attempt, latency float64) {
+func (d *Scheduler) measure(q *query, a *attempt, latency float64) {
 	c := q.class
 	d.grade(a.engine, latency/max(a.exec, 1))
 	d.learn(q, latency)
-	if q.Cost == 0 && !d.pressure() {
+	if q.EstimatedWork == 0 && !d.pressure() {
 		c.work += decay * (latency*float64(c.Threads) - c.work)
 	}
 }
 
 // slowdown is how many times its best latency a query is held to have taken for the load on its engine.
-func (d *Dispatcher) slowdown(q *query, a *attempt) float64 {
+func (d *Scheduler) slowdown(q *query, a *attempt) float64 {
 	return max(1, q.class.latency/q.class.estimate/q.class.best) * max(1, d.relative(a.engine))
 }
 
 // learn moves the class's ratio; one bad plan or wait for a load says little of the class and is clipped.
-func (d *Dispatcher) learn(q *query, latency float64) {
+func (d *Scheduler) learn(q *query, latency float64) {
 	price := d.price(q)
 	latency = min(latency, clip*price)
 	q.class.scatter += decay * (math.Abs(latency/price-1) - q.class.scatter)
@@ -870,19 +870,19 @@
 }
 
 // grade takes a measure of latency over ExecTime into the engine's slowness.
-func (d *Dispatcher) grade(e *engine, ratio float64) {
+func (d *Scheduler) grade(e *engine, ratio float64) {
 	e.slow += engineDecay * (min(ratio, slowMost) - e.slow)
 	e.slowAt = d.now
 }
 
 // heard notes a sign of life: an ejected engine returns, and those of its zone may be back too. Who has been
 // away may have started anew, of which the list tells late: for that long it counts as cold.
-func (d *Dispatcher) heard(e *engine) {
+func (d *Scheduler) heard(e *engine) {
 	e.heardAt = d.now
 	if !e.out {
 		return
 	}
-	if away := d.now - e.outAt; away > awayFrom && !e.cold && d.cfg.Rules.Cold > 0 {
+	if away := d.now - e.outAt; away > awayFrom && !e.cold && d.cfg.Rules.WarmUp > 0 {
 		d.startCold(e, d.now, true)
 	}
 	e.out, e.backoff = false, 0
@@ -896,7 +896,7 @@
 
 // eject takes an engine out of the order until a trial succeeds. Where several of a zone are out and none has
 // been heard since, the zone is lost: its others need not be tried one by one with what clients wait for.
-func (d *Dispatcher) eject(e *engine) {
+func (d *Scheduler) eject(e *engine) {
 	d.takeOut(e)
 	first, last, n, zone := d.now, Micros(-1), 0, d.zone(e.Zone)
 	for _, o := range zone {
@@ -912,7 +912,7 @@
 	}
 }
 
-func (d *Dispatcher) takeOut(e *engine) {
+func (d *Scheduler) takeOut(e *engine) {
 	if !e.out {
 		d.do(Log{Text: "ejected " + e.Engine})
 		e.outAt = d.now
@@ -923,27 +923,27 @@
 }
 
 // trial lets one harmless query at a time try an ejected engine, where probes can't.
-func (d *Dispatcher) trial(q *query, e *engine) bool {
-	return e.out && !d.cfg.Limits.Probes && d.now >= e.trialAt && e.own == 0 && q.repeat() == Safe && q.fresh()
+func (d *Scheduler) trial(q *query, e *engine) bool {
+	return e.out && !d.cfg.Limits.HealthChecks && d.now >= e.trialAt && e.own == 0 && q.repeat() == Idempotent && q.fresh()
 }
 
 // probe tries ejected engines whose time has come, one of a zone at a time.
-func (d *Dispatcher) probe() {
+func (d *Scheduler) probe() {
 	for _, e := range d.engines {
-		if d.cfg.Limits.Probes && e.out && !e.gone && !e.probed && d.now >= max(e.trialAt, d.probeAt[e.Zone]) &&
+		if d.cfg.Limits.HealthChecks && e.out && !e.gone && !e.probed && d.now >= max(e.trialAt, d.probeAt[e.Zone]) &&
 			d.mayProbe() {
 			e.probed, d.probeAt[e.Zone] = true, d.now+backoffFirst/2
-			d.do(Probe{Engine: e.Engine})
+			d.do(HealthCheck{Engine: e.Engine})
 		}
 	}
 }
 
 // mayProbe spends a probe.
-func (d *Dispatcher) mayProbe() bool {
+func (d *Scheduler) mayProbe() bool {
 	for _, b := range d.budgets.list {
-		if b.Probes && !b.Counted {
-			a := b.book.Of(d.now, "")
-			a.Want(d.now, account.Unit)
+		if b.HealthChecks && !b.CountOnly {
+			a := b.book.Account(d.now, "")
+			a.RecordDemand(d.now, account.Unit)
 			if _, ok := a.Spend(d.now, account.Unit); !ok {
 				a.Denied++
 				return false
@@ -954,7 +954,7 @@
 }
 
 // sweep is run every few milliseconds while anything is held or out.
-func (d *Dispatcher) sweep() {
+func (d *Scheduler) sweep() {
 	d.dropLines()
 	d.probe()
 	for _, c := range d.classes {
@@ -964,7 +964,7 @@
 		c.best *= 1 + bestDrift*float64(sweepEvery)/float64(Second)
 	}
 	for _, e := range d.engines {
-		if e.cold && (d.now >= e.coldFrom+d.cfg.Rules.Cold || e.supposed && d.now >= e.coldFrom+listLate) {
+		if e.cold && (d.now >= e.coldFrom+d.cfg.Rules.WarmUp || e.supposed && d.now >= e.coldFrom+listLate) {
 			e.cold, e.supposed, e.sentCold = false, false, window{} // and goes on like others, not to be filled first
 			e.recent, e.recentAt = max(d.recent(e), d.mean*e.cores), d.sends
 		}
@@ -982,7 +982,7 @@
 }
 
 // watch looks at an attempt that is out.
-func (d *Dispatcher) watch(q *query, i int) {
+func (d *Scheduler) watch(q *query, i int) {
 	a := &q.attempts[i]
 	age := float64(d.now - a.at)
 	if age > a.mark*a.exec {
@@ -1005,7 +1005,7 @@
 		return
 	}
 	left := float64(q.Deadline - d.now)
-	if !d.cfg.Limits.Cancel || q.repeat() != Safe || left < 2*d.price(q) || a.planned ||
+	if !d.cfg.Limits.Cancel || q.repeat() != Idempotent || left < 2*d.price(q) || a.planned ||
 		len(q.attempts) >= d.mostAttempts(q) ||
 		age < q.class.patience()*max(a.exec, d.price(q))*max(1, d.relative(a.engine)) {
 		return
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -10,25 +10,25 @@
 func testConfig() Config {
 	return Config{
 		Gateways: 2,
-		Kinds:    []Kind{{Name: "k", Cores: 4, MemoryMB: 1000}},
+		Kinds:    []EngineKind{{Name: "k", Cores: 4, MemoryMB: 1000}},
 		Classes: []Class{
-			{Name: "short", Aim: Second, GiveUp: 4 * Second, Worth: 1, Threads: 1},
-			{Name: "long", Aim: 4 * Second, GiveUp: 30 * Second, Worth: 5, Threads: 2},
+			{Name: "short", LatencyObjective: Second, ClientTimeout: 4 * Second, PriorityWeight: 1, Threads: 1},
+			{Name: "long", LatencyObjective: 4 * Second, ClientTimeout: 30 * Second, PriorityWeight: 5, Threads: 2},
 		},
 		Limits: Limits{Cancel: true, MaxAttempts: 3, MaxRetryAfter: Second},
-		Rules:  Rules{Cold: 10 * Second, ColdFrom: 0.5, Fall: Second, FallMultiple: 2, DrainGrace: Second},
+		Rules:  Rules{WarmUp: 10 * Second, InitialWarmth: 0.5, OverloadWindow: Second, OverloadMultiple: 2, DrainGrace: Second},
 	}
 }
 
-func engines(names ...string) List {
-	l := List{Kind: ListComplete}
+func engines(names ...string) EndpointUpdate {
+	l := EndpointUpdate{Kind: UpdateComplete}
 	for _, n := range names {
-		l.Entries = append(l.Entries, Entry{Engine: n, Kind: "k"})
+		l.Entries = append(l.Entries, Endpoint{Engine: n, Kind: "k"})
 	}
 	return l
 }
 
-func started(t *testing.T, cfg Config, l List) *Dispatcher {
+func started(t *testing.T, cfg Config, l EndpointUpdate) *Scheduler {
 	t.Helper()
 	d, err := New(cfg, 7)
 	if err != nil {
@@ -38,10 +38,10 @@
 	return d
 }
 
-func sends(actions []Action) []Send {
-	var s []Send
+func sends(actions []Action) []StartAttempt {
+	var s []StartAttempt
 	for _, a := range actions {
-		if a, ok := a.(Send); ok {
+		if a, ok := a.(StartAttempt); ok {
 			s = append(s, a)
 		}
 	}
@@ -54,9 +54,9 @@
 
 // Rule 3: nothing goes to an engine that drains, is removed, or is missing from a complete list.
 func TestDrainsAreKept(t *testing.T) {
-	for name, l := range map[string]List{
-		"draining": {Entries: []Entry{{Engine: "a", Kind: "k", State: Draining}}},
-		"removed":  {Entries: []Entry{{Engine: "a", Kind: "k", State: Removed}}},
+	for name, l := range map[string]EndpointUpdate{
+		"draining": {Entries: []Endpoint{{Engine: "a", Kind: "k", State: Draining}}},
+		"removed":  {Entries: []Endpoint{{Engine: "a", Kind: "k", State: Removed}}},
 		"missing":  engines("b"),
 	} {
 		d := started(t, testConfig(), engines("a", "b"))
@@ -68,12 +68,12 @@
 }
 
 func outcome(id uint64, attempt int, engine string, r Result, took Micros) Outcome {
-	return Outcome{ID: id, Attempt: attempt, Engine: engine, Result: r, Elapsed: took, Final: r == Done}
+	return Outcome{ID: id, Attempt: attempt, Engine: engine, Result: r, Elapsed: took, Final: r == Succeeded}
 }
 
 func refusals(actions []Action) (ids []uint64) {
 	for _, a := range actions {
-		if r, ok := a.(Refuse); ok {
+		if r, ok := a.(Reject); ok {
 			ids = append(ids, r.ID)
 		}
 	}
@@ -91,7 +91,7 @@
 
 // Rule 1: a query that no engine can take is answered before the client gives up, by the sweep alone.
 func TestHeldQueryIsAnswered(t *testing.T) {
-	d := started(t, testConfig(), List{Kind: ListComplete})
+	d := started(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
 	now := Second
 	actions := d.Step(now, []Event{ask(1, 0, now)})
 	for len(refusals(actions)) == 0 && now < 10*Second {
@@ -110,28 +110,28 @@
 func TestEffects(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		repeat     Repeat
-		scope      Scope
+		repeat     Effect
+		scope      DedupeScope
 		result     Result
 		elapsed    Micros
 		wantEngine string
 		wantFail   bool
 	}{
-		{"safe goes on", Safe, ScopeAll, Reset, 1000, "b", false},
-		{"unsafe fails", Unsafe, ScopeAll, Reset, 1000, "", true},
-		{"unsafe goes on when it never ran", Unsafe, ScopeAll, NoConnection, 1000, "b", false},
-		{"keyed goes to its zone", Keyed, ScopeZone, Errored, 1000, "c", false},
-		{"keyed goes to its cell", Keyed, ScopeCell, Errored, 1000, "c", false},
-		{"keyed fails after its window", Keyed, ScopeZone, Errored, 3 * Second, "", true},
-		{"keyed for all fails after its window by a refusal", Keyed, ScopeAll, Errored, 3 * Second, "", false},
+		{"safe goes on", Idempotent, ScopeAll, Reset, 1000, "b", false},
+		{"unsafe fails", NonIdempotent, ScopeAll, Reset, 1000, "", true},
+		{"unsafe goes on when it never ran", NonIdempotent, ScopeAll, NoConnection, 1000, "b", false},
+		{"keyed goes to its zone", IdempotentByKey, ScopeZone, Errored, 1000, "c", false},
+		{"keyed goes to its cell", IdempotentByKey, ScopeCell, Errored, 1000, "c", false},
+		{"keyed fails after its window", IdempotentByKey, ScopeZone, Errored, 3 * Second, "", true},
+		{"keyed for all fails after its window by a refusal", IdempotentByKey, ScopeAll, Errored, 3 * Second, "", false},
 	} {
 		cfg := testConfig()
-		cfg.Classes[0].Repeat, cfg.Classes[0].Scope, cfg.Classes[0].Window = c.repeat, c.scope, 2*Second
+		cfg.Classes[0].Effect, cfg.Classes[0].DedupeScope, cfg.Classes[0].DedupeWindow = c.repeat, c.scope, 2*Second
 		l := engines("a")
 		l.Entries[0].Zone, l.Entries[0].Cell = "north", 1
 		d := started(t, cfg, l)
 		d.Step(Second, []Event{ask(1, 0, Second)})
-		others := List{Entries: []Entry{{Engine: "b", Kind: "k", Zone: "south", Cell: 2},
+		others := EndpointUpdate{Entries: []Endpoint{{Engine: "b", Kind: "k", Zone: "south", Cell: 2},
 			{Engine: "c", Kind: "k", Zone: "north", Cell: 1}}}
 		if c.wantEngine == "b" {
 			others.Entries = others.Entries[:1]
@@ -162,8 +162,8 @@
 		}
 		sent = max(sent, len(sends(d.Step(now, events))))
 	}
-	usual := cfg.Classes[0].Aim // nothing is known of the class yet
-	budget := cfg.Rules.FallMultiple * cfg.Rules.ColdFrom * 4 * float64(cfg.Rules.Fall) / float64(cfg.Gateways)
+	usual := cfg.Classes[0].LatencyObjective // nothing is known of the class yet
+	budget := cfg.Rules.OverloadMultiple * cfg.Rules.InitialWarmth * 4 * float64(cfg.Rules.OverloadWindow) / float64(cfg.Gateways)
 	if work := float64(sent) * float64(usual); sent == 0 || work > budget {
 		t.Fatalf("sent %d queries of %d, budget %.0f", sent, usual, budget)
 	}
@@ -172,7 +172,7 @@
 // Rule 5: queries of one key run singly and in order, and after a doubtful end others wait.
 func TestOrderByKey(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[0].Ordered, cfg.Rules.Settle = true, Second
+	cfg.Classes[0].Ordered, cfg.Rules.KeyQuietPeriod = true, Second
 	d := started(t, cfg, engines("a", "b"))
 	first, second := ask(1, 0, Second), ask(2, 0, Second)
 	first.Key, second.Key = "x", "x"
@@ -180,7 +180,7 @@
 	if len(got) != 1 || got[0].ID != 1 {
 		t.Fatalf("sends %v, want the first alone", got)
 	}
-	d.Step(Second+10, []Event{Gone{ID: 1}})
+	d.Step(Second+10, []Event{ClientDisconnected{ID: 1}})
 	got = sends(d.Step(Second+20, []Event{outcome(1, 0, got[0].Engine, Canceled, 20)}))
 	if len(got) != 0 {
 		t.Fatalf("sends %v within the quiet time", got)
@@ -204,7 +204,7 @@
 // Rule 7: further attempts stay within the stated budget.
 func TestAttemptBudget(t *testing.T) {
 	cfg := testConfig()
-	cfg.Rules.Budgeted, cfg.Rules.MinExtra, cfg.Rules.ExtraRatio, cfg.Rules.LookBack = true, 1, 0.1, Second
+	cfg.Rules.RetryBudget, cfg.Rules.MinRetries, cfg.Rules.RetryRatio, cfg.Rules.RetryBudgetWindow = true, 1, 0.1, Second
 	d := started(t, cfg, engines("a", "b"))
 	now, extra := Second, 0
 	var events []Event
@@ -223,11 +223,11 @@
 
 // Group EDF differs from EDF (1, due first, is not the smallest of its group) and from SJF (3 is smallest).
 func TestGroupEDF(t *testing.T) {
-	d := started(t, testConfig(), List{Kind: ListComplete})
+	d := started(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
 	d.classes[0].latency, d.classes[0].estimate = 1, 1
 	at := func(id uint64, cost, now Micros) {
 		r := ask(id, 0, now)
-		r.Cost = cost
+		r.EstimatedWork = cost
 		d.Step(now, []Event{r})
 	}
 	at(1, 100_000, 0)      // due at 1.0 s, its group reaches to 1.4 s
@@ -241,7 +241,7 @@
 // Found by incident i347ad8: a retry that arrives just before its client gives up was held until the next
 // sweep, too late for any answer.
 func TestShortDeadlineIsAnsweredAtOnce(t *testing.T) {
-	d := started(t, testConfig(), List{Kind: ListComplete})
+	d := started(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
 	r := ask(1, 0, Second)
 	r.Deadline = Second + 5000
 	if got := refusals(d.Step(Second, []Event{r})); len(got) != 1 {
@@ -274,7 +274,7 @@
 	if got := len(sends(d.Step(Second, events))); got != share+1 {
 		t.Fatalf("sent %d without pressure, want %d", got, share+1)
 	}
-	d.Step(Second+1000, []Event{outcome(0, 0, "a", Full, 1000)})
+	d.Step(Second+1000, []Event{outcome(0, 0, "a", Rejected, 1000)})
 	if got := sends(d.Step(Second+2000, []Event{ask(99, 0, Second+2000)})); len(got) != 0 {
 		t.Fatalf("sent %v past the share under pressure", got)
 	}
@@ -297,7 +297,7 @@
 func TestPriceRecovers(t *testing.T) {
 	d := started(t, testConfig(), engines("a"))
 	d.Step(0, []Event{ask(1, 0, 0)})
-	d.Step(1, []Event{outcome(1, 0, "a", Done, 100_000)})
+	d.Step(1, []Event{outcome(1, 0, "a", Succeeded, 100_000)})
 	c := d.classes[0]
 	c.best, c.latency = 0.1*float64(Second), 100*float64(Second)
 	for now := Second; now < 20*Second; now += sweepEvery {
@@ -363,7 +363,7 @@
 			if s.Engine == "b" {
 				trials++
 				defer func(id uint64) {
-					d.Step(now+1000, []Event{outcome(id, 0, "b", Done, 1000)})
+					d.Step(now+1000, []Event{outcome(id, 0, "b", Succeeded, 1000)})
 					if d.byName["b"].out {
 						t.Error("an answer did not bring the engine back")
 					}
@@ -379,7 +379,7 @@
 // A class that waits passes over an engine on which this gateway loads its table group.
 func TestWaitersAvoidLoads(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[0].Waits, cfg.Classes[1].Loads = true, true
+	cfg.Classes[0].WaitsForTableGroup, cfg.Classes[1].LocksTableGroup = true, true
 	d := started(t, cfg, engines("a", "b", "c"))
 	load := ask(1, 1, 0)
 	load.Deadline = 20 * Second
@@ -434,14 +434,14 @@
 // Where lists must be asked for, a failed call is made again though nothing else happens at an idle gateway.
 func TestSubscribesAgainAfterFailure(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList, cfg.Rules.AskWithin = true, 10*Second
+	cfg.PollEndpoints, cfg.Rules.ResponseTimeout = true, 10*Second
 	d, err := New(cfg, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Step(Second, []Event{List{Kind: ListSaved}})
+	d.Step(Second, []Event{EndpointUpdate{Kind: UpdateCached}})
 	var at Micros
-	for _, a := range d.Step(2*Second, []Event{List{Kind: ListFailed}}) {
+	for _, a := range d.Step(2*Second, []Event{EndpointUpdate{Kind: UpdateFailed}}) {
 		if s, ok := a.(SetTimer); ok {
 			at = s.At
 		}
@@ -493,7 +493,7 @@
 
 // A held query is refused once it can no longer finish by ten times its ExecTime, and not before.
 func TestLapse(t *testing.T) {
-	d := started(t, testConfig(), List{Kind: ListComplete})
+	d := started(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
 	d.classes[0].latency, d.classes[0].estimate = 100_000, 1
 	d.Step(0, []Event{ask(1, 0, 0)})
 	if got := refusals(d.Step(900_000, []Event{Timer{Token: "sweep"}})); len(got) != 0 {
@@ -524,10 +524,10 @@
 
 // Found on jadwal-later rough-1: clients who come with little time are no retries; a late retry still goes last.
 func TestShortPatienceIsNoRetry(t *testing.T) {
-	d := started(t, testConfig(), List{Kind: ListComplete})
+	d := started(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
 	hurried, retry := ask(2, 0, Second), ask(3, 0, Second)
-	hurried.Deadline = Second + d.cfg.Classes[0].Aim/2
-	retry.Deadline = Second + d.cfg.Classes[0].Aim*2
+	hurried.Deadline = Second + d.cfg.Classes[0].LatencyObjective/2
+	retry.Deadline = Second + d.cfg.Classes[0].LatencyObjective*2
 	d.Step(Second, []Event{ask(1, 0, Second), hurried, retry})
 	if d.queries[2].over || !d.queries[3].over {
 		t.Fatalf("hurried goes last %v, retry goes last %v", d.queries[2].over, d.queries[3].over)
@@ -538,7 +538,7 @@
 func TestThinTenantShare(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways, cfg.Tenants = 200, []Tenant{{Name: "t", Share: 1, Quota: 70}}
-	d := started(t, cfg, List{Kind: ListComplete})
+	d := started(t, cfg, EndpointUpdate{Kind: UpdateComplete})
 	for i := range uint64(5) {
 		now := Micros(10*i+10) * Second
 		r := ask(i, 0, now)
@@ -558,7 +558,7 @@
 	cfg.Gateways = n
 	l := engines("a")
 	l.Entries[0].Started = 2 * Second
-	var all []*Dispatcher
+	var all []*Scheduler
 	for rank := range n {
 		cfg.Rank = rank
 		all = append(all, started(t, cfg, l))
@@ -576,7 +576,7 @@
 				r := ask(id, class, now)
 				for _, s := range sends(d.Step(now, []Event{r})) {
 					k := cfg.Classes[d.queries[s.ID].Request.Class]
-					got = append(got, sent{now, float64(k.Aim) * float64(k.Threads)})
+					got = append(got, sent{now, float64(k.LatencyObjective) * float64(k.Threads)})
 				}
 			}
 		}
@@ -585,12 +585,12 @@
 	for _, from := range got {
 		sum := 0.0
 		for _, s := range got {
-			if s.at >= from.at && s.at < from.at+cfg.Rules.Fall {
+			if s.at >= from.at && s.at < from.at+cfg.Rules.OverloadWindow {
 				sum += s.work
 			}
 		}
-		warmth := cfg.Rules.ColdFrom + (1-cfg.Rules.ColdFrom)*float64(from.at-2*Second)/float64(cfg.Rules.Cold)
-		most = max(most, sum/(cfg.Rules.FallMultiple*warmth*4*float64(cfg.Rules.Fall)))
+		warmth := cfg.Rules.InitialWarmth + (1-cfg.Rules.InitialWarmth)*float64(from.at-2*Second)/float64(cfg.Rules.WarmUp)
+		most = max(most, sum/(cfg.Rules.OverloadMultiple*warmth*4*float64(cfg.Rules.OverloadWindow)))
 	}
 	if len(got) == 0 || most > 1 {
 		t.Fatalf("%d sends, %.2f of the budget at most", len(got), most)
@@ -605,10 +605,10 @@
 		for id := range uint64(100) {
 			now += Second
 			r := ask(id, 0, now)
-			r.Cost = 100_000
+			r.EstimatedWork = 100_000
 			d.Step(now, []Event{r})
 			took := 100_000 - off + 2*off*Micros(id%2)
-			d.Step(now+took, []Event{outcome(id, 0, "a", Done, took)})
+			d.Step(now+took, []Event{outcome(id, 0, "a", Succeeded, took)})
 		}
 		return d.classes[0].patience()
 	}
--- a/scheduler/sequences_test.go
+++ b/scheduler/sequences_test.go
@@ -15,12 +15,12 @@
 // sequence feeds a module random events and digests the actions that it answers with.
 type sequence struct {
 	rng      *rand.Rand
-	d        *Dispatcher
+	d        *Scheduler
 	cfg      Config
 	now      Micros
 	events   int
 	nextID   uint64
-	engines  []Entry
+	engines  []Endpoint
 	inFlight []sentAttempt
 	attempts map[uint64]int
 	timers   []SetTimer
@@ -42,25 +42,25 @@
 	has := func(bit uint) bool { return seed>>bit&1 == 1 }
 	cfg := Config{
 		Gateways: 1 + int(seed%4)*20, Rank: int(seed % 3), Zone: "a",
-		Kinds: []Kind{{Name: "small", Cores: 4, MemoryMB: 8000}, {Name: "large", Cores: 16, MemoryMB: 64000}},
+		Kinds: []EngineKind{{Name: "small", Cores: 4, MemoryMB: 8000}, {Name: "large", Cores: 16, MemoryMB: 64000}},
 		Classes: []Class{
-			{Name: "lookup", Aim: Second / 2, AimStretch: 1.5, GiveUp: 4 * Second, Worth: 1, LateValue: 0.2, Threads: 1, Waits: true},
-			{Name: "report", Aim: 4 * Second, GiveUp: 20 * Second, Worth: 5, Threads: 2, Stream: has(0)},
-			{Name: "load", Aim: 3 * Second, AimStretch: 2, GiveUp: 25 * Second, Worth: 4, LateValue: 0.5, Threads: 1, Repeat: Keyed,
-				Scope: Scope(seed % 3), Window: 20 * Second, Ordered: has(1), Loads: true},
-			{Name: "change", Aim: Second, GiveUp: 8 * Second, Worth: 2, Threads: 1, Repeat: Unsafe},
-			{Name: "zonal", Aim: Second, GiveUp: 6 * Second, Worth: 1, Threads: 1, Zones: []string{"a"}, Kinds: []string{"large"}},
+			{Name: "lookup", LatencyObjective: Second / 2, ObjectiveStretch: 1.5, ClientTimeout: 4 * Second, PriorityWeight: 1, LateWeight: 0.2, Threads: 1, WaitsForTableGroup: true},
+			{Name: "report", LatencyObjective: 4 * Second, ClientTimeout: 20 * Second, PriorityWeight: 5, Threads: 2, Stream: has(0)},
+			{Name: "load", LatencyObjective: 3 * Second, ObjectiveStretch: 2, ClientTimeout: 25 * Second, PriorityWeight: 4, LateWeight: 0.5, Threads: 1, Effect: IdempotentByKey,
+				DedupeScope: DedupeScope(seed % 3), DedupeWindow: 20 * Second, Ordered: has(1), LocksTableGroup: true},
+			{Name: "change", LatencyObjective: Second, ClientTimeout: 8 * Second, PriorityWeight: 2, Threads: 1, Effect: NonIdempotent},
+			{Name: "zonal", LatencyObjective: Second, ClientTimeout: 6 * Second, PriorityWeight: 1, Threads: 1, Zones: []string{"a"}, Kinds: []string{"large"}},
 		},
 		Tenants: []Tenant{{Name: "desk", Share: 0.7, Quota: 60}, {Name: "batch", Share: 0.3, Quota: 25}},
-		Limits: Limits{Cancel: !has(2), Probes: has(3), Duplicates: has(4), RetryAfter: !has(1), MaxAttempts: 2 + int(seed%4),
+		Limits: Limits{Cancel: !has(2), HealthChecks: has(3), HedgedRequests: has(4), RetryAfter: !has(1), MaxAttempts: 2 + int(seed%4),
 			MaxRetryAfter: 2 * Second},
-		Rules: Rules{AskWithin: Second, Cold: 8 * Second, ColdFrom: 0.3, Fall: Second, FallMultiple: 2, DrainGrace: Second / 2,
-			AnswerSlack: Second / 20, Settle: Second, Budgeted: has(2), MinExtra: 2, ExtraRatio: 0.2, LookBack: 10 * Second},
-		AskList: has(3), Grants: has(0), Priorities: has(1), MostGrant: 0.5, TellsCost: has(2), ProbePrice: 0.01, CrossZonePrice: 0.1,
-		OverShareWorth: 0.4, ReportsByProbe: has(3), ReportsByAnswer: has(0),
+		Rules: Rules{ResponseTimeout: Second, WarmUp: 8 * Second, InitialWarmth: 0.3, OverloadWindow: Second, OverloadMultiple: 2, DrainGrace: Second / 2,
+			AnswerSlack: Second / 20, KeyQuietPeriod: Second, RetryBudget: has(2), MinRetries: 2, RetryRatio: 0.2, RetryBudgetWindow: 10 * Second},
+		PollEndpoints: has(3), MemoryGrants: has(0), Priorities: has(1), MaxGrantShare: 0.5, ReportsCost: has(2), HealthCheckCost: 0.01, CrossZoneCost: 0.1,
+		OverShareWeight: 0.4, LoadReportsOnHealthChecks: has(3), LoadReportsOnResponses: has(0),
 	}
 	if has(4) {
-		cfg.NotePeriod = Second / 4
+		cfg.ProgressInterval = Second / 4
 	}
 	return cfg
 }
@@ -75,12 +75,12 @@
 	for i := range 12 {
 		s.engines = append(s.engines, s.engine(i, 0))
 	}
-	s.step(List{Kind: ListComplete, Entries: slices.Clone(s.engines)})
+	s.step(EndpointUpdate{Kind: UpdateComplete, Entries: slices.Clone(s.engines)})
 	return s
 }
 
-func (s *sequence) engine(i int, started Micros) Entry {
-	return Entry{Engine: fmt.Sprintf("s-%08x", i), Zone: string(rune('a' + i%3)), Kind: s.cfg.Kinds[i%2].Name, Cell: i % 4, Started: started}
+func (s *sequence) engine(i int, started Micros) Endpoint {
+	return Endpoint{Engine: fmt.Sprintf("s-%08x", i), Zone: string(rune('a' + i%3)), Kind: s.cfg.Kinds[i%2].Name, Cell: i % 4, Started: started}
 }
 
 // chance is true so many times in a hundred.
@@ -94,11 +94,11 @@
 	for _, a := range s.d.Step(s.now, events) {
 		tag := 0
 		switch a := a.(type) {
-		case Send:
+		case StartAttempt:
 			tag = 1
 			s.inFlight = append(s.inFlight, sentAttempt{a.ID, s.attempts[a.ID], a.Engine, s.now, false})
 			s.attempts[a.ID]++
-		case Terms:
+		case AttemptParameters:
 			tag = 2
 		case Cancel:
 			tag = 3
@@ -107,11 +107,11 @@
 					s.inFlight[i].canceled = true
 				}
 			}
-		case Refuse:
+		case Reject:
 			tag = 4
 		case Fail:
 			tag = 5
-		case Probe:
+		case HealthCheck:
 			tag = 6
 			s.probes = append(s.probes, a.Engine)
 		case Subscribe:
@@ -121,7 +121,7 @@
 		case SetTimer:
 			tag = 9
 			s.timers = append(s.timers, a)
-		case Measure:
+		case LatencyMeasurement:
 			tag = 10
 		case Log: // text for people, no decision
 			continue
@@ -144,12 +144,12 @@
 	s.nextID++
 	class := s.rng.IntN(len(s.cfg.Classes))
 	r := Request{ID: s.nextID, Class: class, Tenant: s.rng.IntN(3) - 1, Group: s.rng.IntN(9),
-		Deadline: s.now + s.span(s.cfg.Classes[class].GiveUp), Unsafe: s.chance(3), Single: s.chance(3), Measured: s.chance(10)}
+		Deadline: s.now + s.span(s.cfg.Classes[class].ClientTimeout), NonIdempotent: s.chance(3), NoRetry: s.chance(3), MeasureLatency: s.chance(10)}
 	if class == 2 {
 		r.Key = fmt.Sprintf("key-%d", s.rng.IntN(6))
 	}
 	if s.chance(40) {
-		r.Cost, r.Guessed = s.span(Second), s.chance(50)
+		r.EstimatedWork, r.EstimatedHere = s.span(Second), s.chance(50)
 	}
 	if s.chance(20) {
 		r.MemoryMB = float64(s.rng.IntN(4000))
@@ -157,11 +157,11 @@
 	return r
 }
 
-func (s *sequence) load() *Load {
+func (s *sequence) load() *LoadReport {
 	if !s.chance(50) {
 		return nil
 	}
-	return &Load{Util: s.rng.Float64(), Queue: float64(s.rng.IntN(20)), Memory: s.rng.Float64(), Disk: -1}
+	return &LoadReport{Util: s.rng.Float64(), Queue: float64(s.rng.IntN(20)), Memory: s.rng.Float64(), Disk: -1}
 }
 
 // outcome ends one of the attempts that engines have; engines with an even number do worse.
@@ -182,8 +182,8 @@
 		o.Result = Canceled
 	case s.chance(good):
 		o.Final = true
-		if s.cfg.TellsCost {
-			o.Spent, o.NeededMB = s.span(Second), float64(s.rng.IntN(3000))
+		if s.cfg.ReportsCost {
+			o.WorkUsed, o.MemoryUsedMB = s.span(Second), float64(s.rng.IntN(3000))
 		}
 	default:
 		o.Result = Result(1 + s.rng.IntN(int(NotSent)))
@@ -196,11 +196,11 @@
 	i := s.rng.IntN(len(s.engines))
 	switch s.rng.IntN(8) {
 	case 0:
-		return List{Kind: ListFailed}
+		return EndpointUpdate{Kind: UpdateFailed}
 	case 1:
-		return List{Kind: ListComplete, Entries: slices.Clone(s.engines)}
+		return EndpointUpdate{Kind: UpdateComplete, Entries: slices.Clone(s.engines)}
 	case 2:
-		return List{Kind: ListSaved, Entries: slices.Clone(s.engines)}
+		return EndpointUpdate{Kind: UpdateCached, Entries: slices.Clone(s.engines)}
 	case 3, 4:
 		s.engines[i].State = Draining
 	case 5:
@@ -208,33 +208,33 @@
 	default:
 		s.engines[i] = s.engine(i, s.now-s.span(Second))
 	}
-	return List{Kind: ListChanges, Entries: []Entry{s.engines[i]}}
+	return EndpointUpdate{Kind: UpdateChanges, Entries: []Endpoint{s.engines[i]}}
 }
 
 // rules are budgets of each kind, as the settings allow them.
-func (s *sequence) rules() []Rule {
-	list := []Rule{
-		{Name: "attempts", Kind: account.Rate, Class: s.rng.IntN(6) - 1, Tenant: -1, Unit: Unit(s.rng.IntN(3)), Over: Over(s.rng.IntN(2))},
-		{Name: "retries", Kind: account.Rate, Class: -1, Tenant: -1, Further: true, Earned: 100},
-		{Name: "engines", Kind: account.Places, Life: 10 * Second, Class: -1, Tenant: -1, EachEngine: true, Unit: Threads, Over: Waits},
-		{Name: "tenants", Kind: account.Window, Span: 5 * Second, Class: -1, Tenant: -1, EachTenant: true, Unit: Work, Over: Over(s.rng.IntN(3))},
-		{Name: "probes", Kind: account.Rate, Class: -1, Tenant: -1, Probes: true},
+func (s *sequence) rules() []BudgetRule {
+	list := []BudgetRule{
+		{Name: "attempts", Kind: account.Rate, Class: s.rng.IntN(6) - 1, Tenant: -1, Unit: BudgetUnit(s.rng.IntN(3)), Overflow: Overflow(s.rng.IntN(2))},
+		{Name: "retries", Kind: account.Rate, Class: -1, Tenant: -1, Retries: true, Earned: 100},
+		{Name: "engines", Kind: account.Concurrency, MaxAttemptDuration: 10 * Second, Class: -1, Tenant: -1, EachEngine: true, Unit: Threads, Overflow: QueueOverflow},
+		{Name: "tenants", Kind: account.Window, Window: 5 * Second, Class: -1, Tenant: -1, EachTenant: true, Unit: Work, Overflow: Overflow(s.rng.IntN(3))},
+		{Name: "probes", Kind: account.Rate, Class: -1, Tenant: -1, HealthChecks: true},
 	}
 	switch s.rng.IntN(4) {
 	case 0:
-		list[2].Cold = true
+		list[2].WarmingUp = true
 	case 1:
 		list[2].EngineKind = s.cfg.Kinds[0].Name
 	}
 	for i := range list {
-		list[i].Counted = s.chance(15)
+		list[i].CountOnly = s.chance(15)
 	}
 	return list
 }
 
 // amounts tells of budgets and of what of each is leased.
 func (s *sequence) amounts() Event {
-	ev := Amounts{Rules: s.rules(), Until: s.now + s.span(6*Second)}
+	ev := BudgetGrant{Rules: s.rules(), Until: s.now + s.span(6*Second)}
 	for _, r := range ev.Rules {
 		subjects := []string{""}
 		switch {
@@ -247,10 +247,10 @@
 			subjects = []string{s.cfg.Tenants[0].Name, s.cfg.Tenants[1].Name}
 		}
 		for _, subject := range subjects {
-			ev.Leased = append(ev.Leased, Part{r.Name, subject, account.Amount{Much: s.span(40_000), Rate: s.span(40_000)}})
+			ev.Leased = append(ev.Leased, BudgetAmount{r.Name, subject, account.Amount{Capacity: s.span(40_000), Rate: s.span(40_000)}})
 		}
 		if s.chance(50) {
-			ev.Static = append(ev.Static, Part{r.Name, "", account.Amount{Much: s.span(4_000), Rate: s.span(2_000)}})
+			ev.Static = append(ev.Static, BudgetAmount{r.Name, "", account.Amount{Capacity: s.span(4_000), Rate: s.span(2_000)}})
 		}
 	}
 	return ev
@@ -268,17 +268,17 @@
 	case n < 180 && len(s.probes) > 0:
 		engine := s.probes[0]
 		s.probes = s.probes[1:]
-		return []Event{Probed{Engine: engine, Result: Result(s.rng.IntN(2) * s.rng.IntN(int(NotSent))), Elapsed: s.span(Second / 10), Load: s.load()}}
+		return []Event{HealthCheckResult{Engine: engine, Result: Result(s.rng.IntN(2) * s.rng.IntN(int(NotSent))), Elapsed: s.span(Second / 10), Load: s.load()}}
 	case n < 182:
-		return []Event{Unheard{Engine: s.engines[s.rng.IntN(len(s.engines))].Engine}}
+		return []Event{EngineUnresponsive{Engine: s.engines[s.rng.IntN(len(s.engines))].Engine}}
 	case n < 186 && len(s.inFlight) > 0:
 		a := s.inFlight[s.rng.IntN(len(s.inFlight))]
 		return []Event{Started{ID: a.id, Attempt: a.number}}
 	case n < 190 && len(s.inFlight) > 0:
 		a := s.inFlight[s.rng.IntN(len(s.inFlight))]
-		return []Event{Note{ID: a.id, Attempt: a.number, Engine: a.engine, Kind: NoteKind(1 + s.rng.IntN(3)), Value: s.rng.Float64() * 3}}
+		return []Event{ProgressReport{ID: a.id, Attempt: a.number, Engine: a.engine, Kind: ProgressKind(1 + s.rng.IntN(3)), Value: s.rng.Float64() * 3}}
 	case n < 194 && s.nextID > 0:
-		return []Event{Gone{ID: s.nextID - uint64(s.span(min(int64(s.nextID), 40))), Owed: s.chance(50)}}
+		return []Event{ClientDisconnected{ID: s.nextID - uint64(s.span(min(int64(s.nextID), 40))), AnswerDue: s.chance(50)}}
 	case n < 196 && s.now > 20*Second:
 		return []Event{s.amounts()}
 	}
@@ -298,10 +298,10 @@
 			}
 			s.step(events...)
 			if s.chance(2) {
-				fmt.Fprintln(s.digest, s.d.Demands(s.now))
+				fmt.Fprintln(s.digest, s.d.BudgetDemands(s.now))
 			}
 		}
-		for _, spending := range s.d.Spendings(s.now) {
+		for _, spending := range s.d.BudgetStatuses(s.now) {
 			fmt.Fprintln(s.digest, spending)
 		}
 		golden.Entry(t, "testdata/sequences.txt", fmt.Sprint("seed-", seed), fmt.Sprintf("%x", s.digest.Sum(nil)))
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// Dispatcher is one gateway's decisions; it shares nothing with others.
-type Dispatcher struct {
+// Scheduler is one gateway's decisions; it shares nothing with others.
+type Scheduler struct {
 	cfg Config
 	rng *rand.Rand
 	now Micros
@@ -51,7 +51,7 @@
 }
 
 // attempt finds an attempt of a query; nil where either is unknown.
-func (d *Dispatcher) attempt(id uint64, i int) (*query, *attempt) {
+func (d *Scheduler) attempt(id uint64, i int) (*query, *attempt) {
 	if q := d.queries[id]; q != nil && i >= 0 && i < len(q.attempts) {
 		return q, &q.attempts[i]
 	}
@@ -60,7 +60,7 @@
 
 // engine is one query engine as this gateway sees it.
 type engine struct {
-	Entry
+	Endpoint
 	hash     uint64
 	cores    float64
 	memory   float64
@@ -216,7 +216,7 @@
 
 // countLost counts the threads of each class on engines that are out or gone: what they hold takes no place where
 // something gets done.
-func (d *Dispatcher) countLost() {
+func (d *Scheduler) countLost() {
 	for i, c := range d.classes {
 		c.lost = 0
 		for _, e := range d.engines {
@@ -228,12 +228,12 @@
 }
 
 // recent is the threads sent to the engine, fading over the sends of recentMost rounds of the engines.
-func (d *Dispatcher) recent(e *engine) float64 {
+func (d *Scheduler) recent(e *engine) float64 {
 	return e.recent * math.Exp(float64(e.recentAt-d.sends)/(recentMost*float64(len(d.engines))))
 }
 
 // zone is the engines of a zone that are not gone.
-func (d *Dispatcher) zone(name string) (list []*engine) {
+func (d *Scheduler) zone(name string) (list []*engine) {
 	for _, e := range d.engines {
 		if e.Zone == name && !e.gone {
 			list = append(list, e)
@@ -244,8 +244,8 @@
 
 // mayCopy says whether a second copy of a query may go beside the one that is out: where a second execution does no harm, and no
 // order rests on its end.
-func (d *Dispatcher) mayCopy(q *query) bool {
-	return d.cfg.Limits.Duplicates && q.open == 1 && q.repeat() == Safe && !q.Single && q.line == nil
+func (d *Scheduler) mayCopy(q *query) bool {
+	return d.cfg.Limits.HedgedRequests && q.open == 1 && q.repeat() == Idempotent && !q.NoRetry && q.line == nil
 }
 
 // on says whether an attempt of the query is out on the engine.
@@ -254,7 +254,7 @@
 }
 
 // lapsed ends a held query that can no longer finish; a copy is let go, and the query waits for the one that is out.
-func (d *Dispatcher) lapsed(q *query) {
+func (d *Scheduler) lapsed(q *query) {
 	if q.open > 0 {
 		d.held, q.held = remove(d.held, q), false
 		return
@@ -304,10 +304,10 @@
 }
 
 // book counts an attempt in hand, or out again with -1.
-func (d *Dispatcher) book(q *query, e *engine, n int) {
+func (d *Scheduler) book(q *query, e *engine, n int) {
 	e.own += n
 	q.class.own += n
-	if q.class.Loads {
+	if q.class.LocksTableGroup {
 		if e.loading[q.Group] += n; e.loading[q.Group] == 0 {
 			delete(e.loading, q.Group)
 		}
@@ -321,11 +321,11 @@
 }
 
 // repeat is what a second execution would do: that of the class, or worse.
-func (q *query) repeat() Repeat {
-	if q.Unsafe {
-		return Unsafe
+func (q *query) repeat() Effect {
+	if q.NonIdempotent {
+		return NonIdempotent
 	}
-	return q.class.Repeat
+	return q.class.Effect
 }
 
 // repeatUntil is until when engines know a further attempt for a repeat: in keyed classes they forget the key some time after they
@@ -333,8 +333,8 @@
 // may come up late.
 func (q *query) repeatUntil() Micros {
 	for _, a := range q.attempts {
-		if !a.harmless && q.repeat() == Keyed {
-			return a.at + q.class.Window // the first is the earliest
+		if !a.harmless && q.repeat() == IdempotentByKey {
+			return a.at + q.class.DedupeWindow // the first is the earliest
 		}
 	}
 	return 0
@@ -350,16 +350,16 @@
 
 // estimate is the told work, or one for all where none is told.
 func (q *query) estimate() float64 {
-	if q.Cost > 0 {
-		return float64(q.Cost)
+	if q.EstimatedWork > 0 {
+		return float64(q.EstimatedWork)
 	}
 	return 1
 }
 
 // work is the told work, put right by what queries of its class have taken, or the usual of its class.
 func (q *query) work() float64 {
-	if q.Cost > 0 {
-		return float64(q.Cost) * q.class.bias()
+	if q.EstimatedWork > 0 {
+		return float64(q.EstimatedWork) * q.class.bias()
 	}
 	return q.class.work
 }
@@ -380,19 +380,19 @@
 // took learns what a query has taken, as its engine says.
 func (q *query) took(spent Micros) {
 	c := q.class
-	if spent <= 0 || q.Cost <= 0 {
+	if spent <= 0 || q.EstimatedWork <= 0 {
 		return
 	}
 	if c.told == 0 {
 		c.spent, c.told = biasSure*c.work, biasSure*c.work
 	}
 	c.spent += float64(spent) - decay*c.spent
-	c.told += float64(q.Cost) - decay*c.told
+	c.told += float64(q.EstimatedWork) - decay*c.told
 }
 
 // aimFor is the aim of a query of the class with so much work.
 func (c *class) aimFor(work float64) Micros {
-	return c.Aim + Micros(c.AimStretch*work/float64(c.Threads))
+	return c.LatencyObjective + Micros(c.ObjectiveStretch*work/float64(c.Threads))
 }
 
 // fresh queries of a class may go wherever any other of them may.
@@ -401,7 +401,7 @@
 func allowed(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 
 // threadsUpTo is the own threads on an engine of classes whose queries are no longer than this one's.
-func (d *Dispatcher) threadsUpTo(c *class, e *engine) (n int) {
+func (d *Scheduler) threadsUpTo(c *class, e *engine) (n int) {
 	for i, threads := range e.byClass {
 		if d.classes[i].work <= c.work {
 			n += threads
@@ -449,7 +449,7 @@
 // mostOrders bounds how many groups' orders are kept: clients may name any group.
 const mostOrders = 4096
 
-func (d *Dispatcher) keepOrder(group int, order []*engine) {
+func (d *Scheduler) keepOrder(group int, order []*engine) {
 	if len(d.orders) >= mostOrders {
 		clear(d.orders)
 	}
@@ -458,7 +458,7 @@
 
 // dropRemoved forgets engines that are removed and have nothing of this gateway in hand: one that comes back,
 // or another at its address, starts anew.
-func (d *Dispatcher) dropRemoved() {
+func (d *Scheduler) dropRemoved() {
 	d.engines = slices.DeleteFunc(d.engines, func(e *engine) bool {
 		removed := e.gone && e.State == Removed && e.own == 0
 		if removed {
@@ -469,13 +469,13 @@
 }
 
 // dropLines forgets the lines of keys that nothing waits for any more.
-func (d *Dispatcher) dropLines() {
+func (d *Scheduler) dropLines() {
 	maps.DeleteFunc(d.lines, func(_ string, l *line) bool { return len(l.queue) == 0 && l.quiet <= d.now })
 }
 
 // ration counts for the attempt budget, where there is one.
-func (d *Dispatcher) ration(w *window) {
-	if d.cfg.Rules.Budgeted {
+func (d *Scheduler) ration(w *window) {
+	if d.cfg.Rules.RetryBudget {
 		w.add(d.now, 1)
 	}
 }
@@ -487,7 +487,7 @@
 }
 
 // enqueue puts a query at the end of its key's line.
-func (d *Dispatcher) enqueue(q *query) {
+func (d *Scheduler) enqueue(q *query) {
 	q.line = d.lines[q.Key]
 	if q.line == nil {
 		q.line = &line{}
