--- a/cmd/chutechute-keys/keys.go
+++ b/cmd/chutechute-keys/keys.go
@@ -13,6 +13,7 @@
 	"chutechute/identity/token"
 	"chutechute/internal/cli"
 	"chutechute/internal/keyfiles"
+	"chutechute/internal/monotime"
 )
 
 // keyFlags are those of the commands that keep a key set.
@@ -39,7 +40,7 @@
 }
 
 // add makes a key and adds it to a set. Without an id it takes the time.
-func add(s *token.Set, id, algorithm string, from identity.Micros) error {
+func add(s *token.Set, id, algorithm string, from monotime.Micros) error {
 	if id == "" {
 		id = time.Now().UTC().Format("20060102T150405.000000")
 	}
--- a/cmd/chutechute-keys/main.go
+++ b/cmd/chutechute-keys/main.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"chutechute/identity"
 	"chutechute/internal/cli"
+	"chutechute/internal/monotime"
 )
 
 func main() {
@@ -18,4 +18,4 @@
 }
 
 // wall is the time of the system's clock.
-func wall() identity.Micros { return time.Now().UnixMicro() }
+func wall() monotime.Micros { return time.Now().UnixMicro() }
--- a/exercise/client.go
+++ b/exercise/client.go
@@ -5,12 +5,13 @@
 
 	"chutechute/gateway"
 	"chutechute/internal/history"
+	"chutechute/internal/monotime"
 )
 
 // Try is one load as a client sends it, again and again if it has to.
 type Try struct {
 	Once, Key, Statement string
-	TTL                  Micros
+	TTL                  monotime.Micros
 	Tries                int // left
 }
 
@@ -45,7 +46,7 @@
 func (w *wait) Respond(rows []byte) { w.tell(history.Answer, append([]byte(nil), rows...)) }
 
 // Reject turns the try away.
-func (w *wait) Reject(Micros) { w.tell(history.Shed, nil) }
+func (w *wait) Reject(monotime.Micros) { w.tell(history.Shed, nil) }
 
 // Fail promises nothing.
 func (w *wait) Fail() { w.tell(history.Fault, nil) }
--- a/exercise/engine.go
+++ b/exercise/engine.go
@@ -5,6 +5,7 @@
 
 	"chutechute/gateway"
 	"chutechute/internal/history"
+	"chutechute/internal/monotime"
 	"chutechute/scheduler"
 )
 
@@ -23,7 +24,7 @@
 
 type run struct {
 	jobs  []*job // of those who ask after it, the first began it
-	asked Micros
+	asked monotime.Micros
 	over  bool
 	good  bool
 	rows  string
@@ -34,7 +35,7 @@
 	p       *process
 	a       *gateway.Attempt
 	e       *engine
-	begun   Micros
+	begun   monotime.Micros
 	written bool
 	arrived bool
 	dropped bool
@@ -98,7 +99,7 @@
 	r := &run{jobs: []*job{j}, asked: s.now, rows: fmt.Sprintf("%s\t%s\t%s\n", j.a.ID, once, e.name)}
 	e.runs[j.a.ID] = r
 	s.Record.Add(history.Event{What: history.Began, Engine: e.name, Call: j.a.ID, Once: once, Key: j.a.Key})
-	var span Micros
+	var span monotime.Micros
 	fmt.Sscanf(string(j.a.Statement), "INSERT INTO s_1.t -- ms=%d", &span)
 	good := !s.chance(12)
 	s.after(span*ms, func() {
--- a/exercise/faults.go
+++ b/exercise/faults.go
@@ -1,7 +1,9 @@
 package exercise
 
+import "chutechute/internal/monotime"
+
 // Traffic has clients send loads at random, so many a second, for a span.
-func (s *Sim) Traffic(perSecond float64, keys int, span Micros) {
+func (s *Sim) Traffic(perSecond float64, keys int, span monotime.Micros) {
 	until := s.now + span
 	var next func()
 	next = func() {
@@ -9,14 +11,14 @@
 			return
 		}
 		s.Insist(s.Fronts[s.rng.IntN(len(s.Fronts))], s.NewLoad(keys))
-		s.after(Micros(s.rng.ExpFloat64()*float64(second)/perSecond), next)
+		s.after(monotime.Micros(s.rng.ExpFloat64()*float64(second)/perSecond), next)
 	}
 	s.after(0, next)
 }
 
 // Chaos has something fail every so often for a span, and heals all in the end. No more disks are lost than the record bears:
 // one at a time, and the next only once all copies are there again.
-func (s *Sim) Chaos(every, span Micros) {
+func (s *Sim) Chaos(every, span monotime.Micros) {
 	until := s.now + span
 	var next func()
 	next = func() {
@@ -109,7 +111,7 @@
 }
 
 // cut severs one way for a span.
-func (s *Sim) cut(from, to *Front, span Micros) {
+func (s *Sim) cut(from, to *Front, span monotime.Micros) {
 	if from == to {
 		return
 	}
--- a/exercise/front.go
+++ b/exercise/front.go
@@ -15,6 +15,7 @@
 	"chutechute/fleet/transport"
 	"chutechute/gateway"
 	"chutechute/internal/counters"
+	"chutechute/internal/monotime"
 	"chutechute/internal/raftlog"
 	"chutechute/scheduler"
 )
@@ -25,9 +26,9 @@
 	n      int
 	Name   string
 	zone   string
-	offset Micros  // of its clock
-	rate   float64 // of its clock
-	number uint64  // of the last disk
+	offset monotime.Micros // of its clock
+	rate   float64         // of its clock
+	number uint64          // of the last disk
 	disk   *disk
 	proc   *process
 }
@@ -42,7 +43,7 @@
 type process struct {
 	f           *Front
 	incarnation uint64
-	born        Micros // true time
+	born        monotime.Micros // true time
 	core        *gateway.Core
 	node        *fleet.Node
 	records     *idempotencyclient.Client
@@ -52,7 +53,7 @@
 	waiting     []func() // what comes while it stands still
 	jobs        map[*gateway.Attempt]*job
 	writes      []replication.Save
-	wake        Micros // when the next turn for a timer of the core is due, by its clock
+	wake        monotime.Micros // when the next turn for a timer of the core is due, by its clock
 }
 
 const (
@@ -68,10 +69,12 @@
 func (f *Front) Up() bool { return f.proc != nil && !f.proc.paused }
 
 // local is the front end's clock.
-func (f *Front) local() Micros { return f.at(f.s.now) }
+func (f *Front) local() monotime.Micros { return f.at(f.s.now) }
 
 // at is what the front end's clock shows at a true time.
-func (f *Front) at(t Micros) Micros { return f.offset + Micros(float64(t)*f.rate) }
+func (f *Front) at(t monotime.Micros) monotime.Micros {
+	return f.offset + monotime.Micros(float64(t)*f.rate)
+}
 
 // Start begins a process.
 func (f *Front) Start() {
@@ -226,7 +229,7 @@
 	}
 	if next, ok := p.core.Next(); ok && next < now+turn && (p.wake <= now || next < p.wake) {
 		p.wake = next
-		p.f.s.after(Micros(float64(next-now)/p.f.rate)+1, func() { p.does(p.turn) })
+		p.f.s.after(monotime.Micros(float64(next-now)/p.f.rate)+1, func() { p.does(p.turn) })
 	}
 }
 
@@ -296,7 +299,7 @@
 	}
 }
 
-func (s *Sim) syncs() Micros {
+func (s *Sim) syncs() monotime.Micros {
 	switch {
 	case !s.o.Lasting:
 		return 0
--- a/exercise/membership/account.go
+++ b/exercise/membership/account.go
@@ -5,6 +5,7 @@
 
 	"chutechute/fleet/membership"
 	"chutechute/fleet/transport"
+	"chutechute/internal/monotime"
 )
 
 // messageKind says what a message was for, for the account.
@@ -86,7 +87,7 @@
 
 // bursts are the times at which a control member accepted a connection of an attached front end or sent a snapshot.
 type bursts struct {
-	accepts, snapshots []Micros
+	accepts, snapshots []monotime.Micros
 }
 
 // handshake is the sizes of what opens a connection, frames and all.
@@ -122,8 +123,8 @@
 // account measures a span of the run.
 type account struct {
 	s        *Sim
-	began    Micros
-	measured Micros
+	began    monotime.Micros
+	measured monotime.Micros
 	base     []flow  // by place, at the beginning
 	last     []int64 // bytes in and out of each attached front end, at the last second
 	seconds  [][windowSeconds]int64
@@ -138,7 +139,7 @@
 type busiest struct {
 	bytes int64
 	who   string
-	until Micros
+	until monotime.Micros
 }
 
 func (a *account) fault(err error) {
--- a/exercise/membership/burst.go
+++ b/exercise/membership/burst.go
@@ -1,6 +1,10 @@
 package membership
 
-import "slices"
+import (
+	"slices"
+
+	"chutechute/internal/monotime"
+)
 
 // Burst is what control members had to take in the second after something happened: counted from the first accept, or the first
 // snapshot, that followed.
@@ -29,7 +33,7 @@
 // mark says that something happened whose burst is to be counted.
 type mark struct {
 	of string
-	at Micros
+	at monotime.Micros
 }
 
 func (s *Sim) mark(of string) {
@@ -50,15 +54,15 @@
 		}
 		list = append(list, Burst{
 			Of:        m.of,
-			Accepts:   s.firstSecond(m.at, until, func(p *place) []Micros { return p.bursts.accepts }),
-			Snapshots: s.firstSecond(m.at, until, func(p *place) []Micros { return p.bursts.snapshots }),
+			Accepts:   s.firstSecond(m.at, until, func(p *place) []monotime.Micros { return p.bursts.accepts }),
+			Snapshots: s.firstSecond(m.at, until, func(p *place) []monotime.Micros { return p.bursts.snapshots }),
 		})
 	}
 	return list
 }
 
 // firstSecond counts, at each control member, the times within a second of the first of all.
-func (s *Sim) firstSecond(from, until Micros, times func(*place) []Micros) (l Load) {
+func (s *Sim) firstSecond(from, until monotime.Micros, times func(*place) []monotime.Micros) (l Load) {
 	first := until
 	for _, p := range s.controls {
 		list := times(p)
@@ -81,7 +85,7 @@
 }
 
 // ranAt says whether a process ran at a time.
-func (p *place) ranAt(when Micros) bool {
+func (p *place) ranAt(when monotime.Micros) bool {
 	place, exact := slices.BinarySearch(p.turns, when)
 	if exact {
 		place++
--- a/exercise/membership/control.go
+++ b/exercise/membership/control.go
@@ -6,6 +6,7 @@
 
 	"chutechute/fleet/heartbeat"
 	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
 )
 
 // Spans among control members, as package config has them by default.
@@ -24,7 +25,7 @@
 	wires  []wire           // to the other control members, by place
 	list   []*link          // open ones
 	links  map[uint64]*link // the newest of each process
-	beatAt Micros           // by its clock
+	beatAt monotime.Micros  // by its clock
 	sent   int              // snapshots so far
 }
 
@@ -50,7 +51,7 @@
 	if !c.q.paused {
 		c.q.does(c.tick)
 	}
-	c.q.s.after(Micros(float64(controlTick)/c.q.rate), c.ticks)
+	c.q.s.after(monotime.Micros(float64(controlTick)/c.q.rate), c.ticks)
 }
 
 func (c *control) tick() {
@@ -100,13 +101,13 @@
 	}
 	for _, o := range c.q.s.controls {
 		if o != c.q.p {
-			c.tell(o, kindMember, len(body), func(to *control, greeted Micros) { to.heard(c.q, greeted, read()) })
+			c.tell(o, kindMember, len(body), func(to *control, greeted monotime.Micros) { to.heard(c.q, greeted, read()) })
 		}
 	}
 }
 
 // heard takes a heartbeat.
-func (c *control) heard(from *process, greeted Micros, h *controlHeartbeat) {
+func (c *control) heard(from *process, greeted monotime.Micros, h *controlHeartbeat) {
 	now := c.q.local()
 	if !c.set.Observe(now, from.p.name, h.incarnation, greeted, h.leaving, h.reports) {
 		return
@@ -139,7 +140,7 @@
 func (c *control) send(m membership.Message) {
 	if m.Incarnation == 0 {
 		from := c.q
-		c.tell(c.q.s.byName[m.To], kindOf(m.Kind), len(m.Body), func(to *control, _ Micros) { to.received(from, m) })
+		c.tell(c.q.s.byName[m.To], kindOf(m.Kind), len(m.Body), func(to *control, _ monotime.Micros) { to.received(from, m) })
 		return
 	}
 	l := c.links[m.Incarnation]
@@ -210,14 +211,14 @@
 // wire is the connection on which a control member sends to another.
 type wire struct {
 	way     way
-	to      *process // nil: not open
-	greeted Micros   // when the other side challenged, by its clock
-	dialled Micros   // the last dial; the next one waits
+	to      *process        // nil: not open
+	greeted monotime.Micros // when the other side challenged, by its clock
+	dialled monotime.Micros // the last dial; the next one waits
 	dialing bool
 }
 
 // tell sends to another control member. Where the connection isn't open the message is lost, and a dial begins.
-func (c *control) tell(to *place, kind messageKind, size int, deliver func(to *control, greeted Micros)) {
+func (c *control) tell(to *place, kind messageKind, size int, deliver func(to *control, greeted monotime.Micros)) {
 	s, w := c.q.s, &c.wires[to.index]
 	if w.to == nil || !w.to.runs() && !to.off {
 		w.to = nil
--- a/exercise/membership/doc.go
+++ b/exercise/membership/doc.go
@@ -11,11 +11,10 @@
 // record (about 40 bytes), and are read once for all receivers unless the processor time is measured.
 package membership
 
-// Micros is a time or a span in microseconds, of true time where nothing else is said.
-type Micros = int64
+import "chutechute/internal/monotime"
 
 const (
-	ms     Micros = 1000
-	second        = 1000 * ms
-	minute        = 60 * second
+	ms     monotime.Micros = 1000
+	second                 = 1000 * ms
+	minute                 = 60 * second
 )
--- a/exercise/membership/front.go
+++ b/exercise/membership/front.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
 )
 
 // front is the process of an attached front end.
@@ -12,13 +13,13 @@
 	client *membership.Client
 	links  []*link
 	retry  map[string]*retry
-	wake   Micros // when the next step is set; 0: none is
+	wake   monotime.Micros // when the next step is set; 0: none is
 }
 
 // retry is when a control member may be dialled again.
 type retry struct {
 	failures int
-	at       Micros
+	at       monotime.Micros
 }
 
 func newFront(q *process) *front {
--- a/exercise/membership/link.go
+++ b/exercise/membership/link.go
@@ -1,6 +1,9 @@
 package membership
 
-import "chutechute/fleet/membership"
+import (
+	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
+)
 
 // Spans and bounds of a link, as package epoll has them for links between front ends.
 const (
@@ -29,8 +32,8 @@
 	s       *Sim
 	front   *process
 	to      *place
-	control *process // nil until it has accepted
-	greeted Micros   // when it challenged, by its clock
+	control *process        // nil until it has accepted
+	greeted monotime.Micros // when it challenged, by its clock
 	open    [2]bool
 	failed  bool   // the dial has ended without a link
 	ways    [2]way // by the side that sends
@@ -186,7 +189,7 @@
 		l.s.transmit(w, l.place(from), to.p, next.kind, next.size, next.arrive)
 		if to.p.slow > 0 {
 			w.pacing = true
-			l.s.after(Micros(next.size)*second/Micros(to.p.slow)+1, func() {
+			l.s.after(monotime.Micros(next.size)*second/monotime.Micros(to.p.slow)+1, func() {
 				w.pacing = false
 				l.drain(from)
 			})
--- a/exercise/membership/network.go
+++ b/exercise/membership/network.go
@@ -1,14 +1,17 @@
 package membership
 
-import "chutechute/fleet/membership"
+import (
+	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
+)
 
 // Latencies one way, while nothing is wrong. Regions lie on a ring.
 const (
-	withinZone    = 150 * Micros(1)
-	withinRegion  = 700 * Micros(1)
+	withinZone    = 150 * monotime.Micros(1)
+	withinRegion  = 700 * monotime.Micros(1)
 	betweenLeast  = 5 * ms
 	betweenStep   = 10 * ms
-	jitterLeast   = 50 * Micros(1)
+	jitterLeast   = 50 * monotime.Micros(1)
 	jitterDivisor = 10 // of the latency
 )
 
@@ -16,7 +19,7 @@
 type network struct {
 	s       *Sim
 	loss    float64           // the share of messages that never arrive
-	delay   Micros            // the most by which each is late
+	delay   monotime.Micros   // the most by which each is late
 	reorder bool              // messages of one connection may overtake each other
 	apart   map[[2]int]bool   // regions that can't reach one another, the lower first
 	ways    map[[2]int]bool   // members that can't reach one another, by place, the lower first
@@ -25,14 +28,14 @@
 }
 
 // latency draws how long a message takes.
-func (n *network) latency(from, to *place) Micros {
+func (n *network) latency(from, to *place) monotime.Micros {
 	base := withinZone
 	switch {
 	case from.zone == to.zone:
 	case from.region == to.region:
 		base = withinRegion
 	default:
-		base = betweenLeast + betweenStep*Micros(n.ring(from.region, to.region))
+		base = betweenLeast + betweenStep*monotime.Micros(n.ring(from.region, to.region))
 	}
 	span := base + n.s.between(0, base/jitterDivisor+jitterLeast)
 	if n.delay > 0 {
@@ -105,11 +108,11 @@
 
 // way is one direction of a connection.
 type way struct {
-	last    Micros // when the latest message arrives
+	last    monotime.Micros // when the latest message arrives
 	waiting []parcel
 	bytes   int  // that wait
 	pacing  bool // a slow reader is being waited for
-	moved   Micros
+	moved   monotime.Micros
 }
 
 // parcel is a message that waits for a slow reader.
--- a/exercise/membership/process.go
+++ b/exercise/membership/process.go
@@ -1,6 +1,9 @@
 package membership
 
-import "chutechute/fleet/membership"
+import (
+	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
+)
 
 // process is one run of a member's program.
 type process struct {
@@ -8,8 +11,8 @@
 	p           *place
 	incarnation uint64
 	order       int // of the processes at its place, from 1
-	born        Micros
-	offset      Micros // of its clock
+	born        monotime.Micros
+	offset      monotime.Micros // of its clock
 	rate        float64
 	paused      bool
 	waiting     []func() // what comes while it stands still
@@ -100,10 +103,12 @@
 }
 
 // local is the time by the process's clock.
-func (q *process) local() Micros { return q.offset + Micros(float64(q.s.now)*q.rate) }
+func (q *process) local() monotime.Micros { return q.offset + monotime.Micros(float64(q.s.now)*q.rate) }
 
 // trueTime is when the process's clock shows a time, or a little later.
-func (q *process) trueTime(local Micros) Micros { return Micros(float64(local-q.offset)/q.rate) + 1 }
+func (q *process) trueTime(local monotime.Micros) monotime.Micros {
+	return monotime.Micros(float64(local-q.offset)/q.rate) + 1
+}
 
 // runs says whether this process is still the one at its place.
 func (q *process) runs() bool { return q.p.proc == q }
--- a/exercise/membership/queue.go
+++ b/exercise/membership/queue.go
@@ -1,8 +1,10 @@
 package membership
 
+import "chutechute/internal/monotime"
+
 // event is something that happens at a time; of two at one time the one that was set first comes first.
 type event struct {
-	at  Micros
+	at  monotime.Micros
 	seq uint64
 	do  func()
 }
--- a/exercise/membership/report.go
+++ b/exercise/membership/report.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
 	"chutechute/internal/scale"
 )
 
@@ -87,7 +88,7 @@
 }
 
 // spans are how long deaths took to be noticed, and changes to be known.
-func (t *truth) spans() (noticed, spreads []Micros) {
+func (t *truth) spans() (noticed, spreads []monotime.Micros) {
 	for _, c := range t.closed {
 		spreads = append(spreads, c.known-c.noticed)
 		if c.kind == vanished {
@@ -111,7 +112,7 @@
 	return count
 }
 
-func durations(list []Micros) (spans []time.Duration) {
+func durations(list []monotime.Micros) (spans []time.Duration) {
 	for _, span := range list {
 		spans = append(spans, time.Duration(span)*time.Microsecond)
 	}
--- a/exercise/membership/run.go
+++ b/exercise/membership/run.go
@@ -5,6 +5,7 @@
 	"fmt"
 
 	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
 	"chutechute/internal/scale"
 )
 
@@ -31,11 +32,11 @@
 	Steady      bool     // the scenario allows no false death
 	// Disagree is what views still had wrong when the time for them to settle was over.
 	Disagree []string
-	Settled  Micros // until all views agreed with the truth once all faults were over
+	Settled  monotime.Micros // until all views agreed with the truth once all faults were over
 	// Noticed is how long it took, for each death, until the first control member held it for one; Spreads how long until
 	// the last member alive knew of a change, from when it was noticed. Both are sorted.
-	Noticed []Micros
-	Spreads []Micros
+	Noticed []monotime.Micros
+	Spreads []monotime.Micros
 	Bursts  []Burst
 	// Rest is the mean bytes a second in and out of an attached front end; Busiest the mean over the busiest ten seconds of any.
 	Rest, Busiest float64
@@ -156,7 +157,7 @@
 	s.truth.begin()
 	scenario.play(s)
 	span := s.span()
-	for done := Micros(0); done < span && s.failed == nil; {
+	for done := monotime.Micros(0); done < span && s.failed == nil; {
 		part := min(minute, span-done)
 		_ = s.run(part) // failed has it too
 		done += part
@@ -167,7 +168,7 @@
 }
 
 // settle waits until all views agree with the truth, and gives how long it took.
-func (s *Sim) settle() (Micros, error) {
+func (s *Sim) settle() (monotime.Micros, error) {
 	began := s.now
 	for s.now-began < settleMost {
 		if err := s.run(settleStep); err != nil {
--- a/exercise/membership/script.go
+++ b/exercise/membership/script.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"chutechute/internal/monotime"
 	"chutechute/internal/scale"
 )
 
@@ -31,7 +32,7 @@
 	s.mark(fmt.Sprintf("fault %d, %s", number, f.Kind))
 	list := s.targets(f.Target)
 	for i, p := range list {
-		span := f.Over.Microseconds() * Micros(i) / Micros(len(list))
+		span := f.Over.Microseconds() * monotime.Micros(i) / monotime.Micros(len(list))
 		s.after(span, func() { s.befall(p, f) })
 	}
 }
--- a/exercise/membership/sim.go
+++ b/exercise/membership/sim.go
@@ -9,6 +9,7 @@
 	"strings"
 
 	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
 	"chutechute/internal/scale"
 )
 
@@ -30,7 +31,7 @@
 type Sim struct {
 	shape    scale.Shape
 	rng      *rand.Rand
-	now      Micros
+	now      monotime.Micros
 	seq      uint64
 	queue    queue
 	places   []*place // control members first, then attached front ends
@@ -69,16 +70,16 @@
 	zone    int
 	region  int
 	role    membership.Role
-	proc    *process // nil: none runs
-	resumed Micros   // when it last went on after it had stood still
-	off     bool     // the machine is off: nobody answers a dial or ends a connection
-	births  int      // processes so far
-	turns   []Micros // when processes began and ended, by turns
-	slow    int      // bytes a second that it reads of each connection; 0: all that come
-	stalled bool     // it takes nothing for now
-	room    int      // bytes that may wait for it at the other side of a connection
-	away    bool     // cut off from all others
-	deaf    bool     // a control member that is cut off from all attached front ends
+	proc    *process          // nil: none runs
+	resumed monotime.Micros   // when it last went on after it had stood still
+	off     bool              // the machine is off: nobody answers a dial or ends a connection
+	births  int               // processes so far
+	turns   []monotime.Micros // when processes began and ended, by turns
+	slow    int               // bytes a second that it reads of each connection; 0: all that come
+	stalled bool              // it takes nothing for now
+	room    int               // bytes that may wait for it at the other side of a connection
+	away    bool              // cut off from all others
+	deaf    bool              // a control member that is cut off from all attached front ends
 	flow    flow
 	bursts  bursts
 }
@@ -100,10 +101,12 @@
 func (p *place) running() bool { return p.proc != nil && !p.proc.paused }
 
 // span is the measured part.
-func (s *Sim) span() Micros { return Micros(math.Round(s.shape.Seconds * float64(second))) }
+func (s *Sim) span() monotime.Micros {
+	return monotime.Micros(math.Round(s.shape.Seconds * float64(second)))
+}
 
 // between draws a span.
-func (s *Sim) between(least, most Micros) Micros {
+func (s *Sim) between(least, most monotime.Micros) monotime.Micros {
 	if most <= least {
 		return least
 	}
@@ -111,16 +114,16 @@
 }
 
 // after sets an event.
-func (s *Sim) after(span Micros, do func()) { s.at(s.now+max(0, span), do) }
+func (s *Sim) after(span monotime.Micros, do func()) { s.at(s.now+max(0, span), do) }
 
 // at sets an event at a time that is not past.
-func (s *Sim) at(when Micros, do func()) {
+func (s *Sim) at(when monotime.Micros, do func()) {
 	s.seq++
 	s.queue.push(event{when, s.seq, do})
 }
 
 // run plays for a span of true time.
-func (s *Sim) run(span Micros) error {
+func (s *Sim) run(span monotime.Micros) error {
 	until := s.now + span
 	stepsUntil := s.steps + int(span/second+1)*len(s.places)*stormSteps
 	for len(s.queue) > 0 && s.queue[0].at <= until && s.failed == nil {
--- a/exercise/membership/truth.go
+++ b/exercise/membership/truth.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
 )
 
 // sight is how one member sees another: the number of the other's process, from 1, and its state. 0: not in the view.
@@ -67,10 +68,10 @@
 	kind    changeKind
 	place   *place
 	order   int
-	since   Micros // when it happened
-	noticed Micros // when the first control member saw it; 0: not yet
-	known   Micros // when the last one so far did
-	waiting []bool // by place: who does not know yet
+	since   monotime.Micros // when it happened
+	noticed monotime.Micros // when the first control member saw it; 0: not yet
+	known   monotime.Micros // when the last one so far did
+	waiting []bool          // by place: who does not know yet
 	left    int
 	counts  bool // it is part of the figures
 }
--- a/exercise/sim.go
+++ b/exercise/sim.go
@@ -17,15 +17,13 @@
 	"chutechute/fleet/replication"
 	"chutechute/gateway"
 	"chutechute/internal/history"
+	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
 )
 
-// Micros is a time or a span in microseconds of true time.
-type Micros = int64
-
 const (
-	ms     Micros = 1000
-	second        = 1000 * ms
+	ms     monotime.Micros = 1000
+	second                 = 1000 * ms
 )
 
 // Options describe a fleet.
@@ -60,19 +58,19 @@
 type Sim struct {
 	o       Options
 	rng     *rand.Rand
-	now     Micros
+	now     monotime.Micros
 	seq     uint64
 	queue   queue
 	site    *settings.Settings
 	Fronts  []*Front
 	engines []*engine
-	seen    map[string]Micros // the keys that engines have run lately
+	seen    map[string]monotime.Micros // the keys that engines have run lately
 	Record  history.Record
 	cuts    map[[2]int]bool // ways between front ends
 	calls   int
 	loads   int
 	Steps   int
-	delays  Micros // the most that a message takes, while nothing is wrong
+	delays  monotime.Micros // the most that a message takes, while nothing is wrong
 	twice   bool
 	late    bool
 	calm    bool     // nothing fails any more
@@ -90,7 +88,7 @@
 		return nil, err
 	}
 	site.Gateways = o.Fronts
-	s := &Sim{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), site: site, seen: map[string]Micros{}, cuts: map[[2]int]bool{},
+	s := &Sim{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), site: site, seen: map[string]monotime.Micros{}, cuts: map[[2]int]bool{},
 		delays: 2 * ms}
 	s.Record.Now = func() int64 { return s.now }
 	for i := range o.Engines {
@@ -108,7 +106,7 @@
 }
 
 // between draws a span.
-func (s *Sim) between(least, most Micros) Micros {
+func (s *Sim) between(least, most monotime.Micros) monotime.Micros {
 	if most <= least {
 		return least
 	}
@@ -119,7 +117,7 @@
 func (s *Sim) chance(n int) bool { return s.rng.IntN(n) == 0 }
 
 type item struct {
-	at  Micros
+	at  monotime.Micros
 	seq uint64
 	do  func()
 }
@@ -141,13 +139,13 @@
 }
 
 // after sets an event.
-func (s *Sim) after(span Micros, do func()) {
+func (s *Sim) after(span monotime.Micros, do func()) {
 	s.seq++
 	heap.Push(&s.queue, item{s.now + max(0, span), s.seq, do})
 }
 
 // Run plays for a span of true time.
-func (s *Sim) Run(span Micros) error {
+func (s *Sim) Run(span monotime.Micros) error {
 	until := s.now + span
 	for len(s.queue) > 0 && s.queue[0].at <= until && s.failed == nil {
 		next := heap.Pop(&s.queue).(item)
@@ -162,7 +160,7 @@
 }
 
 // Now is the true time.
-func (s *Sim) Now() Micros { return s.now }
+func (s *Sim) Now() monotime.Micros { return s.now }
 
 func (s *Sim) fail(err error) {
 	if s.failed == nil && err != nil {
--- a/fleet/attached.go
+++ b/fleet/attached.go
@@ -6,12 +6,13 @@
 	"chutechute/fleet/membership"
 	"chutechute/fleet/replication"
 	"chutechute/fleet/transport"
+	"chutechute/internal/monotime"
 )
 
 // AttachedConfig is what an attached front end is told of its fleet.
 type AttachedConfig struct {
 	Membership    membership.Config
-	RetryInterval Micros // until a question is asked again
+	RetryInterval monotime.Micros // until a question is asked again
 }
 
 // AttachedNode is a front end that the settings do not name. It keeps no record and listens to none: its links to two control members
@@ -21,7 +22,7 @@
 	client   *membership.Client
 	requests requests
 	actions  []Action
-	now      Micros
+	now      monotime.Micros
 	leaving  bool
 	note     func(about string)
 }
@@ -43,25 +44,25 @@
 func (a *AttachedNode) Home() string { return a.client.Home() }
 
 // Targets is the control members to keep links with now. Links to others are to be closed.
-func (a *AttachedNode) Targets(now Micros) []string {
+func (a *AttachedNode) Targets(now monotime.Micros) []string {
 	a.now = now
 	return a.client.Targets(now)
 }
 
 // LinkOpened tells that a link to that process of a control member is open.
-func (a *AttachedNode) LinkOpened(now Micros, control string, incarnation uint64) {
+func (a *AttachedNode) LinkOpened(now monotime.Micros, control string, incarnation uint64) {
 	a.now = now
 	a.client.LinkOpened(now, control, incarnation)
 }
 
 // LinkClosed tells that the link to a control member is closed, or could not be opened.
-func (a *AttachedNode) LinkClosed(now Micros, control string) {
+func (a *AttachedNode) LinkClosed(now monotime.Micros, control string) {
 	a.now = now
 	a.client.LinkClosed(now, control)
 }
 
 // Receive takes a message of a control member; after an error the link is to be closed.
-func (a *AttachedNode) Receive(now Micros, l Link, kind transport.Kind, body []byte) error {
+func (a *AttachedNode) Receive(now monotime.Micros, l Link, kind transport.Kind, body []byte) error {
 	a.now = now
 	switch kind {
 	case transport.ViewUpdate:
@@ -81,7 +82,7 @@
 }
 
 // Tick lets time pass.
-func (a *AttachedNode) Tick(now Micros) {
+func (a *AttachedNode) Tick(now monotime.Micros) {
 	a.now = now
 	if a.leaving {
 		a.client.Leave()
@@ -91,7 +92,7 @@
 }
 
 // Next is when Tick should be called at the latest.
-func (a *AttachedNode) Next() Micros {
+func (a *AttachedNode) Next() monotime.Micros {
 	if len(a.requests.ids) > 0 {
 		return min(a.client.Next(), a.now+a.cfg.RetryInterval/4)
 	}
@@ -117,7 +118,7 @@
 
 // Propose puts a question to the record, by way of the home. Done is called once with what was committed, from Receive; it is not
 // called any more after Cancel. A question that is taken back may still be committed.
-func (a *AttachedNode) Propose(now Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64) {
+func (a *AttachedNode) Propose(now monotime.Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64) {
 	a.now = now
 	return a.requests.add(now, kind, version, body, done)
 }
--- a/fleet/budget/account/account.go
+++ b/fleet/budget/account/account.go
@@ -12,8 +12,7 @@
 //   - Nothing is spent of a lease whose time has come.
 package account
 
-// Micros is a time or a span in microseconds of one machine's clock.
-type Micros = int64
+import "chutechute/internal/monotime"
 
 const second = 1_000_000
 
@@ -56,19 +55,19 @@
 type bucket struct {
 	Amount
 	level int64
-	at    Micros
+	at    monotime.Micros
 }
 
 const nano = 1_000_000
 
 // set puts another amount into force; tokens never come with it.
-func (b *bucket) set(now Micros, a Amount) {
+func (b *bucket) set(now monotime.Micros, a Amount) {
 	b.fill(now)
 	b.Amount = a
 	b.level = min(b.level, a.Capacity*nano)
 }
 
-func (b *bucket) fill(now Micros) {
+func (b *bucket) fill(now monotime.Micros) {
 	span := now - b.at
 	if b.at = max(b.at, now); span <= 0 || b.Rate <= 0 {
 		return
@@ -87,8 +86,8 @@
 // Account is the balance.
 type Account struct {
 	kind   Kind
-	span   Micros // a window's, on this clock, with the drift
-	until  Micros // of the lease
+	span   monotime.Micros // a window's, on this clock, with the drift
+	until  monotime.Micros // of the lease
 	lease  bucket
 	static bucket
 
@@ -97,14 +96,14 @@
 	spent  [slots + 1]int64
 	slot   int64 // the last that was counted
 	demand demand
-	owed   Micros // up to when tokens to come were spoken for to those who were turned away
+	owed   monotime.Micros // up to when tokens to come were spoken for to those who were turned away
 	// Spent and Denied count over the account's life, in thousandths and in questions.
 	Spent  int64
 	Denied int
 }
 
 // New is an empty balance; span is a window's.
-func New(kind Kind, span Micros) *Account {
+func New(kind Kind, span monotime.Micros) *Account {
 	return &Account{kind: kind, span: span + span/ClockDriftDivisor}
 }
 
@@ -115,24 +114,24 @@
 }
 
 // Lease puts the leased part into force, until a time.
-func (a *Account) Lease(now Micros, m Amount, until Micros) {
+func (a *Account) Lease(now monotime.Micros, m Amount, until monotime.Micros) {
 	a.expire(now)
 	a.lease.set(now, a.slowed(m))
 	a.until = until
 }
 
 // Static puts the part into force that takes no lease.
-func (a *Account) Static(now Micros, m Amount) { a.static.set(now, a.slowed(m)) }
+func (a *Account) Static(now monotime.Micros, m Amount) { a.static.set(now, a.slowed(m)) }
 
 // expire ends a lease whose time has come; what comes with the next one begins at nothing.
-func (a *Account) expire(now Micros) {
+func (a *Account) expire(now monotime.Micros) {
 	if now >= a.until && a.lease.Amount != (Amount{}) {
 		a.lease = bucket{at: now}
 	}
 }
 
 // turn brings the balance to now.
-func (a *Account) turn(now Micros) {
+func (a *Account) turn(now monotime.Micros) {
 	a.expire(now)
 	switch a.kind {
 	case Rate:
@@ -162,13 +161,13 @@
 }
 
 // CanSpend says whether n may be spent now.
-func (a *Account) CanSpend(now Micros, n int64) bool {
+func (a *Account) CanSpend(now monotime.Micros, n int64) bool {
 	a.turn(now)
 	return a.room(n)
 }
 
 // Spend spends n, if there is room. What is spent of a lease may be begun until the time that is given, and not later.
-func (a *Account) Spend(now Micros, n int64) (until Micros, ok bool) {
+func (a *Account) Spend(now monotime.Micros, n int64) (until monotime.Micros, ok bool) {
 	a.turn(now)
 	if !a.room(n) {
 		return 0, false
@@ -196,7 +195,7 @@
 
 // RecordUnbounded notes what is spent whatever there is room for: of a budget that is not in force yet, so that what runs when it comes into
 // force is known.
-func (a *Account) RecordUnbounded(now Micros, n int64) {
+func (a *Account) RecordUnbounded(now monotime.Micros, n int64) {
 	a.turn(now)
 	switch a.kind {
 	case Window:
@@ -222,33 +221,33 @@
 }
 
 // InUse is what is held, or was spent within the window, beyond the static part.
-func (a *Account) InUse(now Micros) int64 {
+func (a *Account) InUse(now monotime.Micros) int64 {
 	a.turn(now)
 	return max(0, a.used-a.static.Capacity)
 }
 
 // Used is all that is held or was spent within the window.
-func (a *Account) Used(now Micros) int64 {
+func (a *Account) Used(now monotime.Micros) int64 {
 	a.turn(now)
 	return a.used
 }
 
 // RetryAfter is when n will be there for one who is turned away now, as a span; each who asks is told a time of his own. Zero says
 // that nobody knows.
-func (a *Account) RetryAfter(now Micros, n int64) Micros {
+func (a *Account) RetryAfter(now monotime.Micros, n int64) monotime.Micros {
 	rate := a.lease.Rate + a.static.Rate
 	if a.kind != Rate || rate <= 0 {
 		return 0
 	}
 	a.turn(now)
-	span := func(n int64) Micros { return n*nano/rate + 1 }
+	span := func(n int64) monotime.Micros { return n*nano/rate + 1 }
 	at := max(now+span(n)-max(a.lease.level, a.static.level)/rate, a.owed+span(n))
 	a.owed = at
 	return at - now
 }
 
 // Amounts is what is in force now, by lease and without; until is the lease's time.
-func (a *Account) Amounts(now Micros) (lease, static Amount, until Micros) {
+func (a *Account) Amounts(now monotime.Micros) (lease, static Amount, until monotime.Micros) {
 	a.expire(now)
 	return a.lease.Amount, a.static.Amount, a.until
 }
--- a/fleet/budget/account/book.go
+++ b/fleet/budget/account/book.go
@@ -3,6 +3,8 @@
 import (
 	"maps"
 	"slices"
+
+	"chutechute/internal/monotime"
 )
 
 // Lease is what is leased of one subject's budget.
@@ -14,13 +16,13 @@
 // Book is one front end's balances for all subjects of one budget.
 type Book struct {
 	Kind     Kind
-	Window   Micros
+	Window   monotime.Micros
 	static   Amount
 	accounts map[string]*Account
 }
 
 // Account is one subject's balance.
-func (b *Book) Account(now Micros, subject string) *Account {
+func (b *Book) Account(now monotime.Micros, subject string) *Account {
 	a := b.accounts[subject]
 	if a == nil {
 		if b.accounts == nil {
@@ -34,7 +36,7 @@
 }
 
 // Static puts the part into force that every subject has without a lease.
-func (b *Book) Static(now Micros, m Amount) {
+func (b *Book) Static(now monotime.Micros, m Amount) {
 	b.static = m
 	for _, a := range b.accounts {
 		a.Static(now, m)
@@ -42,7 +44,7 @@
 }
 
 // Lease puts all that is leased into force; what is not named is leased no more.
-func (b *Book) Lease(now Micros, list []Lease, until Micros) {
+func (b *Book) Lease(now monotime.Micros, list []Lease, until monotime.Micros) {
 	named := make(map[string]bool, len(list))
 	for _, l := range list {
 		named[l.Subject] = true
@@ -63,7 +65,7 @@
 }
 
 // EvictIdle drops balances of which nothing is held, wanted or leased.
-func (b *Book) EvictIdle(now Micros) {
+func (b *Book) EvictIdle(now monotime.Micros) {
 	maps.DeleteFunc(b.accounts, func(subject string, a *Account) bool {
 		lease, _, _ := a.Amounts(now)
 		return subject != "" && lease == (Amount{}) && a.Used(now) == 0 && a.Demand(now) == 0
--- a/fleet/budget/account/demand.go
+++ b/fleet/budget/account/demand.go
@@ -1,6 +1,10 @@
 package account
 
-import "math"
+import (
+	"math"
+
+	"chutechute/internal/monotime"
+)
 
 const (
 	// demandSpan is the span over which what is asked for is measured: short, as a budget is to follow it within half a second.
@@ -25,15 +29,15 @@
 	sum    float64 // over time
 	time   float64
 	unit   float64 // the usual size of what is asked for
-	at     Micros
+	at     monotime.Micros
 	peak   int64 // of places, in this span
 	before int64 // in the last one
-	began  Micros
-	first  Micros // since when something has been asked for without a rest
+	began  monotime.Micros
+	first  monotime.Micros // since when something has been asked for without a rest
 }
 
 // RecordDemand notes that n were asked for, whatever became of it. For places, held ones count besides.
-func (a *Account) RecordDemand(now Micros, n int64) {
+func (a *Account) RecordDemand(now monotime.Micros, n int64) {
 	d := &a.demand
 	if d.at == 0 {
 		d.unit = float64(n)
@@ -53,9 +57,9 @@
 }
 
 // RecordQueued notes that n wait for places at this time.
-func (a *Account) RecordQueued(now Micros, n int64) { a.wanted(now, a.used+n) }
+func (a *Account) RecordQueued(now monotime.Micros, n int64) { a.wanted(now, a.used+n) }
 
-func (a *Account) wanted(now Micros, n int64) {
+func (a *Account) wanted(now monotime.Micros, n int64) {
 	d := &a.demand
 	if span := now - d.began; span >= peakSpan {
 		d.before, d.peak, d.began = d.peak, 0, now
@@ -67,15 +71,17 @@
 }
 
 // AwaitsFirstLease says whether who asks is the first in a while and nothing was leased for him yet: it may only take the record's answer.
-func (a *Account) AwaitsFirstLease(now Micros) bool {
+func (a *Account) AwaitsFirstLease(now monotime.Micros) bool {
 	return now-a.demand.first < newSpan && a.demand.at != 0 && a.lease.Amount == (Amount{})
 }
 
-func fade(span, over Micros) float64 { return math.Exp(-float64(max(0, span)) / float64(over)) }
+func fade(span, over monotime.Micros) float64 {
+	return math.Exp(-float64(max(0, span)) / float64(over))
+}
 
 // rates are what is asked for in a second, by the last moments and by the mean. Where nothing has come for a while, neither is
 // higher than one at which something would have come in 19 of 20 cases.
-func (d *demand) rates(now Micros) (fast, mean float64) {
+func (d *demand) rates(now monotime.Micros) (fast, mean float64) {
 	gap := float64(now - d.at)
 	fast = d.fast * fade(now-d.at, demandSpan) * second / demandSpan
 	mean = d.sum * second / max(d.time+gap, demandSpan)
@@ -88,7 +94,7 @@
 
 // moved begins the mean anew where the last moments are off it by more than noise. The decayed count of a Poisson stream of λ a
 // second over a span τ has the deviation sqrt(λ/2τ) as a measure of λ.
-func (d *demand) moved(now Micros) float64 {
+func (d *demand) moved(now monotime.Micros) float64 {
 	fast, mean := d.rates(now)
 	if math.Abs(fast-mean) <= moves*math.Sqrt(max(mean, d.unit)*d.unit*second/(2*demandSpan)) && mean >= d.sum/max(d.time, 1)*second/8 {
 		return mean
@@ -100,7 +106,7 @@
 
 // Demand is what this front end could spend beyond its static part: a second's for rates, and else at a time or within the
 // window.
-func (a *Account) Demand(now Micros) int64 {
+func (a *Account) Demand(now monotime.Micros) int64 {
 	a.turn(now)
 	d := &a.demand
 	switch a.kind {
--- a/fleet/budget/authority.go
+++ b/fleet/budget/authority.go
@@ -7,6 +7,7 @@
 
 	"chutechute/fleet/budget/account"
 	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
 )
 
 // Options bound the record. All copies of one group have the same.
@@ -29,7 +30,7 @@
 	holders []*holder // by incarnation
 	insts   map[key]*inst
 	notes   map[replication.Incarnation]bool
-	now     Micros
+	now     monotime.Micros
 	index   uint64
 }
 
@@ -45,12 +46,12 @@
 // state is a budget's, over all its subjects.
 type state struct {
 	open     bool
-	added    bool   // in service: no earlier set of this record had it, so that nobody goes by it before it is open
-	changed  uint64 // the place in the record at which its whole or its static parts changed
-	since    Micros // by this machine's clock; no part of the record
-	below    Micros // by this machine, where it leads: since when no more is held than the whole; 0 while more is
-	reserved Amount // for static parts, those that are not handed out among them
-	real     Amount // of static parts that may be in force
+	added    bool            // in service: no earlier set of this record had it, so that nobody goes by it before it is open
+	changed  uint64          // the place in the record at which its whole or its static parts changed
+	since    monotime.Micros // by this machine's clock; no part of the record
+	below    monotime.Micros // by this machine, where it leads: since when no more is held than the whole; 0 while more is
+	reserved Amount          // for static parts, those that are not handed out among them
+	real     Amount          // of static parts that may be in force
 }
 
 // holder is one process that holds something.
@@ -61,15 +62,15 @@
 	issue    uint64 // the grant that its answer told
 	before   uint64 // the one that it replaces
 	lapsed   bool
-	enrolled bool   // it has a static part
-	static   uint64 // the grant of the static parts that its answer told
-	lease    Micros // the longest that it was told
+	enrolled bool            // it has a static part
+	static   uint64          // the grant of the static parts that its answer told
+	lease    monotime.Micros // the longest that it was told
 	statics  map[string]*pair
 	holds    []*hold // by budget and subject
 
-	over     Micros // by this machine's clock: when its lease is over for certain
-	lapsedAt Micros // by this machine: since when it surely is
-	replaced Micros // by this machine: since when its process is no more
+	over     monotime.Micros // by this machine's clock: when its lease is over for certain
+	lapsedAt monotime.Micros // by this machine: since when it surely is
+	replaced monotime.Micros // by this machine: since when its process is no more
 }
 
 // pair is what a holder has said that it holds, and what it was told since.
@@ -81,7 +82,7 @@
 type inst struct {
 	key
 	kind    account.Kind
-	lingers Micros
+	lingers monotime.Micros
 	leased  Amount // what its holds count
 	freed   int64  // of it, since others were last told
 	holds   []*hold
@@ -300,7 +301,7 @@
 }
 
 // put puts a set into force. A budget that is new in it stays closed for a while, as an earlier record may have granted of it.
-func (a *Authority) put(set *Set, text []byte, now Micros) {
+func (a *Authority) put(set *Set, text []byte, now monotime.Micros) {
 	specs := map[string]*state{}
 	for i := range set.Specs {
 		name := set.Specs[i].Name
--- a/fleet/budget/enforce/enforce.go
+++ b/fleet/budget/enforce/enforce.go
@@ -10,13 +10,11 @@
 
 	"chutechute/fleet/budget"
 	"chutechute/fleet/budget/account"
+	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
 	"chutechute/scheduler"
 )
 
-// Micros is a time or a span in microseconds of this machine's clock.
-type Micros = scheduler.Micros
-
 // Scope is what a budget applies to. Each, "*", gives every one the whole for itself.
 type Scope struct {
 	Tenant       string  `json:"tenant,omitempty"` // a name or "*"
@@ -103,7 +101,7 @@
 // Core is the gateway's part of it.
 type Core interface {
 	GrantBudgets(ev scheduler.BudgetGrant)
-	BudgetDemands(now Micros) []scheduler.BudgetDemand
+	BudgetDemands(now monotime.Micros) []scheduler.BudgetDemand
 }
 
 // Enforcer has the decision module of one front end keep to what its budgets grant.
@@ -118,12 +116,12 @@
 func New(site *settings.Settings, core Core) *Enforcer { return &Enforcer{site: site, core: core} }
 
 // BudgetDemands is what the module wants and has in use.
-func (e *Enforcer) BudgetDemands(now Micros) []scheduler.BudgetDemand {
+func (e *Enforcer) BudgetDemands(now monotime.Micros) []scheduler.BudgetDemand {
 	return e.core.BudgetDemands(now)
 }
 
 // GrantBudgets hands a grant over.
-func (e *Enforcer) GrantBudgets(_ Micros, g budget.Grant) {
+func (e *Enforcer) GrantBudgets(_ monotime.Micros, g budget.Grant) {
 	ev := scheduler.BudgetGrant{Until: g.Until, Leased: g.Leased, Static: g.Static}
 	if g.Set != nil {
 		ev.Rules = []scheduler.BudgetRule{}
--- a/fleet/budget/holder.go
+++ b/fleet/budget/holder.go
@@ -7,27 +7,28 @@
 
 	"chutechute/fleet/budget/account"
 	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
 	"chutechute/scheduler"
 )
 
 // Proposer puts questions to the record; see fleet.Node.
 type Proposer interface {
-	Propose(now Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64)
+	Propose(now monotime.Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64)
 	Cancel(id uint64)
 }
 
 // Consumer is who spends: it tells what it wants and has in use, and takes what it may. What it is allowed has to be in force
 // before it begins anything more.
 type Consumer interface {
-	BudgetDemands(now Micros) []scheduler.BudgetDemand
-	GrantBudgets(now Micros, g Grant)
+	BudgetDemands(now monotime.Micros) []scheduler.BudgetDemand
+	GrantBudgets(now monotime.Micros, g Grant)
 }
 
 // Grant is what a front end may spend from now on.
 type Grant struct {
 	Set        *Set     // where it, or Waits, has changed; nil otherwise
 	NotInForce []string // budgets of the set that are not in force yet
-	Until      Micros
+	Until      monotime.Micros
 	Leased     []scheduler.BudgetAmount // by budget and subject
 	Static     []scheduler.BudgetAmount
 }
@@ -35,8 +36,8 @@
 // LeaseHolderConfig sets a holder up.
 type LeaseHolderConfig struct {
 	Name              string
-	Set               *Set   // of this front end's settings
-	MinReportInterval Micros // the least span between two reports
+	Set               *Set            // of this front end's settings
+	MinReportInterval monotime.Micros // the least span between two reports
 }
 
 // LeaseHolder is one front end's side of the division. It counts a lease from before it asked for it, lets go of it when its time is
@@ -45,7 +46,7 @@
 	cfg     LeaseHolderConfig
 	ask     Proposer
 	spender Consumer
-	now     Micros
+	now     monotime.Micros
 	set     *Set // in force: the record's, once it is known
 	text    []byte
 	waits   []string // of the set, not in force yet
@@ -54,17 +55,17 @@
 	n       uint64 // reports so far
 	floor   uint64 // answers to earlier reports count for nothing
 	adopted uint64 // the grant in force; 0 without one
-	until   Micros
+	until   monotime.Micros
 	leased  map[key]Amount
 	static  uint64
 	statics []scheduler.BudgetAmount
-	pending uint64       // the question that is out; 0 without one
-	asked   Micros       // of the last report
-	soon    bool         // something calls for a report
-	looked  Micros       // when demand was last looked at
-	told    map[key]want // what the record has of this front end, once the last report is answered
-	base    uint64       // that report; 0 where it is not certain
-	idle    bool         // the last report wanted and held nothing
+	pending uint64          // the question that is out; 0 without one
+	asked   monotime.Micros // of the last report
+	soon    bool            // something calls for a report
+	looked  monotime.Micros // when demand was last looked at
+	told    map[key]want    // what the record has of this front end, once the last report is answered
+	base    uint64          // that report; 0 where it is not certain
+	idle    bool            // the last report wanted and held nothing
 	leaving bool
 	left    bool
 
@@ -95,7 +96,7 @@
 func (h *LeaseHolder) use(set *Set) { h.set, h.text = set, set.Encode() }
 
 // Reload puts this front end's own settings into another form; they count once the record has taken them.
-func (h *LeaseHolder) Reload(now Micros, set *Set) {
+func (h *LeaseHolder) Reload(now monotime.Micros, set *Set) {
 	h.now, h.cfg.Set, h.soon, h.SettingsConflict, h.agreed = now, set, true, false, false
 }
 
@@ -106,19 +107,19 @@
 }
 
 // Start tells the spender of the budgets, of which it has nothing yet.
-func (h *LeaseHolder) Start(now Micros) {
+func (h *LeaseHolder) Start(now monotime.Micros) {
 	h.now = now
 	h.put(h.set)
 }
 
 // SetNow sets the time for what comes before the next Tick.
-func (h *LeaseHolder) SetNow(now Micros) { h.now = now }
+func (h *LeaseHolder) SetNow(now monotime.Micros) { h.now = now }
 
 // Notify tells that the division may change.
-func (h *LeaseHolder) Notify(now Micros) { h.now, h.soon = now, true }
+func (h *LeaseHolder) Notify(now monotime.Micros) { h.now, h.soon = now, true }
 
 // Release gives all back: nothing is spent any more. Left says whether the record knows it.
-func (h *LeaseHolder) Release(now Micros) {
+func (h *LeaseHolder) Release(now monotime.Micros) {
 	h.now = now
 	if !h.leaving {
 		h.leaving, h.soon, h.asked = true, true, 0
@@ -146,7 +147,7 @@
 }
 
 // Tick lets time pass.
-func (h *LeaseHolder) Tick(now Micros) {
+func (h *LeaseHolder) Tick(now monotime.Micros) {
 	h.now = now
 	if h.adopted != 0 && now >= h.until {
 		h.ExpiredLeases++
@@ -163,7 +164,7 @@
 		h.cancel() // the next says anew what is to be known
 		h.soon = true
 	}
-	if now-h.asked < h.cfg.MinReportInterval+Micros(len(h.told))*perLine {
+	if now-h.asked < h.cfg.MinReportInterval+monotime.Micros(len(h.told))*perLine {
 		return
 	}
 	if !h.soon {
@@ -274,7 +275,7 @@
 }
 
 // take goes by an answer.
-func (h *LeaseHolder) take(n uint64, asked Micros, ans *answer) {
+func (h *LeaseHolder) take(n uint64, asked monotime.Micros, ans *answer) {
 	if h.leaving {
 		h.left = h.left || n >= h.floor && !ans.Late
 		return
@@ -372,19 +373,19 @@
 
 // LeaseStatus is how a front end stands with the division, for operators.
 type LeaseStatus struct {
-	Version          uint64 `json:"version"`
-	OwnVersion       uint64 `json:"own_version"`
-	Differs          bool   `json:"differs"`
-	Grant            uint64 `json:"grant"`
-	LeaseRemainingUS Micros `json:"lease_left_us"`
-	Reports          int    `json:"reports"`
-	ChangedGrants    int    `json:"moved"`
-	ExpiredLeases    int    `json:"lapsed"`
-	LateResponses    int    `json:"too_late"`
-	HasStaticPart    bool   `json:"static_part"`
+	Version          uint64          `json:"version"`
+	OwnVersion       uint64          `json:"own_version"`
+	Differs          bool            `json:"differs"`
+	Grant            uint64          `json:"grant"`
+	LeaseRemainingUS monotime.Micros `json:"lease_left_us"`
+	Reports          int             `json:"reports"`
+	ChangedGrants    int             `json:"moved"`
+	ExpiredLeases    int             `json:"lapsed"`
+	LateResponses    int             `json:"too_late"`
+	HasStaticPart    bool            `json:"static_part"`
 }
 
 // Status is how this front end stands.
-func (h *LeaseHolder) Status(now Micros) LeaseStatus {
+func (h *LeaseHolder) Status(now monotime.Micros) LeaseStatus {
 	return LeaseStatus{h.set.Version, h.cfg.Set.Version, h.SettingsConflict, h.adopted, max(0, h.until-now), h.Reports, h.ChangedGrants, h.ExpiredLeases, h.LateResponses, h.static != 0}
 }
--- a/fleet/budget/holders.go
+++ b/fleet/budget/holders.go
@@ -6,6 +6,7 @@
 
 	"chutechute/fleet/budget/account"
 	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
 )
 
 func (a *Authority) place(who replication.Incarnation) (int, bool) {
@@ -157,7 +158,7 @@
 }
 
 // ends is how long what lingers does so at most: that of places ends sooner where its process is certainly no more.
-func ends(lingers Micros, kind account.Kind, certain bool) Micros {
+func ends(lingers monotime.Micros, kind account.Kind, certain bool) monotime.Micros {
 	if certain && kind == account.Concurrency {
 		return min(lingers, replication.AbandonTimeout)
 	}
@@ -165,7 +166,7 @@
 }
 
 // free frees what a lapsed holder had begun and that lingers no longer than a span.
-func (a *Authority) free(h *holder, span Micros, certain bool) {
+func (a *Authority) free(h *holder, span monotime.Micros, certain bool) {
 	a.each(h, func(o *hold) {
 		if ends(o.i.lingers, o.i.kind, certain) <= span {
 			o.pair, o.inUse = pair{}, 0
--- a/fleet/budget/message.go
+++ b/fleet/budget/message.go
@@ -2,6 +2,7 @@
 
 import (
 	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
 	"chutechute/internal/proto"
 )
 
@@ -28,7 +29,7 @@
 	Set     []byte // where its settings may be newer than the record's
 	Wants   []want
 	Who     replication.Incarnation // of a lapse and of a freeing
-	Span    Micros                  // of a freeing: what lingers no longer than that is over
+	Span    monotime.Micros         // of a freeing: what lingers no longer than that is over
 	Certain bool                    // of a freeing: its process is no more, so that its static part is free too
 	Budget  string                  // of an opening
 }
@@ -125,7 +126,7 @@
 	Unknown bool   // the record knows nothing of the holder: its static part is to be dropped too
 	Index   uint64 // of the grant
 	Static  uint64 // of the grant of the static parts
-	Lease   Micros
+	Lease   monotime.Micros
 	Version uint64
 	Set     []byte   // where the record's is not the holder's
 	Differs bool     // the holder's settings have the record's version and say something else
--- a/fleet/budget/show.go
+++ b/fleet/budget/show.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"chutechute/fleet/budget/account"
+	"chutechute/internal/monotime"
 )
 
 // Status is how a budget stands on record, for operators. Amounts are in units: queries, threads or milliseconds of work, a
@@ -62,7 +63,7 @@
 }
 
 // Status is how all budgets stand, or the one of a name.
-func (a *Authority) Status(now Micros, name string) []Status {
+func (a *Authority) Status(now monotime.Micros, name string) []Status {
 	list := []Status{}
 	if a.set == nil {
 		return list
--- a/fleet/budget/snapshot.go
+++ b/fleet/budget/snapshot.go
@@ -8,13 +8,14 @@
 
 	"chutechute/fleet/budget/account"
 	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
 	"chutechute/internal/proto"
 )
 
 func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 // DueCommands gives what has lapsed and what is over, by this machine's clock.
-func (a *Authority) DueCommands(now Micros, seen replication.FailureDetector) (list [][]byte) {
+func (a *Authority) DueCommands(now monotime.Micros, seen replication.FailureDetector) (list [][]byte) {
 	if a.set == nil {
 		return nil
 	}
@@ -49,14 +50,16 @@
 }
 
 // quiet is how long a new record holds a budget back: what an earlier one granted of it may be in force until then.
-func (a *Authority) quiet(name string) Micros {
+func (a *Authority) quiet(name string) monotime.Micros {
 	p := a.set.Lookup(name)
 	return certainly(a.set.Lease) + certainly(p.lingers())
 }
 
 // leaves says whether a span frees something that a lapsed holder had begun.
-func (a *Authority) leaves(h *holder, span Micros, certain bool) bool {
-	over := func(lingers Micros, kind account.Kind) bool { return span >= certainly(ends(lingers, kind, certain)) }
+func (a *Authority) leaves(h *holder, span monotime.Micros, certain bool) bool {
+	over := func(lingers monotime.Micros, kind account.Kind) bool {
+		return span >= certainly(ends(lingers, kind, certain))
+	}
 	for _, o := range h.holds {
 		if over(o.i.lingers, o.i.kind) {
 			return true
@@ -153,7 +156,7 @@
 }
 
 // Restore takes a snapshot over. Its spans begin now, which is later than they did: nothing lapses or opens early.
-func (a *Authority) Restore(b []byte, now Micros) error {
+func (a *Authority) Restore(b []byte, now monotime.Micros) error {
 	*a = *NewAuthority(a.o)
 	a.now = now
 	states := map[string]*state{}
@@ -227,7 +230,7 @@
 	return nil
 }
 
-func (a *Authority) decodeHolder(b []byte, now Micros) error {
+func (a *Authority) decodeHolder(b []byte, now monotime.Micros) error {
 	h := &holder{statics: map[string]*pair{}, lapsedAt: now}
 	err := proto.Each(b, func(f proto.Field) error {
 		switch f.Number {
--- a/fleet/budget/spec.go
+++ b/fleet/budget/spec.go
@@ -37,12 +37,10 @@
 
 	"chutechute/fleet/budget/account"
 	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
 	"chutechute/internal/proto"
 )
 
-// Micros is a time or a span in microseconds of one machine's clock.
-type Micros = replication.Micros
-
 // Amount is a part of a budget; see package account.
 type Amount = account.Amount
 
@@ -53,10 +51,12 @@
 )
 
 // certainly is a span by a clock that may run fast, with the slack: after it another machine's span is over.
-func certainly(span Micros) Micros { return span + span/account.ClockDriftDivisor + slack }
+func certainly(span monotime.Micros) monotime.Micros {
+	return span + span/account.ClockDriftDivisor + slack
+}
 
 // surely is the longest span that is certainly over when this one has passed.
-func surely(span Micros) Micros {
+func surely(span monotime.Micros) monotime.Micros {
 	return max(0, span-slack) * account.ClockDriftDivisor / (account.ClockDriftDivisor + 1)
 }
 
@@ -66,12 +66,12 @@
 	Name               string
 	Kind               account.Kind
 	Total              Amount
-	Window             Micros // of a window
-	MaxAttemptDuration Micros // the longest that a holder asks after what holds a place
-	Reserve            int64  // thousandths of the whole that are divided evenly, for good, among as many front ends as there may be
-	NewcomerReserve    int64  // thousandths that are kept back for who holds nothing yet
-	Floor              int64  // thousandths that each front end with any demand gets first
-	MinPart            int64  // the least part that is of use, in thousandths of a unit
+	Window             monotime.Micros // of a window
+	MaxAttemptDuration monotime.Micros // the longest that a holder asks after what holds a place
+	Reserve            int64           // thousandths of the whole that are divided evenly, for good, among as many front ends as there may be
+	NewcomerReserve    int64           // thousandths that are kept back for who holds nothing yet
+	Floor              int64           // thousandths that each front end with any demand gets first
+	MinPart            int64           // the least part that is of use, in thousandths of a unit
 	Weights            []Weight
 	Scope              []byte // what it applies to, in the words of the settings; no part of the division
 }
@@ -83,7 +83,7 @@
 }
 
 // lingers is how long what was begun under a lease may go on when that is over.
-func (s *Spec) lingers() Micros {
+func (s *Spec) lingers() monotime.Micros {
 	switch s.Kind {
 	case account.Concurrency:
 		return s.MaxAttemptDuration + replication.AbandonTimeout
@@ -118,7 +118,7 @@
 // Set is all budgets in force, of one version of the settings.
 type Set struct {
 	Version      uint64
-	Lease        Micros
+	Lease        monotime.Micros
 	MaxFrontEnds int    // front ends that there may be
 	Specs        []Spec // by name
 }
--- a/fleet/control.go
+++ b/fleet/control.go
@@ -8,6 +8,7 @@
 	"chutechute/fleet/membership"
 	"chutechute/fleet/replication"
 	"chutechute/fleet/transport"
+	"chutechute/internal/monotime"
 )
 
 // Errors of a peer that says what its role doesn't allow; the link is closed.
@@ -48,7 +49,7 @@
 }
 
 // LinkOpened tells that an attached front end has proven itself over a link.
-func (n *Node) LinkOpened(now Micros, l Link) {
+func (n *Node) LinkOpened(now monotime.Micros, l Link) {
 	if n.server == nil || !l.Attached {
 		return
 	}
@@ -59,7 +60,7 @@
 }
 
 // LinkClosed tells that such a link is closed.
-func (n *Node) LinkClosed(now Micros, l Link) {
+func (n *Node) LinkClosed(now monotime.Micros, l Link) {
 	if n.server == nil || !l.Attached {
 		return
 	}
@@ -73,7 +74,7 @@
 }
 
 // QueueFull tells that what waited for an attached front end was dropped for want of room.
-func (n *Node) QueueFull(now Micros, name string, incarnation uint64) {
+func (n *Node) QueueFull(now monotime.Micros, name string, incarnation uint64) {
 	n.now = now
 	n.server.QueueFull(now, name, incarnation)
 }
--- a/fleet/heartbeat/monitor.go
+++ b/fleet/heartbeat/monitor.go
@@ -12,10 +12,11 @@
 // It is a stepped module without I/O, clock, goroutines or map order.
 package heartbeat
 
-import "slices"
+import (
+	"slices"
 
-// Micros is a time or a span in microseconds of this machine's clock.
-type Micros = int64
+	"chutechute/internal/monotime"
+)
 
 // State is how a front end is seen.
 type State int
@@ -36,17 +37,17 @@
 
 // Config sets the spans.
 type Config struct {
-	SuspectAfter Micros // of silence
-	DeadAfter    Micros // of silence everywhere
+	SuspectAfter monotime.Micros // of silence
+	DeadAfter    monotime.Micros // of silence everywhere
 	// PauseThreshold is a gap between two ticks above which this process was stopped: what it has not heard meanwhile says nothing.
-	PauseThreshold Micros
+	PauseThreshold monotime.Micros
 }
 
 // Report is how long ago a front end heard another.
 type Report struct {
 	Name        string
 	Incarnation uint64
-	Age         Micros
+	Age         monotime.Micros
 }
 
 // Peer is another front end.
@@ -55,11 +56,11 @@
 	Zone         string
 	Incarnation  uint64 // the last that was heard; 0: none was
 	State        State
-	ChallengedAt Micros // when the first link of this incarnation was challenged here
+	ChallengedAt monotime.Micros // when the first link of this incarnation was challenged here
 
-	lastHeard     Micros // here
-	challenged    Micros // when the newest link of this incarnation was challenged
-	lastElsewhere Micros // when it was last heard elsewhere, by what others say
+	lastHeard     monotime.Micros // here
+	challenged    monotime.Micros // when the newest link of this incarnation was challenged
+	lastElsewhere monotime.Micros // when it was last heard elsewhere, by what others say
 	leaving       bool
 	past          []uint64 // earlier incarnations: they never come again
 }
@@ -72,7 +73,7 @@
 	cfg    Config
 	list   []*Peer // by name
 	byName map[string]*Peer
-	now    Micros
+	now    monotime.Micros
 }
 
 // NewMonitor begins with those that the settings name; zones by name.
@@ -94,7 +95,7 @@
 
 // Observe takes a heartbeat that came over a link whose challenge was made here at the time greeted. It is false for one of an
 // incarnation that is gone, which must not count.
-func (s *Monitor) Observe(now Micros, name string, incarnation uint64, greeted Micros, leaving bool, reports []Report) bool {
+func (s *Monitor) Observe(now monotime.Micros, name string, incarnation uint64, greeted monotime.Micros, leaving bool, reports []Report) bool {
 	s.pass(now)
 	m := s.byName[name]
 	if m == nil || slices.Contains(m.past, incarnation) || m.Incarnation != incarnation && m.Incarnation != 0 && greeted <= m.challenged {
@@ -122,7 +123,7 @@
 
 // pass lets time pass. After a stop of this process it comes before anything that was heard since, which would else be moved into
 // the future.
-func (s *Monitor) pass(now Micros) {
+func (s *Monitor) pass(now monotime.Micros) {
 	if gap := now - s.now; s.now != 0 && gap > s.cfg.PauseThreshold {
 		for _, m := range s.list {
 			if m.Incarnation != 0 {
@@ -134,7 +135,7 @@
 }
 
 // Tick lets time pass, and gives those whose state has changed.
-func (s *Monitor) Tick(now Micros) (changed []*Peer) {
+func (s *Monitor) Tick(now monotime.Micros) (changed []*Peer) {
 	s.pass(now)
 	for _, m := range s.list {
 		if state := s.state(m); state != m.State {
--- a/fleet/heartbeat/report.go
+++ b/fleet/heartbeat/report.go
@@ -1,6 +1,9 @@
 package heartbeat
 
-import "chutechute/internal/proto"
+import (
+	"chutechute/internal/monotime"
+	"chutechute/internal/proto"
+)
 
 // mostAge bounds the age in a report that was read, so that sums of it don't overflow.
 const mostAge = 1 << 62
@@ -21,7 +24,7 @@
 		case 2:
 			r.Incarnation = f.Uint
 		case 3:
-			r.Age = Micros(min(f.Uint, mostAge))
+			r.Age = monotime.Micros(min(f.Uint, mostAge))
 		}
 		return nil
 	})
--- a/fleet/idempotency/idempotencyclient/client.go
+++ b/fleet/idempotency/idempotencyclient/client.go
@@ -18,29 +18,27 @@
 	"chutechute/fleet/idempotency"
 	"chutechute/fleet/replication"
 	"chutechute/gateway"
+	"chutechute/internal/monotime"
 )
 
-// Micros is a time or a span in microseconds of this machine's clock.
-type Micros = gateway.Micros
-
 // Proposer puts questions to the record; see fleet.Node.
 type Proposer interface {
-	Propose(now Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64)
+	Propose(now monotime.Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64)
 	Cancel(id uint64)
 	PresumedDead(incarnation uint64) bool
 }
 
 // Core is the gateway's part in what another front end has started.
 type Core interface {
-	TakeOver(now Micros, s gateway.Takeover) *gateway.Registration
+	TakeOver(now monotime.Micros, s gateway.Takeover) *gateway.Registration
 }
 
 // Config sets the spans.
 type Config struct {
 	Incarnation        uint64
-	PollInterval       Micros // between looks at a load that others hold, or whose turn has not come
-	CommitTimeout      Micros // how long an outcome is offered to the record
-	CapacityRetryAfter Micros // when a load turned away for want of room may come back
+	PollInterval       monotime.Micros // between looks at a load that others hold, or whose turn has not come
+	CommitTimeout      monotime.Micros // how long an outcome is offered to the record
+	CapacityRetryAfter monotime.Micros // when a load turned away for want of room may come back
 }
 
 // Client is one front end's loads.
@@ -48,7 +46,7 @@
 	cfg     Config
 	ask     Proposer
 	core    Core
-	now     Micros
+	now     monotime.Micros
 	tracked map[string]*trackedLoad
 	order   []*trackedLoad // those of tracked, in the order in which they came
 	// Conflicts counts repeats with another statement, Adopted loads taken over, Waited repeats that waited with another's.
@@ -69,9 +67,9 @@
 	clean   bool   // it was seen as this front end's with nothing begun: what began since is of its runners
 	asking  uint64 // the Take that is out; 0 without one
 	ending  bool   // a Finish is out
-	endedAt Micros
+	endedAt monotime.Micros
 	end     uint64 // its question
-	poll    Micros
+	poll    monotime.Micros
 	waited  bool
 	call    string // the last Take's
 	gone    bool
@@ -83,7 +81,7 @@
 }
 
 // SetNow sets the time for what comes before the next Tick.
-func (c *Client) SetNow(now Micros) { c.now = now }
+func (c *Client) SetNow(now monotime.Micros) { c.now = now }
 
 func digest(statement []byte) []byte {
 	sum := sha256.Sum256(statement)
@@ -91,7 +89,7 @@
 }
 
 // Register notes a load that was taken.
-func (c *Client) Register(now Micros, e *gateway.Registration) {
+func (c *Client) Register(now monotime.Micros, e *gateway.Registration) {
 	c.now = now
 	call := e.Call()
 	load := c.tracked[call.IdempotencyKey]
@@ -220,7 +218,7 @@
 
 // succeed looks after what another front end has started: the record has made this one its owner.
 func (c *Client) succeed(load *trackedLoad, v idempotency.Response) {
-	e := c.core.TakeOver(c.now, gateway.Takeover{RequestID: v.StartedRequestID, Engine: v.Engine, IdempotencyKey: load.once, Key: v.OrderKey, Class: v.Class, TTL: Micros(v.TTL)})
+	e := c.core.TakeOver(c.now, gateway.Takeover{RequestID: v.StartedRequestID, Engine: v.Engine, IdempotencyKey: load.once, Key: v.OrderKey, Class: v.Class, TTL: monotime.Micros(v.TTL)})
 	if e == nil {
 		return // its own client's call goes by that id; the load ends by its time
 	}
@@ -230,7 +228,7 @@
 }
 
 // Authorize asks whether an attempt may begin.
-func (c *Client) Authorize(now Micros, e *gateway.Registration, attempt int, engine string, granted func(Micros, bool)) {
+func (c *Client) Authorize(now monotime.Micros, e *gateway.Registration, attempt int, engine string, granted func(monotime.Micros, bool)) {
 	c.now = now
 	load := e.Slot.(*trackedLoad)
 	c.put(&idempotency.Command{Op: idempotency.AuthorizeAttempt, IdempotencyKey: load.once, Epoch: load.epoch, Attempt: uint64(attempt), Engine: engine,
@@ -251,7 +249,7 @@
 }
 
 // Commit notes a load's rows as its outcome.
-func (c *Client) Commit(now Micros, e *gateway.Registration, rows []byte) {
+func (c *Client) Commit(now monotime.Micros, e *gateway.Registration, rows []byte) {
 	c.now = now
 	c.drop(e)
 	load := e.Slot.(*trackedLoad)
@@ -260,7 +258,7 @@
 }
 
 // Release ends a request's part in a load.
-func (c *Client) Release(now Micros, e *gateway.Registration, ran bool) {
+func (c *Client) Release(now monotime.Micros, e *gateway.Registration, ran bool) {
 	c.now = now
 	load := e.Slot.(*trackedLoad)
 	c.drop(e)
@@ -286,7 +284,7 @@
 
 // Transfer gives a load that runs back to the record, which offers it to another front end. What comes of it here counts only if it
 // is committed before.
-func (c *Client) Transfer(now Micros, e *gateway.Registration) {
+func (c *Client) Transfer(now monotime.Micros, e *gateway.Registration) {
 	c.now = now
 	if load := e.Slot.(*trackedLoad); load.runner == e && !load.ending && !load.gone {
 		slog.Info("load handed on", "dedupe", load.once, "epoch", load.epoch)
@@ -347,7 +345,7 @@
 	}
 }
 
-func (c *Client) turnAll(load *trackedLoad, after Micros) {
+func (c *Client) turnAll(load *trackedLoad, after monotime.Micros) {
 	entries := load.entries
 	load.entries = nil
 	c.close(load)
@@ -372,7 +370,7 @@
 }
 
 // Notify tells that a load may have changed.
-func (c *Client) Notify(now Micros, once string) {
+func (c *Client) Notify(now monotime.Micros, once string) {
 	c.now = now
 	if load := c.tracked[once]; load != nil {
 		if load.runner == nil {
@@ -402,7 +400,7 @@
 }
 
 // Tick lets time pass.
-func (c *Client) Tick(now Micros) {
+func (c *Client) Tick(now monotime.Micros) {
 	c.now = now
 	for _, load := range append([]*trackedLoad(nil), c.order...) {
 		c.sort(load)
--- a/fleet/idempotency/registry.go
+++ b/fleet/idempotency/registry.go
@@ -29,6 +29,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
 	"chutechute/internal/proto"
 )
 
@@ -45,9 +46,9 @@
 
 // Options are the bounds of the record. All copies of one group have the same.
 type Options struct {
-	MaxBytes      int                // that records may take, with room for their outcomes
-	Retention     replication.Micros // how long an outcome is kept
-	OrphanTimeout replication.Micros // how long a load whose owner is gone keeps its place with nothing begun
+	MaxBytes      int             // that records may take, with room for their outcomes
+	Retention     monotime.Micros // how long an outcome is kept
+	OrphanTimeout monotime.Micros // how long a load whose owner is gone keeps its place with nothing begun
 }
 
 // load is one record.
@@ -65,8 +66,8 @@
 	watchers                 []replication.Incarnation
 	changed                  uint64
 
-	taken, at replication.Micros // by this machine's clock: of the last Take that counts, of the last change; no part of the state
-	orphan    replication.Micros // since when its owner is gone, by this machine
+	taken, at monotime.Micros // by this machine's clock: of the last Take that counts, of the last change; no part of the state
+	orphan    monotime.Micros // since when its owner is gone, by this machine
 }
 
 // start is an attempt that may have begun.
@@ -336,14 +337,14 @@
 }
 
 // DueCommands gives what has lapsed and what may be forgotten, by this machine's clock.
-func (s *Registry) DueCommands(now replication.Micros, seen replication.FailureDetector) (list [][]byte) {
+func (s *Registry) DueCommands(now monotime.Micros, seen replication.FailureDetector) (list [][]byte) {
 	offers := 0
 	for _, l := range s.order {
 		if len(list) >= mostDue {
 			break
 		}
 		c := Command{IdempotencyKey: l.once, ChangedIndex: l.changed}
-		life := replication.Micros(l.ttl) + replication.Micros(l.ttl)/drift + second/2
+		life := monotime.Micros(l.ttl) + monotime.Micros(l.ttl)/drift + second/2
 		switch {
 		case l.phase.Finished() && now-l.at >= s.o.Retention:
 			c.Op = Forget
@@ -414,7 +415,7 @@
 }
 
 // Restore takes a snapshot over. Its spans begin now, which is later than they did: nothing lapses early.
-func (s *Registry) Restore(b []byte, now replication.Micros) error {
+func (s *Registry) Restore(b []byte, now monotime.Micros) error {
 	*s = *NewRegistry(s.o)
 	return proto.Each(b, func(f proto.Field) error {
 		l := &load{taken: now, at: now}
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -3,11 +3,12 @@
 import (
 	"chutechute/fleet/replication"
 	"chutechute/fleet/transport"
+	"chutechute/internal/monotime"
 )
 
 // Propose puts a question to the record. Done is called once with what was committed, from Receive, Tick or Stored; it is not
 // called any more after Cancel. A question that is taken back may still be committed.
-func (n *Node) Propose(now Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64) {
+func (n *Node) Propose(now monotime.Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64) {
 	n.now = now
 	return n.requests.add(now, kind, version, body, done)
 }
@@ -21,8 +22,8 @@
 // toLeader is the route of a front end that knows the copies: straight to who leads the record.
 type toLeader struct {
 	n    *Node
-	hint uint64 // the leader, by the last refusal
-	at   Micros // of that
+	hint uint64          // the leader, by the last refusal
+	at   monotime.Micros // of that
 }
 
 func (t *toLeader) ask(to string, c replication.Command) {
--- a/fleet/membership/client.go
+++ b/fleet/membership/client.go
@@ -4,18 +4,20 @@
 	"cmp"
 	"fmt"
 	"slices"
+
+	"chutechute/internal/monotime"
 )
 
 const (
 	// firstSlotWait is how long a client at its start waits for the first slot before it takes the view from the second.
-	firstSlotWait Micros = 2_000_000
+	firstSlotWait monotime.Micros = 2_000_000
 	// steadySpan is how long the first slot has to be heard before the view is taken from it again.
-	steadySpan Micros = 3_000_000
+	steadySpan monotime.Micros = 3_000_000
 	// resumeGap is between two requests of what is missing, beside the heartbeats.
-	resumeGap Micros = 300_000
+	resumeGap monotime.Micros = 300_000
 	// conflictSpan is for how long a home has to show a process alive before that counts more than what was seen of it elsewhere.
 	// It is longer than the evidence of any home that is not there.
-	conflictSpan Micros = 30_000_000
+	conflictSpan monotime.Micros = 30_000_000
 	// mostFailures is how many times in a row what a control member sends may not agree before its link is closed.
 	mostFailures = 6
 )
@@ -26,10 +28,10 @@
 	Counters Counters
 
 	cfg     Config
-	now     Micros
-	due     Micros // when a call was due at the latest
+	now     monotime.Micros
+	due     monotime.Micros // when a call was due at the latest
 	started bool
-	first   Micros // the time of the start
+	first   monotime.Micros // the time of the start
 	random  random
 	leaving bool
 
@@ -41,9 +43,9 @@
 	view     *View
 	epoch    uint64 // the process of a control member whose version the view is; 0 for none
 	sequence uint64
-	failures int    // in a row, in which what the home sent did not agree
-	whole    bool   // only the whole view helps
-	conflict Micros // since when the home shows a process that was replaced; 0 where it doesn't
+	failures int             // in a row, in which what the home sent did not agree
+	whole    bool            // only the whole view helps
+	conflict monotime.Micros // since when the home shows a process that was replaced; 0 where it doesn't
 	unpacker unpacker
 
 	actions []Message
@@ -67,7 +69,7 @@
 
 // pass lets time pass. A call that comes much later than due says that this process was stopped: what was not heard meanwhile
 // says nothing of the control members, and the view is as old as the gap says until it is confirmed.
-func (c *Client) pass(now Micros) {
+func (c *Client) pass(now monotime.Micros) {
 	if !c.started {
 		c.started, c.first, c.now = true, now, now
 		c.prefer()
@@ -85,7 +87,7 @@
 func (c *Client) planned() { c.due = c.Next() }
 
 // Tick lets time pass. It is to be called no later than Next says, and may be called more often.
-func (c *Client) Tick(now Micros) {
+func (c *Client) Tick(now monotime.Micros) {
 	c.pass(now)
 	defer c.planned()
 	c.moveSlots()
@@ -104,7 +106,7 @@
 }
 
 // Next is when Tick has something to do.
-func (c *Client) Next() Micros {
+func (c *Client) Next() monotime.Micros {
 	next := c.now + c.cfg.HeartbeatInterval
 	for i := range c.slots {
 		s := &c.slots[i]
@@ -119,7 +121,7 @@
 		if o.linked {
 			next = min(next, o.beat)
 		}
-		for _, span := range []Micros{c.cfg.SuspectAfter, c.cfg.DeadAfter} {
+		for _, span := range []monotime.Micros{c.cfg.SuspectAfter, c.cfg.DeadAfter} {
 			if at := max(o.heard, o.asked) + span; at > c.now {
 				next = min(next, at)
 			}
@@ -129,7 +131,7 @@
 }
 
 // LinkOpened says that a link to that process of a control member is open.
-func (c *Client) LinkOpened(now Micros, control string, incarnation uint64) {
+func (c *Client) LinkOpened(now monotime.Micros, control string, incarnation uint64) {
 	c.pass(now)
 	defer c.planned()
 	o := c.byName[control]
@@ -149,7 +151,7 @@
 
 // LinkClosed says that the link to a control member is closed, or could not be opened. One that closes the link before it has sent
 // anything doesn't take this front end, and is as good as not reached.
-func (c *Client) LinkClosed(now Micros, control string) {
+func (c *Client) LinkClosed(now monotime.Micros, control string) {
 	c.pass(now)
 	defer c.planned()
 	o := c.byName[control]
@@ -273,7 +275,7 @@
 }
 
 // Receive takes a message of a control member; after an error the link is to be closed.
-func (c *Client) Receive(now Micros, control string, incarnation uint64, kind Kind, body []byte) error {
+func (c *Client) Receive(now monotime.Micros, control string, incarnation uint64, kind Kind, body []byte) error {
 	c.pass(now)
 	defer c.planned()
 	o := c.byName[control]
--- a/fleet/membership/damping.go
+++ b/fleet/membership/damping.go
@@ -1,9 +1,11 @@
 package membership
 
+import "chutechute/internal/monotime"
+
 // rate bounds how often something happens: burst times at once, and then once in each gap. It is the generic cell rate
 // algorithm, whose whole state is when the next would be due if all came evenly.
 type rate struct {
-	gap   Micros
+	gap   monotime.Micros
 	burst int
 }
 
@@ -30,21 +32,21 @@
 
 // byteRate bounds bytes: so many a second, and those of a span at once. What is larger goes where nothing else went of late.
 type byteRate struct {
-	each Micros // bytes a second
-	span Micros
+	each monotime.Micros // bytes a second
+	span monotime.Micros
 }
 
 // allows says whether something may go now. due is the state, 0 at first.
-func (r byteRate) allows(now, due Micros) bool { return due-now <= r.span }
+func (r byteRate) allows(now, due monotime.Micros) bool { return due-now <= r.span }
 
 // note counts what goes.
-func (r byteRate) note(now Micros, bytes int, due *Micros) {
-	*due = max(*due, now) + Micros(bytes)*1_000_000/r.each
+func (r byteRate) note(now monotime.Micros, bytes int, due *monotime.Micros) {
+	*due = max(*due, now) + monotime.Micros(bytes)*1_000_000/r.each
 }
 
 // allow says whether it may happen now, and notes it if so. due is the state, 0 at first.
-func (r rate) allow(now Micros, due *Micros) bool {
-	if *due-now > r.gap*Micros(r.burst-1) {
+func (r rate) allow(now monotime.Micros, due *monotime.Micros) bool {
+	if *due-now > r.gap*monotime.Micros(r.burst-1) {
 		return false
 	}
 	*due = max(*due, now) + r.gap
--- a/fleet/membership/digest.go
+++ b/fleet/membership/digest.go
@@ -1,5 +1,7 @@
 package membership
 
+import "chutechute/internal/monotime"
+
 // buckets is into how many parts a view is divided for finding what differs: at 2,700 entries one differing entry costs some 42.
 const buckets = 64
 
@@ -69,9 +71,9 @@
 }
 
 // span is between low and high.
-func (r *random) span(low, high Micros) Micros {
+func (r *random) span(low, high monotime.Micros) monotime.Micros {
 	if high <= low {
 		return low
 	}
-	return low + Micros(r.next()%uint64(high-low))
+	return low + monotime.Micros(r.next()%uint64(high-low))
 }
--- a/fleet/membership/lease.go
+++ b/fleet/membership/lease.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"slices"
 	"strings"
+
+	"chutechute/internal/monotime"
 )
 
 // lease is a front end that is attached here.
@@ -11,21 +13,21 @@
 	name        string
 	zone        string
 	incarnation uint64
-	first       Micros // when it answered its first challenge here
-	greeted     Micros // when it answered its newest
-	heard       Micros
+	first       monotime.Micros // when it answered its first challenge here
+	greeted     monotime.Micros // when it answered its newest
+	heard       monotime.Micros
 	leaving     bool
 	links       []Link
 	past        []uint64 // the last few earlier processes of its name
 
 	state   State
-	doubt   Micros // until when it is Suspect though it is silent for longer; 0 without doubt
-	ended   Micros // since when it is Dead or has Left
-	touched bool   // is in Server.dirty
-	waits   bool   // a change is put off by the bounded rate
-	changes Micros // state of the bounded rate of its changes
+	doubt   monotime.Micros // until when it is Suspect though it is silent for longer; 0 without doubt
+	ended   monotime.Micros // since when it is Dead or has Left
+	touched bool            // is in Server.dirty
+	waits   bool            // a change is put off by the bounded rate
+	changes monotime.Micros // state of the bounded rate of its changes
 
-	snapshots Micros // state of the bounded bytes of snapshots to its name
+	snapshots monotime.Micros // state of the bounded bytes of snapshots to its name
 	reader    reader
 }
 
@@ -102,7 +104,7 @@
 }
 
 // LinkOpened says that an attached front end has proven itself over a new link.
-func (s *Server) LinkOpened(now Micros, l Link) {
+func (s *Server) LinkOpened(now monotime.Micros, l Link) {
 	s.pass(now)
 	if _, err := s.hear(l); err != nil {
 		s.closing = append(s.closing, l)
@@ -110,7 +112,7 @@
 }
 
 // LinkClosed says that such a link is closed. The lease goes on: a broken link alone is no death.
-func (s *Server) LinkClosed(now Micros, l Link) {
+func (s *Server) LinkClosed(now monotime.Micros, l Link) {
 	s.pass(now)
 	held := s.lessees[l.From]
 	if held == nil || held.incarnation != l.Incarnation {
--- a/fleet/membership/membership.go
+++ b/fleet/membership/membership.go
@@ -25,10 +25,11 @@
 // It is a stepped module without I/O, clock, goroutines or map order. All times are of this process's monotonic clock.
 package membership
 
-import "errors"
+import (
+	"errors"
 
-// Micros is a time or a span in microseconds of this machine's monotonic clock.
-type Micros = int64
+	"chutechute/internal/monotime"
+)
 
 // Role is what a front end is in the fleet.
 type Role uint8
@@ -78,10 +79,10 @@
 type ControlMember struct {
 	Name            string
 	Zone            string
-	Incarnation     uint64 // 0: never seen
-	State           State  // Alive also for one that is heard only by others
-	IndirectlyAlive bool   // Alive, but not heard here
-	ChallengedAt    Micros // when its process answered its first challenge here; 0 where that is not known
+	Incarnation     uint64          // 0: never seen
+	State           State           // Alive also for one that is heard only by others
+	IndirectlyAlive bool            // Alive, but not heard here
+	ChallengedAt    monotime.Micros // when its process answered its first challenge here; 0 where that is not known
 }
 
 // Link is a proven link of an attached front end to this control member.
@@ -89,7 +90,7 @@
 	From         string
 	Zone         string
 	Incarnation  uint64
-	ChallengedAt Micros // when this side challenged it
+	ChallengedAt monotime.Micros // when this side challenged it
 }
 
 // Kind says what a message is; package peer gives each a kind of frame of its own.
@@ -126,29 +127,29 @@
 	Incarnation uint64
 	// ControlMembers are all control members that the settings name, with name and zone; this one too where it is one.
 	ControlMembers    []ControlMember
-	HeartbeatInterval Micros // between two heartbeats of an attached front end
-	SuspectAfter      Micros // of silence
-	DeadAfter         Micros // of silence
+	HeartbeatInterval monotime.Micros // between two heartbeats of an attached front end
+	SuspectAfter      monotime.Micros // of silence
+	DeadAfter         monotime.Micros // of silence
 	// PauseThreshold is how much later than due a call comes where this process was stopped: what it has not heard meanwhile says nothing.
-	PauseThreshold Micros
-	BatchDelay     Micros // how long changes are collected
-	MaxEntries     int    // entries that a view may have
-	Seed           uint64 // for jitter; the same seed, the same run
+	PauseThreshold monotime.Micros
+	BatchDelay     monotime.Micros // how long changes are collected
+	MaxEntries     int             // entries that a view may have
+	Seed           uint64          // for jitter; the same seed, the same run
 }
 
 // Defaults of a configuration's spans and bounds.
 const (
-	DefaultHeartbeatInterval Micros = 1_000_000
-	DefaultSuspectAfter      Micros = 2_500_000
-	DefaultDeadAfter         Micros = 4_000_000
-	DefaultPauseThreshold    Micros = 600_000
-	DefaultBatchDelay        Micros = 50_000
-	DefaultMaxEntries               = 8192
+	DefaultHeartbeatInterval monotime.Micros = 1_000_000
+	DefaultSuspectAfter      monotime.Micros = 2_500_000
+	DefaultDeadAfter         monotime.Micros = 4_000_000
+	DefaultPauseThreshold    monotime.Micros = 600_000
+	DefaultBatchDelay        monotime.Micros = 50_000
+	DefaultMaxEntries                        = 8192
 )
 
 // withDefaults fills in what was left out.
 func (c Config) withDefaults() Config {
-	span := func(value *Micros, otherwise Micros) {
+	span := func(value *monotime.Micros, otherwise monotime.Micros) {
 		if *value <= 0 {
 			*value = otherwise
 		}
--- a/fleet/membership/merge.go
+++ b/fleet/membership/merge.go
@@ -3,31 +3,33 @@
 import (
 	"cmp"
 	"slices"
+
+	"chutechute/internal/monotime"
 )
 
 // reinstateSpan is for how long a process must be alive beside a later one of its name that is dead before it is shown instead.
-const reinstateSpan Micros = 10_000_000
+const reinstateSpan monotime.Micros = 10_000_000
 
 // recompareSpan is for how long after a change two processes of one name are compared again with each batch: the estimate of another
 // member's clock gets better with each message.
-const recompareSpan Micros = 5_000_000
+const recompareSpan monotime.Micros = 5_000_000
 
 // awaitSpan is for how long the table of a control member that has come back is awaited before others' word that a front end is dead
 // counts without it: longer than it takes, and so short that one which never tells does not hold up deaths for long.
-const awaitSpan Micros = 3_000_000
+const awaitSpan monotime.Micros = 3_000_000
 
 // nameState is all that is known of one name: the rows of all homes' tables.
 type nameState struct {
 	name           string
-	rows           []*row // by home and epoch
-	touched        bool   // is in Server.merge
-	watched        bool   // is in Server.watch
-	doubted        Micros // since when the later process is dead and another alive; 0 where that is not so
-	held           bool   // it is Dead by the tables that are here, and another is awaited
-	contested      bool   // there are two processes that may each be the later
-	recompareUntil Micros // until when they are compared again
-	waits          bool   // a change is put off by the bounded rate
-	changes        Micros // state of the bounded rate of its changes
+	rows           []*row          // by home and epoch
+	touched        bool            // is in Server.merge
+	watched        bool            // is in Server.watch
+	doubted        monotime.Micros // since when the later process is dead and another alive; 0 where that is not so
+	held           bool            // it is Dead by the tables that are here, and another is awaited
+	contested      bool            // there are two processes that may each be the later
+	recompareUntil monotime.Micros // until when they are compared again
+	waits          bool            // a change is put off by the bounded rate
+	changes        monotime.Micros // state of the bounded rate of its changes
 }
 
 func (s *Server) nameState(name string) *nameState {
@@ -83,8 +85,8 @@
 // process is one process of a name, merged over its rows.
 type process struct {
 	incarnation uint64
-	challenged  Micros // the latest
-	best        *row   // with the strongest evidence
+	challenged  monotime.Micros // the latest
+	best        *row            // with the strongest evidence
 	past        bool
 }
 
--- a/fleet/membership/message.go
+++ b/fleet/membership/message.go
@@ -7,6 +7,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
+	"chutechute/internal/monotime"
 	"chutechute/internal/proto"
 )
 
@@ -22,13 +23,13 @@
 	removed bool
 	// challenged is when its process answered a challenge, by this side's clock, 0 where that is not told. Messages carry it by the
 	// sender's clock in milliseconds, and digests leave it out.
-	challenged Micros
+	challenged monotime.Micros
 }
 
 // heartbeat is what an attached front end says over each of its links.
 type heartbeat struct {
 	name      string
-	sent      Micros // by its own clock; the answer gives it back
+	sent      monotime.Micros // by its own clock; the answer gives it back
 	leaving   bool
 	subscribe bool // the view is wanted from this control member
 	resume    bool // it was not followed so far, or something was lost
@@ -63,7 +64,7 @@
 		case 1:
 			h.name = f.Text()
 		case 2:
-			h.sent = Micros(min(f.Uint, 1<<62))
+			h.sent = monotime.Micros(min(f.Uint, 1<<62))
 		case 3:
 			h.leaving = f.Uint != 0
 		case 4:
@@ -106,7 +107,7 @@
 	sequence uint64 // of the view after it
 	digest   uint64 // of the view after it
 	answers  bool
-	echo     Micros // the time of the heartbeat that is answered
+	echo     monotime.Micros // the time of the heartbeat that is answered
 	leaving  bool
 	unknown  bool // the log does not reach back to what the heartbeat said: its sums are wanted
 	content  content
@@ -114,7 +115,7 @@
 	mask     uint64 // of buckets: those that are carried whole
 	packed   bool
 	entries  []byte
-	sent     Micros // by the sender's clock, as are the entries' times
+	sent     monotime.Micros // by the sender's clock, as are the entries' times
 }
 
 func (m *viewMessage) encode() []byte {
@@ -145,7 +146,7 @@
 		case 4:
 			m.answers = f.Uint != 0
 		case 5:
-			m.echo = Micros(min(f.Uint, 1<<62))
+			m.echo = monotime.Micros(min(f.Uint, 1<<62))
 		case 6:
 			m.leaving = f.Uint != 0
 		case 7:
--- a/fleet/membership/replication.go
+++ b/fleet/membership/replication.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"fmt"
 	"slices"
+
+	"chutechute/internal/monotime"
 )
 
 // publishTable makes one batch of what changed among the front ends attached here, and pushes it to all control members.
@@ -98,7 +100,7 @@
 
 // Versions is what goes into the next heartbeat to the other control members: the version of this one's table, and once a
 // second those of all tables that it has. What Actions gave before is to be sent before it, or others pull it in vain.
-func (s *Server) Versions(now Micros) []byte {
+func (s *Server) Versions(now monotime.Micros) []byte {
 	s.pass(now)
 	list := []version{s.own.version()}
 	if s.now-s.versionsTold < allVersions {
@@ -117,7 +119,7 @@
 }
 
 // ReceiveVersions takes what Versions gave at another control member, and pulls what is missing here.
-func (s *Server) ReceiveVersions(now Micros, from string, incarnation uint64, b []byte) error {
+func (s *Server) ReceiveVersions(now monotime.Micros, from string, incarnation uint64, b []byte) error {
 	s.pass(now)
 	sender, err := s.sender(from, incarnation)
 	if sender == nil {
@@ -211,7 +213,7 @@
 }
 
 // ReceiveFromControl takes a Pull or Table of a control member.
-func (s *Server) ReceiveFromControl(now Micros, from string, incarnation uint64, kind Kind, body []byte) error {
+func (s *Server) ReceiveFromControl(now monotime.Micros, from string, incarnation uint64, kind Kind, body []byte) error {
 	s.pass(now)
 	sender, err := s.sender(from, incarnation)
 	if sender == nil {
@@ -256,13 +258,13 @@
 }
 
 // answered is the state of the bounded rate of answers to one control member about one table.
-func (s *Server) answered(sender *controlState, t *table) *Micros {
+func (s *Server) answered(sender *controlState, t *table) *monotime.Micros {
 	if sender.answers == nil {
-		sender.answers = map[string]*Micros{}
+		sender.answers = map[string]*monotime.Micros{}
 	}
 	due := sender.answers[t.home]
 	if due == nil {
-		due = new(Micros)
+		due = new(monotime.Micros)
 		sender.answers[t.home] = due
 	}
 	return due
--- a/fleet/membership/serve.go
+++ b/fleet/membership/serve.go
@@ -4,6 +4,8 @@
 	"errors"
 	"fmt"
 	"math/bits"
+
+	"chutechute/internal/monotime"
 )
 
 const (
@@ -16,10 +18,10 @@
 // reader is what is known of an attached front end as a subscriber.
 type reader struct {
 	subscribed bool
-	live       bool   // it is sent each batch: all before were sent
-	repairs    int    // since it last agreed
-	repaired   Micros // state of their bounded rate
-	caughtUp   Micros // state of the bounded rate of changes from the log
+	live       bool            // it is sent each batch: all before were sent
+	repairs    int             // since it last agreed
+	repaired   monotime.Micros // state of their bounded rate
+	caughtUp   monotime.Micros // state of the bounded rate of changes from the log
 }
 
 // publishView makes one batch of what changed in the merged view, and pushes it to those that follow.
@@ -59,7 +61,7 @@
 }
 
 // Receive takes a message of an attached front end; after an error the link is to be closed.
-func (s *Server) Receive(now Micros, l Link, kind Kind, body []byte) error {
+func (s *Server) Receive(now monotime.Micros, l Link, kind Kind, body []byte) error {
 	s.pass(now)
 	if kind != Heartbeat {
 		s.Counters.Malformed++
@@ -212,7 +214,7 @@
 
 // QueueFull says that the queue of the link to that process was full. What waits there is to be dropped; the process resumes by
 // its next heartbeat.
-func (s *Server) QueueFull(now Micros, name string, incarnation uint64) {
+func (s *Server) QueueFull(now monotime.Micros, name string, incarnation uint64) {
 	s.pass(now)
 	s.Counters.FullQueues++
 	if l := s.lessees[name]; l != nil && l.incarnation == incarnation {
--- a/fleet/membership/server.go
+++ b/fleet/membership/server.go
@@ -4,18 +4,20 @@
 	"cmp"
 	"slices"
 	"strings"
+
+	"chutechute/internal/monotime"
 )
 
 const (
 	// lapseSpan is how long the rows of a home that is gone count as Suspect before they are Dead: its front ends may hold a
 	// lease elsewhere by then.
-	lapseSpan Micros = 10_000_000
+	lapseSpan monotime.Micros = 10_000_000
 	// doubtSpan is how much longer a home that doubts itself calls its silent front ends Suspect.
-	doubtSpan Micros = 10_000_000
+	doubtSpan monotime.Micros = 10_000_000
 	// keepSpan is how long a front end that is Dead or has Left, and the table of a past home, are kept.
-	keepSpan Micros = 600_000_000
+	keepSpan monotime.Micros = 600_000_000
 	// allVersions is how often the versions of all tables are told.
-	allVersions Micros = 1_000_000
+	allVersions monotime.Micros = 1_000_000
 	// mostTables bounds the tables that are kept of one home's processes.
 	mostTables = 3
 )
@@ -23,12 +25,12 @@
 // controlState is a control member of the settings.
 type controlState struct {
 	ControlMember
-	since      Micros   // when its process was first seen, or seen again
-	heard      Micros   // when its process was last Alive
-	tables     []*table // of its processes, the newest last
+	since      monotime.Micros // when its process was first seen, or seen again
+	heard      monotime.Micros // when its process was last Alive
+	tables     []*table        // of its processes, the newest last
 	pastEpochs pastSet
-	clock      *offset            // of its process
-	answers    map[string]*Micros // states of the bounded rates of answers to it, by home
+	clock      *offset                     // of its process
+	answers    map[string]*monotime.Micros // states of the bounded rates of answers to it, by home
 }
 
 // table is the table of a process of this control member; nil without one.
@@ -48,14 +50,14 @@
 	Counters Counters
 
 	cfg     Config
-	now     Micros
+	now     monotime.Micros
 	started bool
 	leaving bool
 
-	mostAttached int    // entries of attached front ends that the view may have
-	attached     int    // that it has
-	batched      Micros // when the last batch was made
-	versionsTold Micros // when the versions of all tables were told
+	mostAttached int             // entries of attached front ends that the view may have
+	attached     int             // that it has
+	batched      monotime.Micros // when the last batch was made
+	versionsTold monotime.Micros // when the versions of all tables were told
 
 	controls []*controlState // by name, this one too
 	byName   map[string]*controlState
@@ -64,9 +66,9 @@
 	own       *table
 	leases    []*lease // by name
 	lessees   map[string]*lease
-	dirty     []*lease // whose row may have to change
-	forgotten []string // whose row is to go
-	doubted   Micros   // until when the last doubt lasts
+	dirty     []*lease        // whose row may have to change
+	forgotten []string        // whose row is to go
+	doubted   monotime.Micros // until when the last doubt lasts
 
 	complete bool // no table is awaited that may show alive who is dead by the others
 
@@ -115,7 +117,7 @@
 }
 
 // pass lets time pass. A gap above Pause says that this process was stopped: the leases are extended by it.
-func (s *Server) pass(now Micros) {
+func (s *Server) pass(now monotime.Micros) {
 	if gap := now - s.now; s.started && gap > s.cfg.PauseThreshold {
 		s.Counters.Pauses++
 		for _, l := range s.leases {
@@ -141,7 +143,7 @@
 
 // Tick lets time pass; controls are the other control members as package member sees them now. It is to be called at least every
 // Pause, and for changes to be told in time every Batch.
-func (s *Server) Tick(now Micros, controls []ControlMember) {
+func (s *Server) Tick(now monotime.Micros, controls []ControlMember) {
 	s.pass(now)
 	for i := range controls {
 		s.controlSeen(&controls[i])
@@ -185,7 +187,7 @@
 }
 
 // noteHeard notes that a control member is Alive now, if it is.
-func (c *controlState) noteHeard(now Micros) {
+func (c *controlState) noteHeard(now monotime.Micros) {
 	if c.State == Alive {
 		c.heard = now
 	}
--- a/fleet/membership/table.go
+++ b/fleet/membership/table.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 	"strings"
+
+	"chutechute/internal/monotime"
 )
 
 // row is one front end in the table of its home.
@@ -14,17 +16,17 @@
 	state       State
 	serves      bool // the home serves its view
 	// challenged is when it answered a challenge at its home, by the clock of who told so; clock is nil for this side's.
-	challenged Micros
+	challenged monotime.Micros
 	clock      *offset
 	past       []uint64 // the last few earlier processes of its name, by the order of challenges at its home
 	removed    bool     // in messages: the row is no more
 
 	table *table
-	ended Micros // when it was first Dead here
+	ended monotime.Micros // when it was first Dead here
 }
 
 // answered is when it answered its challenge, by this side's clock.
-func (r *row) answered() Micros { return r.clock.here(r.challenged) }
+func (r *row) answered() monotime.Micros { return r.clock.here(r.challenged) }
 
 // table is the front ends of one process of a home.
 type table struct {
@@ -35,16 +37,16 @@
 	rows     map[string]*row
 	log      changeLog
 
-	announced uint64 // the latest sequence that was told of it
-	here      bool   // that was reached once
-	present   bool   // the home's process is there, as package member sees it
-	heard     Micros // when it was last Alive, as package member sees it, where it is not present
-	absent    Micros // since when it is not
-	silent    bool   // and was not heard for so long that another home's Dead of later counts more
-	lapsed    bool   // and for so long that its rows' evidence is over
+	announced uint64          // the latest sequence that was told of it
+	here      bool            // that was reached once
+	present   bool            // the home's process is there, as package member sees it
+	heard     monotime.Micros // when it was last Alive, as package member sees it, where it is not present
+	absent    monotime.Micros // since when it is not
+	silent    bool            // and was not heard for so long that another home's Dead of later counts more
+	lapsed    bool            // and for so long that its rows' evidence is over
 
-	pulled    Micros // states of bounded rates
-	sumPulled Micros
+	pulled    monotime.Micros // states of bounded rates
+	sumPulled monotime.Micros
 }
 
 func newTable(home string, epoch uint64) *table {
--- a/fleet/membership/tablemessage.go
+++ b/fleet/membership/tablemessage.go
@@ -6,6 +6,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
+	"chutechute/internal/monotime"
 	"chutechute/internal/proto"
 )
 
@@ -22,7 +23,7 @@
 }
 
 // encodeVersions writes them with the time of sending, by which others order challenges.
-func encodeVersions(now Micros, list []version) []byte {
+func encodeVersions(now monotime.Micros, list []version) []byte {
 	b := proto.Uint(nil, 2, protowire.EncodeZigZag(now))
 	for _, v := range list {
 		m := proto.String(nil, 1, v.home)
@@ -34,7 +35,7 @@
 }
 
 // decodeVersions reads at most most of them.
-func decodeVersions(b []byte, most int) (sent Micros, list []version, err error) {
+func decodeVersions(b []byte, most int) (sent monotime.Micros, list []version, err error) {
 	err = proto.Each(b, func(f proto.Field) error {
 		if f.Number == 2 {
 			sent = clockTime(f)
@@ -101,8 +102,8 @@
 type tableMessage struct {
 	version
 	whole bool
-	base  uint64 // of changes: the sequence that they are from
-	sent  Micros // by the sender's clock, as are the rows' times
+	base  uint64          // of changes: the sequence that they are from
+	sent  monotime.Micros // by the sender's clock, as are the rows' times
 	rows  []row
 }
 
@@ -136,7 +137,7 @@
 }
 
 // clockTime is a time of the sender's clock, which may be of before that began.
-func clockTime(f proto.Field) Micros {
+func clockTime(f proto.Field) monotime.Micros {
 	const most = 1 << 60
 	return min(max(protowire.DecodeZigZag(f.Uint), -most), most)
 }
--- a/fleet/membership/targets.go
+++ b/fleet/membership/targets.go
@@ -1,21 +1,25 @@
 package membership
 
-import "slices"
+import (
+	"slices"
+
+	"chutechute/internal/monotime"
+)
 
 const (
 	// redialLow and redialHigh are after what pause a control member is dialled again whose link broke.
-	redialLow, redialHigh Micros = 100_000, 500_000
+	redialLow, redialHigh monotime.Micros = 100_000, 500_000
 	// replaceLow and replaceHigh are after what pause a lost control member is replaced: all its front ends do so at once.
-	replaceLow, replaceHigh Micros = 200_000, 1_500_000
+	replaceLow, replaceHigh monotime.Micros = 200_000, 1_500_000
 	// rescueHigh is after what pause at most a front end without any live link dials: its leases end soon.
-	rescueHigh Micros = 100_000
+	rescueHigh monotime.Micros = 100_000
 	// avoidLow and avoidHigh are for how long one that could not be reached is not dialled, doubled with each time in a row.
-	avoidLow, avoidHigh Micros = 1_000_000, 2_000_000
+	avoidLow, avoidHigh monotime.Micros = 1_000_000, 2_000_000
 	// mostDoubled bounds the doubling: 1 to 2 minutes.
 	mostDoubled = 6
 	// settleSpan is how long a control member has to be back before its front ends return to it, and returnSpan within how much
 	// more they do.
-	settleSpan, returnSpan Micros = 10_000_000, 30_000_000
+	settleSpan, returnSpan monotime.Micros = 10_000_000, 30_000_000
 )
 
 // control is a control member as a client sees it.
@@ -24,16 +28,16 @@
 	linked       bool
 	served       bool // something came over the link
 	incarnation  uint64
-	asked        Micros // since when a link to it is wanted
-	heard        Micros // the last sign of life over the link
-	steady       Micros // since when it is linked and heard without a gap
+	asked        monotime.Micros // since when a link to it is wanted
+	heard        monotime.Micros // the last sign of life over the link
+	steady       monotime.Micros // since when it is linked and heard without a gap
 	leaving      bool
-	beat         Micros // when the next heartbeat is due
-	avoidedUntil Micros // until when it is not dialled
-	failures     int    // in a row
-	wantsSums    bool   // it can't follow up on what this view is without the sums
-	behind       bool   // it told of a later view than was received by then
-	lastResume   Micros
+	beat         monotime.Micros // when the next heartbeat is due
+	avoidedUntil monotime.Micros // until when it is not dialled
+	failures     int             // in a row
+	wantsSums    bool            // it can't follow up on what this view is without the sums
+	behind       bool            // it told of a later view than was received by then
+	lastResume   monotime.Micros
 	clock        offset
 	lastAnswer   lastAnswer
 }
@@ -42,18 +46,18 @@
 type lastAnswer struct {
 	answered bool
 	sequence uint64
-	asked    Micros
+	asked    monotime.Micros
 }
 
 // slot is one of the control members to keep a link with.
 type slot struct {
 	preferred *control
-	current   *control // nil during the pause after a loss
-	beside    *control // tried beside the current, which is silent; nil while it isn't
-	due       Micros   // when it is to be filled again
-	settled   Micros   // since when the preferred one is back; 0 while it isn't
-	back      Micros   // when to return to it; 0 while that isn't decided
-	returning bool     // a link to the preferred one is wanted beside the current
+	current   *control        // nil during the pause after a loss
+	beside    *control        // tried beside the current, which is silent; nil while it isn't
+	due       monotime.Micros // when it is to be filled again
+	settled   monotime.Micros // since when the preferred one is back; 0 while it isn't
+	back      monotime.Micros // when to return to it; 0 while that isn't decided
+	returning bool            // a link to the preferred one is wanted beside the current
 }
 
 // prefer chooses the slots' control members: of the zone, and of the rest, each by an order of this front end's own.
@@ -90,7 +94,7 @@
 // Targets is the control members to keep links with now; links to others are to be closed. They are two, for a while more
 // where this front end returns to its zone's or tries another beside a silent one, and fewer where there are no more or during the
 // pause after a loss.
-func (c *Client) Targets(now Micros) []string {
+func (c *Client) Targets(now monotime.Micros) []string {
 	c.Tick(now)
 	var list []string
 	for _, o := range c.wanted() {
@@ -164,7 +168,7 @@
 }
 
 // silence is for how long a control member that is dialled or linked was not heard.
-func (c *Client) silence(o *control) Micros { return c.now - max(o.heard, o.asked) }
+func (c *Client) silence(o *control) monotime.Micros { return c.now - max(o.heard, o.asked) }
 
 // silent says whether such a one is to be given up.
 func (c *Client) silent(o *control) bool { return o.leaving || c.silence(o) >= c.cfg.DeadAfter }
@@ -201,7 +205,7 @@
 }
 
 // pause is after what pause a lost control member is replaced, or dialled again.
-func (c *Client) pause(unreachable bool) Micros {
+func (c *Client) pause(unreachable bool) monotime.Micros {
 	switch {
 	case c.alone():
 		return c.random.span(0, rescueHigh)
--- a/fleet/membership/view.go
+++ b/fleet/membership/view.go
@@ -4,15 +4,17 @@
 	"math"
 	"slices"
 	"strings"
+
+	"chutechute/internal/monotime"
 )
 
 // NeverConfirmed is the age of a view that was never confirmed.
-const NeverConfirmed Micros = math.MaxInt64
+const NeverConfirmed monotime.Micros = math.MaxInt64
 
 // kept is an entry with when its process answered a challenge, as far as that was told: of two processes of one name the later.
 type kept struct {
 	Entry
-	challenged Micros // 0 where it was not
+	challenged monotime.Micros // 0 where it was not
 }
 
 // View is all front ends of both roles, as one of them sees it.
@@ -26,7 +28,7 @@
 	removed       pastSet           // processes whose entry was taken out of the view
 	missingAtHome map[string]*kept  // entries that a home did not have to which this front end came, by name
 	texts         map[string]string // zones and homes, each kept once
-	confirmed     Micros
+	confirmed     monotime.Micros
 	known         bool // confirmed holds a time
 	authority     bool // a control member's own view has no age
 	// conflict says that an entry may show a process that this view has had replaced, as told by a control member that missed
@@ -92,7 +94,7 @@
 
 // Age is how long ago the home last confirmed this view, counted from when it was asked; at a control member 0, and
 // NeverConfirmed for one that never was.
-func (v *View) Age(now Micros) Micros {
+func (v *View) Age(now monotime.Micros) monotime.Micros {
 	switch {
 	case v.authority:
 		return 0
@@ -103,7 +105,7 @@
 }
 
 // confirm notes that the home had this view at a time after asked.
-func (v *View) confirm(asked Micros) {
+func (v *View) confirm(asked monotime.Micros) {
 	if !v.known || asked > v.confirmed {
 		v.known, v.confirmed = true, asked
 	}
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -19,11 +19,9 @@
 	"chutechute/fleet/membership"
 	"chutechute/fleet/replication"
 	"chutechute/fleet/transport"
+	"chutechute/internal/monotime"
 )
 
-// Micros is a time or a span in microseconds of this machine's clock, which is monotonic.
-type Micros = int64
-
 // Config is what a front end is told of its fleet.
 type Config struct {
 	Name              string
@@ -32,8 +30,8 @@
 	Zones             map[string]string // of the others, by name
 	Heartbeat         heartbeat.Config
 	Replication       replication.Config // its ID is this disk's number
-	HeartbeatInterval Micros             // between heartbeats
-	RetryInterval     Micros             // until a question is asked again
+	HeartbeatInterval monotime.Micros    // between heartbeats
+	RetryInterval     monotime.Micros    // until a question is asked again
 	Membership        *membership.Config // of those that attach to this control member; nil where none may
 	// NewID draws a number that was never used, for a new record.
 	NewID func() uint64
@@ -66,8 +64,8 @@
 	linked   map[uint64]linkedFrontEnd  // attached front ends with links to this one, by their processes
 	controls []membership.ControlMember // as of the last tick
 	actions  []Action
-	now      Micros
-	beatAt   Micros
+	now      monotime.Micros
+	beatAt   monotime.Micros
 	founded  []byte // the founding's word, to be said again until there is a leader
 	leaving  bool
 	note     func(about string)
@@ -90,7 +88,7 @@
 }
 
 // Recover goes on with what this disk kept.
-func (n *Node) Recover(now Micros, d *replication.PersistedState) error {
+func (n *Node) Recover(now monotime.Micros, d *replication.PersistedState) error {
 	n.now = now
 	return n.replica.Recover(now, d)
 }
@@ -116,13 +114,13 @@
 type Link struct {
 	From         string
 	Incarnation  uint64
-	ChallengedAt Micros
+	ChallengedAt monotime.Micros
 	Attached     bool   // an attached front end's, which has dialled it
 	Zone         string // that an attached front end says it is in
 }
 
 // Receive takes a message that came over a link. An error says that it can't be read.
-func (n *Node) Receive(now Micros, l Link, kind transport.Kind, body []byte) error {
+func (n *Node) Receive(now monotime.Micros, l Link, kind transport.Kind, body []byte) error {
 	n.now = now
 	if l.Attached {
 		return n.receiveAttached(l, kind, body)
@@ -205,14 +203,14 @@
 }
 
 // Persisted tells that a Save has been written, or why not.
-func (n *Node) Persisted(now Micros, token uint64, err error) {
+func (n *Node) Persisted(now monotime.Micros, token uint64, err error) {
 	n.now = now
 	n.replica.Persisted(now, token, err)
 	n.drain()
 }
 
 // Next is when Tick should be called at the latest.
-func (n *Node) Next() Micros {
+func (n *Node) Next() monotime.Micros {
 	next := min(n.beatAt, n.now+n.cfg.Replication.TickInterval)
 	if n.server != nil {
 		next = min(next, n.now+membership.DefaultBatchDelay)
@@ -221,7 +219,7 @@
 }
 
 // Tick lets time pass.
-func (n *Node) Tick(now Micros) {
+func (n *Node) Tick(now monotime.Micros) {
 	n.now = now
 	for _, m := range n.members.Tick(now) {
 		n.OnPeerChange(m)
--- a/fleet/replication/keeper.go
+++ b/fleet/replication/keeper.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"chutechute/internal/monotime"
+
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 	"go.etcd.io/raft/v3/tracker"
@@ -12,9 +14,9 @@
 // that one which is lost is replaced. A newcomer is a learner first, and becomes a member in the one change that takes the
 // lost one out. Its view of who is lost only steers: each change is committed by the majorities of before and after.
 type keeper struct {
-	heard map[uint64]Micros // when each copy was last heard, since this one leads
-	since Micros            // since when it leads
-	asked Micros            // when a change was last proposed
+	heard map[uint64]monotime.Micros // when each copy was last heard, since this one leads
+	since monotime.Micros            // since when it leads
+	asked monotime.Micros            // when a change was last proposed
 }
 
 const (
@@ -24,7 +26,7 @@
 	changeEvery = 10
 )
 
-func (k *keeper) reset() { *k = keeper{heard: map[uint64]Micros{}} }
+func (k *keeper) reset() { *k = keeper{heard: map[uint64]monotime.Micros{}} }
 
 // changed lets the next change follow at once.
 func (k *keeper) changed(r *Replica) {
--- a/fleet/replication/machine.go
+++ b/fleet/replication/machine.go
@@ -6,6 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"chutechute/internal/monotime"
 	"chutechute/internal/proto"
 )
 
@@ -75,7 +76,7 @@
 }
 
 // apply carries out a committed command.
-func (m *machine) apply(index uint64, data []byte, now Micros) (c Command, a Response) {
+func (m *machine) apply(index uint64, data []byte, now monotime.Micros) (c Command, a Response) {
 	c, err := DecodeCommand(data)
 	a = Response{Sequence: c.Sequence, Result: Unsupported}
 	kind := m.kinds[c.StateMachine]
@@ -119,7 +120,7 @@
 }
 
 // restore takes a snapshot over; none empties the state.
-func (m *machine) restore(b []byte, now Micros) error {
+func (m *machine) restore(b []byte, now monotime.Micros) error {
 	m.index, m.sum = 0, 0
 	clear(m.members)
 	parts := map[uint32][]byte{}
--- a/fleet/replication/replica.go
+++ b/fleet/replication/replica.go
@@ -22,6 +22,8 @@
 	"maps"
 	"slices"
 
+	"chutechute/internal/monotime"
+
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 	"go.etcd.io/raft/v3/tracker"
@@ -32,10 +34,10 @@
 type Config struct {
 	ID               uint64 // drawn with the empty disk
 	StateMachines    []StateMachine
-	Replicas         int    // that there should be
-	TickInterval     Micros // the unit of the elections' spans
-	ReplaceAfter     Micros // after this silence a copy is replaced where another front end is free
-	SnapshotLogBytes int    // of the log after which a snapshot is taken
+	Replicas         int             // that there should be
+	TickInterval     monotime.Micros // the unit of the elections' spans
+	ReplaceAfter     monotime.Micros // after this silence a copy is replaced where another front end is free
+	SnapshotLogBytes int             // of the log after which a snapshot is taken
 	Logger           raft.Logger
 }
 
@@ -90,18 +92,18 @@
 	conf    *raftpb.ConfState
 	err     error // why it is a copy no longer
 
-	now        Micros
-	nextTick   Micros
+	now        monotime.Micros
+	nextTick   monotime.Micros
 	token      uint64
 	saving     map[uint64]save
 	actions    []Action
-	routes     map[route]Micros
-	pruned     Micros
+	routes     map[route]monotime.Micros
+	pruned     monotime.Micros
 	logBytes   int
-	dueAt      Micros
+	dueAt      monotime.Micros
 	seen       FailureDetector
 	keeper     keeper
-	handedOver Micros
+	handedOver monotime.Micros
 	// Elections counts how often this copy asked for votes, Commits the commands applied, Differing the copies seen to differ.
 	Elections, Commits, Snapshots, Divergent int
 	// LeaderTransfers counts how often it let another lead for the sake of its disk.
@@ -116,7 +118,7 @@
 
 // New is a front end that is no copy yet.
 func New(cfg Config) *Replica {
-	r := &Replica{cfg: cfg, saving: map[uint64]save{}, routes: map[route]Micros{}}
+	r := &Replica{cfg: cfg, saving: map[uint64]save{}, routes: map[route]monotime.Micros{}}
 	r.machine = newMachine(cfg.StateMachines, func(to Incarnation, about string) {
 		r.actions = append(r.actions, Notify{to, about})
 	})
@@ -198,7 +200,7 @@
 }
 
 // Tick lets time pass. Present are the front ends that are heard of now, this one too; seen is how their processes are seen.
-func (r *Replica) Tick(now Micros, present []Member, seen FailureDetector) {
+func (r *Replica) Tick(now monotime.Micros, present []Member, seen FailureDetector) {
 	defer r.guard()
 	r.now, r.seen = now, seen
 	if r.node == nil {
@@ -271,11 +273,11 @@
 		return
 	}
 	r.pruned = r.now
-	maps.DeleteFunc(r.routes, func(_ route, at Micros) bool { return r.now-at > routeLife })
+	maps.DeleteFunc(r.routes, func(_ route, at monotime.Micros) bool { return r.now-at > routeLife })
 }
 
 // Receive takes a message of another copy. One to a number that is not this copy's is for a disk that was lost.
-func (r *Replica) Receive(now Micros, group uint64, message []byte) error {
+func (r *Replica) Receive(now monotime.Micros, group uint64, message []byte) error {
 	defer r.guard()
 	r.now = now
 	m := &raftpb.Message{}
@@ -306,7 +308,7 @@
 }
 
 // Propose takes a front end's question.
-func (r *Replica) Propose(now Micros, c Command) {
+func (r *Replica) Propose(now monotime.Micros, c Command) {
 	defer r.guard()
 	r.now = now
 	refuse := func(result Result) {
--- a/fleet/replication/replica_open.go
+++ b/fleet/replication/replica_open.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"slices"
 
+	"chutechute/internal/monotime"
+
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 )
@@ -21,7 +23,7 @@
 var ErrLogGap = errors.New("ledger: the log does not follow the snapshot")
 
 // Recover goes on with what the disk kept.
-func (r *Replica) Recover(now Micros, d *PersistedState) error {
+func (r *Replica) Recover(now monotime.Micros, d *PersistedState) error {
 	defer r.guard()
 	if d == nil || d.Group == 0 {
 		return nil
@@ -47,7 +49,7 @@
 }
 
 // Bootstrap makes this front end one of the first copies of a new record.
-func (r *Replica) Bootstrap(now Micros, group uint64, members []Member) error {
+func (r *Replica) Bootstrap(now monotime.Micros, group uint64, members []Member) error {
 	defer r.guard()
 	if r.group != 0 || !slices.ContainsFunc(members, func(m Member) bool { return m.ID == r.cfg.ID }) {
 		return nil
@@ -79,11 +81,11 @@
 }
 
 // join makes this front end a copy of a record that others keep: they were told of its number in this life of its disk.
-func (r *Replica) join(now Micros, group uint64) error {
+func (r *Replica) join(now monotime.Micros, group uint64) error {
 	return r.begin(now, group, raft.NewMemoryStorage(), nil)
 }
 
-func (r *Replica) begin(now Micros, group uint64, log *raft.MemoryStorage, snapshot *raftpb.Snapshot) error {
+func (r *Replica) begin(now monotime.Micros, group uint64, log *raft.MemoryStorage, snapshot *raftpb.Snapshot) error {
 	r.now = now
 	if err := r.machine.restore(snapshot.GetData(), now); err != nil {
 		return err
--- a/fleet/replication/replica_store.go
+++ b/fleet/replication/replica_store.go
@@ -6,6 +6,8 @@
 	"maps"
 	"slices"
 
+	"chutechute/internal/monotime"
+
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
@@ -13,7 +15,7 @@
 
 // save is what waits until a Save has been written: its entries and state go into the log, its responses may be sent then.
 type save struct {
-	at        Micros
+	at        monotime.Micros
 	entries   []*raftpb.Entry
 	state     *raftpb.HardState
 	snapshot  *raftpb.Snapshot
@@ -22,7 +24,7 @@
 
 // Persisted tells that what a Save held has been written, or why it was not: then this copy ends at once, since what a disk
 // holds after a failed write nobody knows.
-func (r *Replica) Persisted(now Micros, token uint64, err error) {
+func (r *Replica) Persisted(now monotime.Micros, token uint64, err error) {
 	defer r.guard()
 	r.now = now
 	s, ok := r.saving[token]
--- a/fleet/replication/statemachine.go
+++ b/fleet/replication/statemachine.go
@@ -1,10 +1,9 @@
 package replication
 
-// Micros is a time or a span in microseconds of one machine's own clock.
-type Micros = int64
+import "chutechute/internal/monotime"
 
 // AbandonTimeout is how long an engine goes on with what nobody asks for, one call that is out included.
-const AbandonTimeout Micros = 2_350_000
+const AbandonTimeout monotime.Micros = 2_350_000
 
 // Incarnation names one run of one front end's process. It is drawn anew at each start and never comes again.
 type Incarnation uint64
@@ -20,9 +19,9 @@
 	Apply(at ApplyContext, asker Incarnation, body []byte) (answer []byte)
 	// AppendSnapshot adds the whole state to b; Restore takes one over, and empties the state where b is empty.
 	AppendSnapshot(b []byte) []byte
-	Restore(b []byte, now Micros) error
+	Restore(b []byte, now monotime.Micros) error
 	// DueCommands gives the commands that time alone calls for, by this machine's own spans. The leader proposes them.
-	DueCommands(now Micros, seen FailureDetector) [][]byte
+	DueCommands(now monotime.Micros, seen FailureDetector) [][]byte
 }
 
 // FailureDetector is what a front end sees of others' processes.
@@ -40,7 +39,7 @@
 // ApplyContext tells a kind where in the record it stands.
 type ApplyContext struct {
 	Index uint64
-	Now   Micros
+	Now   monotime.Micros
 	// Notify tells a front end that something it waits for may have changed. It may be lost.
 	Notify func(to Incarnation, about string)
 }
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
 )
 
 // requests puts this front end's questions to the record, again and again until one is answered. A question may so be committed
@@ -11,7 +12,7 @@
 type requests struct {
 	route route
 	asker replication.Incarnation
-	retry Micros
+	retry monotime.Micros
 	seq   uint64
 	open  map[uint64]*pendingRequest
 	ids   []uint64 // of the open ones, in order
@@ -30,7 +31,7 @@
 type pendingRequest struct {
 	command replication.Command
 	done    func(replication.Response)
-	asked   Micros
+	asked   monotime.Micros
 	to      string
 	hops    int // refusals that were followed at once, since it was last asked in its turn
 }
@@ -39,12 +40,12 @@
 // that come twice, would else make a storm of it (exercise, seed 3094).
 const mostHops = 2
 
-func newRequests(way route, incarnation uint64, retry Micros) requests {
+func newRequests(way route, incarnation uint64, retry monotime.Micros) requests {
 	return requests{route: way, asker: replication.Incarnation(incarnation), retry: retry, open: map[uint64]*pendingRequest{}}
 }
 
 // add puts a new question.
-func (r *requests) add(now Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64) {
+func (r *requests) add(now monotime.Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64) {
 	r.seq++
 	q := &pendingRequest{done: done, command: replication.Command{StateMachine: kind, Version: version, Proposer: r.asker, Sequence: r.seq, Body: body}}
 	r.open[r.seq], r.ids = q, append(r.ids, r.seq)
@@ -62,14 +63,14 @@
 }
 
 // put sends a question on its way, as far as one is known.
-func (r *requests) put(now Micros, q *pendingRequest) {
+func (r *requests) put(now monotime.Micros, q *pendingRequest) {
 	q.asked, q.to = now, r.route.target()
 	if q.to != "" {
 		r.route.ask(q.to, q.command)
 	}
 }
 
-func (r *requests) answered(now Micros, a replication.Response) {
+func (r *requests) answered(now monotime.Micros, a replication.Response) {
 	q := r.open[a.Sequence]
 	if q == nil {
 		return
@@ -88,7 +89,7 @@
 
 // tick asks again what was not answered in time: at once where another is to be asked by now, and else only after a while, since
 // what was asked may still be committed.
-func (r *requests) tick(now Micros) {
+func (r *requests) tick(now monotime.Micros) {
 	if len(r.ids) == 0 {
 		return
 	}
--- a/gateway/budgets.go
+++ b/gateway/budgets.go
@@ -1,24 +1,29 @@
 package gateway
 
-import "chutechute/scheduler"
+import (
+	"chutechute/internal/monotime"
+	"chutechute/scheduler"
+)
 
 // GrantBudgets tells the module what it may spend of the fleet's budgets. It is in force before the module begins anything more.
 func (c *Core) GrantBudgets(ev scheduler.BudgetGrant) { c.events = append(c.events, ev) }
 
 // BudgetDemands is what the module wants of the fleet's budgets and has in use.
-func (c *Core) BudgetDemands(now Micros) []scheduler.BudgetDemand { return c.module.BudgetDemands(now) }
+func (c *Core) BudgetDemands(now monotime.Micros) []scheduler.BudgetDemand {
+	return c.module.BudgetDemands(now)
+}
 
 // BudgetStatuses is how the fleet's budgets stand here.
-func (c *Core) BudgetStatuses(now Micros) []scheduler.BudgetStatus {
+func (c *Core) BudgetStatuses(now monotime.Micros) []scheduler.BudgetStatus {
 	return c.module.BudgetStatuses(now)
 }
 
 // Denial is a request that was turned away for want of room in a budget.
 type Denial struct {
-	At         Micros
+	At         monotime.Micros
 	RequestID  string
 	Budget     string
-	RetryAfter Micros // when it was told to come back
+	RetryAfter monotime.Micros // when it was told to come back
 }
 
 // mostDenials bounds those that are remembered.
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -5,6 +5,7 @@
 
 	"chutechute/identity"
 	"chutechute/identity/token"
+	"chutechute/internal/monotime"
 )
 
 // callers is the core's side of who calls; all may do all where it is off.
@@ -34,7 +35,7 @@
 func (c *Core) Guard() *identity.Guard { return c.callers.guard }
 
 // identify says who a call comes from. Where callers are identified a call is of its caller's tenant.
-func (s *callers) identify(now Micros, call *Call) (identity.Caller, error) {
+func (s *callers) identify(now monotime.Micros, call *Call) (identity.Caller, error) {
 	if s.guard == nil {
 		return identity.Caller{}, nil
 	}
@@ -43,7 +44,7 @@
 }
 
 // enter says whether the caller may send the call, and counts it in.
-func (s *callers) enter(now Micros, caller identity.Caller, call *Call) error {
+func (s *callers) enter(now monotime.Micros, caller identity.Caller, call *Call) error {
 	if s.guard == nil {
 		return nil
 	}
@@ -62,7 +63,7 @@
 }
 
 // audited logs a refusal, as far as its budget goes. The proof is never part of it.
-func (s *callers) audited(now Micros, call *Call, err error) error {
+func (s *callers) audited(now monotime.Micros, call *Call, err error) error {
 	if err != nil {
 		if silenced, ok := s.guard.Audit(now); ok {
 			slog.Warn("refused", "call", call.ID, "op", call.Class, "error", err, "silenced", silenced)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -15,27 +15,25 @@
 
 	"chutechute/identity"
 	"chutechute/internal/counters"
+	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
 	"chutechute/scheduler"
 	"chutechute/statement"
 )
 
-// Micros is a time or a span in microseconds.
-type Micros = scheduler.Micros
-
 const (
 	// margin is how long before the client gives up its final answer is due, for the loop and the wire.
-	margin = 60 * scheduler.Second / 1000
+	margin = 60 * monotime.Second / 1000
 	// busyAfter is when a client turned away for want of room may come back.
-	busyAfter = scheduler.Second / 2
+	busyAfter = monotime.Second / 2
 )
 
 // Call is a request as the core sees it. ID, Once and Statement go to engines byte for byte. Class may be left
 // out where statements are read.
 type Call struct {
 	ID, Class, Tenant, Key, IdempotencyKey string
-	TTL                                    Micros // how long the client waits, from the request's last byte
-	Cost                                   Micros // 0: not told
+	TTL                                    monotime.Micros // how long the client waits, from the request's last byte
+	Cost                                   monotime.Micros // 0: not told
 	MemoryMB                               float64
 	Statement                              []byte
 	Group                                  int // of tables; Take finds it
@@ -49,13 +47,13 @@
 	Token       string
 	Certificate *identity.Certificate // of the connection; nil without one
 	Address     uint64                // the client's, as a number
-	Wall        Micros                // the system's clock, which may step, in Unix time
+	Wall        monotime.Micros       // the system's clock, which may step, in Unix time
 }
 
 // Responder waits for the final answer to one request; one of the three is called, once.
 type Responder interface {
 	Respond(rows []byte)
-	Reject(after Micros)
+	Reject(after monotime.Micros)
 	Fail()
 }
 
@@ -76,9 +74,9 @@
 	seq      uint64 // in the order in which requests came
 	id       uint64
 	caller   Responder
-	taken    Micros
-	deadline Micros // when its final answer is due
-	due      *timer // for that
+	taken    monotime.Micros
+	deadline monotime.Micros // when its final answer is due
+	due      *timer          // for that
 	answered bool
 	strict   bool // of its attempts
 	grantMB  float64
@@ -99,20 +97,20 @@
 type Attempt struct {
 	*Request
 	Engine         string
-	Timeout        Micros // how long the front end will wait
+	Timeout        monotime.Micros // how long the front end will wait
 	GrantMB        float64
-	StartBy        Micros // no byte of its start is written later; 0: no such bound
-	AlreadyRunning bool   // another front end started it: it is asked after, and not started
+	StartBy        monotime.Micros // no byte of its start is written later; 0: no such bound
+	AlreadyRunning bool            // another front end started it: it is asked after, and not started
 	// Strict says that nothing may begin after it on the word of a connection alone: a second execution does harm, or others wait
 	// in order. It is over once its engine says so, has been told to drop it, or has not been asked after it for 2 s.
 	Strict bool
 	// WorkUsed and NeededMB are what its engine says that it took; 0 where it does not.
-	WorkUsed     Micros
+	WorkUsed     monotime.Micros
 	MemoryUsedMB float64
 
 	number  int
 	asking  bool // the record has not said yet whether it may begin
-	at      Micros
+	at      monotime.Micros
 	due     *timer           // of its time-out; nil without one
 	reason  scheduler.Result // of giving it up; Done while it is not
 	dropped bool
@@ -132,7 +130,7 @@
 	engines  EngineClient
 	count    *counters.Set
 
-	now        Micros
+	now        monotime.Micros
 	seed       uint64
 	lastID     uint64
 	lastTimer  uint64
@@ -180,7 +178,7 @@
 
 // Submit takes a request in whose last byte came now. The answer goes to caller, which is not called if
 // there is an error.
-func (c *Core) Submit(now Micros, call *Call, caller Responder) (*Request, error) {
+func (c *Core) Submit(now monotime.Micros, call *Call, caller Responder) (*Request, error) {
 	from, err := c.callers.identify(now, call)
 	if err != nil {
 		return nil, err
@@ -316,7 +314,7 @@
 
 // AttemptEnded tells how an attempt ended. A time-out is not its end: it is out until the engine is known to
 // have been told. What had ended well before that is still served.
-func (c *Core) AttemptEnded(now Micros, a *Attempt, result scheduler.Result, rows []byte, load *scheduler.LoadReport) {
+func (c *Core) AttemptEnded(now monotime.Micros, a *Attempt, result scheduler.Result, rows []byte, load *scheduler.LoadReport) {
 	if a.ended {
 		return
 	}
@@ -359,7 +357,7 @@
 }
 
 // HealthCheckEnded answers a probe.
-func (c *Core) HealthCheckEnded(engine string, result scheduler.Result, elapsed Micros, load *scheduler.LoadReport) {
+func (c *Core) HealthCheckEnded(engine string, result scheduler.Result, elapsed monotime.Micros, load *scheduler.LoadReport) {
 	c.events = append(c.events, scheduler.HealthCheckResult{Engine: engine, Result: result, Elapsed: elapsed, Load: load})
 }
 
@@ -381,7 +379,7 @@
 
 // Step lets the timers that are due fire, hands the module all that has happened and carries out what it
 // decides.
-func (c *Core) Step(now Micros) {
+func (c *Core) Step(now monotime.Micros) {
 	c.now = now
 	for len(c.timers) > 0 && c.timers[0].at <= now {
 		heap.Pop(&c.timers).(*timer).fire()
@@ -404,7 +402,7 @@
 }
 
 // Next is when the next timer is due; false where none is set.
-func (c *Core) Next() (Micros, bool) {
+func (c *Core) Next() (monotime.Micros, bool) {
 	if len(c.timers) == 0 {
 		return 0, false
 	}
@@ -475,7 +473,7 @@
 	c.events = append(c.events, scheduler.ProgressReport{ID: a.id, Attempt: a.number, Engine: a.Engine, Kind: kind, Value: value})
 }
 
-func (r *Request) refuse(c *Core, after Micros) {
+func (r *Request) refuse(c *Core, after monotime.Micros) {
 	r.answered = true
 	c.count.Refused++
 	c.trace.answered(r, "refused", c.now)
--- a/gateway/phase.go
+++ b/gateway/phase.go
@@ -1,6 +1,6 @@
 package gateway
 
-import "chutechute/scheduler"
+import "chutechute/internal/monotime"
 
 // Phase is a state of a front end between its start and its exit.
 type Phase int
@@ -24,26 +24,26 @@
 // connections for 0.2 s more, each 50 ms late at most. What comes later than 0.7 s after the signal has to be answered before
 // the process may be killed, and nothing is taken any more by then.
 const (
-	closeAfter  = 500 * scheduler.Second / 1000
-	answerAfter = 650 * scheduler.Second / 1000
+	closeAfter  = 500 * monotime.Second / 1000
+	answerAfter = 650 * monotime.Second / 1000
 	// The process may be killed so long after the longest deadline, which counts as no more than longestCounted.
-	killAfter      = 700 * scheduler.Second / 1000
-	longestCounted = 3 * scheduler.Second
-	expireBefore   = 400 * scheduler.Second / 1000 // it is killed: all that is open is answered by then
-	stopBefore     = 150 * scheduler.Second / 1000 // it is killed: its connections have ended by then
+	killAfter      = 700 * monotime.Second / 1000
+	longestCounted = 3 * monotime.Second
+	expireBefore   = 400 * monotime.Second / 1000 // it is killed: all that is open is answered by then
+	stopBefore     = 150 * monotime.Second / 1000 // it is killed: its connections have ended by then
 )
 
 // Lifecycle is the front end's way through its phases. Its zero value counts the longest deadline for as much as may be.
 type Lifecycle struct {
 	// LongestDeadline is the longest deadline of a request.
-	LongestDeadline Micros
+	LongestDeadline monotime.Micros
 	phase           Phase
-	told            Micros // when it was told to end
+	told            monotime.Micros // when it was told to end
 }
 
 // killed is when the process may be killed.
-func (l *Lifecycle) killed() Micros {
-	longest := Micros(longestCounted)
+func (l *Lifecycle) killed() monotime.Micros {
+	longest := monotime.Micros(longestCounted)
 	if l.LongestDeadline > 0 {
 		longest = min(longest, l.LongestDeadline)
 	}
@@ -78,19 +78,19 @@
 }
 
 // Drain begins a planned end; a second call changes nothing.
-func (l *Lifecycle) Drain(now Micros) {
+func (l *Lifecycle) Drain(now monotime.Micros) {
 	if l.phase < Draining {
 		l.phase, l.told = Draining, now
 	}
 }
 
 // Expired says whether what is open must be answered now whatever its deadline.
-func (l *Lifecycle) Expired(now Micros) bool {
+func (l *Lifecycle) Expired(now monotime.Micros) bool {
 	return l.phase >= Draining && now >= l.killed()-expireBefore
 }
 
 // Advance moves on with time; quiet says that nothing is open, out or unwritten and no client is left.
-func (l *Lifecycle) Advance(now Micros, quiet bool) Phase {
+func (l *Lifecycle) Advance(now monotime.Micros, quiet bool) Phase {
 	for {
 		age := now - l.told
 		switch {
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"chutechute/internal/monotime"
 	"chutechute/scheduler"
 )
 
@@ -9,16 +10,16 @@
 // call. Without a record nothing of this is done.
 type IdempotencyStore interface {
 	// Register notes a load that was taken. One of the entry's calls follows, unless it leaves before.
-	Register(now Micros, e *Registration)
+	Register(now monotime.Micros, e *Registration)
 	// Authorize asks whether an attempt may begin; granted is called once, or not at all after the entry left.
-	Authorize(now Micros, e *Registration, attempt int, engine string, granted func(now Micros, ok bool))
+	Authorize(now monotime.Micros, e *Registration, attempt int, engine string, granted func(now monotime.Micros, ok bool))
 	// Commit notes a load's rows as its outcome. Over follows with what is kept.
-	Commit(now Micros, e *Registration, rows []byte)
+	Commit(now monotime.Micros, e *Registration, rows []byte)
 	// Release ends this front end's part in a load that was not kept. Nothing of it runs or will begin; ran says whether some
 	// attempt may have.
-	Release(now Micros, e *Registration, ran bool)
+	Release(now monotime.Micros, e *Registration, ran bool)
 	// Transfer has another front end look after a load that runs, as this one ends. Leave may follow, and changes nothing then.
-	Transfer(now Micros, e *Registration)
+	Transfer(now monotime.Micros, e *Registration)
 	// OutcomeUnknown says whether some attempt of the load may have begun, on whichever front end.
 	OutcomeUnknown(e *Registration) bool
 }
@@ -46,13 +47,13 @@
 func (e *Registration) Call() *Call { return e.r.Call }
 
 // Deadline is when the request's final answer is due; nothing of it begins later.
-func (e *Registration) Deadline() Micros { return e.r.deadline }
+func (e *Registration) Deadline() monotime.Micros { return e.r.deadline }
 
 // UseIdempotencyStore has a record vouch for keyed loads.
 func (c *Core) UseIdempotencyStore(r IdempotencyStore) { c.record = r }
 
 // enter lets a load pass the record before the module hears of it; false where none vouches for it.
-func (c *Core) enter(now Micros, r *Request, event scheduler.Request) bool {
+func (c *Core) enter(now monotime.Micros, r *Request, event scheduler.Request) bool {
 	if c.record == nil || r.IdempotencyKey == "" || c.settings.Classes[event.Class].Effect != scheduler.IdempotentByKey {
 		return false
 	}
@@ -78,7 +79,7 @@
 }
 
 // Finish brings the load's outcome.
-func (e *Registration) Finish(now Micros, served bool, rows []byte) {
+func (e *Registration) Finish(now monotime.Micros, served bool, rows []byte) {
 	c, r := e.c, e.r
 	if r.answered {
 		return
@@ -99,7 +100,7 @@
 }
 
 // Reject turns the load away: nothing of it ran. After says when to come back.
-func (e *Registration) Reject(now, after Micros) {
+func (e *Registration) Reject(now, after monotime.Micros) {
 	if !e.r.answered {
 		e.Suspend()
 		e.c.now = now
@@ -117,9 +118,9 @@
 // nobody is the caller of a load whose client has gone.
 type nobody struct{}
 
-func (nobody) Respond([]byte) {}
-func (nobody) Reject(Micros)  {}
-func (nobody) Fail()          {}
+func (nobody) Respond([]byte)         {}
+func (nobody) Reject(monotime.Micros) {}
+func (nobody) Fail()                  {}
 
 // expireEntry answers a load at its deadline that the module does not have; false for all others.
 func (c *Core) expireEntry(r *Request) bool {
@@ -138,10 +139,10 @@
 
 // grantedFor is how long the record's word that an attempt may begin is good for, from before it was asked. It is less than how
 // long who takes over from this front end waits for a start that its engine knows nothing of (see package loads).
-const grantedFor = 1900 * scheduler.Second / 1000
+const grantedFor = 1900 * monotime.Second / 1000
 
 // AbandonTimeout is how long an engine goes on with what nobody asks for: 2 s, and one call that is out may last 250 ms.
-const AbandonTimeout = 2350 * scheduler.Second / 1000
+const AbandonTimeout = 2350 * monotime.Second / 1000
 
 // Takeover is a load that another front end started and does not look after any more.
 type Takeover struct {
@@ -149,12 +150,12 @@
 	Engine              string
 	IdempotencyKey, Key string
 	Class               string
-	TTL                 Micros
+	TTL                 monotime.Micros
 }
 
 // TakeOver looks after what another front end has started: its engine is asked for it, nothing of it is started. The record hears of its
 // end as of any other. It gives nil where that call is open here already.
-func (c *Core) TakeOver(now Micros, s Takeover) *Registration {
+func (c *Core) TakeOver(now monotime.Micros, s Takeover) *Registration {
 	if c.ids[s.RequestID] {
 		return nil
 	}
@@ -174,7 +175,7 @@
 // has ended already, and is not handed on whatever the record says.
 func (c *Core) begin(a *Attempt) {
 	a.asking = true
-	c.record.Authorize(c.now, a.entry, a.number, a.Engine, func(now Micros, ok bool) {
+	c.record.Authorize(c.now, a.entry, a.number, a.Engine, func(now monotime.Micros, ok bool) {
 		if a.ended {
 			return
 		}
@@ -194,7 +195,7 @@
 }
 
 // settle hands a load's rows to the record; its client hears once they are kept.
-func (c *Core) settle(now Micros, a *Attempt, rows []byte) {
+func (c *Core) settle(now monotime.Micros, a *Attempt, rows []byte) {
 	if !a.entry.kept {
 		a.entry.kept = true
 		c.statements.served(a.Request)
--- a/gateway/statements.go
+++ b/gateway/statements.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"chutechute/internal/monotime"
 	"chutechute/scheduler"
 	"chutechute/statement"
 	"chutechute/statement/estimate"
@@ -63,7 +64,7 @@
 	}
 	call.Class, call.Group = s.classes[done.Class].Name, done.Group
 	call.toldCost, call.toldMB = c.CostMS, c.MemoryMB
-	call.Cost, call.MemoryMB = max(1, Micros(done.CostMS*1000)), done.MemoryMB
+	call.Cost, call.MemoryMB = max(1, monotime.Micros(done.CostMS*1000)), done.MemoryMB
 	return &done, nil
 }
 
@@ -75,7 +76,7 @@
 }
 
 // measured learns from a served request: by the figure that its client told, or else by its latency.
-func (s *statements) measured(m scheduler.LatencyMeasurement, now Micros) {
+func (s *statements) measured(m scheduler.LatencyMeasurement, now monotime.Micros) {
 	r := s.ended[m.ID]
 	if r == nil {
 		return
--- a/gateway/timers.go
+++ b/gateway/timers.go
@@ -2,17 +2,19 @@
 
 import (
 	"container/heap"
+
+	"chutechute/internal/monotime"
 )
 
 // timer is a call at a time.
 type timer struct {
-	at    Micros
+	at    monotime.Micros
 	n     uint64 // those of one time fire in the order in which they were set
 	fire  func()
 	place int // in the heap; -1 once it has left
 }
 
-func (c *Core) after(at Micros, fire func()) *timer {
+func (c *Core) after(at monotime.Micros, fire func()) *timer {
 	c.lastTimer++
 	t := &timer{at: at, n: c.lastTimer, fire: fire}
 	heap.Push(&c.timers, t)
--- a/gateway/trace.go
+++ b/gateway/trace.go
@@ -4,6 +4,7 @@
 	"context"
 	"log/slog"
 
+	"chutechute/internal/monotime"
 	"chutechute/scheduler"
 )
 
@@ -28,14 +29,14 @@
 	}
 }
 
-func (t trace) ended(a *Attempt, result scheduler.Result, elapsed Micros) {
+func (t trace) ended(a *Attempt, result scheduler.Result, elapsed monotime.Micros) {
 	if t.log != nil {
 		t.log.Debug("ended", "call", a.ID, "class", a.Class, "engine", a.Engine, "try", a.number, "result", resultNames[result],
 			"cost_ms", a.Cost/1000, "ms", elapsed/1000)
 	}
 }
 
-func (t trace) answered(r *Request, how string, at Micros) {
+func (t trace) answered(r *Request, how string, at monotime.Micros) {
 	if t.log != nil {
 		t.log.Debug("answered", "call", r.ID, "class", r.Class, "tenant", r.Tenant, "how", how, "cost_ms", r.Cost/1000,
 			"ms", (at-r.taken)/1000, "tries", len(r.attempts))
--- a/identity/callers.go
+++ b/identity/callers.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"path"
 	"strings"
+
+	"chutechute/internal/monotime"
 )
 
 // CallerRule maps proofs to a caller. The first rule that holds counts. A rule needs a condition for each kind of proof
@@ -49,9 +51,9 @@
 // Certificate is what a verified client certificate stands for.
 type Certificate struct {
 	URIs, DNS []string
-	Subject   string // as RFC 2253 writes it
-	Expires   Micros // of the wall clock; 0: not known
-	Revoked   bool   // by its authority, as of now
+	Subject   string          // as RFC 2253 writes it
+	Expires   monotime.Micros // of the wall clock; 0: not known
+	Revoked   bool            // by its authority, as of now
 }
 
 // ofToken is the rule for a token's subject; nil where none holds.
--- a/identity/ceilings.go
+++ b/identity/ceilings.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"path"
+
+	"chutechute/internal/monotime"
 )
 
 // Ceiling bounds what one caller may have. Of several that match a caller the first counts.
@@ -44,7 +46,7 @@
 
 // Enter counts a call of a caller in, unless that is above its ceiling: then the error is a *Denied that says when to
 // come back. Each call that was counted in is to Leave once it is answered.
-func (g *Guard) Enter(caller Caller, now Micros) error {
+func (g *Guard) Enter(caller Caller, now monotime.Micros) error {
 	u := g.uses[caller.Name]
 	if u == nil {
 		u = &use{ceiling: g.ceiling(caller.Name)}
@@ -53,7 +55,7 @@
 	if c := u.ceiling; c != nil {
 		if c.Open > 0 && u.open >= c.Open {
 			g.count.Over++
-			return &Denied{Reason: TooMany, Caller: caller.Name, Detail: fmt.Sprintf("%d are open", u.open), After: Second / 2}
+			return &Denied{Reason: TooMany, Caller: caller.Name, Detail: fmt.Sprintf("%d are open", u.open), After: monotime.Second / 2}
 		}
 		u.calls.rate, u.calls.burst = c.Rate, c.Burst
 		if c.Burst == 0 {
@@ -82,16 +84,16 @@
 type bucket struct {
 	rate, burst float64 // a second; at most
 	tokens      float64
-	at          Micros
+	at          monotime.Micros
 	used        bool
 }
 
 // take takes a token if there is one.
-func (b *bucket) take(now Micros) bool {
+func (b *bucket) take(now monotime.Micros) bool {
 	if !b.used {
 		b.tokens, b.used, b.at = b.burst, true, now
 	}
-	b.tokens = min(b.burst, b.tokens+b.rate*float64(max(0, now-b.at))/float64(Second))
+	b.tokens = min(b.burst, b.tokens+b.rate*float64(max(0, now-b.at))/float64(monotime.Second))
 	b.at = max(b.at, now)
 	if b.tokens < 1 {
 		return false
@@ -101,6 +103,6 @@
 }
 
 // wait is how long until there is a token.
-func (b *bucket) wait() Micros {
-	return Micros((1 - b.tokens) / max(b.rate, 1e-6) * float64(Second))
+func (b *bucket) wait() monotime.Micros {
+	return monotime.Micros((1 - b.tokens) / max(b.rate, 1e-6) * float64(monotime.Second))
 }
--- a/identity/checks.go
+++ b/identity/checks.go
@@ -1,6 +1,10 @@
 package identity
 
-import "github.com/hashicorp/golang-lru/v2/simplelru"
+import (
+	"github.com/hashicorp/golang-lru/v2/simplelru"
+
+	"chutechute/internal/monotime"
+)
 
 // checks is the budget for checking signatures, which is what a flood of bad tokens would use up. Each address has its
 // own, and of that for all a half is kept for addresses from which a good token has come.
@@ -28,7 +32,7 @@
 }
 
 // take takes a check of a signature for an address, if its budget and that for all have one.
-func (c *checks) take(addr uint64, now Micros) (*address, bool) {
+func (c *checks) take(addr uint64, now monotime.Micros) (*address, bool) {
 	a, ok := c.each.Get(addr)
 	if !ok {
 		a = &address{bucket: bucket{rate: c.rate, burst: c.rate}}
--- a/identity/denied.go
+++ b/identity/denied.go
@@ -1,6 +1,10 @@
 package identity
 
-import "fmt"
+import (
+	"fmt"
+
+	"chutechute/internal/monotime"
+)
 
 // Reason is why a call was turned away.
 type Reason string
@@ -21,9 +25,9 @@
 // Denied is a call that was turned away before it was taken: it never ran.
 type Denied struct {
 	Reason Reason
-	Caller string // as far as known
-	Detail string // never holds a proof
-	After  Micros // when to come back; 0 where that would change nothing
+	Caller string          // as far as known
+	Detail string          // never holds a proof
+	After  monotime.Micros // when to come back; 0 where that would change nothing
 }
 
 func (d *Denied) Error() string {
--- a/identity/token/keys.go
+++ b/identity/token/keys.go
@@ -13,6 +13,7 @@
 	"github.com/go-jose/go-jose/v4"
 
 	"chutechute/identity"
+	"chutechute/internal/monotime"
 )
 
 const (
@@ -54,7 +55,7 @@
 			return nil, fmt.Errorf("key %q: a private key has no place here", e.key.KeyID)
 		}
 		keys = append(keys, identity.Key{ID: e.key.KeyID, Algorithm: e.key.Algorithm, Public: e.key.Key,
-			From: e.from * identity.Second, Until: e.until * identity.Second})
+			From: e.from * monotime.Second, Until: e.until * monotime.Second})
 	}
 	return keys, nil
 }
--- a/identity/token/set.go
+++ b/identity/token/set.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"slices"
 
-	"github.com/go-jose/go-jose/v4"
+	"chutechute/internal/monotime"
 
-	"chutechute/identity"
+	"github.com/go-jose/go-jose/v4"
 )
 
 // Set is a key set that is being kept: the private half, from which the public one is written.
@@ -35,7 +35,7 @@
 }
 
 // Add adds a key that holds from a time on.
-func (s *Set) Add(k *Private, from identity.Micros) error {
+func (s *Set) Add(k *Private, from monotime.Micros) error {
 	if slices.ContainsFunc(s.entries, func(e entry) bool { return e.key.KeyID == k.ID }) {
 		return fmt.Errorf("key %q is there already", k.ID)
 	}
@@ -43,18 +43,18 @@
 		return fmt.Errorf("there are %d keys: retire some first", len(s.entries))
 	}
 	s.entries = append(s.entries, entry{key: jose.JSONWebKey{Key: k.Secret, KeyID: k.ID, Algorithm: k.Algorithm, Use: "sig"},
-		from: from / identity.Second})
+		from: from / monotime.Second})
 	return nil
 }
 
 // Retire sets the end of a key that has none, or an earlier one than it had. A key that would end before it holds is
 // dropped at once, unless it is the only one.
-func (s *Set) Retire(id string, until identity.Micros) error {
+func (s *Set) Retire(id string, until monotime.Micros) error {
 	i := slices.IndexFunc(s.entries, func(e entry) bool { return e.key.KeyID == id })
 	if i < 0 {
 		return fmt.Errorf("no key %q", id)
 	}
-	e, at := &s.entries[i], until/identity.Second
+	e, at := &s.entries[i], until/monotime.Second
 	switch {
 	case at <= e.from && len(s.entries) == 1:
 		return fmt.Errorf("key %q is the only one: add another first", id)
@@ -67,9 +67,9 @@
 }
 
 // Prune drops keys whose end has passed, and says which.
-func (s *Set) Prune(wall identity.Micros) (ids []string) {
+func (s *Set) Prune(wall monotime.Micros) (ids []string) {
 	s.entries = slices.DeleteFunc(s.entries, func(e entry) bool {
-		over := e.until > 0 && e.until*identity.Second <= wall
+		over := e.until > 0 && e.until*monotime.Second <= wall
 		if over {
 			ids = append(ids, e.key.KeyID)
 		}
@@ -87,11 +87,11 @@
 }
 
 // Signer is the key that signs: of those that hold the one that began last.
-func (s *Set) Signer(wall identity.Micros) (*Private, error) {
+func (s *Set) Signer(wall monotime.Micros) (*Private, error) {
 	var best *entry
 	for i := range s.entries {
 		e := &s.entries[i]
-		holds := e.from*identity.Second <= wall && (e.until == 0 || wall < e.until*identity.Second)
+		holds := e.from*monotime.Second <= wall && (e.until == 0 || wall < e.until*monotime.Second)
 		if holds && (best == nil || e.from >= best.from) {
 			best = e
 		}
--- a/identity/token/token.go
+++ b/identity/token/token.go
@@ -13,6 +13,7 @@
 	"github.com/go-jose/go-jose/v4/jwt"
 
 	"chutechute/identity"
+	"chutechute/internal/monotime"
 )
 
 // Algorithms are those that are taken.
@@ -79,11 +80,11 @@
 }
 
 // micros is a NumericDate; one left out is 0, and one before 1970 as good as 1970.
-func micros(d *jwt.NumericDate) identity.Micros {
+func micros(d *jwt.NumericDate) monotime.Micros {
 	if d == nil {
 		return 0
 	}
-	return max(1, identity.Micros(*d)*identity.Second)
+	return max(1, monotime.Micros(*d)*monotime.Second)
 }
 
 // Sign writes a token.
@@ -103,7 +104,7 @@
 }
 
 // date is a time as a NumericDate; nothing for 0.
-func date(at identity.Micros) *jwt.NumericDate {
+func date(at monotime.Micros) *jwt.NumericDate {
 	if at == 0 {
 		return nil
 	}
--- a/identity/tokens.go
+++ b/identity/tokens.go
@@ -7,6 +7,8 @@
 	"fmt"
 	"slices"
 
+	"chutechute/internal/monotime"
+
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
@@ -14,12 +16,12 @@
 type Key struct {
 	ID        string
 	Algorithm string
-	From      Micros // it holds from then; 0: always
-	Until     Micros // and no longer then; 0: for good
-	Public    any    // as the Verifier takes it
+	From      monotime.Micros // it holds from then; 0: always
+	Until     monotime.Micros // and no longer then; 0: for good
+	Public    any             // as the Verifier takes it
 }
 
-func (k *Key) holds(wall, leeway Micros) bool {
+func (k *Key) holds(wall, leeway monotime.Micros) bool {
 	return (k.From == 0 || wall >= k.From-leeway) && (k.Until == 0 || wall < k.Until)
 }
 
@@ -27,7 +29,7 @@
 type Claims struct {
 	Issuer, Subject, ID string
 	Audiences           []string
-	NotBefore, Expires  Micros
+	NotBefore, Expires  monotime.Micros
 }
 
 // Verifier reads tokens and checks their signatures. It holds no keys and no state.
@@ -64,7 +66,7 @@
 // so it can't be used against another's, and for a short time, so that it holds nobody up whose key comes a little late.
 type tokens struct {
 	good    *simplelru.LRU[hash, *verified]
-	bad     *simplelru.LRU[hash, Micros] // when it was found
+	bad     *simplelru.LRU[hash, monotime.Micros] // when it was found
 	revoked Revoked
 }
 
@@ -76,14 +78,14 @@
 }
 
 // badFor is how long a failure is remembered.
-const badFor = 10 * Second
+const badFor = 10 * monotime.Second
 
 func newTokens(size int, revoked Revoked) tokens {
 	good, err := simplelru.NewLRU[hash, *verified](size, nil)
 	if err != nil {
 		panic(err) // the size was checked
 	}
-	bad, err := simplelru.NewLRU[hash, Micros](size, nil)
+	bad, err := simplelru.NewLRU[hash, monotime.Micros](size, nil)
 	if err != nil {
 		panic(err)
 	}
@@ -119,7 +121,7 @@
 
 // Identify says who a call comes from: by a token, by a certificate that the connection was made with, or by both, which
 // then have to agree. The address is the client's, as a number. An error is a *Denied.
-func (g *Guard) Identify(token string, certificate *Certificate, addr uint64, now, wall Micros) (Caller, error) {
+func (g *Guard) Identify(token string, certificate *Certificate, addr uint64, now, wall monotime.Micros) (Caller, error) {
 	if token == "" && certificate == nil {
 		g.count.Missing++
 		return Caller{}, &Denied{Reason: NoProof}
@@ -152,7 +154,7 @@
 }
 
 // token is the caller that a token stands for.
-func (g *Guard) token(token string, addr uint64, now, wall Micros) (Caller, error) {
+func (g *Guard) token(token string, addr uint64, now, wall monotime.Micros) (Caller, error) {
 	if len(token) > g.options.Limits.TokenBytes {
 		g.count.Unsigned++
 		return Caller{}, &Denied{Reason: BadProof, Detail: fmt.Sprintf("longer than %d bytes", g.options.Limits.TokenBytes)}
@@ -183,7 +185,7 @@
 }
 
 // check checks a token's signature, within the budget.
-func (g *Guard) check(h hash, token string, addr uint64, now, wall Micros) (*verified, error) {
+func (g *Guard) check(h hash, token string, addr uint64, now, wall monotime.Micros) (*verified, error) {
 	if at, ok := g.tokens.bad.Get(h); ok && now-at < badFor {
 		g.count.Negative++
 		return nil, &Denied{Reason: BadProof}
@@ -191,7 +193,7 @@
 	from, ok := g.checks.take(addr, now)
 	if !ok {
 		g.count.Busy++
-		return nil, &Denied{Reason: Busy, After: Second / 4}
+		return nil, &Denied{Reason: Busy, After: monotime.Second / 4}
 	}
 	g.count.Checked++
 	v, err := g.verify(token, wall)
@@ -206,7 +208,7 @@
 
 // verify tries the keys of the issuer that the token names: the one with its key's id or, where it names none, the only
 // one that holds.
-func (g *Guard) verify(token string, wall Micros) (*verified, error) {
+func (g *Guard) verify(token string, wall monotime.Micros) (*verified, error) {
 	issuer, id, err := g.verifier.Peek(token)
 	if err != nil {
 		return nil, err
@@ -232,7 +234,7 @@
 }
 
 // valid judges a verified token as of now.
-func (g *Guard) valid(v *verified, wall Micros) error {
+func (g *Guard) valid(v *verified, wall monotime.Micros) error {
 	c, leeway := &v.claims, g.options.Leeway
 	deny := func(why string) error {
 		g.count.Expired++
@@ -258,7 +260,7 @@
 }
 
 // Audit says whether a refusal is to be logged, and how many were not since the last that was.
-func (g *Guard) Audit(now Micros) (silenced int, ok bool) {
+func (g *Guard) Audit(now monotime.Micros) (silenced int, ok bool) {
 	if !g.audit.take(now) {
 		g.silenced++
 		return 0, false
--- a/internal/config/attached.go
+++ b/internal/config/attached.go
@@ -6,6 +6,7 @@
 
 	"chutechute/fleet/membership"
 	"chutechute/fleet/transport"
+	"chutechute/internal/monotime"
 )
 
 // Attached allows front ends that are not among the members: each attaches itself to two of them. All of a site have it alike.
@@ -103,8 +104,8 @@
 	case len(f.Members) == 0:
 		return fault("members", "missing: there are none to attach to")
 	}
-	micros := func(ms float64) membership.Micros {
-		return membership.Micros(ms * float64(time.Millisecond/time.Microsecond))
+	micros := func(ms float64) monotime.Micros {
+		return monotime.Micros(ms * float64(time.Millisecond/time.Microsecond))
 	}
 	cfg := membership.Config{Name: name, Zone: zone, HeartbeatInterval: micros(set.HeartbeatMS), SuspectAfter: micros(set.SuspectMS),
 		DeadAfter: micros(set.DeadMS), MaxEntries: set.Most}
