--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -9,8 +9,8 @@
 	"chutechute/fleet/budget"
 	"chutechute/fleet/budget/account"
 	"chutechute/fleet/budget/enforce"
+	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
-	"chutechute/scheduler"
 )
 
 // Budgets sets what the whole fleet may spend. Of two versions the higher one counts.
@@ -50,7 +50,7 @@
 )
 
 // set is the section's word, checked; nil where there is none. An error names the key.
-func (b *Budgets) set(members []FleetMember, tick scheduler.Micros, s *settings.Settings) (*budget.Set, error) {
+func (b *Budgets) set(members []FleetMember, tick monotime.Micros, s *settings.Settings) (*budget.Set, error) {
 	if b == nil {
 		return nil, nil
 	}
@@ -63,7 +63,7 @@
 	if b.Most == 0 {
 		b.Most = len(members)
 	}
-	lease := scheduler.Micros(b.LeaseMS * 1000)
+	lease := monotime.Micros(b.LeaseMS * 1000)
 	switch {
 	case b.Version < 1:
 		return fault("version", "%d is below 1", b.Version)
@@ -118,7 +118,7 @@
 			return fault(v.key, "%g is not from 0 to 1e9", v.value)
 		}
 	}
-	threads, giveUp := 1, scheduler.Micros(0)
+	threads, giveUp := 1, monotime.Micros(0)
 	for _, c := range s.Classes {
 		if b.Class == "" || b.Class == c.Name {
 			threads, giveUp = max(threads, c.Threads), max(giveUp, c.ClientTimeout)
@@ -131,14 +131,14 @@
 	}
 	if b.Places > 0 {
 		kinds++
-		p.Kind, p.Total, p.MaxAttemptDuration = account.Concurrency, budget.Amount{Capacity: milli(float64(b.Places))}, scheduler.Micros(b.LifeS*1e6)
+		p.Kind, p.Total, p.MaxAttemptDuration = account.Concurrency, budget.Amount{Capacity: milli(float64(b.Places))}, monotime.Micros(b.LifeS*1e6)
 		if p.MaxAttemptDuration == 0 {
 			p.MaxAttemptDuration = giveUp
 		}
 	}
 	if b.Total > 0 {
 		kinds++
-		p.Kind, p.Total, p.Window = account.Window, budget.Amount{Capacity: milli(b.Total)}, scheduler.Micros(b.WindowMS*1000)
+		p.Kind, p.Total, p.Window = account.Window, budget.Amount{Capacity: milli(b.Total)}, monotime.Micros(b.WindowMS*1000)
 	}
 	switch b.Unit {
 	case "threads":
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,6 +13,7 @@
 	"chutechute/gateway"
 	"chutechute/identity"
 	"chutechute/internal/journal"
+	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
 	"chutechute/scheduler"
 	"chutechute/statement"
@@ -24,8 +25,8 @@
 	defaultSockets  = 1024
 	leastSockets    = 64
 	leastMemoryMB   = 16
-	defaultIdle     = 30 * scheduler.Second
-	defaultDial     = scheduler.Second / 4
+	defaultIdle     = 30 * monotime.Second
+	defaultDial     = monotime.Second / 4
 	defaultOpen     = 20000
 )
 
@@ -267,7 +268,7 @@
 	return a, nil
 }
 
-func defaults[T int | scheduler.Micros](v *T, otherwise T) {
+func defaults[T int | monotime.Micros](v *T, otherwise T) {
 	if *v <= 0 {
 		*v = otherwise
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -17,6 +17,7 @@
 	"chutechute/fleet/idempotency"
 	"chutechute/fleet/idempotency/idempotencyclient"
 	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
 	"chutechute/scheduler"
 )
@@ -81,7 +82,7 @@
 	defaultDead    = 3 * time.Second
 	defaultReplace = 10 * time.Second
 	defaultOrphan  = 3 * time.Second
-	keepBeyond     = 10 * scheduler.Second
+	keepBeyond     = 10 * monotime.Second
 )
 
 // Options is the section's word for the named front end, checked as a whole; nil where it is off. An error names the key.
@@ -158,8 +159,8 @@
 	if mb < 1 || listed && mb > float64(memoryMB)/shares {
 		return fault("ledger_mb", "%g is not from 1 to an eighth of memory_mb, %g", mb, float64(memoryMB)/shares)
 	}
-	span := func(key string, value, unit float64, otherwise time.Duration) fleet.Micros {
-		v := fleet.Micros(value * unit)
+	span := func(key string, value, unit float64, otherwise time.Duration) monotime.Micros {
+		v := monotime.Micros(value * unit)
 		if value == 0 {
 			v = otherwise.Microseconds()
 		}
@@ -175,7 +176,7 @@
 	dead := span("dead_ms", f.DeadMS, ms, defaultDead)
 	replace := span("replace_s", f.ReplaceS, second, defaultReplace)
 	orphan := span("orphan_s", f.OrphanS, second, defaultOrphan)
-	least := scheduler.Micros(0) // that an outcome has to be kept: a client may repeat until it gives up, and engines drop repeats for a window
+	least := monotime.Micros(0) // that an outcome has to be kept: a client may repeat until it gives up, and engines drop repeats for a window
 	for _, c := range s.Classes {
 		if c.Effect == scheduler.IdempotentByKey {
 			least = max(least, c.DedupeWindow+c.ClientTimeout)
@@ -225,7 +226,7 @@
 	p.Node = fleet.Config{Name: name, Zone: p.Zone, Zones: zones, HeartbeatInterval: beat, RetryInterval: 4 * tick,
 		Heartbeat:   heartbeat.Config{SuspectAfter: suspect, DeadAfter: dead, PauseThreshold: suspect / 2},
 		Replication: replication.Config{Replicas: copies, TickInterval: tick, ReplaceAfter: replace, SnapshotLogBytes: 4 << 20}}
-	p.RecordClient = idempotencyclient.Config{PollInterval: 8 * tick, CommitTimeout: keep, CapacityRetryAfter: scheduler.Second / 2}
+	p.RecordClient = idempotencyclient.Config{PollInterval: 8 * tick, CommitTimeout: keep, CapacityRetryAfter: monotime.Second / 2}
 	return p, nil
 }
 
--- a/internal/config/identity.go
+++ b/internal/config/identity.go
@@ -9,6 +9,7 @@
 
 	"chutechute/identity"
 	"chutechute/identity/token"
+	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
 )
 
@@ -83,7 +84,7 @@
 		return nil, fmt.Errorf("installation: identity.%s: %s", key, fmt.Sprintf(form, args...))
 	}
 	l := i.Limits
-	o := &identity.Options{Leeway: identity.Micros(i.LeewayS * float64(identity.Second)), Limits: identity.Limits{
+	o := &identity.Options{Leeway: monotime.Micros(i.LeewayS * float64(monotime.Second)), Limits: identity.Limits{
 		TokenBytes: l.TokenBytes, CacheTokens: l.CacheTokens, ChecksPerSecond: l.ChecksPerSecond,
 		ChecksPerAddress: l.ChecksPerAddress, Addresses: l.Addresses, AuditPerSecond: l.AuditPerSecond}}
 	if i.WatchS < 0 || i.WatchS > mostWatch {
--- a/internal/epoll/admin.go
+++ b/internal/epoll/admin.go
@@ -9,6 +9,7 @@
 	"golang.org/x/sys/unix"
 
 	"chutechute/fleet/idempotency"
+	"chutechute/internal/monotime"
 	"chutechute/internal/ring"
 )
 
@@ -87,7 +88,7 @@
 	stream
 	a        *adminListener
 	budget   ring.Budget
-	since    Micros
+	since    monotime.Micros
 	answered bool
 }
 
--- a/internal/epoll/attachlinks.go
+++ b/internal/epoll/attachlinks.go
@@ -8,6 +8,7 @@
 
 	"chutechute/fleet"
 	"chutechute/fleet/transport"
+	"chutechute/internal/monotime"
 )
 
 const (
@@ -162,7 +163,7 @@
 }
 
 // mostSilent is after what silence a link is closed: the other side has made a new one, or is gone.
-func (l *inLink) mostSilent() Micros {
+func (l *inLink) mostSilent() monotime.Micros {
 	if !l.attached {
 		return linkSilent
 	}
--- a/internal/epoll/budgets.go
+++ b/internal/epoll/budgets.go
@@ -2,6 +2,7 @@
 
 import (
 	"chutechute/fleet/budget"
+	"chutechute/internal/monotime"
 	"chutechute/scheduler"
 )
 
@@ -71,7 +72,7 @@
 	return f
 }
 
-func spending(s scheduler.BudgetStatus, now Micros) FleetSpending {
+func spending(s scheduler.BudgetStatus, now monotime.Micros) FleetSpending {
 	const units = 1000.0
 	lease, static := s.Lease.Capacity, s.Static.Capacity
 	if s.Lease.Rate+s.Static.Rate > 0 {
--- a/internal/epoll/clients.go
+++ b/internal/epoll/clients.go
@@ -13,6 +13,7 @@
 	"chutechute/gateway"
 	"chutechute/identity"
 	"chutechute/internal/figure"
+	"chutechute/internal/monotime"
 	"chutechute/internal/thrift"
 )
 
@@ -51,9 +52,9 @@
 	slot        bool // and takes a place among those that go
 	leaf        *x509.Certificate
 	certificate *identity.Certificate // what leaf stands for; nil without one
-	born        Micros                // when it connected, or its handshake was over
-	since       Micros                // of its connecting, its last message or its end
-	part        Micros                // since when a message has come in part; 0: none has
+	born        monotime.Micros       // when it connected, or its handshake was over
+	since       monotime.Micros       // of its connecting, its last message or its end
+	part        monotime.Micros       // since when a message has come in part; 0: none has
 	spoke       bool                  // a whole message has come
 	told        bool                  // something was answered: messages that nobody answers are as good as none
 	queued      bool                  // messages are left over for the next turn
@@ -227,7 +228,7 @@
 	if err != nil {
 		return nil, err
 	}
-	call.TTL, call.Cost = gateway.Micros(ttl*1000), gateway.Micros(work*1000)
+	call.TTL, call.Cost = monotime.Micros(ttl*1000), monotime.Micros(work*1000)
 	call.MemoryMB, err = readFigure(f, "mb", maxMB)
 	return call, err
 }
@@ -380,7 +381,7 @@
 func (w *waiting) Respond(rows []byte) { w.answer(thrift.Answer("call", w.seq, rows, nil, true)) }
 
 // Reject tells when to come back, where that is allowed.
-func (w *waiting) Reject(after gateway.Micros) {
+func (w *waiting) Reject(after monotime.Micros) {
 	fields := map[string]string{}
 	if w.c.l.s.cfg.Settings.Limits.RetryAfter {
 		fields["pushback"] = strconv.FormatInt((after+ms-1)/ms, 10)
--- a/internal/epoll/engine_conn.go
+++ b/internal/epoll/engine_conn.go
@@ -6,6 +6,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"chutechute/internal/monotime"
 	"chutechute/internal/rest"
 	"chutechute/scheduler"
 )
@@ -19,16 +20,16 @@
 	asking     *job // that was dropped while the answer to its question was to come
 	busy       bool // a call is out
 	connecting bool
-	shaking    bool   // a part of connecting, once the connection has come up
-	since      Micros // of the call, the dial or the last use
-	suspect    Micros // since when other answers have overtaken this one; 0: none has
-	part       Micros // since when the answer has come in part; 0: it has not
-	size       int    // bytes of the call
-	unsure     bool   // more answers may be to come than calls are out
+	shaking    bool            // a part of connecting, once the connection has come up
+	since      monotime.Micros // of the call, the dial or the last use
+	suspect    monotime.Micros // since when other answers have overtaken this one; 0: none has
+	part       monotime.Micros // since when the answer has come in part; 0: it has not
+	size       int             // bytes of the call
+	unsure     bool            // more answers may be to come than calls are out
 }
 
 // rest is how long a connection rests before it carries another query.
-func (c *conn) rest() Micros {
+func (c *conn) rest() monotime.Micros {
 	if c.unsure {
 		return answerWithin
 	}
@@ -36,7 +37,7 @@
 }
 
 // passedOver says that the engine has gone on to answer others when this call's answer was due.
-func (c *conn) passedOver(now Micros) bool {
+func (c *conn) passedOver(now monotime.Micros) bool {
 	switch {
 	case c.engine.heard < c.since+answerWithin:
 		return false
--- a/internal/epoll/engines.go
+++ b/internal/epoll/engines.go
@@ -9,6 +9,7 @@
 
 	"chutechute/gateway"
 	"chutechute/internal/journal"
+	"chutechute/internal/monotime"
 	"chutechute/internal/rest"
 	"chutechute/internal/ring"
 	"chutechute/scheduler"
@@ -50,14 +51,14 @@
 	conns   int
 	up      int // of conns, those that have come up; those that are dialled may all be refused
 	jobs    int
-	heard   Micros // when it last answered anything
-	drains  bool   // or is gone, by the list
-	removed bool   // and forgotten once nothing of it is left
-	refused bool   // it took no connection when it was last asked for one
-	cuts    int    // connections that it ended under a call, in one moment and since it was last heard
-	cutAt   Micros // when that was
-	waiting []*job // for a connection, where no descriptor is left: in turn
-	now     func() Micros
+	heard   monotime.Micros // when it last answered anything
+	drains  bool            // or is gone, by the list
+	removed bool            // and forgotten once nothing of it is left
+	refused bool            // it took no connection when it was last asked for one
+	cuts    int             // connections that it ended under a call, in one moment and since it was last heard
+	cutAt   monotime.Micros // when that was
+	waiting []*job          // for a connection, where no descriptor is left: in turn
+	now     func() monotime.Micros
 }
 
 // job is a query's way through its calls, over one connection after another.
@@ -66,17 +67,17 @@
 	engine  *engine
 	query   *rest.Query
 	conn    *conn
-	begun   Micros
-	asked   Micros // when the engine was last asked, if ever
-	posted  bool   // some of the POST may have reached the engine
-	cut     bool   // its last connection was ended by the engine
-	doubt   bool   // the POST may not have been read yet, and may be later
-	last    bool   // the DELETE that ends the doubt is out
-	giveUp  bool   // to be dropped once the POST is answered
-	resumes int    // since the last answer
+	begun   monotime.Micros
+	asked   monotime.Micros // when the engine was last asked, if ever
+	posted  bool            // some of the POST may have reached the engine
+	cut     bool            // its last connection was ended by the engine
+	doubt   bool            // the POST may not have been read yet, and may be later
+	last    bool            // the DELETE that ends the doubt is out
+	giveUp  bool            // to be dropped once the POST is answered
+	resumes int             // since the last answer
 	redials int
-	queued  bool   // in its engine's line for a connection
-	retry   Micros // when to try again for a connection, as none came up; 0: not
+	queued  bool            // in its engine's line for a connection
+	retry   monotime.Micros // when to try again for a connection, as none came up; 0: not
 	done    bool
 }
 
--- a/internal/epoll/feed.go
+++ b/internal/epoll/feed.go
@@ -7,6 +7,7 @@
 	"golang.org/x/sys/unix"
 
 	"chutechute/internal/journal"
+	"chutechute/internal/monotime"
 	"chutechute/internal/ring"
 	"chutechute/scheduler"
 )
@@ -21,9 +22,9 @@
 	follower   journal.Follower
 	redial     *journal.Redial
 	connecting bool
-	since      Micros // of the last sign of life, or of the last try
-	silence    Micros // that this connection may keep
-	retryAt    Micros // when to try again, while there is none
+	since      monotime.Micros // of the last sign of life, or of the last try
+	silence    monotime.Micros // that this connection may keep
+	retryAt    monotime.Micros // when to try again, while there is none
 }
 
 func newFeed(s *Server) *feed {
--- a/internal/epoll/fleet.go
+++ b/internal/epoll/fleet.go
@@ -16,6 +16,7 @@
 	"chutechute/fleet/replication/wal"
 	"chutechute/fleet/transport"
 	"chutechute/internal/config"
+	"chutechute/internal/monotime"
 )
 
 // peers is this front end among others: the links, the disk and the stepped module between them. The server has none where
@@ -41,15 +42,15 @@
 	admin    *adminListener
 	jitter   uint64
 	traffic  Traffic
-	leaving  Micros // since when this front end gives back what it may spend; 0 before
-	copyID   uint64 // the number of this control member's disk
+	leaving  monotime.Micros // since when this front end gives back what it may spend; 0 before
+	copyID   uint64          // the number of this control member's disk
 
 	home       string               // the control member that an attached front end has its view from
 	refused    map[string]string    // why hellos of an attached front end failed last, by control member
 	byProcess  map[uint64][]*inLink // links of attached front ends, the newest last; nil where none may attach
 	attachedIn int                  // how many these are
 	queued     int                  // bytes that wait for them
-	ticked     Micros               // the last tick
+	ticked     monotime.Micros      // the last tick
 	viewLog    viewLog
 }
 
@@ -123,7 +124,7 @@
 }
 
 // at sets the time for what comes in this turn of the loop.
-func (p *peers) at(now Micros) {
+func (p *peers) at(now monotime.Micros) {
 	p.records.SetNow(now)
 	if p.holder != nil {
 		p.holder.SetNow(now)
@@ -237,9 +238,9 @@
 }
 
 // spread draws from a sequence that differs from process to process: a span from half to one and a half.
-func (p *peers) spread(span Micros) Micros {
+func (p *peers) spread(span monotime.Micros) monotime.Micros {
 	p.jitter ^= p.jitter << 13
 	p.jitter ^= p.jitter >> 7
 	p.jitter ^= p.jitter << 17
-	return span/2 + Micros(p.jitter%uint64(span))
+	return span/2 + monotime.Micros(p.jitter%uint64(span))
 }
--- a/internal/epoll/hollow.go
+++ b/internal/epoll/hollow.go
@@ -9,6 +9,7 @@
 	"chutechute/fleet/heartbeat"
 	"chutechute/fleet/membership"
 	"chutechute/internal/config"
+	"chutechute/internal/monotime"
 )
 
 // Hollow is several front ends over one loop, without clients, engines and decisions: each has the membership, the links and
@@ -25,9 +26,9 @@
 // hollowMember is one front end of a Hollow.
 type hollowMember struct {
 	*peers
-	nextTick Micros
-	pumped   int    // bytes that had come at the last pump
-	paused   Micros // until when it stands still; 0: it runs
+	nextTick monotime.Micros
+	pumped   int             // bytes that had come at the last pump
+	paused   monotime.Micros // until when it stands still; 0: it runs
 }
 
 // Errors of a Hollow.
@@ -52,14 +53,14 @@
 func (h *Hollow) Stop() { h.Do(func() { h.stopped = true }) }
 
 // Now is the time of this turn of the loop, in microseconds of Unix time that never goes back.
-func (h *Hollow) Now() Micros { return h.now }
+func (h *Hollow) Now() monotime.Micros { return h.now }
 
 // Start starts a front end under its configured name and addresses, and gives its process's number. Its record is kept in memory.
 func (h *Hollow) Start(cfg *config.Peers, seed uint64) (incarnation uint64, err error) {
 	if h.member(cfg.Name) != nil {
 		return 0, fmt.Errorf("%w: %q", ErrHollowTwin, cfg.Name)
 	}
-	m := &hollowMember{nextTick: h.now + Micros(seed%uint64(tickEvery))} // processes don't tick together
+	m := &hollowMember{nextTick: h.now + monotime.Micros(seed%uint64(tickEvery))} // processes don't tick together
 	of := program{host: &h.host, seed: seed, post: h.Do, draining: func() bool { return false }}
 	if m.peers, err = newPeers(of, cfg); err != nil {
 		return 0, err
@@ -89,7 +90,7 @@
 }
 
 // Pause has a front end stand still until a time, as a stopped process does: nothing is read, sent or noticed.
-func (h *Hollow) Pause(name string, until Micros) error {
+func (h *Hollow) Pause(name string, until monotime.Micros) error {
 	m := h.member(name)
 	if m == nil {
 		return fmt.Errorf("%w: %q", ErrHollowName, name)
@@ -122,7 +123,7 @@
 }
 
 // Run carries the loop until a time of its clock, or until Stop.
-func (h *Hollow) Run(until Micros) error {
+func (h *Hollow) Run(until monotime.Micros) error {
 	for !h.stopped && h.now < until {
 		if err := h.turn(until); err != nil {
 			return err
@@ -132,7 +133,7 @@
 }
 
 // turn waits, reads all that is ready, and lets each front end do what a Server's turn does.
-func (h *Hollow) turn(until Micros) error {
+func (h *Hollow) turn(until monotime.Micros) error {
 	if rest := h.now + leastTurn - h.clock.now(); rest > 0 {
 		t := unix.NsecToTimespec(rest * 1000)
 		_ = unix.Nanosleep(&t, nil) // a signal may cut it short, to no harm
@@ -160,10 +161,10 @@
 
 // LongestTurn is the longest turn of the loop since this was asked last, in microseconds. Where it comes near the links' own spans,
 // front ends that share the loop disturb one another as processes of their own would not.
-func (h *Hollow) LongestTurn() Micros {
+func (h *Hollow) LongestTurn() monotime.Micros {
 	longest := h.count.LongestTurn
 	h.count.LongestTurn = 0
-	return Micros(longest)
+	return monotime.Micros(longest)
 }
 
 // step lets time pass for a front end whose tick is due, and carries out what messages have made it want.
--- a/internal/epoll/hollow_change.go
+++ b/internal/epoll/hollow_change.go
@@ -3,6 +3,7 @@
 import (
 	"chutechute/fleet/heartbeat"
 	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
 )
 
 // Change is something about one front end that all others are to learn: that a process is there, or that it is gone.
@@ -16,13 +17,13 @@
 type awaited struct {
 	change  Change
 	pending map[*hollowMember]struct{}
-	seen    Micros // by the last so far
-	done    func(seen Micros)
+	seen    monotime.Micros // by the last so far
+	done    func(seen monotime.Micros)
 }
 
 // Await has done called, on the loop, once every front end that runs here now and that is not the change's own has seen a change, or
 // has ended. Seen is when the last of them did, as of its tick; 0 where none has seen it, since there is none.
-func (h *Hollow) Await(change Change, done func(seen Micros)) {
+func (h *Hollow) Await(change Change, done func(seen monotime.Micros)) {
 	a := &awaited{change: change, pending: map[*hollowMember]struct{}{}, done: done}
 	for _, m := range h.members {
 		switch {
--- a/internal/epoll/host.go
+++ b/internal/epoll/host.go
@@ -6,6 +6,7 @@
 	"chutechute/fleet/idempotency/idempotencyclient"
 	"chutechute/gateway"
 	"chutechute/internal/counters"
+	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
 )
 
@@ -13,7 +14,7 @@
 type host struct {
 	loop  *loop
 	clock clock
-	now   Micros // of this turn
+	now   monotime.Micros // of this turn
 	count counters.Set
 }
 
@@ -47,4 +48,4 @@
 type noSuccessor struct{}
 
 // TakeOver refuses a load.
-func (noSuccessor) TakeOver(Micros, gateway.Takeover) *gateway.Registration { return nil }
+func (noSuccessor) TakeOver(monotime.Micros, gateway.Takeover) *gateway.Registration { return nil }
--- a/internal/epoll/links.go
+++ b/internal/epoll/links.go
@@ -11,6 +11,7 @@
 
 	"chutechute/fleet"
 	"chutechute/fleet/transport"
+	"chutechute/internal/monotime"
 	"chutechute/internal/ring"
 )
 
@@ -36,8 +37,8 @@
 	queue      transport.Queue
 	budget     ring.Budget
 	connecting bool
-	since      Micros // of the dial, or of the last byte that was taken
-	retry      Micros // when to dial again
+	since      monotime.Micros // of the dial, or of the last byte that was taken
+	retry      monotime.Micros // when to dial again
 	failures   int
 	refused    string // the last reason for which a hello failed, so that it is logged once
 }
@@ -255,12 +256,12 @@
 	p      *peers
 	shake  *transport.Listener
 	budget ring.Budget
-	since  Micros // of its connecting, or of the last bytes
+	since  monotime.Micros // of its connecting, or of the last bytes
 	link   fleet.Link
 
 	attached bool            // an attached front end's, to which messages go back
 	queue    transport.Queue // of these
-	taken    Micros          // when the socket last took some of them
+	taken    monotime.Micros // when the socket last took some of them
 }
 
 func (l *inLink) write(b []byte) {
--- a/internal/epoll/loop.go
+++ b/internal/epoll/loop.go
@@ -9,20 +9,17 @@
 
 	"golang.org/x/sys/unix"
 
+	"chutechute/internal/monotime"
 	"chutechute/internal/ring"
 	"chutechute/internal/tlsio"
-	"chutechute/scheduler"
 )
 
-// Micros is a time or a span in microseconds.
-type Micros = scheduler.Micros
-
-const ms = scheduler.Second / 1000
+const ms = monotime.Second / 1000
 
 // clock is the system's Unix time, kept from going back.
 type clock struct{ start time.Time }
 
-func (c clock) now() Micros { return c.start.UnixMicro() + time.Since(c.start).Microseconds() }
+func (c clock) now() monotime.Micros { return c.start.UnixMicro() + time.Since(c.start).Microseconds() }
 
 // handler is what owns a descriptor.
 type handler interface{ ready(events uint32) }
@@ -74,7 +71,7 @@
 }
 
 // wait waits for at most the span, which is rounded up so that the loop never spins; n descriptors are ready.
-func (l *loop) wait(span Micros) (n int, err error) {
+func (l *loop) wait(span monotime.Micros) (n int, err error) {
 	timeout := int((max(0, span) + ms - 1) / ms)
 	n, err = unix.EpollWait(l.fd, l.events[:], timeout)
 	if err == unix.EINTR {
--- a/internal/epoll/part.go
+++ b/internal/epoll/part.go
@@ -6,14 +6,15 @@
 	"chutechute/fleet/membership"
 	"chutechute/fleet/transport"
 	"chutechute/internal/counters"
+	"chutechute/internal/monotime"
 )
 
 // part is this front end's part in the fleet, in either role: a fleet.Node or a fleet.AttachedNode.
 type part interface {
 	idempotencyclient.Proposer
 	// Receive takes a message; after an error its link is closed.
-	Receive(now Micros, l fleet.Link, kind transport.Kind, body []byte) error
-	Tick(now Micros)
+	Receive(now monotime.Micros, l fleet.Link, kind transport.Kind, body []byte) error
+	Tick(now monotime.Micros)
 	Leave()
 	Actions() []fleet.Action
 	// Proposals is how many questions were put to the record.
--- a/internal/epoll/secure.go
+++ b/internal/epoll/secure.go
@@ -12,6 +12,7 @@
 	"chutechute/internal/certs"
 	"chutechute/internal/config"
 	"chutechute/internal/keyfiles"
+	"chutechute/internal/monotime"
 	"chutechute/internal/tlsio"
 )
 
@@ -21,10 +22,10 @@
 	files      *certs.Files
 	handshakes *identity.Handshakes
 	pool       *tlsio.Pool
-	outward    *tlsio.Pool   // for handshakes with engines, which clients' are not to hold up
-	warn       time.Duration // ahead of an expiry
-	warnAt     Micros        // next
-	scratch    []byte        // for what comes of any connection
+	outward    *tlsio.Pool     // for handshakes with engines, which clients' are not to hold up
+	warn       time.Duration   // ahead of an expiry
+	warnAt     monotime.Micros // next
+	scratch    []byte          // for what comes of any connection
 }
 
 const (
@@ -80,7 +81,7 @@
 }
 
 // tick logs what will expire soon, now and again.
-func (s *security) tick(now Micros) {
+func (s *security) tick(now monotime.Micros) {
 	if s.material == nil || now < s.warnAt {
 		return
 	}
@@ -151,7 +152,7 @@
 }
 
 // proof is what the connection shows of who its client is, as of now.
-func (c *client) proof(wall Micros) *identity.Certificate {
+func (c *client) proof(wall monotime.Micros) *identity.Certificate {
 	if c.certificate == nil {
 		return nil
 	}
--- a/internal/epoll/server.go
+++ b/internal/epoll/server.go
@@ -14,6 +14,7 @@
 	"chutechute/gateway"
 	"chutechute/internal/config"
 	"chutechute/internal/keyfiles"
+	"chutechute/internal/monotime"
 )
 
 const (
@@ -36,7 +37,7 @@
 	pool     *pool
 	feed     *feed
 	wake     *waker
-	nextTick Micros
+	nextTick monotime.Micros
 	log      io.Writer
 	posts    posts
 	security security
--- a/internal/epoll/status.go
+++ b/internal/epoll/status.go
@@ -4,6 +4,7 @@
 	"chutechute/fleet/idempotency"
 	"chutechute/fleet/idempotency/idempotencyclient"
 	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
 )
 
 // FleetRecord is the loads on record as this copy has them, and those that this front end holds.
@@ -163,7 +164,7 @@
 	return m
 }
 
-func viewStatus(view *membership.View, now Micros, home string) *FleetAttached {
+func viewStatus(view *membership.View, now monotime.Micros, home string) *FleetAttached {
 	age := view.Age(now)
 	if age == membership.NeverConfirmed {
 		age = -ms
--- a/internal/epoll/viewlog.go
+++ b/internal/epoll/viewlog.go
@@ -4,6 +4,7 @@
 	"log/slog"
 
 	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
 )
 
 const (
@@ -13,7 +14,7 @@
 
 // viewLog tells the log how the view of all front ends changes.
 type viewLog struct {
-	next   Micros
+	next   monotime.Micros
 	digest uint64            // of the view that was told last
 	seen   map[string]logged // what that held, by name
 }
--- a/internal/fieldcodec/fieldcodec.go
+++ b/internal/fieldcodec/fieldcodec.go
@@ -1,5 +1,6 @@
-// Package fieldcodec encodes and decodes protobuf messages from one description of their fields. A message has a method that
-// lists its fields once, in the order in which they are encoded; the same method serves both directions:
+// Package fieldcodec encodes and decodes protobuf messages from one description of their fields. A message has a
+// method that lists its fields once, in the order in which they are encoded; the same method serves both
+// directions:
 //
 //	func (r *report) fields(f *fieldcodec.Fields) {
 //		f.String(1, &r.Name)
@@ -20,9 +21,10 @@
 //		return r, f.Err()
 //	}
 //
-// Decoding calls the method once for each field of the input, and only the line with that field's number takes it. A field
-// with an unknown number is skipped, so that a later version may add fields. Fields with a zero value are left out, unless
-// a method says otherwise. The wire format is that of https://protobuf.dev/programming-guides/encoding/.
+// Decoding calls the method once for each field of the input, and only the line with that field's number takes it.
+// A field with an unknown number is skipped, so that a later version may add fields. Fields with a zero value are
+// left out, unless a method says otherwise. The wire format is that of
+// https://protobuf.dev/programming-guides/encoding/.
 package fieldcodec
 
 import (
@@ -104,8 +106,8 @@
 	return false
 }
 
-// Decoding reports whether the message is being decoded and the current field has the number: for a field whose decoding needs
-// more than the methods offer.
+// Decoding reports whether the message is being decoded and the current field has the number: for a field whose
+// decoding needs more than the methods offer.
 func (f *Fields) Decoding(number protowire.Number) bool { return f.decoding && f.number == number }
 
 // Encoding reports whether the message is being encoded.
@@ -230,9 +232,11 @@
 	}
 }
 
-// Messages is a repeated field of messages. A list that grows beyond limit while it is decoded fails with tooMany; 0 is no
-// limit.
-func Messages[T any](f *Fields, number protowire.Number, list *[]T, limit int, tooMany error, fields func(*T, *Fields)) {
+// Messages is a repeated field of messages. A list that grows beyond limit while it is decoded fails with tooMany;
+// 0 is no limit.
+func Messages[T any](
+	f *Fields, number protowire.Number, list *[]T, limit int, tooMany error, fields func(*T, *Fields),
+) {
 	if f.Decoding(number) {
 		if limit > 0 && len(*list) == limit {
 			f.Fail(tooMany)
@@ -255,7 +259,8 @@
 	return len(f.output)
 }
 
-// endNested writes the length of the nested message that began at start, and moves the message where that takes more bytes.
+// endNested writes the length of the nested message that began at start, and moves the message where that takes
+// more bytes.
 func (f *Fields) endNested(start int) {
 	length := len(f.output) - start
 	more := protowire.SizeVarint(uint64(length)) - 1
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -18,8 +18,8 @@
 // createVariable is the environment variable that lets a missing file be created; an existing one is never replaced.
 const createVariable = "CHUTECHUTE_GOLDEN_CREATE"
 
-// Message is one encoded message: its bytes as the encoder gives them, and a function that decodes bytes of its kind and
-// encodes what it read again.
+// Message is one encoded message: its bytes as the encoder gives them, and a function that decodes bytes of its
+// kind and encodes what it read again.
 type Message struct {
 	Name    string
 	Encoded []byte
--- a/internal/journal/follower.go
+++ b/internal/journal/follower.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 
+	"chutechute/internal/monotime"
 	"chutechute/internal/ring"
 	"chutechute/scheduler"
 )
@@ -48,10 +49,10 @@
 // Spans of Redial, in microseconds. What the journal has to tell counts as told after 7 s, heard or not, which leaves time for a
 // silence to be noticed, for a dial that comes to nothing and for two more.
 const (
-	silentAfter = 2250 * scheduler.Second / 1000 // an empty frame comes each second
-	silentMore  = 500 * scheduler.Second / 1000
-	waitFirst   = 200 * scheduler.Second / 1000
-	waitMost    = 800 * scheduler.Second / 1000
+	silentAfter = 2250 * monotime.Second / 1000 // an empty frame comes each second
+	silentMore  = 500 * monotime.Second / 1000
+	waitFirst   = 200 * monotime.Second / 1000
+	waitMost    = 800 * monotime.Second / 1000
 )
 
 // Redial says when to give a connection up for silent, and when to try for the next. All front ends lose theirs in one moment, when
@@ -68,10 +69,10 @@
 func (r *Redial) Heard() { r.tries = 0 }
 
 // Silence is how long the next connection may be silent.
-func (r *Redial) Silence() scheduler.Micros { return silentAfter + r.rng.Int64N(silentMore) }
+func (r *Redial) Silence() monotime.Micros { return silentAfter + r.rng.Int64N(silentMore) }
 
 // Wait is how long to wait before the next try.
-func (r *Redial) Wait() scheduler.Micros {
+func (r *Redial) Wait() monotime.Micros {
 	most := min(waitMost, waitFirst<<min(r.tries, 8))
 	r.tries++
 	return most/4 + r.rng.Int64N(most*3/4)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"net/netip"
 
+	"chutechute/internal/monotime"
 	"chutechute/internal/ring"
 	"chutechute/scheduler"
 )
@@ -95,7 +96,7 @@
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), be.Uint16(b[8:]))
 	return Engine{Addr: addr, Endpoint: scheduler.Endpoint{Engine: fmt.Sprintf("s-%08x", be.Uint32(b)), Zone: n.Zones[zone],
 		Kind: n.Kinds[kind], Cell: int(be.Uint16(b[13:])), State: states[state],
-		Started: scheduler.Micros(be.Uint64(b[19:])) * 1000}}, nil
+		Started: monotime.Micros(be.Uint64(b[19:])) * 1000}}, nil
 }
 
 // Known is the configuration's form of the events so far.
@@ -106,13 +107,13 @@
 		Hosts struct {
 			All     bool `json:"all"`
 			Targets []struct {
-				UID      string           `json:"uid"`
-				Endpoint string           `json:"endpoint"`
-				AZ       string           `json:"az"`
-				Model    string           `json:"model"`
-				PodGroup int              `json:"pod_group"`
-				State    string           `json:"state"`
-				BootMS   scheduler.Micros `json:"boot_ms"`
+				UID      string          `json:"uid"`
+				Endpoint string          `json:"endpoint"`
+				AZ       string          `json:"az"`
+				Model    string          `json:"model"`
+				PodGroup int             `json:"pod_group"`
+				State    string          `json:"state"`
+				BootMS   monotime.Micros `json:"boot_ms"`
 			} `json:"targets"`
 		} `json:"hosts"`
 	} `json:"entries"`
--- a/internal/rest/query.go
+++ b/internal/rest/query.go
@@ -7,6 +7,7 @@
 	"strings"
 	"unicode/utf8"
 
+	"chutechute/internal/monotime"
 	"chutechute/scheduler"
 )
 
@@ -20,7 +21,7 @@
 type Start struct {
 	ID, Class, Once string
 	Statement       []byte
-	Wait            scheduler.Micros
+	Wait            monotime.Micros
 	GrantMB         float64 // 0: the engine chooses
 	Priority        int     // negative: none is told
 }
@@ -61,7 +62,7 @@
 
 // Cost is what an engine says that a query took; what it does not say, or says so that it can't be, is 0.
 type Cost struct {
-	Work     scheduler.Micros
+	Work     monotime.Micros
 	MemoryMB float64
 }
 
--- a/internal/rest/response.go
+++ b/internal/rest/response.go
@@ -10,6 +10,7 @@
 	"strings"
 
 	"chutechute/internal/figure"
+	"chutechute/internal/monotime"
 	"chutechute/internal/ring"
 	"chutechute/scheduler"
 )
@@ -116,7 +117,7 @@
 		case "x-num":
 			number = value
 		case "x-spent":
-			r.Cost.Work = scheduler.Micros(r.figure(value, mostSpent) * 1000)
+			r.Cost.Work = monotime.Micros(r.figure(value, mostSpent) * 1000)
 		case "x-wanted":
 			r.Cost.MemoryMB = r.figure(value, mostSpent)
 		}
--- a/internal/scale/sockets/change.go
+++ b/internal/scale/sockets/change.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"chutechute/internal/epoll"
+	"chutechute/internal/monotime"
 )
 
 // watch collects how long changes take to reach the last hollow front end alive.
@@ -22,14 +23,14 @@
 // started is a process of a front end that has just started.
 type started struct {
 	incarnation uint64
-	at          epoll.Micros
+	at          monotime.Micros
 }
 
 // seedStep keeps the seeds of a run's processes apart from those of other runs.
 const seedStep = 1_000_003
 
 // wall is the time that workers' clocks count by too.
-func wall() epoll.Micros { return time.Now().UnixMicro() }
+func wall() monotime.Micros { return time.Now().UnixMicro() }
 
 // start starts a front end; its time is when its process was there.
 func (r *run) start(f *front) error {
@@ -116,7 +117,7 @@
 }
 
 // kill ends a front end without a word; it gives when.
-func (r *run) kill(f *front) (at epoll.Micros, err error) {
+func (r *run) kill(f *front) (at monotime.Micros, err error) {
 	delete(r.running, f)
 	if p := r.processOf(f); p != nil {
 		at = wall()
@@ -137,7 +138,7 @@
 }
 
 // follow notes when a change, that was at a time, has reached all hollow front ends.
-func (r *run) follow(change epoll.Change, at epoll.Micros) error {
+func (r *run) follow(change epoll.Change, at monotime.Micros) error {
 	left, last := len(r.hollows), at
 	var mu sync.Mutex
 	r.watch.begun(change.Gone)
--- a/internal/scale/sockets/process.go
+++ b/internal/scale/sockets/process.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"chutechute/internal/epoll"
+	"chutechute/internal/monotime"
 	"chutechute/internal/standin/site"
 )
 
@@ -105,7 +105,7 @@
 }
 
 // use is the processor time that the process has taken and its resident memory; zeros while it does not run.
-func (p *process) use() (cpu epoll.Micros, resident int64, err error) {
+func (p *process) use() (cpu monotime.Micros, resident int64, err error) {
 	if p.cmd == nil {
 		return 0, 0, nil
 	}
--- a/internal/scale/sockets/protocol.go
+++ b/internal/scale/sockets/protocol.go
@@ -7,6 +7,7 @@
 	"encoding/json"
 
 	"chutechute/internal/epoll"
+	"chutechute/internal/monotime"
 )
 
 // op is what a process of hollow front ends is asked to do.
@@ -32,7 +33,7 @@
 	Member  string          `json:"member,omitempty"`
 	Zone    string          `json:"zone,omitempty"` // of opStart: of one that is attached
 	Seed    uint64          `json:"seed,omitempty"`
-	Span    epoll.Micros    `json:"span,omitempty"`    // of opPause
+	Span    monotime.Micros `json:"span,omitempty"`    // of opPause
 	Total   int             `json:"total,omitempty"`   // of opSeen: how many there are
 	Change  *epoll.Change   `json:"change,omitempty"`  // of opAwait
 	Collect bool            `json:"collect,omitempty"` // of opFigures: garbage is collected before memory is read
@@ -40,24 +41,24 @@
 
 // reply is one line from it.
 type reply struct {
-	ID          int          `json:"id"`
-	Error       string       `json:"error,omitempty"`
-	At          epoll.Micros `json:"at"` // the loop's time when it was done
-	Incarnation uint64       `json:"incarnation,omitempty"`
-	Seen        int          `json:"seen,omitempty"`    // of opSeen: how many see all
-	Least       int          `json:"least,omitempty"`   // of opSeen: the least that any sees
-	SeenAt      epoll.Micros `json:"seen_at,omitempty"` // of opAwait; 0: none was here to see it
-	Waiting     []string     `json:"waiting,omitempty"` // of opWaiting, in words
-	Figures     *figures     `json:"figures,omitempty"`
+	ID          int             `json:"id"`
+	Error       string          `json:"error,omitempty"`
+	At          monotime.Micros `json:"at"` // the loop's time when it was done
+	Incarnation uint64          `json:"incarnation,omitempty"`
+	Seen        int             `json:"seen,omitempty"`    // of opSeen: how many see all
+	Least       int             `json:"least,omitempty"`   // of opSeen: the least that any sees
+	SeenAt      monotime.Micros `json:"seen_at,omitempty"` // of opAwait; 0: none was here to see it
+	Waiting     []string        `json:"waiting,omitempty"` // of opWaiting, in words
+	Figures     *figures        `json:"figures,omitempty"`
 }
 
 // figures are what a process has used and its front ends have counted since they started.
 type figures struct {
-	CPU         epoll.Micros  `json:"cpu"`      // of the process, user and system
-	Resident    int64         `json:"resident"` // bytes
-	Heap        int64         `json:"heap"`     // bytes allocated and not freed
-	Traffic     epoll.Traffic `json:"traffic"`  // of all front ends here together, those ended too
-	Members     int           `json:"members"`
-	Connections int           `json:"connections"`
-	LongestTurn epoll.Micros  `json:"longest_turn"` // of the loop, since the last figures
+	CPU         monotime.Micros `json:"cpu"`      // of the process, user and system
+	Resident    int64           `json:"resident"` // bytes
+	Heap        int64           `json:"heap"`     // bytes allocated and not freed
+	Traffic     epoll.Traffic   `json:"traffic"`  // of all front ends here together, those ended too
+	Members     int             `json:"members"`
+	Connections int             `json:"connections"`
+	LongestTurn monotime.Micros `json:"longest_turn"` // of the loop, since the last figures
 }
--- a/internal/scale/sockets/usage.go
+++ b/internal/scale/sockets/usage.go
@@ -8,13 +8,13 @@
 	"runtime/debug"
 	"strconv"
 
-	"golang.org/x/sys/unix"
+	"chutechute/internal/monotime"
 
-	"chutechute/internal/epoll"
+	"golang.org/x/sys/unix"
 )
 
 // ownCPU is the processor time that this process has taken.
-func ownCPU() epoll.Micros {
+func ownCPU() monotime.Micros {
 	var usage unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &usage) != nil { // it never fails for the process itself
 		return 0
@@ -54,7 +54,7 @@
 )
 
 // cpuOf is the processor time that a process has taken.
-func cpuOf(pid int) (epoll.Micros, error) {
+func cpuOf(pid int) (monotime.Micros, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, fmt.Errorf("sockets: %w", err)
--- a/internal/scale/sockets/worker.go
+++ b/internal/scale/sockets/worker.go
@@ -11,6 +11,7 @@
 
 	"chutechute/internal/config"
 	"chutechute/internal/epoll"
+	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
 	"chutechute/internal/standin/site"
 )
@@ -85,7 +86,7 @@
 	case opFigures:
 		r.Figures, err = w.figures(q.Collect)
 	case opAwait:
-		w.hollow.Await(*q.Change, func(seen epoll.Micros) { w.reply(reply{ID: q.ID, SeenAt: seen}) })
+		w.hollow.Await(*q.Change, func(seen monotime.Micros) { w.reply(reply{ID: q.ID, SeenAt: seen}) })
 		return
 	case opWaiting:
 		r.Waiting = w.waiting()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"math"
 
+	"chutechute/internal/monotime"
 	"chutechute/scheduler"
 )
 
@@ -95,8 +96,8 @@
 	ClassOf, TenantOf map[string]int // places by name
 
 	Zones       []string
-	ConnIdle    scheduler.Micros // engines close idle connections after this
-	DialTimeout scheduler.Micros
+	ConnIdle    monotime.Micros // engines close idle connections after this
+	DialTimeout monotime.Micros
 	MaxOpen     int // requests that may be open at once
 }
 
@@ -129,7 +130,7 @@
 	return names
 }
 
-func micros(s float64) scheduler.Micros { return scheduler.Micros(math.Round(s * 1e6)) }
+func micros(s float64) monotime.Micros { return monotime.Micros(math.Round(s * 1e6)) }
 
 func (s *object) config() (scheduler.Config, error) {
 	l, r, dom := s.Limits, s.Rules, s.Domain
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -9,6 +9,7 @@
 	"math"
 	"strconv"
 
+	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
 	"chutechute/scheduler"
 )
@@ -39,7 +40,7 @@
 }
 
 // Batch reads one line.
-func (d *Decoder) Batch(line []byte) (scheduler.Micros, []Item, error) {
+func (d *Decoder) Batch(line []byte) (monotime.Micros, []Item, error) {
 	var batch struct {
 		Now *float64            `json:"now"`
 		In  [][]json.RawMessage `json:"in"`
@@ -63,7 +64,7 @@
 	return micros(*batch.Now), items, nil
 }
 
-func micros(s float64) scheduler.Micros { return scheduler.Micros(math.Round(s * 1e6)) }
+func micros(s float64) monotime.Micros { return monotime.Micros(math.Round(s * 1e6)) }
 
 // message reads one message; a list is kept for later and gives no item.
 func (d *Decoder) message(raw []json.RawMessage) (Item, bool, error) {
@@ -136,7 +137,7 @@
 			used = int64(max(0, f.number(8)))
 		}
 		return scheduler.Outcome{ID: f.id(2), Attempt: int(f.whole(3)), Engine: f.text(4), Result: f.result(5),
-			Elapsed: f.time(6), Final: f.truth(7), Load: f.load(9), WorkUsed: scheduler.Micros(used>>12) * 1000,
+			Elapsed: f.time(6), Final: f.truth(7), Load: f.load(9), WorkUsed: monotime.Micros(used>>12) * 1000,
 			MemoryUsedMB: float64(used&0xfff) * 4}, nil
 	case "client_gone":
 		return scheduler.ClientDisconnected{ID: f.id(2)}, nil
@@ -244,10 +245,10 @@
 	}
 }
 
-func (f *fields) text(i int) (s string)       { f.read(i, &s); return s }
-func (f *fields) truth(i int) (b bool)        { f.read(i, &b); return b }
-func (f *fields) id(i int) (n uint64)         { f.read(i, &n); return n }
-func (f *fields) time(i int) scheduler.Micros { return micros(f.number(i)) }
+func (f *fields) text(i int) (s string)      { f.read(i, &s); return s }
+func (f *fields) truth(i int) (b bool)       { f.read(i, &b); return b }
+func (f *fields) id(i int) (n uint64)        { f.read(i, &n); return n }
+func (f *fields) time(i int) monotime.Micros { return micros(f.number(i)) }
 
 func (f *fields) whole(i int) int64 {
 	if f.err == nil && f.present(i) {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"strconv"
 
+	"chutechute/internal/monotime"
 	"chutechute/scheduler"
 )
 
@@ -96,7 +97,7 @@
 
 func (r *Reply) id(n uint64) { r.raw(strconv.FormatUint(n, 10)) }
 
-func (r *Reply) seconds(t scheduler.Micros) { r.raw(strconv.FormatFloat(float64(t)/1e6, 'f', -1, 64)) }
+func (r *Reply) seconds(t monotime.Micros) { r.raw(strconv.FormatFloat(float64(t)/1e6, 'f', -1, 64)) }
 
 func (r *Reply) text(s string) {
 	b, err := json.Marshal(s)
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -8,13 +8,9 @@
 import (
 	"errors"
 	"fmt"
-)
-
-// Micros is a time or a span in microseconds of the caller's clock.
-type Micros = int64
 
-// Second is one second in Micros.
-const Second Micros = 1_000_000
+	"chutechute/internal/monotime"
+)
 
 // Config is all that a gateway is told at its start.
 type Config struct {
@@ -27,17 +23,17 @@
 	Limits   Limits
 	Rules    Rules
 
-	PollEndpoints             bool    // engine lists come only when asked for
-	MemoryGrants              bool    // engines heed memory grants
-	Priorities                bool    // engines heed priorities
-	MaxGrantShare             float64 // largest share of an engine's memory for one query
-	ReportsCost               bool    // engines tell what a query took
-	ProgressInterval          Micros  // time between progress notes; 0 without notes
-	HealthCheckCost           float64 // points of the result for one probe a query
-	CrossZoneCost             float64 // points for each query sent to another zone
-	OverShareWeight           float64 // worth of a query beyond its tenant's share
-	LoadReportsOnHealthChecks bool    // load reports come with probes only
-	LoadReportsOnResponses    bool    // load reports come with every answer
+	PollEndpoints             bool            // engine lists come only when asked for
+	MemoryGrants              bool            // engines heed memory grants
+	Priorities                bool            // engines heed priorities
+	MaxGrantShare             float64         // largest share of an engine's memory for one query
+	ReportsCost               bool            // engines tell what a query took
+	ProgressInterval          monotime.Micros // time between progress notes; 0 without notes
+	HealthCheckCost           float64         // points of the result for one probe a query
+	CrossZoneCost             float64         // points for each query sent to another zone
+	OverShareWeight           float64         // worth of a query beyond its tenant's share
+	LoadReportsOnHealthChecks bool            // load reports come with probes only
+	LoadReportsOnResponses    bool            // load reports come with every answer
 }
 
 // check names what a Config lacks.
@@ -86,15 +82,15 @@
 // Class is a class of queries.
 type Class struct {
 	Name               string
-	LatencyObjective   Micros  // full worth within this time
-	ObjectiveStretch   float64 // and this times the work over its threads
-	ClientTimeout      Micros
+	LatencyObjective   monotime.Micros // full worth within this time
+	ObjectiveStretch   float64         // and this times the work over its threads
+	ClientTimeout      monotime.Micros
 	PriorityWeight     float64
 	LateWeight         float64 // share of the worth after the aim
 	Effect             Effect
 	DedupeScope        DedupeScope
-	DedupeWindow       Micros // how long Scope remembers a keyed query
-	Ordered            bool   // queries of one key run singly, in order
+	DedupeWindow       monotime.Micros // how long Scope remembers a keyed query
+	Ordered            bool            // queries of one key run singly, in order
 	Zones              []string
 	Kinds              []string
 	Stream             bool
@@ -115,23 +111,23 @@
 	Cancel, HealthChecks, HedgedRequests, RetryAfter bool
 
 	MaxAttempts   int
-	MaxRetryAfter Micros
+	MaxRetryAfter monotime.Micros
 }
 
 // Rules are the figures of the rules; zero where one does not apply.
 type Rules struct {
-	ResponseTimeout   Micros
-	WarmUp            Micros
+	ResponseTimeout   monotime.Micros
+	WarmUp            monotime.Micros
 	InitialWarmth     float64
-	OverloadWindow    Micros
+	OverloadWindow    monotime.Micros
 	OverloadMultiple  float64
-	DrainGrace        Micros
-	AnswerSlack       Micros
-	KeyQuietPeriod    Micros // quiet time of a key after doubt
-	RetryBudget       bool   // further attempts are rationed
+	DrainGrace        monotime.Micros
+	AnswerSlack       monotime.Micros
+	KeyQuietPeriod    monotime.Micros // quiet time of a key after doubt
+	RetryBudget       bool            // further attempts are rationed
 	MinRetries        float64
 	RetryRatio        float64
-	RetryBudgetWindow Micros
+	RetryBudgetWindow monotime.Micros
 }
 
 // LoadReport is an engine's load report; a value not told is negative.
@@ -168,7 +164,7 @@
 	Engine, Zone, Kind string
 	Cell               int
 	State              EngineState
-	Started            Micros // 0: long ago
+	Started            monotime.Micros // 0: long ago
 }
 
 // Result is how an attempt or a probe ended.
@@ -214,14 +210,14 @@
 		Class          int // index into Config.Classes
 		Tenant         int // index into Config.Tenants, -1 without
 		Key            string
-		Deadline       Micros  // when the client gives up
-		EstimatedWork  Micros  // told work on one thread, 0 if not told
-		MemoryMB       float64 // told need, 0 if not told
-		Group          int     // table group
-		NonIdempotent  bool    // a second execution would do harm, whatever the class says
-		NoRetry        bool    // no second attempt, even where the first never ran
-		EstimatedHere  bool    // Cost is the gateway's own estimate
-		MeasureLatency bool    // a Measure is wanted when it is served
+		Deadline       monotime.Micros // when the client gives up
+		EstimatedWork  monotime.Micros // told work on one thread, 0 if not told
+		MemoryMB       float64         // told need, 0 if not told
+		Group          int             // table group
+		NonIdempotent  bool            // a second execution would do harm, whatever the class says
+		NoRetry        bool            // no second attempt, even where the first never ran
+		EstimatedHere  bool            // Cost is the gateway's own estimate
+		MeasureLatency bool            // a Measure is wanted when it is served
 	}
 	// Started tells that a streamed answer began.
 	Started struct {
@@ -234,11 +230,11 @@
 		Attempt int
 		Engine  string
 		Result  Result
-		Elapsed Micros
+		Elapsed monotime.Micros
 		Final   bool
 		Load    *LoadReport
 		// WorkUsed and NeededMB are what its engine says that it took, of work on one thread and of memory; 0 where it does not.
-		WorkUsed     Micros
+		WorkUsed     monotime.Micros
 		MemoryUsedMB float64
 	}
 	// ClientDisconnected tells that the client left; where it is Owed the final answer is due, as its time is up.
@@ -260,7 +256,7 @@
 	HealthCheckResult struct {
 		Engine  string
 		Result  Result
-		Elapsed Micros
+		Elapsed monotime.Micros
 		Load    *LoadReport
 	}
 	// PeerMessage is a message from another gateway of the simulator. Gateways have nothing to tell each other there.
@@ -270,10 +266,10 @@
 	}
 	// BudgetGrant tells what this gateway may spend of the fleet's budgets; without one nothing is bounded by any.
 	BudgetGrant struct {
-		Rules  []BudgetRule   // in place of those before; nil leaves them
-		Until  Micros         // of what is leased
-		Leased []BudgetAmount // all of it, by budget
-		Static []BudgetAmount // all that is there without a lease, by budget; nil leaves it
+		Rules  []BudgetRule    // in place of those before; nil leaves them
+		Until  monotime.Micros // of what is leased
+		Leased []BudgetAmount  // all of it, by budget
+		Static []BudgetAmount  // all that is there without a lease, by budget; nil leaves it
 	}
 	// Timer is a SetTimer that fell due.
 	Timer struct{ Token string }
@@ -288,8 +284,8 @@
 	StartAttempt struct {
 		ID      uint64
 		Engine  string
-		Timeout Micros
-		StartBy Micros // no byte of it is to be written later; 0: no such bound
+		Timeout monotime.Micros
+		StartBy monotime.Micros // no byte of it is to be written later; 0: no such bound
 	}
 	// AttemptParameters names memory and priority of a request's next attempts.
 	AttemptParameters struct {
@@ -305,7 +301,7 @@
 	// Reject turns a request away; a retry does no harm.
 	Reject struct {
 		ID     uint64
-		After  Micros
+		After  monotime.Micros
 		Budget string // of the fleet, that had no room for it
 	}
 	// Fail ends a request without any promise.
@@ -318,13 +314,13 @@
 	FetchList struct{}
 	// SetTimer asks for a Timer event.
 	SetTimer struct {
-		At    Micros
+		At    monotime.Micros
 		Token string
 	}
 	// LatencyMeasurement tells how long a served attempt took, and how many times longer than at its best for the load.
 	LatencyMeasurement struct {
 		ID       uint64
-		Elapsed  Micros
+		Elapsed  monotime.Micros
 		Slowdown float64 // 1 at the least
 	}
 	// Log adds a line to the operators' log.
--- a/scheduler/budgets.go
+++ b/scheduler/budgets.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"chutechute/fleet/budget/account"
+	"chutechute/internal/monotime"
 )
 
 // BudgetUnit is what a budget counts.
@@ -30,11 +31,11 @@
 type BudgetRule struct {
 	Name               string
 	Kind               account.Kind
-	Window             Micros // of a window
-	MaxAttemptDuration Micros // the longest that an attempt which holds a place may be out; 0 without such a bound
-	Class, Tenant      int    // -1 for any
-	EachTenant         bool   // each has the whole for itself
-	EachEngine         bool   // the same
+	Window             monotime.Micros // of a window
+	MaxAttemptDuration monotime.Micros // the longest that an attempt which holds a place may be out; 0 without such a bound
+	Class, Tenant      int             // -1 for any
+	EachTenant         bool            // each has the whole for itself
+	EachEngine         bool            // the same
 	EngineKind         string
 	WarmingUp          bool  // only engines in their cold span
 	Retries            bool  // only attempts after the first
@@ -63,12 +64,12 @@
 	Used, Spent   int64
 	Denied        int
 	Lease, Static account.Amount
-	Until         Micros
+	Until         monotime.Micros
 }
 
 // startWithin is how long what was spent for an attempt is good for: one that is not written by then spends anew, so that what
 // engines see is what was spent, and when.
-const startWithin = Second / 4
+const startWithin = monotime.Second / 4
 
 // budget is a rule in force, with what is spent of it.
 type budget struct {
@@ -171,7 +172,7 @@
 
 // pay spends what an attempt costs. It gives until when the attempt may be begun and how long it may be out; 0 without a
 // bound.
-func (d *Scheduler) pay(q *query, a *attempt, e *engine) (until, life Micros) {
+func (d *Scheduler) pay(q *query, a *attempt, e *engine) (until, life monotime.Micros) {
 	for _, e := range []*engine{nil, e} {
 		for _, b := range d.budgets.list {
 			if b.Earned > 0 && len(q.attempts) == 0 && e == nil {
@@ -229,7 +230,7 @@
 
 // BudgetDemands is what this gateway wants and has in use, by budget and subject. Subjects of which it has and wants nothing are
 // forgotten.
-func (d *Scheduler) BudgetDemands(now Micros) (list []BudgetDemand) {
+func (d *Scheduler) BudgetDemands(now monotime.Micros) (list []BudgetDemand) {
 	for _, b := range d.budgets.list {
 		waits := int64(0)
 		if b.Kind == account.Concurrency && b.EachEngine { // nobody knows where they will go
@@ -263,7 +264,7 @@
 }
 
 // BudgetStatuses is how all budgets stand.
-func (d *Scheduler) BudgetStatuses(now Micros) (list []BudgetStatus) {
+func (d *Scheduler) BudgetStatuses(now monotime.Micros) (list []BudgetStatus) {
 	for _, b := range d.budgets.list {
 		b.book.Each(func(subject string, a *account.Account) {
 			s := BudgetStatus{BudgetDemand: BudgetDemand{b.Name, subject, a.Demand(now), a.InUse(now)}, Used: a.Used(now), Spent: a.Spent,
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -12,6 +12,7 @@
 	"sort"
 
 	"chutechute/fleet/budget/account"
+	"chutechute/internal/monotime"
 )
 
 const (
@@ -29,17 +30,17 @@
 	shareBurst = 2.0  // seconds of a tenant's share that may come at once, and two queries at least
 	retrySlack = 50   // of the give-up time that a first try's time left may vary by
 
-	decay        = 0.05       // weight of a new measure in a class's ratio: about the last 20 count
-	clip         = 3.0        // times the price: the most that one measure counts
-	engineDecay  = 0.15       // an engine is judged on fewer: it must show within a second or two
-	bestDrift    = 0.01       // a second; lets the best ratio follow a lasting change
-	pressureAt   = 2.0        // times the best ratio: beyond scatter, well before aims are missed
-	guessedBest  = 0.5        // of a query's work over its threads: none takes less, where no cost is told
-	bestOfAim    = 0.25       // of the aim at most is taken for the best, should we start under load
-	fullMemory   = Second     // a full refusal is of late, and without a measure a price sinks to the best
-	fullPause    = sweepEvery // between sends to an engine that was full of late
-	staleDecay   = 0.98       // a sweep
-	sweepEvery   = 20 * Second / 1000
+	decay        = 0.05            // weight of a new measure in a class's ratio: about the last 20 count
+	clip         = 3.0             // times the price: the most that one measure counts
+	engineDecay  = 0.15            // an engine is judged on fewer: it must show within a second or two
+	bestDrift    = 0.01            // a second; lets the best ratio follow a lasting change
+	pressureAt   = 2.0             // times the best ratio: beyond scatter, well before aims are missed
+	guessedBest  = 0.5             // of a query's work over its threads: none takes less, where no cost is told
+	bestOfAim    = 0.25            // of the aim at most is taken for the best, should we start under load
+	fullMemory   = monotime.Second // a full refusal is of late, and without a measure a price sinks to the best
+	fullPause    = sweepEvery      // between sends to an engine that was full of late
+	staleDecay   = 0.98            // a sweep
+	sweepEvery   = 20 * monotime.Second / 1000
 	coldMargin   = 0.7  // of the cold budget is used: work is only known on average
 	coldLight    = 0.5  // of the cold budget goes to light queries in a surge: their number scatters
 	coldHeavy    = 0.45 // to heavy ones: their work does
@@ -48,17 +49,17 @@
 	coldUtil     = 0.85 // capacity is told as the rate that keeps cores this busy
 	slowFrom     = 1.3  // an engine this much slower than the median counts as smaller
 	slowMost     = 20.0
-	errorSlow    = 3.0        // ExecTimes that an error counts for
-	slowFade     = 5 * Second // an unmeasured engine's slowness halves in this time
-	markFrom     = 2.0        // an attempt out this many ExecTimes counts as a measure, and at each doubling
-	zoneLost     = 2          // engines of a zone that are out, and none heard since
-	awayFrom     = Second     // an engine out for longer may have started anew
-	listLate     = 7 * Second // what the list has to tell is told by then
-	backoffFirst = Second / 2
-	backoffMost  = 4 * Second
+	errorSlow    = 3.0                 // ExecTimes that an error counts for
+	slowFade     = 5 * monotime.Second // an unmeasured engine's slowness halves in this time
+	markFrom     = 2.0                 // an attempt out this many ExecTimes counts as a measure, and at each doubling
+	zoneLost     = 2                   // engines of a zone that are out, and none heard since
+	awayFrom     = monotime.Second     // an engine out for longer may have started anew
+	listLate     = 7 * monotime.Second // what the list has to tell is told by then
+	backoffFirst = monotime.Second / 2
+	backoffMost  = 4 * monotime.Second
 	lateMost     = 1.5 // aims after which a running query gives its place up under pressure
 	planScatter  = 4.0 // usual errors of the price, beyond the price, that mark a bad plan
-	askRetry     = Second / 4
+	askRetry     = monotime.Second / 4
 )
 
 // New builds a gateway.
@@ -68,7 +69,7 @@
 	}
 	d := &Scheduler{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*engine{},
 		orders: map[int][]*engine{}, queries: map[uint64]*query{}, lines: map[string]*line{},
-		popular: newPopular(), probeAt: map[string]Micros{},
+		popular: newPopular(), probeAt: map[string]monotime.Micros{},
 		fullAt: -fullMemory, median: 1}
 	for _, c := range cfg.Classes {
 		k := &class{Class: c, best: math.Inf(1), work: float64(c.LatencyObjective) * float64(c.Threads), scatter: 1}
@@ -84,7 +85,7 @@
 }
 
 // Step takes the events of one instant and returns what to do; the result is valid until the next call.
-func (d *Scheduler) Step(now Micros, events []Event) []Action {
+func (d *Scheduler) Step(now monotime.Micros, events []Event) []Action {
 	d.now, d.out = now, nil
 	for _, ev := range events {
 		d.apply(ev)
@@ -197,7 +198,7 @@
 }
 
 // startCold begins an engine's cold span, supposed where its absence tells of that and not the list.
-func (d *Scheduler) startCold(e *engine, from Micros, supposed bool) {
+func (d *Scheduler) startCold(e *engine, from monotime.Micros, supposed bool) {
 	e.cold, e.coldFrom, e.supposed = true, from, supposed
 	e.credit = credit{at: d.now, phase: d.rng.Float64()}
 }
@@ -222,7 +223,7 @@
 	if c.estimate == 0 { // the first query seeds the ratio to the class's aim
 		c.estimate, c.latency = q.estimate(), float64(c.LatencyObjective)
 	}
-	q.due = d.now + Micros(multiplier*d.price(q))
+	q.due = d.now + monotime.Micros(multiplier*d.price(q))
 	d.rate.add(d.now)
 	d.popular.add(r.Group)
 	d.ration(&d.arrivals)
@@ -234,7 +235,8 @@
 	if c.Ordered && r.Key != "" {
 		d.enqueue(q)
 	}
-	if r.EstimatedWork > 0 && r.EstimatedWork <= c.ClientTimeout*Micros(c.Threads) { // more is no usual work, and may be made up
+	// More than the client can wait for is no usual work, and may be made up.
+	if r.EstimatedWork > 0 && r.EstimatedWork <= c.ClientTimeout*monotime.Micros(c.Threads) {
 		c.work += decay * (float64(r.EstimatedWork) - c.work)
 	}
 	d.queries[r.ID], d.held = q, append(d.held, q)
@@ -292,7 +294,7 @@
 		return true
 	}
 	rate := t.Quota * d.part()
-	t.tokens = min(max(rate, 1)*shareBurst, t.tokens+rate*float64(d.now-t.at)/float64(Second))
+	t.tokens = min(max(rate, 1)*shareBurst, t.tokens+rate*float64(d.now-t.at)/float64(monotime.Second))
 	t.at = d.now
 	if t.tokens < 1 {
 		return false
@@ -331,7 +333,7 @@
 	for _, q := range slices.Clone(d.held) {
 		if b, after := d.short(q); b != nil && d.refusable(q) {
 			if after == 0 {
-				after = Micros(d.price(q))
+				after = monotime.Micros(d.price(q))
 			}
 			d.do(Reject{ID: q.ID, Budget: b.Name, After: min(d.cfg.Limits.MaxRetryAfter, after)})
 			d.close(q)
@@ -342,7 +344,7 @@
 }
 
 // short is the first budget without room that turns queries away, and when it will have some.
-func (d *Scheduler) short(q *query) (b *budget, after Micros) {
+func (d *Scheduler) short(q *query) (b *budget, after monotime.Micros) {
 	for _, b := range d.budgets.list {
 		if b.Overflow != RejectOverflow || b.EachEngine || b.CountOnly {
 			continue
@@ -361,7 +363,7 @@
 	if first == nil {
 		return nil
 	}
-	until := first.due + Micros(groupRange*float64(first.due-first.arrived))
+	until := first.due + monotime.Micros(groupRange*float64(first.due-first.arrived))
 	return d.pick(func(q, best *query) bool {
 		if in := q.due <= until; in != (best.due <= until) {
 			return in
@@ -404,7 +406,7 @@
 func (d *Scheduler) refuseLapsed() {
 	pressed := d.pressure()
 	for _, q := range slices.Clone(d.held) {
-		if d.now > q.Deadline-2*sweepEvery || q.arrived < d.now && d.now+Micros(d.price(q)) > d.lapse(q, pressed) {
+		if d.now > q.Deadline-2*sweepEvery || q.arrived < d.now && d.now+monotime.Micros(d.price(q)) > d.lapse(q, pressed) {
 			d.lapsed(q)
 		}
 	}
@@ -412,17 +414,17 @@
 
 // lapse is the time by which a held query must be able to finish: under pressure that is its aim, since
 // a place on an engine goes first to what can still earn its full worth.
-func (d *Scheduler) lapse(q *query, pressed bool) Micros {
+func (d *Scheduler) lapse(q *query, pressed bool) monotime.Micros {
 	if pressed { // by the best price: the one inflated by a jam would refuse short queries at once
 		inflated := d.price(q) - q.estimate()*min(q.class.best, q.class.latency/q.class.estimate)
-		return min(q.due, d.aim(q)+Micros(inflated), q.Deadline-2*sweepEvery)
+		return min(q.due, d.aim(q)+monotime.Micros(inflated), q.Deadline-2*sweepEvery)
 	}
 	return min(q.due, q.arrived+q.class.ClientTimeout, q.Deadline-2*sweepEvery)
 }
 
 // end gives the final answer to a query that was not served: a refusal where that is true.
 func (d *Scheduler) end(q *query) {
-	after := min(d.cfg.Limits.MaxRetryAfter, Micros(d.price(q)))
+	after := min(d.cfg.Limits.MaxRetryAfter, monotime.Micros(d.price(q)))
 	if d.refusable(q) {
 		d.do(Reject{ID: q.ID, After: after})
 	} else {
@@ -738,10 +740,10 @@
 		d.sent = append(d.sent, q)
 	}
 	d.terms(q)
-	timeout := Micros(0)
+	timeout := monotime.Micros(0)
 	// What can't be called off must end by itself, unless a second copy goes beside it.
 	if l := d.cfg.Limits; !l.Cancel && !l.HedgedRequests && q.repeat() == Idempotent {
-		timeout = Micros(q.class.patience() * exec)
+		timeout = monotime.Micros(q.class.patience() * exec)
 	}
 	if life > 0 && (timeout == 0 || life < timeout) {
 		timeout = life
@@ -774,7 +776,7 @@
 }
 
 // aim is the time until which the answer earns its full worth, as far as told.
-func (d *Scheduler) aim(q *query) Micros {
+func (d *Scheduler) aim(q *query) monotime.Micros {
 	return q.asked + q.class.aimFor(q.work())
 }
 
@@ -898,7 +900,7 @@
 // been heard since, the zone is lost: its others need not be tried one by one with what clients wait for.
 func (d *Scheduler) eject(e *engine) {
 	d.takeOut(e)
-	first, last, n, zone := d.now, Micros(-1), 0, d.zone(e.Zone)
+	first, last, n, zone := d.now, monotime.Micros(-1), 0, d.zone(e.Zone)
 	for _, o := range zone {
 		last = max(last, o.heardAt)
 		if o.out {
@@ -961,14 +963,14 @@
 		if c.estimate > 0 && c.own == 0 && d.now-c.measuredAt > fullMemory && c.latency > c.best*c.estimate {
 			c.latency = max(c.best*c.estimate, c.latency*staleDecay)
 		}
-		c.best *= 1 + bestDrift*float64(sweepEvery)/float64(Second)
+		c.best *= 1 + bestDrift*float64(sweepEvery)/float64(monotime.Second)
 	}
 	for _, e := range d.engines {
 		if e.cold && (d.now >= e.coldFrom+d.cfg.Rules.WarmUp || e.supposed && d.now >= e.coldFrom+listLate) {
 			e.cold, e.supposed, e.sentCold = false, false, window{} // and goes on like others, not to be filled first
 			e.recent, e.recentAt = max(d.recent(e), d.mean*e.cores), d.sends
 		}
-		if d.now-e.slowAt > Second {
+		if d.now-e.slowAt > monotime.Second {
 			e.slow = 1 + (e.slow-1)*math.Exp2(-float64(sweepEvery)/float64(slowFade))
 		}
 	}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -6,13 +6,15 @@
 	"math"
 	"math/rand/v2"
 	"slices"
+
+	"chutechute/internal/monotime"
 )
 
 // Scheduler is one gateway's decisions; it shares nothing with others.
 type Scheduler struct {
 	cfg Config
 	rng *rand.Rand
-	now Micros
+	now monotime.Micros
 	out []Action
 
 	engines []*engine // in order of first sight
@@ -25,29 +27,29 @@
 	sent    []*query // with attempts out, in order of send
 	lines   map[string]*line
 
-	arrivals, extras window            // for the attempt budget
-	rate             rate              // of arrivals
-	quota            float64           // of all tenants, queries a second over all gateways
-	fullAt           Micros            // last full refusal
-	someWait         bool              // some class stands still behind loads
-	median           float64           // slowness of the ready engines
-	places           float64           // threads that this gateway may have in hand where nothing is told
-	ready            int               // engines neither gone nor ejected
-	mean             float64           // their load
-	popular          popular           // table groups
-	probeAt          map[string]Micros // when the next probe may go, by zone
-	share            float64           // threads a core that this gateway may run
-	thin             float64           // nearly 1 where engines hold less than a thread each, as far as known
-	armed            bool              // the sweep timer is set
+	arrivals, extras window                     // for the attempt budget
+	rate             rate                       // of arrivals
+	quota            float64                    // of all tenants, queries a second over all gateways
+	fullAt           monotime.Micros            // last full refusal
+	someWait         bool                       // some class stands still behind loads
+	median           float64                    // slowness of the ready engines
+	places           float64                    // threads that this gateway may have in hand where nothing is told
+	ready            int                        // engines neither gone nor ejected
+	mean             float64                    // their load
+	popular          popular                    // table groups
+	probeAt          map[string]monotime.Micros // when the next probe may go, by zone
+	share            float64                    // threads a core that this gateway may run
+	thin             float64                    // nearly 1 where engines hold less than a thread each, as far as known
+	armed            bool                       // the sweep timer is set
 	started          bool
-	startedAt        Micros
+	startedAt        monotime.Micros
 	sends            int // so far
 
 	budgets budgets // of the fleet
 
-	subscribeAt Micros // when to ask for the list again
-	listTimer   Micros // the last timer set for it
-	tries       int    // failed calls for the list in a row
+	subscribeAt monotime.Micros // when to ask for the list again
+	listTimer   monotime.Micros // the last timer set for it
+	tries       int             // failed calls for the list in a row
 }
 
 // attempt finds an attempt of a query; nil where either is unknown.
@@ -73,21 +75,21 @@
 	loading  map[int]int // own loads in hand, by table group
 
 	slow     float64 // decayed latency over ExecTime
-	slowAt   Micros
-	coldFrom Micros // start of the cold span
+	slowAt   monotime.Micros
+	coldFrom monotime.Micros // start of the cold span
 	cold     bool
-	sentCold window // work sent while cold
-	credit   credit // for light queries while cold
-	out      bool   // ejected
-	outAt    Micros // since when
-	heardAt  Micros // last sign of life
-	probed   bool   // a probe is out
-	supposed bool   // cold as far as its absence tells, not the list
-	trialAt  Micros // when the next trial may go
-	backoff  Micros
-	granted  float64 // memory of own attempts in hand, as told
-	fullAt   Micros  // last full refusal
-	sentAt   Micros  // last send
+	sentCold window          // work sent while cold
+	credit   credit          // for light queries while cold
+	out      bool            // ejected
+	outAt    monotime.Micros // since when
+	heardAt  monotime.Micros // last sign of life
+	probed   bool            // a probe is out
+	supposed bool            // cold as far as its absence tells, not the list
+	trialAt  monotime.Micros // when the next trial may go
+	backoff  monotime.Micros
+	granted  float64         // memory of own attempts in hand, as told
+	fullAt   monotime.Micros // last full refusal
+	sentAt   monotime.Micros // last send
 }
 
 // class is what this gateway has learned of a query class.
@@ -95,33 +97,33 @@
 	Class
 	latency, estimate float64 // decayed sums: their ratio prices a query
 	best              float64 // lowest ratio seen, drifting up
-	measuredAt        Micros
-	longest           Micros  // time left of first tries
-	scatter           float64 // usual error of a price, as a share of it
-	blocked           bool    // in this release no engine can take one
-	guessed           bool    // some of its costs are the gateway's own estimates
-	own               int     // attempts out
-	lost              int     // threads of them on engines that are out or gone
-	work              float64 // usual work of one query
-	spent, told       float64 // decayed sums of what queries took, as engines tell, and of what was told of them
+	measuredAt        monotime.Micros
+	longest           monotime.Micros // time left of first tries
+	scatter           float64         // usual error of a price, as a share of it
+	blocked           bool            // in this release no engine can take one
+	guessed           bool            // some of its costs are the gateway's own estimates
+	own               int             // attempts out
+	lost              int             // threads of them on engines that are out or gone
+	work              float64         // usual work of one query
+	spent, told       float64         // decayed sums of what queries took, as engines tell, and of what was told of them
 }
 
 // tenant is one tenant's traffic through this gateway.
 type tenant struct {
 	Tenant
 	tokens float64
-	at     Micros
+	at     monotime.Micros
 }
 
 // query is a request that this gateway has taken.
 type query struct {
 	Request
 	class    *class
-	arrived  Micros
-	asked    Micros // when its client first asked
-	due      Micros // group EDF deadline
-	over     bool   // goes last: beyond its tenant's share, or a retry past its aim
-	answered bool   // the final answer is out
+	arrived  monotime.Micros
+	asked    monotime.Micros // when its client first asked
+	due      monotime.Micros // group EDF deadline
+	over     bool            // goes last: beyond its tenant's share, or a retry past its aim
+	answered bool            // the final answer is out
 	held     bool
 	line     *line
 	attempts []attempt
@@ -133,7 +135,7 @@
 // attempt is one send of a query.
 type attempt struct {
 	engine    *engine
-	at        Micros
+	at        monotime.Micros
 	exec      float64 // ExecTime at the send
 	open      bool
 	harmless  bool // proven never to have run
@@ -149,24 +151,24 @@
 // line is the queue of one key in ordered classes.
 type line struct {
 	queue  []*query
-	quiet  Micros // no other query before this time
+	quiet  monotime.Micros // no other query before this time
 	except *query
 }
 
 // window sums what happened within a moving span.
 type window struct {
-	at     []Micros
+	at     []monotime.Micros
 	amount []float64
 }
 
 // add records an amount at a time.
-func (w *window) add(at Micros, amount float64) {
+func (w *window) add(at monotime.Micros, amount float64) {
 	w.at = append(w.at, at)
 	w.amount = append(w.amount, amount)
 }
 
 // since drops what is older than from and sums the rest.
-func (w *window) since(from Micros) float64 {
+func (w *window) since(from monotime.Micros) float64 {
 	k := 0
 	for k < len(w.at) && w.at[k] < from {
 		k++
@@ -183,35 +185,35 @@
 // first query's worth together, each starts at a phase of its own.
 type credit struct {
 	left  float64
-	at    Micros
+	at    monotime.Micros
 	phase float64 // of the first query's work that is there from the start
 }
 
 // accrue adds what the span since the last call brings, at a rate in work a microsecond, up to what one query takes.
-func (c *credit) accrue(now Micros, rate, work float64) {
+func (c *credit) accrue(now monotime.Micros, rate, work float64) {
 	c.left += c.phase*work + rate*float64(now-c.at)
-	c.left, c.at, c.phase = min(c.left, max(work, rate*float64(Second))), now, 0
+	c.left, c.at, c.phase = min(c.left, max(work, rate*float64(monotime.Second))), now, 0
 }
 
 // rateSpan is the span over which a rate is measured: long enough for a gateway with a few queries a second, and for a
 // surge of some seconds not to count as the usual.
-const rateSpan = 10 * Second
+const rateSpan = 10 * monotime.Second
 
 // rate is a decayed count of events.
 type rate struct {
 	value float64 // a second, as of last
-	last  Micros
+	last  monotime.Micros
 }
 
-func (r *rate) at(now Micros) float64 {
+func (r *rate) at(now monotime.Micros) float64 {
 	if r.last == 0 {
 		return r.value // as expected at the start
 	}
 	return r.value * math.Exp(-float64(now-r.last)/float64(rateSpan))
 }
 
-func (r *rate) add(now Micros) {
-	r.value, r.last = r.at(now)+float64(Second)/float64(rateSpan), now
+func (r *rate) add(now monotime.Micros) {
+	r.value, r.last = r.at(now)+float64(monotime.Second)/float64(rateSpan), now
 }
 
 // countLost counts the threads of each class on engines that are out or gone: what they hold takes no place where
@@ -331,7 +333,7 @@
 // repeatUntil is until when engines know a further attempt for a repeat: in keyed classes they forget the key some time after they
 // were first sent what may have run; 0 where that does not matter. It bounds the decision and what of it is on its way: a connection
 // may come up late.
-func (q *query) repeatUntil() Micros {
+func (q *query) repeatUntil() monotime.Micros {
 	for _, a := range q.attempts {
 		if !a.harmless && q.repeat() == IdempotentByKey {
 			return a.at + q.class.DedupeWindow // the first is the earliest
@@ -341,7 +343,7 @@
 }
 
 // earlier is the earlier of two times, of which 0 is none.
-func earlier(a, b Micros) Micros {
+func earlier(a, b monotime.Micros) monotime.Micros {
 	if a == 0 || b > 0 && b < a {
 		return b
 	}
@@ -378,7 +380,7 @@
 )
 
 // took learns what a query has taken, as its engine says.
-func (q *query) took(spent Micros) {
+func (q *query) took(spent monotime.Micros) {
 	c := q.class
 	if spent <= 0 || q.EstimatedWork <= 0 {
 		return
@@ -391,8 +393,8 @@
 }
 
 // aimFor is the aim of a query of the class with so much work.
-func (c *class) aimFor(work float64) Micros {
-	return c.LatencyObjective + Micros(c.ObjectiveStretch*work/float64(c.Threads))
+func (c *class) aimFor(work float64) monotime.Micros {
+	return c.LatencyObjective + monotime.Micros(c.ObjectiveStretch*work/float64(c.Threads))
 }
 
 // fresh queries of a class may go wherever any other of them may.
--- a/statement/complete.go
+++ b/statement/complete.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 
+	"chutechute/internal/monotime"
 	"chutechute/statement/estimate"
 	"chutechute/statement/syntax"
 )
@@ -139,7 +140,7 @@
 }
 
 // Learn takes the outcome of a call of that class.
-func (r *Reader) Learn(c *Completion, o Outcome, now Micros) {
+func (r *Reader) Learn(c *Completion, o Outcome, now monotime.Micros) {
 	e := c.reading.entry
 	if e == nil || c.Class < 0 || c.Class >= len(r.cost) {
 		return
--- a/statement/estimate/model.go
+++ b/statement/estimate/model.go
@@ -3,10 +3,9 @@
 import (
 	"math"
 	"unsafe"
-)
 
-// Micros is a time in microseconds of the caller's clock.
-type Micros = int64
+	"chutechute/internal/monotime"
+)
 
 // Estimate is a figure and its upper bound.
 type Estimate struct{ Value, High float64 }
@@ -52,11 +51,11 @@
 	bends   [MostNumbers][knots]float32
 	keys    [MostKeys][places]place
 
-	n     float64 // measures so far
-	scale float64 // usual error
-	high  float64 // log of the bound over the estimate
-	run   int     // outliers in a row; negative below
-	at    Micros  // of the last measure
+	n     float64         // measures so far
+	scale float64         // usual error
+	high  float64         // log of the bound over the estimate
+	run   int             // outliers in a row; negative below
+	at    monotime.Micros // of the last measure
 }
 
 // place follows one frequent content.
@@ -69,7 +68,7 @@
 const ModelSize = int(unsafe.Sizeof(Model{}))
 
 // NewModel begins a model of a shape of that plan, by what the shape is held to cost.
-func NewModel(plan *Plan, prior Estimate, now Micros) *Model {
+func NewModel(plan *Plan, prior Estimate, now monotime.Micros) *Model {
 	m := &Model{plan: plan, scale: firstScale, high: firstHigh, at: now}
 	m.weights[0] = logOf(prior.Value)
 	if prior.High > prior.Value {
@@ -153,7 +152,7 @@
 
 // Learn takes a measure of a statement with these features. The weight, above 0 and 1 at most, says how much
 // a measure tells.
-func (m *Model) Learn(f *Features, value, weight float64, now Micros) {
+func (m *Model) Learn(f *Features, value, weight float64, now monotime.Micros) {
 	for i := range m.center {
 		if math.IsNaN(m.center[i]) {
 			m.center[i] = f.Numbers[i]
@@ -180,7 +179,7 @@
 }
 
 // age makes the model doubt what it has not measured for long.
-func (m *Model) age(now Micros) {
+func (m *Model) age(now monotime.Micros) {
 	if hours := float64(now-m.at) / 3.6e9; hours > 0 {
 		m.doubt[0][0] = min(mostDoubt, m.doubt[0][0]+ageDoubt*hours)
 	}
--- a/statement/reader.go
+++ b/statement/reader.go
@@ -18,9 +18,6 @@
 	"chutechute/statement/syntax"
 )
 
-// Micros is a time in microseconds of the caller's clock.
-type Micros = estimate.Micros
-
 // Unparsed is what becomes of a statement that can't be read.
 type Unparsed int
 
