--- a/Makefile
+++ b/Makefile
@@ -11,10 +11,10 @@
 test: lint build ## format, vet, staticcheck, build and all tests
 	go test -count=1 -p 1 ./... # one package at a time: some compare times, and others take all cores
 
-lint: ## gofmt, go vet and staticcheck, at the version that go.mod names
+lint: ## gofmt, go vet and staticcheck with all its checks, at the version that go.mod names
 	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "gofmt: $$unformatted" >&2; exit 1; fi
 	go vet ./...
-	go tool staticcheck ./...
+	go tool staticcheck -checks all ./...
 
 run: build ## needs NODE_CONFIG, see README.md
 	exec bin/chutechute
--- a/exercise/membership/account.go
+++ b/exercise/membership/account.go
@@ -37,7 +37,7 @@
 	return kindTable
 }
 
-// frameHeader is what peer.AppendFrame adds to what it carries.
+// frameHeader is what transport.AppendFrame adds to what it carries.
 var frameHeader = len(transport.AppendFrame(nil, transport.ControlHeartbeat, 0, false, nil))
 
 // traffic is messages and their bytes.
@@ -93,7 +93,7 @@
 // handshake is the sizes of what opens a connection, frames and all.
 type handshake struct{ challenge, hello, welcome int }
 
-// hello is measured on package peer's own.
+// hello is measured on package transport's own.
 var hello = measureHello()
 
 func measureHello() handshake {
--- a/exercise/membership/control.go
+++ b/exercise/membership/control.go
@@ -65,7 +65,7 @@
 	c.pump()
 }
 
-// others is the other control members as package attach takes them.
+// others is the other control members as package fleet/membership takes them.
 func (c *control) others() (list []membership.ControlMember) {
 	for _, m := range c.set.Peers() {
 		o := membership.ControlMember{Name: m.Name, Zone: m.Zone, Incarnation: m.Incarnation, ChallengedAt: m.ChallengedAt}
--- a/exercise/membership/doc.go
+++ b/exercise/membership/doc.go
@@ -1,5 +1,5 @@
 // Package membership plays the membership of a whole fleet in one process and in virtual time: attached front ends
-// (attach.Client), control members (attach.Server, and among one another member.Set with heartbeats to all), unchanged, over a
+// (membership.Client), control members (membership.Server, and among one another heartbeat.Monitor with heartbeats to all), unchanged, over a
 // network and clocks of its own that one seed drives. It counts what each role sends and receives, how long changes take to reach
 // the last member alive, and compares every view with the truth.
 //
--- a/exercise/membership/link.go
+++ b/exercise/membership/link.go
@@ -39,7 +39,7 @@
 	ways    [2]way // by the side that sends
 }
 
-// attached is the link as package attach knows it.
+// attached is the link as package fleet/membership knows it.
 func (l *link) attached() membership.Link {
 	return membership.Link{From: l.front.p.name, Zone: l.front.p.zoneName(), Incarnation: l.front.incarnation, ChallengedAt: l.greeted}
 }
--- a/exercise/membership/parts_test.go
+++ b/exercise/membership/parts_test.go
@@ -159,7 +159,7 @@
 	assert.Zero(t, list[0].Snapshots.Total)
 }
 
-// The account counts frames as package peer makes them, and hellos as framing.
+// The account counts frames as package transport makes them, and hellos as framing.
 func TestTraffic(t *testing.T) {
 	var f flow
 	f.in(kindView, 100)
--- a/identity/identity.go
+++ b/identity/identity.go
@@ -3,7 +3,7 @@
 // A Guard is fed proofs (tokens, later certificates), keys, revocations, rights and time. It says which caller a proof
 // stands for, whether the caller may send a query of a class that reads a group of tables, and how much it may
 // have open. It does no I/O, reads no clock and starts no goroutine; signatures are checked by a Verifier that it is
-// given, within a budget. It is no part of package decide: what it refuses never gets there.
+// given, within a budget. It is no part of package scheduler: what it refuses never gets there.
 package identity
 
 import (
--- a/internal/config/attached.go
+++ b/internal/config/attached.go
@@ -37,7 +37,7 @@
 	mostAttachedDead  = 120_000
 	// mostAttached bounds the view, which each front end holds whole: some 200 bytes an entry, 3 MB.
 	mostAttached = 16_384
-	// mostEntry is the most bytes that an entry of the view takes in a message: three texts of peer.MostName, and numbers.
+	// mostEntry is the most bytes that an entry of the view takes in a message: three texts of transport.MaxNameLength, and numbers.
 	mostEntry = 256
 )
 
--- a/internal/epoll/traffic.go
+++ b/internal/epoll/traffic.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// sent counts a frame that is handed to a socket. A message above peer.MostBody takes several.
+// sent counts a frame that is handed to a socket. A message above transport.MaxFrameBody takes several.
 func (t *Traffic) sent(frame []byte) {
 	t.MessagesOut++
 	t.PayloadOut += len(frame) - frameHeader
--- a/internal/standin/attached.go
+++ b/internal/standin/attached.go
@@ -106,7 +106,7 @@
 	return &s
 }
 
-// Counter is one of the counters of package attach in a front end; 0 where it does not answer.
+// Counter is one of the counters of package membership in a front end; 0 where it does not answer.
 func (n *Front) Counter(name string) int64 {
 	s := n.Standing()
 	if s == nil {
--- a/statement/reader.go
+++ b/statement/reader.go
@@ -3,7 +3,7 @@
 // are parsed once; what their values do to the cost is learned from outcomes.
 //
 // It holds decisions of its own (which class, which figures, what a statement that can't be read may do) and
-// leaves the others, the engine, further attempts and refusals, to package decide. It does no I/O, reads no
+// leaves the others, the engine, further attempts and refusals, to package scheduler. It does no I/O, reads no
 // clock, starts no goroutine, and belongs to one goroutine.
 package statement
 
