--- a/gateway/budgets.go
+++ b/gateway/budgets.go
@@ -5,52 +5,61 @@
 	"chutechute/scheduler"
 )
 
-// GrantBudgets tells the module what it may spend of the fleet's budgets. It is in force before the module begins anything more.
-func (c *Core) GrantBudgets(ev scheduler.BudgetGrant) { c.events = append(c.events, ev) }
+// GrantBudgets tells the scheduler what it may spend of the fleet's budgets. The grant is in force before the scheduler
+// starts another attempt.
+func (c *Core) GrantBudgets(grant scheduler.BudgetGrant) { c.addEvent(grant) }
 
-// BudgetDemands is what the module wants of the fleet's budgets and has in use.
+// BudgetDemands returns what the scheduler uses and wants of the fleet's budgets.
 func (c *Core) BudgetDemands(now monotime.Micros) []scheduler.BudgetDemand {
-	return c.module.BudgetDemands(now)
+	return c.scheduler.BudgetDemands(now)
 }
 
-// BudgetStatuses is how the fleet's budgets stand here.
+// BudgetStatuses returns the state of the fleet's budgets on this front end.
 func (c *Core) BudgetStatuses(now monotime.Micros) []scheduler.BudgetStatus {
-	return c.module.BudgetStatuses(now)
+	return c.scheduler.BudgetStatuses(now)
 }
 
-// Denial is a request that was turned away for want of room in a budget.
+// Denial is a request that was rejected because a budget had no capacity for it.
 type Denial struct {
 	At         monotime.Micros
 	RequestID  string
 	Budget     string
-	RetryAfter monotime.Micros // when it was told to come back
+	RetryAfter monotime.Micros // the time from then after which its client was told to retry
 }
 
-// mostDenials bounds those that are remembered.
-const mostDenials = 256
+// maxDenials is how many denials are kept.
+const maxDenials = 256
 
-// denials is the last of them.
-type denials struct {
-	list []Denial
-	next int
+// denialLog keeps the last denials in a ring. Its zero value is empty.
+type denialLog struct {
+	ring   []Denial
+	oldest int // index of the entry that the next one replaces, once the ring is full
 }
 
-func (d *denials) add(n Denial) {
-	if len(d.list) < mostDenials {
-		d.list = append(d.list, n)
+// add adds a denial, in place of the oldest where the log is full.
+func (l *denialLog) add(d Denial) {
+	if len(l.ring) < maxDenials {
+		l.ring = append(l.ring, d)
 		return
 	}
-	d.list[d.next] = n
-	d.next = (d.next + 1) % mostDenials
+	l.ring[l.oldest] = d
+	l.oldest = (l.oldest + 1) % maxDenials
 }
 
-// Denials is the last requests that a budget had no room for, the newest first; of one budget or one call where it is named.
-func (c *Core) Denials(of string) (list []Denial) {
-	for i := range c.denials.list {
-		d := c.denials.list[(c.denials.next+len(c.denials.list)-1-i)%len(c.denials.list)]
-		if of == "" || of == d.Budget || of == d.RequestID {
-			list = append(list, d)
+// newestFirst returns the denials that match.
+func (l *denialLog) newestFirst(matches func(*Denial) bool) (list []Denial) {
+	count := len(l.ring)
+	for age := range count {
+		d := &l.ring[(l.oldest+count-1-age)%count]
+		if matches(d) {
+			list = append(list, *d)
 		}
 	}
 	return list
 }
+
+// Denials returns the last requests that budgets had no capacity for, the newest first: all if of is empty, else those
+// of the budget or of the request with that name.
+func (c *Core) Denials(of string) []Denial {
+	return c.denials.newestFirst(func(d *Denial) bool { return of == "" || of == d.Budget || of == d.RequestID })
+}
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -8,13 +8,14 @@
 	"chutechute/internal/monotime"
 )
 
-// callers is the core's side of who calls; all may do all where it is off.
+// callers identifies and authorizes the callers of requests. Where it has no guard, every caller may do everything.
 type callers struct {
-	guard *identity.Guard // nil where it is off
+	guard *identity.Guard // nil where callers are not identified
 }
 
-// IdentifyCallers has calls prove who they come from, by these options; nil takes that back. What was verified and what is
-// open stay. An error names the faulty key, and nothing changes.
+// IdentifyCallers sets the options by which calls must prove their callers' identity; with nil they need not any more.
+// Tokens verified before stay valid and requests stay open. The error names the key of an invalid option; nothing has
+// changed then.
 func (c *Core) IdentifyCallers(o *identity.Options) error {
 	if o == nil {
 		c.callers.guard = nil
@@ -25,49 +26,61 @@
 		return c.callers.guard.Apply(*o, classes)
 	}
 	guard, err := identity.New(*o, classes, token.Verifier{})
-	if err == nil {
-		c.callers.guard = guard
+	if err != nil {
+		return err
 	}
-	return err
+	c.callers.guard = guard
+	return nil
 }
 
-// Guard is what decides on callers; nil where that is off.
+// Guard returns what identifies and authorizes callers; nil where callers are not identified.
 func (c *Core) Guard() *identity.Guard { return c.callers.guard }
 
-// identify says who a call comes from. Where callers are identified a call is of its caller's tenant.
-func (s *callers) identify(now monotime.Micros, call *Call) (identity.Caller, error) {
-	if s.guard == nil {
+// identify returns the caller of a call, the zero value where callers are not identified.
+func (c *callers) identify(now monotime.Micros, call *Call) (identity.Caller, error) {
+	if c.guard == nil {
 		return identity.Caller{}, nil
 	}
-	caller, err := s.guard.Identify(call.Proof.Token, call.Proof.Certificate, call.Proof.Address, now, call.Proof.Wall)
-	return caller, s.audited(now, call, err)
+	proof := &call.Proof
+	caller, err := c.guard.Identify(proof.Token, proof.Certificate, proof.Address, now, proof.Wall)
+	if err != nil {
+		c.logDenied(now, call, err)
+	}
+	return caller, err
 }
 
-// enter says whether the caller may send the call, and counts it in.
-func (s *callers) enter(now monotime.Micros, caller identity.Caller, call *Call) error {
-	if s.guard == nil {
+// admit authorizes a call and counts it as open until release. The call gets its caller's tenant.
+func (c *callers) admit(now monotime.Micros, caller identity.Caller, call *Call) error {
+	if c.guard == nil {
 		return nil
 	}
-	tenant, err := s.guard.Authorize(caller, call.Tenant, call.Class, call.Group)
+	tenant, err := c.guard.Authorize(caller, call.Tenant, call.Class, call.Group)
 	if err == nil {
 		call.Tenant = tenant
-		err = s.guard.Enter(caller, now)
+		err = c.guard.Enter(caller, now)
 	}
-	return s.audited(now, call, err)
+	if err != nil {
+		c.logDenied(now, call, err)
+	}
+	return err
 }
 
-func (s *callers) leave(caller identity.Caller) {
-	if s.guard != nil && caller.Name != "" {
-		s.guard.Leave(caller)
+// release ends the count of an admitted call.
+func (c *callers) release(caller identity.Caller) {
+	if c.guard != nil && caller.Name != "" {
+		c.guard.Leave(caller)
 	}
 }
 
-// audited logs a refusal, as far as its budget goes. The proof is never part of it.
-func (s *callers) audited(now monotime.Micros, call *Call, err error) error {
-	if err != nil {
-		if silenced, ok := s.guard.Audit(now); ok {
-			slog.Warn("refused", "call", call.ID, "op", call.Class, "error", err, "silenced", silenced)
-		}
+// logDenied logs a call that was denied, at a limited rate. The call's proof is never logged.
+func (c *callers) logDenied(now monotime.Micros, call *Call, err error) {
+	suppressed, ok := c.guard.Audit(now)
+	if !ok {
+		return
 	}
-	return err
+	slog.Warn("request denied",
+		slog.String("request_id", call.ID),
+		slog.String("class", call.Class),
+		slog.Any("error", err),
+		slog.Int("suppressed", suppressed))
 }
--- a/gateway/capacity_test.go
+++ b/gateway/capacity_test.go
@@ -20,7 +20,7 @@
 	"chutechute/scheduler"
 )
 
-// noEngines takes the core's commands and does nothing.
+// noEngines is an EngineClient that does nothing.
 type noEngines struct{}
 
 func (noEngines) Start(*gateway.Attempt)       {}
@@ -28,8 +28,17 @@
 func (noEngines) SetPriority(*gateway.Attempt) {}
 func (noEngines) HealthCheck(string)           {}
 
-// journalRecord is the journal's record of an engine, written apart from the program's codec.
-func journalRecord(number int, state byte) []byte {
+// States of an engine and kinds of a frame, as the discovery protocol encodes them.
+const (
+	engineServing  = 0
+	engineDraining = 1
+
+	completeList = 1
+	listChanges  = 2
+)
+
+// engineRecord encodes an engine as the discovery service does, independently of the program's codec.
+func engineRecord(number int, state byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(number))
 	b = append(b, 10, byte(number>>16), byte(number>>8), byte(number))
 	b = binary.BigEndian.AppendUint16(b, 8080)
@@ -37,58 +46,108 @@
 	return append(b, make([]byte, 8)...)
 }
 
-// What a complete list and one change of it cost a front end, from the journal's bytes to the decisions, by engines; long.
-func TestCapacityOfLists(t *testing.T) {
+// discoveredCore is a core whose endpoints come from the frames of a discovery service.
+type discoveredCore struct {
+	t        *testing.T
+	core     *gateway.Core
+	follower journal.Follower
+	in       *ring.Buffer
+	now      monotime.Micros
+}
+
+func newDiscoveredCore(t *testing.T) *discoveredCore {
+	t.Helper()
+	site, err := settings.Parse([]byte(standin.Settings))
+	require.NoError(t, err)
+	limits := gateway.Limits{MaxOpen: 1000, MaxStatementBytes: 1 << 20}
+	core, err := gateway.New(site, 7, limits, noEngines{}, &counters.Set{})
+	require.NoError(t, err)
+	return &discoveredCore{
+		t:        t,
+		core:     core,
+		follower: journal.Follower{Names: journal.Names{Zones: []string{"a"}, Kinds: []string{"k"}}},
+		in:       ring.New(journal.MaxFrame, &ring.Budget{Most: journal.MaxFrame}),
+		now:      monotime.Second,
+	}
+}
+
+// apply decodes a frame and passes it to the core.
+func (d *discoveredCore) apply(frame []byte) {
+	_, err := d.in.Write(frame)
+	require.NoError(d.t, err)
+	event, news, ok, err := d.follower.Next(d.in)
+	require.True(d.t, ok && news && err == nil)
+	entries := make([]scheduler.Endpoint, len(event.Engines))
+	for i, engine := range event.Engines {
+		entries[i] = engine.Endpoint
+	}
+	d.core.UpdateEndpoints(event.Kind, entries)
+	d.now += 100
+	d.core.Step(d.now)
+}
+
+// listCost is what a complete list of engines and one change of it cost.
+type listCost struct {
+	listBytes   int
+	listTime    time.Duration
+	listHeap    float64 // bytes that the core holds after it
+	changeBytes int
+	changeTime  time.Duration // the mean
+}
+
+func measureListCost(t *testing.T, engines int) (cost listCost) {
+	t.Helper()
+	core := newDiscoveredCore(t)
+	var records [][]byte
+	for i := range engines {
+		records = append(records, engineRecord(i, engineServing))
+	}
+	list := standin.Frame(1, completeList, records...)
+	cost.listBytes = len(list)
+
+	heapBefore := measure.Heap()
+	start := measure.Own()
+	core.apply(list)
+	cost.listTime = measure.Own() - start
+	cost.listHeap = measure.Heap() - heapBefore
+
+	changes := max(20, 400_000/engines)
+	start = measure.Own()
+	for i := range changes { // each drains or returns one engine
+		state := byte(engineDraining - i%2)
+		frame := standin.Frame(uint64(2+i), listChanges, engineRecord(i/2%engines, state))
+		cost.changeBytes = len(frame)
+		core.apply(frame)
+	}
+	cost.changeTime = (measure.Own() - start) / time.Duration(changes)
+	return cost
+}
+
+func microseconds(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1000 }
+
+// TestCapacityOfEndpointLists measures what a complete list of engines and one change of it cost a front end, from the
+// bytes of the discovery service to the decisions, by the count of engines. It is long.
+func TestCapacityOfEndpointLists(t *testing.T) {
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("measures: make scale-full")
 	}
-	result := measure.New("lists", "From the bytes of a journal frame through the core's step to the decisions; without the pool of "+
-		"connections; processor time of the process, the mean of many changes; two runs a size.")
+	result := measure.New("lists", "From the bytes of a journal frame through the core's step to the decisions; "+
+		"without the pool of connections; processor time of the process, the mean of many changes; two runs a size.")
 	for range 2 {
 		for _, engines := range []int{64, 256, 1024, 2048, 8192, 34000} {
-			site, err := settings.Parse([]byte(standin.Settings))
-			require.NoError(t, err)
-			core, err := gateway.New(site, 7, gateway.Limits{MaxOpen: 1000, MaxStatementBytes: 1 << 20}, noEngines{}, &counters.Set{})
-			require.NoError(t, err)
-			follower := journal.Follower{Names: journal.Names{Zones: []string{"a"}, Kinds: []string{"k"}}}
-			in := ring.New(journal.MaxFrame, &ring.Budget{Most: journal.MaxFrame})
-			now := monotime.Second
-			feed := func(frame []byte) {
-				_, err := in.Write(frame)
-				require.NoError(t, err)
-				event, news, ok, err := follower.Next(in)
-				require.True(t, ok && news && err == nil)
-				entries := make([]scheduler.Endpoint, len(event.Engines))
-				for i, engine := range event.Engines {
-					entries[i] = engine.Endpoint
-				}
-				core.UpdateEndpoints(event.Kind, entries)
-				now += 100
-				core.Step(now)
-			}
-			var records [][]byte
-			for i := range engines {
-				records = append(records, journalRecord(i, 0))
-			}
-			complete := standin.Frame(1, 1, records...)
-			before := measure.Heap()
-			began := measure.Own()
-			feed(complete)
-			list := measure.Own() - began
-			heap := measure.Heap() - before
-			changes := max(20, 400_000/engines)
-			var bytes int
-			began = measure.Own()
-			for i := range changes { // each drains or returns one engine
-				frame := standin.Frame(uint64(2+i), 2, journalRecord(i/2%engines, byte(1-i%2)))
-				bytes = len(frame)
-				feed(frame)
-			}
-			change := (measure.Own() - began) / time.Duration(changes)
-			t.Logf("%5d engines: list %d bytes, %s; change %d bytes, %s; heap %.0f", engines, len(complete), list, bytes, change, heap)
-			result.Points = append(result.Points, scale.Point{Axis: "engines", X: float64(engines), Figures: map[string]float64{
-				"list bytes": float64(len(complete)), "list us": float64(list.Nanoseconds()) / 1000, "list heap bytes": heap,
-				"change bytes": float64(bytes), "change us": float64(change.Nanoseconds()) / 1000}})
+			cost := measureListCost(t, engines)
+			t.Logf("%5d engines: list %d bytes, %s; change %d bytes, %s; heap %.0f", engines, cost.listBytes,
+				cost.listTime, cost.changeBytes, cost.changeTime, cost.listHeap)
+			result.Points = append(result.Points, scale.Point{
+				Axis: "engines",
+				X:    float64(engines),
+				Figures: map[string]float64{
+					"list bytes":      float64(cost.listBytes),
+					"list us":         microseconds(cost.listTime),
+					"list heap bytes": cost.listHeap,
+					"change bytes":    float64(cost.changeBytes),
+					"change us":       microseconds(cost.changeTime),
+				}})
 		}
 	}
 	require.NoError(t, measure.Save(result))
--- a/gateway/statements.go
+++ b/gateway/statements.go
@@ -7,84 +7,97 @@
 	"chutechute/statement/estimate"
 )
 
-// groupCache is how many bytes of shapes are kept where statements are read for their group alone.
-const groupCache = 256 << 10
+// groupCacheBytes is the size of the cache of statement shapes where statements are read for their table group alone.
+const groupCacheBytes = 256 << 10
 
-// statements is the core's side of what is read from statements: their groups always and, where complete is
-// set, all that their clients have not told.
+// microsPerMillisecond converts the milliseconds of package statement.
+const microsPerMillisecond = float64(monotime.Millisecond)
+
+// statements reads the statements of calls: always their table groups and, where completesCalls is set, all that
+// clients have left out.
 type statements struct {
-	reader   *statement.Reader
-	complete bool
-	classes  []scheduler.Class
-	ended    map[uint64]*Request // served in this step, until their Measure has come
+	reader         *statement.Reader
+	completesCalls bool
+	classes        []scheduler.Class
+	served         map[uint64]*Request // in this step, until their LatencyMeasurement has come; by scheduler ID
 }
 
 func newStatements(classes []scheduler.Class) (statements, error) {
-	reader, err := statement.New(statement.Options{CacheBytes: groupCache})
-	return statements{reader: reader, classes: classes, ended: map[uint64]*Request{}}, err
+	reader, err := statement.New(statement.Options{CacheBytes: groupCacheBytes})
+	return statements{reader: reader, classes: classes, served: map[uint64]*Request{}}, err
 }
 
-// ReadStatements lets calls leave out what their statements tell, by these options; nil lets them no longer. What
-// was learned is kept where it was on before. An error names the faulty key, and nothing changes.
+// ReadStatements lets calls leave out what can be read from their statements, by these options; with nil they may not
+// any more. What was learned is kept if statements were read before. The error names the key of an invalid option;
+// nothing has changed then.
 func (c *Core) ReadStatements(o *statement.Options) error {
-	if o == nil && !c.statements.complete {
+	if o == nil && !c.statements.completesCalls {
 		return nil
 	}
-	options := statement.Options{CacheBytes: groupCache}
+	options := statement.Options{CacheBytes: groupCacheBytes}
 	if o != nil {
 		options = *o
 	}
 	if err := c.statements.reader.Apply(options); err != nil {
 		return err
 	}
-	c.statements.complete = o != nil
+	c.statements.completesCalls = o != nil
 	return nil
 }
 
-// StatementCounts is what reading statements has done so far.
+// StatementCounts returns the counters of the statement reader.
 func (c *Core) StatementCounts() statement.Counts { return c.statements.reader.Counts() }
 
-// read fills in what a call does not tell. An error is the call's answer.
-func (s *statements) read(call *Call, class int, told bool) (*statement.Completion, error) {
-	if !s.complete {
+// complete fills in what a call leaves out; class is the index of the class that it names, or noClass. It returns nil
+// where only the table group is read.
+func (s *statements) complete(call *Call, class int) (*statement.Completion, error) {
+	if !s.completesCalls {
 		call.Group = s.reader.Group(call.Statement)
 		return nil, nil
 	}
-	c := statement.Call{Text: call.Statement, Class: -1, Keyed: call.IdempotencyKey != "", CostMS: float64(call.Cost) / 1000,
-		MemoryMB: call.MemoryMB}
-	if told {
-		c.Class = class
-	}
-	done, err := s.reader.Complete(c)
+	completion, err := s.reader.Complete(statement.Call{
+		Text:     call.Statement,
+		Class:    class,
+		Keyed:    call.IdempotencyKey != "",
+		CostMS:   float64(call.Cost) / microsPerMillisecond,
+		MemoryMB: call.MemoryMB,
+	})
 	if err != nil {
 		return nil, err
 	}
-	if call.IdempotencyKey == "" && s.classes[done.Class].Effect == scheduler.IdempotentByKey {
-		done.Unsafe = true // engines could not tell its repeats
+	completedClass := &s.classes[completion.Class]
+	if call.IdempotencyKey == "" && completedClass.Effect == scheduler.IdempotentByKey {
+		completion.Unsafe = true // engines could not recognize its repeats
 	}
-	call.Class, call.Group = s.classes[done.Class].Name, done.Group
-	call.toldCost, call.toldMB = c.CostMS, c.MemoryMB
-	call.Cost, call.MemoryMB = max(1, monotime.Micros(done.CostMS*1000)), done.MemoryMB
-	return &done, nil
+	call.reportedCostMS = float64(call.Cost) / microsPerMillisecond
+	call.reportedMemoryMB = call.MemoryMB
+	call.Class = completedClass.Name
+	call.Group = completion.Group
+	call.Cost = max(1, monotime.Micros(completion.CostMS*microsPerMillisecond))
+	call.MemoryMB = completion.MemoryMB
+	return &completion, nil
 }
 
-// served keeps a request that was served until the module has told what its latency is worth.
-func (s *statements) served(r *Request) {
+// addServed keeps a served request until the scheduler's measurement of its latency comes.
+func (s *statements) addServed(r *Request) {
 	if r.completion != nil {
-		s.ended[r.id] = r
+		s.served[r.schedulerID] = r
 	}
 }
 
-// measured learns from a served request: by the figure that its client told, or else by its latency.
-func (s *statements) measured(m scheduler.LatencyMeasurement, now monotime.Micros) {
-	r := s.ended[m.ID]
+// discardServed ends the wait for measurements, which come in the step after the response or not at all.
+func (s *statements) discardServed() { clear(s.served) }
+
+// learn learns the cost of a served request's statement: what its client reported or else an estimate from its latency.
+func (s *statements) learn(m scheduler.LatencyMeasurement, now monotime.Micros) {
+	r := s.served[m.ID]
 	if r == nil {
 		return
 	}
-	o := statement.Outcome{CostMS: r.toldCost, Weight: 1, MemoryMB: r.toldMB}
-	if o.CostMS == 0 {
+	outcome := statement.Outcome{CostMS: r.reportedCostMS, Weight: 1, MemoryMB: r.reportedMemoryMB}
+	if outcome.CostMS == 0 {
 		threads := s.classes[r.completion.Class].Threads
-		o.CostMS, o.Weight, _ = estimate.Work(float64(m.Elapsed)/1000, threads, m.Slowdown)
+		outcome.CostMS, outcome.Weight, _ = estimate.Work(float64(m.Elapsed)/microsPerMillisecond, threads, m.Slowdown)
 	}
-	s.reader.Learn(r.completion, o, now)
+	s.reader.Learn(r.completion, outcome, now)
 }
--- /dev/null
+++ b/gateway/submit.go
@@ -0,0 +1,123 @@
+package gateway
+
+import (
+	"errors"
+	"fmt"
+
+	"chutechute/internal/monotime"
+	"chutechute/scheduler"
+)
+
+// Errors of Submit. Their texts may be sent to clients.
+var (
+	ErrUnknownClass     = errors.New("unknown class")
+	ErrUnknownTenant    = errors.New("unknown tenant")
+	ErrNoTimeLeft       = errors.New("no time left")
+	ErrDuplicateID      = errors.New("a request with that id is open")
+	ErrNoIdempotencyKey = errors.New("no idempotency key in a keyed class")
+)
+
+// Indexes for a call that names no class or no tenant.
+const (
+	noClass  = -1
+	noTenant = -1
+)
+
+// Submit opens a request whose last byte came at now. The final response goes to the responder, which is not called if
+// Submit returns an error. A request beyond the limits is rejected at once, without an error.
+//
+// The error is one of those above, one of package statement that is wrapped in "statement: ...", or an
+// *identity.Denied.
+func (c *Core) Submit(now monotime.Micros, call *Call, responder Responder) (*Request, error) {
+	caller, err := c.callers.identify(now, call)
+	if err != nil {
+		return nil, err
+	}
+	class, err := c.validate(call)
+	if err != nil {
+		return nil, err
+	}
+	completion, err := c.statements.complete(call, class)
+	if err != nil {
+		return nil, fmt.Errorf("statement: %w", err)
+	}
+	if err := c.callers.admit(now, caller, call); err != nil {
+		return nil, err
+	}
+	c.counters.Taken++
+	r := c.newRequest(now, call, responder)
+	r.caller, r.completion = caller, completion
+	if !c.hasCapacity(call) {
+		c.reject(r, overloadRetryAfter)
+		c.callers.release(caller)
+		return r, nil
+	}
+	event := c.requestEvent(r, class)
+	r.strictAttempts = c.needsStrictAttempts(event)
+	c.openRequest(r)
+	if !c.register(now, r, event) {
+		c.addEvent(event)
+	}
+	return r, nil
+}
+
+// validate checks a call and returns the index of its class, noClass if its statement is to tell.
+func (c *Core) validate(call *Call) (class int, err error) {
+	class, known := c.settings.ClassOf[call.Class]
+	if call.Class == "" && c.statements.completesCalls {
+		class = noClass
+	} else if !known {
+		return noClass, ErrUnknownClass
+	}
+	if _, known := c.settings.TenantOf[call.Tenant]; call.Tenant != "" && !known {
+		return noClass, ErrUnknownTenant
+	}
+	if call.TTL <= 0 {
+		return noClass, ErrNoTimeLeft
+	}
+	if call.IdempotencyKey == "" && !c.statements.completesCalls &&
+		c.settings.Classes[class].Effect == scheduler.IdempotentByKey {
+		return noClass, ErrNoIdempotencyKey // engines could not recognize its repeats
+	}
+	if c.openIDs[call.ID] {
+		return noClass, ErrDuplicateID
+	}
+	return class, nil
+}
+
+// hasCapacity reports whether the limits allow another request.
+func (c *Core) hasCapacity(call *Call) bool {
+	return len(c.open) < c.limits.MaxOpen && c.statementBytes+len(call.Statement) <= c.limits.MaxStatementBytes
+}
+
+// requestEvent returns the event by which the scheduler learns of a request.
+func (c *Core) requestEvent(r *Request, class int) scheduler.Request {
+	tenant := noTenant
+	if r.Tenant != "" {
+		tenant = c.settings.TenantOf[r.Tenant]
+	}
+	event := scheduler.Request{
+		ID:            r.schedulerID,
+		Class:         class,
+		Tenant:        tenant,
+		Key:           r.Key,
+		Deadline:      r.deadline,
+		EstimatedWork: r.Cost,
+		MemoryMB:      r.MemoryMB,
+		Group:         r.Group,
+	}
+	if r.completion != nil {
+		event.Class = r.completion.Class
+		event.NonIdempotent = r.completion.Unsafe
+		event.NoRetry = r.completion.Single
+		event.EstimatedHere = r.completion.Guessed
+		event.MeasureLatency = true
+	}
+	return event
+}
+
+// needsStrictAttempts reports whether a second execution of a request would do harm, or others wait for its end.
+func (c *Core) needsStrictAttempts(event scheduler.Request) bool {
+	class := &c.settings.Classes[event.Class]
+	return event.NonIdempotent || class.Effect != scheduler.Idempotent || class.Ordered
+}
--- a/gateway/timers.go
+++ b/gateway/timers.go
@@ -6,51 +6,78 @@
 	"chutechute/internal/monotime"
 )
 
-// timer is a call at a time.
+// timer is a function that is called once its time has come, unless it is canceled before.
 type timer struct {
-	at    monotime.Micros
-	n     uint64 // those of one time fire in the order in which they were set
-	fire  func()
-	place int // in the heap; -1 once it has left
+	at       monotime.Micros
+	sequence uint64 // timers of one time fire in the order in which they were scheduled
+	fire     func()
+	index    int // in the heap; noIndex once it is no longer there
 }
 
-func (c *Core) after(at monotime.Micros, fire func()) *timer {
-	c.lastTimer++
-	t := &timer{at: at, n: c.lastTimer, fire: fire}
-	heap.Push(&c.timers, t)
+const noIndex = -1
+
+// timerQueue holds the timers that have not fired. Its zero value is empty.
+type timerQueue struct {
+	heap         timerHeap
+	lastSequence uint64
+}
+
+// schedule sets a timer.
+func (q *timerQueue) schedule(at monotime.Micros, fire func()) *timer {
+	q.lastSequence++
+	t := &timer{at: at, sequence: q.lastSequence, fire: fire}
+	heap.Push(&q.heap, t)
 	return t
 }
 
-// cancel takes a timer back, and lets go of what it holds: a client may name any time for its request.
-func (c *Core) cancel(t *timer) {
-	if t != nil && t.place >= 0 {
-		heap.Remove(&c.timers, t.place)
+// cancel removes a timer, so that what its function refers to can be freed: a client may choose any deadline for its
+// request. A nil timer, or one that has fired, is ignored.
+func (q *timerQueue) cancel(t *timer) {
+	if t != nil && t.index != noIndex {
+		heap.Remove(&q.heap, t.index)
+	}
+}
+
+// next returns when the next timer is due; false if none is set.
+func (q *timerQueue) next() (monotime.Micros, bool) {
+	if len(q.heap) == 0 {
+		return 0, false
 	}
+	return q.heap[0].at, true
 }
 
-type timers []*timer
+// fireDue fires all timers that are due, those that are set meanwhile included.
+func (q *timerQueue) fireDue(now monotime.Micros) {
+	for len(q.heap) > 0 && q.heap[0].at <= now {
+		heap.Pop(&q.heap).(*timer).fire()
+	}
+}
 
-func (t timers) Len() int { return len(t) }
+// timerHeap implements heap.Interface, the earliest timer first.
+type timerHeap []*timer
 
-func (t timers) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].n < t[j].n
+func (h timerHeap) Len() int { return len(h) }
+
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 
-func (t timers) Swap(i, j int) {
-	t[i], t[j] = t[j], t[i]
-	t[i].place, t[j].place = i, j
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
 
-func (t *timers) Push(x any) {
-	x.(*timer).place = len(*t)
-	*t = append(*t, x.(*timer))
+func (h *timerHeap) Push(x any) {
+	t := x.(*timer)
+	t.index = len(*h)
+	*h = append(*h, t)
 }
 
-func (t *timers) Pop() any {
-	last := len(*t) - 1
-	x := (*t)[last]
-	x.place = -1
-	(*t)[last] = nil
-	*t = (*t)[:last]
-	return x
+func (h *timerHeap) Pop() any {
+	last := len(*h) - 1
+	t := (*h)[last]
+	t.index = noIndex
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	return t
 }
--- a/gateway/trace.go
+++ b/gateway/trace.go
@@ -8,37 +8,74 @@
 	"chutechute/scheduler"
 )
 
-// trace logs what becomes of each request, a line for each attempt's start and end and one for the answer, so that a day's
-// logs can be counted over a whole fleet. It is on where the log's level is debug.
-type trace struct{ log *slog.Logger }
+// requestTrace logs a line for the start and the end of each attempt and one for each final response, so that the logs
+// of a whole fleet can be counted. It is on where the log's level is debug.
+type requestTrace struct {
+	log *slog.Logger // nil where it is off
+}
 
-func newTrace() trace {
-	if log := slog.Default(); log.Enabled(context.Background(), slog.LevelDebug) {
-		return trace{log}
+// newRequestTrace returns a trace to the default log.
+func newRequestTrace() requestTrace {
+	log := slog.Default()
+	if !log.Enabled(context.Background(), slog.LevelDebug) {
+		return requestTrace{}
 	}
-	return trace{}
+	return requestTrace{log}
+}
+
+// resultNames are the values of the log's attribute result.
+var resultNames = [...]string{
+	scheduler.Succeeded:    "done",
+	scheduler.Errored:      "errored",
+	scheduler.Rejected:     "full",
+	scheduler.TimedOut:     "timed_out",
+	scheduler.NoConnection: "no_connection",
+	scheduler.Reset:        "reset",
+	scheduler.Canceled:     "canceled",
+	scheduler.NotSent:      "not_sent",
 }
 
-var resultNames = [...]string{scheduler.Succeeded: "done", scheduler.Errored: "errored", scheduler.Rejected: "full", scheduler.TimedOut: "timed_out",
-	scheduler.NoConnection: "no_connection", scheduler.Reset: "reset", scheduler.Canceled: "canceled", scheduler.NotSent: "not_sent"}
+// milliseconds returns a duration in whole milliseconds, rounded towards zero.
+func milliseconds(d monotime.Micros) int64 { return d / monotime.Millisecond }
 
-func (t trace) sent(a *Attempt) {
-	if t.log != nil {
-		t.log.Debug("sent", "call", a.ID, "class", a.Class, "engine", a.Engine, "try", a.number, "cost_ms", a.Cost/1000,
-			"group", a.Group, "wait_ms", a.Timeout/1000)
+func (t requestTrace) attemptStarted(a *Attempt) {
+	if t.log == nil {
+		return
 	}
+	t.log.Debug("attempt started",
+		slog.String("request_id", a.ID),
+		slog.String("class", a.Class),
+		slog.String("engine", a.Engine),
+		slog.Int("attempt", a.number),
+		slog.Int64("cost_ms", milliseconds(a.Cost)),
+		slog.Int("table_group", a.Group),
+		slog.Int64("timeout_ms", milliseconds(a.Timeout)))
 }
 
-func (t trace) ended(a *Attempt, result scheduler.Result, elapsed monotime.Micros) {
-	if t.log != nil {
-		t.log.Debug("ended", "call", a.ID, "class", a.Class, "engine", a.Engine, "try", a.number, "result", resultNames[result],
-			"cost_ms", a.Cost/1000, "ms", elapsed/1000)
+func (t requestTrace) attemptEnded(a *Attempt, result scheduler.Result, elapsed monotime.Micros) {
+	if t.log == nil {
+		return
 	}
+	t.log.Debug("attempt ended",
+		slog.String("request_id", a.ID),
+		slog.String("class", a.Class),
+		slog.String("engine", a.Engine),
+		slog.Int("attempt", a.number),
+		slog.String("result", resultNames[result]),
+		slog.Int64("cost_ms", milliseconds(a.Cost)),
+		slog.Int64("duration_ms", milliseconds(elapsed)))
 }
 
-func (t trace) answered(r *Request, how string, at monotime.Micros) {
-	if t.log != nil {
-		t.log.Debug("answered", "call", r.ID, "class", r.Class, "tenant", r.Tenant, "how", how, "cost_ms", r.Cost/1000,
-			"ms", (at-r.taken)/1000, "tries", len(r.attempts))
+func (t requestTrace) requestAnswered(r *Request, response string, now monotime.Micros) {
+	if t.log == nil {
+		return
 	}
+	t.log.Debug("request answered",
+		slog.String("request_id", r.ID),
+		slog.String("class", r.Class),
+		slog.String("tenant", r.Tenant),
+		slog.String("response", response),
+		slog.Int64("cost_ms", milliseconds(r.Cost)),
+		slog.Int64("duration_ms", milliseconds(now-r.receivedAt)),
+		slog.Int("attempts", len(r.attempts)))
 }
