--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -8,15 +8,15 @@
 // EngineClient carries out attempts and health checks. The core calls it from one goroutine; its answers must come from
 // the same goroutine, and may come from within the call.
 type EngineClient interface {
-	// Start sends an attempt to its engine, or asks after it if it is AlreadyRunning. It is called once for each
-	// attempt, and is answered by exactly one Core.AttemptEnded that counts; ReportProgress may come before it.
+	// Start sends an attempt to its engine or, if it is AlreadyRunning, polls the engine for it. It is called once for
+	// each attempt, and is answered by one Core.AttemptEnded; Core.ReportProgress may come before.
 	Start(a *Attempt)
-	// Cancel ends a started attempt early, at most once. Core.AttemptEnded follows once it is known that the attempt no
-	// longer runs.
+	// Cancel ends a started attempt early. It is called at most once for each attempt. Core.AttemptEnded follows, once
+	// it is known that the attempt no longer runs.
 	Cancel(a *Attempt)
 	// SetPriority passes the current priority of an attempt in flight, Attempt.Priority, to its engine.
 	SetPriority(a *Attempt)
-	// HealthCheck polls an engine for its load. It is answered by exactly one Core.HealthCheckEnded.
+	// HealthCheck polls an engine for its load. It is answered by one Core.HealthCheckEnded.
 	HealthCheck(engine string)
 }
 
@@ -26,7 +26,7 @@
 const (
 	attemptAuthorizing attemptState = iota // the idempotency store has not answered yet whether it may start
 	attemptInFlight                        // it was passed to the engine client
-	attemptCanceling                       // the engine client was told to cancel it
+	attemptCanceling                       // the engine client is canceling it
 	attemptEnded
 )
 
@@ -37,7 +37,7 @@
 	Timeout        monotime.Micros // how long the front end waits for it
 	GrantMB        float64         // the memory that it may use, in megabytes; 0: the engine chooses
 	StartBy        monotime.Micros // no byte of its start may be written at or after this time; 0: no such bound
-	AlreadyRunning bool            // another front end started it: it is asked after, and not started
+	AlreadyRunning bool            // another front end started it: its engine is polled for it, and nothing is started
 	// Strict requires that the end of the attempt is certain, and not concluded from the state of a connection: a
 	// second execution does harm, or others wait for the end. An attempt has ended once its engine says so, has
 	// received its cancellation, or has not been polled for it for 2 s.
@@ -122,7 +122,7 @@
 		return
 	}
 	if a.AlreadyRunning && result.NeverRan() {
-		// The engine was not reached, which tells nothing about what runs there: it ends once nobody polls for it.
+		// The engine was not reached, which proves nothing about what runs there: it ends once nobody polls for it.
 		c.timers.schedule(now+AbandonTimeout, func() { c.AttemptEnded(c.now, a, scheduler.Reset, nil, nil) })
 		return
 	}
@@ -148,7 +148,7 @@
 		WorkUsed:     a.WorkUsed,
 		MemoryUsedMB: a.MemoryUsedMB,
 	})
-	if final { // nobody waits for a hedged request any more
+	if final { // hedged requests are not needed any more
 		c.cancelAttempts(a.Request, scheduler.Canceled)
 	}
 	c.closeIfDone(a.Request)
--- a/gateway/budgets.go
+++ b/gateway/budgets.go
@@ -24,7 +24,7 @@
 	At         monotime.Micros
 	RequestID  string
 	Budget     string
-	RetryAfter monotime.Micros // the time from then after which its client was told to retry
+	RetryAfter monotime.Micros // how long its client was to wait, from At, before a retry
 }
 
 // maxDenials is how many denials are kept.
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -11,7 +11,7 @@
 const millisecond = monotime.Millisecond
 
 // shutDown plays a graceful shutdown that never becomes quiet. It returns, from the signal on, when each phase
-// began and when Expired first held, -1 if never.
+// began and when Expired was first true, -1 if never.
 func shutDown(l *Lifecycle, signal monotime.Micros) (began map[Phase]monotime.Micros, expired monotime.Micros) {
 	began, expired = map[Phase]monotime.Micros{}, -1
 	l.Drain(signal)
--- a/gateway/takeover.go
+++ b/gateway/takeover.go
@@ -8,8 +8,8 @@
 
 // Takeover is a running request of another front end that this one is to take over.
 type Takeover struct {
-	RequestID      string // of the attempt that was started
-	Engine         string // on which it was started
+	RequestID      string // by which the engine knows the attempt
+	Engine         string // that runs it
 	IdempotencyKey string
 	Key            string // requests of one key run in order
 	Class          string
