--- a/fleet/heartbeat/monitor.go
+++ b/fleet/heartbeat/monitor.go
@@ -1,213 +1,162 @@
-// Package member says which front ends of a fleet are there, as this one sees it. Its view steers: whom to ask, whom to
-// replace, when to look after a load. Nothing is ever made safe by it alone, since silence is not death: a front end that is
-// held for dead may be stopped, cut off one way, or only slow.
+// Package heartbeat is the failure detector among a fleet's control members: it tells which of them are alive, as this
+// front end sees it. The result steers decisions: which peer to send a request to, which replica to replace, when to
+// take over a request. Safety never rests on it alone, since silence does not prove death: a front end that is presumed
+// dead may be paused, partitioned in one direction, or only slow.
 //
-// Each front end tells all others, in each heartbeat, how long ago it heard each of the rest. So who is not heard here and is
-// heard elsewhere is cut off and not dead, without a question; and one heartbeat that comes through anywhere refutes a
-// suspicion everywhere. One thing is certain: an incarnation whose name has come back with another is gone. Which of two came
-// later does not follow from the order of their messages, as those of a dead process may still be on their way. It follows
-// from the links: a process that answered a challenge lived after that was made here, and no two of one name live at once, so
-// the one whose challenge was made later is the later one.
+// Each front end reports to all others, in each heartbeat, how long ago it received a heartbeat from each of the rest.
+// A peer whose heartbeats do not arrive here but arrive elsewhere is therefore known to be partitioned and not dead,
+// without an extra request; and one heartbeat that arrives anywhere refutes a suspicion everywhere.
 //
-// It is a stepped module without I/O, clock, goroutines or map order.
+// One thing is certain: an incarnation is dead once its name has come back with a later one. Which of two incarnations
+// is the later one does not follow from the order of their messages, as those of a dead process may still be in
+// flight. It follows from the links: a process that answered a challenge was alive after the challenge was made here,
+// and no two processes of one name are alive at once, so the one whose challenge was made later is the later one.
+//
+// The package is a stepped module: it does no I/O, reads no clock, starts no goroutine and depends on no map order.
+// Times are microseconds of the caller's monotonic clock.
 package heartbeat
 
 import (
+	"cmp"
 	"slices"
 
 	"chutechute/internal/monotime"
 )
 
-// State is how a front end is seen.
-type State int
-
-// The states.
-const (
-	NeverSeen       State = iota // never heard since this process began
-	Alive                        // heard here of late
-	IndirectlyAlive              // not heard here, but elsewhere
-	Suspect                      // heard nowhere for a while
-	Dead                         // heard nowhere for long
-	Left                         // it said that it leaves, and was not heard since
-)
-
-func (s State) String() string {
-	return [...]string{"unseen", "alive", "cut", "suspect", "dead", "left"}[s]
-}
-
-// Config sets the spans.
+// Config sets the time limits of the failure detector.
 type Config struct {
-	SuspectAfter monotime.Micros // of silence
-	DeadAfter    monotime.Micros // of silence everywhere
-	// PauseThreshold is a gap between two ticks above which this process was stopped: what it has not heard meanwhile says nothing.
+	SuspectAfter monotime.Micros // without a heartbeat
+	DeadAfter    monotime.Micros // without a heartbeat at any front end
+	// PauseThreshold is a gap between two calls above which this process itself was paused: that it received no
+	// heartbeats meanwhile says nothing about its peers.
 	PauseThreshold monotime.Micros
 }
 
-// Report is how long ago a front end heard another.
-type Report struct {
-	Name        string
-	Incarnation uint64
-	Age         monotime.Micros
-}
-
-// Peer is another front end.
-type Peer struct {
-	Name         string
-	Zone         string
-	Incarnation  uint64 // the last that was heard; 0: none was
-	State        State
-	ChallengedAt monotime.Micros // when the first link of this incarnation was challenged here
-
-	lastHeard     monotime.Micros // here
-	challenged    monotime.Micros // when the newest link of this incarnation was challenged
-	lastElsewhere monotime.Micros // when it was last heard elsewhere, by what others say
-	leaving       bool
-	past          []uint64 // earlier incarnations: they never come again
-}
-
-// mostPast bounds the earlier incarnations that are remembered of one name.
-const mostPast = 64
-
-// Monitor is the fleet's other front ends.
+// Monitor is the failure detector for the other control members of a fleet.
 type Monitor struct {
 	cfg    Config
-	list   []*Peer // by name
+	peers  []*Peer // by name
 	byName map[string]*Peer
 	now    monotime.Micros
 }
 
-// NewMonitor begins with those that the settings name; zones by name.
+// NewMonitor returns a Monitor of the peers that the settings name, given as their zones by name.
 func NewMonitor(cfg Config, zones map[string]string) *Monitor {
-	s := &Monitor{cfg: cfg, byName: map[string]*Peer{}}
+	m := &Monitor{cfg: cfg, byName: map[string]*Peer{}}
 	for name, zone := range zones {
-		m := &Peer{Name: name, Zone: zone}
-		s.list = append(s.list, m)
-		s.byName[name] = m
+		p := &Peer{Name: name, Zone: zone}
+		m.peers = append(m.peers, p)
+		m.byName[name] = p
 	}
-	slices.SortFunc(s.list, func(a, b *Peer) int {
-		if a.Name < b.Name {
-			return -1
-		}
-		return 1
-	})
-	return s
+	slices.SortFunc(m.peers, func(a, b *Peer) int { return cmp.Compare(a.Name, b.Name) })
+	return m
 }
 
-// Observe takes a heartbeat that came over a link whose challenge was made here at the time greeted. It is false for one of an
-// incarnation that is gone, which must not count.
-func (s *Monitor) Observe(now monotime.Micros, name string, incarnation uint64, greeted monotime.Micros, leaving bool, reports []Report) bool {
-	s.pass(now)
-	m := s.byName[name]
-	if m == nil || slices.Contains(m.past, incarnation) || m.Incarnation != incarnation && m.Incarnation != 0 && greeted <= m.challenged {
+// Observe records a heartbeat that was received over a link whose challenge was made here at challengedAt. It returns
+// false, and records nothing, if the name is not a peer's or the incarnation is not the peer's latest.
+func (m *Monitor) Observe(
+	now monotime.Micros, name string, incarnation uint64, challengedAt monotime.Micros, leaving bool, reports []Report,
+) bool {
+	m.advance(now)
+	p := m.byName[name]
+	if p == nil || p.isStale(incarnation, challengedAt) {
 		return false
 	}
-	m.challenged = max(m.challenged, greeted)
-	if m.Incarnation != incarnation {
-		if m.Incarnation != 0 {
-			m.past = append(m.past, m.Incarnation)
-			if len(m.past) > mostPast {
-				m.past = m.past[1:]
-			}
-		}
-		m.Incarnation, m.lastElsewhere, m.ChallengedAt = incarnation, 0, greeted
+	p.lastChallengedAt = max(p.lastChallengedAt, challengedAt)
+	if p.Incarnation != incarnation {
+		p.setIncarnation(incarnation, challengedAt)
 	}
-	m.ChallengedAt = min(m.ChallengedAt, greeted)
-	m.lastHeard, m.leaving = now, leaving
+	p.ChallengedAt = min(p.ChallengedAt, challengedAt)
+	p.lastSeen = now
+	p.leaving = leaving
+	m.observeReports(p, reports)
+	return true
+}
+
+// observeReports records what a peer reports about the others.
+func (m *Monitor) observeReports(from *Peer, reports []Report) {
 	for _, r := range reports {
-		if o := s.byName[r.Name]; o != nil && o != m && o.Incarnation == r.Incarnation && r.Age >= 0 {
-			o.lastElsewhere = max(o.lastElsewhere, now-r.Age)
+		p := m.byName[r.Name]
+		if p == nil || p == from || p.Incarnation != r.Incarnation || r.Age < 0 {
+			continue
 		}
+		p.lastReported = max(p.lastReported, m.now-r.Age)
 	}
-	return true
 }
 
-// pass lets time pass. After a stop of this process it comes before anything that was heard since, which would else be moved into
-// the future.
-func (s *Monitor) pass(now monotime.Micros) {
-	if gap := now - s.now; s.now != 0 && gap > s.cfg.PauseThreshold {
-		for _, m := range s.list {
-			if m.Incarnation != 0 {
-				m.lastHeard, m.lastElsewhere = m.lastHeard+gap, m.lastElsewhere+gap
+// advance moves the clock. After a pause of this process it moves the times of the last heartbeats by the pause, which
+// has to precede the recording of a heartbeat, whose time would otherwise be moved into the future.
+func (m *Monitor) advance(now monotime.Micros) {
+	if gap := now - m.now; m.now != 0 && gap > m.cfg.PauseThreshold {
+		for _, p := range m.peers {
+			if p.Incarnation != 0 {
+				p.lastSeen += gap
+				p.lastReported += gap
 			}
 		}
 	}
-	s.now = now
+	m.now = now
 }
 
-// Tick lets time pass, and gives those whose state has changed.
-func (s *Monitor) Tick(now monotime.Micros) (changed []*Peer) {
-	s.pass(now)
-	for _, m := range s.list {
-		if state := s.state(m); state != m.State {
-			m.State = state
-			changed = append(changed, m)
+// Tick moves the clock and returns the peers whose state has changed.
+func (m *Monitor) Tick(now monotime.Micros) (changed []*Peer) {
+	m.advance(now)
+	for _, p := range m.peers {
+		if state := p.stateAt(m.now, &m.cfg); state != p.State {
+			p.State = state
+			changed = append(changed, p)
 		}
 	}
 	return changed
 }
 
-func (s *Monitor) state(m *Peer) State {
-	here, anywhere := s.now-m.lastHeard, s.now-max(m.lastHeard, m.lastElsewhere)
-	switch {
-	case m.Incarnation == 0:
-		return NeverSeen
-	case here < s.cfg.SuspectAfter:
-		return Alive
-	case m.leaving && anywhere >= s.cfg.SuspectAfter:
-		return Left
-	case anywhere < s.cfg.SuspectAfter:
-		return IndirectlyAlive
-	case anywhere < s.cfg.DeadAfter:
-		return Suspect
-	}
-	return Dead
-}
-
-// Reports is what this front end tells the others of whom it hears.
-func (s *Monitor) Reports() (list []Report) {
-	for _, m := range s.list {
-		if m.Incarnation != 0 {
-			list = append(list, Report{m.Name, m.Incarnation, s.now - m.lastHeard})
+// Reports returns what this front end reports about its peers in its heartbeats.
+func (m *Monitor) Reports() (reports []Report) {
+	for _, p := range m.peers {
+		if p.Incarnation != 0 {
+			reports = append(reports, Report{p.Name, p.Incarnation, m.now - p.lastSeen})
 		}
 	}
-	return list
+	return reports
 }
 
-// Peers is all others, by name.
-func (s *Monitor) Peers() []*Peer { return s.list }
+// Peers returns all peers, by name.
+func (m *Monitor) Peers() []*Peer { return m.peers }
 
-// Lookup is one other; nil for a name that is not of the fleet.
-func (s *Monitor) Lookup(name string) *Peer { return s.byName[name] }
+// Lookup returns the peer with the name, nil if there is none.
+func (m *Monitor) Lookup(name string) *Peer { return m.byName[name] }
 
-// PresumedDead says whether a process is held for no more: its name has another, it has left, or it is heard nowhere for long.
-func (s *Monitor) PresumedDead(incarnation uint64) bool {
-	for _, m := range s.list {
-		if m.Incarnation == incarnation {
-			return m.State == Dead || m.State == Left
+// PresumedDead reports whether a process is presumed dead: its name has a later process, it has left, or no front end
+// has received a heartbeat from it for DeadAfter.
+func (m *Monitor) PresumedDead(incarnation uint64) bool {
+	for _, p := range m.peers {
+		if p.Incarnation == incarnation {
+			return p.State == Dead || p.State == Left
 		}
-		if slices.Contains(m.past, incarnation) {
+		if p.wasSuperseded(incarnation) {
 			return true
 		}
 	}
 	return false
 }
 
-// Superseded says whether a process is no more for certain: its name has come back with a later one.
-func (s *Monitor) Superseded(incarnation uint64) bool {
-	return slices.ContainsFunc(s.list, func(m *Peer) bool { return slices.Contains(m.past, incarnation) })
+// Superseded reports whether a process is certainly dead, as its name has come back with a later one.
+func (m *Monitor) Superseded(incarnation uint64) bool {
+	return slices.ContainsFunc(m.peers, func(p *Peer) bool { return p.wasSuperseded(incarnation) })
 }
 
-// Unreachable says whether a process is heard nowhere now. One that nobody knows of is, once all names have another.
-func (s *Monitor) Unreachable(incarnation uint64) bool {
-	all := true
-	for _, m := range s.list {
-		if m.Incarnation == incarnation {
-			return m.State == Suspect || m.State == Dead || m.State == Left
+// Unreachable reports whether no front end receives heartbeats from a process now. A process that is not known is
+// unreachable once all peers were seen.
+func (m *Monitor) Unreachable(incarnation uint64) bool {
+	allSeen := true
+	for _, p := range m.peers {
+		if p.Incarnation == incarnation {
+			return p.State == Suspect || p.State == Dead || p.State == Left
 		}
-		if slices.Contains(m.past, incarnation) {
+		if p.wasSuperseded(incarnation) {
 			return true
 		}
-		all = all && m.Incarnation != 0
+		allSeen = allSeen && p.Incarnation != 0
 	}
-	return all
+	return allSeen
 }
--- a/fleet/heartbeat/monitor_test.go
+++ b/fleet/heartbeat/monitor_test.go
@@ -9,95 +9,101 @@
 	"chutechute/internal/monotime"
 )
 
-const ms = 1000
+const (
+	ms           = monotime.Millisecond
+	tickInterval = 100 * ms
+)
 
-func set() *heartbeat.Monitor {
-	return heartbeat.NewMonitor(heartbeat.Config{SuspectAfter: 600 * ms, DeadAfter: 3000 * ms, PauseThreshold: 300 * ms}, map[string]string{"b": "x", "c": "y"})
+func newMonitor() *heartbeat.Monitor {
+	cfg := heartbeat.Config{SuspectAfter: 600 * ms, DeadAfter: 3000 * ms, PauseThreshold: 300 * ms}
+	return heartbeat.NewMonitor(cfg, map[string]string{"b": "x", "c": "y"})
 }
 
-// run lets time pass in ticks; each is called with the time.
-func run(s *heartbeat.Monitor, from, to monotime.Micros, each func(now monotime.Micros)) {
-	for now := from; now <= to; now += 100 * ms {
-		each(now)
-		s.Tick(now)
+// run ticks the monitor from one time to another, and calls beforeTick with the time before each tick.
+func run(m *heartbeat.Monitor, from, to monotime.Micros, beforeTick func(now monotime.Micros)) {
+	for now := from; now <= to; now += tickInterval {
+		beforeTick(now)
+		m.Tick(now)
 	}
 }
 
-// Who is silent here and heard elsewhere is cut off, not dead; who is silent everywhere is suspected and then dead; one
-// heartbeat refutes both.
-func TestSilence(t *testing.T) {
-	s := set()
-	hears := true
-	both := func(now monotime.Micros) {
-		s.Observe(now, "b", 1, 0, false, nil)
-		s.Observe(now, "c", 2, 0, false, []heartbeat.Report{{Name: "b", Incarnation: 1}})
+func noHeartbeats(monotime.Micros) {}
+
+// A peer whose heartbeats only others receive is partitioned, not dead; one whose heartbeats nobody receives is suspect
+// and then dead; one heartbeat refutes both.
+func TestSilentPeerIsIndirectlyAliveThenSuspectThenDead(t *testing.T) {
+	m := newMonitor()
+	reported := true
+	heartbeatsOfBoth := func(now monotime.Micros) {
+		m.Observe(now, "b", 1, 0, false, nil)
+		m.Observe(now, "c", 2, 0, false, []heartbeat.Report{{Name: "b", Incarnation: 1}})
 	}
-	onlyC := func(now monotime.Micros) {
-		var r []heartbeat.Report
-		if hears {
-			r = append(r, heartbeat.Report{Name: "b", Incarnation: 1, Age: 50 * ms})
+	heartbeatsOfC := func(now monotime.Micros) {
+		var reports []heartbeat.Report
+		if reported {
+			reports = append(reports, heartbeat.Report{Name: "b", Incarnation: 1, Age: 50 * ms})
 		}
-		s.Observe(now, "c", 2, 0, false, r)
+		m.Observe(now, "c", 2, 0, false, reports)
 	}
-	run(s, 0, 1000*ms, both)
-	assert.Equal(t, heartbeat.Alive, s.Lookup("b").State)
-	run(s, 1100*ms, 6000*ms, onlyC)
-	assert.Equal(t, heartbeat.IndirectlyAlive, s.Lookup("b").State)
-	assert.False(t, s.PresumedDead(1))
-	hears = false
-	run(s, 6100*ms, 7500*ms, onlyC)
-	assert.Equal(t, heartbeat.Suspect, s.Lookup("b").State)
-	run(s, 7600*ms, 10500*ms, onlyC)
-	assert.Equal(t, heartbeat.Dead, s.Lookup("b").State)
-	assert.True(t, s.PresumedDead(1))
-	run(s, 10600*ms, 10700*ms, both)
-	assert.Equal(t, heartbeat.Alive, s.Lookup("b").State)
-	assert.False(t, s.PresumedDead(1))
+	run(m, 0, 1000*ms, heartbeatsOfBoth)
+	assert.Equal(t, heartbeat.Alive, m.Lookup("b").State)
+	run(m, 1100*ms, 6000*ms, heartbeatsOfC)
+	assert.Equal(t, heartbeat.IndirectlyAlive, m.Lookup("b").State)
+	assert.False(t, m.PresumedDead(1))
+	reported = false
+	run(m, 6100*ms, 7500*ms, heartbeatsOfC)
+	assert.Equal(t, heartbeat.Suspect, m.Lookup("b").State)
+	run(m, 7600*ms, 10500*ms, heartbeatsOfC)
+	assert.Equal(t, heartbeat.Dead, m.Lookup("b").State)
+	assert.True(t, m.PresumedDead(1))
+	run(m, 10600*ms, 10700*ms, heartbeatsOfBoth)
+	assert.Equal(t, heartbeat.Alive, m.Lookup("b").State)
+	assert.False(t, m.PresumedDead(1))
 }
 
-// A process that has stood still has heard nobody, which says nothing of the others.
-func TestOwnPause(t *testing.T) {
-	s := set()
-	run(s, 0, 1000*ms, func(now monotime.Micros) { s.Observe(now, "b", 1, 0, false, nil) })
-	s.Tick(20_000 * ms)
-	assert.Equal(t, heartbeat.Alive, s.Lookup("b").State)
+// A process that was paused has received no heartbeats, which says nothing about its peers.
+func TestPauseOfThisProcessSuspectsNobody(t *testing.T) {
+	m := newMonitor()
+	run(m, 0, 1000*ms, func(now monotime.Micros) { m.Observe(now, "b", 1, 0, false, nil) })
+	m.Tick(20_000 * ms)
+	assert.Equal(t, heartbeat.Alive, m.Lookup("b").State)
 }
 
-// A name that has come back with another process: the earlier is gone for certain, and what comes late of it counts for
-// nothing, in whichever order the two are heard.
-func TestLaterIncarnation(t *testing.T) {
-	s := set()
-	assert.True(t, s.Observe(100*ms, "b", 1, 50*ms, false, nil))
-	assert.True(t, s.Observe(200*ms, "b", 2, 150*ms, false, nil))
-	assert.False(t, s.Observe(300*ms, "b", 1, 50*ms, false, nil))
-	assert.True(t, s.PresumedDead(1))
-	assert.False(t, s.PresumedDead(2))
-	s = set()
-	assert.True(t, s.Observe(200*ms, "b", 2, 150*ms, false, nil))
-	assert.False(t, s.Observe(300*ms, "b", 1, 50*ms, false, nil), "a heartbeat of before that comes late")
-	assert.Equal(t, uint64(2), s.Lookup("b").Incarnation)
+// A name that comes back with another process supersedes the earlier one for certain, and late heartbeats of that one
+// are ignored, in whichever order the heartbeats of the two arrive.
+func TestLaterIncarnationSupersedesTheEarlierOne(t *testing.T) {
+	m := newMonitor()
+	assert.True(t, m.Observe(100*ms, "b", 1, 50*ms, false, nil))
+	assert.True(t, m.Observe(200*ms, "b", 2, 150*ms, false, nil))
+	assert.False(t, m.Observe(300*ms, "b", 1, 50*ms, false, nil))
+	assert.True(t, m.PresumedDead(1))
+	assert.False(t, m.PresumedDead(2))
+	m = newMonitor()
+	assert.True(t, m.Observe(200*ms, "b", 2, 150*ms, false, nil))
+	assert.False(t, m.Observe(300*ms, "b", 1, 50*ms, false, nil), "a late heartbeat of the earlier process")
+	assert.Equal(t, uint64(2), m.Lookup("b").Incarnation)
 }
 
-// Who says that it leaves has left once it is silent, without being suspected first.
-func TestLeaving(t *testing.T) {
-	s := set()
-	run(s, 0, 500*ms, func(now monotime.Micros) { s.Observe(now, "b", 1, 0, now > 300*ms, nil) })
-	run(s, 600*ms, 1300*ms, func(monotime.Micros) {})
-	assert.Equal(t, heartbeat.Left, s.Lookup("b").State)
+// A peer that announced that it leaves has left once it is silent, without being suspected first.
+func TestLeavingPeerHasLeftOnceItIsSilent(t *testing.T) {
+	m := newMonitor()
+	run(m, 0, 500*ms, func(now monotime.Micros) { m.Observe(now, "b", 1, 0, now > 300*ms, nil) })
+	run(m, 600*ms, 1300*ms, noHeartbeats)
+	assert.Equal(t, heartbeat.Left, m.Lookup("b").State)
 }
 
-// What waited while this process stood still is heard before time has passed here. It was heard then and not later: who is silent
-// from then on is suspected and dead as soon as ever.
-func TestHeardRightAfterAPause(t *testing.T) {
-	s := set()
-	run(s, 0, 1000*ms, func(now monotime.Micros) { s.Observe(now, "b", 1, 0, false, nil) })
-	const goesOn = 11_000 * ms
-	s.Observe(goesOn, "b", 1, 0, false, nil)
-	silent := func(monotime.Micros) {}
-	run(s, goesOn, goesOn+500*ms, silent)
-	assert.Equal(t, heartbeat.Alive, s.Lookup("b").State)
-	run(s, goesOn+600*ms, goesOn+700*ms, silent)
-	assert.Equal(t, heartbeat.Suspect, s.Lookup("b").State)
-	run(s, goesOn+800*ms, goesOn+3000*ms, silent)
-	assert.Equal(t, heartbeat.Dead, s.Lookup("b").State)
+// A heartbeat that was buffered while this process was paused is received before the first tick after the pause. It
+// counts from when it was received and not later: a peer that is silent from then on is suspect and dead as soon as
+// ever.
+func TestHeartbeatRightAfterAPauseIsNotMovedIntoTheFuture(t *testing.T) {
+	m := newMonitor()
+	run(m, 0, 1000*ms, func(now monotime.Micros) { m.Observe(now, "b", 1, 0, false, nil) })
+	const resumed = 11_000 * ms
+	m.Observe(resumed, "b", 1, 0, false, nil)
+	run(m, resumed, resumed+500*ms, noHeartbeats)
+	assert.Equal(t, heartbeat.Alive, m.Lookup("b").State)
+	run(m, resumed+600*ms, resumed+700*ms, noHeartbeats)
+	assert.Equal(t, heartbeat.Suspect, m.Lookup("b").State)
+	run(m, resumed+800*ms, resumed+3000*ms, noHeartbeats)
+	assert.Equal(t, heartbeat.Dead, m.Lookup("b").State)
 }
--- a/fleet/heartbeat/report.go
+++ b/fleet/heartbeat/report.go
@@ -1,32 +1,39 @@
 package heartbeat
 
 import (
+	"chutechute/internal/fieldcodec"
 	"chutechute/internal/monotime"
-	"chutechute/internal/proto"
 )
 
-// mostAge bounds the age in a report that was read, so that sums of it don't overflow.
-const mostAge = 1 << 62
+// Report is how long ago a front end received a heartbeat from another one.
+type Report struct {
+	Name        string
+	Incarnation uint64
+	Age         monotime.Micros
+}
+
+// maxAge bounds the age in a decoded report, so that sums of ages and times do not overflow.
+const maxAge monotime.Micros = 1 << 62
+
+// Fields lists the report's fields, for messages that nest it.
+func (r *Report) Fields(f *fieldcodec.Fields) {
+	f.String(1, &r.Name)
+	fieldcodec.Uint(f, 2, &r.Incarnation)
+	fieldcodec.IntUpTo(f, 3, &r.Age, maxAge)
+}
 
-// Encode gives the report's bytes.
+// Encode returns the encoded report.
 func (r Report) Encode() []byte {
-	b := proto.String(nil, 1, r.Name)
-	b = proto.Uint(b, 2, r.Incarnation)
-	return proto.Uint(b, 3, uint64(max(0, r.Age)))
+	f := fieldcodec.Encode(nil)
+	r.Fields(&f)
+	return f.Bytes()
 }
 
-// DecodeReport reads one.
+// DecodeReport decodes a report. Its error is fieldcodec.ErrMalformed.
 func DecodeReport(b []byte) (r Report, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		switch f.Number {
-		case 1:
-			r.Name = f.Text()
-		case 2:
-			r.Incarnation = f.Uint
-		case 3:
-			r.Age = monotime.Micros(min(f.Uint, mostAge))
-		}
-		return nil
-	})
-	return r, err
+	f := fieldcodec.Decode(b)
+	for f.Next() {
+		r.Fields(&f)
+	}
+	return r, f.Err()
 }
