--- a/fleet/transport/attached_test.go
+++ b/fleet/transport/attached_test.go
@@ -14,98 +14,106 @@
 )
 
 // The hello and the welcome of control members have the bytes that they had before front ends could attach.
-func TestHelloOfControlMembersIsAsBefore(t *testing.T) {
-	self := func(name, zone string, incarnation, disk uint64) *transport.Identity {
-		return &transport.Identity{Site: "legon", Name: name, Zone: zone, Incarnation: incarnation, ReplicaID: disk, MinVersion: 1, MaxVersion: 1,
-			SettingsDigest: []byte{1, 2, 3, 4, 5, 6, 7, 8}}
+func TestHandshakeOfControlMembersIsUnchanged(t *testing.T) {
+	identity := func(name, zone string, incarnation, replicaID uint64) *transport.Identity {
+		return &transport.Identity{Site: "legon", Name: name, Zone: zone, Incarnation: incarnation, ReplicaID: replicaID,
+			MinVersion: 1, MaxVersion: 1, SettingsDigest: []byte{1, 2, 3, 4, 5, 6, 7, 8}}
 	}
 	secret := transport.Secret("0123456789abcdef")
-	d := &transport.Dialer{Local: self("n1", "room-a", 0x1234567890, 77), ExpectedName: "n2", Secret: secret}
-	l := &transport.Listener{Local: self("n2", "room-b", 9, 78), Secret: secret, IsControlMember: func(string) bool { return true }, AcceptsAttached: true}
+	d := &transport.Dialer{Local: identity("n1", "room-a", 0x1234567890, 77), ExpectedName: "n2", Secret: secret}
+	l := &transport.Listener{Local: identity("n2", "room-b", 9, 78), Secret: secret,
+		IsControlMember: func(string) bool { return true }, AcceptsAttached: true}
 	d.Feed(l.Challenge([16]byte{}, 1<<20))
 	hello, err := d.Process()
 	require.NoError(t, err)
-	assert.Equal(t, "000000580200000000000a2e0a056c65676f6e12026e311a06726f6f6d2d612090f1d9a2a302284d30013801420801020304050607084a026e32122084735e08"+
-		"b2aa7c8e0f4d80a1c9a4599f5249ae1c195cb949486fb454914e9ecf", hex.EncodeToString(hello))
+	assert.Equal(t, "000000580200000000000a2e0a056c65676f6e12026e311a06726f6f6d2d612090f1d9a2a302284d30013801"+
+		"420801020304050607084a026e32122084735e08b2aa7c8e0f4d80a1c9a4599f5249ae1c195cb949486fb454914e9ecf",
+		hex.EncodeToString(hello))
 	l.Feed(hello)
 	welcome, _, err := l.Process()
 	require.NoError(t, err)
-	assert.Equal(t, "000000530300000000000a290a056c65676f6e12026e321a06726f6f6d2d622009284e30013801420801020304050607084a026e311220472b1687f1b0fe5385"+
-		"ccef70ebb39d1ca71ad06a3162915f82582ec92ccd7c8b", hex.EncodeToString(welcome))
+	assert.Equal(t, "000000530300000000000a290a056c65676f6e12026e321a06726f6f6d2d622009284e30013801420801020304"+
+		"050607084a026e311220472b1687f1b0fe5385ccef70ebb39d1ca71ad06a3162915f82582ec92ccd7c8b",
+		hex.EncodeToString(welcome))
 }
 
-// Who may link with whom, by names and roles.
-func TestNameAndRoleFitOneAnother(t *testing.T) {
+// The dialer's name and role have to fit one another and what the listener accepts.
+func TestListenerChecksNameAndRole(t *testing.T) {
 	for _, c := range []struct {
-		about             string
-		name              string
-		attached, attache bool
-		want              error
+		description     string
+		name            string
+		attached        bool
+		acceptsAttached bool
+		want            error
 	}{
-		{"a control member, as ever", "a", false, false, nil},
+		{"a control member", "a", false, false, nil},
 		{"a control member where others may attach", "a", false, true, nil},
-		{"a stranger that says it is a control member", "x", false, true, transport.ErrNameMismatch},
+		{"an unknown name in the role of a control member", "x", false, true, transport.ErrNameMismatch},
 		{"an attached one", "x-1.Y_2", true, true, nil},
 		{"an attached one where none may", "x", true, false, transport.ErrRoleMismatch},
 		{"an attached one under a control member's name", "a", true, true, transport.ErrRoleMismatch},
 		{"an attached one under the listener's name", "b", true, true, transport.ErrRoleMismatch},
 		{"no name", "", true, true, transport.ErrNameMismatch},
-		{"a name with a line's end", "x\n", true, true, transport.ErrNameMismatch},
+		{"a name with a newline", "x\n", true, true, transport.ErrNameMismatch},
 		{"a name that is not ASCII", "xé", true, true, transport.ErrNameMismatch},
 		{"the longest name", strings.Repeat("x", transport.MaxNameLength), true, true, nil},
 		{"a name that is too long", strings.Repeat("x", transport.MaxNameLength+1), true, true, transport.ErrNameMismatch},
 	} {
-		d, l := pair(nil, nil)
-		d.Local.Name, d.Local.Attached, l.AcceptsAttached = c.name, c.attached, c.attache
-		err := open(d, l)
+		d, l := newLink(nil, nil)
+		d.Local.Name, d.Local.Attached, l.AcceptsAttached = c.name, c.attached, c.acceptsAttached
+		err := establish(d, l)
 		if c.want == nil {
-			require.NoError(t, err, c.about)
-			assert.Equal(t, c.attached, l.Remote.Attached, c.about)
+			require.NoError(t, err, c.description)
+			assert.Equal(t, c.attached, l.Remote.Attached, c.description)
 			continue
 		}
-		assert.ErrorIs(t, err, c.want, c.about)
-		assert.False(t, l.Established(), c.about)
+		assert.ErrorIs(t, err, c.want, c.description)
+		assert.False(t, l.Established(), c.description)
 	}
-	d, l := pair(nil, nil)
+	d, l := newLink(nil, nil)
 	l.Local.Attached = true
-	assert.ErrorIs(t, open(d, l), transport.ErrRoleMismatch, "no front end attaches to an attached one")
-	d, l = attachedPair(transport.MaxFrameBody)
+	assert.ErrorIs(t, establish(d, l), transport.ErrRoleMismatch, "no front end attaches to an attached one")
+	d, l = newAttachedLink(transport.MaxFrameBody)
 	l.AtCapacity = true
-	assert.ErrorIs(t, open(d, l), transport.ErrAtCapacity)
-	d, l = pair(nil, nil)
+	assert.ErrorIs(t, establish(d, l), transport.ErrAtCapacity)
+	d, l = newLink(nil, nil)
 	l.AcceptsAttached, l.AtCapacity = true, true
-	assert.NoError(t, open(d, l), "there is always room for a control member")
+	assert.NoError(t, establish(d, l), "the capacity does not limit control members")
 }
 
-// attachedPair is an attached front end, which takes messages up to a limit, and a control member.
-func attachedPair(limit int) (*transport.Dialer, *transport.Listener) {
-	d, l := pair(nil, nil)
-	d.Local.Name, d.Local.Attached, d.MaxInbound, l.AcceptsAttached = "x", true, limit, true
+// newAttachedLink returns both sides of a link from an attached front end, which accepts messages up to a length, to a
+// control member.
+func newAttachedLink(maxInbound int) (*transport.Dialer, *transport.Listener) {
+	d, l := newLink(nil, nil)
+	d.Local.Name, d.Local.Attached, d.MaxInbound, l.AcceptsAttached = "x", true, maxInbound, true
 	return d, l
 }
 
-// Only an attached front end is sent messages over the link that it has dialled.
-func TestOnlyAttachedFrontEndsReceiveWhereTheyDial(t *testing.T) {
-	d, l := pair(nil, nil)
-	require.NoError(t, open(d, l))
+// Only an attached front end receives messages over the link that it has dialed.
+func TestOnlyAttachedDialersReceiveMessages(t *testing.T) {
+	d, l := newLink(nil, nil)
+	require.NoError(t, establish(d, l))
 	d.Feed(transport.AppendFrame(nil, transport.ViewUpdate, 0, false, []byte("view")))
 	_, err := d.Process()
 	assert.ErrorIs(t, err, transport.ErrUnexpectedFrame)
 	assert.Empty(t, d.Messages())
 
-	d, l = attachedPair(4 * transport.MaxFrameBody)
-	require.NoError(t, open(d, l))
+	d, l = newAttachedLink(4 * transport.MaxFrameBody)
+	require.NoError(t, establish(d, l))
 	q := transport.Queue{MaxUrgentBytes: 1 << 20, MaxBulkBytes: 1 << 20}
 	long := bytes.Repeat([]byte("v"), 3*transport.MaxFrameBody)
 	require.True(t, q.Push(transport.ViewUpdate, true, long))
 	d.Feed(q.Pop())
-	require.True(t, q.Push(transport.ViewUpdate, false, []byte("urgent")), "between two parts of the same kind")
+	require.True(t, q.Push(transport.ViewUpdate, false, []byte("urgent")), "between two fragments of the same kind")
 	for frame := q.Pop(); frame != nil; frame = q.Pop() {
 		d.Feed(frame)
 		_, err := d.Process()
 		require.NoError(t, err)
 	}
-	assert.Equal(t, []transport.Message{{Kind: transport.ViewUpdate, Body: []byte("urgent")}, {Kind: transport.ViewUpdate, Body: long}}, d.Messages())
+	assert.Equal(t, []transport.Message{
+		{Kind: transport.ViewUpdate, Body: []byte("urgent")},
+		{Kind: transport.ViewUpdate, Body: long},
+	}, d.Messages())
 	assert.Empty(t, d.Messages())
 	require.True(t, q.Push(transport.ViewUpdate, true, bytes.Repeat([]byte("v"), 5*transport.MaxFrameBody)))
 	for frame := q.Pop(); frame != nil; frame = q.Pop() {
@@ -113,14 +121,14 @@
 	}
 	_, err = d.Process()
 	assert.ErrorIs(t, err, transport.ErrFrameLength)
-	assert.Empty(t, d.Messages(), "a message above the limit")
+	assert.Empty(t, d.Messages(), "a message that is too long")
 }
 
-// A queue that drops what waits leaves the rest of a message that was begun, so that the reader can go on.
-func TestDroppingKeepsWhatWasBegun(t *testing.T) {
+// A queue that drops its messages keeps the rest of one that was started, so that the reader can continue.
+func TestDropUnstartedKeepsTheRestOfAStartedMessage(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d, l := attachedPair(1 << 22)
-		require.NoError(rt, open(d, l))
+		d, l := newAttachedLink(1 << 22)
+		require.NoError(rt, establish(d, l))
 		q := transport.Queue{MaxUrgentBytes: 1 << 22, MaxBulkBytes: 1 << 22}
 		sent := 0
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
@@ -131,7 +139,8 @@
 					sent++
 				}
 			case 1:
-				require.True(rt, q.Push(transport.Response, false, make([]byte, rapid.IntRange(1, 2*transport.MaxFrameBody).Draw(rt, "size"))))
+				body := make([]byte, rapid.IntRange(1, 2*transport.MaxFrameBody).Draw(rt, "size"))
+				require.True(rt, q.Push(transport.Response, false, body))
 			case 2:
 				q.DropUnstarted()
 			default:
@@ -150,43 +159,44 @@
 		}
 		_, err := d.Process()
 		require.NoError(rt, err)
-		list := d.Messages()
-		require.NotEmpty(rt, list)
-		require.Len(rt, list[len(list)-1].Body, 3*transport.MaxFrameBody)
-		for _, m := range list {
-			require.Equal(rt, len(m.Body), bytes.Count(m.Body, m.Body[:1]), "a message is of one piece")
+		messages := d.Messages()
+		require.NotEmpty(rt, messages)
+		require.Len(rt, messages[len(messages)-1].Body, 3*transport.MaxFrameBody)
+		for _, m := range messages {
+			require.Equal(rt, len(m.Body), bytes.Count(m.Body, m.Body[:1]), "no message is mixed with another")
 		}
 	})
 }
 
-// FuzzListener feeds what anyone may send to a listener that attached front ends may link to: it never panics, gives no message before
-// a hello that holds, and takes none that is longer than its bound.
+// FuzzListener feeds arbitrary bytes to a listener that accepts attached front ends: it never panics, returns no
+// message before the handshake, and none that is longer than its limit.
 func FuzzListener(f *testing.F) {
-	identity := &transport.Identity{Site: "s", Name: "x", Zone: "z", Incarnation: 3, MinVersion: 1, MaxVersion: 1, SettingsDigest: []byte("x"), Attached: true}
+	identity := &transport.Identity{Site: "s", Name: "x", Zone: "z", Incarnation: 3, MinVersion: 1, MaxVersion: 1,
+		SettingsDigest: []byte("x"), Attached: true}
 	d := &transport.Dialer{Local: identity, ExpectedName: "b"}
 	d.Feed(transport.AppendFrame(nil, transport.Challenge, 0, false, make([]byte, 16)))
 	hello, err := d.Process()
 	require.NoError(f, err)
 	f.Add(hello)
-	f.Add(append(bytes.Clone(hello), transport.AppendFrame(nil, transport.AttachedHeartbeat, 0, false, []byte("beat"))...))
-	f.Add(append(bytes.Clone(hello), transport.AppendFrame(nil, transport.Proposal, 0, true, []byte("part"))...))
-	f.Add(append(bytes.Clone(hello), transport.AppendFrame(nil, transport.Proposal, 7, false, []byte("later part"))...))
+	f.Add(transport.AppendFrame(bytes.Clone(hello), transport.AttachedHeartbeat, 0, false, []byte("beat")))
+	f.Add(transport.AppendFrame(bytes.Clone(hello), transport.Proposal, 0, true, []byte("part")))
+	f.Add(transport.AppendFrame(bytes.Clone(hello), transport.Proposal, 7, false, []byte("later part")))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 2, 0, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		const most = 1 << 17
-		_, l := pair(nil, nil)
+		const maxInbound = 1 << 17
+		_, l := newLink(nil, nil)
 		l.AcceptsAttached = true
-		l.Challenge([16]byte{}, most)
+		l.Challenge([16]byte{}, maxInbound)
 		for len(b) > 0 {
 			n := min(len(b), 1+len(b)/3)
 			l.Feed(b[:n])
 			b = b[n:]
-			_, list, err := l.Process()
-			if !l.Established() && len(list) > 0 {
-				t.Fatal("a message before the hello")
+			_, messages, err := l.Process()
+			if !l.Established() && len(messages) > 0 {
+				t.Fatal("a message before the handshake")
 			}
-			for _, m := range list {
-				if m.Kind <= transport.Welcome || len(m.Body) > most {
+			for _, m := range messages {
+				if m.Kind <= transport.Welcome || len(m.Body) > maxInbound {
 					t.Fatalf("%s of %d bytes", m.Kind, len(m.Body))
 				}
 			}
--- a/fleet/transport/queue.go
+++ b/fleet/transport/queue.go
@@ -1,114 +1,122 @@
 package transport
 
-// Queue holds what a link has to send: what is urgent first, and between two parts of a bulk message too, so that bulk never
-// delays a heartbeat. Both sides are bounded; what finds no room is dropped and counted, as a link may lose it anyway.
+// Queue is the send queue of a link. Urgent messages go first, also between two fragments of a bulk message, so that
+// bulk never delays a heartbeat. Both lanes are bounded; a message that does not fit is dropped and counted, which the
+// protocol tolerates, as a link may lose messages anyway.
 type Queue struct {
-	// MaxUrgentBytes and MostBulk bound the bytes that wait.
+	// MaxUrgentBytes and MaxBulkBytes bound the queued bytes of each lane.
 	MaxUrgentBytes, MaxBulkBytes int
-	Dropped                      int
+	// Dropped counts the messages that did not fit.
+	Dropped int
 
-	urgent, bulk   [][]byte // frames
-	urgentN, bulkN int      // bytes
-	urgentMid      bool     // the last urgent frame that was popped is not the last of its message
-	bulkMid        bool
-	status         int // place, from 1, of the status that waits: a newer one takes it; 0 without one
+	urgent, bulk lane
+	// heartbeat is the index, from 1, of the queued heartbeat's frame in the urgent lane, which a newer heartbeat
+	// replaces; 0 without one.
+	heartbeat int
 }
 
-// Push adds a message; false says that there was no room.
+// Push queues a message. It returns false if the message does not fit.
 func (q *Queue) Push(kind Kind, bulk bool, body []byte) bool {
-	length := len(body) + header*(1+len(body)/MaxFrameBody)
-	if bulk && q.bulkN+length > q.MaxBulkBytes || !bulk && q.urgentN+length > q.MaxUrgentBytes {
+	l, maxBytes := &q.urgent, q.MaxUrgentBytes
+	if bulk {
+		l, maxBytes = &q.bulk, q.MaxBulkBytes
+	}
+	size := len(body) + headerSize*(1+len(body)/MaxFrameBody)
+	if l.bytes+size > maxBytes {
 		q.Dropped++
 		return false
 	}
-	if kind == ControlHeartbeat && q.status > 0 {
-		frame := AppendFrame(nil, kind, 0, false, body)
-		q.urgentN += len(frame) - len(q.urgent[q.status-1])
-		q.urgent[q.status-1] = frame
+	if kind == ControlHeartbeat && q.heartbeat > 0 {
+		q.urgent.replace(q.heartbeat-1, AppendFrame(nil, kind, 0, false, body))
 		return true
 	}
-	for offset := 0; ; offset += MaxFrameBody {
-		part := body[offset:]
-		further := len(part) > MaxFrameBody
-		if further {
-			part = part[:MaxFrameBody]
-		}
-		frame := AppendFrame(nil, kind, offset, further, part)
-		if bulk {
-			q.bulk, q.bulkN = append(q.bulk, frame), q.bulkN+len(frame)
-		} else {
-			q.urgent, q.urgentN = append(q.urgent, frame), q.urgentN+len(frame)
-			if kind == ControlHeartbeat {
-				q.status = len(q.urgent)
-			}
-		}
-		if !further {
-			return true
-		}
+	l.pushMessage(kind, body)
+	if kind == ControlHeartbeat && !bulk {
+		q.heartbeat = len(q.urgent.frames)
 	}
+	return true
 }
 
-// Pop gives the next frame; nil where none waits.
+// Pop takes the next frame, nil if the queue is empty.
 func (q *Queue) Pop() []byte {
-	if len(q.urgent) > 0 {
-		frame := q.urgent[0]
-		q.urgent, q.urgentN = q.urgent[1:], q.urgentN-len(frame)
-		q.urgentMid = more(frame)
-		q.status = max(0, q.status-1)
-		if len(q.urgent) == 0 {
-			q.urgent = nil
-		}
-		return frame
+	if len(q.urgent.frames) == 0 {
+		return q.bulk.pop()
 	}
-	if len(q.bulk) == 0 {
-		return nil
-	}
-	frame := q.bulk[0]
-	q.bulk, q.bulkN = q.bulk[1:], q.bulkN-len(frame)
-	q.bulkMid = more(frame)
-	if len(q.bulk) == 0 {
-		q.bulk = nil
-	}
-	return frame
+	q.heartbeat = max(0, q.heartbeat-1)
+	return q.urgent.pop()
 }
 
-// Len is the bytes that wait.
-func (q *Queue) Len() int { return q.urgentN + q.bulkN }
+// Len returns the queued bytes.
+func (q *Queue) Len() int { return q.urgent.bytes + q.bulk.bytes }
 
-// Clear drops all that waits: its connection is gone.
+// Clear drops everything that is queued, as the connection is closed.
 func (q *Queue) Clear() {
-	q.urgent, q.bulk, q.urgentN, q.bulkN, q.status = nil, nil, 0, 0, 0
-	q.urgentMid, q.bulkMid = false, false
+	q.urgent, q.bulk = lane{}, lane{}
+	q.heartbeat = 0
 }
 
-// DropUnstarted drops the messages of which nothing has been popped, while the connection goes on: of one that was begun the rest
-// stays, without which the other side could not read what follows.
+// DropUnstarted drops the messages of which no frame was popped, while the connection continues. The rest of a message
+// that was started stays, as the remote side could not read what follows without it.
 func (q *Queue) DropUnstarted() {
-	urgent, bulk := begun(q.urgent, q.urgentMid), begun(q.bulk, q.bulkMid)
-	urgentMid, bulkMid := q.urgentMid, q.bulkMid
-	q.Clear()
-	q.urgent, q.bulk, q.urgentN, q.bulkN = urgent, bulk, size(urgent), size(bulk)
-	q.urgentMid, q.bulkMid = urgentMid, bulkMid
+	q.urgent.dropUnstarted()
+	q.bulk.dropUnstarted()
+	q.heartbeat = 0
+}
+
+// lane is a FIFO queue of frames.
+type lane struct {
+	frames     [][]byte
+	bytes      int  // in frames
+	midMessage bool // further frames of the message whose frame was popped last are queued
 }
 
-// begun gives the frames that belong to a message of which some were popped.
-func begun(frames [][]byte, mid bool) (rest [][]byte) {
-	for _, frame := range frames {
-		if !mid {
-			break
+// pushMessage queues the frames of a message.
+func (l *lane) pushMessage(kind Kind, body []byte) {
+	for offset := 0; ; offset += MaxFrameBody {
+		fragment := body[offset:]
+		more := len(fragment) > MaxFrameBody
+		if more {
+			fragment = fragment[:MaxFrameBody]
+		}
+		l.push(AppendFrame(nil, kind, offset, more, fragment))
+		if !more {
+			return
 		}
-		rest = append(rest, frame)
-		mid = more(frame)
 	}
-	return rest
 }
 
-func size(frames [][]byte) (bytes int) {
-	for _, frame := range frames {
-		bytes += len(frame)
+func (l *lane) push(frame []byte) {
+	l.frames = append(l.frames, frame)
+	l.bytes += len(frame)
+}
+
+// replace puts a frame in place of the one at the index.
+func (l *lane) replace(index int, frame []byte) {
+	l.bytes += len(frame) - len(l.frames[index])
+	l.frames[index] = frame
+}
+
+// pop takes the first frame, nil if the lane is empty.
+func (l *lane) pop() []byte {
+	if len(l.frames) == 0 {
+		return nil
+	}
+	frame := l.frames[0]
+	l.frames = l.frames[1:]
+	l.bytes -= len(frame)
+	l.midMessage = hasMore(frame)
+	if len(l.frames) == 0 {
+		l.frames = nil
 	}
-	return bytes
+	return frame
 }
 
-// more says whether a frame is followed by others of its message.
-func more(frame []byte) bool { return frame[flagsAt]&moreFlag != 0 }
+// dropUnstarted drops all frames but those of a message of which a frame was popped.
+func (l *lane) dropUnstarted() {
+	started := lane{midMessage: l.midMessage}
+	for more, i := l.midMessage, 0; more && i < len(l.frames); i++ {
+		started.push(l.frames[i])
+		more = hasMore(l.frames[i])
+	}
+	*l = started
+}
--- a/fleet/transport/transport_test.go
+++ b/fleet/transport/transport_test.go
@@ -15,16 +15,20 @@
 
 func TestMain(m *testing.M) { os.Exit(standin.Seeded(m)) }
 
-func pair(secretA, secretB transport.Secret) (*transport.Dialer, *transport.Listener) {
-	self := func(name string, n uint64) *transport.Identity {
-		return &transport.Identity{Site: "s", Name: name, Incarnation: n, ReplicaID: n, MinVersion: 1, MaxVersion: 1, SettingsDigest: []byte("x")}
+// newLink returns both sides of a link between the control members a and b, before the handshake.
+func newLink(dialerSecret, listenerSecret transport.Secret) (*transport.Dialer, *transport.Listener) {
+	identity := func(name string, number uint64) *transport.Identity {
+		return &transport.Identity{Site: "s", Name: name, Incarnation: number, ReplicaID: number,
+			MinVersion: 1, MaxVersion: 1, SettingsDigest: []byte("x")}
 	}
-	return &transport.Dialer{Local: self("a", 1), ExpectedName: "b", Secret: secretA}, &transport.Listener{Local: self("b", 2), Secret: secretB,
+	d := &transport.Dialer{Local: identity("a", 1), ExpectedName: "b", Secret: dialerSecret}
+	l := &transport.Listener{Local: identity("b", 2), Secret: listenerSecret,
 		IsControlMember: func(name string) bool { return name == "a" }}
+	return d, l
 }
 
-// open goes through the hello of both sides.
-func open(d *transport.Dialer, l *transport.Listener) error {
+// establish goes through the handshake of both sides.
+func establish(d *transport.Dialer, l *transport.Listener) error {
 	d.Feed(l.Challenge([16]byte{1, 2, 3}, 1<<20))
 	hello, err := d.Process()
 	if err != nil {
@@ -40,14 +44,15 @@
 	return err
 }
 
-// Messages come whole and in the order of their kind, however the bytes are cut, and a part that comes twice does no harm.
-func TestMessagesComeWhole(t *testing.T) {
+// Messages arrive complete and in the order of their kind, however the bytes are split, and duplicate frames do no
+// harm.
+func TestMessagesArriveCompleteAndInOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d, l := pair(transport.Secret("k"), transport.Secret("k"))
-		require.NoError(t, open(d, l))
+		d, l := newLink(transport.Secret("k"), transport.Secret("k"))
+		require.NoError(t, establish(d, l))
 		require.True(t, d.Established() && l.Established())
 		q := transport.Queue{MaxUrgentBytes: 1 << 20, MaxBulkBytes: 1 << 22}
-		twice := rapid.Bool().Draw(rt, "frames come twice")
+		duplicates := rapid.Bool().Draw(rt, "frames are duplicated")
 		var want [][]byte
 		for i := range rapid.IntRange(1, 6).Draw(rt, "messages") {
 			body := bytes.Repeat([]byte{byte(i + 1)}, rapid.IntRange(0, 3*transport.MaxFrameBody).Draw(rt, "size"))
@@ -58,30 +63,30 @@
 		var wire []byte
 		for frame := q.Pop(); frame != nil; frame = q.Pop() {
 			wire = append(wire, frame...)
-			if twice && rapid.Bool().Draw(rt, "twice") {
+			if duplicates && rapid.Bool().Draw(rt, "duplicate") {
 				wire = append(wire, frame...)
 			}
 		}
 		var got [][]byte
 		for len(wire) > 0 {
-			n := min(len(wire), rapid.IntRange(1, 100_000).Draw(rt, "cut"))
+			n := min(len(wire), rapid.IntRange(1, 100_000).Draw(rt, "length"))
 			l.Feed(wire[:n])
 			wire = wire[n:]
-			_, list, err := l.Process()
-			if err != nil { // a last part that comes twice follows nothing: the link ends
-				require.True(rt, twice, "%v", err)
+			_, messages, err := l.Process()
+			if err != nil { // a duplicate of a message's last fragment is out of order: the link ends
+				require.True(rt, duplicates, "%v", err)
 				require.ErrorIs(rt, err, transport.ErrFragmentOrder)
 				break
 			}
-			for _, m := range list {
+			for _, m := range messages {
 				got = append(got, m.Body)
 			}
 		}
-		if !twice {
+		if !duplicates {
 			require.Equal(rt, len(want), len(got))
 		}
 		next := 0
-		for _, body := range got { // each is one that was sent, whole, and none comes before one that was sent earlier
+		for _, body := range got { // each was sent, is complete, and follows none that was sent later
 			for next < len(want) && !bytes.Equal(want[next], body) {
 				next++
 			}
@@ -90,8 +95,8 @@
 	})
 }
 
-// A heartbeat goes before bulk that waits, and only the newest one.
-func TestBulkDelaysNoHeartbeat(t *testing.T) {
+// A heartbeat is sent before queued bulk, and only the newest one is.
+func TestHeartbeatIsSentBeforeBulkAndOnlyTheNewest(t *testing.T) {
 	q := transport.Queue{MaxUrgentBytes: 1 << 20, MaxBulkBytes: 1 << 22}
 	require.True(t, q.Push(transport.Replication, true, make([]byte, 10*transport.MaxFrameBody)))
 	q.Pop()
@@ -99,39 +104,39 @@
 	require.True(t, q.Push(transport.ControlHeartbeat, false, []byte("new")))
 	assert.Contains(t, string(q.Pop()), "new")
 	assert.Greater(t, len(q.Pop()), transport.MaxFrameBody)
-	assert.False(t, q.Push(transport.Replication, true, make([]byte, 1<<22)), "the queue has a bound")
+	assert.False(t, q.Push(transport.Replication, true, make([]byte, 1<<22)), "the queue is bounded")
 	assert.Equal(t, 1, q.Dropped)
 }
 
-// Rubbish, lies about lengths and strangers end a link with an error, and never more than that.
-func TestRubbishEndsTheLink(t *testing.T) {
+// Garbage, wrong lengths and remote sides that may not link end the link with an error and do no other harm.
+func TestInvalidInputEndsTheLink(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d, l := pair(nil, nil)
-		if rapid.Bool().Draw(rt, "open") {
-			require.NoError(t, open(d, l))
+		d, l := newLink(nil, nil)
+		if rapid.Bool().Draw(rt, "established") {
+			require.NoError(t, establish(d, l))
 		} else {
 			l.Challenge([16]byte{}, 1<<20)
 		}
 		l.Feed(rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(rt, "bytes"))
-		_, list, err := l.Process()
+		_, messages, err := l.Process()
 		if err == nil && !l.Established() {
-			assert.Empty(t, list)
+			assert.Empty(t, messages)
 		}
 	})
-	d, l := pair(transport.Secret("right"), transport.Secret("wrong"))
-	assert.ErrorIs(t, open(d, l), transport.ErrAuthentication)
-	d, l = pair(nil, nil)
+	d, l := newLink(transport.Secret("right"), transport.Secret("wrong"))
+	assert.ErrorIs(t, establish(d, l), transport.ErrAuthentication)
+	d, l = newLink(nil, nil)
 	d.Local.SettingsDigest = []byte("other")
-	assert.ErrorIs(t, open(d, l), transport.ErrSettingsMismatch)
-	d, l = pair(nil, nil)
+	assert.ErrorIs(t, establish(d, l), transport.ErrSettingsMismatch)
+	d, l = newLink(nil, nil)
 	d.Local.Site = "other"
-	assert.ErrorIs(t, open(d, l), transport.ErrSiteMismatch)
-	d, l = pair(nil, nil)
+	assert.ErrorIs(t, establish(d, l), transport.ErrSiteMismatch)
+	d, l = newLink(nil, nil)
 	d.Local.MinVersion, d.Local.MaxVersion = 7, 9
-	assert.ErrorIs(t, open(d, l), transport.ErrNoCommonVersion)
-	d, l = pair(nil, nil)
-	d.Local.Name = "stranger"
-	assert.ErrorIs(t, open(d, l), transport.ErrNameMismatch)
+	assert.ErrorIs(t, establish(d, l), transport.ErrNoCommonVersion)
+	d, l = newLink(nil, nil)
+	d.Local.Name = "unknown"
+	assert.ErrorIs(t, establish(d, l), transport.ErrNameMismatch)
 	l = &transport.Listener{Local: l.Local}
 	l.Challenge([16]byte{}, 1<<20)
 	l.Feed([]byte{0xff, 0xff, 0xff, 0xff, 2, 0, 0, 0, 0, 0})
