--- a/fleet/attached_test.go
+++ b/fleet/attached_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Both roles see all of both roles; a process that ends is seen dead, and one that leaves is seen to have left, also in the record's
-// eyes.
+// Both roles see all of both roles; a process that ends is seen dead, and one that leaves is seen to have left,
+// also in the record's eyes.
 func TestAttachedAreSeen(t *testing.T) {
 	r := newRig(t, true)
 	r.leader()
@@ -188,17 +188,17 @@
 	link := fleet.Link{From: other.name, Incarnation: other.incarnation, ChallengedAt: second}
 	ask := replication.Command{StateMachine: 1, Version: 1, Proposer: 7, Sequence: 1}
 	for want, body := range map[error][]byte{
-		fleet.ErrProposerMismatch: fleet.Forwarded(8, transport.Proposal, ask.Encode()),
-		transport.ErrUnknownKind:  fleet.Forwarded(7, transport.ControlHeartbeat, nil),
+		fleet.ErrProposerMismatch: fleet.EncodeForward(8, transport.Proposal, ask.Encode()),
+		transport.ErrUnknownKind:  fleet.EncodeForward(7, transport.ControlHeartbeat, nil),
 	} {
 		assert.ErrorIs(t, leads.Receive(r.now, link, transport.Forward, body), want)
 	}
 	assert.Error(t, leads.Receive(r.now, link, transport.Forward, []byte{0xff}))
-	assert.Error(t, leads.Receive(r.now, link, transport.Forward, fleet.Forwarded(7, transport.Proposal, []byte{0xff})))
+	assert.Error(t, leads.Receive(r.now, link, transport.Forward, fleet.EncodeForward(7, transport.Proposal, []byte{0xff})))
 }
 
-// What an attached front end has under way is never offered to others: a leader that sees its process dead leaves it alone, and
-// lets what has not begun lapse.
+// What an attached front end has under way is never offered to others: a leader that sees its process dead leaves
+// it alone, and lets what has not begun lapse.
 func TestLoadsOfAttachedAreNotOffered(t *testing.T) {
 	r := newRig(t, true)
 	leads, _ := r.leader()
--- a/fleet/export_test.go
+++ b/fleet/export_test.go
@@ -2,8 +2,8 @@
 
 import "chutechute/fleet/transport"
 
-// Forwarded is what a control member passes on.
-func Forwarded(process uint64, kind transport.Kind, body []byte) []byte {
-	w := forwarded{process, kind, body}
-	return w.encode()
+// EncodeForward returns an encoded message that a control member forwards.
+func EncodeForward(process uint64, kind transport.Kind, body []byte) []byte {
+	m := forwardMessage{process, kind, body}
+	return m.encode()
 }
--- a/fleet/forward.go
+++ b/fleet/forward.go
@@ -3,102 +3,77 @@
 import (
 	"chutechute/fleet/replication"
 	"chutechute/fleet/transport"
-	"chutechute/internal/proto"
 )
 
-// An attached front end asks the record through a control member that it has a link to, its home, and the record's leader answers
-// through a control member that the process has a link to then. What comes for a process that has none is dropped: who waits for
-// it asks again.
+// An attached front end sends its proposals by way of a control member that it has a link to, its home, and the
+// leader of the replicated log responds by way of a control member that the process has a link to by then. What is
+// for a process without a link is dropped: its proposer sends the proposal again.
 
-// forwarded is a message between an attached front end and the record's leader, on its way from one control member to another.
-type forwarded struct {
-	Process uint64         // the attached front end's
-	Kind    transport.Kind // Ask to the leader; Answer or Note from it
-	Body    []byte
-}
-
-func (f *forwarded) encode() []byte {
-	b := make([]byte, 0, len(f.Body)+32)
-	b = proto.Uint(b, 1, f.Process)
-	b = proto.Uint(b, 2, uint64(f.Kind))
-	return proto.Message(b, 3, f.Body)
-}
-
-func decodeForwarded(b []byte) (w forwarded, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		switch f.Number {
-		case 1:
-			w.Process = f.Uint
-		case 2:
-			w.Kind = transport.Kind(min(f.Uint, 255))
-		case 3:
-			w.Body = f.Copy()
-		}
-		return nil
-	})
-	return w, err
-}
-
-// forwardAsk passes the question of an attached front end to who leads the record. Where none is known it is dropped.
-func (n *Node) forwardAsk(l Link, body []byte) error {
-	c, err := replication.DecodeCommand(body)
+// forwardProposal passes a proposal of an attached front end on to the leader. It is dropped if no leader is known.
+func (n *Node) forwardProposal(l Link, body []byte) error {
+	command, err := decodeCommandOf(l.Incarnation, body)
 	if err != nil {
 		return err
 	}
-	if uint64(c.Proposer) != l.Incarnation {
-		return ErrProposerMismatch
-	}
-	switch leader := n.toLeader.target(); leader {
+	switch leader := n.leaderRoute.target(); leader {
 	case "":
 		n.Undeliverable++
 	case n.cfg.Name:
 		n.Forwarded++
-		n.replica.Propose(n.now, c)
+		n.replica.Propose(n.now, command)
 	default:
 		n.Forwarded++
-		w := forwarded{l.Incarnation, transport.Proposal, body}
-		n.tell(leader, transport.Forward, false, w.encode())
+		m := forwardMessage{l.Incarnation, transport.Proposal, body}
+		n.send(leader, transport.Forward, false, m.encode())
 	}
 	return nil
 }
 
-// takeForwarded takes what another control member passes on.
-func (n *Node) takeForwarded(body []byte) error {
-	w, err := decodeForwarded(body)
+// decodeCommandOf decodes the command of a proposal that has to come from the process.
+func decodeCommandOf(process uint64, body []byte) (replication.Command, error) {
+	command, err := replication.DecodeCommand(body)
+	if err == nil && uint64(command.Proposer) != process {
+		err = ErrProposerMismatch
+	}
+	return command, err
+}
+
+// receiveForward handles a message that another control member forwards.
+func (n *Node) receiveForward(body []byte) error {
+	m, err := decodeForwardMessage(body)
 	if err != nil {
 		return err
 	}
-	switch w.Kind {
+	switch m.Kind {
 	case transport.Proposal:
-		c, err := replication.DecodeCommand(w.Body)
+		command, err := decodeCommandOf(m.Process, m.Body)
 		if err != nil {
 			return err
 		}
-		if uint64(c.Proposer) != w.Process {
-			return ErrProposerMismatch
-		}
-		n.replica.Propose(n.now, c)
+		n.replica.Propose(n.now, command)
 	case transport.Response:
-		n.learnLeader(w.Body)
-		n.deliver(w.Process, w.Kind, w.Body)
+		n.learnLeader(m.Body)
+		n.sendToLinked(m.Process, m.Kind, m.Body)
 	case transport.Notification:
-		n.deliver(w.Process, w.Kind, w.Body)
+		n.sendToLinked(m.Process, m.Kind, m.Body)
 	default:
 		return transport.ErrUnknownKind
 	}
 	return nil
 }
 
-// learnLeader has the next question of an attached front end go where a refusal points.
-func (n *Node) learnLeader(answer []byte) {
-	if a, err := replication.DecodeResponse(answer); err == nil && a.Result == replication.NotLeader && a.Leader != 0 {
-		n.toLeader.redirected(a.Leader, "")
+// learnLeader has the next proposals go to the leader that a forwarded response names.
+func (n *Node) learnLeader(body []byte) {
+	response, err := replication.DecodeResponse(body)
+	if err == nil && response.Result == replication.NotLeader && response.Leader != 0 {
+		n.leaderRoute.redirect(response.Leader, "")
 	}
 }
 
-// toAttached sends a message of the record to a process of an attached front end, by way of a control member that has a link to it.
-func (n *Node) toAttached(process uint64, kind transport.Kind, body []byte) {
-	if process == 0 { // of the leader itself
+// forwardToAttached sends a message of the replicated log to a process of an attached front end, by way of a control
+// member that has a link to it.
+func (n *Node) forwardToAttached(process uint64, kind transport.Kind, body []byte) {
+	if process == 0 { // the leader's own command, which nobody waits for
 		return
 	}
 	home, ok := n.server.HomeOf(process)
@@ -106,19 +81,19 @@
 	case !ok:
 		n.Undeliverable++
 	case home == n.cfg.Name:
-		n.deliver(process, kind, body)
+		n.sendToLinked(process, kind, body)
 	default:
-		w := forwarded{process, kind, body}
-		n.tell(home, transport.Forward, false, w.encode())
+		m := forwardMessage{process, kind, body}
+		n.send(home, transport.Forward, false, m.encode())
 	}
 }
 
-// deliver sends a message over this control member's own link to an attached front end.
-func (n *Node) deliver(process uint64, kind transport.Kind, body []byte) {
-	held, ok := n.linked[process]
+// sendToLinked sends a message over this control member's own link to a process of an attached front end.
+func (n *Node) sendToLinked(process uint64, kind transport.Kind, body []byte) {
+	linked, ok := n.linked[process]
 	if !ok {
 		n.Undeliverable++
 		return
 	}
-	n.actions = append(n.actions, Send{To: held.name, Incarnation: process, Kind: kind, Body: body})
+	n.actions = append(n.actions, Send{To: linked.name, Incarnation: process, Kind: kind, Body: body})
 }
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -10,8 +10,8 @@
 	"chutechute/internal/raftlog"
 )
 
-// FuzzReceive feeds what a peer may send, once its hello holds, to both roles. Nothing panics; and an attached front end's message
-// never becomes one among control members, but for a question in its own name.
+// FuzzReceive feeds what a peer may send, once its hello holds, to both roles. Nothing panics; and an attached
+// front end's message never becomes one among control members, but for a question in its own name.
 func FuzzReceive(f *testing.F) {
 	const own, process = 5, 7
 	ask := replication.Command{StateMachine: 1, Version: 1, Proposer: process, Sequence: 1, Body: []byte("body")}
@@ -19,8 +19,8 @@
 		f.Add(byte(kind), ask.Encode())
 		f.Add(byte(kind), []byte{0xff})
 	}
-	f.Add(byte(transport.Forward), fleet.Forwarded(process, transport.Proposal, ask.Encode()))
-	f.Add(byte(transport.Forward), fleet.Forwarded(process, transport.Response, replication.Response{Sequence: 1, Result: replication.NotLeader, Leader: 9}.Encode()))
+	f.Add(byte(transport.Forward), fleet.EncodeForward(process, transport.Proposal, ask.Encode()))
+	f.Add(byte(transport.Forward), fleet.EncodeForward(process, transport.Response, replication.Response{Sequence: 1, Result: replication.NotLeader, Leader: 9}.Encode()))
 	controls := []membership.ControlMember{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
 	f.Fuzz(func(t *testing.T, kind byte, body []byte) {
 		now := second
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -3,108 +3,98 @@
 import (
 	"chutechute/fleet/heartbeat"
 	"chutechute/fleet/transport"
-	"chutechute/internal/proto"
 )
 
-// A way may fail in one direction alone. Who is heard and says in its heartbeats that it does not hear this front end is told
-// by way of another that it does hear; and who is not heard itself, but elsewhere, is told both directly and by way of one who
-// hears it. One hop, small messages only. A message that comes twice does no harm, so nothing rests on this being right.
+// A link may fail in one direction alone. A control member whose heartbeats arrive here and report that those of
+// this front end do not arrive there is sent messages by way of a third that it receives heartbeats from. One whose
+// heartbeats do not arrive here, but elsewhere, is sent messages both directly and by way of a third that receives
+// its heartbeats. Messages are relayed once, and small ones only. A message that arrives twice does no harm, so
+// that nothing depends on this being right.
 
-// relayed is a message on its way through a third front end.
-type relayed struct {
-	To          string
-	From        string
-	Incarnation uint64
-	Kind        transport.Kind
-	Body        []byte
-}
-
-func (r *relayed) encode() []byte {
-	b := make([]byte, 0, len(r.Body)+64)
-	b = proto.String(b, 1, r.To)
-	b = proto.String(b, 2, r.From)
-	b = proto.Uint(b, 3, r.Incarnation)
-	b = proto.Uint(b, 4, uint64(r.Kind))
-	return proto.Message(b, 5, r.Body)
-}
-
-func decodeRelayed(b []byte) (r relayed, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		switch f.Number {
-		case 1:
-			r.To = f.Text()
-		case 2:
-			r.From = f.Text()
-		case 3:
-			r.Incarnation = f.Uint
-		case 4:
-			r.Kind = transport.Kind(f.Uint)
-		case 5:
-			r.Body = f.Copy()
-		}
-		return nil
-	})
-	return r, err
+// send sends a message to a control member, and relays it too if the direct link is known to fail.
+func (n *Node) send(to string, kind transport.Kind, bulk bool, body []byte) {
+	n.actions = append(n.actions, Send{To: to, Kind: kind, Bulk: bulk, Body: body})
+	if bulk || len(body) >= transport.MaxFrameBody {
+		return
+	}
+	via := n.relayFor(to)
+	if via == "" {
+		return
+	}
+	n.Relayed++
+	m := relayMessage{To: to, From: n.cfg.Name, Incarnation: n.cfg.Incarnation, Kind: kind, Body: body}
+	n.actions = append(n.actions, Send{To: via, Kind: transport.Relay, Body: m.encode()})
 }
 
-// tell sends a message, by way of another where the direct way is known to fail.
-func (n *Node) tell(to string, kind transport.Kind, bulk bool, body []byte) {
-	n.actions = append(n.actions, Send{To: to, Kind: kind, Bulk: bulk, Body: body})
-	if via := n.detour(to); via != "" && !bulk && len(body) < transport.MaxFrameBody {
-		n.Relayed++
-		r := relayed{to, n.cfg.Name, n.cfg.Incarnation, kind, body}
-		n.actions = append(n.actions, Send{To: via, Kind: transport.Relay, Body: r.encode()})
+// relayFor returns the control member by way of which messages to another are relayed, empty if none are.
+func (n *Node) relayFor(to string) string {
+	peer, last := n.monitor.Lookup(to), n.lastHeartbeats[to]
+	if peer == nil || last == nil || last.Incarnation != peer.Incarnation {
+		return ""
+	}
+	switch {
+	case peer.State == heartbeat.Alive && !n.receives(last, n.cfg.Name, n.cfg.Incarnation):
+		return n.relayReceivedBy(peer, last)
+	case peer.State == heartbeat.IndirectlyAlive:
+		return n.relayReceiving(peer)
 	}
+	return ""
 }
 
-// hears says whether a heartbeat tells that its sender has heard that process of late.
-func (n *Node) hears(s *status, name string, incarnation uint64) bool {
-	for _, r := range s.Reports {
-		if r.Name == name {
-			return r.Incarnation == incarnation && r.Age < n.cfg.Heartbeat.SuspectAfter
+// receives reports whether a heartbeat says that its sender has received a heartbeat from a process recently.
+func (n *Node) receives(m *controlHeartbeat, name string, incarnation uint64) bool {
+	for _, report := range m.Reports {
+		if report.Name == name {
+			return report.Incarnation == incarnation && report.Age < n.cfg.Heartbeat.SuspectAfter
 		}
 	}
 	return false
 }
 
-// detour is the front end by way of which another is to be told; empty where the direct way serves.
-func (n *Node) detour(to string) (via string) {
-	m, s := n.members.Lookup(to), n.others[to]
-	if m == nil || s == nil || s.Incarnation != m.Incarnation {
+// relayReceivedBy returns the first other control member that a peer receives heartbeats from, by the peer's last
+// heartbeat. One that is alive is preferred.
+func (n *Node) relayReceivedBy(peer *heartbeat.Peer, last *controlHeartbeat) string {
+	var via *heartbeat.Peer
+	for _, other := range n.monitor.Peers() {
+		if other == peer || other.Incarnation == 0 || !n.receives(last, other.Name, other.Incarnation) {
+			continue
+		}
+		if via == nil || other.State == heartbeat.Alive && via.State != heartbeat.Alive {
+			via = other
+		}
+	}
+	if via == nil {
 		return ""
 	}
-	switch {
-	case m.State == heartbeat.Alive && !n.hears(s, n.cfg.Name, n.cfg.Incarnation):
-		for _, o := range n.members.Peers() {
-			if o == m || o.Incarnation == 0 || !n.hears(s, o.Name, o.Incarnation) {
-				continue
-			}
-			if via == "" || o.State == heartbeat.Alive && n.members.Lookup(via).State != heartbeat.Alive {
-				via = o.Name
-			}
+	return via.Name
+}
+
+// relayReceiving returns the first other control member that is alive and receives heartbeats from a peer.
+func (n *Node) relayReceiving(peer *heartbeat.Peer) string {
+	for _, other := range n.monitor.Peers() {
+		last := n.lastHeartbeats[other.Name]
+		if other == peer || other.State != heartbeat.Alive || last == nil {
+			continue
 		}
-	case m.State == heartbeat.IndirectlyAlive:
-		for _, o := range n.members.Peers() {
-			if os := n.others[o.Name]; o != m && o.State == heartbeat.Alive && os != nil && n.hears(os, to, m.Incarnation) {
-				return o.Name
-			}
+		if n.receives(last, peer.Name, peer.Incarnation) {
+			return other.Name
 		}
 	}
-	return via
+	return ""
 }
 
-// relay takes a message that came through another, or hands one on.
-func (n *Node) relay(l Link, body []byte) error {
-	r, err := decodeRelayed(body)
+// receiveRelay handles a relayed message: it is for this front end, or to be passed on.
+func (n *Node) receiveRelay(l Link, body []byte) error {
+	m, err := decodeRelayMessage(body)
 	switch {
 	case err != nil:
 		return err
-	case r.Kind == transport.Relay || r.Kind == transport.ControlHeartbeat || n.members.Lookup(r.From) == nil:
+	case m.Kind == transport.Relay || m.Kind == transport.ControlHeartbeat || n.monitor.Lookup(m.From) == nil:
 		return nil
-	case r.To == n.cfg.Name:
-		return n.Receive(n.now, Link{From: r.From, Incarnation: r.Incarnation}, r.Kind, r.Body)
-	case r.From == l.From && n.members.Lookup(r.To) != nil:
-		n.actions = append(n.actions, Send{To: r.To, Kind: transport.Relay, Body: body})
+	case m.To == n.cfg.Name:
+		return n.Receive(n.now, Link{From: m.From, Incarnation: m.Incarnation}, m.Kind, m.Body)
+	case m.From == l.From && n.monitor.Lookup(m.To) != nil:
+		n.actions = append(n.actions, Send{To: m.To, Kind: transport.Relay, Body: body})
 	}
 	return nil
 }
