--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -7,50 +7,109 @@
 	"chutechute/fleet/membership"
 	"chutechute/fleet/replication"
 	"chutechute/fleet/transport"
+	"chutechute/internal/monotime"
 	"chutechute/internal/raftlog"
 )
 
-// FuzzReceive feeds what a peer may send, once its hello holds, to both roles. Nothing panics; and an attached
-// front end's message never becomes one among control members, but for a question in its own name.
+const (
+	fuzzedIncarnation   = 5 // of the control member
+	attachedIncarnation = 7
+)
+
+var fuzzedControlMembers = []membership.ControlMember{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
+
+// newFuzzedNode returns a control member to which front ends may attach.
+func newFuzzedNode(t *testing.T, now monotime.Micros) *fleet.Node {
+	n := fleet.NewNode(fleet.Config{
+		Name:              "n1",
+		Zone:              "a",
+		Incarnation:       fuzzedIncarnation,
+		Zones:             map[string]string{"n2": "b"},
+		HeartbeatInterval: 2 * tickInterval,
+		RetryInterval:     retryInterval,
+		Membership: &membership.Config{
+			Name:           "n1",
+			Zone:           "a",
+			Incarnation:    fuzzedIncarnation,
+			ControlMembers: fuzzedControlMembers,
+		},
+		Replication: replication.Config{
+			ID:               8,
+			Replicas:         1,
+			TickInterval:     tickInterval,
+			SnapshotLogBytes: 1 << 20,
+			Logger:           raftlog.New(),
+		},
+	}, func(string) {})
+	if err := n.Recover(now, nil); err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+func newFuzzedAttachedNode() *fleet.AttachedNode {
+	return fleet.NewAttachedNode(fleet.AttachedConfig{
+		RetryInterval: retryInterval,
+		Membership: membership.Config{
+			Name:           "x1",
+			Zone:           "b",
+			Incarnation:    attachedIncarnation,
+			ControlMembers: fuzzedControlMembers,
+		},
+	}, func(string) {})
+}
+
+// FuzzReceive feeds what a remote side may send after its handshake to both roles. Nothing panics; and an attached
+// front end's message never causes one among control members, except a proposal in its own name.
 func FuzzReceive(f *testing.F) {
-	const own, process = 5, 7
-	ask := replication.Command{StateMachine: 1, Version: 1, Proposer: process, Sequence: 1, Body: []byte("body")}
-	for _, kind := range []transport.Kind{transport.ControlHeartbeat, transport.Proposal, transport.Response, transport.Relay, transport.AttachedHeartbeat, transport.ViewUpdate, transport.TablePull, transport.TableUpdate, transport.Forward} {
-		f.Add(byte(kind), ask.Encode())
+	command := replication.Command{
+		StateMachine: 1,
+		Version:      1,
+		Proposer:     attachedIncarnation,
+		Sequence:     1,
+		Body:         []byte("body"),
+	}
+	for _, kind := range []transport.Kind{
+		transport.ControlHeartbeat, transport.Proposal, transport.Response, transport.Relay, transport.AttachedHeartbeat,
+		transport.ViewUpdate, transport.TablePull, transport.TableUpdate, transport.Forward,
+	} {
+		f.Add(byte(kind), command.Encode())
 		f.Add(byte(kind), []byte{0xff})
 	}
-	f.Add(byte(transport.Forward), fleet.EncodeForward(process, transport.Proposal, ask.Encode()))
-	f.Add(byte(transport.Forward), fleet.EncodeForward(process, transport.Response, replication.Response{Sequence: 1, Result: replication.NotLeader, Leader: 9}.Encode()))
-	controls := []membership.ControlMember{{Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}
+	redirect := replication.Response{Sequence: 1, Result: replication.NotLeader, Leader: 9}
+	f.Add(byte(transport.Forward), fleet.EncodeForward(attachedIncarnation, transport.Proposal, command.Encode()))
+	f.Add(byte(transport.Forward), fleet.EncodeForward(attachedIncarnation, transport.Response, redirect.Encode()))
 	f.Fuzz(func(t *testing.T, kind byte, body []byte) {
-		now := second
-		n := fleet.NewNode(fleet.Config{Name: "n1", Zone: "a", Incarnation: own, Zones: map[string]string{"n2": "b"}, HeartbeatInterval: 2 * tick, RetryInterval: 4 * tick,
-			Membership:  &membership.Config{Name: "n1", Zone: "a", Incarnation: own, ControlMembers: controls},
-			Replication: replication.Config{ID: 8, Replicas: 1, TickInterval: tick, SnapshotLogBytes: 1 << 20, Logger: raftlog.New()}}, func(string) {})
-		if err := n.Recover(now, nil); err != nil {
-			t.Fatal(err)
-		}
-		link := fleet.Link{From: "x1", Zone: "b", Incarnation: process, ChallengedAt: now, Attached: true}
-		n.LinkOpened(now, link)
-		err := n.Receive(now, link, transport.Kind(kind), body)
-		if err == nil && transport.Kind(kind) != transport.AttachedHeartbeat && transport.Kind(kind) != transport.Proposal {
-			t.Fatalf("%s was taken", transport.Kind(kind))
-		}
-		for _, a := range n.Actions() {
-			if m, ok := a.(fleet.Send); ok && m.Incarnation == 0 && transport.Kind(kind) != transport.Proposal {
-				t.Fatalf("%s has led to %s to %s", transport.Kind(kind), m.Kind, m.To)
-			}
-		}
-		_ = n.Receive(now, fleet.Link{From: "n2", Incarnation: 6, ChallengedAt: now}, transport.Kind(kind), body) // any error will do
-		n.Tick(now + tick)
-		n.Actions()
-
-		a := fleet.NewAttachedNode(fleet.AttachedConfig{RetryInterval: 4 * tick, Membership: membership.Config{Name: "x1", Zone: "b", Incarnation: process,
-			ControlMembers: controls}}, func(string) {})
-		a.Targets(now)
-		a.LinkOpened(now, "n2", 6)
-		_ = a.Receive(now, fleet.Link{From: "n2", Incarnation: 6}, transport.Kind(kind), body)
-		a.Tick(now + tick)
-		a.Actions()
+		fuzzNode(t, transport.Kind(kind), body)
+		fuzzAttachedNode(transport.Kind(kind), body)
 	})
 }
+
+func fuzzNode(t *testing.T, kind transport.Kind, body []byte) {
+	now := second
+	n := newFuzzedNode(t, now)
+	link := fleet.Link{From: "x1", Zone: "b", Incarnation: attachedIncarnation, ChallengedAt: now, Attached: true}
+	n.LinkOpened(now, link)
+	err := n.Receive(now, link, kind, body)
+	if err == nil && kind != transport.AttachedHeartbeat && kind != transport.Proposal {
+		t.Fatalf("%s was accepted", kind)
+	}
+	for _, action := range n.Actions() {
+		if sent, ok := action.(fleet.Send); ok && sent.Incarnation == 0 && kind != transport.Proposal {
+			t.Fatalf("%s has caused %s to %s", kind, sent.Kind, sent.To)
+		}
+	}
+	_ = n.Receive(now, fleet.Link{From: "n2", Incarnation: 6, ChallengedAt: now}, kind, body) // any error will do
+	n.Tick(now + tickInterval)
+	n.Actions()
+}
+
+func fuzzAttachedNode(kind transport.Kind, body []byte) {
+	now := second
+	a := newFuzzedAttachedNode()
+	a.Targets(now)
+	a.LinkOpened(now, "n2", 6)
+	_ = a.Receive(now, fleet.Link{From: "n2", Incarnation: 6}, kind, body) // any error will do
+	a.Tick(now + tickInterval)
+	a.Actions()
+}
