--- a/fleet/attachednode.go
+++ b/fleet/attachednode.go
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// Tick does what is due.
+// Tick moves the clock to now and does what is due.
 func (a *AttachedNode) Tick(now monotime.Micros) {
 	a.now = now
 	if a.leaving {
@@ -106,7 +106,7 @@
 // Leave has the next heartbeats announce that this front end leaves the fleet.
 func (a *AttachedNode) Leave() { a.leaving = true }
 
-// Actions takes what is to be done.
+// Actions returns the actions to carry out, and forgets them.
 func (a *AttachedNode) Actions() []Action {
 	for _, m := range a.client.Actions() {
 		a.sendMessage(m.To, frameKind(m.Kind), m.Bulk, m.Body)
--- a/fleet/leaderroute.go
+++ b/fleet/leaderroute.go
@@ -6,44 +6,6 @@
 	"chutechute/internal/monotime"
 )
 
-// Propose proposes a command for the state machine with the number kind, in a version of its commands, to the
-// replicated log. It calls done once with the response, from Receive, Tick or Persisted, but not after Cancel. A
-// proposal that was canceled may still be committed.
-func (n *Node) Propose(
-	now monotime.Micros, kind, version uint32, body []byte, done func(replication.Response),
-) (id uint64) {
-	n.now = now
-	return n.proposals.add(now, kind, version, body, done)
-}
-
-// Cancel stops waiting for the response to a proposal.
-func (n *Node) Cancel(id uint64) { n.proposals.remove(id) }
-
-// Proposals returns the number of proposals that this front end has made.
-func (n *Node) Proposals() int { return int(n.proposals.lastID) }
-
-// receiveProposal handles a proposal of another control member. One in the name of another process is ignored.
-func (n *Node) receiveProposal(l Link, body []byte) error {
-	command, err := replication.DecodeCommand(body)
-	if err != nil {
-		return err
-	}
-	if uint64(command.Proposer) == l.Incarnation {
-		n.replica.Propose(n.now, command)
-	}
-	return nil
-}
-
-// receiveResponse handles the response to a proposal of this front end.
-func (n *Node) receiveResponse(body []byte) error {
-	response, err := replication.DecodeResponse(body)
-	if err != nil {
-		return err
-	}
-	n.proposals.receive(n.now, response)
-	return nil
-}
-
 // leaderRoute is the proposalRoute of a control member: directly to the leader of the replicated log.
 type leaderRoute struct {
 	node       *Node
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -92,7 +92,7 @@
 // Leave has the next heartbeats announce that this front end leaves the fleet.
 func (n *Node) Leave() { n.leaving = true }
 
-// Actions takes what is to be done.
+// Actions returns the actions to carry out, and forgets them.
 func (n *Node) Actions() []Action {
 	n.collectActions()
 	actions := n.actions
@@ -100,6 +100,22 @@
 	return actions
 }
 
+// Propose proposes a command for the state machine with the number kind, in a version of its commands, to the
+// replicated log. It calls done once with the response, from Receive, Tick or Persisted, but not after Cancel. A
+// proposal that was canceled may still be committed.
+func (n *Node) Propose(
+	now monotime.Micros, kind, version uint32, body []byte, done func(replication.Response),
+) (id uint64) {
+	n.now = now
+	return n.proposals.add(now, kind, version, body, done)
+}
+
+// Cancel stops waiting for the response to a proposal.
+func (n *Node) Cancel(id uint64) { n.proposals.remove(id) }
+
+// Proposals returns the number of proposals that this front end has made.
+func (n *Node) Proposals() int { return int(n.proposals.lastID) }
+
 // Receive handles a message that arrived over a link. After an error the link is to be closed: the message is
 // malformed, or one that the remote side's role does not allow.
 func (n *Node) Receive(now monotime.Micros, l Link, kind transport.Kind, body []byte) error {
@@ -138,6 +154,28 @@
 	return n.receiveMembership(l, kind, body)
 }
 
+// receiveProposal handles a proposal of another control member. One in the name of another process is ignored.
+func (n *Node) receiveProposal(l Link, body []byte) error {
+	command, err := replication.DecodeCommand(body)
+	if err != nil {
+		return err
+	}
+	if uint64(command.Proposer) == l.Incarnation {
+		n.replica.Propose(n.now, command)
+	}
+	return nil
+}
+
+// receiveResponse handles the response to a proposal of this front end.
+func (n *Node) receiveResponse(body []byte) error {
+	response, err := replication.DecodeResponse(body)
+	if err != nil {
+		return err
+	}
+	n.proposals.receive(n.now, response)
+	return nil
+}
+
 func (n *Node) receiveReplication(body []byte) error {
 	m, err := decodeReplicationMessage(body)
 	if err != nil {
@@ -169,7 +207,7 @@
 	return next
 }
 
-// Tick does what is due.
+// Tick moves the clock to now and does what is due.
 func (n *Node) Tick(now monotime.Micros) {
 	n.now = now
 	for _, peer := range n.monitor.Tick(now) {
--- a/fleet/transport/dialer.go
+++ b/fleet/transport/dialer.go
@@ -19,7 +19,7 @@
 // Established reports whether the handshake is complete, so that messages may be sent.
 func (d *Dialer) Established() bool { return d.established }
 
-// Messages takes the messages that the listener has sent to an attached front end.
+// Messages returns the messages that the listener has sent to an attached front end, and forgets them.
 func (d *Dialer) Messages() []Message {
 	messages := d.received
 	d.received = nil
--- a/fleet/transport/identity.go
+++ b/fleet/transport/identity.go
@@ -15,7 +15,7 @@
 // MaxNameLength is the length of the longest name of an attached front end, in bytes.
 const MaxNameLength = 64
 
-// Identity is what one side of a link tells about itself.
+// Identity describes one side of a link, as that side presents itself in the handshake.
 type Identity struct {
 	Site           string
 	Name           string
--- a/fleet/transport/queue.go
+++ b/fleet/transport/queue.go
@@ -37,7 +37,7 @@
 	return true
 }
 
-// Pop takes the next frame, nil if the queue is empty.
+// Pop removes and returns the next frame, nil if the queue is empty.
 func (q *Queue) Pop() []byte {
 	if len(q.urgent.frames) == 0 {
 		return q.bulk.pop()
@@ -96,7 +96,7 @@
 	l.frames[index] = frame
 }
 
-// pop takes the first frame, nil if the lane is empty.
+// pop removes and returns the first frame, nil if the lane is empty.
 func (l *lane) pop() []byte {
 	if len(l.frames) == 0 {
 		return nil
