--- a/fleet/node.go
+++ b/fleet/node.go
@@ -101,8 +101,8 @@
 }
 
 // Propose proposes a command for the state machine with the number kind, in a version of its commands, to the
-// replicated log. It calls done once with the response, from Receive, Tick or Persisted, but not after Cancel. A
-// proposal that was canceled may still be committed.
+// replicated log. It calls done once with the response, from Receive, Tick, Persisted or Actions, but not after
+// Cancel. A proposal that was canceled may still be committed.
 func (n *Node) Propose(
 	now monotime.Micros, kind, version uint32, body []byte, done func(replication.Response),
 ) (id uint64) {
