--- a/fleet/replication/wal/golden_test.go
+++ b/fleet/replication/wal/golden_test.go
@@ -24,7 +24,7 @@
 	second    = 1_000_000
 	tick      = 50_000
 	owner     = "legon/n1"
-	foundDisk = "testdata/found"
+	earlierDisk = "testdata/earlier-version"
 )
 
 // onlyCopy is a record's one copy, on a folder.
@@ -116,7 +116,7 @@
 	}
 }
 
-// write makes a folder with a snapshot, a log after it and a write that was cut short. It made foundDisk, once.
+// write makes a folder with a snapshot, a log after it and a write that was cut short. It made earlierDisk, once.
 func writeFolder(t *testing.T, folder string) {
 	c := openCopy(t, folder)
 	require.NoError(t, c.replica.Bootstrap(c.now, 77, []replication.Member{{ID: c.store.ReplicaID(), Name: "n1", Zone: "a"}}))
@@ -165,16 +165,16 @@
 // The folder of a front end as an earlier version wrote it: its snapshot, its log, commands of both kinds, and a last write
 // that was cut short. All that it held is there.
 func TestFolderOfAnEarlierVersion(t *testing.T) {
-	if _, err := os.Stat(foundDisk); os.IsNotExist(err) && os.Getenv("CHUTECHUTE_GOLDEN_CREATE") != "" {
-		require.NoError(t, os.MkdirAll(foundDisk, 0o700))
-		writeFolder(t, foundDisk)
+	if _, err := os.Stat(earlierDisk); os.IsNotExist(err) && os.Getenv("CHUTECHUTE_GOLDEN_CREATE") != "" {
+		require.NoError(t, os.MkdirAll(earlierDisk, 0o700))
+		writeFolder(t, earlierDisk)
 	}
 	folder := t.TempDir()
-	require.NoError(t, os.CopyFS(filepath.Join(folder, "disk"), os.DirFS(foundDisk)))
+	require.NoError(t, os.CopyFS(filepath.Join(folder, "disk"), os.DirFS(earlierDisk)))
 	c := openCopy(t, filepath.Join(folder, "disk"))
 	require.Empty(t, c.store.QuarantinedPath)
 	held := append([]string{fmt.Sprintf("cut off %d bytes", c.store.TruncatedBytes)}, c.held()...)
-	golden.Lines(t, "testdata/found.txt", held)
+	golden.Lines(t, "testdata/earlier-version.txt", held)
 	c.pass(3 * second) // it goes on with it
 	require.True(t, c.replica.IsLeader())
 	require.Equal(t, idempotency.Served, c.askLoads(99, idempotency.Command{Op: idempotency.Inspect, IdempotencyKey: "once-00"}).Phase)
--- a/internal/fieldcodec/fieldcodec.go
+++ b/internal/fieldcodec/fieldcodec.go
@@ -47,21 +47,24 @@
 }
 
 // Fields is the field list of one message while it is encoded or decoded.
+//
+	number   protowire.Number // decoding: of the current field; encoding: 0, which is the number of none
+// short enough to be inlined; what encodes is not, so that it stays so.
 type Fields struct {
-	decoding bool
-	output   []byte // encoding: the bytes so far
-	input    []byte // decoding: the bytes that are not read yet
-	number   protowire.Number
-	value    uint64 // decoding: the current field, if it is a number
-	data     []byte // decoding: the current field, if it is of bytes
+	encoding bool
+	output   []byte           // encoding: the bytes so far
+	input    []byte           // decoding: the bytes that are not read yet
+	number   protowire.Number // decoding: of the current field; encoding: 0, which is no field's
+	value    uint64           // decoding: the current field, if it is a number
+	data     []byte           // decoding: the current field, if it is of bytes
 	err      error
 }
 
 // Encode begins a message whose fields are appended to b.
-func Encode(b []byte) Fields { return Fields{output: b} }
+func Encode(b []byte) Fields { return Fields{encoding: true, output: b} }
 
 // Decode begins to read a message. Next moves to its fields.
-func Decode(b []byte) Fields { return Fields{decoding: true, input: b} }
+func Decode(b []byte) Fields { return Fields{input: b} }
 
 // Bytes returns the encoded message.
 func (f *Fields) Bytes() []byte { return f.output }
@@ -108,10 +111,10 @@
 
 // Decoding reports whether the message is being decoded and the current field has the number: for a field whose
 // decoding needs more than the methods offer.
-func (f *Fields) Decoding(number protowire.Number) bool { return f.decoding && f.number == number }
+func (f *Fields) Decoding(number protowire.Number) bool { return f.number == number }
 
 // Encoding reports whether the message is being encoded.
-func (f *Fields) Encoding() bool { return !f.decoding }
+func (f *Fields) Encoding() bool { return f.encoding }
 
 // Value returns the current field's number, 0 for a field of bytes.
 func (f *Fields) Value() uint64 { return f.value }
@@ -129,59 +132,93 @@
 	f.output = protowire.AppendBytes(protowire.AppendTag(f.output, number, protowire.BytesType), v)
 }
 
-// uint is the field of a number: v encoded, or the number that was decoded.
-func (f *Fields) uint(number protowire.Number, v uint64) (decoded uint64, ok bool) {
-	if f.decoding {
-		return f.value, f.number == number
-	}
+// encodeUint encodes a number unless it is zero.
+//
+//go:noinline
+func (f *Fields) encodeUint(number protowire.Number, v uint64) {
 	if v != 0 {
 		f.AppendUint(number, v)
 	}
-	return 0, false
+}
+
+// encodeBool encodes a truth value unless it is false.
+//
+//go:noinline
+func (f *Fields) encodeBool(number protowire.Number, v bool) {
+	if v {
+		f.AppendUint(number, protowire.EncodeBool(v))
+	}
+}
+
+// encodeString encodes a text unless it is empty.
+//
+//go:noinline
+func (f *Fields) encodeString(number protowire.Number, v string) {
+	if v != "" {
+		f.output = protowire.AppendString(protowire.AppendTag(f.output, number, protowire.BytesType), v)
+	}
+}
+
+// encodeBytes encodes bytes unless there are none.
+//
+//go:noinline
+func (f *Fields) encodeBytes(number protowire.Number, v []byte) {
+	if len(v) > 0 {
+		f.AppendBytes(number, v)
+	}
 }
 
 // Uint is a field of an unsigned number. A decoded number is cut to the type's width.
 func Uint[T Unsigned](f *Fields, number protowire.Number, v *T) {
-	if decoded, ok := f.uint(number, uint64(*v)); ok {
-		*v = T(decoded)
+	if f.number == number {
+		*v = T(f.value)
+	} else if f.encoding {
+		f.encodeUint(number, uint64(*v))
 	}
 }
 
 // UintUpTo is a field of an unsigned number of which larger ones are decoded as limit.
 func UintUpTo[T Unsigned](f *Fields, number protowire.Number, v *T, limit T) {
-	if decoded, ok := f.uint(number, uint64(*v)); ok {
-		*v = T(min(decoded, uint64(limit)))
+	if f.number == number {
+		*v = T(min(f.value, uint64(limit)))
+	} else if f.encoding {
+		f.encodeUint(number, uint64(*v))
 	}
 }
 
 // IntUpTo is a field of a number that is encoded as 0 if it is negative, and of which larger ones are decoded as limit.
 func IntUpTo[T Integer](f *Fields, number protowire.Number, v *T, limit T) {
-	if decoded, ok := f.uint(number, uint64(max(0, *v))); ok {
-		*v = T(min(decoded, uint64(limit)))
+	if f.number == number {
+		*v = T(min(f.value, uint64(limit)))
+	} else if f.encoding {
+		f.encodeUint(number, uint64(max(0, *v)))
 	}
 }
 
 // ZigZag is a field of a signed number. A decoded one is brought within -limit to limit.
 func (f *Fields) ZigZag(number protowire.Number, v *int64, limit int64) {
-	if decoded, ok := f.uint(number, protowire.EncodeZigZag(*v)); ok {
-		*v = min(max(protowire.DecodeZigZag(decoded), -limit), limit)
+	if f.number == number {
+		*v = min(max(protowire.DecodeZigZag(f.value), -limit), limit)
+	} else if f.encoding {
+		f.encodeUint(number, protowire.EncodeZigZag(*v))
 	}
 }
 
 // Bool is a field of a truth value.
 func (f *Fields) Bool(number protowire.Number, v *bool) {
-	if decoded, ok := f.uint(number, protowire.EncodeBool(*v)); ok {
-		*v = decoded != 0
+	if f.number == number {
+		*v = f.value != 0
+	} else if f.encoding {
+		f.encodeBool(number, *v)
 	}
 }
 
 // String is a field of text.
 func (f *Fields) String(number protowire.Number, v *string) {
-	switch {
-	case f.decoding && f.number == number:
+	if f.number == number {
 		*v = string(f.data)
-	case !f.decoding && *v != "":
-		f.output = protowire.AppendString(protowire.AppendTag(f.output, number, protowire.BytesType), *v)
+	} else if f.encoding {
+		f.encodeString(number, *v)
 	}
 }
 
@@ -199,18 +236,19 @@
 
 // Copied is a field of bytes; decoded ones are a copy.
 func (f *Fields) Copied(number protowire.Number, v *[]byte) {
-	if f.Shared(number, v); f.Decoding(number) {
-		*v = append([]byte(nil), *v...)
+	if f.number == number {
+		*v = append([]byte(nil), f.data...)
+	} else if f.encoding {
+		f.encodeBytes(number, *v)
 	}
 }
 
 // Shared is a field of bytes; decoded ones are part of the input, which must not change while they are used.
 func (f *Fields) Shared(number protowire.Number, v *[]byte) {
-	switch {
-	case f.decoding && f.number == number:
+	if f.number == number {
 		*v = f.data
-	case !f.decoding && len(*v) > 0:
-		f.AppendBytes(number, *v)
+	} else if f.encoding {
+		f.encodeBytes(number, *v)
 	}
 }
 
