--- a/internal/fieldcodec/fieldcodec.go
+++ b/internal/fieldcodec/fieldcodec.go
@@ -48,15 +48,17 @@
 
 // Fields is the field list of one message while it is encoded or decoded.
 //
-	number   protowire.Number // decoding: of the current field; encoding: 0, which is the number of none
-// short enough to be inlined; what encodes is not, so that it stays so.
+// While a message is decoded, its methods are called for every field each time that one field is read. So their test of
+// the number is short enough to be inlined, and what encodes is kept out of line.
 type Fields struct {
 	encoding bool
 	output   []byte           // encoding: the bytes so far
-	input    []byte           // decoding: the bytes that are not read yet
+	input    []byte           // decoding: the whole message
+	next     int              // decoding: where in input the next field begins
 	number   protowire.Number // decoding: of the current field; encoding: 0, which is no field's
 	value    uint64           // decoding: the current field, if it is a number
-	data     []byte           // decoding: the current field, if it is of bytes
+	start    int              // decoding: where in input the current field's bytes begin; 0 if it is a number
+	end      int              // decoding: where they end
 	err      error
 }
 
@@ -79,29 +81,35 @@
 	}
 }
 
-// Next moves to the next field of the input. It returns false at the end and after an error.
+// Next moves to the next field of the input. It returns false at the end and after an error. It stores positions and no
+// slices: a pointer that is stored costs more while the garbage collector marks.
 func (f *Fields) Next() bool {
-	for len(f.input) > 0 && f.err == nil {
-		number, kind, n := protowire.ConsumeTag(f.input)
-		if n < 0 {
+	for f.next < len(f.input) && f.err == nil {
+		number, kind, size := consumeTag(f.input[f.next:])
+		if size < 0 {
 			f.Fail(ErrMalformed)
 			return false
 		}
-		rest := f.input[n:]
-		f.number, f.value, f.data = number, 0, nil
+		f.number = number
+		start := f.next + size
+		var data []byte
 		switch kind {
 		case protowire.VarintType:
-			f.value, n = protowire.ConsumeVarint(rest)
+			f.value, size = protowire.ConsumeVarint(f.input[start:])
+			f.start, f.end = 0, 0
 		case protowire.BytesType:
-			f.data, n = protowire.ConsumeBytes(rest)
+			data, size = protowire.ConsumeBytes(f.input[start:])
+			f.value = 0
+			f.end = start + size
+			f.start = f.end - len(data)
 		default:
-			n = protowire.ConsumeFieldValue(number, kind, rest)
+			size = protowire.ConsumeFieldValue(number, kind, f.input[start:])
 		}
-		if n < 0 {
+		if size < 0 {
 			f.Fail(ErrMalformed)
 			return false
 		}
-		f.input = rest[n:]
+		f.next = start + size
 		if kind == protowire.VarintType || kind == protowire.BytesType {
 			return true
 		}
@@ -109,6 +117,15 @@
 	return false
 }
 
+// consumeTag is protowire.ConsumeTag with a short way for tags of one byte, which are those of the numbers up to 15.
+func consumeTag(b []byte) (protowire.Number, protowire.Type, int) {
+	const maxOneByte = 0x7f
+	if tag := b[0]; tag <= maxOneByte && tag>>3 >= byte(protowire.MinValidNumber) {
+		return protowire.Number(tag >> 3), protowire.Type(tag & 7), 1
+	}
+	return protowire.ConsumeTag(b)
+}
+
 // Decoding reports whether the message is being decoded and the current field has the number: for a field whose
 // decoding needs more than the methods offer.
 func (f *Fields) Decoding(number protowire.Number) bool { return f.number == number }
@@ -120,7 +137,12 @@
 func (f *Fields) Value() uint64 { return f.value }
 
 // Data returns the current field's bytes, nil for a number. They are part of the input.
-func (f *Fields) Data() []byte { return f.data }
+func (f *Fields) Data() []byte {
+	if f.start == 0 { // a field of bytes has its tag before it
+		return nil
+	}
+	return f.input[f.start:f.end]
+}
 
 // AppendUint encodes a number, even if it is zero.
 func (f *Fields) AppendUint(number protowire.Number, v uint64) {
@@ -159,6 +181,15 @@
 	}
 }
 
+//go:noinline
+func (f *Fields) decodeString(v *string) { *v = string(f.Data()) }
+
+//go:noinline
+func (f *Fields) decodeCopy(v *[]byte) { *v = append([]byte(nil), f.Data()...) }
+
+//go:noinline
+func (f *Fields) decodeShared(v *[]byte) { *v = f.Data() }
+
 // encodeBytes encodes bytes unless there are none.
 //
 //go:noinline
@@ -216,7 +247,7 @@
 // String is a field of text.
 func (f *Fields) String(number protowire.Number, v *string) {
 	if f.number == number {
-		*v = string(f.data)
+		f.decodeString(v)
 	} else if f.encoding {
 		f.encodeString(number, *v)
 	}
@@ -225,7 +256,7 @@
 // Strings is a repeated field of texts; empty ones are left out.
 func (f *Fields) Strings(number protowire.Number, list *[]string) {
 	if f.Decoding(number) {
-		*list = append(*list, string(f.data))
+		*list = append(*list, string(f.Data()))
 	}
 	if f.Encoding() {
 		for i := range *list {
@@ -237,7 +268,7 @@
 // Copied is a field of bytes; decoded ones are a copy.
 func (f *Fields) Copied(number protowire.Number, v *[]byte) {
 	if f.number == number {
-		*v = append([]byte(nil), f.data...)
+		f.decodeCopy(v)
 	} else if f.encoding {
 		f.encodeBytes(number, *v)
 	}
@@ -246,7 +277,7 @@
 // Shared is a field of bytes; decoded ones are part of the input, which must not change while they are used.
 func (f *Fields) Shared(number protowire.Number, v *[]byte) {
 	if f.number == number {
-		*v = f.data
+		f.decodeShared(v)
 	} else if f.encoding {
 		f.encodeBytes(number, *v)
 	}
@@ -255,7 +286,7 @@
 // Message is a field of one message, which is encoded even if it is empty.
 func Message[T any](f *Fields, number protowire.Number, v *T, fields func(*T, *Fields)) {
 	if f.Decoding(number) {
-		nested := Decode(f.data)
+		nested := Decode(f.Data())
 		for nested.Next() {
 			fields(v, &nested)
 		}
