--- a/fleet/membership/membership_test.go
+++ b/fleet/membership/attach_test.go
@@ -21,7 +21,7 @@
 func TestAttach(t *testing.T) {
 	r := fleet(t, 1, 30)
 	r.run(10 * second)
-	r.agreed()
+	r.requireAgreement()
 	require.Equal(t, 36, r.servers[0].View().Len())
 	require.Empty(t, r.errors)
 	for _, c := range r.clients {
@@ -29,11 +29,11 @@
 		require.Equal(t, c.cfg.Zone, home.cfg.Zone, "the view is taken from the own zone")
 		require.Len(t, c.Targets(r.now), 2)
 		require.LessOrEqual(t, c.Counters.Snapshots+c.Counters.DigestRepairs, 2)
-		c.in, c.out = 0, 0
+		c.bytesIn, c.bytesOut = 0, 0
 	}
 	r.run(10 * second)
 	for _, c := range r.clients {
-		require.Less(t, c.in, 10*300, "bytes in 10 s at rest")
-		require.Less(t, c.out, 10*300, "bytes in 10 s at rest")
+		require.Less(t, c.bytesIn, 10*300, "bytes in 10 s at rest")
+		require.Less(t, c.bytesOut, 10*300, "bytes in 10 s at rest")
 	}
 }
--- a/fleet/membership/capacity_test.go
+++ b/fleet/membership/capacity_test.go
@@ -32,21 +32,21 @@
 		"without links, queues and the record; one run a size.")
 	for _, each := range []int{1, 6, 19, 51} {
 		before := reachable()
-		s, now := withEach(t, each)
+		s, now := serverOfFleet(t, each)
 		server := reachable() - before
-		body := s.wholeView()
+		body := s.snapshotMessage()
 		before = reachable()
 		var clients []*Client
 		for range measuredClients {
-			clients = append(clients, holding(t, s, now, body))
+			clients = append(clients, clientWithView(t, s, now, body))
 		}
 		figures := map[string]float64{"control member: heap bytes": server, "front end: heap bytes": (reachable() - before) / measuredClients,
 			"snapshot bytes": float64(len(body))}
 		for _, c := range clients {
 			require.Equal(t, s.View().Digest(), c.View().Digest())
 		}
-		t.Logf("%d front ends: %v", each*fullControls, figures)
-		result.Points = append(result.Points, scale.Point{Axis: "front ends", X: float64(each * fullControls), Figures: figures})
+		t.Logf("%d front ends: %v", each*fullFleetControls, figures)
+		result.Points = append(result.Points, scale.Point{Axis: "front ends", X: float64(each * fullFleetControls), Figures: figures})
 	}
 	require.NoError(t, measure.Save(result))
 }
--- a/fleet/membership/client.go
+++ b/fleet/membership/client.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// firstSlotWait is how long a client at its start waits for the first slot before it takes the view from the second.
-	firstSlotWait monotime.Micros = 2_000_000
-	// steadySpan is how long the first slot has to be heard before the view is taken from it again.
-	steadySpan monotime.Micros = 3_000_000
-	// resumeGap is between two requests of what is missing, beside the heartbeats.
-	resumeGap monotime.Micros = 300_000
-	// conflictSpan is for how long a home has to show a process alive before that counts more than what was seen of it elsewhere.
+	// firstLinkTimeout is how long a client at its start waits for the first slot before it takes the view from the second.
+	firstLinkTimeout monotime.Micros = 2_000_000
+	// homeFailbackDelay is how long the first slot has to be heard before the view is taken from it again.
+	homeFailbackDelay monotime.Micros = 3_000_000
+	// minResumeInterval is between two requests of what is missing, beside the heartbeats.
+	minResumeInterval monotime.Micros = 300_000
+	// conflictTimeout is for how long a home has to show a process alive before that counts more than what was seen of it elsewhere.
 	// It is longer than the evidence of any home that is not there.
-	conflictSpan monotime.Micros = 30_000_000
-	// mostFailures is how many times in a row what a control member sends may not agree before its link is closed.
-	mostFailures = 6
+	conflictTimeout monotime.Micros = 30_000_000
+	// maxDigestFailures is how many times in a row what a control member sends may not agree before its link is closed.
+	maxDigestFailures = 6
 )
 
 // Client is an attached front end's part.
@@ -27,26 +27,26 @@
 	// Counters may be read at any time.
 	Counters Counters
 
-	cfg     Config
-	now     monotime.Micros
-	due     monotime.Micros // when a call was due at the latest
-	started bool
-	first   monotime.Micros // the time of the start
-	random  random
-	leaving bool
-
-	controls []*control // by name
-	byName   map[string]*control
-	slots    [2]slot
-
-	home     *control
-	view     *View
-	epoch    uint64 // the process of a control member whose version the view is; 0 for none
-	sequence uint64
-	failures int             // in a row, in which what the home sent did not agree
-	whole    bool            // only the whole view helps
-	conflict monotime.Micros // since when the home shows a process that was replaced; 0 where it doesn't
-	unpacker unpacker
+	cfg          Config
+	now          monotime.Micros
+	tickDeadline monotime.Micros // when a call was due at the latest
+	started      bool
+	startedAt    monotime.Micros // the time of the start
+	random       splitMix64
+	leaving      bool
+
+	peers       []*controlPeer // by name
+	peersByName map[string]*controlPeer
+	slots       [2]linkSlot
+
+	home           *controlPeer
+	view           *View
+	epoch          uint64 // the process of a control member whose version the view is; 0 for none
+	sequence       uint64
+	digestFailures int             // in a row, in which what the home sent did not agree
+	needsSnapshot  bool            // only the whole view helps
+	conflictSince  monotime.Micros // since when the home shows a process that was replaced; 0 where it doesn't
+	decompressor   decompressor
 
 	actions []Message
 }
@@ -54,53 +54,53 @@
 // NewClient begins without links and with an empty view.
 func NewClient(cfg Config) *Client {
 	cfg = cfg.withDefaults()
-	c := &Client{cfg: cfg, view: newView(), byName: map[string]*control{}}
-	c.random = random(fnvOffset.text(cfg.Name).number(cfg.Seed).number(cfg.Incarnation).mixed())
+	c := &Client{cfg: cfg, view: newView(), peersByName: map[string]*controlPeer{}}
+	c.random = splitMix64(fnvOffset.addString(cfg.Name).addUint64(cfg.Seed).addUint64(cfg.Incarnation).finalize())
 	for _, o := range cfg.ControlMembers {
-		if c.byName[o.Name] == nil && o.Name != cfg.Name {
-			kept := &control{name: o.Name, zone: o.Zone}
-			c.controls = append(c.controls, kept)
-			c.byName[o.Name] = kept
+		if c.peersByName[o.Name] == nil && o.Name != cfg.Name {
+			kept := &controlPeer{name: o.Name, zone: o.Zone}
+			c.peers = append(c.peers, kept)
+			c.peersByName[o.Name] = kept
 		}
 	}
-	slices.SortFunc(c.controls, func(a, b *control) int { return cmp.Compare(a.name, b.name) })
+	slices.SortFunc(c.peers, func(a, b *controlPeer) int { return cmp.Compare(a.name, b.name) })
 	return c
 }
 
-// pass lets time pass. A call that comes much later than due says that this process was stopped: what was not heard meanwhile
+// advanceClock lets time pass. A call that comes much later than due says that this process was stopped: what was not heard meanwhile
 // says nothing of the control members, and the view is as old as the gap says until it is confirmed.
-func (c *Client) pass(now monotime.Micros) {
+func (c *Client) advanceClock(now monotime.Micros) {
 	if !c.started {
-		c.started, c.first, c.now = true, now, now
-		c.prefer()
+		c.started, c.startedAt, c.now = true, now, now
+		c.assignPreferred()
 	}
-	if gap := now - c.due; c.due != 0 && gap > c.cfg.PauseThreshold {
+	if gap := now - c.tickDeadline; c.tickDeadline != 0 && gap > c.cfg.PauseThreshold {
 		c.Counters.Pauses++
-		for _, o := range c.controls {
-			o.heard, o.asked = o.heard+gap, o.asked+gap
+		for _, o := range c.peers {
+			o.lastSeen, o.dialedAt = o.lastSeen+gap, o.dialedAt+gap
 		}
 	}
 	c.now = max(c.now, now)
 }
 
-// planned notes when the next call is due.
-func (c *Client) planned() { c.due = c.Next() }
+// updateTickDeadline notes when the next call is due.
+func (c *Client) updateTickDeadline() { c.tickDeadline = c.Next() }
 
 // Tick lets time pass. It is to be called no later than Next says, and may be called more often.
 func (c *Client) Tick(now monotime.Micros) {
-	c.pass(now)
-	defer c.planned()
-	c.moveSlots()
+	c.advanceClock(now)
+	defer c.updateTickDeadline()
+	c.updateSlots()
 	c.chooseHome()
-	c.beat()
+	c.sendDueHeartbeats()
 }
 
-// beat sends the heartbeats that are due.
-func (c *Client) beat() {
-	for _, o := range c.wanted() {
-		if o.linked && c.now >= o.beat {
+// sendDueHeartbeats sends the heartbeats that are due.
+func (c *Client) sendDueHeartbeats() {
+	for _, o := range c.targetPeers() {
+		if o.linked && c.now >= o.nextHeartbeat {
 			c.sendHeartbeat(o)
-			o.beat = c.now + c.cfg.HeartbeatInterval
+			o.nextHeartbeat = c.now + c.cfg.HeartbeatInterval
 		}
 	}
 }
@@ -111,18 +111,18 @@
 	for i := range c.slots {
 		s := &c.slots[i]
 		if s.current == nil && s.preferred != nil {
-			next = min(next, s.due)
+			next = min(next, s.fillAt)
 		}
-		if s.back > c.now {
-			next = min(next, s.back)
+		if s.failbackAt > c.now {
+			next = min(next, s.failbackAt)
 		}
 	}
-	for _, o := range c.wanted() {
+	for _, o := range c.targetPeers() {
 		if o.linked {
-			next = min(next, o.beat)
+			next = min(next, o.nextHeartbeat)
 		}
 		for _, span := range []monotime.Micros{c.cfg.SuspectAfter, c.cfg.DeadAfter} {
-			if at := max(o.heard, o.asked) + span; at > c.now {
+			if at := max(o.lastSeen, o.dialedAt) + span; at > c.now {
 				next = min(next, at)
 			}
 		}
@@ -132,43 +132,43 @@
 
 // LinkOpened says that a link to that process of a control member is open.
 func (c *Client) LinkOpened(now monotime.Micros, control string, incarnation uint64) {
-	c.pass(now)
-	defer c.planned()
-	o := c.byName[control]
+	c.advanceClock(now)
+	defer c.updateTickDeadline()
+	o := c.peersByName[control]
 	if o == nil {
 		return
 	}
 	if o.incarnation != incarnation {
-		o.clock, o.lastAnswer = offset{}, lastAnswer{}
+		o.clock, o.lastAnswer = clockOffset{}, answerState{}
 	}
-	o.linked, o.served, o.incarnation, o.leaving, o.behind = true, false, incarnation, false, false
-	o.heard, o.steady, o.beat = c.now, c.now, c.now
+	o.linked, o.responded, o.incarnation, o.leaving, o.viewBehind = true, false, incarnation, false, false
+	o.lastSeen, o.stableSince, o.nextHeartbeat = c.now, c.now, c.now
 	c.chooseHome()
-	c.beat()
+	c.sendDueHeartbeats()
 	// The next ones of front ends that started together are spread over the span.
-	o.beat = c.now + c.cfg.HeartbeatInterval/2 + c.random.span(0, c.cfg.HeartbeatInterval/2)
+	o.nextHeartbeat = c.now + c.cfg.HeartbeatInterval/2 + c.random.between(0, c.cfg.HeartbeatInterval/2)
 }
 
 // LinkClosed says that the link to a control member is closed, or could not be opened. One that closes the link before it has sent
 // anything doesn't take this front end, and is as good as not reached.
 func (c *Client) LinkClosed(now monotime.Micros, control string) {
-	c.pass(now)
-	defer c.planned()
-	o := c.byName[control]
+	c.advanceClock(now)
+	defer c.updateTickDeadline()
+	o := c.peersByName[control]
 	if o == nil {
 		return
 	}
-	if slices.Contains(c.wanted(), o) {
-		c.lose(o, !o.linked || !o.served)
+	if slices.Contains(c.targetPeers(), o) {
+		c.loseLink(o, !o.linked || !o.responded)
 	}
 	o.linked = false
 	c.chooseHome()
-	c.beat()
+	c.sendDueHeartbeats()
 }
 
-// fresh says whether a control member was heard of late.
-func (c *Client) fresh(o *control) bool {
-	return o != nil && o.linked && !o.leaving && c.now-o.heard < c.cfg.SuspectAfter
+// isResponsive says whether a control member was heard of late.
+func (c *Client) isResponsive(o *controlPeer) bool {
+	return o != nil && o.linked && !o.leaving && c.now-o.lastSeen < c.cfg.SuspectAfter
 }
 
 // chooseHome takes the view from the first slot, and from the second at once where the first is lost.
@@ -176,42 +176,42 @@
 	first, second := c.slots[0].current, c.slots[1].current
 	held := c.home != nil && c.home.linked && (c.home == first || c.home == second)
 	switch {
-	case c.fresh(first) && (c.home == first || !held || !c.fresh(c.home) || c.returns(first)):
+	case c.isResponsive(first) && (c.home == first || !held || !c.isResponsive(c.home) || c.shouldFailBack(first)):
 		c.setHome(first)
-	case held && c.fresh(c.home):
-	case !held && c.starts():
+	case held && c.isResponsive(c.home):
+	case !held && c.awaitsFirstLink():
 		c.setHome(nil)
-	case c.fresh(second):
+	case c.isResponsive(second):
 		c.setHome(second)
 	case !held:
 		c.setHome(nil)
 	}
 }
 
-// returns says whether the view is to be taken from the first slot again. A replacement does not get it back: one change of home
+// shouldFailBack says whether the view is to be taken from the first slot again. A replacement does not get it back: one change of home
 // less is told to the whole fleet.
-func (c *Client) returns(first *control) bool {
-	return first == c.slots[0].preferred && c.now-first.steady >= steadySpan
+func (c *Client) shouldFailBack(first *controlPeer) bool {
+	return first == c.slots[0].preferred && c.now-first.stableSince >= homeFailbackDelay
 }
 
-// starts says whether the first slot may yet get its first link.
-func (c *Client) starts() bool {
+// awaitsFirstLink says whether the first slot may yet get its first link.
+func (c *Client) awaitsFirstLink() bool {
 	preferred := c.slots[0].preferred
-	return c.now-c.first < firstSlotWait && preferred != nil && preferred.failures == 0 && c.epoch == 0
+	return c.now-c.startedAt < firstLinkTimeout && preferred != nil && preferred.dialFailures == 0 && c.epoch == 0
 }
 
-func (c *Client) setHome(o *control) {
+func (c *Client) setHome(o *controlPeer) {
 	if c.home == o {
 		return
 	}
 	if c.home != nil {
-		c.home.beat = c.now
+		c.home.nextHeartbeat = c.now
 	}
 	c.home = o
-	c.failures, c.whole, c.conflict = 0, false, 0
+	c.digestFailures, c.needsSnapshot, c.conflictSince = 0, false, 0
 	c.Counters.HomeChanges++
 	if o != nil {
-		o.beat = c.now
+		o.nextHeartbeat = c.now
 	}
 }
 
@@ -232,37 +232,37 @@
 		return
 	}
 	c.leaving = true
-	for _, o := range c.wanted() {
+	for _, o := range c.targetPeers() {
 		if o.linked {
 			c.sendHeartbeat(o)
 		}
 	}
 }
 
-func (c *Client) sendHeartbeat(o *control) {
-	h := heartbeat{name: c.cfg.Name, sent: c.now, leaving: c.leaving, subscribe: o == c.home}
+func (c *Client) sendHeartbeat(o *controlPeer) {
+	h := heartbeat{name: c.cfg.Name, sentAt: c.now, leaving: c.leaving, subscribe: o == c.home}
 	if h.subscribe {
-		c.state(o, &h)
+		c.describeView(o, &h)
 	}
 	c.Counters.Heartbeats++
-	if len(c.actions) < mostActions {
+	if len(c.actions) < maxQueuedMessages {
 		c.actions = append(c.actions, Message{To: o.name, Kind: Heartbeat, Body: h.encode()})
 	}
 }
 
-// state says how far the view is, and what is needed to follow the home.
-func (c *Client) state(o *control, h *heartbeat) {
-	h.resume = o.behind || o.wantsSums || c.epoch != o.incarnation
+// describeView says how far the view is, and what is needed to follow the home.
+func (c *Client) describeView(o *controlPeer, h *heartbeat) {
+	h.resume = o.viewBehind || o.needsBucketDigests || c.epoch != o.incarnation
 	switch {
-	case c.whole:
+	case c.needsSnapshot:
 		h.resume = true
-	case c.epoch == o.incarnation && !o.wantsSums:
+	case c.epoch == o.incarnation && !o.needsBucketDigests:
 		h.epoch, h.sequence, h.digest = c.epoch, c.sequence, c.view.Digest()
 	case c.view.Len() > 0:
 		h.digest = c.view.Digest()
-		h.sums = make([]uint32, buckets)
-		for i := range h.sums {
-			h.sums[i] = uint32(c.view.sums[i])
+		h.bucketDigests = make([]uint32, bucketCount)
+		for i := range h.bucketDigests {
+			h.bucketDigests[i] = uint32(c.view.bucketDigests[i])
 		}
 	}
 }
@@ -276,9 +276,9 @@
 
 // Receive takes a message of a control member; after an error the link is to be closed.
 func (c *Client) Receive(now monotime.Micros, control string, incarnation uint64, kind Kind, body []byte) error {
-	c.pass(now)
-	defer c.planned()
-	o := c.byName[control]
+	c.advanceClock(now)
+	defer c.updateTickDeadline()
+	o := c.peersByName[control]
 	if o == nil {
 		c.Counters.UnknownHomes++
 		return fmt.Errorf("%w: %q", ErrUnknownHome, control)
@@ -287,7 +287,7 @@
 		c.Counters.Malformed++
 		return fmt.Errorf("%w: %s", ErrUnexpectedKind, kind)
 	}
-	m, err := decodeView(body)
+	m, err := decodeViewMessage(body)
 	if err != nil {
 		c.Counters.Malformed++
 		return err
@@ -299,122 +299,122 @@
 	if !o.linked {
 		return nil // given up
 	}
-	if c.now-o.heard >= c.cfg.SuspectAfter {
-		o.steady = c.now
+	if c.now-o.lastSeen >= c.cfg.SuspectAfter {
+		o.stableSince = c.now
 	}
-	o.served, o.heard, o.failures = true, c.now, 0
-	o.clock.observe(c.now, m.sent)
+	o.responded, o.lastSeen, o.dialFailures = true, c.now, 0
+	o.clock.observe(c.now, m.sentAt)
 	if m.leaving && !o.leaving {
 		o.leaving = true
 		c.chooseHome()
-		c.beat()
+		c.sendDueHeartbeats()
 	}
 	if o != c.home {
 		return nil
 	}
-	return c.follow(o, &m)
+	return c.receiveUpdate(o, &m)
 }
 
-// follow takes what the home says of the view.
-func (c *Client) follow(o *control, m *viewMessage) error {
+// receiveUpdate takes what the home says of the view.
+func (c *Client) receiveUpdate(o *controlPeer, m *viewMessage) error {
 	switch m.content {
-	case someChanges:
-		return c.takeChanges(o, m)
-	case someBuckets:
-		return c.takeBuckets(o, m)
+	case changesSince:
+		return c.receiveChanges(o, m)
+	case fullBuckets:
+		return c.receiveBuckets(o, m)
 	}
-	if !m.answers {
+	if !m.isAnswer {
 		return nil
 	}
-	if m.unknown {
-		o.wantsSums = true
-		c.resume(o)
+	if m.needsBucketDigests {
+		o.needsBucketDigests = true
+		c.requestMissing(o)
 		return nil
 	}
-	c.compare(o, m)
+	c.receiveAnswer(o, m)
 	return nil
 }
 
-// compare takes the answer to a heartbeat: the view is confirmed, or behind, which the next heartbeat tells.
-func (c *Client) compare(o *control, m *viewMessage) {
-	if m.echo <= c.now {
-		o.lastAnswer = lastAnswer{true, m.sequence, m.echo}
+// receiveAnswer takes the answer to a heartbeat: the view is confirmed, or behind, which the next heartbeat tells.
+func (c *Client) receiveAnswer(o *controlPeer, m *viewMessage) {
+	if m.heartbeatSentAt <= c.now {
+		o.lastAnswer = answerState{true, m.sequence, m.heartbeatSentAt}
 	}
 	if c.epoch != o.incarnation || m.sequence < c.sequence {
 		return
 	}
 	same := m.sequence == c.sequence
 	if same && m.digest == c.view.Digest() {
-		o.behind, o.wantsSums, c.failures, c.whole = false, false, 0, false
-		c.confirm(o)
-		c.settle()
+		o.viewBehind, o.needsBucketDigests, c.digestFailures, c.needsSnapshot = false, false, 0, false
+		c.confirmView(o)
+		c.resolveConflicts()
 		return
 	}
-	o.behind = true
+	o.viewBehind = true
 	if same {
 		c.Counters.DigestMismatches++
-		o.wantsSums = true
+		o.needsBucketDigests = true
 	}
 }
 
-// confirm notes that the view is as far as an answer said.
-func (c *Client) confirm(o *control) {
-	if o.lastAnswer.answered && c.sequence >= o.lastAnswer.sequence {
-		c.view.confirm(o.lastAnswer.asked)
+// confirmView notes that the view is as far as an answer said.
+func (c *Client) confirmView(o *controlPeer) {
+	if o.lastAnswer.received && c.sequence >= o.lastAnswer.sequence {
+		c.view.confirm(o.lastAnswer.heartbeatSentAt)
 	}
 }
 
-// settle takes a home's word in the end where it goes on showing a process alive which this view has had replaced.
-func (c *Client) settle() {
-	if c.view.conflict && !c.view.endConflicts(c.conflict != 0 && c.now-c.conflict >= conflictSpan) {
-		c.conflict = 0
+// resolveConflicts takes a home's word in the end where it goes on showing a process alive which this view has had replaced.
+func (c *Client) resolveConflicts() {
+	if c.view.hasConflict && !c.view.resolveConflicts(c.conflictSince != 0 && c.now-c.conflictSince >= conflictTimeout) {
+		c.conflictSince = 0
 	}
-	if c.view.conflict && c.conflict == 0 {
-		c.conflict = c.now
+	if c.view.hasConflict && c.conflictSince == 0 {
+		c.conflictSince = c.now
 	}
 }
 
-// resume asks for what is missing without waiting for the next heartbeat, at a bounded rate.
-func (c *Client) resume(o *control) {
-	if c.now-o.lastResume < resumeGap {
+// requestMissing asks for what is missing without waiting for the next heartbeat, at a bounded rate.
+func (c *Client) requestMissing(o *controlPeer) {
+	if c.now-o.lastResume < minResumeInterval {
 		return
 	}
 	o.lastResume = c.now
 	c.sendHeartbeat(o)
 }
 
-func (c *Client) takeChanges(o *control, m *viewMessage) error {
+func (c *Client) receiveChanges(o *controlPeer, m *viewMessage) error {
 	switch {
 	case c.epoch != o.incarnation || m.sequence <= c.sequence:
 		return nil
-	case m.base > c.sequence:
+	case m.baseSequence > c.sequence:
 		c.Counters.Gaps++
-		o.behind = true
-		c.resume(o)
+		o.viewBehind = true
+		c.requestMissing(o)
 		return nil
 	}
-	changes, err := c.entries(o, m)
+	changes, err := c.decodeEntries(o, m)
 	if err != nil {
 		return err
 	}
-	return c.take(o, m, changes, false)
+	return c.applyUpdate(o, m, changes, false)
 }
 
-func (c *Client) takeBuckets(o *control, m *viewMessage) error {
+func (c *Client) receiveBuckets(o *controlPeer, m *viewMessage) error {
 	if c.epoch == o.incarnation && m.sequence < c.sequence {
 		return nil
 	}
-	entries, err := c.entries(o, m)
+	entries, err := c.decodeEntries(o, m)
 	if err != nil {
 		return err
 	}
 	for i := range entries {
-		if entries[i].removed || m.mask&(1<<bucketOf(entries[i].Name)) == 0 {
+		if entries[i].removed || m.bucketMask&(1<<bucketOf(entries[i].Name)) == 0 {
 			c.Counters.Malformed++
 			return fmt.Errorf("%w: %q is not of the parts told", ErrMalformed, entries[i].Name)
 		}
 	}
-	whole := m.mask == allBuckets
+	whole := m.bucketMask == allBuckets
 	if whole {
 		c.Counters.Snapshots++
 		c.Counters.SnapshotBytes += len(m.entries)
@@ -422,15 +422,15 @@
 		c.Counters.DigestRepairs++
 		c.Counters.RepairBytes += len(m.entries)
 	}
-	return c.take(o, m, c.view.replacing(m.mask, entries), whole)
+	return c.applyUpdate(o, m, c.view.changesTo(m.bucketMask, entries), whole)
 }
 
-// entries reads and checks what a message carries.
-func (c *Client) entries(o *control, m *viewMessage) ([]change, error) {
+// decodeEntries reads and checks what a message carries.
+func (c *Client) decodeEntries(o *controlPeer, m *viewMessage) ([]change, error) {
 	b := m.entries
 	var err error
-	if m.packed {
-		b, err = c.unpacker.unpack(b, c.cfg.MaxEntries*entrySize)
+	if m.compressed {
+		b, err = c.decompressor.decompress(b, c.cfg.MaxEntries*maxEntrySize)
 	}
 	var list []change
 	if err == nil {
@@ -438,14 +438,14 @@
 	}
 	if err == nil {
 		for i := range list {
-			if !list[i].removed && c.byName[list[i].Home] == nil {
+			if !list[i].removed && c.peersByName[list[i].Home] == nil {
 				c.Counters.UnknownHomes++
 				return nil, fmt.Errorf("%w: %q", ErrUnknownHome, list[i].Home)
 			}
 		}
 		return list, nil
 	}
-	if isOversized(err) {
+	if isTooManyEntries(err) {
 		c.Counters.Oversized++
 	} else {
 		c.Counters.Malformed++
@@ -453,41 +453,41 @@
 	return nil, err
 }
 
-// take applies changes where the view then has the digest that was told; else it stays as it is, and the rest is asked for.
-func (c *Client) take(o *control, m *viewMessage, changes []change, whole bool) error {
+// applyUpdate applies changes where the view then has the digest that was told; else it stays as it is, and the rest is asked for.
+func (c *Client) applyUpdate(o *controlPeer, m *viewMessage, changes []change, whole bool) error {
 	if c.view.lenAfter(changes) > c.cfg.MaxEntries {
 		c.Counters.Oversized++
 		return ErrTooManyEntries
 	}
 	if c.view.digestAfter(changes) != m.digest {
-		return c.disagree(o, m, whole)
+		return c.requestRepair(o, m, whole)
 	}
-	from := followed
-	if m.content == someBuckets {
-		from = resumed
+	from := fromHomeChanges
+	if m.content == fullBuckets {
+		from = fromHomeBuckets
 	}
 	c.view.apply(changes, from)
 	c.Counters.Changes += len(changes)
-	if m.content == someChanges {
+	if m.content == changesSince {
 		c.Counters.Pushes++
 		c.Counters.PushBytes += len(m.entries)
 	}
 	c.epoch, c.sequence = o.incarnation, m.sequence
-	o.behind, o.wantsSums, c.whole = false, false, false
-	c.confirm(o)
+	o.viewBehind, o.needsBucketDigests, c.needsSnapshot = false, false, false
+	c.confirmView(o)
 	return nil
 }
 
-// disagree asks for the parts that differ, and for the whole view where that did not help.
-func (c *Client) disagree(o *control, m *viewMessage, whole bool) error {
+// requestRepair asks for the parts that differ, and for the whole view where that did not help.
+func (c *Client) requestRepair(o *controlPeer, m *viewMessage, whole bool) error {
 	c.Counters.DigestMismatches++
-	c.failures++
-	if whole || c.failures > mostFailures {
+	c.digestFailures++
+	if whole || c.digestFailures > maxDigestFailures {
 		c.Counters.Malformed++
 		return fmt.Errorf("%w: what %q sends", ErrDigestMismatch, o.name)
 	}
-	c.whole = m.content == someBuckets
-	o.wantsSums = true
-	c.resume(o)
+	c.needsSnapshot = m.content == fullBuckets
+	o.needsBucketDigests = true
+	c.requestMissing(o)
 	return nil
 }
--- a/fleet/membership/pack.go
+++ b/fleet/membership/compression.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// packAbove is the size from which packing saves more than its frame costs.
-	packAbove = 300
-	// entrySize bounds what one entry takes unpacked: three names, a number, and tags.
-	entrySize = 3*longestName + 64
+	// compressionThreshold is the size from which packing saves more than its frame costs.
+	compressionThreshold = 300
+	// maxEntrySize bounds what one entry takes unpacked: three names, a number, and tags.
+	maxEntrySize = 3*maxNameLength + 64
 )
 
-// packer compresses; it keeps its tables, which take about a megabyte.
-type packer struct{ writer *flate.Writer }
+// compressor compresses; it keeps its tables, which take about a megabyte.
+type compressor struct{ writer *flate.Writer }
 
-// pack gives b compressed, or b itself where that is small or gains nothing.
-func (p *packer) pack(b []byte) (out []byte, packed bool) {
-	if len(b) <= packAbove {
+// compress gives b compressed, or b itself where that is small or gains nothing.
+func (p *compressor) compress(b []byte) (out []byte, packed bool) {
+	if len(b) <= compressionThreshold {
 		return b, false
 	}
 	var buffer bytes.Buffer
@@ -42,11 +42,11 @@
 	return buffer.Bytes(), true
 }
 
-// unpacker reads what packer wrote.
-type unpacker struct{ reader io.ReadCloser }
+// decompressor reads what packer wrote.
+type decompressor struct{ reader io.ReadCloser }
 
-// unpack gives at most most bytes; more are an error.
-func (u *unpacker) unpack(b []byte, most int) ([]byte, error) {
+// decompress gives at most most bytes; more are an error.
+func (u *decompressor) decompress(b []byte, most int) ([]byte, error) {
 	source := bytes.NewReader(b)
 	if u.reader == nil {
 		u.reader = flate.NewReader(source)
--- a/fleet/membership/cost_test.go
+++ b/fleet/membership/cost_test.go
@@ -11,34 +11,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fullControls is how many control members the users set aside machines for.
-const fullControls = 53
+// fullFleetControls is how many control members the users set aside machines for.
+const fullFleetControls = 53
 
-// full is a control member with 2,700 front ends in its view, of which as many are attached to it as to each of 53.
-func full(t testing.TB) (s *Server, now monotime.Micros) { return withEach(t, 51) }
+// fullFleetServer is a control member with 2,700 front ends in its view, of which as many are attached to it as to each of 53.
+func fullFleetServer(t testing.TB) (s *Server, now monotime.Micros) { return serverOfFleet(t, 51) }
 
-// withEach is one of 53 control members to each of which so many front ends are attached.
-func withEach(t testing.TB, each int) (s *Server, now monotime.Micros) {
+// serverOfFleet is one of 53 control members to each of which so many front ends are attached.
+func serverOfFleet(t testing.TB, each int) (s *Server, now monotime.Micros) {
 	now = 100 * second
 	var controls []ControlMember
-	for i := range fullControls {
+	for i := range fullFleetControls {
 		controls = append(controls, ControlMember{Name: fmt.Sprintf("front-control-%02d", i), Zone: fmt.Sprintf("zone-%02d", i%23),
-			Incarnation: weight("c", fmt.Sprint(i), 1)})
+			Incarnation: rendezvousWeight("c", fmt.Sprint(i), 1)})
 	}
 	s = NewServer(Config{Name: controls[0].Name, Zone: controls[0].Zone, Incarnation: controls[0].Incarnation, ControlMembers: controls})
 	s.Tick(now, controls)
-	for i := 1; i < fullControls; i++ {
-		var rows []row
+	for i := 1; i < fullFleetControls; i++ {
+		var rows []tableEntry
 		for j := range each {
 			name := fmt.Sprintf("front-%02d-%03d", i, j)
-			rows = append(rows, row{name: name, zone: controls[i].Zone, incarnation: weight(name, "", 2), serves: true, challenged: now})
+			rows = append(rows, tableEntry{name: name, zone: controls[i].Zone, incarnation: rendezvousWeight(name, "", 2), servesView: true, challengedAt: now})
 		}
-		m := tableMessage{version: version{controls[i].Name, controls[i].Incarnation, 1, 0}, rows: rows}
-		m.sum = newTable("", 0).sumAfter(rows)
+		m := tableMessage{tableVersion: tableVersion{controls[i].Name, controls[i].Incarnation, 1, 0}, entries: rows}
+		m.digest = newTable("", 0).digestAfter(rows)
 		require.NoError(t, s.ReceiveFromControl(now, controls[i].Name, controls[i].Incarnation, TableUpdate, m.encode()))
 	}
 	for i := range each {
-		beatOf(t, s, now, i, true)
+		heartbeatTo(t, s, now, i, true)
 	}
 	now += 50 * ms
 	s.Tick(now, controls)
@@ -46,30 +46,30 @@
 	return s, now
 }
 
-func beatOf(t testing.TB, s *Server, now monotime.Micros, i int, current bool) {
+func heartbeatTo(t testing.TB, s *Server, now monotime.Micros, i int, current bool) {
 	name := fmt.Sprintf("front-00-%03d", i)
-	h := heartbeat{name: name, sent: now, subscribe: true, epoch: s.cfg.Incarnation, sequence: s.sequence, digest: s.view.Digest()}
+	h := heartbeat{name: name, sentAt: now, subscribe: true, epoch: s.cfg.Incarnation, sequence: s.sequence, digest: s.view.Digest()}
 	if !current {
 		h.epoch, h.sequence, h.digest, h.resume = 0, 0, 0, true
 	}
-	require.NoError(t, s.Receive(now, Link{From: name, Zone: "zone-00", Incarnation: weight(name, "", 2), ChallengedAt: now}, Heartbeat, h.encode()))
+	require.NoError(t, s.Receive(now, Link{From: name, Zone: "zone-00", Incarnation: rendezvousWeight(name, "", 2), ChallengedAt: now}, Heartbeat, h.encode()))
 }
 
-// holding is a front end that has taken a whole view from its home.
-func holding(t testing.TB, s *Server, now monotime.Micros, body []byte) *Client {
+// clientWithView is a front end that has taken a whole view from its home.
+func clientWithView(t testing.TB, s *Server, now monotime.Micros, body []byte) *Client {
 	c := NewClient(Config{Name: "front-00-000", Zone: "zone-00", Incarnation: 5, ControlMembers: s.cfg.ControlMembers})
 	c.Tick(now)
 	c.LinkOpened(now+second, s.cfg.Name, s.cfg.Incarnation)
-	c.home = c.byName[s.cfg.Name]
+	c.home = c.peersByName[s.cfg.Name]
 	require.NoError(t, c.Receive(now+second, s.cfg.Name, s.cfg.Incarnation, ViewUpdate, body))
 	return c
 }
 
 // The bytes of a full view and of one change, and what a client needs to hold it.
 func TestCostsOfAFullView(t *testing.T) {
-	s, now := full(t)
+	s, now := fullFleetServer(t)
 	require.Equal(t, 2756, s.View().Len())
-	beatOf(t, s, now, 0, false)
+	heartbeatTo(t, s, now, 0, false)
 	body := s.Actions()[1].Body
 	t.Logf("a snapshot of %d entries has %d bytes", s.View().Len(), len(body))
 	assert.Less(t, len(body), 64<<10)
@@ -77,7 +77,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	c := holding(t, s, now, body)
+	c := clientWithView(t, s, now, body)
 	require.Equal(t, 2756, c.View().Len())
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -85,9 +85,9 @@
 	assert.Less(t, after.HeapAlloc-before.HeapAlloc, uint64(2<<20))
 	runtime.KeepAlive(c)
 
-	m := tableMessage{version: version{s.controls[1].Name, s.controls[1].Incarnation, 2, 0}, base: 1,
-		rows: []row{{name: "front-01-007", zone: s.controls[1].Zone, incarnation: 99, serves: true, challenged: now}}}
-	m.sum = s.controls[1].tables[0].sumAfter(m.rows)
+	m := tableMessage{tableVersion: tableVersion{s.members[1].Name, s.members[1].Incarnation, 2, 0}, baseSequence: 1,
+		entries: []tableEntry{{name: "front-01-007", zone: s.members[1].Zone, incarnation: 99, servesView: true, challengedAt: now}}}
+	m.digest = s.members[1].tables[0].digestAfter(m.entries)
 	require.NoError(t, s.ReceiveFromControl(now, m.home, m.epoch, TableUpdate, m.encode()))
 	s.Tick(now+50*ms, nil)
 	change := s.Actions()[0]
@@ -101,33 +101,33 @@
 }
 
 func BenchmarkSnapshotEncode(b *testing.B) {
-	s, _ := full(b)
+	s, _ := fullFleetServer(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		s.snapshot = nil
-		s.wholeView()
+		s.snapshotMessage()
 	}
 }
 
 func BenchmarkSnapshotApply(b *testing.B) {
-	s, now := full(b)
-	body := s.wholeView()
+	s, now := fullFleetServer(b)
+	body := s.snapshotMessage()
 	b.ReportAllocs()
 	for b.Loop() {
-		holding(b, s, now, body)
+		clientWithView(b, s, now, body)
 	}
 }
 
 // A second of a control member at rest: ticks, a heartbeat of each that is attached, the versions of all others.
 func BenchmarkServerSecond(b *testing.B) {
-	s, now := full(b)
-	versions := make([][]byte, len(s.controls))
-	var all []version
-	for _, c := range s.controls {
+	s, now := fullFleetServer(b)
+	versions := make([][]byte, len(s.members))
+	var all []tableVersion
+	for _, c := range s.members {
 		all = append(all, c.tables[0].version())
 	}
-	for i, c := range s.controls {
-		versions[i] = encodeVersions(now, []version{c.tables[0].version()})
+	for i, c := range s.members {
+		versions[i] = encodeVersions(now, []tableVersion{c.tables[0].version()})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -136,9 +136,9 @@
 			s.Tick(now, s.cfg.ControlMembers)
 		}
 		for i := range 51 {
-			beatOf(b, s, now, i, true)
+			heartbeatTo(b, s, now, i, true)
 		}
-		for i, c := range s.controls[1:] {
+		for i, c := range s.members[1:] {
 			for range 9 {
 				_ = s.ReceiveVersions(now, c.Name, c.Incarnation, versions[i+1])
 			}
--- a/fleet/membership/fault_test.go
+++ b/fleet/membership/failures_test.go
@@ -35,7 +35,7 @@
 	}
 	r.restart(c)
 	r.run(2 * second)
-	r.agreed()
+	r.requireAgreement()
 	for _, o := range r.clients {
 		if o != c {
 			require.True(t, o.View().Superseded(before), o.cfg.Name)
@@ -68,7 +68,7 @@
 		everyone(func(v *View) bool { return v.Alive(c.cfg.Incarnation) }, fmt.Sprint("start ", i))
 		r.run(2 * second)
 	}
-	r.agreed()
+	r.requireAgreement()
 }
 
 // Front ends whose home dies are seen alive all the time, as they hold another lease; their view goes on from the second slot
@@ -76,7 +76,7 @@
 func TestHomeDead(t *testing.T) {
 	r := fleet(t, 3, 60)
 	r.run(10 * second)
-	r.agreed()
+	r.requireAgreement()
 	home := r.names["m00"]
 	var moved []*rigClient
 	for _, c := range r.clients {
@@ -101,7 +101,7 @@
 	}
 	r.stop(home)
 	r.run(10 * second)
-	r.agreed()
+	r.requireAgreement()
 	assert.Zero(t, dead, "a front end that was not seen alive")
 	for _, c := range r.clients {
 		snapshots += c.Counters.Snapshots
@@ -127,8 +127,8 @@
 	for _, c := range moved {
 		require.NotContains(t, c.Targets(r.now), "m00", "only once it is back for a while")
 	}
-	r.run(settleSpan + returnSpan + 10*second)
-	r.agreed()
+	r.run(failbackDelay + failbackJitter + 10*second)
+	r.requireAgreement()
 	for _, c := range moved {
 		require.Equal(t, "m00", c.Home(), c.cfg.Name)
 		require.Len(t, c.Targets(r.now), 2)
@@ -143,7 +143,7 @@
 		r.attach(fmt.Sprintf("f%03d", i), []string{"za", "zb", "zc"}[i%3])
 	}
 	r.run(8 * second)
-	r.agreed()
+	r.requireAgreement()
 	// Both control members of the front ends of za are cut off from them at once.
 	cut := map[string]bool{}
 	for _, c := range r.clients {
@@ -166,7 +166,7 @@
 	r.check = func() {}
 	r.cut = func(_, _ string) bool { return false }
 	r.run(60 * second)
-	r.agreed()
+	r.requireAgreement()
 }
 
 // One or two front ends that die are no reason for doubt; and doubt ends.
@@ -186,7 +186,7 @@
 	for _, c := range r.clients[1:8] {
 		require.False(t, r.servers[0].View().PresumedDead(c.cfg.Incarnation), "in doubt")
 	}
-	r.run(doubtSpan)
+	r.run(selfSuspicionTimeout)
 	for _, c := range r.clients[1:8] {
 		require.True(t, r.servers[0].View().PresumedDead(c.cfg.Incarnation), "the doubt is over")
 	}
@@ -198,9 +198,9 @@
 	r := newRig(t, 6, "za", "zb", "zc")
 	c := r.attach("f000", "za")
 	r.run(5 * second)
-	r.agreed()
+	r.requireAgreement()
 	home := r.names[c.Home()]
-	other := r.servers[slices.IndexFunc(r.servers, func(s *rigServer) bool { return s.lessees["f000"] == nil })]
+	other := r.servers[slices.IndexFunc(r.servers, func(s *rigServer) bool { return s.leasesByName["f000"] == nil })]
 	for _, s := range r.servers {
 		if s != other {
 			r.stop(s)
@@ -210,7 +210,7 @@
 	r.run(second)
 	e, _ := other.View().Lookup("f000")
 	require.Equal(t, Suspect, e.State, "the evidence of %s", home.cfg.Name)
-	r.run(lapseSpan - 2*second)
+	r.run(absentHomeTimeout - 2*second)
 	e, _ = other.View().Lookup("f000")
 	require.Equal(t, Suspect, e.State)
 	r.run(2 * second)
@@ -226,7 +226,7 @@
 		r.attach(fmt.Sprintf("f%03d", i), []string{"za", "zb"}[i%2])
 	}
 	r.run(8 * second)
-	r.agreed()
+	r.requireAgreement()
 	r.stop(r.servers[0])
 	r.stop(r.servers[1])
 	for _, c := range r.clients {
@@ -250,7 +250,7 @@
 	first := r.names[c.Targets(r.now)[1]]
 	r.cut = func(from, to string) bool { return from == "f000" && to == first.cfg.Name }
 	r.run(20 * second)
-	require.Equal(t, Dead, first.lessees["f000"].state)
+	require.Equal(t, Dead, first.leasesByName["f000"].state)
 	require.True(t, first.View().Alive(c.cfg.Incarnation))
 	r.cut = func(from, to string) bool { return from == "f000" || to == "f000" }
 	for _, s := range r.servers {
@@ -261,7 +261,7 @@
 	r.run(7 * second)
 	e, _ := first.View().Lookup("f000")
 	require.Equal(t, Suspect, e.State)
-	r.run(lapseSpan)
+	r.run(absentHomeTimeout)
 	require.True(t, first.View().PresumedDead(c.cfg.Incarnation))
 }
 
@@ -276,7 +276,7 @@
 	r.cut = func(from, to string) bool { return from == "f000" || to == "f000" }
 	r.stop(home)
 	r.run(3 * second)
-	require.Equal(t, Dead, other.lessees["f000"].state)
+	require.Equal(t, Dead, other.leasesByName["f000"].state)
 	e, _ := other.View().Lookup("f000")
 	require.Equal(t, Suspect, e.State)
 	r.run(1200 * ms)
@@ -360,7 +360,7 @@
 func TestClientPause(t *testing.T) {
 	r := fleet(t, 10, 6)
 	r.run(6 * second)
-	r.agreed()
+	r.requireAgreement()
 	c := r.clients[0]
 	c.paused = true
 	r.run(30 * second)
@@ -378,6 +378,6 @@
 	require.Equal(t, 1, c.Counters.Pauses)
 	require.Less(t, 30*second, c.View().Age(r.now))
 	r.run(8 * second)
-	r.agreed()
+	r.requireAgreement()
 	require.Zero(t, c.Counters.LostControlMembers, "its control members were not silent")
 }
--- a/fleet/membership/full_test.go
+++ b/fleet/membership/fullfleet_test.go
@@ -30,19 +30,19 @@
 	}
 	phase := func(name string, length monotime.Micros) {
 		for _, c := range r.clients {
-			c.in, c.out = 0, 0
+			c.bytesIn, c.bytesOut = 0, 0
 		}
 		for _, s := range r.servers {
-			s.bytes = 0
+			s.bytesOut = 0
 		}
 		began := time.Now()
 		r.run(length)
 		var incoming, outgoing, served []int
 		for _, c := range r.clients {
-			incoming, outgoing = append(incoming, c.in), append(outgoing, c.out)
+			incoming, outgoing = append(incoming, c.bytesIn), append(outgoing, c.bytesOut)
 		}
 		for _, s := range r.servers {
-			served = append(served, s.bytes)
+			served = append(served, s.bytesOut)
 		}
 		seconds := float64(length) / float64(second)
 		kilobytes := func(list []int) string {
@@ -61,16 +61,16 @@
 			name, kilobytes(incoming), kilobytes(outgoing), kilobytes(served), snapshots, repairs, time.Since(began).Round(time.Millisecond))
 	}
 	phase("all start", span)
-	r.agreed()
+	r.requireAgreement()
 	phase("at rest", span)
 	for i := range size / 10 {
-		r.after(monotime.Micros(i)*span/(size/10), func() { r.restart(r.clients[i*10]) })
+		r.schedule(monotime.Micros(i)*span/(size/10), func() { r.restart(r.clients[i*10]) })
 	}
 	phase("a tenth restarts", span)
 	r.run(5 * second)
-	r.agreed()
+	r.requireAgreement()
 	r.stop(r.servers[7])
 	phase("a control member dies", span)
 	require.Empty(t, r.errors)
-	r.agreed()
+	r.requireAgreement()
 }
--- a/fleet/membership/fuzz_test.go
+++ b/fleet/membership/fuzz_test.go
@@ -11,7 +11,7 @@
 // fuzzServer is a control member with a table of another's and front ends of its own.
 func fuzzServer() (*Server, monotime.Micros) {
 	now := 100 * second
-	s := NewServer(Config{Name: "m0", Zone: "za", Incarnation: 1000, ControlMembers: trioControls, MaxEntries: 50})
+	s := NewServer(Config{Name: "m0", Zone: "za", Incarnation: 1000, ControlMembers: threeControls, MaxEntries: 50})
 	s.Tick(now, []ControlMember{{Name: "m1", Zone: "zb", Incarnation: 1001}, {Name: "m2", Zone: "zc", Incarnation: 1002}})
 	for _, l := range []Link{{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: now}, {From: "g", Zone: "za", Incarnation: 8, ChallengedAt: now}} {
 		s.LinkOpened(now, l)
@@ -21,20 +21,20 @@
 	return s, now + second
 }
 
-// right checks what has to hold of a control member whatever it was told.
-func right(t *testing.T, s *Server) {
+// requireInvariants checks what has to hold of a control member whatever it was told.
+func requireInvariants(t *testing.T, s *Server) {
 	require.LessOrEqual(t, s.View().Len(), s.cfg.MaxEntries)
-	rightView(t, s.View())
-	for _, c := range s.controls {
-		require.LessOrEqual(t, len(c.tables), mostTables+1)
+	requireViewInvariants(t, s.View())
+	for _, c := range s.members {
+		require.LessOrEqual(t, len(c.tables), maxTablesPerHome+1)
 		for _, table := range c.tables {
 			var sum uint64
-			for name, r := range table.rows {
+			for name, r := range table.entries {
 				require.Equal(t, name, r.name)
-				require.Nil(t, s.byName[name], "a control member is attached")
+				require.Nil(t, s.membersByName[name], "a control member is attached")
 				sum += r.digest()
 			}
-			require.Equal(t, sum, table.sum)
+			require.Equal(t, sum, table.contentDigest)
 		}
 	}
 	for _, name := range []string{"m0", "m1", "m2"} {
@@ -44,25 +44,25 @@
 	}
 }
 
-// rightView checks that a view's indexes and sums are those of its entries.
-func rightView(t *testing.T, v *View) {
+// requireViewInvariants checks that a view's indexes and sums are those of its entries.
+func requireViewInvariants(t *testing.T, v *View) {
 	other := newView()
-	for i, e := range v.list {
-		require.True(t, i == 0 || v.list[i-1].Name < e.Name)
+	for i, e := range v.entries {
+		require.True(t, i == 0 || v.entries[i-1].Name < e.Name)
 		require.Same(t, e, v.byName[e.Name])
-		other.put(&change{Entry: e.Entry}, merged)
+		other.put(&change{Entry: e.Entry}, fromMerge)
 	}
-	require.Len(t, v.byName, len(v.list))
-	require.LessOrEqual(t, len(v.byIncarnation), len(v.list))
-	require.Equal(t, other.total, v.total)
-	require.Equal(t, other.sums, v.sums)
+	require.Len(t, v.byName, len(v.entries))
+	require.LessOrEqual(t, len(v.byIncarnation), len(v.entries))
+	require.Equal(t, other.digest, v.digest)
+	require.Equal(t, other.bucketDigests, v.bucketDigests)
 }
 
 // Whatever comes over the link of an attached front end: it speaks for that one only.
 func FuzzServerReceive(f *testing.F) {
-	whole := heartbeat{name: "f", sent: 5, subscribe: true, resume: true}
-	sums := heartbeat{name: "f", sent: 5, leaving: true, subscribe: true, epoch: 1000, sequence: 1, digest: 3, sums: make([]uint32, buckets)}
-	other := heartbeat{name: "g", sent: 5}
+	whole := heartbeat{name: "f", sentAt: 5, subscribe: true, resume: true}
+	sums := heartbeat{name: "f", sentAt: 5, leaving: true, subscribe: true, epoch: 1000, sequence: 1, digest: 3, bucketDigests: make([]uint32, bucketCount)}
+	other := heartbeat{name: "g", sentAt: 5}
 	for _, h := range []heartbeat{whole, sums, other} {
 		f.Add(h.encode(), h.encode(), uint8(Heartbeat))
 	}
@@ -71,15 +71,15 @@
 		s, now := fuzzServer()
 		l := Link{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: now - second1}
 		before, _ := s.View().Lookup("g")
-		digest := s.own.rows["g"].digest()
+		digest := s.ownTable.entries["g"].digest()
 		_ = s.Receive(now, l, Kind(kind), first)
 		_ = s.Receive(now, l, Heartbeat, second)
 		s.Tick(now+100*ms, nil)
 		after, _ := s.View().Lookup("g")
 		require.Equal(t, before, after)
-		require.Equal(t, digest, s.own.rows["g"].digest())
+		require.Equal(t, digest, s.ownTable.entries["g"].digest())
 		require.Equal(t, 5, s.View().Len())
-		right(t, s)
+		requireInvariants(t, s)
 		s.Actions()
 		s.LinksToClose()
 	})
@@ -90,20 +90,20 @@
 
 // Whatever a control member sends: no front end of this one's changes, no control member is taken for attached, and all sums hold.
 func FuzzControlReceive(f *testing.F) {
-	rows := []row{{name: "h", zone: "zb", incarnation: 9, serves: true, challenged: 5, past: []uint64{3}}, {name: "i", zone: "zb", incarnation: 10}}
-	m := tableMessage{version: version{"m1", 1001, 1, 0}, rows: rows}
+	rows := []tableEntry{{name: "h", zone: "zb", incarnation: 9, servesView: true, challengedAt: 5, supersededIncarnations: []uint64{3}}, {name: "i", zone: "zb", incarnation: 10}}
+	m := tableMessage{tableVersion: tableVersion{"m1", 1001, 1, 0}, entries: rows}
 	for i := range rows {
-		m.sum += rows[i].digest()
+		m.digest += rows[i].digest()
 	}
 	f.Add(uint8(TableUpdate), m.encode(), uint8(TableUpdate), m.encode())
-	m.whole = true
+	m.full = true
 	f.Add(uint8(TableUpdate), m.encode(), uint8(TablePull), (&pullMessage{home: "m0", epoch: 1000}).encode())
-	m.version.home = "m0"
-	f.Add(uint8(TableUpdate), m.encode(), uint8(0), encodeVersions(5, []version{{"m1", 1001, 3, 4}, {"m2", 1002, 0, 9}}))
-	f.Add(uint8(TablePull), (&pullMessage{home: "m1", epoch: 1001, whole: true}).encode(), uint8(9), []byte("garbage"))
+	m.tableVersion.home = "m0"
+	f.Add(uint8(TableUpdate), m.encode(), uint8(0), encodeVersions(5, []tableVersion{{"m1", 1001, 3, 4}, {"m2", 1002, 0, 9}}))
+	f.Add(uint8(TablePull), (&pullMessage{home: "m1", epoch: 1001, full: true}).encode(), uint8(9), []byte("garbage"))
 	f.Fuzz(func(t *testing.T, kind1 uint8, first []byte, kind2 uint8, second []byte) {
 		s, now := fuzzServer()
-		before := s.own.version()
+		before := s.ownTable.version()
 		for _, m := range []Message{{Kind: Kind(kind1), Body: first}, {Kind: Kind(kind2), Body: second}} {
 			if m.Kind == 0 {
 				_ = s.ReceiveVersions(now, "m1", 1001, m.Body)
@@ -112,8 +112,8 @@
 			_ = s.ReceiveFromControl(now, "m1", 1001, m.Kind, m.Body)
 		}
 		s.Tick(now+100*ms, nil)
-		require.Equal(t, before, s.own.version())
-		right(t, s)
+		require.Equal(t, before, s.ownTable.version())
+		requireInvariants(t, s)
 		for _, m := range s.Actions() {
 			require.Contains(t, []Kind{TablePull, TableUpdate, ViewUpdate}, m.Kind)
 		}
@@ -122,24 +122,24 @@
 
 // Whatever a home sends: the view is what was told as a whole with its digest, or stays as it was.
 func FuzzClientReceive(f *testing.F) {
-	entries := []change{{Entry: Entry{Name: "f", Zone: "za", Role: Attached, Incarnation: 7, Home: "m0"}, challenged: 5 * ms},
+	entries := []change{{Entry: Entry{Name: "f", Zone: "za", Role: Attached, Incarnation: 7, Home: "m0"}, challengedAt: 5 * ms},
 		{Entry: Entry{Name: "m0", Zone: "za", Incarnation: 1000, Home: "m0"}}}
 	view := newView()
-	view.apply(entries, merged)
-	m := viewMessage{epoch: 1000, sequence: 1, digest: view.Digest(), content: someBuckets, mask: allBuckets, entries: encodeChanges(entries)}
+	view.apply(entries, fromMerge)
+	m := viewMessage{epoch: 1000, sequence: 1, digest: view.Digest(), content: fullBuckets, bucketMask: allBuckets, entries: encodeChanges(entries)}
 	more := []change{{Entry: Entry{Name: "f"}, removed: true}, {Entry: Entry{Name: "g", Role: Attached, Incarnation: 8, Home: "m1"}}}
-	changes := viewMessage{epoch: 1000, sequence: 2, digest: view.digestAfter(more), content: someChanges, base: 1, entries: encodeChanges(more)}
-	answer := viewMessage{epoch: 1000, sequence: 1, digest: view.Digest(), answers: true, echo: 5}
+	changes := viewMessage{epoch: 1000, sequence: 2, digest: view.digestAfter(more), content: changesSince, baseSequence: 1, entries: encodeChanges(more)}
+	answer := viewMessage{epoch: 1000, sequence: 1, digest: view.Digest(), isAnswer: true, heartbeatSentAt: 5}
 	f.Add(m.encode(), changes.encode())
 	f.Add(m.encode(), answer.encode())
-	answer.unknown, answer.leaving = true, true
+	answer.needsBucketDigests, answer.leaving = true, true
 	f.Add(answer.encode(), []byte("garbage"))
 	packed := m
-	packed.entries, packed.packed = (&packer{}).pack(append(encodeChanges(entries), make([]byte, 400)...))
+	packed.entries, packed.compressed = (&compressor{}).compress(append(encodeChanges(entries), make([]byte, 400)...))
 	f.Add(packed.encode(), m.encode())
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		now := 100 * second1
-		c := NewClient(Config{Name: "f", Zone: "za", Incarnation: 7, ControlMembers: trioControls, MaxEntries: 50})
+		c := NewClient(Config{Name: "f", Zone: "za", Incarnation: 7, ControlMembers: threeControls, MaxEntries: 50})
 		c.Tick(now)
 		c.Tick(now + second1)
 		c.LinkOpened(now+second1, "m0", 1000)
@@ -147,7 +147,7 @@
 		for _, body := range [][]byte{first, second} {
 			before, sequence := c.View().Digest(), c.sequence
 			err := c.Receive(now+second1, "m0", 1000, ViewUpdate, body)
-			told, bad := decodeView(body)
+			told, bad := decodeViewMessage(body)
 			require.True(t, bad == nil || err != nil)
 			if after := c.View().Digest(); after != before {
 				require.NoError(t, err)
@@ -158,9 +158,9 @@
 				require.Equal(t, sequence, c.sequence)
 			}
 			require.LessOrEqual(t, c.View().Len(), 50)
-			rightView(t, c.View())
+			requireViewInvariants(t, c.View())
 			for _, e := range c.View().Entries() {
-				require.NotNil(t, c.byName[e.Home])
+				require.NotNil(t, c.peersByName[e.Home])
 			}
 		}
 		c.Tick(now + 2*second1)
--- a/fleet/membership/bound_test.go
+++ b/fleet/membership/limits_test.go
@@ -12,12 +12,12 @@
 
 // A front end that is dead for long is forgotten by its home and in the view, and may come back.
 func TestRetention(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
-	r.run(keepSpan - second)
-	r.shows("f", 7, Dead)
+	r.run(retentionTime - second)
+	r.requireState("f", 7, Dead)
 	r.run(8 * second)
-	for _, c := range trioControls {
+	for _, c := range threeControls {
 		s := r.servers[c.Name]
 		_, ok := s.View().Lookup("f")
 		require.False(t, ok, c.Name)
@@ -25,36 +25,36 @@
 		require.Len(t, s.names, 3, c.Name)
 	}
 	require.Empty(t, r.servers["m0"].leases)
-	require.Empty(t, r.servers["m0"].lessees)
-	require.Empty(t, r.servers["m0"].own.rows)
+	require.Empty(t, r.servers["m0"].leasesByName)
+	require.Empty(t, r.servers["m0"].ownTable.entries)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(200 * ms)
-	r.shows("f", 7, Alive)
+	r.requireState("f", 7, Alive)
 	require.False(t, r.servers["m1"].View().PresumedDead(7))
 }
 
 // A control member that restarts without end leaves a bounded number of tables.
 func TestTablesAreBounded(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	for i := range uint64(20) {
-		r.begin("m0", 2000+i)
+		r.startProcess("m0", 2000+i)
 		r.run(100 * ms)
 		r.servers["m0"].LinkOpened(r.now, r.link(fmt.Sprintf("f%02d", i), 100+i))
 		r.run(300 * ms)
 	}
 	s := r.servers["m1"]
-	require.LessOrEqual(t, len(s.byName["m0"].tables), mostTables+1)
-	require.LessOrEqual(t, s.View().Len(), 3+mostTables+1)
+	require.LessOrEqual(t, len(s.membersByName["m0"].tables), maxTablesPerHome+1)
+	require.LessOrEqual(t, s.View().Len(), 3+maxTablesPerHome+1)
 	require.True(t, s.View().Alive(119))
 }
 
 // Pulls are answered at a bounded rate for each control member and table.
 func TestPullsAreBounded(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	s := r.servers["m0"]
 	s.LinkOpened(r.now, r.link("f", 7))
 	r.run(100 * ms)
-	p := pullMessage{home: "m0", epoch: 1000, whole: true}
+	p := pullMessage{home: "m0", epoch: 1000, full: true}
 	for range 100 {
 		require.NoError(t, s.ReceiveFromControl(r.now, "m1", 1001, TablePull, p.encode()))
 	}
@@ -65,11 +65,11 @@
 
 // One name gets a bounded number of bytes of snapshots, however many processes it has, and the last of them gets one in the end.
 func TestSnapshotsOfANameAreBounded(t *testing.T) {
-	p := newPair(t, 2000)
+	p := newServerAndClient(t, 2000)
 	before := p.server.Counters
 	subscribe := func(incarnation uint64) {
 		l := Link{From: "odd", Zone: "za", Incarnation: incarnation, ChallengedAt: p.now}
-		h := heartbeat{name: "odd", sent: p.now, subscribe: true, resume: true}
+		h := heartbeat{name: "odd", sentAt: p.now, subscribe: true, resume: true}
 		require.NoError(t, p.server.Receive(p.now, l, Heartbeat, h.encode()))
 	}
 	const processes, every = 40, 200 * ms
@@ -77,8 +77,8 @@
 		subscribe(5000 + i)
 		p.run(every)
 	}
-	size := len(p.server.wholeView())
-	bound := int(snapshotRate.each*(snapshotRate.span+processes*every)/second) + size
+	size := len(p.server.snapshotMessage())
+	bound := int(snapshotRateLimit.bytesPerSecond*(snapshotRateLimit.burstWindow+processes*every)/second) + size
 	require.Greater(t, processes*size, 2*bound, "else it doesn't show")
 	require.LessOrEqual(t, p.server.Counters.SnapshotBytes-before.SnapshotBytes, bound)
 	before = p.server.Counters
@@ -91,11 +91,11 @@
 
 // Small views go to each process of a name at once.
 func TestSmallSnapshotsAreNotHeldBack(t *testing.T) {
-	p := newPair(t, 5)
+	p := newServerAndClient(t, 5)
 	before := p.server.Counters.Snapshots
 	for i := range uint64(20) {
 		l := Link{From: "odd", Zone: "za", Incarnation: 5000 + i, ChallengedAt: p.now}
-		h := heartbeat{name: "odd", sent: p.now, subscribe: true, resume: true}
+		h := heartbeat{name: "odd", sentAt: p.now, subscribe: true, resume: true}
 		require.NoError(t, p.server.Receive(p.now, l, Heartbeat, h.encode()))
 		p.run(200 * ms)
 	}
@@ -104,9 +104,9 @@
 
 // What the log has is sent at a bounded rate too.
 func TestCatchUpsAreBounded(t *testing.T) {
-	p := newPair(t, 3)
+	p := newServerAndClient(t, 3)
 	sequence, digest := p.server.sequence, p.server.View().Digest()
-	p.other(9, 9)
+	p.heartbeatOf(9, 9)
 	p.run(100 * ms)
 	l := Link{From: "odd", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
 	before := p.server.Counters.CatchUps
@@ -119,18 +119,18 @@
 
 // A name with many processes tells the last few in its row, which others take.
 func TestManyProcesses(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	for i := range uint64(10) {
 		r.now += 20 * second // beyond damping
-		for _, c := range trioControls {
+		for _, c := range threeControls {
 			r.servers[c.Name].now = r.now
 		}
 		r.servers["m0"].LinkOpened(r.now, r.link("f", 100+i))
 		r.run(100 * ms)
 	}
 	require.Empty(t, r.errors)
-	r.shows("f", 109, Alive)
-	require.Len(t, r.servers["m0"].own.rows["f"].past, toldPast)
+	r.requireState("f", 109, Alive)
+	require.Len(t, r.servers["m0"].ownTable.entries["f"].supersededIncarnations, maxReportedSuperseded)
 	for i := range uint64(9) {
 		require.True(t, r.servers["m1"].View().Superseded(100+i))
 	}
@@ -138,7 +138,7 @@
 
 // A process has a bounded number of links; the oldest are closed.
 func TestManyLinks(t *testing.T) {
-	p := newPair(t, 0)
+	p := newServerAndClient(t, 0)
 	closed := 0
 	for i := range 10 {
 		l := p.link
@@ -146,28 +146,28 @@
 		p.server.LinkOpened(p.now, l)
 		closed += len(p.server.LinksToClose())
 	}
-	require.Equal(t, 11-mostLinks, closed)
-	require.Len(t, p.server.lessees["f"].links, mostLinks)
+	require.Equal(t, 11-maxLinksPerProcess, closed)
+	require.Len(t, p.server.leasesByName["f"].links, maxLinksPerProcess)
 }
 
 // Messages that nobody fetches are bounded.
 func TestActionsAreBounded(t *testing.T) {
-	p := newPair(t, 0)
-	for range mostActions + 10 {
+	p := newServerAndClient(t, 0)
+	for range maxQueuedMessages + 10 {
 		require.NoError(t, p.server.Receive(p.now, p.link, Heartbeat, (&heartbeat{name: "f"}).encode()))
 	}
-	require.Len(t, p.server.Actions(), mostActions)
+	require.Len(t, p.server.Actions(), maxQueuedMessages)
 }
 
 // Of two processes of one name the order becomes right as soon as messages say better how far the clocks are apart, without any
 // change of their rows.
 func TestOrderFollowsTheClocks(t *testing.T) {
-	r := newTrio(t)
-	s := NewServer(Config{Name: "m2", Zone: "zc", Incarnation: 1002, ControlMembers: trioControls})
-	s.Tick(r.now, r.seen("m2"))
+	r := newThreeServers(t)
+	s := NewServer(Config{Name: "m2", Zone: "zc", Incarnation: 1002, ControlMembers: threeControls})
+	s.Tick(r.now, r.membersSeenBy("m2"))
 	push := func(home string, epoch, incarnation uint64, sent, challenged monotime.Micros) {
-		m := tableMessage{version: version{home, epoch, 1, 0}, sent: sent, rows: []row{{name: "f", zone: "za", incarnation: incarnation, challenged: challenged}}}
-		m.sum = m.rows[0].digest()
+		m := tableMessage{tableVersion: tableVersion{home, epoch, 1, 0}, sentAt: sent, entries: []tableEntry{{name: "f", zone: "za", incarnation: incarnation, challengedAt: challenged}}}
+		m.digest = m.entries[0].digest()
 		require.NoError(t, s.ReceiveFromControl(r.now, home, epoch, TableUpdate, m.encode()))
 	}
 	// The earlier process is told of in a message that took 10 s.
@@ -190,8 +190,8 @@
 		c.Tick(0)
 		second := c.slots[1].preferred
 		first := c.slots[0].preferred
-		first.avoidedUntil = 1 << 60
-		c.slots[0].due, c.slots[1].due = 1, 2
+		first.backoffUntil = 1 << 60
+		c.slots[0].fillAt, c.slots[1].fillAt = 1, 2
 		c.Tick(1)
 		assert.NotEqual(t, second, c.slots[0].current)
 		c.Tick(2)
--- a/fleet/membership/control_replaced_test.go
+++ b/fleet/membership/member_restart_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// replacedControl is a front end with links to two control members, m0 and m1, of which the test says how each sees a third, m2.
-type replacedControl struct {
+// twoHomes is a front end with links to two control members, m0 and m1, of which the test says how each sees a third, m2.
+type twoHomes struct {
 	t       *testing.T
 	now     monotime.Micros
 	servers map[string]*Server
@@ -26,10 +26,10 @@
 	laterProcess   = ControlMember{Name: "m2", Zone: "zc", Incarnation: 20, State: Alive, ChallengedAt: 101 * second}
 )
 
-// newReplacedControl has both control members see such a process of m2 first, and the front end follow m0.
-func newReplacedControl(t *testing.T, atM0, atM1 ControlMember) *replacedControl {
+// newTwoHomes has both control members see such a process of m2 first, and the front end follow m0.
+func newTwoHomes(t *testing.T, atM0, atM1 ControlMember) *twoHomes {
 	controls := []ControlMember{{Name: "m0", Zone: "za"}, {Name: "m1", Zone: "zb"}, {Name: "m2", Zone: "zc"}}
-	r := &replacedControl{t: t, now: 100 * second, servers: map[string]*Server{}, sees: map[string]ControlMember{"m0": atM0, "m1": atM1}}
+	r := &twoHomes{t: t, now: 100 * second, servers: map[string]*Server{}, sees: map[string]ControlMember{"m0": atM0, "m1": atM1}}
 	for i, name := range []string{"m0", "m1"} {
 		r.servers[name] = NewServer(Config{Name: name, Zone: controls[i].Zone, Incarnation: uint64(i + 1), ControlMembers: controls})
 	}
@@ -50,7 +50,7 @@
 	return r
 }
 
-func (r *replacedControl) run(span monotime.Micros) {
+func (r *twoHomes) run(span monotime.Micros) {
 	for end := r.now + span; r.now < end; {
 		r.now += 50 * ms
 		for name, server := range r.servers {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (r *replacedControl) carry() {
+func (r *twoHomes) carry() {
 	for _, m := range r.client.Actions() {
 		require.NoError(r.t, r.servers[m.To].Receive(r.now, r.link, m.Kind, m.Body))
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-func (r *replacedControl) shows(incarnation uint64, state State) {
+func (r *twoHomes) shows(incarnation uint64, state State) {
 	r.t.Helper()
 	e, ok := r.client.View().Lookup("m2")
 	require.True(r.t, ok)
@@ -84,7 +84,7 @@
 // A home that has not heard of the later process of a control member does not bring the earlier one back at a front end that has
 // seen the later, and the later one is shown alive as soon as that home tells of it.
 func TestHomeBehindAboutAControlMember(t *testing.T) {
-	r := newReplacedControl(t, earlierProcess, earlierProcess)
+	r := newTwoHomes(t, earlierProcess, earlierProcess)
 	r.shows(earlierProcess.Incarnation, Alive)
 	r.sees["m0"] = laterProcess
 	r.run(second)
@@ -104,7 +104,7 @@
 
 // The same where the front end has only ever seen the later process.
 func TestHomeBehindShowsAnUnknownEarlierProcess(t *testing.T) {
-	r := newReplacedControl(t, laterProcess, earlierProcess)
+	r := newTwoHomes(t, laterProcess, earlierProcess)
 	r.shows(laterProcess.Incarnation, Alive)
 	r.client.LinkClosed(r.now, "m0")
 	r.run(second)
--- a/fleet/membership/property_test.go
+++ b/fleet/membership/property_test.go
@@ -37,31 +37,31 @@
 	for i := range clients {
 		r.attach(fmt.Sprintf("f%02d", i), zones[i%servers])
 	}
-	lookers := map[any]*looker{}
-	r.check = func() { r.neverBack(t, lookers) }
+	lookers := map[any]*observer{}
+	r.check = func() { r.checkNoReturn(t, lookers) }
 	for i := range steps {
 		r.fault(fault(i))
-		r.run(r.random.span(100*ms, 6*second))
+		r.run(r.random.between(100*ms, 6*second))
 	}
-	r.calm()
+	r.endFaults()
 	r.run(120 * second)
-	r.agreed()
+	r.requireAgreement()
 }
 
-// looker is what was seen in one view.
-type looker struct {
+// observer is what was seen in one view.
+type observer struct {
 	digest uint64
 	last   map[string]uint64 // by name
 	past   map[uint64]bool
 }
 
-// neverBack checks every server's and client's view for incarnations that come again. At a client one that is Dead does not count:
+// checkNoReturn checks every server's and client's view for incarnations that come again. At a client one that is Dead does not count:
 // a home on the other side of a cut may know of nothing later, and its front ends then show the earlier one as what it is.
-func (r *rig) neverBack(t *rapid.T, lookers map[any]*looker) {
+func (r *rig) checkNoReturn(t *rapid.T, lookers map[any]*observer) {
 	look := func(who string, key any, v *View, strict bool) {
 		l := lookers[key]
 		if l == nil {
-			l = &looker{last: map[string]uint64{}, past: map[uint64]bool{}}
+			l = &observer{last: map[string]uint64{}, past: map[uint64]bool{}}
 			lookers[key] = l
 		}
 		if l.digest == v.Digest() {
@@ -99,9 +99,9 @@
 	one := r.random.next()
 	switch kind {
 	case 0:
-		r.lossy = int(r.random.next() % 300)
+		r.lostPerThousand = int(r.random.next() % 300)
 	case 1:
-		r.doubled, r.slowest = int(r.random.next()%300), r.random.span(5*ms, second)
+		r.duplicatedPerThousand, r.maxDelay = int(r.random.next()%300), r.random.between(5*ms, second)
 	case 2:
 		r.restart(c)
 	case 3:
@@ -138,11 +138,11 @@
 			s.paused = true
 		}
 	case 10:
-		r.refuse = func(c *rigClient) bool { return side(one, c.cfg.Name) == 0 && r.random.next()%3 == 0 } // slow readers
+		r.queueFull = func(c *rigClient) bool { return side(one, c.cfg.Name) == 0 && r.random.next()%3 == 0 } // slow readers
 	}
 }
 
-func side(seed uint64, name string) uint64 { return weight(name, "", seed) % 2 }
+func side(seed uint64, name string) uint64 { return rendezvousWeight(name, "", seed) % 2 }
 
 func (r *rig) upServers() (n int) {
 	for _, s := range r.servers {
@@ -153,11 +153,11 @@
 	return n
 }
 
-// calm ends all faults.
-func (r *rig) calm() {
-	r.lossy, r.doubled, r.slowest = 0, 0, 5*ms
+// endFaults ends all faults.
+func (r *rig) endFaults() {
+	r.lostPerThousand, r.duplicatedPerThousand, r.maxDelay = 0, 0, 5*ms
 	r.cut = func(_, _ string) bool { return false }
-	r.refuse = func(*rigClient) bool { return false }
+	r.queueFull = func(*rigClient) bool { return false }
 	for _, s := range r.servers {
 		switch {
 		case !s.up:
@@ -183,10 +183,10 @@
 		}
 		text := ""
 		for _, s := range r.servers {
-			text += fmt.Sprintf("%+v %d %d\n", s.Counters, s.bytes, s.View().Digest())
+			text += fmt.Sprintf("%+v %d %d\n", s.Counters, s.bytesOut, s.View().Digest())
 		}
 		for _, c := range r.clients {
-			text += fmt.Sprintf("%+v %d %d %d\n", c.Counters, c.in, c.out, c.View().Digest())
+			text += fmt.Sprintf("%+v %d %d %d\n", c.Counters, c.bytesIn, c.bytesOut, c.View().Digest())
 		}
 		return text
 	}
--- a/fleet/membership/rig_test.go
+++ b/fleet/membership/rig_test.go
@@ -39,61 +39,61 @@
 
 // rigLink is an open link of a client to a server, as both sides know it.
 type rigLink struct {
-	client  *rigClient
-	server  *rigServer
-	link    Link
-	control uint64 // the server's incarnation
-	closed  bool
+	client             *rigClient
+	server             *rigServer
+	link               Link
+	controlIncarnation uint64 // the server's incarnation
+	closed             bool
 }
 
 type rigServer struct {
-	began monotime.Micros // when its process answered its first challenge
+	challengedAt monotime.Micros // when its process answered its first challenge
 	*Server
-	cfg     Config
-	up      bool
-	paused  bool
-	backlog []func()
-	bytes   int // sent to clients
-}
-
-type rigClient struct {
-	*Client
 	cfg      Config
 	up       bool
 	paused   bool
 	backlog  []func()
-	links    map[string]*rigLink
-	dialling map[string]bool
-	in, out  int
-	seen     map[uint64]bool // incarnations that its view has shown and replaced
+	bytesOut int // sent to clients
+}
+
+type rigClient struct {
+	*Client
+	cfg               Config
+	up                bool
+	paused            bool
+	backlog           []func()
+	links             map[string]*rigLink
+	dialing           map[string]bool
+	bytesIn, bytesOut int
+	seen              map[uint64]bool // incarnations that its view has shown and replaced
 }
 
 // rig is servers and clients over a network that may lose, delay and double what it carries. Links are opened by a dial that
 // takes a while; a message is lost with its link. Everything follows from the seed.
 type rig struct {
-	t        testing.TB
-	now      monotime.Micros
-	queue    events
-	order    int
-	random   random
-	servers  []*rigServer
-	clients  []*rigClient
-	names    map[string]*rigServer
-	byName   map[string]*rigClient
-	lossy    int // per thousand of messages
-	doubled  int // per thousand
-	slowest  monotime.Micros
-	cut      func(from, to string) bool
-	next     uint64 // incarnation
-	controls []ControlMember
-	refuse   func(c *rigClient) bool // the queue to it is full
-	check    func()
-	errors   []error
+	t                     testing.TB
+	now                   monotime.Micros
+	queue                 events
+	order                 int
+	random                splitMix64
+	servers               []*rigServer
+	clients               []*rigClient
+	names                 map[string]*rigServer
+	byName                map[string]*rigClient
+	lostPerThousand       int // per thousand of messages
+	duplicatedPerThousand int // per thousand
+	maxDelay              monotime.Micros
+	cut                   func(from, to string) bool
+	next                  uint64 // incarnation
+	controls              []ControlMember
+	queueFull             func(c *rigClient) bool // the queue to it is full
+	check                 func()
+	errors                []error
 }
 
 func newRig(t testing.TB, seed uint64, zones ...string) *rig {
-	r := &rig{t: t, random: random(seed), names: map[string]*rigServer{}, byName: map[string]*rigClient{}, next: 100, slowest: 5 * ms,
-		cut: func(_, _ string) bool { return false }, refuse: func(*rigClient) bool { return false }, check: func() {}}
+	r := &rig{t: t, random: splitMix64(seed), names: map[string]*rigServer{}, byName: map[string]*rigClient{}, next: 100, maxDelay: 5 * ms,
+		cut: func(_, _ string) bool { return false }, queueFull: func(*rigClient) bool { return false }, check: func() {}}
 	for i, zone := range zones {
 		r.controls = append(r.controls, ControlMember{Name: fmt.Sprintf("m%02d", i), Zone: zone})
 	}
@@ -105,12 +105,12 @@
 	}
 	for _, s := range r.servers {
 		r.every(50*ms, func() { r.tickServer(s) })
-		r.every(100*ms, func() { r.tellVersions(s) })
+		r.every(100*ms, func() { r.sendVersions(s) })
 	}
 	return r
 }
 
-func (r *rig) after(span monotime.Micros, do func()) {
+func (r *rig) schedule(span monotime.Micros, do func()) {
 	r.order++
 	heap.Push(&r.queue, event{r.now + span, r.order, do})
 }
@@ -119,9 +119,9 @@
 	var again func()
 	again = func() {
 		do()
-		r.after(span, again)
+		r.schedule(span, again)
 	}
-	r.after(r.random.span(0, span), again)
+	r.schedule(r.random.between(0, span), again)
 }
 
 // run lets time pass.
@@ -143,7 +143,7 @@
 // start begins a server's next process.
 func (r *rig) start(s *rigServer) {
 	s.cfg.Incarnation = r.incarnation()
-	s.Server, s.up, s.began = NewServer(s.cfg), true, r.now+r.slowest
+	s.Server, s.up, s.challengedAt = NewServer(s.cfg), true, r.now+r.maxDelay
 }
 
 func (r *rig) stop(s *rigServer) {
@@ -155,13 +155,13 @@
 	}
 }
 
-// seen is the control members as one of them sees them: without a cut as they are.
-func (r *rig) seen(s *rigServer) (list []ControlMember) {
+// membersSeenBy is the control members as one of them sees them: without a cut as they are.
+func (r *rig) membersSeenBy(s *rigServer) (list []ControlMember) {
 	for _, o := range r.servers {
 		if o == s {
 			continue
 		}
-		m := ControlMember{Name: o.cfg.Name, Zone: o.cfg.Zone, Incarnation: o.cfg.Incarnation, State: Alive, ChallengedAt: o.began}
+		m := ControlMember{Name: o.cfg.Name, Zone: o.cfg.Zone, Incarnation: o.cfg.Incarnation, State: Alive, ChallengedAt: o.challengedAt}
 		switch cut := r.cut(o.cfg.Name, s.cfg.Name); {
 		case !o.up || o.paused:
 			m.State = Dead
@@ -181,19 +181,19 @@
 	if !s.up || s.paused {
 		return
 	}
-	s.Tick(r.now, r.seen(s))
+	s.Tick(r.now, r.membersSeenBy(s))
 	r.flushServer(s)
 	r.check()
 }
 
-func (r *rig) tellVersions(s *rigServer) {
+func (r *rig) sendVersions(s *rigServer) {
 	if !s.up || s.paused {
 		return
 	}
 	body, incarnation := s.Versions(r.now), s.cfg.Incarnation
 	for _, o := range r.servers {
 		if o != s {
-			r.carry(s.cfg.Name, o.cfg.Name, func() {
+			r.transmit(s.cfg.Name, o.cfg.Name, func() {
 				r.atServer(o, func() {
 					if err := o.ReceiveVersions(r.now, s.cfg.Name, incarnation, body); err != nil {
 						r.errors = append(r.errors, err)
@@ -204,17 +204,17 @@
 	}
 }
 
-// carry brings a message over, perhaps late, twice or not at all.
-func (r *rig) carry(from, to string, do func()) {
+// transmit brings a message over, perhaps late, twice or not at all.
+func (r *rig) transmit(from, to string, do func()) {
 	times := 1
-	if int(r.random.next()%1000) < r.doubled {
+	if int(r.random.next()%1000) < r.duplicatedPerThousand {
 		times = 2
 	}
 	for range times {
-		if r.cut(from, to) || int(r.random.next()%1000) < r.lossy {
+		if r.cut(from, to) || int(r.random.next()%1000) < r.lostPerThousand {
 			continue
 		}
-		r.after(r.random.span(ms/2, r.slowest), do)
+		r.schedule(r.random.between(ms/2, r.maxDelay), do)
 	}
 }
 
@@ -245,7 +245,7 @@
 	for _, m := range s.Actions() {
 		if m.Incarnation == 0 {
 			o := r.names[m.To]
-			r.carry(s.cfg.Name, m.To, func() {
+			r.transmit(s.cfg.Name, m.To, func() {
 				r.atServer(o, func() {
 					if err := o.ReceiveFromControl(r.now, s.cfg.Name, incarnation, m.Kind, m.Body); err != nil {
 						r.errors = append(r.errors, err)
@@ -262,13 +262,13 @@
 		if c.cfg.Incarnation != m.Incarnation || l == nil || l.closed {
 			continue
 		}
-		if r.refuse(c) {
+		if r.queueFull(c) {
 			s.QueueFull(r.now, m.To, m.Incarnation)
 			continue
 		}
-		s.bytes += len(m.Body) + 50
-		c.in += len(m.Body) + 50
-		r.carry(s.cfg.Name, c.cfg.Name, func() { r.deliver(c, l, m) })
+		s.bytesOut += len(m.Body) + 50
+		c.bytesIn += len(m.Body) + 50
+		r.transmit(s.cfg.Name, c.cfg.Name, func() { r.deliver(c, l, m) })
 	}
 	for _, l := range s.LinksToClose() {
 		if c := r.byName[l.From]; c != nil {
@@ -284,7 +284,7 @@
 		if l.closed || c.Client == nil {
 			return
 		}
-		if err := c.Receive(r.now, l.server.cfg.Name, l.control, m.Kind, m.Body); err != nil {
+		if err := c.Receive(r.now, l.server.cfg.Name, l.controlIncarnation, m.Kind, m.Body); err != nil {
 			r.errors = append(r.errors, err)
 			r.closeLink(l)
 		}
@@ -297,8 +297,8 @@
 	}
 	l.closed = true
 	delete(l.client.links, l.name())
-	r.after(ms, func() {
-		if l.server.cfg.Incarnation == l.control {
+	r.schedule(ms, func() {
+		if l.server.cfg.Incarnation == l.controlIncarnation {
 			r.atServer(l.server, func() { l.server.LinkClosed(r.now, l.link) })
 		}
 		if l.client.cfg.Incarnation == l.link.Incarnation {
@@ -323,7 +323,7 @@
 	r.halt(c)
 	c.cfg.Incarnation = r.incarnation()
 	c.Client, c.up, c.paused, c.backlog = NewClient(c.cfg), true, false, nil
-	c.links, c.dialling, c.seen = map[string]*rigLink{}, map[string]bool{}, map[uint64]bool{}
+	c.links, c.dialing, c.seen = map[string]*rigLink{}, map[string]bool{}, map[uint64]bool{}
 	r.tickClient(c, c.cfg.Incarnation)
 }
 
@@ -346,7 +346,7 @@
 		r.flushClient(c)
 		r.check()
 	}
-	r.after(max(ms, min(c.Next()-r.now, 100*ms)), func() { r.tickClient(c, incarnation) })
+	r.schedule(max(ms, min(c.Next()-r.now, 100*ms)), func() { r.tickClient(c, incarnation) })
 }
 
 func (r *rig) flushClient(c *rigClient) {
@@ -356,9 +356,9 @@
 		if l == nil || l.closed {
 			continue
 		}
-		c.out += len(m.Body) + 50
-		r.carry(c.cfg.Name, m.To, func() {
-			if l.closed || l.server.cfg.Incarnation != l.control {
+		c.bytesOut += len(m.Body) + 50
+		r.transmit(c.cfg.Name, m.To, func() {
+			if l.closed || l.server.cfg.Incarnation != l.controlIncarnation {
 				return
 			}
 			r.atServer(l.server, func() {
@@ -380,31 +380,31 @@
 		if l := c.links[name]; l != nil && !wanted {
 			r.closeLink(l)
 		}
-		if !wanted || c.links[name] != nil || c.dialling[name] {
+		if !wanted || c.links[name] != nil || c.dialing[name] {
 			continue
 		}
-		c.dialling[name] = true
+		c.dialing[name] = true
 		incarnation := c.cfg.Incarnation
-		r.after(r.random.span(ms, 4*ms), func() { r.dialled(c, s, incarnation) })
+		r.schedule(r.random.between(ms, 4*ms), func() { r.finishDial(c, s, incarnation) })
 	}
 }
 
-func (r *rig) dialled(c *rigClient, s *rigServer, incarnation uint64) {
+func (r *rig) finishDial(c *rigClient, s *rigServer, incarnation uint64) {
 	if c.cfg.Incarnation != incarnation || !c.up {
 		return
 	}
 	name := s.cfg.Name
-	delete(c.dialling, name)
+	delete(c.dialing, name)
 	if !s.up || s.paused || c.paused || r.cut(c.cfg.Name, name) || r.cut(name, c.cfg.Name) {
 		r.atClient(c, func() { c.LinkClosed(r.now, name) })
 		return
 	}
-	l := &rigLink{client: c, server: s, control: s.cfg.Incarnation,
+	l := &rigLink{client: c, server: s, controlIncarnation: s.cfg.Incarnation,
 		link: Link{From: c.cfg.Name, Zone: c.cfg.Zone, Incarnation: incarnation, ChallengedAt: r.now - ms/2}}
 	c.links[name] = l
 	r.atServer(s, func() { s.LinkOpened(r.now, l.link) })
 	if !l.closed {
-		r.atClient(c, func() { c.LinkOpened(r.now, name, l.control) })
+		r.atClient(c, func() { c.LinkOpened(r.now, name, l.controlIncarnation) })
 	}
 }
 
@@ -429,20 +429,20 @@
 
 func (r *rig) client(name string) *rigClient { return r.byName[name] }
 
-// agreed checks that all views are the same and show every process that runs alive, under its incarnation.
-func (r *rig) agreed() {
+// requireAgreement checks that all views are the same and show every process that runs alive, under its incarnation.
+func (r *rig) requireAgreement() {
 	r.t.Helper()
 	first := r.servers[slices.IndexFunc(r.servers, func(s *rigServer) bool { return s.up })].View()
 	for _, s := range r.servers {
 		if s.up {
-			r.same(first, s.View(), "server "+s.cfg.Name)
+			r.requireSame(first, s.View(), "server "+s.cfg.Name)
 		}
 	}
 	for _, c := range r.clients {
 		if !c.up {
 			continue
 		}
-		r.same(first, c.View(), "client "+c.cfg.Name)
+		r.requireSame(first, c.View(), "client "+c.cfg.Name)
 		require.Less(r.t, c.View().Age(r.now), 3*second, c.cfg.Name)
 		e, _ := first.Lookup(c.cfg.Name)
 		require.Equal(r.t, c.cfg.Incarnation, e.Incarnation, c.cfg.Name)
@@ -451,7 +451,7 @@
 	}
 }
 
-func (r *rig) same(a, b *View, who string) {
+func (r *rig) requireSame(a, b *View, who string) {
 	r.t.Helper()
 	require.Equal(r.t, a.Entries(), b.Entries(), who)
 	require.Equal(r.t, a.Digest(), b.Digest(), who)
--- a/fleet/membership/targets_test.go
+++ b/fleet/membership/slots_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// manyControls is control members in zones: perZone of each.
-func manyControls(zones, perZone int) (list []ControlMember) {
+// controlsInZones is control members in zones: perZone of each.
+func controlsInZones(zones, perZone int) (list []ControlMember) {
 	for i := range zones {
 		for j := range perZone {
 			list = append(list, ControlMember{Name: fmt.Sprintf("m%02d-%d", i, j), Zone: fmt.Sprintf("z%02d", i)})
@@ -21,48 +21,48 @@
 	return list
 }
 
-// linked gives clients that have links to their targets, and a view that says that all control members are alive.
-func linked(zones, each int, controls []ControlMember) (clients []*Client, now monotime.Micros) {
+// linkedClients gives clients that have links to their targets, and a view that says that all control members are alive.
+func linkedClients(zones, each int, controls []ControlMember) (clients []*Client, now monotime.Micros) {
 	for i := range zones * each {
 		clients = append(clients, NewClient(Config{Name: fmt.Sprintf("f%04d", i), Zone: fmt.Sprintf("z%02d", i/each),
 			Incarnation: uint64(1000 + i), ControlMembers: controls}))
 	}
 	for now = 0; now < 2*second; now += 50 * ms {
 		for _, c := range clients {
-			link(c, now)
+			serveClient(c, now)
 		}
 	}
 	return clients, now
 }
 
-// link opens the links that a client wants, and answers each heartbeat.
-func link(c *Client, now monotime.Micros) {
+// serveClient opens the links that a client wants, and answers each heartbeat.
+func serveClient(c *Client, now monotime.Micros) {
 	for _, name := range c.Targets(now) {
-		if o := c.byName[name]; !o.linked {
-			c.LinkOpened(now, name, 1+weight(name, "", 0)%1000)
+		if o := c.peersByName[name]; !o.linked {
+			c.LinkOpened(now, name, 1+rendezvousWeight(name, "", 0)%1000)
 		}
 	}
 	for _, m := range c.Actions() {
-		o := c.byName[m.To]
+		o := c.peersByName[m.To]
 		if !o.linked {
 			continue
 		}
 		h, _ := decodeHeartbeat(m.Body)
-		answer := viewMessage{epoch: o.incarnation, answers: true, echo: h.sent}
+		answer := viewMessage{epoch: o.incarnation, isAnswer: true, heartbeatSentAt: h.sentAt}
 		_ = c.Receive(now, m.To, o.incarnation, ViewUpdate, answer.encode())
 	}
 }
 
 // At the size of the fleet each control member gets its share: first links only from its zone, second ones from all others.
 func TestChoiceSpreads(t *testing.T) {
-	controls := manyControls(23, 2)
-	clients, now := linked(23, 117, controls)
+	controls := controlsInZones(23, 2)
+	clients, now := linkedClients(23, 117, controls)
 	first, both := map[string]int{}, map[string]int{}
 	for _, c := range clients {
 		list := c.Targets(now)
 		require.Len(t, list, 2)
-		assert.Equal(t, c.cfg.Zone, c.byName[list[0]].zone)
-		assert.NotEqual(t, c.cfg.Zone, c.byName[list[1]].zone)
+		assert.Equal(t, c.cfg.Zone, c.peersByName[list[0]].zone)
+		assert.NotEqual(t, c.cfg.Zone, c.peersByName[list[1]].zone)
 		assert.Equal(t, list[0], c.Home())
 		first[list[0]]++
 		both[list[0]]++
@@ -77,8 +77,8 @@
 // Front ends of a control member that is lost go to all others, spread over time, none to the zone's other one, and those that held
 // it not keep their other link; the view is taken from the second slot in the same instant.
 func TestLostControlSpreads(t *testing.T) {
-	controls := manyControls(23, 2)
-	clients, now := linked(23, 117, controls)
+	controls := controlsInZones(23, 2)
+	clients, now := linkedClients(23, 117, controls)
 	const lost = "m05-0"
 	var moved []*Client
 	kept := map[*Client]string{}
@@ -104,9 +104,9 @@
 				c.LinkClosed(now, lost) // the dial fails
 			}
 			before := c.Counters.LostControlMembers
-			link(c, now)
+			serveClient(c, now)
 			require.Equal(t, before, c.Counters.LostControlMembers)
-			if list := c.Targets(now); len(list) == 2 && c.byName[list[0]].linked && c.byName[list[1]].linked && where[c.cfg.Name] == 0 {
+			if list := c.Targets(now); len(list) == 2 && c.peersByName[list[0]].linked && c.peersByName[list[1]].linked && where[c.cfg.Name] == 0 {
 				where[c.cfg.Name] = 1
 				when[now/(200*ms)]++
 			}
@@ -137,25 +137,25 @@
 
 // A link that breaks while its control member is there is opened again to the same one.
 func TestBrokenLink(t *testing.T) {
-	clients, now := linked(3, 1, manyControls(3, 2))
+	clients, now := linkedClients(3, 1, controlsInZones(3, 2))
 	c := clients[0]
 	list := c.Targets(now)
 	c.LinkClosed(now, list[0])
 	require.Equal(t, list[1:], c.Targets(now), "after a pause")
 	for end := now + second; now < end; now += 50 * ms {
-		link(c, now)
+		serveClient(c, now)
 	}
 	require.Equal(t, list, c.Targets(now))
 }
 
 // A control member whose link is open and that is silent is given up: its view first, and then its slot.
 func TestSilentControl(t *testing.T) {
-	clients, now := linked(3, 1, manyControls(3, 2))
+	clients, now := linkedClients(3, 1, controlsInZones(3, 2))
 	c := clients[0]
 	list := c.Targets(now)
 	answer := func(name string) {
-		o := c.byName[name]
-		m := viewMessage{epoch: o.incarnation, answers: true, echo: now}
+		o := c.peersByName[name]
+		m := viewMessage{epoch: o.incarnation, isAnswer: true, heartbeatSentAt: now}
 		require.NoError(t, c.Receive(now, name, o.incarnation, ViewUpdate, m.encode()))
 	}
 	answer(list[0])
@@ -164,7 +164,7 @@
 	for ; now < began+10*second && replaced == 0; now += 50 * ms {
 		c.Tick(now)
 		for _, name := range c.Targets(now) {
-			if name != list[0] && c.byName[name].linked {
+			if name != list[0] && c.peersByName[name].linked {
 				answer(name)
 			}
 		}
@@ -182,7 +182,7 @@
 // A front end that hears none of its control members any more tries others before its leases with them end, and holds links to
 // those from then on.
 func TestBothSilent(t *testing.T) {
-	clients, now := linked(6, 2, manyControls(6, 2))
+	clients, now := linkedClients(6, 2, controlsInZones(6, 2))
 	for _, c := range clients {
 		list := c.Targets(now)
 		var dialled, held monotime.Micros
@@ -192,11 +192,11 @@
 				if dialled == 0 {
 					dialled = at - now
 				}
-				if !c.byName[name].linked {
+				if !c.peersByName[name].linked {
 					c.LinkOpened(at+ms, name, 1)
 				}
 			}
-			answerTo(c, at+2*ms, others)
+			answerHeartbeatsTo(c, at+2*ms, others)
 			if held == 0 && slices.Contains(others, c.Home()) {
 				held = at - now
 			}
@@ -207,12 +207,12 @@
 	}
 }
 
-// answerTo answers the heartbeats to some.
-func answerTo(c *Client, now monotime.Micros, names []string) {
+// answerHeartbeatsTo answers the heartbeats to some.
+func answerHeartbeatsTo(c *Client, now monotime.Micros, names []string) {
 	for _, m := range c.Actions() {
-		if o := c.byName[m.To]; slices.Contains(names, m.To) && o.linked {
+		if o := c.peersByName[m.To]; slices.Contains(names, m.To) && o.linked {
 			h, _ := decodeHeartbeat(m.Body)
-			answer := viewMessage{epoch: o.incarnation, answers: true, echo: h.sent}
+			answer := viewMessage{epoch: o.incarnation, isAnswer: true, heartbeatSentAt: h.sentAt}
 			_ = c.Receive(now, m.To, o.incarnation, ViewUpdate, answer.encode())
 		}
 	}
@@ -220,7 +220,7 @@
 
 // A silent control member that is heard again keeps its slot; what was tried beside it is let go.
 func TestHeardAgain(t *testing.T) {
-	clients, now := linked(6, 1, manyControls(6, 2))
+	clients, now := linkedClients(6, 1, controlsInZones(6, 2))
 	for _, c := range clients {
 		list := c.Targets(now)
 		at := now
@@ -229,8 +229,8 @@
 		}
 		require.Len(t, c.Targets(at), 4)
 		for _, name := range list {
-			o := c.byName[name]
-			answer := viewMessage{epoch: o.incarnation, answers: true, echo: now}
+			o := c.peersByName[name]
+			answer := viewMessage{epoch: o.incarnation, isAnswer: true, heartbeatSentAt: now}
 			require.NoError(t, c.Receive(at, name, o.incarnation, ViewUpdate, answer.encode()))
 		}
 		require.Equal(t, list, c.Targets(at+50*ms))
@@ -239,16 +239,16 @@
 
 // A front end that loses its only link dials at once, and one that has another after a longer pause, as many may do so.
 func TestNoLiveLink(t *testing.T) {
-	clients, now := linked(6, 20, manyControls(6, 2))
+	clients, now := linkedClients(6, 20, controlsInZones(6, 2))
 	var slow int
 	for _, c := range clients {
 		list := c.Targets(now)
 		c.LinkClosed(now, list[0])
 		c.LinkClosed(now, list[1])
-		c.Tick(now + rescueHigh)
+		c.Tick(now + maxIsolatedDelay)
 		require.NotNil(t, c.slots[1].current, c.cfg.Name)
-		require.LessOrEqual(t, c.slots[1].due, now+rescueHigh)
-		if c.slots[0].due > now+rescueHigh {
+		require.LessOrEqual(t, c.slots[1].fillAt, now+maxIsolatedDelay)
+		if c.slots[0].fillAt > now+maxIsolatedDelay {
 			slow++
 		}
 	}
@@ -259,14 +259,14 @@
 // that does so alone is replaced.
 func TestClosedAfterHello(t *testing.T) {
 	for _, refusing := range []int{1, 6} {
-		controls := manyControls(3, 2)
+		controls := controlsInZones(3, 2)
 		c := NewClient(Config{Name: "f", Zone: "z00", Incarnation: 7, ControlMembers: controls})
 		c.Tick(second)
 		first := c.slots[0].preferred.name
 		hellos := 0
 		for now := second; now < 120*second; now += 50 * ms {
 			for _, name := range c.Targets(now) {
-				if o := c.byName[name]; refusing == 6 || name == first {
+				if o := c.peersByName[name]; refusing == 6 || name == first {
 					hellos++
 					c.LinkOpened(now, name, 1)
 					c.LinkClosed(now, name)
@@ -274,7 +274,7 @@
 					c.LinkOpened(now, name, 1)
 				}
 			}
-			answerTo(c, now, c.Targets(now))
+			answerHeartbeatsTo(c, now, c.Targets(now))
 		}
 		require.Less(t, hellos, 10*refusing)
 		require.NotZero(t, hellos)
@@ -288,7 +288,7 @@
 
 // Where nobody can be reached dials become rare, and go on for ever.
 func TestNobodyThere(t *testing.T) {
-	c := NewClient(Config{Name: "f", Zone: "z00", Incarnation: 7, ControlMembers: manyControls(3, 2)})
+	c := NewClient(Config{Name: "f", Zone: "z00", Incarnation: 7, ControlMembers: controlsInZones(3, 2)})
 	dials, late := 0, 0
 	for now := monotime.Micros(0); now < 1200*second; now += 50 * ms {
 		for _, name := range c.Targets(now) {
@@ -306,7 +306,7 @@
 // With one control member, or none outside the zone, what there is is used.
 func TestFewControls(t *testing.T) {
 	for n := range 3 {
-		clients, now := linked(1, 4, manyControls(1, n))
+		clients, now := linkedClients(1, 4, controlsInZones(1, n))
 		for _, c := range clients {
 			require.Len(t, c.Targets(now), n)
 			c.Tick(now)
@@ -318,17 +318,17 @@
 // However control members come and go, the two slots never hold the same one, and all is as preferred in the end.
 func TestSlotsDiffer(t *testing.T) {
 	for seed := range 20 {
-		controls := manyControls(2, 2)
+		controls := controlsInZones(2, 2)
 		c := NewClient(Config{Name: fmt.Sprint("f", seed), Zone: "z00", Incarnation: 7, ControlMembers: controls})
 		for _, o := range controls {
-			c.view.apply([]change{{Entry: Entry{Name: o.Name, Zone: o.Zone, Home: o.Name, Incarnation: 1 + weight(o.Name, "", 0)%1000}}}, followed)
+			c.view.apply([]change{{Entry: Entry{Name: o.Name, Zone: o.Zone, Home: o.Name, Incarnation: 1 + rendezvousWeight(o.Name, "", 0)%1000}}}, fromHomeChanges)
 		}
-		down := random(seed)
+		down := splitMix64(seed)
 		var preferred []string
 		for now := monotime.Micros(0); now < 1000*second; now += 100 * ms {
 			mask := uint64(0)
 			if now > 5*second && now < 600*second {
-				mask = weight("down", fmt.Sprint(now/(20*second)), uint64(down))
+				mask = rendezvousWeight("down", fmt.Sprint(now/(20*second)), uint64(down))
 			}
 			for i, o := range controls {
 				if mask>>i&1 == 1 && slices.Contains(c.Targets(now), o.Name) {
@@ -337,11 +337,11 @@
 			}
 			for _, name := range c.Targets(now) {
 				i := slices.IndexFunc(controls, func(o ControlMember) bool { return o.Name == name })
-				if mask>>i&1 == 0 && !c.byName[name].linked {
-					c.LinkOpened(now, name, 1+weight(name, "", 0)%1000)
+				if mask>>i&1 == 0 && !c.peersByName[name].linked {
+					c.LinkOpened(now, name, 1+rendezvousWeight(name, "", 0)%1000)
 				}
 			}
-			answerAll(c, now, mask, controls)
+			answerHeartbeatsExcept(c, now, mask, controls)
 			a, b := c.slots[0].current, c.slots[1].current
 			require.True(t, a == nil || a != b, "at %d ms", now/ms)
 			if now == 4*second {
@@ -353,16 +353,16 @@
 	}
 }
 
-// answerAll answers the heartbeats to those that are not in mask.
-func answerAll(c *Client, now monotime.Micros, mask uint64, controls []ControlMember) {
+// answerHeartbeatsExcept answers the heartbeats to those that are not in mask.
+func answerHeartbeatsExcept(c *Client, now monotime.Micros, mask uint64, controls []ControlMember) {
 	for _, m := range c.Actions() {
-		o := c.byName[m.To]
+		o := c.peersByName[m.To]
 		i := slices.IndexFunc(controls, func(o ControlMember) bool { return o.Name == m.To })
 		if mask>>i&1 == 1 || !o.linked {
 			continue
 		}
 		h, _ := decodeHeartbeat(m.Body)
-		answer := viewMessage{epoch: o.incarnation, answers: true, echo: h.sent}
+		answer := viewMessage{epoch: o.incarnation, isAnswer: true, heartbeatSentAt: h.sentAt}
 		_ = c.Receive(now, m.To, o.incarnation, ViewUpdate, answer.encode())
 	}
 }
--- a/fleet/membership/start_test.go
+++ b/fleet/membership/startup_test.go
@@ -10,46 +10,46 @@
 // of the home that holds it has come, also where that home was not heard yet.
 func TestStartAmongTables(t *testing.T) {
 	for _, from := range []struct{ never, unheard bool }{{}, {never: true}, {unheard: true}, {never: true, unheard: true}} {
-		r := newTrio(t)
+		r := newThreeServers(t)
 		r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 		for range 50 {
 			held := r.link("f", 7)
 			r.servers["m1"].LinkOpened(r.now, held)
 			r.run(100 * ms)
 		}
-		r.shows("f", 7, Alive)
-		r.begin("m2", 2000)
-		r.lose = func(sender, to string, kind Kind) bool {
+		r.requireState("f", 7, Alive)
+		r.startProcess("m2", 2000)
+		r.drop = func(sender, to string, kind Kind) bool {
 			return sender == "m1" && to == "m2" && (from.never || kind == TableUpdate)
 		}
-		r.unheard = func(name, by string) bool { return from.unheard && name == "m1" && by == "m2" }
+		r.neverSeen = func(name, by string) bool { return from.unheard && name == "m1" && by == "m2" }
 		r.run(second)
 		s := r.servers["m2"]
 		e, ok := s.View().Lookup("f")
 		require.True(t, ok)
 		require.Equal(t, Suspect, e.State, "by m0 it is Dead")
 		if from.never { // death is told in the end where that table does not come
-			r.run(awaitSpan)
+			r.run(tableAwaitTimeout)
 			require.True(t, s.View().PresumedDead(7))
 			continue
 		}
-		r.lose = func(string, string, Kind) bool { return false }
-		r.unheard = func(string, string) bool { return false }
+		r.drop = func(string, string, Kind) bool { return false }
+		r.neverSeen = func(string, string) bool { return false }
 		r.run(500 * ms)
-		r.shows("f", 7, Alive)
+		r.requireState("f", 7, Alive)
 	}
 }
 
 // What is Dead already stays so while another control member starts.
 func TestDeadWhileOneStarts(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(5 * second)
-	r.shows("f", 7, Dead)
-	r.begin("m2", 2000)
-	r.lose = func(from, _ string, _ Kind) bool { return from == "m2" }
+	r.requireState("f", 7, Dead)
+	r.startProcess("m2", 2000)
+	r.drop = func(from, _ string, _ Kind) bool { return from == "m2" }
 	for range 20 {
-		r.servers["m1"].touched(r.servers["m1"].nameState("f")) // as when its rows change
+		r.servers["m1"].markNameDirty(r.servers["m1"].mergedName("f")) // as when its rows change
 		r.run(50 * ms)
 		e, _ := r.servers["m1"].View().Lookup("f")
 		require.Equal(t, Dead, e.State)
--- a/fleet/membership/serve_test.go
+++ b/fleet/membership/subscription_test.go
@@ -11,143 +11,143 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair is one control member and one front end whose messages the test carries by hand; others attach without a Client.
-type pair struct {
-	t      *testing.T
-	now    monotime.Micros
-	server *Server
-	client *Client
-	link   Link
-	others int
-	lose   func(Message) bool // of those to the client
-	got    []Message          // all to the client
-	errors []error
+// serverAndClient is one control member and one front end whose messages the test carries by hand; others attach without a Client.
+type serverAndClient struct {
+	t        *testing.T
+	now      monotime.Micros
+	server   *Server
+	client   *Client
+	link     Link
+	others   int
+	drop     func(Message) bool // of those to the client
+	received []Message          // all to the client
+	errors   []error
 }
 
-var pairControls = []ControlMember{{Name: "m0", Zone: "za"}}
+var oneControl = []ControlMember{{Name: "m0", Zone: "za"}}
 
-func newPair(t *testing.T, others int) *pair {
-	p := &pair{t: t, now: 100 * second, others: others, lose: func(Message) bool { return false }}
-	p.server = NewServer(Config{Name: "m0", Zone: "za", Incarnation: 1, ControlMembers: pairControls})
-	p.client = NewClient(Config{Name: "f", Zone: "za", Incarnation: 2, ControlMembers: pairControls})
+func newServerAndClient(t *testing.T, others int) *serverAndClient {
+	p := &serverAndClient{t: t, now: 100 * second, others: others, drop: func(Message) bool { return false }}
+	p.server = NewServer(Config{Name: "m0", Zone: "za", Incarnation: 1, ControlMembers: oneControl})
+	p.client = NewClient(Config{Name: "f", Zone: "za", Incarnation: 2, ControlMembers: oneControl})
 	p.link = Link{From: "f", Zone: "za", Incarnation: 2, ChallengedAt: p.now}
-	p.othersBeat()
+	p.heartbeatsOfOthers()
 	p.run(second)
 	p.server.LinkOpened(p.now, p.link)
 	p.client.LinkOpened(p.now, "m0", 1)
 	p.run(second)
-	p.agreed()
-	p.got = nil
+	p.requireAgreement()
+	p.received = nil
 	return p
 }
 
-func (p *pair) other(i int, incarnation uint64) {
+func (p *serverAndClient) heartbeatOf(i int, incarnation uint64) {
 	name := fmt.Sprintf("o%04d", i)
 	l := Link{From: name, Zone: "za", Incarnation: incarnation, ChallengedAt: p.now}
-	h := heartbeat{name: name, sent: p.now}
+	h := heartbeat{name: name, sentAt: p.now}
 	require.NoError(p.t, p.server.Receive(p.now, l, Heartbeat, h.encode()))
 }
 
-func (p *pair) run(span monotime.Micros) {
+func (p *serverAndClient) run(span monotime.Micros) {
 	for end := p.now + span; p.now < end; {
 		p.now += 50 * ms
 		if p.now%second == 0 {
-			p.othersBeat()
+			p.heartbeatsOfOthers()
 		}
 		p.server.Tick(p.now, nil)
 		p.client.Tick(p.now)
 		for range 4 {
-			p.carry()
+			p.deliver()
 		}
 	}
 }
 
-// othersBeat is a heartbeat of each that attached without a Client.
-func (p *pair) othersBeat() {
+// heartbeatsOfOthers is a heartbeat of each that attached without a Client.
+func (p *serverAndClient) heartbeatsOfOthers() {
 	for i := range p.others {
-		p.other(i, uint64(100+i))
+		p.heartbeatOf(i, uint64(100+i))
 	}
 }
 
-func (p *pair) carry() {
+func (p *serverAndClient) deliver() {
 	for _, m := range p.client.Actions() {
-		p.note(p.server.Receive(p.now, p.link, m.Kind, m.Body))
+		p.recordError(p.server.Receive(p.now, p.link, m.Kind, m.Body))
 	}
 	for _, m := range p.server.Actions() {
-		if m.To == "f" && !p.lose(m) {
-			p.got = append(p.got, m)
-			p.note(p.client.Receive(p.now, "m0", 1, m.Kind, m.Body))
+		if m.To == "f" && !p.drop(m) {
+			p.received = append(p.received, m)
+			p.recordError(p.client.Receive(p.now, "m0", 1, m.Kind, m.Body))
 		}
 	}
 }
 
-func (p *pair) note(err error) {
+func (p *serverAndClient) recordError(err error) {
 	if err != nil {
 		p.errors = append(p.errors, err)
 	}
 }
 
-func (p *pair) agreed() {
+func (p *serverAndClient) requireAgreement() {
 	p.t.Helper()
 	require.Equal(p.t, p.server.View().Entries(), p.client.View().Entries())
 	require.Equal(p.t, p.server.View().Digest(), p.client.View().Digest())
 	require.Less(p.t, p.client.View().Age(p.now), 2*second)
 }
 
-func (p *pair) carries(m Message) content {
-	v, err := decodeView(m.Body)
+func (p *serverAndClient) contentOf(m Message) contentKind {
+	v, err := decodeViewMessage(m.Body)
 	require.NoError(p.t, err)
 	return v.content
 }
 
 // A batch of the view that is lost is seen from the next one, or from the version in the next answer, and comes from the log.
 func TestLostBatch(t *testing.T) {
-	p := newPair(t, 50)
+	p := newServerAndClient(t, 50)
 	lost := 0
-	p.lose = func(m Message) bool {
-		if lost == 0 && p.carries(m) == someChanges {
+	p.drop = func(m Message) bool {
+		if lost == 0 && p.contentOf(m) == changesSince {
 			lost++
 			return true
 		}
 		return false
 	}
-	p.other(60, 60)
+	p.heartbeatOf(60, 60)
 	p.run(2500 * ms)
 	require.Equal(t, 1, lost)
-	p.agreed()
+	p.requireAgreement()
 	require.Equal(t, 1, p.server.Counters.CatchUps)
 	require.Equal(t, 1, p.client.Counters.Snapshots, "the first")
 
 	lost = 0
-	p.other(61, 61)
+	p.heartbeatOf(61, 61)
 	p.run(100 * ms)
-	p.other(62, 62)
+	p.heartbeatOf(62, 62)
 	p.run(200 * ms)
 	require.Equal(t, 1, p.client.Counters.Gaps)
-	p.agreed()
+	p.requireAgreement()
 	require.Equal(t, 2, p.server.Counters.CatchUps)
 }
 
 // Where the log does not reach back, the sums of 64 parts show what differs, and only that comes.
 func TestBeyondTheLog(t *testing.T) {
-	p := newPair(t, 400)
+	p := newServerAndClient(t, 400)
 	whole := p.client.Counters.SnapshotBytes
-	p.lose = func(Message) bool { return true }
-	for i := range mostBatches + 10 {
-		p.other(1000+i%6, uint64(5000+i))
-		p.other(1000+i%6, uint64(5000+i))
+	p.drop = func(Message) bool { return true }
+	for i := range maxLogBatches + 10 {
+		p.heartbeatOf(1000+i%6, uint64(5000+i))
+		p.heartbeatOf(1000+i%6, uint64(5000+i))
 		p.server.publishTable()
 		p.server.publishView()
 		p.now += 20 * second // beyond damping
-		p.othersBeat()
-		p.note(p.server.Receive(p.now, p.link, Heartbeat, (&heartbeat{name: "f", sent: 1, subscribe: true}).encode()))
+		p.heartbeatsOfOthers()
+		p.recordError(p.server.Receive(p.now, p.link, Heartbeat, (&heartbeat{name: "f", sentAt: 1, subscribe: true}).encode()))
 		p.server.Tick(p.now, nil)
 		p.server.Actions()
 	}
-	p.lose = func(Message) bool { return false }
+	p.drop = func(Message) bool { return false }
 	p.client.LinkOpened(p.now, "m0", 1)
 	p.run(2 * second)
-	p.agreed()
+	p.requireAgreement()
 	require.Equal(t, 1, p.client.Counters.Snapshots)
 	require.Equal(t, 1, p.client.Counters.DigestRepairs)
 	require.Less(t, p.client.Counters.RepairBytes, whole/3)
@@ -155,20 +155,20 @@
 
 // A front end that does not read gets nothing more until its next heartbeat, and then from the log; others are not delayed.
 func TestSlowReader(t *testing.T) {
-	p := newPair(t, 20)
+	p := newServerAndClient(t, 20)
 	quick := Link{From: "quick", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
-	h := heartbeat{name: "quick", sent: p.now, subscribe: true, resume: true}
+	h := heartbeat{name: "quick", sentAt: p.now, subscribe: true, resume: true}
 	require.NoError(t, p.server.Receive(p.now, quick, Heartbeat, h.encode()))
 	p.run(100 * ms)
 	p.server.QueueFull(p.now, "f", 2)
 	p.run(1500 * ms)
-	p.agreed()
+	p.requireAgreement()
 	require.Zero(t, p.server.Counters.CatchUps, "nothing was missed")
 	p.server.QueueFull(p.now, "f", 2)
 	require.Equal(t, 2, p.server.Counters.FullQueues)
 	to := map[string]int{}
 	for i := range 5 {
-		p.other(100+i, uint64(1000+i))
+		p.heartbeatOf(100+i, uint64(1000+i))
 		p.now += 50 * ms
 		p.server.Tick(p.now, nil)
 		for _, m := range p.server.Actions() {
@@ -178,21 +178,21 @@
 	require.Equal(t, 5, to["quick"])
 	require.Zero(t, to["f"])
 	p.run(1500 * ms)
-	p.agreed()
+	p.requireAgreement()
 	require.Equal(t, 1, p.client.Counters.Snapshots)
 	require.Equal(t, 1, p.server.Counters.CatchUps)
 }
 
 // Batches and the snapshot are encoded once and shared by all that get them.
 func TestSharedBodies(t *testing.T) {
-	p := newPair(t, 300)
+	p := newServerAndClient(t, 300)
 	var bodies [][]byte
 	for _, name := range []string{"a", "b", "c"} {
 		h := heartbeat{name: name, subscribe: true, resume: true}
-		require.NoError(t, p.server.Receive(p.now, Link{From: name, Zone: "za", Incarnation: weight(name, "", 0), ChallengedAt: p.now}, Heartbeat, h.encode()))
+		require.NoError(t, p.server.Receive(p.now, Link{From: name, Zone: "za", Incarnation: rendezvousWeight(name, "", 0), ChallengedAt: p.now}, Heartbeat, h.encode()))
 	}
 	for _, m := range p.server.Actions() {
-		if p.carries(m) == someBuckets {
+		if p.contentOf(m) == fullBuckets {
 			bodies = append(bodies, m.Body)
 		}
 	}
@@ -203,7 +203,7 @@
 	p.now += 50 * ms
 	p.server.Tick(p.now, nil)
 	for _, m := range p.server.Actions() {
-		if p.carries(m) == someChanges {
+		if p.contentOf(m) == changesSince {
 			bodies = append(bodies, m.Body)
 		}
 	}
@@ -213,19 +213,19 @@
 
 // A front end whose digests never agree gets repairs at a bounded rate, and its link is closed in the end.
 func TestNeverAgrees(t *testing.T) {
-	p := newPair(t, 20)
+	p := newServerAndClient(t, 20)
 	l := Link{From: "odd", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
 	var err error
 	beats, repairs := 0, -p.server.Counters.Snapshots-p.server.Counters.DigestRepairs
 	for ; err == nil && beats < 1000; beats++ {
 		p.now += 100 * ms
-		h := heartbeat{name: "odd", subscribe: true, resume: true, digest: 1, sums: make([]uint32, buckets)}
+		h := heartbeat{name: "odd", subscribe: true, resume: true, digest: 1, bucketDigests: make([]uint32, bucketCount)}
 		err = p.server.Receive(p.now, l, Heartbeat, h.encode())
 		p.server.Tick(p.now, nil)
 	}
 	require.ErrorIs(t, err, ErrDigestMismatch)
 	repairs += p.server.Counters.Snapshots + p.server.Counters.DigestRepairs
-	require.Equal(t, mostRepairs, repairs)
+	require.Equal(t, maxRepairsInARow, repairs)
 	p.server.LinkClosed(p.now, l)
 	l.ChallengedAt = p.now
 	p.server.LinkOpened(p.now, l)
@@ -240,9 +240,9 @@
 
 // Repairs that helped are forgotten.
 func TestRepairsThatHelp(t *testing.T) {
-	p := newPair(t, 20)
+	p := newServerAndClient(t, 20)
 	l := Link{From: "odd", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
-	for range 3 * mostRepairs {
+	for range 3 * maxRepairsInARow {
 		p.now += 10 * second
 		p.server.now = p.now // no pause
 		h := heartbeat{name: "odd", subscribe: true, resume: true}
@@ -254,9 +254,9 @@
 
 // An answer that was asked for before the process was stopped does not make the view young, however late it is read.
 func TestLateAnswer(t *testing.T) {
-	p := newPair(t, 3)
+	p := newServerAndClient(t, 3)
 	var held []Message
-	p.lose = func(m Message) bool {
+	p.drop = func(m Message) bool {
 		held = append(held, m)
 		return true
 	}
@@ -267,30 +267,30 @@
 	}
 	require.Equal(t, 1, p.client.Counters.Pauses)
 	require.GreaterOrEqual(t, p.client.View().Age(p.now), 30*second)
-	p.lose = func(Message) bool { return false }
+	p.drop = func(Message) bool { return false }
 	p.run(100 * ms)
 	require.Less(t, p.client.View().Age(p.now), second)
 }
 
 // A client's view is bounded over many messages too.
 func TestClientOversized(t *testing.T) {
-	p := newPair(t, 4)
+	p := newServerAndClient(t, 4)
 	p.client.cfg.MaxEntries = p.client.View().Len()
 	e := change{Entry: Entry{Name: "n", Zone: "za", Role: Attached, Incarnation: 77, Home: "m0"}}
 	m := p.server.versionMessage()
 	m.sequence++
 	m.digest = p.client.View().digestAfter([]change{e})
-	m.content, m.base, m.entries = someChanges, p.client.sequence, encodeChanges([]change{e})
+	m.content, m.baseSequence, m.entries = changesSince, p.client.sequence, encodeChanges([]change{e})
 	require.ErrorIs(t, p.client.Receive(p.now, "m0", 1, ViewUpdate, m.encode()), ErrTooManyEntries)
 	require.Equal(t, 1, p.client.Counters.Oversized)
-	p.agreed()
+	p.requireAgreement()
 }
 
 // A name that is not the link's, another kind, and garbage close the link and count for nothing.
 func TestBadHeartbeats(t *testing.T) {
-	p := newPair(t, 3)
+	p := newServerAndClient(t, 3)
 	l := Link{From: "g", Zone: "za", Incarnation: 9, ChallengedAt: p.now}
-	h := heartbeat{name: "f", sent: p.now}
+	h := heartbeat{name: "f", sentAt: p.now}
 	require.ErrorIs(t, p.server.Receive(p.now, l, Heartbeat, h.encode()), ErrNameMismatch)
 	require.Equal(t, 1, p.server.Counters.NameMismatches)
 	require.ErrorIs(t, p.server.Receive(p.now, l, Heartbeat, []byte("garbage")), ErrMalformed)
@@ -301,18 +301,18 @@
 	require.False(t, ok)
 }
 
-// bad makes a message of the server's to the client with the view as it is but for what change does to it.
-func (p *pair) bad(mask uint64, entries []change, set func(*viewMessage)) []byte {
+// viewWith makes a message of the server's to the client with the view as it is but for what change does to it.
+func (p *serverAndClient) viewWith(mask uint64, entries []change, set func(*viewMessage)) []byte {
 	m := p.server.versionMessage()
-	m.content, m.mask, m.entries = someBuckets, mask, encodeChanges(entries)
+	m.content, m.bucketMask, m.entries = fullBuckets, mask, encodeChanges(entries)
 	set(&m)
 	return m.encode()
 }
 
 // Whatever a home sends that does not hold is refused and counted, and the view stays as it was.
 func TestBadViews(t *testing.T) {
-	p := newPair(t, 20)
-	list := p.server.View().in(allBuckets)
+	p := newServerAndClient(t, 20)
+	list := p.server.View().entriesIn(allBuckets)
 	nothing := func(*viewMessage) {}
 	with := func(e Entry) []change {
 		out := slices.Clone(list)
@@ -320,7 +320,7 @@
 		return slices.Insert(out, at, change{Entry: e})
 	}
 	stranger := with(Entry{Name: "n", Zone: "za", Role: Attached, Incarnation: 77, Home: "mx"})
-	bomb, packed := (&packer{}).pack(make([]byte, 8192*entrySize+1000))
+	bomb, packed := (&compressor{}).compress(make([]byte, 8192*maxEntrySize+1000))
 	require.True(t, packed)
 	many := make([]change, DefaultMaxEntries+1)
 	for i := range many {
@@ -335,16 +335,16 @@
 		target error
 		body   []byte
 	}{
-		{"an unknown home", &c.Counters.UnknownHomes, ErrUnknownHome, p.bad(allBuckets, stranger, nothing)},
-		{"more than the bound", &c.Counters.Oversized, ErrTooManyEntries, p.bad(allBuckets, many, nothing)},
+		{"an unknown home", &c.Counters.UnknownHomes, ErrUnknownHome, p.viewWith(allBuckets, stranger, nothing)},
+		{"more than the bound", &c.Counters.Oversized, ErrTooManyEntries, p.viewWith(allBuckets, many, nothing)},
 		{"unpacked more than the bound", &c.Counters.Oversized, ErrTooManyEntries,
-			p.bad(allBuckets, nil, func(m *viewMessage) { m.entries, m.packed = bomb, true })},
-		{"not packed", &c.Counters.Malformed, ErrMalformed, p.bad(allBuckets, list, func(m *viewMessage) { m.packed = true })},
-		{"out of order", &c.Counters.Malformed, ErrMalformed, p.bad(allBuckets, reversed, nothing)},
-		{"not of the part", &c.Counters.Malformed, ErrMalformed, p.bad(1<<(1+bucketOf("m0"))%buckets, list[:1], nothing)},
-		{"an unknown content", &c.Counters.Malformed, ErrMalformed, p.bad(allBuckets, list, func(m *viewMessage) { m.content = 9 })},
-		{"another digest", &c.Counters.DigestMismatches, ErrDigestMismatch, p.bad(allBuckets, list[1:], nothing)},
-		{"a whole one of an empty view", &c.Counters.DigestMismatches, ErrDigestMismatch, p.bad(allBuckets, nil, nothing)},
+			p.viewWith(allBuckets, nil, func(m *viewMessage) { m.entries, m.compressed = bomb, true })},
+		{"not packed", &c.Counters.Malformed, ErrMalformed, p.viewWith(allBuckets, list, func(m *viewMessage) { m.compressed = true })},
+		{"out of order", &c.Counters.Malformed, ErrMalformed, p.viewWith(allBuckets, reversed, nothing)},
+		{"not of the part", &c.Counters.Malformed, ErrMalformed, p.viewWith(1<<(1+bucketOf("m0"))%bucketCount, list[:1], nothing)},
+		{"an unknown content", &c.Counters.Malformed, ErrMalformed, p.viewWith(allBuckets, list, func(m *viewMessage) { m.content = 9 })},
+		{"another digest", &c.Counters.DigestMismatches, ErrDigestMismatch, p.viewWith(allBuckets, list[1:], nothing)},
+		{"a whole one of an empty view", &c.Counters.DigestMismatches, ErrDigestMismatch, p.viewWith(allBuckets, nil, nothing)},
 	} {
 		before, view := *step.count, c.View().Entries()
 		err := c.Receive(p.now, "m0", 1, ViewUpdate, step.body)
@@ -354,30 +354,30 @@
 	}
 	require.ErrorIs(t, c.Receive(p.now, "mx", 1, ViewUpdate, nil), ErrUnknownHome)
 	require.ErrorIs(t, c.Receive(p.now, "m0", 1, Heartbeat, nil), ErrUnexpectedKind)
-	require.NoError(t, c.Receive(p.now, "m0", 1, ViewUpdate, p.bad(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })))
-	require.NoError(t, c.Receive(p.now, "m0", 7, ViewUpdate, p.bad(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })))
+	require.NoError(t, c.Receive(p.now, "m0", 1, ViewUpdate, p.viewWith(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })))
+	require.NoError(t, c.Receive(p.now, "m0", 7, ViewUpdate, p.viewWith(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })))
 	require.Equal(t, 2, c.Counters.StaleEpochs)
-	p.agreed()
+	p.requireAgreement()
 	p.run(3 * second)
-	p.agreed()
+	p.requireAgreement()
 }
 
 // Changes whose digest does not agree are not applied: the parts that differ are asked for, and the whole where that does not help;
 // a home that never agrees loses its link.
 func TestClientNeverAgrees(t *testing.T) {
-	p := newPair(t, 20)
+	p := newServerAndClient(t, 20)
 	e := Entry{Name: "n", Zone: "za", Role: Attached, Incarnation: 77, Home: "m0"}
 	wrong := func() []byte {
 		m := p.server.versionMessage()
 		m.sequence++
-		m.content, m.base, m.entries = someChanges, p.client.sequence, encodeChanges([]change{{Entry: e}})
+		m.content, m.baseSequence, m.entries = changesSince, p.client.sequence, encodeChanges([]change{{Entry: e}})
 		return m.encode()
 	}
 	require.NoError(t, p.client.Receive(p.now, "m0", 1, ViewUpdate, wrong()))
 	_, ok := p.client.View().Lookup("n")
 	require.False(t, ok)
 	p.run(2 * second)
-	p.agreed()
+	p.requireAgreement()
 	require.Equal(t, 1, p.client.Counters.DigestMismatches)
 	var err error
 	tries := 0
@@ -385,31 +385,31 @@
 		err = p.client.Receive(p.now, "m0", 1, ViewUpdate, wrong())
 	}
 	require.ErrorIs(t, err, ErrDigestMismatch)
-	require.Equal(t, mostFailures+1, tries)
+	require.Equal(t, maxDigestFailures+1, tries)
 	beats := len(p.client.Actions())
 	require.LessOrEqual(t, beats, 1, "what it asks is bounded too")
 }
 
 // A front end that flaps changes the view at a bounded rate, and is seen right in the end.
 func TestFlapping(t *testing.T) {
-	p := newPair(t, 5)
+	p := newServerAndClient(t, 5)
 	p.run(second)
-	changes, batches := p.server.Counters.Changes, p.server.own.sequence
+	changes, batches := p.server.Counters.Changes, p.server.ownTable.sequence
 	for i := range 600 { // a process a tenth of a second
 		p.now += 50 * ms
-		p.other(77, uint64(10_000+i))
+		p.heartbeatOf(77, uint64(10_000+i))
 		p.run(50 * ms)
 	}
 	changes = p.server.Counters.Changes - changes
 	assert.GreaterOrEqual(t, changes, 20)
 	assert.LessOrEqual(t, changes, 20+6+1, "in a minute")
-	assert.LessOrEqual(t, p.server.own.sequence-batches, uint64(20+6+1), "to the other control members too")
+	assert.LessOrEqual(t, p.server.ownTable.sequence-batches, uint64(20+6+1), "to the other control members too")
 	assert.NotZero(t, p.server.Counters.Damped)
 	for range 25 {
-		p.other(77, 10_599)
+		p.heartbeatOf(77, 10_599)
 		p.run(second)
 	}
 	e, _ := p.client.View().Lookup("o0077")
 	require.Equal(t, Entry{Name: "o0077", Zone: "za", Role: Attached, Incarnation: 10_599, State: Alive, Home: "m0"}, e)
-	p.agreed()
+	p.requireAgreement()
 }
--- a/fleet/membership/table_test.go
+++ b/fleet/membership/table_test.go
@@ -10,40 +10,40 @@
 	"github.com/stretchr/testify/require"
 )
 
-// trio is three control members whose messages the test carries by hand.
-type trio struct {
-	t       *testing.T
-	now     monotime.Micros
-	servers map[string]*Server
-	epochs  map[string]uint64
-	lose    func(from, to string, kind Kind) bool
-	unheard func(name, by string) bool // that control member was never heard by the other
-	carried map[Kind]int
-	errors  []error
+// threeServers is three control members whose messages the test carries by hand.
+type threeServers struct {
+	t             *testing.T
+	now           monotime.Micros
+	servers       map[string]*Server
+	epochs        map[string]uint64
+	drop          func(from, to string, kind Kind) bool
+	neverSeen     func(name, by string) bool // that control member was never heard by the other
+	messageCounts map[Kind]int
+	errors        []error
 }
 
-var trioControls = []ControlMember{{Name: "m0", Zone: "za"}, {Name: "m1", Zone: "zb"}, {Name: "m2", Zone: "zc"}}
+var threeControls = []ControlMember{{Name: "m0", Zone: "za"}, {Name: "m1", Zone: "zb"}, {Name: "m2", Zone: "zc"}}
 
-func newTrio(t *testing.T) *trio {
-	r := &trio{t: t, now: 100 * second, servers: map[string]*Server{}, epochs: map[string]uint64{}, carried: map[Kind]int{},
-		lose: func(string, string, Kind) bool { return false }, unheard: func(string, string) bool { return false }}
-	for i, c := range trioControls {
-		r.begin(c.Name, uint64(1000+i))
+func newThreeServers(t *testing.T) *threeServers {
+	r := &threeServers{t: t, now: 100 * second, servers: map[string]*Server{}, epochs: map[string]uint64{}, messageCounts: map[Kind]int{},
+		drop: func(string, string, Kind) bool { return false }, neverSeen: func(string, string) bool { return false }}
+	for i, c := range threeControls {
+		r.startProcess(c.Name, uint64(1000+i))
 	}
 	r.run(200 * ms)
 	return r
 }
 
-func (r *trio) begin(name string, epoch uint64) {
+func (r *threeServers) startProcess(name string, epoch uint64) {
 	r.epochs[name] = epoch
-	r.servers[name] = NewServer(Config{Name: name, Incarnation: epoch, ControlMembers: trioControls, MaxEntries: 500})
+	r.servers[name] = NewServer(Config{Name: name, Incarnation: epoch, ControlMembers: threeControls, MaxEntries: 500})
 }
 
-func (r *trio) seen(by string) (list []ControlMember) {
-	for _, c := range trioControls {
+func (r *threeServers) membersSeenBy(by string) (list []ControlMember) {
+	for _, c := range threeControls {
 		switch {
 		case c.Name == by:
-		case r.unheard(c.Name, by):
+		case r.neverSeen(c.Name, by):
 			list = append(list, ControlMember{Name: c.Name, Zone: c.Zone, State: Dead})
 		default:
 			list = append(list, ControlMember{Name: c.Name, Zone: c.Zone, Incarnation: r.epochs[c.Name], State: Alive})
@@ -53,53 +53,53 @@
 }
 
 // run lets time pass in ticks; all messages between control members arrive at once.
-func (r *trio) run(span monotime.Micros) {
+func (r *threeServers) run(span monotime.Micros) {
 	for end := r.now + span; r.now < end; {
 		r.now += 50 * ms
-		for _, c := range trioControls {
-			r.servers[c.Name].Tick(r.now, r.seen(c.Name))
+		for _, c := range threeControls {
+			r.servers[c.Name].Tick(r.now, r.membersSeenBy(c.Name))
 		}
-		r.carry()
-		for _, c := range trioControls {
+		r.deliver()
+		for _, c := range threeControls {
 			versions := r.servers[c.Name].Versions(r.now)
-			for _, o := range trioControls {
-				if o != c && !r.lose(c.Name, o.Name, 0) {
-					r.note(r.servers[o.Name].ReceiveVersions(r.now, c.Name, r.epochs[c.Name], versions))
+			for _, o := range threeControls {
+				if o != c && !r.drop(c.Name, o.Name, 0) {
+					r.recordError(r.servers[o.Name].ReceiveVersions(r.now, c.Name, r.epochs[c.Name], versions))
 				}
 			}
 		}
 		for range 3 {
-			r.carry()
+			r.deliver()
 		}
 	}
 }
 
-func (r *trio) carry() {
-	for _, c := range trioControls {
+func (r *threeServers) deliver() {
+	for _, c := range threeControls {
 		for _, m := range r.servers[c.Name].Actions() {
-			if m.Incarnation == 0 && !r.lose(c.Name, m.To, m.Kind) {
-				r.carried[m.Kind]++
-				r.note(r.servers[m.To].ReceiveFromControl(r.now, c.Name, r.epochs[c.Name], m.Kind, m.Body))
+			if m.Incarnation == 0 && !r.drop(c.Name, m.To, m.Kind) {
+				r.messageCounts[m.Kind]++
+				r.recordError(r.servers[m.To].ReceiveFromControl(r.now, c.Name, r.epochs[c.Name], m.Kind, m.Body))
 			}
 		}
 	}
 }
 
-func (r *trio) note(err error) {
+func (r *threeServers) recordError(err error) {
 	if err != nil {
 		r.errors = append(r.errors, err)
 	}
 }
 
-// beat is a heartbeat over a link.
-func (r *trio) beat(server string, l Link) error {
-	h := heartbeat{name: l.From, sent: r.now}
+// sendHeartbeat is a heartbeat over a link.
+func (r *threeServers) sendHeartbeat(server string, l Link) error {
+	h := heartbeat{name: l.From, sentAt: r.now}
 	return r.servers[server].Receive(r.now, l, Heartbeat, h.encode())
 }
 
-func (r *trio) shows(name string, incarnation uint64, state State) {
+func (r *threeServers) requireState(name string, incarnation uint64, state State) {
 	r.t.Helper()
-	for _, c := range trioControls {
+	for _, c := range threeControls {
 		e, ok := r.servers[c.Name].View().Lookup(name)
 		require.True(r.t, ok, c.Name)
 		require.Equal(r.t, incarnation, e.Incarnation, "%s at %s", name, c.Name)
@@ -107,30 +107,30 @@
 	}
 }
 
-func (r *trio) link(name string, incarnation uint64) Link {
+func (r *threeServers) link(name string, incarnation uint64) Link {
 	return Link{From: name, Zone: "za", Incarnation: incarnation, ChallengedAt: r.now}
 }
 
 // Two processes of one name at one home: the one challenged later is the later one, in whichever order they are heard. The
 // earlier is gone for ever; its links are closed and its late messages do not count.
 func TestLaterProcess(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	earlier := r.link("f", 9)
 	r.run(100 * ms)
 	later := r.link("f", 5)
 	s := r.servers["m0"]
 	s.LinkOpened(r.now, earlier)
-	require.NoError(t, r.beat("m0", earlier))
+	require.NoError(t, r.sendHeartbeat("m0", earlier))
 	r.run(100 * ms)
-	r.shows("f", 9, Alive)
+	r.requireState("f", 9, Alive)
 	s.LinkOpened(r.now, later)
 	assert.Equal(t, []Link{earlier}, s.LinksToClose())
-	require.ErrorIs(t, r.beat("m0", earlier), ErrSuperseded)
+	require.ErrorIs(t, r.sendHeartbeat("m0", earlier), ErrSuperseded)
 	r.now += ms
-	require.ErrorIs(t, r.beat("m0", r.link("f", 9)), ErrSuperseded, "over a new link, at once")
+	require.ErrorIs(t, r.sendHeartbeat("m0", r.link("f", 9)), ErrSuperseded, "over a new link, at once")
 	r.run(100 * ms)
-	r.shows("f", 5, Alive)
-	for _, c := range trioControls {
+	r.requireState("f", 5, Alive)
+	for _, c := range threeControls {
 		assert.True(t, r.servers[c.Name].View().Superseded(9))
 		assert.True(t, r.servers[c.Name].View().PresumedDead(9))
 	}
@@ -139,10 +139,10 @@
 		again := r.link("f", 9)
 		r.servers[home].LinkOpened(r.now, again)
 		assert.Equal(t, []Link{again}, r.servers[home].LinksToClose(), home)
-		require.ErrorIs(t, r.beat(home, again), ErrSuperseded, home)
+		require.ErrorIs(t, r.sendHeartbeat(home, again), ErrSuperseded, home)
 	}
 	r.run(100 * ms)
-	r.shows("f", 5, Alive)
+	r.requireState("f", 5, Alive)
 
 	// The later is heard first.
 	earlier = r.link("g", 19)
@@ -152,7 +152,7 @@
 	s.LinkOpened(r.now, earlier)
 	assert.Equal(t, []Link{earlier}, s.LinksToClose())
 	r.run(100 * ms)
-	r.shows("g", 15, Alive)
+	r.requireState("g", 15, Alive)
 }
 
 // Two processes of one name at two homes, none of which has seen both: the one whose challenge is younger by the ages told,
@@ -160,21 +160,21 @@
 func TestTwoHomes(t *testing.T) {
 	for _, first := range []string{"m0", "m1"} {
 		for _, later := range []uint64{5, 9} {
-			r := newTrio(t)
+			r := newThreeServers(t)
 			latest := map[string]string{"m0": "m1", "m1": "m0"}[first]
 			earlier := Link{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: r.now - 3*ms}
 			latter := Link{From: "f", Zone: "za", Incarnation: later, ChallengedAt: r.now - ms}
 			r.servers["m0"].LinkOpened(r.now, earlier)
 			r.servers["m1"].LinkOpened(r.now, latter)
-			r.lose = func(from, _ string, _ Kind) bool { return from == latest }
+			r.drop = func(from, _ string, _ Kind) bool { return from == latest }
 			r.run(500 * ms)
-			r.lose = func(string, string, Kind) bool { return false }
+			r.drop = func(string, string, Kind) bool { return false }
 			for range 8 {
-				require.NoError(t, r.beat("m0", earlier))
-				require.NoError(t, r.beat("m1", latter))
+				require.NoError(t, r.sendHeartbeat("m0", earlier))
+				require.NoError(t, r.sendHeartbeat("m1", latter))
 				r.run(second)
 			}
-			r.shows("f", later, Alive)
+			r.requireState("f", later, Alive)
 			assert.False(t, r.servers["m2"].View().Alive(7))
 		}
 	}
@@ -183,40 +183,40 @@
 // Equal ages: the greater number, everywhere the same.
 func TestTwoHomesAtOnce(t *testing.T) {
 	for _, homes := range [][]string{{"m0", "m1"}, {"m1", "m0"}} {
-		r := newTrio(t)
+		r := newThreeServers(t)
 		r.servers[homes[0]].LinkOpened(r.now, r.link("f", 7))
 		r.servers[homes[1]].LinkOpened(r.now, r.link("f", 5))
 		r.run(500 * ms)
-		r.shows("f", 7, Alive)
+		r.requireState("f", 7, Alive)
 	}
 }
 
 // Ages are told with an error. A process that is alive for long beside a later one that is dead is shown in the end.
 func TestAliveInTheEnd(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	wrong := Link{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: r.now}
 	right := Link{From: "f", Zone: "za", Incarnation: 9, ChallengedAt: r.now - second}
 	r.servers["m0"].LinkOpened(r.now, wrong)
 	r.servers["m1"].LinkOpened(r.now, right)
 	for i := range 20 {
-		require.NoError(t, r.beat("m1", right))
+		require.NoError(t, r.sendHeartbeat("m1", right))
 		r.run(second)
 		if i == 10 {
-			r.shows("f", 7, Dead)
+			r.requireState("f", 7, Dead)
 		}
 	}
-	r.shows("f", 9, Alive)
+	r.requireState("f", 9, Alive)
 }
 
 // A push that is lost is seen from the version in the next heartbeat, and pulled from the log, not as a snapshot.
 func TestLostPush(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	for i := range 20 {
 		r.servers["m0"].LinkOpened(r.now, r.link(fmt.Sprintf("f%02d", i), uint64(i+1)))
 	}
 	r.run(200 * ms)
 	lost := false
-	r.lose = func(_, to string, kind Kind) bool {
+	r.drop = func(_, to string, kind Kind) bool {
 		if kind == TableUpdate && to == "m1" && !lost {
 			lost = true
 			return true
@@ -226,37 +226,37 @@
 	r.servers["m0"].LinkOpened(r.now, r.link("g", 99))
 	r.run(150 * ms)
 	require.True(t, lost)
-	r.shows("g", 99, Alive)
+	r.requireState("g", 99, Alive)
 	assert.Equal(t, 1, r.servers["m1"].Counters.Pulls)
 	assert.Zero(t, r.servers["m0"].Counters.TableSnapshots)
 }
 
 // Changes that do not follow on what is had are a gap, which is pulled; they are not taken in as they are.
 func TestGap(t *testing.T) {
-	r := newTrio(t)
-	r.lose = func(from, to string, _ Kind) bool { return from == "m0" && to == "m1" }
+	r := newThreeServers(t)
+	r.drop = func(from, to string, _ Kind) bool { return from == "m0" && to == "m1" }
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(100 * ms)
-	r.lose = func(from, to string, kind Kind) bool { return from == "m0" && to == "m1" && kind == 0 }
+	r.drop = func(from, to string, kind Kind) bool { return from == "m0" && to == "m1" && kind == 0 }
 	r.servers["m0"].LinkOpened(r.now, r.link("g", 8))
 	r.run(100 * ms)
 	assert.Equal(t, 1, r.servers["m1"].Counters.Gaps)
 	assert.Zero(t, r.servers["m0"].Counters.TableSnapshots)
-	r.shows("f", 7, Alive)
-	r.shows("g", 8, Alive)
+	r.requireState("f", 7, Alive)
+	r.requireState("g", 8, Alive)
 }
 
 // Changes of one name that homes tell without a bound are published at a bounded rate.
 func TestFlapsBetweenHomes(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	s := r.servers["m2"]
 	changes := s.Counters.Changes
-	m := tableMessage{version: version{"m0", 1000, 0, 0}}
+	m := tableMessage{tableVersion: tableVersion{"m0", 1000, 0, 0}}
 	for i := range 600 {
 		r.now += 100 * ms
-		m.sent, m.whole, m.sequence = r.now, true, uint64(i+1)
-		m.rows = []row{{name: "f", zone: "za", incarnation: 7, state: State(i % 2), challenged: r.now}}
-		m.sum = m.rows[0].digest()
+		m.sentAt, m.full, m.sequence = r.now, true, uint64(i+1)
+		m.entries = []tableEntry{{name: "f", zone: "za", incarnation: 7, state: State(i % 2), challengedAt: r.now}}
+		m.digest = m.entries[0].digest()
 		require.NoError(t, s.ReceiveFromControl(r.now, "m0", 1000, TableUpdate, m.encode()))
 		s.Tick(r.now, nil)
 	}
@@ -268,31 +268,31 @@
 		s.Tick(r.now, nil)
 	}
 	e, _ := s.View().Lookup("f")
-	require.Equal(t, m.rows[0].state, e.State)
+	require.Equal(t, m.entries[0].state, e.State)
 }
 
 // A gap that the log does not reach back over is filled by one snapshot.
 func TestLongCut(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 50))
 	r.run(200 * ms)
-	r.lose = func(from, to string, _ Kind) bool { return from == "m0" && to == "m1" }
-	for i := range mostBatches + 10 {
+	r.drop = func(from, to string, _ Kind) bool { return from == "m0" && to == "m1" }
+	for i := range maxLogBatches + 10 {
 		r.servers["m0"].LinkOpened(r.now, r.link(fmt.Sprintf("f%03d", i%400), uint64(i+100)))
 		r.run(50 * ms)
 	}
-	r.lose = func(string, string, Kind) bool { return false }
+	r.drop = func(string, string, Kind) bool { return false }
 	r.run(500 * ms)
 	assert.Equal(t, 1, r.servers["m0"].Counters.TableSnapshots)
-	assert.Equal(t, r.servers["m0"].own.version(), r.servers["m1"].byName["m0"].tables[0].version())
-	assert.LessOrEqual(t, len(r.servers["m0"].own.log.batches), mostBatches)
+	assert.Equal(t, r.servers["m0"].ownTable.version(), r.servers["m1"].membersByName["m0"].tables[0].version())
+	assert.LessOrEqual(t, len(r.servers["m0"].ownTable.log.batches), maxLogBatches)
 }
 
 // What a cut keeps from a home's messages is had from another control member that hears it.
 func TestTableByAThird(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	cut := func(a, b string) bool { return a == "m0" && b == "m1" || a == "m1" && b == "m0" }
-	r.lose = func(from, to string, _ Kind) bool { return cut(from, to) }
+	r.drop = func(from, to string, _ Kind) bool { return cut(from, to) }
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(2 * second)
 	_, ok := r.servers["m1"].View().Lookup("f")
@@ -300,11 +300,11 @@
 	// Package member sees the cut.
 	for range 30 {
 		r.now += 50 * ms
-		seen := r.seen("m1")
+		seen := r.membersSeenBy("m1")
 		seen[0].IndirectlyAlive = true
 		r.servers["m1"].Tick(r.now, seen)
 		require.NoError(t, r.servers["m1"].ReceiveVersions(r.now, "m2", r.epochs["m2"], r.servers["m2"].Versions(r.now)))
-		r.carry()
+		r.deliver()
 	}
 	e, ok := r.servers["m1"].View().Lookup("f")
 	require.True(t, ok)
@@ -313,26 +313,26 @@
 
 // Messages of an earlier process of a home are dropped and counted, also where another control member brings them.
 func TestOlderEpoch(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(200 * ms)
-	m := tableMessage{version: version{"m0", r.epochs["m0"], 50, 0}, whole: true}
-	m.rows = []row{{name: "late", zone: "za", incarnation: 3, challenged: r.now}}
-	m.sum = m.rows[0].digest()
+	m := tableMessage{tableVersion: tableVersion{"m0", r.epochs["m0"], 50, 0}, full: true}
+	m.entries = []tableEntry{{name: "late", zone: "za", incarnation: 3, challengedAt: r.now}}
+	m.digest = m.entries[0].digest()
 	old := r.epochs["m0"]
-	r.begin("m0", 2000)
+	r.startProcess("m0", 2000)
 	r.run(200 * ms)
 	s := r.servers["m1"]
 	require.NoError(t, s.ReceiveFromControl(r.now, "m0", old, TableUpdate, m.encode()))
 	require.Equal(t, 1, s.Counters.StaleEpochs)
 	require.NoError(t, s.ReceiveFromControl(r.now, "m2", r.epochs["m2"], TableUpdate, m.encode()))
 	require.Equal(t, 2, s.Counters.StaleEpochs)
-	require.NoError(t, s.ReceiveVersions(r.now, "m0", old, encodeVersions(r.now, []version{{"m0", old, 99, 1}})))
+	require.NoError(t, s.ReceiveVersions(r.now, "m0", old, encodeVersions(r.now, []tableVersion{{"m0", old, 99, 1}})))
 	require.Equal(t, 3, s.Counters.StaleEpochs)
-	seen := r.seen("m1")
+	seen := r.membersSeenBy("m1")
 	seen[0].IndirectlyAlive = true
 	s.Tick(r.now, seen)
-	require.NoError(t, s.ReceiveVersions(r.now, "m2", r.epochs["m2"], encodeVersions(r.now, []version{{"m0", old, 99, 1}})))
+	require.NoError(t, s.ReceiveVersions(r.now, "m2", r.epochs["m2"], encodeVersions(r.now, []tableVersion{{"m0", old, 99, 1}})))
 	require.Equal(t, 4, s.Counters.StaleEpochs)
 	r.run(200 * ms)
 	_, ok := s.View().Lookup("late")
@@ -344,9 +344,9 @@
 		return e.State
 	}
 	require.Equal(t, Suspect, state())
-	r.run(lapseSpan)
+	r.run(absentHomeTimeout)
 	require.Equal(t, Dead, state())
-	r.run(keepSpan + second)
+	r.run(retentionTime + second)
 	_, ok = s.View().Lookup("f")
 	require.False(t, ok)
 	require.True(t, s.View().PresumedDead(7))
@@ -355,18 +355,20 @@
 
 // Names that a message may not hold are errors that are counted, and change nothing.
 func TestBadControlMessages(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	s := r.servers["m1"]
 	digest := s.View().Digest()
-	rows := func(name string) []row { return []row{{name: name, zone: "z", incarnation: 3, challenged: r.now}} }
-	table := func(home string, epoch uint64, rows []row) []byte {
-		m := tableMessage{version: version{home, epoch, 1, 0}, rows: rows}
+	rows := func(name string) []tableEntry {
+		return []tableEntry{{name: name, zone: "z", incarnation: 3, challengedAt: r.now}}
+	}
+	table := func(home string, epoch uint64, rows []tableEntry) []byte {
+		m := tableMessage{tableVersion: tableVersion{home, epoch, 1, 0}, entries: rows}
 		for i := range rows {
-			m.sum += rows[i].digest()
+			m.digest += rows[i].digest()
 		}
 		return m.encode()
 	}
-	many := make([]row, 501)
+	many := make([]tableEntry, 501)
 	for i := range many {
 		many[i] = rows(fmt.Sprintf("f%03d", i))[0]
 	}
@@ -394,7 +396,7 @@
 		require.ErrorIs(t, err, c.target, c.name)
 		require.Equal(t, before+1, *c.count, c.name)
 	}
-	require.ErrorIs(t, s.ReceiveVersions(r.now, "m0", 1000, encodeVersions(r.now, []version{{"mx", 1, 1, 1}})), ErrUnknownHome)
+	require.ErrorIs(t, s.ReceiveVersions(r.now, "m0", 1000, encodeVersions(r.now, []tableVersion{{"mx", 1, 1, 1}})), ErrUnknownHome)
 	require.ErrorIs(t, s.ReceiveVersions(r.now, "m0", 1000, []byte("garbage")), ErrMalformed)
 	require.ErrorIs(t, s.ReceiveFromControl(r.now, "m0", 1000, Heartbeat, nil), ErrUnexpectedKind)
 	r.run(200 * ms)
@@ -404,33 +406,33 @@
 // A table that differs at the same version is replaced by a snapshot, at a bounded rate; changes whose sum would not agree are
 // not taken in.
 func TestSumDiffers(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(200 * ms)
 	s := r.servers["m1"]
-	replica := s.byName["m0"].tables[0]
-	s.apply(replica, []row{{name: "wrong", zone: "z", incarnation: 3}})
+	replica := s.membersByName["m0"].tables[0]
+	s.applyEntries(replica, []tableEntry{{name: "wrong", zone: "z", incarnation: 3}})
 	r.run(200 * ms)
 	require.Equal(t, 1, s.Counters.SumRepairs)
-	require.Equal(t, r.servers["m0"].own.sum, replica.sum)
+	require.Equal(t, r.servers["m0"].ownTable.contentDigest, replica.contentDigest)
 	_, ok := s.View().Lookup("wrong")
 	require.False(t, ok)
 
-	m := tableMessage{version: version{"m0", 1000, replica.sequence + 1, 1}, base: replica.sequence, rows: []row{{name: "wrong", incarnation: 3}}}
+	m := tableMessage{tableVersion: tableVersion{"m0", 1000, replica.sequence + 1, 1}, baseSequence: replica.sequence, entries: []tableEntry{{name: "wrong", incarnation: 3}}}
 	before := replica.version()
 	require.NoError(t, s.ReceiveFromControl(r.now, "m0", 1000, TableUpdate, m.encode()))
 	require.Equal(t, before, replica.version())
-	m.whole = true
+	m.full = true
 	require.ErrorIs(t, s.ReceiveFromControl(r.now, "m0", 1000, TableUpdate, m.encode()), ErrMalformed)
 	require.Equal(t, before, replica.version())
 
 	// One that never agrees is pulled at a bounded rate.
-	before.sum++
+	before.digest++
 	pulls := s.Counters.Pulls
 	for range 600 {
 		r.now += 50 * ms
-		s.Tick(r.now, r.seen("m1"))
-		require.NoError(t, s.ReceiveVersions(r.now, "m0", 1000, encodeVersions(r.now, []version{before})))
+		s.Tick(r.now, r.membersSeenBy("m1"))
+		require.NoError(t, s.ReceiveVersions(r.now, "m0", 1000, encodeVersions(r.now, []tableVersion{before})))
 	}
 	assert.LessOrEqual(t, s.Counters.Pulls-pulls, 8, "in 30 s")
 	assert.Greater(t, s.Counters.RateLimited, 500)
@@ -438,7 +440,7 @@
 
 // Nobody attaches under a control member's name, nor more than a view may have.
 func TestWhoMayAttach(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	s := r.servers["m0"]
 	for _, l := range []Link{r.link("m1", 7), r.link("m0", 7), r.link("", 7), r.link("f", 0)} {
 		s.LinkOpened(r.now, l)
@@ -454,14 +456,14 @@
 		r.servers["m1"].LinkOpened(r.now, r.link(fmt.Sprintf("g%03d", i), uint64(i+1000)))
 	}
 	r.run(300 * ms)
-	for _, c := range trioControls {
+	for _, c := range threeControls {
 		require.LessOrEqual(t, r.servers[c.Name].View().Len(), 500, c.Name)
 	}
 }
 
 // HomeOf is who has a link to a process now.
 func TestHomeOf(t *testing.T) {
-	r := newTrio(t)
+	r := newThreeServers(t)
 	l := r.link("f", 7)
 	r.servers["m0"].LinkOpened(r.now, l)
 	r.servers["m1"].LinkOpened(r.now, l)
--- a/fleet/membership/view_test.go
+++ b/fleet/membership/view_test.go
@@ -11,20 +11,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-func tells(name string, incarnation uint64, state State, challenged monotime.Micros) []change {
-	return []change{{Entry: Entry{Name: name, Role: Attached, Incarnation: incarnation, State: state, Home: "m0"}, challenged: challenged}}
+func reported(name string, incarnation uint64, state State, challenged monotime.Micros) []change {
+	return []change{{Entry: Entry{Name: name, Role: Attached, Incarnation: incarnation, State: state, Home: "m0"}, challengedAt: challenged}}
 }
 
 // A home that missed a later process tells of the earlier: that is kept as told, and shown for what it is.
 func TestToldOfAnEarlier(t *testing.T) {
 	for _, between := range []string{"", "a home that has neither"} {
 		v := newView()
-		v.apply(tells("f", 9, Alive, 100*second), followed)
+		v.apply(reported("f", 9, Alive, 100*second), fromHomeChanges)
 		if between != "" {
-			v.apply([]change{{Entry: Entry{Name: "f"}, removed: true}}, resumed)
+			v.apply([]change{{Entry: Entry{Name: "f"}, removed: true}}, fromHomeBuckets)
 			require.False(t, v.PresumedDead(9), "it was only missed")
 		}
-		v.apply(tells("f", 5, Alive, 50*second), resumed)
+		v.apply(reported("f", 5, Alive, 50*second), fromHomeBuckets)
 		e, _ := v.Lookup("f")
 		require.Equal(t, uint64(5), e.Incarnation)
 		require.Equal(t, Dead, e.State)
@@ -33,7 +33,7 @@
 		require.True(t, v.PresumedDead(5))
 		require.True(t, v.Superseded(5))
 		require.False(t, v.PresumedDead(9))
-		v.apply(tells("f", 9, Alive, 101*second), followed)
+		v.apply(reported("f", 9, Alive, 101*second), fromHomeChanges)
 		require.True(t, v.Alive(9), "the home has heard of it")
 		require.True(t, v.Superseded(5))
 	}
@@ -42,55 +42,55 @@
 // An entry that the home took out is gone, and comes back if it is told again.
 func TestRemovedEntry(t *testing.T) {
 	v := newView()
-	v.apply(tells("f", 9, Dead, 100*second), followed)
-	v.apply([]change{{Entry: Entry{Name: "f"}, removed: true}}, followed)
+	v.apply(reported("f", 9, Dead, 100*second), fromHomeChanges)
+	v.apply([]change{{Entry: Entry{Name: "f"}, removed: true}}, fromHomeChanges)
 	require.Zero(t, v.Len())
 	require.Zero(t, v.Digest())
 	require.True(t, v.PresumedDead(9))
 	require.False(t, v.Superseded(9))
-	v.apply(tells("f", 9, Alive, 100*second), followed)
+	v.apply(reported("f", 9, Alive, 100*second), fromHomeChanges)
 	require.True(t, v.Alive(9))
 	require.False(t, v.PresumedDead(9))
 }
 
 // A home that goes on showing a process alive which was held for replaced is believed in the end, and not before.
 func TestBelieveInTheEnd(t *testing.T) {
-	p := newPair(t, 3)
+	p := newServerAndClient(t, 3)
 	e, _ := p.client.View().Lookup("o0001")
-	p.client.view.past.add(e.Incarnation)
-	p.client.view.conflict = true
-	p.run(conflictSpan - 2*second)
+	p.client.view.superseded.add(e.Incarnation)
+	p.client.view.hasConflict = true
+	p.run(conflictTimeout - 2*second)
 	require.False(t, p.client.View().Alive(e.Incarnation))
 	p.run(5 * second)
 	require.True(t, p.client.View().Alive(e.Incarnation))
-	require.False(t, p.client.View().conflict)
+	require.False(t, p.client.View().hasConflict)
 }
 
 // What is remembered of past processes is bounded, the oldest forgotten first.
 func TestPastIsBounded(t *testing.T) {
-	var p pastSet
-	for i := range uint64(mostPast + 100) {
+	var p incarnationSet
+	for i := range uint64(maxIncarnations + 100) {
 		p.add(i + 1)
 		p.add(i + 1)
 	}
-	require.Len(t, p.ring, mostPast)
-	require.Len(t, p.has, mostPast)
+	require.Len(t, p.ring, maxIncarnations)
+	require.Len(t, p.indexes, maxIncarnations)
 	require.False(t, p.contains(100))
 	require.True(t, p.contains(101))
 	p.remove(101)
 	require.False(t, p.contains(101))
-	for i := range uint64(mostPast) {
+	for i := range uint64(maxIncarnations) {
 		p.add(1_000_000 + i)
 	}
-	require.Len(t, p.has, mostPast)
+	require.Len(t, p.indexes, maxIncarnations)
 	require.False(t, p.contains(0))
 
 	v := newView()
-	for i := range mostMissingAtHome + 10 {
-		v.apply(tells(fmt.Sprint(i), uint64(i+1), Alive, second), followed)
-		v.apply([]change{{Entry: Entry{Name: fmt.Sprint(i)}, removed: true}}, resumed)
+	for i := range maxMissingAtHome + 10 {
+		v.apply(reported(fmt.Sprint(i), uint64(i+1), Alive, second), fromHomeChanges)
+		v.apply([]change{{Entry: Entry{Name: fmt.Sprint(i)}, removed: true}}, fromHomeBuckets)
 	}
-	require.LessOrEqual(t, len(v.missingAtHome), mostMissingAtHome)
+	require.LessOrEqual(t, len(v.missingAtHome), maxMissingAtHome)
 }
 
 // A log is bounded by batches and by names.
@@ -99,30 +99,30 @@
 	for i := range 100 {
 		l.add(make([]string, 1000), uint64(i))
 	}
-	require.LessOrEqual(t, l.names, mostLogged)
-	require.Equal(t, len(l.batches)*1000, l.names)
-	_, ok := l.after(50)
+	require.LessOrEqual(t, l.nameCount, maxLogNames)
+	require.Equal(t, len(l.batches)*1000, l.nameCount)
+	_, ok := l.changedSince(50)
 	require.False(t, ok)
-	digest, ok := l.digestAt(l.first)
+	digest, ok := l.digestAt(l.baseSequence)
 	require.True(t, ok)
-	require.Equal(t, l.first-1, digest)
-	_, ok = l.after(101)
+	require.Equal(t, l.baseSequence-1, digest)
+	_, ok = l.changedSince(101)
 	require.False(t, ok, "it has not been")
 }
 
 // The least delay that was seen says how far two clocks are apart; what is older than two spans does not count, as clocks drift.
 func TestOffset(t *testing.T) {
-	var o offset
+	var o clockOffset
 	o.observe(1000*second, 100*second-300*ms)
 	o.observe(1001*second, 101*second-5*ms)
 	o.observe(1002*second, 102*second-800*ms)
-	require.Equal(t, 950*second+5*ms, o.here(50*second))
+	require.Equal(t, 950*second+5*ms, o.toLocal(50*second))
 	for i := monotime.Micros(3); i < 200; i++ {
 		o.observe((1000+i)*second, (100+i)*second-20*ms)
 	}
-	require.Equal(t, 950*second+20*ms, o.here(50*second))
-	var own *offset
-	require.Equal(t, second, own.here(second))
+	require.Equal(t, 950*second+20*ms, o.toLocal(50*second))
+	var own *clockOffset
+	require.Equal(t, second, own.toLocal(second))
 }
 
 // The rate lets a burst through, and then one in each gap.
@@ -130,22 +130,22 @@
 	var due monotime.Micros
 	allowed := 0
 	for now := monotime.Micros(0); now < 60*second; now += 100 * ms {
-		if (rate{10 * second, 6}).allow(now, &due) {
+		if (rateLimit{10 * second, 6}).allow(now, &due) {
 			allowed++
 		}
 	}
 	require.Equal(t, 11, allowed)
-	require.True(t, (rate{10 * second, 6}).allow(200*second, &due))
+	require.True(t, (rateLimit{10 * second, 6}).allow(200*second, &due))
 }
 
 // What is packed to blow up is not unpacked beyond the bound.
 func TestUnpackIsBounded(t *testing.T) {
-	bomb, packed := (&packer{}).pack(make([]byte, 64<<20))
+	bomb, packed := (&compressor{}).compress(make([]byte, 64<<20))
 	require.True(t, packed)
-	var u unpacker
+	var u decompressor
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	_, err := u.unpack(bomb, 1<<20)
+	_, err := u.decompress(bomb, 1<<20)
 	runtime.ReadMemStats(&after)
 	require.ErrorIs(t, err, ErrTooManyEntries)
 	assert.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(8<<20))
--- a/fleet/membership/message.go
+++ b/fleet/membership/viewmessage.go
@@ -11,48 +11,48 @@
 	"chutechute/internal/proto"
 )
 
-// longestName bounds names and zones.
-const longestName = 128
+// maxNameLength bounds names and zones.
+const maxNameLength = 128
 
-// toldPast bounds the past incarnations that a row tells of.
-const toldPast = 4
+// maxReportedSuperseded bounds the past incarnations that a row tells of.
+const maxReportedSuperseded = 4
 
 // change is one entry that a view gets, or that it loses.
 type change struct {
 	Entry
 	removed bool
-	// challenged is when its process answered a challenge, by this side's clock, 0 where that is not told. Messages carry it by the
+	// challengedAt is when its process answered a challenge, by this side's clock, 0 where that is not told. Messages carry it by the
 	// sender's clock in milliseconds, and digests leave it out.
-	challenged monotime.Micros
+	challengedAt monotime.Micros
 }
 
 // heartbeat is what an attached front end says over each of its links.
 type heartbeat struct {
-	name      string
-	sent      monotime.Micros // by its own clock; the answer gives it back
-	leaving   bool
-	subscribe bool // the view is wanted from this control member
-	resume    bool // it was not followed so far, or something was lost
-	epoch     uint64
-	sequence  uint64
-	digest    uint64
-	sums      []uint32 // of each bucket, cut to 32 bits; none for an empty view, or where the log may reach back
+	name          string
+	sentAt        monotime.Micros // by its own clock; the answer gives it back
+	leaving       bool
+	subscribe     bool // the view is wanted from this control member
+	resume        bool // it was not followed so far, or something was lost
+	epoch         uint64
+	sequence      uint64
+	digest        uint64
+	bucketDigests []uint32 // of each bucket, cut to 32 bits; none for an empty view, or where the log may reach back
 }
 
 func (h *heartbeat) encode() []byte {
 	b := proto.String(nil, 1, h.name)
-	b = proto.Uint(b, 2, uint64(max(0, h.sent)))
+	b = proto.Uint(b, 2, uint64(max(0, h.sentAt)))
 	b = proto.Bool(b, 3, h.leaving)
 	b = proto.Bool(b, 4, h.subscribe)
 	b = proto.Bool(b, 5, h.resume)
 	b = proto.Uint(b, 6, h.epoch)
 	b = proto.Uint(b, 7, h.sequence)
 	b = proto.Uint(b, 8, h.digest)
-	if len(h.sums) == 0 {
+	if len(h.bucketDigests) == 0 {
 		return b
 	}
-	sums := make([]byte, 0, 4*len(h.sums))
-	for _, sum := range h.sums {
+	sums := make([]byte, 0, 4*len(h.bucketDigests))
+	for _, sum := range h.bucketDigests {
 		sums = binary.BigEndian.AppendUint32(sums, sum)
 	}
 	return proto.Bytes(b, 9, sums)
@@ -64,7 +64,7 @@
 		case 1:
 			h.name = f.Text()
 		case 2:
-			h.sent = monotime.Micros(min(f.Uint, 1<<62))
+			h.sentAt = monotime.Micros(min(f.Uint, 1<<62))
 		case 3:
 			h.leaving = f.Uint != 0
 		case 4:
@@ -78,63 +78,63 @@
 		case 8:
 			h.digest = f.Uint
 		case 9:
-			if len(f.Data) != 4*buckets {
+			if len(f.Data) != 4*bucketCount {
 				return fmt.Errorf("%w: %d bytes of sums", ErrMalformed, len(f.Data))
 			}
-			h.sums = make([]uint32, buckets)
-			for i := range h.sums {
-				h.sums[i] = binary.BigEndian.Uint32(f.Data[4*i:])
+			h.bucketDigests = make([]uint32, bucketCount)
+			for i := range h.bucketDigests {
+				h.bucketDigests[i] = binary.BigEndian.Uint32(f.Data[4*i:])
 			}
 		}
 		return nil
 	})
-	return h, formError(err)
+	return h, asMalformed(err)
 }
 
-// content is what a viewMessage carries.
-type content uint64
+// contentKind is what a viewMessage carries.
+type contentKind uint64
 
 const (
-	noContent content = iota // only the version
-	someChanges
-	someBuckets
+	versionOnly contentKind = iota // only the version
+	changesSince
+	fullBuckets
 )
 
 // viewMessage is what a control member says to an attached front end: the version of its view, and where it carries entries, how
 // the view gets there.
 type viewMessage struct {
-	epoch    uint64
-	sequence uint64 // of the view after it
-	digest   uint64 // of the view after it
-	answers  bool
-	echo     monotime.Micros // the time of the heartbeat that is answered
-	leaving  bool
-	unknown  bool // the log does not reach back to what the heartbeat said: its sums are wanted
-	content  content
-	base     uint64 // of changes: the sequence that they are from
-	mask     uint64 // of buckets: those that are carried whole
-	packed   bool
-	entries  []byte
-	sent     monotime.Micros // by the sender's clock, as are the entries' times
+	epoch              uint64
+	sequence           uint64 // of the view after it
+	digest             uint64 // of the view after it
+	isAnswer           bool
+	heartbeatSentAt    monotime.Micros // the time of the heartbeat that is answered
+	leaving            bool
+	needsBucketDigests bool // the log does not reach back to what the heartbeat said: its sums are wanted
+	content            contentKind
+	baseSequence       uint64 // of changes: the sequence that they are from
+	bucketMask         uint64 // of buckets: those that are carried whole
+	compressed         bool
+	entries            []byte
+	sentAt             monotime.Micros // by the sender's clock, as are the entries' times
 }
 
 func (m *viewMessage) encode() []byte {
 	b := proto.Uint(make([]byte, 0, len(m.entries)+64), 1, m.epoch)
 	b = proto.Uint(b, 2, m.sequence)
 	b = proto.Uint(b, 3, m.digest)
-	b = proto.Bool(b, 4, m.answers)
-	b = proto.Uint(b, 5, uint64(max(0, m.echo)))
+	b = proto.Bool(b, 4, m.isAnswer)
+	b = proto.Uint(b, 5, uint64(max(0, m.heartbeatSentAt)))
 	b = proto.Bool(b, 6, m.leaving)
-	b = proto.Bool(b, 7, m.unknown)
+	b = proto.Bool(b, 7, m.needsBucketDigests)
 	b = proto.Uint(b, 8, uint64(m.content))
-	b = proto.Uint(b, 9, m.base)
-	b = proto.Uint(b, 10, m.mask)
-	b = proto.Bool(b, 11, m.packed)
+	b = proto.Uint(b, 9, m.baseSequence)
+	b = proto.Uint(b, 10, m.bucketMask)
+	b = proto.Bool(b, 11, m.compressed)
 	b = proto.Bytes(b, 12, m.entries)
-	return proto.Uint(b, 13, protowire.EncodeZigZag(m.sent))
+	return proto.Uint(b, 13, protowire.EncodeZigZag(m.sentAt))
 }
 
-func decodeView(b []byte) (m viewMessage, err error) {
+func decodeViewMessage(b []byte) (m viewMessage, err error) {
 	err = proto.Each(b, func(f proto.Field) error {
 		switch f.Number {
 		case 1:
@@ -144,32 +144,32 @@
 		case 3:
 			m.digest = f.Uint
 		case 4:
-			m.answers = f.Uint != 0
+			m.isAnswer = f.Uint != 0
 		case 5:
-			m.echo = monotime.Micros(min(f.Uint, 1<<62))
+			m.heartbeatSentAt = monotime.Micros(min(f.Uint, 1<<62))
 		case 6:
 			m.leaving = f.Uint != 0
 		case 7:
-			m.unknown = f.Uint != 0
+			m.needsBucketDigests = f.Uint != 0
 		case 8:
-			m.content = content(f.Uint)
+			m.content = contentKind(f.Uint)
 		case 9:
-			m.base = f.Uint
+			m.baseSequence = f.Uint
 		case 10:
-			m.mask = f.Uint
+			m.bucketMask = f.Uint
 		case 11:
-			m.packed = f.Uint != 0
+			m.compressed = f.Uint != 0
 		case 12:
 			m.entries = f.Data
 		case 13:
-			m.sent = clockTime(f)
+			m.sentAt = clockTime(f)
 		}
 		return nil
 	})
-	if err == nil && m.content > someBuckets {
+	if err == nil && m.content > fullBuckets {
 		err = fmt.Errorf("%w: content %d", ErrMalformed, m.content)
 	}
-	return m, formError(err)
+	return m, asMalformed(err)
 }
 
 func encodeChanges(list []change) []byte {
@@ -186,8 +186,8 @@
 		m = proto.Uint(m, 4, c.Incarnation)
 		m = proto.Uint(m, 5, uint64(c.Role))
 		m = proto.Uint(m, 6, uint64(c.State))
-		if c.challenged != 0 {
-			m = proto.Uint(m, 8, protowire.EncodeZigZag(cmp.Or(c.challenged/1000, 1)))
+		if c.challengedAt != 0 {
+			m = proto.Uint(m, 8, protowire.EncodeZigZag(cmp.Or(c.challengedAt/1000, 1)))
 		}
 		b = proto.Message(b, 1, m)
 	}
@@ -195,7 +195,7 @@
 }
 
 // decodeChanges reads at most most changes, which are by name and name each front end once. clock is of who sent them.
-func decodeChanges(clock *offset, b []byte, most int) (list []change, err error) {
+func decodeChanges(clock *clockOffset, b []byte, most int) (list []change, err error) {
 	err = proto.Each(b, func(f proto.Field) error {
 		if f.Number != 1 {
 			return nil
@@ -213,10 +213,10 @@
 		list = append(list, c)
 		return nil
 	})
-	return list, formError(err)
+	return list, asMalformed(err)
 }
 
-func decodeChange(clock *offset, b []byte) (c change, err error) {
+func decodeChange(clock *clockOffset, b []byte) (c change, err error) {
 	err = proto.Each(b, func(f proto.Field) error {
 		switch f.Number {
 		case 1:
@@ -234,24 +234,24 @@
 		case 7:
 			c.removed = f.Uint != 0
 		case 8:
-			c.challenged = cmp.Or(clock.here(min(max(protowire.DecodeZigZag(f.Uint), -1<<50), 1<<50)*1000), -1)
+			c.challengedAt = cmp.Or(clock.toLocal(min(max(protowire.DecodeZigZag(f.Uint), -1<<50), 1<<50)*1000), -1)
 		}
 		return nil
 	})
 	if err != nil {
 		return c, err
 	}
-	if !goodName(c.Name) || len(c.Zone) > longestName || c.Role > Attached || c.State > Left || !c.removed && c.Incarnation == 0 {
+	if !isValidName(c.Name) || len(c.Zone) > maxNameLength || c.Role > Attached || c.State > Left || !c.removed && c.Incarnation == 0 {
 		return c, fmt.Errorf("%w: the entry %q", ErrMalformed, c.Name)
 	}
 	return c, nil
 }
 
-func goodName(name string) bool { return name != "" && len(name) <= longestName }
+func isValidName(name string) bool { return name != "" && len(name) <= maxNameLength }
 
-// formError makes every error that is none of this package's one of the form.
-func formError(err error) error {
-	if err == nil || isOurs(err) {
+// asMalformed makes every error that is none of this package's one of the form.
+func asMalformed(err error) error {
+	if err == nil || isPackageError(err) {
 		return err
 	}
 	return fmt.Errorf("%w: %w", ErrMalformed, err)
