--- a/fleet/membership/clockoffset.go
+++ b/fleet/membership/clockoffset.go
@@ -2,23 +2,25 @@
 
 import "chutechute/internal/monotime"
 
-// offsetWindow is for how long the least difference of two clocks counts at least: two drift apart by some 50 us a second, and the
-// least delay of 600 messages says more than that of the last.
-const offsetWindow monotime.Micros = 60_000_000
+// offsetWindow is for how long the least difference of two clocks counts at least: two drift apart by some 50 us a
+// second, and the least delay of 600 messages is a better estimate than that of the last.
+const offsetWindow = 60 * monotime.Second
 
-// clockOffset estimates how much this side's clock is ahead of another's: the least difference between when a message came and when
-// it was sent. It is too great by the least delay, never too small but for drift.
+// clockOffset estimates how far this side's clock is ahead of another's: the least difference between when a
+// message was received and when it was sent. It is too great by the least delay, and never too small but for drift.
 type clockOffset struct {
-	known                    bool
-	minimum, previousMinimum monotime.Micros
-	windowStart              monotime.Micros
+	known           bool
+	minimum         monotime.Micros // in this window
+	previousMinimum monotime.Micros // in the window before
+	windowStart     monotime.Micros
 }
 
-func (o *clockOffset) observe(now, sent monotime.Micros) {
-	difference := now - sent
+// observe takes a message's times of receiving and of sending.
+func (o *clockOffset) observe(now, sentAt monotime.Micros) {
+	difference := now - sentAt
 	switch {
 	case !o.known:
-		*o = clockOffset{true, difference, difference, now}
+		*o = clockOffset{known: true, minimum: difference, previousMinimum: difference, windowStart: now}
 	case now-o.windowStart >= offsetWindow:
 		o.minimum, o.previousMinimum, o.windowStart = difference, o.minimum, now
 	default:
@@ -26,10 +28,10 @@
 	}
 }
 
-// toLocal is a time of the other's clock by this side's.
-func (o *clockOffset) toLocal(theirs monotime.Micros) monotime.Micros {
+// toLocal returns a time of the other's clock by this side's clock; nil stands for this side's.
+func (o *clockOffset) toLocal(remote monotime.Micros) monotime.Micros {
 	if o == nil {
-		return theirs
+		return remote
 	}
-	return theirs + min(o.minimum, o.previousMinimum)
+	return remote + min(o.minimum, o.previousMinimum)
 }
--- a/fleet/membership/compression.go
+++ b/fleet/membership/compression.go
@@ -9,56 +9,60 @@
 )
 
 const (
-	// compressionThreshold is the size from which packing saves more than its frame costs.
+	// compressionThreshold is the size, in bytes, from which compression saves more than its framing costs.
 	compressionThreshold = 300
-	// maxEntrySize bounds what one entry takes unpacked: three names, a number, and tags.
+	// maxEntrySize bounds the bytes of one uncompressed entry: three names, a number, and tags.
 	maxEntrySize = 3*maxNameLength + 64
 )
 
-// compressor compresses; it keeps its tables, which take about a megabyte.
+// compressor compresses entries. It keeps its tables, which take about a megabyte.
 type compressor struct{ writer *flate.Writer }
 
-// compress gives b compressed, or b itself where that is small or gains nothing.
-func (p *compressor) compress(b []byte) (out []byte, packed bool) {
+// compress returns b compressed, or b itself if that is small or compression gains nothing.
+func (c *compressor) compress(b []byte) (output []byte, compressed bool) {
 	if len(b) <= compressionThreshold {
 		return b, false
 	}
 	var buffer bytes.Buffer
-	if p.writer == nil {
-		writer, err := flate.NewWriter(&buffer, flate.DefaultCompression)
-		if err != nil {
-			return b, false
-		}
-		p.writer = writer
-	} else {
-		p.writer.Reset(&buffer)
+	if err := c.reset(&buffer); err != nil {
+		return b, false
 	}
-	if _, err := p.writer.Write(b); err != nil {
+	if _, err := c.writer.Write(b); err != nil {
 		return b, false
 	}
-	if err := p.writer.Close(); err != nil || buffer.Len() >= len(b) {
+	if err := c.writer.Close(); err != nil || buffer.Len() >= len(b) {
 		return b, false
 	}
 	return buffer.Bytes(), true
 }
 
-// decompressor reads what packer wrote.
+// reset makes the writer write to output.
+func (c *compressor) reset(output io.Writer) (err error) {
+	if c.writer != nil {
+		c.writer.Reset(output)
+		return nil
+	}
+	c.writer, err = flate.NewWriter(output, flate.DefaultCompression)
+	return err
+}
+
+// decompressor decompresses what compressor wrote.
 type decompressor struct{ reader io.ReadCloser }
 
-// decompress gives at most most bytes; more are an error.
-func (u *decompressor) decompress(b []byte, most int) ([]byte, error) {
-	source := bytes.NewReader(b)
-	if u.reader == nil {
-		u.reader = flate.NewReader(source)
-	} else if err := u.reader.(flate.Resetter).Reset(source, nil); err != nil {
+// decompress returns at most limit bytes; more are an ErrTooManyEntries.
+func (d *decompressor) decompress(b []byte, limit int) ([]byte, error) {
+	input := bytes.NewReader(b)
+	if d.reader == nil {
+		d.reader = flate.NewReader(input)
+	} else if err := d.reader.(flate.Resetter).Reset(input, nil); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	out, err := io.ReadAll(io.LimitReader(u.reader, int64(most)+1))
+	output, err := io.ReadAll(io.LimitReader(d.reader, int64(limit)+1))
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
-	case len(out) > most:
+	case len(output) > limit:
 		return nil, errors.Join(ErrTooManyEntries, ErrMalformed)
 	}
-	return out, nil
+	return output, nil
 }
--- a/fleet/membership/hash.go
+++ b/fleet/membership/hash.go
@@ -1,11 +1,6 @@
 package membership
 
-import "chutechute/internal/monotime"
-
-// bucketCount is into how many parts a view is divided for finding what differs: at 2,700 entries one differing entry costs some 42.
-const bucketCount = 64
-
-// fnvHash is FNV-1a over texts and numbers, mixed at the end so that sums of hashes are spread evenly.
+// fnvHash is FNV-1a over strings and numbers, with a finalizer so that sums of hashes are spread evenly.
 type fnvHash uint64
 
 const (
@@ -17,7 +12,7 @@
 	for i := range len(s) {
 		h = (h ^ fnvHash(s[i])) * fnvPrime
 	}
-	return (h ^ 0xff) * fnvPrime // where it ends
+	return (h ^ 0xff) * fnvPrime // marks the end of the string
 }
 
 func (h fnvHash) addUint64(v uint64) fnvHash {
@@ -36,44 +31,27 @@
 	return x ^ x>>31
 }
 
-// bucketOf is the part of a view that a name lies in.
-func bucketOf(name string) int { return int(fnvOffset.addString(name).finalize() % bucketCount) }
-
-// digest is an entry's share of a view's digest, which is the sum over all entries: it follows each change at constant cost.
+// digest returns an entry's share of a view's digest, which is the sum over all entries: a change updates it at
+// constant cost.
 func (e *Entry) digest() uint64 {
-	return fnvOffset.addString(e.Name).addString(e.Zone).addString(e.Home).addUint64(e.Incarnation).addUint64(uint64(e.Role)<<8 | uint64(e.State)).finalize()
+	h := fnvOffset.addString(e.Name).addString(e.Zone).addString(e.Home)
+	return h.addUint64(e.Incarnation).addUint64(uint64(e.Role)<<8 | uint64(e.State)).finalize()
 }
 
-// digest is a row's share of a table's sum. Ages are left out, as they differ by the time that a message takes.
-func (r *tableEntry) digest() uint64 {
-	h := fnvOffset.addString(r.name).addString(r.zone).addUint64(r.incarnation).addUint64(uint64(r.state))
-	if r.servesView {
+// digest returns an entry's share of a table's digest. Times are left out, as they differ by the delay of messages.
+func (e *tableEntry) digest() uint64 {
+	h := fnvOffset.addString(e.name).addString(e.zone).addUint64(e.incarnation).addUint64(uint64(e.state))
+	if e.servesView {
 		h = h.addUint64(1)
 	}
-	for _, past := range r.supersededIncarnations {
-		h = h.addUint64(past)
+	for _, incarnation := range e.supersededIncarnations {
+		h = h.addUint64(incarnation)
 	}
 	return h.finalize()
 }
 
-// rendezvousWeight orders control members for one front end (rendezvous hashing): each front end has an order of its own, and one that
-// comes or goes moves only those that had it first.
+// rendezvousWeight orders control members for one front end (rendezvous hashing): each front end has an order of its
+// own, and a control member that comes or goes moves only the front ends that had it first.
 func rendezvousWeight(name, control string, salt uint64) uint64 {
 	return fnvOffset.addString(name).addString(control).addUint64(salt).finalize()
 }
-
-// splitMix64 is splitmix64, for jitter.
-type splitMix64 uint64
-
-func (r *splitMix64) next() uint64 {
-	*r += 0x9e3779b97f4a7c15
-	return fnvHash(*r).finalize()
-}
-
-// between is between low and high.
-func (r *splitMix64) between(low, high monotime.Micros) monotime.Micros {
-	if high <= low {
-		return low
-	}
-	return low + monotime.Micros(r.next()%uint64(high-low))
-}
--- a/fleet/membership/incarnationset.go
+++ b/fleet/membership/incarnationset.go
@@ -1,41 +1,41 @@
 package membership
 
-// maxIncarnations bounds the past incarnations that are remembered: at 3,000 restarts a day those of two days and more.
+// maxIncarnations bounds the incarnations that a set remembers: at 3,000 restarts a day those of two days and more.
 const maxIncarnations = 8192
 
-// incarnationSet is incarnations that are no more, the oldest forgotten first.
+// incarnationSet is a bounded set of incarnations that have ended; the oldest is dropped first.
 type incarnationSet struct {
-	indexes map[uint64]int // place in ring
+	indexes map[uint64]int // index in ring
 	ring    []uint64
-	next    int
+	next    int // the index that is overwritten next
 }
 
-func (p *incarnationSet) contains(incarnation uint64) bool {
-	_, ok := p.indexes[incarnation]
+func (s *incarnationSet) contains(incarnation uint64) bool {
+	_, ok := s.indexes[incarnation]
 	return ok
 }
 
-func (p *incarnationSet) add(incarnation uint64) {
-	if incarnation == 0 || p.contains(incarnation) {
+func (s *incarnationSet) add(incarnation uint64) {
+	if incarnation == 0 || s.contains(incarnation) {
 		return
 	}
-	if p.indexes == nil {
-		p.indexes = map[uint64]int{}
+	if s.indexes == nil {
+		s.indexes = map[uint64]int{}
 	}
-	if len(p.ring) < maxIncarnations {
-		p.indexes[incarnation] = len(p.ring)
-		p.ring = append(p.ring, incarnation)
+	if len(s.ring) < maxIncarnations {
+		s.indexes[incarnation] = len(s.ring)
+		s.ring = append(s.ring, incarnation)
 		return
 	}
-	delete(p.indexes, p.ring[p.next])
-	p.ring[p.next] = incarnation
-	p.indexes[incarnation] = p.next
-	p.next = (p.next + 1) % maxIncarnations
+	delete(s.indexes, s.ring[s.next])
+	s.ring[s.next] = incarnation
+	s.indexes[incarnation] = s.next
+	s.next = (s.next + 1) % maxIncarnations
 }
 
-func (p *incarnationSet) remove(incarnation uint64) {
-	if place, ok := p.indexes[incarnation]; ok {
-		delete(p.indexes, incarnation)
-		p.ring[place] = 0
+func (s *incarnationSet) remove(incarnation uint64) {
+	if index, ok := s.indexes[incarnation]; ok {
+		delete(s.indexes, incarnation)
+		s.ring[index] = 0
 	}
 }
--- a/fleet/membership/lease.go
+++ b/fleet/membership/lease.go
@@ -8,82 +8,107 @@
 	"chutechute/internal/monotime"
 )
 
-// lease is a front end that is attached here.
+// lease is the lease of a front end that is attached here.
 type lease struct {
 	name              string
 	zone              string
 	incarnation       uint64
-	firstChallengedAt monotime.Micros // when it answered its first challenge here
-	lastChallengedAt  monotime.Micros // when it answered its newest
+	firstChallengedAt monotime.Micros // when its process answered its first challenge here
+	lastChallengedAt  monotime.Micros // when its process answered its newest challenge here
 	lastSeen          monotime.Micros
 	leaving           bool
 	links             []Link
 	superseded        []uint64 // the last few earlier processes of its name
 
 	state        State
-	suspectUntil monotime.Micros // until when it is Suspect though it is silent for longer; 0 without doubt
-	endedAt      monotime.Micros // since when it is Dead or has Left
-	dirty        bool            // is in Server.dirty
-	damped       bool            // a change is put off by the bounded rate
-	changeDue    monotime.Micros // state of the bounded rate of its changes
+	suspectUntil monotime.Micros // until when it stays Suspect because of self-suspicion; 0 without one
+	endedAt      monotime.Micros // when it became Dead or Left
+	dirty        bool            // is in Server.dirtyLeases
+	damping      damping         // of its changes
 
-	snapshotDue  monotime.Micros // state of the bounded bytes of snapshots to its name
+	snapshotDue  monotime.Micros // state of snapshotRateLimit
 	subscription subscription
 }
 
-// maxLinksPerProcess bounds the links of one process; more are closed, the oldest first.
+// maxLinksPerProcess bounds the links of one process; further ones close the oldest.
 const maxLinksPerProcess = 3
 
-// renewLease notes a sign of life over a link, and decides between the processes of a name: no two of one name live at once, and one
-// that answered a challenge lived after that was made, so the one with the later challenge is the later one.
-func (s *Server) renewLease(l Link) (*lease, error) {
-	if s.membersByName[l.From] != nil || !isValidName(l.From) || len(l.Zone) > maxNameLength || l.Incarnation == 0 {
-		s.Counters.NameMismatches++
-		return nil, fmt.Errorf("%w: %q may not attach", ErrNameMismatch, l.From)
+// renewLease records a sign of life over a link, and decides between the processes of a name: no two processes of one
+// name run at once, and one that answered a challenge was running after the challenge was made, so the process with the
+// later challenge is the later one.
+func (s *Server) renewLease(link Link) (*lease, error) {
+	if err := s.checkLink(link); err != nil {
+		return nil, err
 	}
-	if s.superseded.contains(l.Incarnation) {
-		s.Counters.LateOfSuperseded++
-		return nil, ErrSuperseded
-	}
-	old := s.leasesByName[l.From]
+	l := s.leasesByName[link.From]
 	switch {
-	case old == nil:
+	case l == nil:
 		if len(s.leases) >= s.cfg.MaxEntries {
 			s.Counters.Oversized++
 			return nil, ErrTooManyEntries
 		}
-		old = &lease{name: l.From}
-		at, _ := slices.BinarySearchFunc(s.leases, l.From, func(l *lease, name string) int { return strings.Compare(l.name, name) })
-		s.leases = slices.Insert(s.leases, at, old)
-		s.leasesByName[l.From] = old
-	case old.incarnation == l.Incarnation:
-		old.lastChallengedAt = max(old.lastChallengedAt, l.ChallengedAt)
-		return s.recordSeen(old, l), nil
-	case l.ChallengedAt <= old.lastChallengedAt:
+		l = s.addLease(link.From)
+	case l.incarnation == link.Incarnation:
+		l.lastChallengedAt = max(l.lastChallengedAt, link.ChallengedAt)
+		s.recordSeen(l, link)
+		return l, nil
+	case link.ChallengedAt <= l.lastChallengedAt:
 		s.Counters.LateOfSuperseded++
 		return nil, ErrSuperseded
 	default:
-		s.supersede(old)
+		s.supersede(l)
+	}
+	l.beginProcess(link)
+	s.markLeaseDirty(l)
+	s.recordSeen(l, link)
+	return l, nil
+}
+
+// checkLink checks that the link's front end may attach.
+func (s *Server) checkLink(link Link) error {
+	validName := isValidName(link.From) && len(link.Zone) <= maxNameLength
+	if !validName || s.membersByName[link.From] != nil || link.Incarnation == 0 {
+		s.Counters.NameMismatches++
+		return fmt.Errorf("%w: %q may not attach", ErrNameMismatch, link.From)
+	}
+	if s.superseded.contains(link.Incarnation) {
+		s.Counters.LateOfSuperseded++
+		return ErrSuperseded
 	}
-	old.zone, old.incarnation, old.firstChallengedAt, old.lastChallengedAt = l.Zone, l.Incarnation, l.ChallengedAt, l.ChallengedAt
-	old.leaving, old.suspectUntil, old.subscription = false, 0, subscription{}
-	s.markLeaseDirty(old)
-	return s.recordSeen(old, l), nil
+	return nil
+}
+
+func (s *Server) addLease(name string) *lease {
+	l := &lease{name: name}
+	index, _ := slices.BinarySearchFunc(s.leases, name, compareLeaseName)
+	s.leases = slices.Insert(s.leases, index, l)
+	s.leasesByName[name] = l
+	return l
+}
+
+func compareLeaseName(l *lease, name string) int { return strings.Compare(l.name, name) }
+
+// beginProcess makes the lease that of the link's process.
+func (l *lease) beginProcess(link Link) {
+	l.zone, l.incarnation = link.Zone, link.Incarnation
+	l.firstChallengedAt, l.lastChallengedAt = link.ChallengedAt, link.ChallengedAt
+	l.leaving, l.suspectUntil, l.subscription = false, 0, subscription{}
 }
 
 // supersede ends a lease's process: its name has come back with another.
-func (s *Server) supersede(old *lease) {
+func (s *Server) supersede(l *lease) {
 	s.Counters.Superseded++
-	s.superseded.add(old.incarnation)
-	old.superseded = append(old.superseded, old.incarnation)
-	if len(old.superseded) > maxReportedSuperseded {
-		old.superseded = slices.Clone(old.superseded[1:])
+	s.superseded.add(l.incarnation)
+	l.superseded = append(l.superseded, l.incarnation)
+	if len(l.superseded) > maxReportedSuperseded {
+		l.superseded = slices.Clone(l.superseded[1:])
 	}
-	s.linksToClose = append(s.linksToClose, old.links...)
-	old.links = nil
+	s.linksToClose = append(s.linksToClose, l.links...)
+	l.links = nil
 }
 
-func (s *Server) recordSeen(l *lease, link Link) *lease {
+// recordSeen records a sign of life of a lease's process over a link.
+func (s *Server) recordSeen(l *lease, link Link) {
 	l.lastSeen, l.suspectUntil = s.now, 0
 	if !slices.Contains(l.links, link) {
 		l.links = append(l.links, link)
@@ -93,9 +118,9 @@
 		l.links = slices.Clone(l.links[1:])
 	}
 	s.setLeaseState(l, Alive)
-	return l
 }
 
+// markLeaseDirty notes that a lease's table entry may have to change.
 func (s *Server) markLeaseDirty(l *lease) {
 	if !l.dirty {
 		l.dirty = true
@@ -103,43 +128,52 @@
 	}
 }
 
-// LinkOpened says that an attached front end has proven itself over a new link.
-func (s *Server) LinkOpened(now monotime.Micros, l Link) {
+// LinkOpened reports that an attached front end has authenticated itself over a new link.
+func (s *Server) LinkOpened(now monotime.Micros, link Link) {
 	s.advanceClock(now)
-	if _, err := s.renewLease(l); err != nil {
-		s.linksToClose = append(s.linksToClose, l)
+	if _, err := s.renewLease(link); err != nil {
+		s.linksToClose = append(s.linksToClose, link)
 	}
 }
 
-// LinkClosed says that such a link is closed. The lease goes on: a broken link alone is no death.
-func (s *Server) LinkClosed(now monotime.Micros, l Link) {
+// LinkClosed reports that such a link is closed. The lease continues, since a broken link alone does not prove that the
+// front end is dead.
+func (s *Server) LinkClosed(now monotime.Micros, link Link) {
 	s.advanceClock(now)
-	held := s.leasesByName[l.From]
-	if held == nil || held.incarnation != l.Incarnation {
+	l := s.leasesByName[link.From]
+	if l == nil || l.incarnation != link.Incarnation {
 		return
 	}
-	held.links = slices.DeleteFunc(held.links, func(o Link) bool { return o == l })
-	if len(held.links) == 0 {
-		held.subscription.streaming = false
+	l.links = slices.DeleteFunc(l.links, func(other Link) bool { return other == link })
+	if len(l.links) == 0 {
+		l.subscription.interrupt()
 	}
 }
 
-// expireLeases ends the leases of those that are silent.
+// expireLeases ends the leases of front ends that were not seen for long. A home that loses many at once suspects
+// itself instead.
 func (s *Server) expireLeases() {
-	ending, lost, held := s.scanLeases()
-	if len(ending) > 0 && lost > max(3, held/3) {
+	scan := s.scanLeases()
+	if len(scan.expired) > 0 && scan.suspects > max(3, scan.current/3) {
 		s.suspectSelf()
-		ending, _, _ = s.scanLeases()
+		scan = s.scanLeases()
 	}
-	for _, l := range ending {
+	for _, l := range scan.expired {
 		s.Counters.Expired++
 		s.setLeaseState(l, Dead)
 	}
 	s.removeEndedLeases()
 }
 
-// scanLeases scans the leases: those whose span is over, how many are lost at present, and how many are held.
-func (s *Server) scanLeases() (ending []*lease, lost, held int) {
+// leaseScan is the result of a scan of all leases.
+type leaseScan struct {
+	expired  []*lease
+	suspects int // front ends that are Suspect
+	current  int // front ends that are Alive or Suspect
+}
+
+// scanLeases updates the states of all leases, but for those that have expired.
+func (s *Server) scanLeases() (scan leaseScan) {
 	for _, l := range s.leases {
 		silence := s.now - l.lastSeen
 		switch {
@@ -152,26 +186,27 @@
 			continue
 		default:
 			s.setLeaseState(l, Suspect)
-			lost++
+			scan.suspects++
 			if silence >= s.cfg.DeadAfter && s.now >= l.suspectUntil {
-				ending = append(ending, l)
+				scan.expired = append(scan.expired, l)
 			}
 		}
-		held++
+		scan.current++
 	}
-	return ending, lost, held
+	return scan
 }
 
-// suspectSelf is what a home does that loses many at once: it is more likely cut off than all of them dead. They are Suspect for
-// longer, in which they can attach elsewhere.
+// suspectSelf is what a home does that loses many front ends at once: it is more likely that the home is cut off than
+// that all of them are dead. They stay Suspect for longer, so that they can attach elsewhere.
 func (s *Server) suspectSelf() {
-	any := false
+	extended := false
 	for _, l := range s.leases {
 		if l.state == Suspect && l.suspectUntil == 0 {
-			l.suspectUntil, any = l.lastSeen+s.cfg.DeadAfter+selfSuspicionTimeout, true
+			l.suspectUntil = l.lastSeen + s.cfg.DeadAfter + selfSuspicionTimeout
+			extended = true
 		}
 	}
-	if any && s.now >= s.selfSuspicionUntil {
+	if extended && s.now >= s.selfSuspicionUntil {
 		s.Counters.SelfSuspicions++
 		s.selfSuspicionUntil = s.now + selfSuspicionTimeout
 	}
@@ -188,10 +223,11 @@
 	s.markLeaseDirty(l)
 }
 
-// removeEndedLeases drops those that ended long ago.
+// removeEndedLeases removes the leases that ended long ago.
 func (s *Server) removeEndedLeases() {
 	s.leases = slices.DeleteFunc(s.leases, func(l *lease) bool {
-		if l.state != Dead && l.state != Left || s.now-l.endedAt < retentionTime || l.dirty {
+		ended := l.state == Dead || l.state == Left
+		if !ended || s.now-l.endedAt < retentionTime || l.dirty {
 			return false
 		}
 		delete(s.leasesByName, l.name)
--- a/fleet/membership/membership.go
+++ b/fleet/membership/membership.go
@@ -1,45 +1,48 @@
-// Package attach lets a fleet have more front ends than may all hear one another. Control members are the front ends that the
-// settings name; among them package member works as ever. An attached front end keeps links to two control members, sends a
-// heartbeat over each, holds a lease with both, and receives the view, which is all front ends of both roles, from one of them.
+// Package membership lets a fleet have more front ends than could all exchange heartbeats with one another. Control
+// members are the front ends that the settings name; among them package heartbeat works as in a small fleet. An
+// attached front end keeps links to two control members, sends a heartbeat over each, holds a lease with both, and
+// receives the view, which lists all front ends of both roles, from one of them.
 //
-// Each control member is the home of the front ends attached to it. It keeps a table of them by leases on its own clock,
-// replicates the table to all control members, merges all tables into one view, and serves that as a snapshot and numbered
-// changes. Versions and digests in the heartbeats show what was lost; gaps are filled from bounded logs, else by what differs.
+// Each control member is the home of the front ends attached to it. It keeps a table of them by leases on its own
+// clock, replicates the table to all control members, merges all tables into one view, and serves that view as a
+// snapshot and numbered changes. Versions and digests in the heartbeats show what was lost; gaps are filled from
+// bounded logs, else by sending the parts that differ (anti-entropy).
 //
-// The view steers: whom to ask, whom to replace, when to look after a load. Nothing is made safe by it, since silence is not
-// death. One thing is certain: of two processes of one name the one that answered the later challenge is the later one.
+// The view steers decisions: which front end to ask, which to replace, when to take over a request. Safety never rests
+// on it, since silence does not prove death. One thing is certain: of two processes of one name, the one that answered
+// the later challenge is the later one.
 //
-// Which of two processes of one name is the later is certain where one control member has challenged both. Otherwise it follows from
-// the times of their challenges, which are told by the sender's clock; each side knows how far that is ahead by the least difference
-// seen between sending and receiving. Who has a later process in view shows an earlier one, which a control member that missed the
-// later still tells of, as Dead.
+// Which of two processes of one name is the later is certain where one control member has challenged both. Otherwise it
+// follows from the times of their challenges, which are reported by the sender's clock; each side estimates how far its
+// own clock is ahead by the least difference seen between receiving and sending. A side that has a later process in its
+// view shows an earlier one as Dead, even if a control member that missed the later one still reports the earlier.
 //
-// A control member that has restarted knows of front ends that died before only what the tables of the others' present processes
-// hold: until they are forgotten, ten minutes after their end, its view may lack some that are Dead or have Left elsewhere.
+// A control member that has restarted knows of front ends that died before only what the tables of the others' present
+// processes contain: until those entries are removed, ten minutes after their end, its view may lack some that are Dead
+// or have Left elsewhere.
 //
-// Who drives it sends what Actions gave before the heartbeat that Versions goes into; closes the links that Close gives, and those
-// whose message was an error; tells of each link's end by Unlinked with the same Link, and at a client of each failed dial too; and
-// drops what waits for a process that it calls Refused for. The view's own type has the name View and a control member's role the name
-// Control, so the kind of message is ViewPart and a control member of the settings is a ControlMember.
+// The caller that drives a Server or Client
+//   - sends the messages that Actions returned before it sends the heartbeat that Versions goes into,
+//   - closes the links that LinksToClose returns, and those over which a message was received that caused an error,
+//   - reports the end of each link by LinkClosed with the same Link, and at a client each failed dial too, and
+//   - drops what is queued for a process that it calls QueueFull for.
 //
-// It is a stepped module without I/O, clock, goroutines or map order. All times are of this process's monotonic clock.
+// The package is a stepped module without I/O, clock, goroutines or dependence on map order. All times are of this
+// process's monotonic clock.
 package membership
 
-import (
-	"errors"
-
-	"chutechute/internal/monotime"
-)
+import "chutechute/internal/monotime"
 
 // Role is what a front end is in the fleet.
 type Role uint8
 
 // The roles.
 const (
-	Control  Role = iota // named in the settings: keeps the record, and serves the view
+	Control  Role = iota // named in the settings: takes part in the replicated record, and serves the view
 	Attached             // not named: keeps links to two control members
 )
 
+// String returns the role's name as operators see it.
 func (r Role) String() string {
 	if r > Attached {
 		return "unknown"
@@ -52,12 +55,13 @@
 
 // The states.
 const (
-	Alive   State = iota // it was heard of late
-	Suspect              // it was heard nowhere for a while, or its control member is gone
-	Dead                 // it was heard nowhere for long
-	Left                 // it said that it leaves, and was not heard since
+	Alive   State = iota // seen recently
+	Suspect              // not seen anywhere for a while, or its home is absent
+	Dead                 // not seen anywhere for long
+	Left                 // announced that it leaves, and was not seen since
 )
 
+// String returns the state's name as operators see it.
 func (s State) String() string {
 	if s > Left {
 		return "unknown"
@@ -65,27 +69,31 @@
 	return [...]string{"alive", "suspect", "dead", "left"}[s]
 }
 
+// strength orders the states by how much they count where homes report different ones: a process that is alive at any
+// home is alive, and one is dead only if no home reports another state.
+func (s State) strength() int { return [...]int{Alive: 3, Left: 2, Suspect: 1, Dead: 0}[s] }
+
 // Entry is one front end in the view.
 type Entry struct {
 	Name        string
 	Zone        string
 	Role        Role
-	Incarnation uint64
+	Incarnation uint64 // identifies the process; a restart has another
 	State       State
-	Home        string // the control member that holds its lease and serves its view; for a control member its own name
+	Home        string // the control member that serves its view; for a control member its own name
 }
 
-// ControlMember is a control member as package member sees it.
+// ControlMember is a control member as package heartbeat sees it.
 type ControlMember struct {
 	Name            string
 	Zone            string
 	Incarnation     uint64          // 0: never seen
-	State           State           // Alive also for one that is heard only by others
-	IndirectlyAlive bool            // Alive, but not heard here
-	ChallengedAt    monotime.Micros // when its process answered its first challenge here; 0 where that is not known
+	State           State           // also Alive if only other control members receive its heartbeats
+	IndirectlyAlive bool            // Alive, but only other control members receive its heartbeats
+	ChallengedAt    monotime.Micros // when its process answered its first challenge here; 0 if not known
 }
 
-// Link is a proven link of an attached front end to this control member.
+// Link is an authenticated link of an attached front end to this control member.
 type Link struct {
 	From         string
 	Zone         string
@@ -93,17 +101,18 @@
 	ChallengedAt monotime.Micros // when this side challenged it
 }
 
-// Kind says what a message is; package peer gives each a kind of frame of its own.
+// Kind is the kind of a message; package transport gives each a kind of frame.
 type Kind uint8
 
 // The kinds.
 const (
 	Heartbeat   Kind = iota + 1 // attached to control
 	ViewUpdate                  // control to attached: an answer to a heartbeat, changes or a snapshot
-	TablePull                   // control to control: asks for a table
+	TablePull                   // control to control: requests a table
 	TableUpdate                 // control to control: changes or a snapshot of a table
 )
 
+// String returns the kind's name as operators see it.
 func (k Kind) String() string {
 	if k == 0 || k > TableUpdate {
 		return "unknown"
@@ -111,67 +120,15 @@
 	return [...]string{"", "heartbeat", "view", "pull", "table"}[k]
 }
 
-// Message is to be sent. Its body may be shared with other messages and must not be changed.
+// Message is a message to be sent. Its body may be shared with other messages and must not be changed.
 type Message struct {
-	To          string
+	To          string // the receiver's name
 	Incarnation uint64 // 0: to a control member; else to that process of an attached front end
 	Kind        Kind
 	Bulk        bool // may wait behind others
 	Body        []byte
 }
 
-// Config sets a server or a client. A span that is 0 gets its default.
-type Config struct {
-	Name        string
-	Zone        string
-	Incarnation uint64
-	// ControlMembers are all control members that the settings name, with name and zone; this one too where it is one.
-	ControlMembers    []ControlMember
-	HeartbeatInterval monotime.Micros // between two heartbeats of an attached front end
-	SuspectAfter      monotime.Micros // of silence
-	DeadAfter         monotime.Micros // of silence
-	// PauseThreshold is how much later than due a call comes where this process was stopped: what it has not heard meanwhile says nothing.
-	PauseThreshold monotime.Micros
-	BatchDelay     monotime.Micros // how long changes are collected
-	MaxEntries     int             // entries that a view may have
-	Seed           uint64          // for jitter; the same seed, the same run
-}
-
-// Defaults of a configuration's spans and bounds.
-const (
-	DefaultHeartbeatInterval monotime.Micros = 1_000_000
-	DefaultSuspectAfter      monotime.Micros = 2_500_000
-	DefaultDeadAfter         monotime.Micros = 4_000_000
-	DefaultPauseThreshold    monotime.Micros = 600_000
-	DefaultBatchDelay        monotime.Micros = 50_000
-	DefaultMaxEntries                        = 8192
-)
-
-// withDefaults fills in what was left out.
-func (c Config) withDefaults() Config {
-	span := func(value *monotime.Micros, otherwise monotime.Micros) {
-		if *value <= 0 {
-			*value = otherwise
-		}
-	}
-	span(&c.HeartbeatInterval, DefaultHeartbeatInterval)
-	span(&c.SuspectAfter, DefaultSuspectAfter)
-	span(&c.DeadAfter, DefaultDeadAfter)
-	span(&c.PauseThreshold, DefaultPauseThreshold)
-	span(&c.BatchDelay, DefaultBatchDelay)
-	if c.MaxEntries <= 0 {
-		c.MaxEntries = DefaultMaxEntries
-	}
-	return c
-}
-
-// Errors of a peer that does not keep to the form or to what its link has proven; the link is closed.
-var (
-	ErrMalformed      = errors.New("attach: malformed message")
-	ErrUnexpectedKind = errors.New("attach: a message that this side does not take")
-	ErrNameMismatch   = errors.New("attach: a name that is not the link's")
-	ErrUnknownHome    = errors.New("attach: an unknown control member")
-	ErrSuperseded     = errors.New("attach: a process whose name has a later one")
-	ErrTooManyEntries = errors.New("attach: more entries than a view may have")
-	ErrDigestMismatch = errors.New("attach: digests that never agree")
-)
+// maxQueuedMessages bounds the messages that wait to be taken by Actions. Further ones are dropped; the versions in
+// later messages show the loss.
+const maxQueuedMessages = 1 << 16
--- /dev/null
+++ b/fleet/membership/random.go
@@ -0,0 +1,20 @@
+package membership
+
+import "chutechute/internal/monotime"
+
+// splitMix64 is a generator of pseudorandom numbers, for jitter.
+type splitMix64 uint64
+
+// next returns the next number.
+func (r *splitMix64) next() uint64 {
+	*r += 0x9e3779b97f4a7c15
+	return fnvHash(*r).finalize()
+}
+
+// between returns a duration from low up to, but not including, high.
+func (r *splitMix64) between(low, high monotime.Micros) monotime.Micros {
+	if high <= low {
+		return low
+	}
+	return low + monotime.Micros(r.next()%uint64(high-low))
+}
--- a/fleet/membership/slots.go
+++ b/fleet/membership/slots.go
@@ -7,72 +7,69 @@
 )
 
 const (
-	// minRedialDelay and redialHigh are after what pause a control member is dialled again whose link broke.
-	minRedialDelay, maxRedialDelay monotime.Micros = 100_000, 500_000
-	// minReplaceDelay and replaceHigh are after what pause a lost control member is replaced: all its front ends do so at once.
-	minReplaceDelay, maxReplaceDelay monotime.Micros = 200_000, 1_500_000
-	// maxIsolatedDelay is after what pause at most a front end without any live link dials: its leases end soon.
-	maxIsolatedDelay monotime.Micros = 100_000
-	// minBackoff and avoidHigh are for how long one that could not be reached is not dialled, doubled with each time in a row.
-	minBackoff, maxBackoff monotime.Micros = 1_000_000, 2_000_000
+	// minRedialDelay and maxRedialDelay are the delay after which a control member is dialed again whose link broke.
+	minRedialDelay = 100 * monotime.Millisecond
+	maxRedialDelay = 500 * monotime.Millisecond
+	// minReplaceDelay and maxReplaceDelay are the delay after which a lost control member is replaced: all its front
+	// ends do so at once.
+	minReplaceDelay = 200 * monotime.Millisecond
+	maxReplaceDelay = 1_500 * monotime.Millisecond
+	// maxIsolatedDelay is the greatest delay after which a front end without any responsive control member dials: its
+	// leases end soon.
+	maxIsolatedDelay = 100 * monotime.Millisecond
+	// minBackoff and maxBackoff are for how long an unreachable control member is not dialed, doubled with each failure
+	// in a row.
+	minBackoff = monotime.Second
+	maxBackoff = 2 * monotime.Second
 	// maxBackoffDoublings bounds the doubling: 1 to 2 minutes.
 	maxBackoffDoublings = 6
-	// failbackDelay is how long a control member has to be back before its front ends return to it, and returnSpan within how much
-	// more they do.
-	failbackDelay, failbackJitter monotime.Micros = 10_000_000, 30_000_000
+	// failbackDelay is how long a control member has to be back before its front ends return to it, and failbackJitter
+	// is within how much more time they do.
+	failbackDelay  = 10 * monotime.Second
+	failbackJitter = 30 * monotime.Second
 )
 
-// controlPeer is a control member as a client sees it.
-type controlPeer struct {
-	name, zone         string
-	linked             bool
-	responded          bool // something came over the link
-	incarnation        uint64
-	dialedAt           monotime.Micros // since when a link to it is wanted
-	lastSeen           monotime.Micros // the last sign of life over the link
-	stableSince        monotime.Micros // since when it is linked and heard without a gap
-	leaving            bool
-	nextHeartbeat      monotime.Micros // when the next heartbeat is due
-	backoffUntil       monotime.Micros // until when it is not dialled
-	dialFailures       int             // in a row
-	needsBucketDigests bool            // it can't follow up on what this view is without the sums
-	viewBehind         bool            // it told of a later view than was received by then
-	lastResume         monotime.Micros
-	clock              clockOffset
-	lastAnswer         answerState
-}
-
-// answerState is what the last answer to a heartbeat said: how far the view was when it was asked.
-type answerState struct {
-	received        bool
-	sequence        uint64
-	heartbeatSentAt monotime.Micros
-}
+// The salts of the orders of control members that a front end has.
+const (
+	preferredSalt   uint64 = 0
+	replacementSalt uint64 = 1
+)
 
 // linkSlot is one of the control members to keep a link with.
 type linkSlot struct {
 	preferred           *controlPeer
-	current             *controlPeer    // nil during the pause after a loss
-	candidate           *controlPeer    // tried beside the current, which is silent; nil while it isn't
-	fillAt              monotime.Micros // when it is to be filled again
-	preferredAliveSince monotime.Micros // since when the preferred one is back; 0 while it isn't
-	failbackAt          monotime.Micros // when to return to it; 0 while that isn't decided
-	failingBack         bool            // a link to the preferred one is wanted beside the current
+	current             *controlPeer    // nil during the delay after a loss
+	candidate           *controlPeer    // dialed beside the current one, which is unresponsive; nil while it is not
+	fillAt              monotime.Micros // when an empty slot is to be filled
+	preferredAliveSince monotime.Micros // since when the preferred one is back; 0 while it is not
+	failbackAt          monotime.Micros // when to return to the preferred one; 0 while that is not decided
+	failingBack         bool            // a link to the preferred one is requested beside the current one
 }
 
-// assignPreferred chooses the slots' control members: of the zone, and of the rest, each by an order of this front end's own.
+// uses reports whether the slot's current control member or candidate is p.
+func (s *linkSlot) uses(p *controlPeer) bool { return s.current == p || s.candidate == p }
+
+// reserves reports whether the slot is about to return to its preferred control member p.
+func (s *linkSlot) reserves(p *controlPeer) bool {
+	return s.preferred == p && (s.current == nil || s.failingBack)
+}
+
+// cancelFailback ends what leads to a return to the preferred control member.
+func (s *linkSlot) cancelFailback() { s.preferredAliveSince, s.failbackAt, s.failingBack = 0, 0, false }
+
+// assignPreferred chooses the slots' control members: one of the zone, and one of the rest, each by an order of this
+// front end's own.
 func (c *Client) assignPreferred() {
-	inZone := func(o *controlPeer) bool { return o.zone == c.cfg.Zone }
-	outside := func(o *controlPeer) bool { return !inZone(o) }
-	any := func(*controlPeer) bool { return true }
-	first := c.highestWeight(0, inZone)
+	inZone := func(p *controlPeer) bool { return p.zone == c.cfg.Zone }
+	anyPeer := func(*controlPeer) bool { return true }
+	first := c.highestWeight(preferredSalt, inZone)
 	if first == nil {
-		first = c.highestWeight(0, any)
+		first = c.highestWeight(preferredSalt, anyPeer)
 	}
-	notFirst := func(o *controlPeer) bool { return o != first }
-	second := c.highestWeight(0, func(o *controlPeer) bool { return outside(o) && notFirst(o) })
+	notFirst := func(p *controlPeer) bool { return p != first }
+	second := c.highestWeight(preferredSalt, func(p *controlPeer) bool { return !inZone(p) && notFirst(p) })
 	if second == nil {
-		second = c.highestWeight(0, notFirst)
+		second = c.highestWeight(preferredSalt, notFirst)
 	}
 	for i, preferred := range []*controlPeer{first, second} {
 		// The first links of a whole fleet that starts are spread.
@@ -80,33 +77,37 @@
 	}
 }
 
-// highestWeight is the fit control member with the greatest weight.
-func (c *Client) highestWeight(salt uint64, fit func(*controlPeer) bool) (best *controlPeer) {
-	var most uint64
-	for _, o := range c.peers {
-		if w := rendezvousWeight(c.cfg.Name, o.name, salt); fit(o) && (best == nil || w > most) {
-			best, most = o, w
+// highestWeight returns the control member with the greatest weight of those that satisfy a condition; nil if none
+// does.
+func (c *Client) highestWeight(salt uint64, condition func(*controlPeer) bool) (best *controlPeer) {
+	var bestWeight uint64
+	for _, p := range c.peers {
+		weight := rendezvousWeight(c.cfg.Name, p.name, salt)
+		if condition(p) && (best == nil || weight > bestWeight) {
+			best, bestWeight = p, weight
 		}
 	}
 	return best
 }
 
-// Targets is the control members to keep links with now; links to others are to be closed. They are two, for a while more
-// where this front end returns to its zone's or tries another beside a silent one, and fewer where there are no more or during the
-// pause after a loss.
+// Targets returns the names of the control members to keep links with now; links to others are to be closed. They are
+// two, for a while more if this front end returns to its preferred one or tries another beside an unresponsive one, and
+// fewer if there are no more or during the delay after a loss.
 func (c *Client) Targets(now monotime.Micros) []string {
 	c.Tick(now)
-	var list []string
-	for _, o := range c.targetPeers() {
-		list = append(list, o.name)
+	var names []string
+	for _, p := range c.targetPeers() {
+		names = append(names, p.name)
 	}
-	return list
+	return names
 }
 
+// targetPeers returns the control members to keep links with: those that the slots have, then the candidates, then
+// those that slots return to.
 func (c *Client) targetPeers() (list []*controlPeer) {
-	add := func(o *controlPeer) {
-		if o != nil && !slices.Contains(list, o) {
-			list = append(list, o)
+	add := func(p *controlPeer) {
+		if p != nil && !slices.Contains(list, p) {
+			list = append(list, p)
 		}
 	}
 	for i := range c.slots {
@@ -123,7 +124,7 @@
 	return list
 }
 
-// updateSlots fills the empty slots, gives up silent control members, and returns to the preferred ones.
+// updateSlots fills the empty slots, gives up unresponsive control members, and returns to the preferred ones.
 func (c *Client) updateSlots() {
 	for i := range c.slots {
 		s := &c.slots[i]
@@ -139,7 +140,7 @@
 	c.swapCrossedSlots()
 }
 
-// swapCrossedSlots lets each slot have its preferred control member where each holds the other's: neither could return.
+// swapCrossedSlots gives each slot its preferred control member if each has the other's: neither could return.
 func (c *Client) swapCrossedSlots() {
 	a, b := &c.slots[0], &c.slots[1]
 	if a.current != nil && b.current != nil && a.current == b.preferred && b.current == a.preferred {
@@ -149,65 +150,59 @@
 	}
 }
 
-// updateCandidate wants a link to another control member once a slot's is silent, before the leases end there. The one that is heard
-// first keeps the slot.
+// updateCandidate requests a link to another control member once a slot's is unresponsive, before the leases end there.
+// The one that responds first keeps the slot.
 func (c *Client) updateCandidate(s *linkSlot) {
 	if s.candidate != nil && c.isUnresponsive(s.candidate) {
 		c.loseLink(s.candidate, true)
 	}
-	switch o := s.candidate; {
+	switch candidate := s.candidate; {
 	case s.current == nil || c.silence(s.current) < c.cfg.SuspectAfter:
 		s.candidate = nil
-	case o == nil && !s.failingBack:
+	case candidate == nil && !s.failingBack:
 		if s.candidate = c.replacementFor(s); s.candidate != nil {
 			c.requestLink(s.candidate)
 		}
-	case o != nil && o.linked && o.lastSeen > o.dialedAt:
+	case candidate != nil && candidate.respondedSinceDial():
 		c.loseLink(s.current, true)
 	}
 }
 
-// silence is for how long a control member that is dialled or linked was not heard.
-func (c *Client) silence(o *controlPeer) monotime.Micros { return c.now - max(o.lastSeen, o.dialedAt) }
-
-// isUnresponsive says whether such a one is to be given up.
-func (c *Client) isUnresponsive(o *controlPeer) bool {
-	return o.leaving || c.silence(o) >= c.cfg.DeadAfter
-}
-
-// isIsolated says whether no control member of a slot was heard of late.
+// isIsolated reports whether no control member of a slot was seen recently.
 func (c *Client) isIsolated() bool {
-	return !slices.ContainsFunc(c.slots[:], func(s linkSlot) bool { return c.isResponsive(s.current) || c.isResponsive(s.candidate) })
+	return !slices.ContainsFunc(c.slots[:], func(s linkSlot) bool {
+		return c.isResponsive(s.current) || c.isResponsive(s.candidate)
+	})
 }
 
-// loseLink empties the slots of a control member. One that can't be reached is avoided for a while; one whose link broke is dialled
-// once more first.
-func (c *Client) loseLink(o *controlPeer, unreachable bool) {
-	o.linked, o.stableSince, o.viewBehind, o.needsBucketDigests = false, 0, false, false
+// loseLink empties the slots of a control member. An unreachable one is not dialed for a while; one whose link broke is
+// dialed once more first.
+func (c *Client) loseLink(p *controlPeer, unreachable bool) {
+	p.linked, p.stableSince, p.viewBehind, p.needsBucketDigests = false, 0, false, false
 	if unreachable {
-		o.backoffUntil = c.now + c.random.between(minBackoff, maxBackoff)<<min(o.dialFailures, maxBackoffDoublings)
-		o.dialFailures++
+		p.backoffUntil = c.now + c.random.between(minBackoff, maxBackoff)<<min(p.dialFailures, maxBackoffDoublings)
+		p.dialFailures++
 	}
 	for i := range c.slots {
 		s := &c.slots[i]
-		if s.failingBack && s.preferred == o {
-			s.failingBack, s.preferredAliveSince, s.failbackAt = false, 0, 0
+		if s.failingBack && s.preferred == p {
+			s.cancelFailback()
 		}
-		if s.candidate == o {
+		if s.candidate == p {
 			s.candidate = nil
 		}
-		if s.current != o {
+		if s.current != p {
 			continue
 		}
 		c.Counters.LostControlMembers++
 		s.current, s.candidate = s.candidate, nil
-		s.fillAt = c.now + c.redialDelay(unreachable)
+		s.fillAt = c.now + c.refillDelay(unreachable)
 	}
 	c.chooseHome()
 }
 
-// redialDelay is after what pause a lost control member is replaced, or dialled again.
-func (c *Client) redialDelay(unreachable bool) monotime.Micros {
+// refillDelay returns the delay after which a lost control member is replaced, or dialed again.
+func (c *Client) refillDelay(unreachable bool) monotime.Micros {
 	switch {
 	case c.isIsolated():
 		return c.random.between(0, maxIsolatedDelay)
@@ -228,58 +223,65 @@
 	c.requestLink(next)
 }
 
-// requestLink begins the span in which a control member has to be heard.
-func (c *Client) requestLink(o *controlPeer) {
-	if !o.linked {
-		o.dialedAt, o.leaving = c.now, false
-	}
-}
-
-// replacementFor is the preferred control member of a slot, where that is not avoided, or one of all that are left, by an order of
-// this front end's own; not another of its zone, to which all front ends of the lost one would go. One whose link broke comes first
-// in that order, and so is dialled again.
+// replacementFor returns the preferred control member of a slot, if that is available, or one of all that are left,
+// by an order of this front end's own; not another of its zone, to which all front ends of the lost one would go.
+// One whose link broke comes first in that order, and so is dialed again.
 func (c *Client) replacementFor(s *linkSlot) *controlPeer {
-	free := func(o *controlPeer) bool {
-		for i := range c.slots {
-			other := &c.slots[i]
-			if other.current == o || other.candidate == o || other != s && (other.current == nil || other.failingBack) && other.preferred == o {
-				return false
-			}
-		}
-		return c.now >= o.backoffUntil
-	}
-	spread := func(o *controlPeer) bool {
-		return free(o) && (o == s.preferred || o.zone != c.cfg.Zone)
-	}
-	if free(s.preferred) {
+	available := func(p *controlPeer) bool { return c.isAvailable(p, s) }
+	if available(s.preferred) {
 		return s.preferred
 	}
-	if next := c.highestWeight(1, spread); next != nil {
+	outsideZone := func(p *controlPeer) bool {
+		return available(p) && (p == s.preferred || p.zone != c.cfg.Zone)
+	}
+	if next := c.highestWeight(replacementSalt, outsideZone); next != nil {
 		return next
 	}
-	return c.highestWeight(1, free)
+	return c.highestWeight(replacementSalt, available)
 }
 
-// failBack returns to the preferred control member once the view has shown it alive for a while. The current link is kept until
-// that one is heard.
+// isAvailable reports whether a slot may get a control member.
+func (c *Client) isAvailable(p *controlPeer, s *linkSlot) bool {
+	for i := range c.slots {
+		other := &c.slots[i]
+		if other.uses(p) || other != s && other.reserves(p) {
+			return false
+		}
+	}
+	return c.now >= p.backoffUntil
+}
+
+// failBack returns to the preferred control member once the view has shown it alive for a while. The current link is
+// kept until that one responds.
 func (c *Client) failBack(s *linkSlot) {
-	if s.current == s.preferred || s.current == nil {
-		s.preferredAliveSince, s.failbackAt, s.failingBack = 0, 0, false
-		return
+	switch {
+	case s.current == s.preferred || s.current == nil:
+		s.cancelFailback()
+	case s.failingBack:
+		c.completeFailback(s)
+	default:
+		c.scheduleFailback(s)
 	}
-	if s.failingBack {
-		if p := s.preferred; p.linked && p.lastSeen > p.dialedAt {
-			s.current, s.failingBack = p, false
-			c.chooseHome()
-		} else if c.isUnresponsive(p) {
-			c.loseLink(p, true)
-		}
-		return
+}
+
+// completeFailback gives the slot its preferred control member once that responds.
+func (c *Client) completeFailback(s *linkSlot) {
+	switch preferred := s.preferred; {
+	case preferred.respondedSinceDial():
+		s.current, s.failingBack = preferred, false
+		c.chooseHome()
+	case c.isUnresponsive(preferred):
+		c.loseLink(preferred, true)
 	}
+}
+
+// scheduleFailback requests a link to the preferred control member once it is back for long enough.
+func (c *Client) scheduleFailback(s *linkSlot) {
 	e, ok := c.view.Lookup(s.preferred.name)
-	taken := slices.ContainsFunc(c.slots[:], func(other linkSlot) bool { return other.current == s.preferred || other.candidate == s.preferred })
+	alive := ok && e.State == Alive
+	inUse := slices.ContainsFunc(c.slots[:], func(other linkSlot) bool { return other.uses(s.preferred) })
 	switch {
-	case !ok || e.State != Alive || c.now < s.preferred.backoffUntil || taken:
+	case !alive || c.now < s.preferred.backoffUntil || inUse:
 		s.preferredAliveSince, s.failbackAt = 0, 0
 	case s.preferredAliveSince == 0:
 		s.preferredAliveSince = c.now
--- a/fleet/membership/tablemessage.go
+++ b/fleet/membership/tablemessage.go
@@ -1,72 +1,97 @@
 package membership
 
 import (
-	"errors"
 	"fmt"
 
-	"google.golang.org/protobuf/encoding/protowire"
-
+	"chutechute/internal/fieldcodec"
 	"chutechute/internal/monotime"
-	"chutechute/internal/proto"
 )
 
-func isPackageError(err error) bool {
-	return errors.Is(err, ErrMalformed) || errors.Is(err, ErrTooManyEntries) || errors.Is(err, ErrUnknownHome) || errors.Is(err, ErrNameMismatch)
-}
+// maxReportedSuperseded bounds the superseded incarnations that a table's entry reports.
+const maxReportedSuperseded = 4
 
-// tableVersion is how far a table of a home is known.
+// versionCapacity is the bytes that suffice for most encoded versions.
+const versionCapacity = 64
+
+// tableVersion is a version of a home's table.
 type tableVersion struct {
 	home     string
 	epoch    uint64 // the incarnation of the home's process
 	sequence uint64
-	digest   uint64
+	digest   uint64 // over the entries
 }
 
-// encodeVersions writes them with the time of sending, by which others order challenges.
-func encodeVersions(now monotime.Micros, list []tableVersion) []byte {
-	b := proto.Uint(nil, 2, protowire.EncodeZigZag(now))
-	for _, v := range list {
-		m := proto.String(nil, 1, v.home)
-		m = proto.Uint(m, 2, v.epoch)
-		m = proto.Uint(m, 3, v.sequence)
-		b = proto.Message(b, 1, proto.Uint(m, 4, v.digest))
-	}
-	return b
+// fields lists the version's fields, which stand first in a tableMessage too.
+func (v *tableVersion) fields(f *fieldcodec.Fields) {
+	f.String(1, &v.home)
+	fieldcodec.Uint(f, 2, &v.epoch)
+	fieldcodec.Uint(f, 3, &v.sequence)
+	fieldcodec.Uint(f, 4, &v.digest)
 }
 
-// decodeVersions reads at most most of them.
-func decodeVersions(b []byte, most int) (sent monotime.Micros, list []tableVersion, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		if f.Number == 2 {
-			sent = clockTime(f)
-		}
-		if f.Number != 1 {
-			return nil
-		}
-		if len(list) == most {
-			return ErrTooManyEntries
+// versionsMessage is the part of a control member's heartbeat that carries versions of tables.
+type versionsMessage struct {
+	sentAt   monotime.Micros // by the sender's clock, from which others estimate the offset between clocks
+	versions []tableVersion
+	limit    int // of decoded versions
+}
+
+// fields lists the message's fields. The versions are not a fieldcodec.Messages, whose function value would cost a
+// heartbeat two allocations more.
+func (m *versionsMessage) fields(f *fieldcodec.Fields) {
+	f.ZigZag(2, &m.sentAt, maxWireTime)
+	if f.Encoding() {
+		nested := make([]byte, 0, versionCapacity)
+		for i := range m.versions {
+			nested = m.versions[i].encode(nested)
+			f.AppendBytes(1, nested)
 		}
-		var v tableVersion
-		err := proto.Each(f.Data, func(f proto.Field) error {
-			switch f.Number {
-			case 1:
-				v.home = f.Text()
-			case 2:
-				v.epoch = f.Uint
-			case 3:
-				v.sequence = f.Uint
-			case 4:
-				v.digest = f.Uint
-			}
-			return nil
-		})
-		list = append(list, v)
-		return err
-	})
-	return sent, list, asMalformed(err)
+	}
+	if f.Decoding(1) {
+		f.Fail(m.decodeVersion(f.Data()))
+	}
+}
+
+// encode encodes the version into the buffer b, which it overwrites.
+func (v *tableVersion) encode(b []byte) []byte {
+	f := fieldcodec.Encode(b[:0])
+	v.fields(&f)
+	return f.Bytes()
+}
+
+// decodeVersion decodes the next version of the message.
+func (m *versionsMessage) decodeVersion(b []byte) error {
+	if len(m.versions) == m.limit {
+		return ErrTooManyEntries
+	}
+	var v tableVersion
+	f := fieldcodec.Decode(b)
+	for f.Next() {
+		v.fields(&f)
+	}
+	m.versions = append(m.versions, v)
+	return f.Err()
+}
+
+// encodeVersions encodes versions with the time of sending.
+func encodeVersions(sentAt monotime.Micros, versions []tableVersion) []byte {
+	f := fieldcodec.Encode(make([]byte, 0, versionCapacity*len(versions)))
+	m := versionsMessage{sentAt: sentAt, versions: versions}
+	m.fields(&f)
+	return f.Bytes()
+}
+
+// decodeVersions decodes at most limit versions.
+func decodeVersions(b []byte, limit int) (sentAt monotime.Micros, versions []tableVersion, err error) {
+	f := fieldcodec.Decode(b)
+	m := versionsMessage{limit: limit}
+	for f.Next() {
+		m.fields(&f)
+	}
+	return m.sentAt, m.versions, decodingError(f.Err())
 }
 
-// pullMessage asks for what a table has after a sequence, or for all of it.
+// pullMessage requests the changes of a table after a sequence, or all of the table.
 type pullMessage struct {
 	home     string
 	epoch    uint64
@@ -74,140 +99,141 @@
 	full     bool
 }
 
+// fields lists the message's fields.
+func (p *pullMessage) fields(f *fieldcodec.Fields) {
+	f.String(1, &p.home)
+	fieldcodec.Uint(f, 2, &p.epoch)
+	fieldcodec.Uint(f, 3, &p.sequence)
+	f.Bool(4, &p.full)
+}
+
 func (p *pullMessage) encode() []byte {
-	b := proto.String(nil, 1, p.home)
-	b = proto.Uint(b, 2, p.epoch)
-	b = proto.Uint(b, 3, p.sequence)
-	return proto.Bool(b, 4, p.full)
+	f := fieldcodec.Encode(nil)
+	p.fields(&f)
+	return f.Bytes()
 }
 
 func decodePullMessage(b []byte) (p pullMessage, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		switch f.Number {
-		case 1:
-			p.home = f.Text()
-		case 2:
-			p.epoch = f.Uint
-		case 3:
-			p.sequence = f.Uint
-		case 4:
-			p.full = f.Uint != 0
-		}
-		return nil
-	})
-	return p, asMalformed(err)
+	f := fieldcodec.Decode(b)
+	for f.Next() {
+		p.fields(&f)
+	}
+	return p, decodingError(f.Err())
 }
 
-// tableMessage is changes of a table, or all of it. Its rows are by name.
+// tableMessage is changes of a table, or all of it. Its entries are sorted by name.
 type tableMessage struct {
 	tableVersion
 	full         bool
-	baseSequence uint64          // of changes: the sequence that they are from
-	sentAt       monotime.Micros // by the sender's clock, as are the rows' times
+	baseSequence uint64          // of changes: the sequence that they follow
+	sentAt       monotime.Micros // by the sender's clock, as are the entries' times
 	entries      []tableEntry
 }
 
-func (t *tableMessage) encode() []byte {
-	b := proto.String(nil, 1, t.home)
-	b = proto.Uint(b, 2, t.epoch)
-	b = proto.Uint(b, 3, t.sequence)
-	b = proto.Uint(b, 4, t.digest)
-	b = proto.Bool(b, 5, t.full)
-	b = proto.Uint(b, 6, t.baseSequence)
-	for i := range t.entries {
-		b = proto.Message(b, 7, t.entries[i].encode())
-	}
-	return proto.Uint(b, 8, protowire.EncodeZigZag(t.sentAt))
-}
-
-func (r *tableEntry) encode() []byte {
-	b := proto.String(make([]byte, 0, 96), 1, r.name)
-	if r.removed {
-		return proto.Bool(b, 7, true)
-	}
-	b = proto.String(b, 2, r.zone)
-	b = proto.Uint(b, 3, r.incarnation)
-	b = proto.Uint(b, 4, uint64(r.state))
-	b = proto.Bool(b, 5, r.servesView)
-	b = proto.Uint(b, 6, protowire.EncodeZigZag(r.localChallengedAt()))
-	for _, past := range r.supersededIncarnations {
-		b = proto.Uint(b, 8, past)
-	}
-	return b
-}
-
-// clockTime is a time of the sender's clock, which may be of before that began.
-func clockTime(f proto.Field) monotime.Micros {
-	const most = 1 << 60
-	return min(max(protowire.DecodeZigZag(f.Uint), -most), most)
-}
-
-// decodeTableMessage reads a table of at most most rows.
-func decodeTableMessage(b []byte, most int) (t tableMessage, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		switch f.Number {
-		case 1:
-			t.home = f.Text()
-		case 2:
-			t.epoch = f.Uint
-		case 3:
-			t.sequence = f.Uint
-		case 4:
-			t.digest = f.Uint
-		case 5:
-			t.full = f.Uint != 0
-		case 6:
-			t.baseSequence = f.Uint
-		case 7:
-			if len(t.entries) == most {
-				return ErrTooManyEntries
-			}
-			r, err := decodeTableEntry(f.Data)
-			if err != nil {
-				return err
-			}
-			if len(t.entries) > 0 && t.entries[len(t.entries)-1].name >= r.name {
-				return fmt.Errorf("%w: %q after %q", ErrMalformed, r.name, t.entries[len(t.entries)-1].name)
-			}
-			t.entries = append(t.entries, r)
-		case 8:
-			t.sentAt = clockTime(f)
-		}
-		return nil
-	})
-	return t, asMalformed(err)
-}
-
-func decodeTableEntry(b []byte) (r tableEntry, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		switch f.Number {
-		case 1:
-			r.name = f.Text()
-		case 2:
-			r.zone = f.Text()
-		case 3:
-			r.incarnation = f.Uint
-		case 4:
-			r.state = State(min(f.Uint, 255))
-		case 5:
-			r.servesView = f.Uint != 0
-		case 6:
-			r.challengedAt = clockTime(f)
-		case 7:
-			r.removed = f.Uint != 0
-		case 8:
-			if len(r.supersededIncarnations) == maxReportedSuperseded {
-				return fmt.Errorf("%w: too many past processes of %q", ErrMalformed, r.name)
-			}
-			r.supersededIncarnations = append(r.supersededIncarnations, f.Uint)
+// fields lists the message's fields; at most limit entries are decoded.
+func (m *tableMessage) fields(f *fieldcodec.Fields, limit int) {
+	m.tableVersion.fields(f)
+	f.Bool(5, &m.full)
+	fieldcodec.Uint(f, 6, &m.baseSequence)
+	if f.Encoding() {
+		nested := make([]byte, 0, nestedCapacity)
+		for i := range m.entries {
+			nested = m.entries[i].encode(nested)
+			f.AppendBytes(7, nested)
 		}
-		return nil
-	})
+	}
+	if f.Decoding(7) {
+		f.Fail(m.decodeEntry(f.Data(), limit))
+	}
+	f.ZigZag(8, &m.sentAt, maxWireTime)
+}
+
+// decodeEntry decodes and checks the next entry of the message.
+func (m *tableMessage) decodeEntry(b []byte, limit int) error {
+	if len(m.entries) == limit {
+		return ErrTooManyEntries
+	}
+	e, err := decodeTableEntry(b)
 	if err != nil {
-		return r, err
+		return err
+	}
+	if last := len(m.entries) - 1; last >= 0 && m.entries[last].name >= e.name {
+		return fmt.Errorf("%w: %q after %q", ErrMalformed, e.name, m.entries[last].name)
+	}
+	m.entries = append(m.entries, e)
+	return nil
+}
+
+func (m *tableMessage) encode() []byte {
+	f := fieldcodec.Encode(nil)
+	m.fields(&f, 0)
+	return f.Bytes()
+}
+
+// decodeTableMessage decodes a table of at most limit entries.
+func decodeTableMessage(b []byte, limit int) (m tableMessage, err error) {
+	f := fieldcodec.Decode(b)
+	for f.Next() {
+		m.fields(&f, limit)
+	}
+	return m, decodingError(f.Err())
+}
+
+// fields lists the entry's fields; a removed entry has its name only.
+func (e *tableEntry) fields(f *fieldcodec.Fields) {
+	f.String(1, &e.name)
+	f.Bool(7, &e.removed)
+	if f.Encoding() && e.removed {
+		return
+	}
+	f.String(2, &e.zone)
+	fieldcodec.Uint(f, 3, &e.incarnation)
+	fieldcodec.UintUpTo(f, 4, &e.state, 255)
+	f.Bool(5, &e.servesView)
+	challengedAt := e.localChallengedAt() // the sender's clock is this side's while encoding
+	f.ZigZag(6, &challengedAt, maxWireTime)
+	if f.Decoding(6) {
+		e.challengedAt = challengedAt
+	}
+	e.supersededField(f)
+}
+
+// supersededField is the repeated field of the superseded incarnations.
+func (e *tableEntry) supersededField(f *fieldcodec.Fields) {
+	if f.Encoding() {
+		for i := range e.supersededIncarnations {
+			fieldcodec.Uint(f, 8, &e.supersededIncarnations[i])
+		}
+	}
+	if !f.Decoding(8) {
+		return
+	}
+	if len(e.supersededIncarnations) == maxReportedSuperseded {
+		f.Fail(fmt.Errorf("%w: too many superseded processes of %q", ErrMalformed, e.name))
+		return
+	}
+	e.supersededIncarnations = append(e.supersededIncarnations, f.Value())
+}
+
+// encode encodes the entry into the buffer b, which it overwrites.
+func (e *tableEntry) encode(b []byte) []byte {
+	f := fieldcodec.Encode(b[:0])
+	e.fields(&f)
+	return f.Bytes()
+}
+
+// decodeTableEntry decodes and checks one entry.
+func decodeTableEntry(b []byte) (e tableEntry, err error) {
+	f := fieldcodec.Decode(b)
+	for f.Next() {
+		e.fields(&f)
+	}
+	if err := f.Err(); err != nil {
+		return e, err
 	}
-	if !isValidName(r.name) || len(r.zone) > maxNameLength || r.state > Left || !r.removed && r.incarnation == 0 {
-		return r, fmt.Errorf("%w: the row %q", ErrMalformed, r.name)
+	validName := isValidName(e.name) && len(e.zone) <= maxNameLength
+	if !validName || e.state > Left || !e.removed && e.incarnation == 0 {
+		return e, fmt.Errorf("%w: the table entry %q", ErrMalformed, e.name)
 	}
-	return r, nil
+	return e, nil
 }
--- a/fleet/membership/tablesync.go
+++ b/fleet/membership/tablesync.go
@@ -8,137 +8,147 @@
 	"chutechute/internal/monotime"
 )
 
-// publishTable makes one batch of what changed among the front ends attached here, and pushes it to all control members.
+// allVersionsInterval is how often the versions of all tables are sent.
+const allVersionsInterval = monotime.Second
+
+// publishTable makes one batch of what changed among the front ends attached here, and pushes it to all control
+// members.
 func (s *Server) publishTable() {
-	rows := s.changedEntries()
-	if len(rows) == 0 {
+	entries := s.changedEntries()
+	if len(entries) == 0 {
 		return
 	}
 	base := s.ownTable.sequence
-	s.applyEntries(s.ownTable, rows)
+	s.applyEntries(s.ownTable, entries)
 	s.ownTable.sequence++
-	names := make([]string, len(rows))
-	for i := range rows {
-		names[i] = rows[i].name
+	names := make([]string, len(entries))
+	for i := range entries {
+		names[i] = entries[i].name
 	}
 	s.ownTable.log.add(names, s.ownTable.contentDigest)
-	message := tableMessage{tableVersion: s.ownTable.version(), baseSequence: base, sentAt: s.now, entries: rows}
+	message := tableMessage{tableVersion: s.ownTable.version(), baseSequence: base, sentAt: s.now, entries: entries}
 	body := message.encode()
-	for _, c := range s.members {
-		if c == s.self || c.Incarnation == 0 || c.State == Dead || c.State == Left {
+	for _, m := range s.members {
+		if m == s.self || m.Incarnation == 0 || !m.isPresent() {
 			continue
 		}
 		s.Counters.TablePushes++
-		s.send(Message{To: c.Name, Kind: TableUpdate, Body: body})
+		s.send(Message{To: m.Name, Kind: TableUpdate, Body: body})
 	}
 }
 
-// changedEntries is what differs between the leases and the table, by name, as far as the bounded rate of each name allows.
+// changedEntries returns what differs between the leases and the table, sorted by name, as far as the rate limit of
+// each name allows.
 func (s *Server) changedEntries() []tableEntry {
-	var rows []tableEntry
-	var later []*lease
+	var entries []tableEntry
+	var delayed []*lease
 	for _, l := range s.dirtyLeases {
 		l.dirty = false
-		r := l.tableEntry()
-		if old := s.ownTable.entries[l.name]; old != nil && old.digest() == r.digest() {
-			l.damped = false
+		e := l.tableEntry()
+		if old := s.ownTable.entries[l.name]; old != nil && old.digest() == e.digest() {
+			l.damping.clear()
 			continue
 		}
-		if !changeRateLimit.allow(s.now, &l.changeDue) {
-			if !l.damped {
-				l.damped = true
-				s.Counters.Damped++
-			}
+		if !l.damping.allow(s.now, &s.Counters.Damped) {
 			l.dirty = true
-			later = append(later, l)
+			delayed = append(delayed, l)
 			continue
 		}
-		l.damped = false
-		rows = append(rows, r)
+		entries = append(entries, e)
 	}
-	s.dirtyLeases = later
+	s.dirtyLeases = delayed
 	for _, name := range s.removedNames {
 		if s.leasesByName[name] == nil && s.ownTable.entries[name] != nil {
-			rows = append(rows, tableEntry{name: name, removed: true})
+			entries = append(entries, tableEntry{name: name, removed: true})
 		}
 	}
 	s.removedNames = nil
-	slices.SortFunc(rows, func(a, b tableEntry) int { return cmp.Compare(a.name, b.name) })
-	return rows
+	slices.SortFunc(entries, func(a, b tableEntry) int { return cmp.Compare(a.name, b.name) })
+	return entries
 }
 
 func (l *lease) tableEntry() tableEntry {
-	return tableEntry{name: l.name, zone: l.zone, incarnation: l.incarnation, state: l.state, servesView: l.subscription.active,
-		challengedAt: l.firstChallengedAt, supersededIncarnations: l.superseded}
+	return tableEntry{
+		name:                   l.name,
+		zone:                   l.zone,
+		incarnation:            l.incarnation,
+		state:                  l.state,
+		servesView:             l.subscription.isActive(),
+		challengedAt:           l.firstChallengedAt,
+		supersededIncarnations: l.superseded,
+	}
 }
 
-// applyEntries puts rows into a table, and marks those that they concern.
-func (s *Server) applyEntries(t *table, rows []tableEntry) {
-	for _, r := range rows {
-		old, kept := t.put(r)
-		if kept != nil && kept.state == Dead {
-			kept.deadSince = s.now
-			if old != nil && old.state == Dead && old.incarnation == kept.incarnation {
-				kept.deadSince = old.deadSince
+// applyEntries puts entries into a table, and marks the names that they change.
+func (s *Server) applyEntries(t *table, entries []tableEntry) {
+	for _, e := range entries {
+		old, current := t.put(e)
+		if current != nil && current.state == Dead {
+			current.deadSince = s.now
+			if old != nil && old.state == Dead && old.incarnation == current.incarnation {
+				current.deadSince = old.deadSince
 			}
 		}
-		if old != nil && kept != nil && old.digest() == kept.digest() && old.challengedAt == kept.challengedAt {
-			s.mergedName(r.name).replaceEntry(old, kept)
+		n := s.mergedName(e.name)
+		n.replaceEntry(old, current)
+		unchanged := old != nil && current != nil && old.digest() == current.digest() &&
+			old.challengedAt == current.challengedAt
+		if unchanged {
 			continue
 		}
-		n := s.mergedName(r.name)
-		n.replaceEntry(old, kept)
 		n.recompareUntil = s.now + recompareTimeout
-		if kept != nil {
-			for _, past := range kept.supersededIncarnations {
-				s.superseded.add(past)
+		if current != nil {
+			for _, incarnation := range current.supersededIncarnations {
+				s.superseded.add(incarnation)
 			}
 		}
 		s.markNameDirty(n)
 	}
 }
 
-// Versions is what goes into the next heartbeat to the other control members: the version of this one's table, and once a
-// second those of all tables that it has. What Actions gave before is to be sent before it, or others pull it in vain.
+// Versions returns what goes into the next heartbeat to the other control members: the version of this one's table, and
+// once a second the versions of all tables that it has. The messages that Actions returned before are to be sent before
+// that heartbeat, or others pull them needlessly.
 func (s *Server) Versions(now monotime.Micros) []byte {
 	s.advanceClock(now)
-	list := []tableVersion{s.ownTable.version()}
+	versions := []tableVersion{s.ownTable.version()}
 	if s.now-s.allVersionsSentAt < allVersionsInterval {
-		return encodeVersions(s.now, list)
+		return encodeVersions(s.now, versions)
 	}
 	s.allVersionsSentAt = s.now
-	for _, c := range s.members {
-		if c == s.self {
+	for _, m := range s.members {
+		if m == s.self {
 			continue
 		}
-		if t := c.table(c.Incarnation); t != nil {
-			list = append(list, t.version())
+		if t := m.table(m.Incarnation); t != nil {
+			versions = append(versions, t.version())
 		}
 	}
-	return encodeVersions(s.now, list)
+	return encodeVersions(s.now, versions)
 }
 
-// ReceiveVersions takes what Versions gave at another control member, and pulls what is missing here.
+// ReceiveVersions takes what Versions returned at another control member, and pulls what is missing here. Its
+// errors wrap ErrUnknownHome, ErrTooManyEntries or ErrMalformed; the link is to be closed.
 func (s *Server) ReceiveVersions(now monotime.Micros, from string, incarnation uint64, b []byte) error {
 	s.advanceClock(now)
-	sender, err := s.sender(from, incarnation)
+	sender, err := s.senderOf(from, incarnation)
 	if sender == nil {
 		return err
 	}
-	sent, list, err := decodeVersions(b, len(s.members))
+	sentAt, versions, err := decodeVersions(b, len(s.members))
 	if err != nil {
 		s.Counters.Malformed++
 		return err
 	}
-	sender.clock.observe(s.now, sent)
-	for _, v := range list {
+	sender.clock.observe(s.now, sentAt)
+	for _, v := range versions {
 		home := s.membersByName[v.home]
 		if home == nil {
-			s.Counters.UnknownHomes++
-			return fmt.Errorf("%w: %q", ErrUnknownHome, v.home)
+			return s.Counters.unknownHome(v.home)
 		}
-		// A home that is heard here tells its own version; others are asked for what can't be had from it.
-		if home == s.self || home != sender && home.State == Alive && !home.IndirectlyAlive {
+		// A home that is heard directly reports its own version; others are asked only about homes that are not.
+		heardDirectly := home.State == Alive && !home.IndirectlyAlive
+		if home == s.self || home != sender && heardDirectly {
 			continue
 		}
 		s.compareVersion(home, sender, v)
@@ -146,23 +156,8 @@
 	return nil
 }
 
-// sender is the control member that a message comes from. It is nil without an error where its process isn't the one that
-// package member knows of: what it said will be told again.
-func (s *Server) sender(from string, incarnation uint64) (*memberState, error) {
-	c := s.membersByName[from]
-	switch {
-	case c == nil || c == s.self:
-		s.Counters.UnknownHomes++
-		return nil, fmt.Errorf("%w: %q", ErrUnknownHome, from)
-	case c.Incarnation == incarnation:
-		return c, nil
-	case c.supersededEpochs.contains(incarnation):
-		s.Counters.StaleEpochs++
-	}
-	return nil, nil
-}
-
-// compareVersion pulls a home's table from the sender where that has a newer one, or another with the same version.
+// compareVersion pulls a home's table from the sender if that has a newer one, or one with another digest at the same
+// sequence.
 func (s *Server) compareVersion(home, sender *memberState, v tableVersion) {
 	if v.epoch != home.Incarnation {
 		if home.supersededEpochs.contains(v.epoch) {
@@ -181,28 +176,29 @@
 	}
 }
 
-// replica is the table of a home's process, made where it is not there yet.
+// replica returns the table of a home's process, and creates it if there is none yet.
 func (s *Server) replica(home *memberState) *table {
 	if t := home.table(home.Incarnation); t != nil {
 		return t
 	}
 	t := newTable(home.Name, home.Incarnation)
-	t.homePresent, t.homeAbsentSince, t.homeLastAlive = home.State == Alive || home.State == Suspect, s.now, home.lastAlive
+	t.homePresent, t.homeAbsentSince, t.homeLastAlive = home.isPresent(), s.now, home.lastAlive
 	home.tables = append(home.tables, t)
 	return t
 }
 
-func (s *Server) pullTable(t *table, from *memberState, whole bool) {
+// pullTable requests what a table lacks, at a limited rate.
+func (s *Server) pullTable(t *table, from *memberState, full bool) {
 	if !pullRateLimit.allow(s.now, &t.pullDue) {
 		s.Counters.RateLimited++
 		return
 	}
 	s.Counters.Pulls++
-	message := pullMessage{home: t.home, epoch: t.epoch, sequence: t.sequence, full: whole}
+	message := pullMessage{home: t.home, epoch: t.epoch, sequence: t.sequence, full: full}
 	s.send(Message{To: from.Name, Kind: TablePull, Body: message.encode()})
 }
 
-// pullFullTable pulls a whole table since this side's differs at the same version.
+// pullFullTable requests a full table since this side's differs at the same sequence.
 func (s *Server) pullFullTable(t *table, from *memberState) {
 	if !mismatchRateLimit.allow(s.now, &t.mismatchDue) {
 		s.Counters.RateLimited++
@@ -212,10 +208,13 @@
 	s.pullTable(t, from, true)
 }
 
-// ReceiveFromControl takes a Pull or Table of a control member.
-func (s *Server) ReceiveFromControl(now monotime.Micros, from string, incarnation uint64, kind Kind, body []byte) error {
+// ReceiveFromControl takes a TablePull or TableUpdate of a control member. Its errors wrap ErrUnknownHome,
+// ErrUnexpectedKind, ErrNameMismatch, ErrTooManyEntries or ErrMalformed; the link is to be closed.
+func (s *Server) ReceiveFromControl(
+	now monotime.Micros, from string, incarnation uint64, kind Kind, body []byte,
+) error {
 	s.advanceClock(now)
-	sender, err := s.sender(from, incarnation)
+	sender, err := s.senderOf(from, incarnation)
 	if sender == nil {
 		return err
 	}
@@ -228,6 +227,7 @@
 	return fmt.Errorf("%w: %s", ErrUnexpectedKind, kind)
 }
 
+// receivePull answers a pull, at a limited rate.
 func (s *Server) receivePull(sender *memberState, body []byte) error {
 	p, err := decodePullMessage(body)
 	if err != nil {
@@ -236,15 +236,14 @@
 	}
 	home := s.membersByName[p.home]
 	if home == nil {
-		s.Counters.UnknownHomes++
-		return fmt.Errorf("%w: %q", ErrUnknownHome, p.home)
+		return s.Counters.unknownHome(p.home)
 	}
 	t := home.table(p.epoch)
 	if t == nil || t.epoch != home.Incarnation {
 		s.Counters.StaleEpochs++
 		return nil
 	}
-	if !answerRateLimit.allow(s.now, s.pullAnswerDue(sender, t)) {
+	if !answerRateLimit.allow(s.now, sender.pullAnswerDue(t.home)) {
 		s.Counters.RateLimited++
 		return nil
 	}
@@ -257,30 +256,17 @@
 	return nil
 }
 
-// pullAnswerDue is the state of the bounded rate of answers to one control member about one table.
-func (s *Server) pullAnswerDue(sender *memberState, t *table) *monotime.Micros {
-	if sender.pullAnswersDue == nil {
-		sender.pullAnswersDue = map[string]*monotime.Micros{}
-	}
-	due := sender.pullAnswersDue[t.home]
-	if due == nil {
-		due = new(monotime.Micros)
-		sender.pullAnswersDue[t.home] = due
-	}
-	return due
-}
-
+// receiveTable checks and applies a message of a table.
 func (s *Server) receiveTable(sender *memberState, body []byte) error {
 	m, err := decodeTableMessage(body, s.cfg.MaxEntries)
 	if err != nil {
-		s.countInvalid(err)
+		s.Counters.countInvalid(err)
 		return err
 	}
 	home := s.membersByName[m.home]
 	switch {
 	case home == nil:
-		s.Counters.UnknownHomes++
-		return fmt.Errorf("%w: %q", ErrUnknownHome, m.home)
+		return s.Counters.unknownHome(m.home)
 	case home == s.self:
 		s.Counters.NameMismatches++
 		return fmt.Errorf("%w: a table of this control member", ErrNameMismatch)
@@ -288,9 +274,10 @@
 		s.Counters.StaleEpochs++
 		return nil
 	}
-	if bad := slices.IndexFunc(m.entries, func(r tableEntry) bool { return s.membersByName[r.name] != nil }); bad >= 0 {
+	isMember := func(e tableEntry) bool { return s.membersByName[e.name] != nil }
+	if index := slices.IndexFunc(m.entries, isMember); index >= 0 {
 		s.Counters.NameMismatches++
-		return fmt.Errorf("%w: the control member %q is attached", ErrNameMismatch, m.entries[bad].name)
+		return fmt.Errorf("%w: the control member %q is attached", ErrNameMismatch, m.entries[index].name)
 	}
 	sender.clock.observe(s.now, m.sentAt)
 	for i := range m.entries {
@@ -299,14 +286,15 @@
 	return s.applyTableMessage(s.replica(home), sender, &m)
 }
 
-// applyTableMessage brings a table to a message's version, where the message follows on it. A sum that wouldn't agree leaves it as it is.
+// applyTableMessage brings a table to a message's version, if the message follows on the table's. If the digest would
+// not agree, the table stays as it is.
 func (s *Server) applyTableMessage(t *table, sender *memberState, m *tableMessage) error {
-	rows := m.entries
+	changes := m.entries
 	switch {
 	case m.full && (m.sequence < t.sequence || m.sequence == t.sequence && m.digest == t.contentDigest):
 		return nil
 	case m.full:
-		rows = t.changesTo(m.entries)
+		changes = t.changesTo(m.entries)
 	case m.sequence <= t.sequence:
 		return nil
 	case m.baseSequence > t.sequence:
@@ -314,27 +302,19 @@
 		s.pullTable(t, sender, false)
 		return nil
 	}
-	if t.digestAfter(rows) != m.digest {
+	if t.digestAfter(changes) != m.digest {
 		s.Counters.DigestMismatches++
 		if m.full {
 			s.Counters.Malformed++
-			return fmt.Errorf("%w: the rows of %q do not have their sum", ErrMalformed, t.home)
+			return fmt.Errorf("%w: the entries of %q do not have their digest", ErrMalformed, t.home)
 		}
 		s.pullFullTable(t, sender)
 		return nil
 	}
-	s.applyEntries(t, rows)
+	s.applyEntries(t, changes)
 	t.sequence = m.sequence
 	t.upToDate = t.upToDate || t.sequence >= t.announcedSequence
-	// A replica keeps no log: who asks it gets the whole table.
+	// A replica has no log: a pull from it is answered by the full table.
 	t.log = changeLog{baseSequence: t.sequence, baseDigest: t.contentDigest}
 	return nil
 }
-
-func (s *Server) countInvalid(err error) {
-	if isTooManyEntries(err) {
-		s.Counters.Oversized++
-		return
-	}
-	s.Counters.Malformed++
-}
--- a/fleet/membership/viewmessage.go
+++ b/fleet/membership/viewmessage.go
@@ -2,257 +2,181 @@
 
 import (
 	"cmp"
-	"encoding/binary"
 	"fmt"
 
 	"google.golang.org/protobuf/encoding/protowire"
 
+	"chutechute/internal/fieldcodec"
 	"chutechute/internal/monotime"
-	"chutechute/internal/proto"
 )
 
-// maxNameLength bounds names and zones.
-const maxNameLength = 128
-
-// maxReportedSuperseded bounds the past incarnations that a row tells of.
-const maxReportedSuperseded = 4
-
-// change is one entry that a view gets, or that it loses.
-type change struct {
-	Entry
-	removed bool
-	// challengedAt is when its process answered a challenge, by this side's clock, 0 where that is not told. Messages carry it by the
-	// sender's clock in milliseconds, and digests leave it out.
-	challengedAt monotime.Micros
-}
-
-// heartbeat is what an attached front end says over each of its links.
-type heartbeat struct {
-	name          string
-	sentAt        monotime.Micros // by its own clock; the answer gives it back
-	leaving       bool
-	subscribe     bool // the view is wanted from this control member
-	resume        bool // it was not followed so far, or something was lost
-	epoch         uint64
-	sequence      uint64
-	digest        uint64
-	bucketDigests []uint32 // of each bucket, cut to 32 bits; none for an empty view, or where the log may reach back
-}
-
-func (h *heartbeat) encode() []byte {
-	b := proto.String(nil, 1, h.name)
-	b = proto.Uint(b, 2, uint64(max(0, h.sentAt)))
-	b = proto.Bool(b, 3, h.leaving)
-	b = proto.Bool(b, 4, h.subscribe)
-	b = proto.Bool(b, 5, h.resume)
-	b = proto.Uint(b, 6, h.epoch)
-	b = proto.Uint(b, 7, h.sequence)
-	b = proto.Uint(b, 8, h.digest)
-	if len(h.bucketDigests) == 0 {
-		return b
-	}
-	sums := make([]byte, 0, 4*len(h.bucketDigests))
-	for _, sum := range h.bucketDigests {
-		sums = binary.BigEndian.AppendUint32(sums, sum)
-	}
-	return proto.Bytes(b, 9, sums)
-}
-
-func decodeHeartbeat(b []byte) (h heartbeat, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		switch f.Number {
-		case 1:
-			h.name = f.Text()
-		case 2:
-			h.sentAt = monotime.Micros(min(f.Uint, 1<<62))
-		case 3:
-			h.leaving = f.Uint != 0
-		case 4:
-			h.subscribe = f.Uint != 0
-		case 5:
-			h.resume = f.Uint != 0
-		case 6:
-			h.epoch = f.Uint
-		case 7:
-			h.sequence = f.Uint
-		case 8:
-			h.digest = f.Uint
-		case 9:
-			if len(f.Data) != 4*bucketCount {
-				return fmt.Errorf("%w: %d bytes of sums", ErrMalformed, len(f.Data))
-			}
-			h.bucketDigests = make([]uint32, bucketCount)
-			for i := range h.bucketDigests {
-				h.bucketDigests[i] = binary.BigEndian.Uint32(f.Data[4*i:])
-			}
-		}
-		return nil
-	})
-	return h, asMalformed(err)
-}
-
-// contentKind is what a viewMessage carries.
+// contentKind is what a viewMessage carries besides the view's version.
 type contentKind uint64
 
+// The kinds of content.
 const (
-	versionOnly contentKind = iota // only the version
-	changesSince
-	fullBuckets
+	versionOnly  contentKind = iota
+	changesSince             // the changes since a sequence
+	fullBuckets              // all entries of some buckets
 )
 
-// viewMessage is what a control member says to an attached front end: the version of its view, and where it carries entries, how
-// the view gets there.
+// viewMessage is what a control member sends to an attached front end: the version of its view and, if it carries
+// entries, how the receiver's view gets to that version.
 type viewMessage struct {
-	epoch              uint64
+	epoch              uint64 // the incarnation of the sender
 	sequence           uint64 // of the view after it
 	digest             uint64 // of the view after it
 	isAnswer           bool
-	heartbeatSentAt    monotime.Micros // the time of the heartbeat that is answered
+	heartbeatSentAt    monotime.Micros // of the heartbeat that is answered, by the receiver's clock
 	leaving            bool
-	needsBucketDigests bool // the log does not reach back to what the heartbeat said: its sums are wanted
+	needsBucketDigests bool // the log does not reach back to the heartbeat's sequence: its bucket digests are needed
 	content            contentKind
-	baseSequence       uint64 // of changes: the sequence that they are from
-	bucketMask         uint64 // of buckets: those that are carried whole
+	baseSequence       uint64 // of changes: the sequence that they follow
+	bucketMask         uint64 // of buckets: those that are carried in full
 	compressed         bool
-	entries            []byte
+	entries            []byte          // encoded changes
 	sentAt             monotime.Micros // by the sender's clock, as are the entries' times
 }
 
+// viewMessageOverhead is the bytes that suffice for the fields of most messages besides the entries.
+const viewMessageOverhead = 64
+
+// fields lists the message's fields.
+func (m *viewMessage) fields(f *fieldcodec.Fields) {
+	fieldcodec.Uint(f, 1, &m.epoch)
+	fieldcodec.Uint(f, 2, &m.sequence)
+	fieldcodec.Uint(f, 3, &m.digest)
+	f.Bool(4, &m.isAnswer)
+	fieldcodec.IntUpTo(f, 5, &m.heartbeatSentAt, maxHeartbeatTime)
+	f.Bool(6, &m.leaving)
+	f.Bool(7, &m.needsBucketDigests)
+	fieldcodec.Uint(f, 8, &m.content)
+	fieldcodec.Uint(f, 9, &m.baseSequence)
+	fieldcodec.Uint(f, 10, &m.bucketMask)
+	f.Bool(11, &m.compressed)
+	f.Shared(12, &m.entries)
+	f.ZigZag(13, &m.sentAt, maxWireTime)
+}
+
+// isSnapshot reports whether the message carries the full view.
+func (m *viewMessage) isSnapshot() bool {
+	return m.content == fullBuckets && m.bucketMask == allBuckets
+}
+
 func (m *viewMessage) encode() []byte {
-	b := proto.Uint(make([]byte, 0, len(m.entries)+64), 1, m.epoch)
-	b = proto.Uint(b, 2, m.sequence)
-	b = proto.Uint(b, 3, m.digest)
-	b = proto.Bool(b, 4, m.isAnswer)
-	b = proto.Uint(b, 5, uint64(max(0, m.heartbeatSentAt)))
-	b = proto.Bool(b, 6, m.leaving)
-	b = proto.Bool(b, 7, m.needsBucketDigests)
-	b = proto.Uint(b, 8, uint64(m.content))
-	b = proto.Uint(b, 9, m.baseSequence)
-	b = proto.Uint(b, 10, m.bucketMask)
-	b = proto.Bool(b, 11, m.compressed)
-	b = proto.Bytes(b, 12, m.entries)
-	return proto.Uint(b, 13, protowire.EncodeZigZag(m.sentAt))
+	f := fieldcodec.Encode(make([]byte, 0, len(m.entries)+viewMessageOverhead))
+	m.fields(&f)
+	return f.Bytes()
 }
 
+// decodeViewMessage decodes a message whose entries are part of b.
 func decodeViewMessage(b []byte) (m viewMessage, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		switch f.Number {
-		case 1:
-			m.epoch = f.Uint
-		case 2:
-			m.sequence = f.Uint
-		case 3:
-			m.digest = f.Uint
-		case 4:
-			m.isAnswer = f.Uint != 0
-		case 5:
-			m.heartbeatSentAt = monotime.Micros(min(f.Uint, 1<<62))
-		case 6:
-			m.leaving = f.Uint != 0
-		case 7:
-			m.needsBucketDigests = f.Uint != 0
-		case 8:
-			m.content = contentKind(f.Uint)
-		case 9:
-			m.baseSequence = f.Uint
-		case 10:
-			m.bucketMask = f.Uint
-		case 11:
-			m.compressed = f.Uint != 0
-		case 12:
-			m.entries = f.Data
-		case 13:
-			m.sentAt = clockTime(f)
-		}
-		return nil
-	})
-	if err == nil && m.content > fullBuckets {
-		err = fmt.Errorf("%w: content %d", ErrMalformed, m.content)
+	f := fieldcodec.Decode(b)
+	for f.Next() {
+		m.fields(&f)
+	}
+	if err := f.Err(); err != nil {
+		return m, decodingError(err)
+	}
+	if m.content > fullBuckets {
+		return m, fmt.Errorf("%w: content %d", ErrMalformed, m.content)
 	}
-	return m, asMalformed(err)
+	return m, nil
 }
 
-func encodeChanges(list []change) []byte {
-	var b []byte
-	for i := range list {
-		c := &list[i]
-		m := proto.String(make([]byte, 0, 96), 1, c.Name)
-		if c.removed {
-			b = proto.Message(b, 1, proto.Bool(m, 7, true))
-			continue
-		}
-		m = proto.String(m, 2, c.Zone)
-		m = proto.String(m, 3, c.Home)
-		m = proto.Uint(m, 4, c.Incarnation)
-		m = proto.Uint(m, 5, uint64(c.Role))
-		m = proto.Uint(m, 6, uint64(c.State))
-		if c.challengedAt != 0 {
-			m = proto.Uint(m, 8, protowire.EncodeZigZag(cmp.Or(c.challengedAt/1000, 1)))
-		}
-		b = proto.Message(b, 1, m)
+// change is one entry that a view gets, or that it loses.
+type change struct {
+	Entry
+	removed bool
+	// challengedAt is when the entry's process answered a challenge, by this side's clock; 0 if that was not reported.
+	// Messages carry it by the sender's clock in milliseconds, and digests leave it out.
+	challengedAt monotime.Micros
+}
+
+const (
+	microsPerMilli = monotime.Millisecond
+	// maxChallengeTime bounds an entry's time of challenge, in milliseconds.
+	maxChallengeTime = 1 << 50
+	// zeroTimeSubstitute stands for a time of exactly 0, since 0 means that no time is known.
+	zeroTimeSubstitute monotime.Micros = -1
+)
+
+// fields lists the fields of a change; a removed entry has its name only. clock is the sender's, for decoding.
+func (c *change) fields(f *fieldcodec.Fields, clock *clockOffset) {
+	f.String(1, &c.Name)
+	f.Bool(7, &c.removed)
+	if f.Encoding() && c.removed {
+		return
+	}
+	f.String(2, &c.Zone)
+	f.String(3, &c.Home)
+	fieldcodec.Uint(f, 4, &c.Incarnation)
+	fieldcodec.UintUpTo(f, 5, &c.Role, 255)
+	fieldcodec.UintUpTo(f, 6, &c.State, 255)
+	if f.Encoding() && c.challengedAt != 0 {
+		f.AppendUint(8, protowire.EncodeZigZag(cmp.Or(c.challengedAt/microsPerMilli, 1)))
+	}
+	if f.Decoding(8) {
+		millis := min(max(protowire.DecodeZigZag(f.Value()), -maxChallengeTime), maxChallengeTime)
+		c.challengedAt = cmp.Or(clock.toLocal(millis*microsPerMilli), zeroTimeSubstitute)
 	}
-	return b
 }
 
-// decodeChanges reads at most most changes, which are by name and name each front end once. clock is of who sent them.
-func decodeChanges(clock *clockOffset, b []byte, most int) (list []change, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		if f.Number != 1 {
-			return nil
-		}
-		if len(list) == most {
-			return ErrTooManyEntries
-		}
-		c, err := decodeChange(clock, f.Data)
-		if err != nil {
-			return err
-		}
-		if len(list) > 0 && list[len(list)-1].Name >= c.Name {
-			return fmt.Errorf("%w: %q after %q", ErrMalformed, c.Name, list[len(list)-1].Name)
-		}
-		list = append(list, c)
-		return nil
-	})
-	return list, asMalformed(err)
+// encode encodes the change into the buffer b, which it overwrites.
+func (c *change) encode(b []byte) []byte {
+	f := fieldcodec.Encode(b[:0])
+	c.fields(&f, nil)
+	return f.Bytes()
 }
 
+// decodeChange decodes and checks one change.
 func decodeChange(clock *clockOffset, b []byte) (c change, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		switch f.Number {
-		case 1:
-			c.Name = f.Text()
-		case 2:
-			c.Zone = f.Text()
-		case 3:
-			c.Home = f.Text()
-		case 4:
-			c.Incarnation = f.Uint
-		case 5:
-			c.Role = Role(min(f.Uint, 255))
-		case 6:
-			c.State = State(min(f.Uint, 255))
-		case 7:
-			c.removed = f.Uint != 0
-		case 8:
-			c.challengedAt = cmp.Or(clock.toLocal(min(max(protowire.DecodeZigZag(f.Uint), -1<<50), 1<<50)*1000), -1)
-		}
-		return nil
-	})
-	if err != nil {
+	f := fieldcodec.Decode(b)
+	for f.Next() {
+		c.fields(&f, clock)
+	}
+	if err := f.Err(); err != nil {
 		return c, err
 	}
-	if !isValidName(c.Name) || len(c.Zone) > maxNameLength || c.Role > Attached || c.State > Left || !c.removed && c.Incarnation == 0 {
+	validName := isValidName(c.Name) && len(c.Zone) <= maxNameLength
+	if !validName || c.Role > Attached || c.State > Left || !c.removed && c.Incarnation == 0 {
 		return c, fmt.Errorf("%w: the entry %q", ErrMalformed, c.Name)
 	}
 	return c, nil
 }
 
-func isValidName(name string) bool { return name != "" && len(name) <= maxNameLength }
+// changesField is the number of the field that a list of changes has for each of them.
+const changesField = 1
+
+// encodeChanges encodes changes that are sorted by name.
+func encodeChanges(changes []change) []byte {
+	f := fieldcodec.Encode(nil)
+	nested := make([]byte, 0, nestedCapacity)
+	for i := range changes {
+		nested = changes[i].encode(nested)
+		f.AppendBytes(changesField, nested)
+	}
+	return f.Bytes()
+}
 
-// asMalformed makes every error that is none of this package's one of the form.
-func asMalformed(err error) error {
-	if err == nil || isPackageError(err) {
-		return err
+// decodeChanges decodes at most limit changes, which are sorted by name and have each name once. clock is the sender's.
+func decodeChanges(clock *clockOffset, b []byte, limit int) (changes []change, err error) {
+	f := fieldcodec.Decode(b)
+	for f.Next() {
+		if !f.Decoding(changesField) {
+			continue
+		}
+		if len(changes) == limit {
+			return changes, ErrTooManyEntries
+		}
+		c, err := decodeChange(clock, f.Data())
+		if err != nil {
+			return changes, decodingError(err)
+		}
+		if last := len(changes) - 1; last >= 0 && changes[last].Name >= c.Name {
+			return changes, fmt.Errorf("%w: %q after %q", ErrMalformed, c.Name, changes[last].Name)
+		}
+		changes = append(changes, c)
 	}
-	return fmt.Errorf("%w: %w", ErrMalformed, err)
+	return changes, decodingError(f.Err())
 }
