--- a/fleet/membership/attach_test.go
+++ b/fleet/membership/attach_test.go
@@ -16,9 +16,9 @@
 	return r
 }
 
-// Front ends that attach are seen by all, of both roles, under the home that serves them; and at rest nothing is sent but
-// heartbeats and their answers.
-func TestAttach(t *testing.T) {
+// Front ends that attach are seen by all, of both roles, under the home that serves them; and at rest nothing is sent
+// but heartbeats and their answers.
+func TestAttachedFrontEndsAreSeenByAll(t *testing.T) {
 	r := fleet(t, 1, 30)
 	r.run(10 * second)
 	r.requireAgreement()
--- a/fleet/membership/cost_test.go
+++ b/fleet/membership/cost_test.go
@@ -11,30 +11,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fullFleetControls is how many control members the users set aside machines for.
+// fullFleetControls is the number of control members of a full fleet.
 const fullFleetControls = 53
 
-// fullFleetServer is a control member with 2,700 front ends in its view, of which as many are attached to it as to each of 53.
+// fullFleetServer returns a control member with 2,700 front ends in its view, of which as many are attached to it as to
+// each of 53.
 func fullFleetServer(t testing.TB) (s *Server, now monotime.Micros) { return serverOfFleet(t, 51) }
 
-// serverOfFleet is one of 53 control members to each of which so many front ends are attached.
+// serverOfFleet returns one of 53 control members to each of which so many front ends are attached.
 func serverOfFleet(t testing.TB, each int) (s *Server, now monotime.Micros) {
 	now = 100 * second
 	var controls []ControlMember
 	for i := range fullFleetControls {
-		controls = append(controls, ControlMember{Name: fmt.Sprintf("front-control-%02d", i), Zone: fmt.Sprintf("zone-%02d", i%23),
-			Incarnation: rendezvousWeight("c", fmt.Sprint(i), 1)})
+		controls = append(controls, ControlMember{
+			Name:        fmt.Sprintf("front-control-%02d", i),
+			Zone:        fmt.Sprintf("zone-%02d", i%23),
+			Incarnation: rendezvousWeight("c", fmt.Sprint(i), 1),
+		})
 	}
-	s = NewServer(Config{Name: controls[0].Name, Zone: controls[0].Zone, Incarnation: controls[0].Incarnation, ControlMembers: controls})
+	self := controls[0]
+	s = NewServer(Config{Name: self.Name, Zone: self.Zone, Incarnation: self.Incarnation, ControlMembers: controls})
 	s.Tick(now, controls)
 	for i := 1; i < fullFleetControls; i++ {
-		var rows []tableEntry
+		var entries []tableEntry
 		for j := range each {
 			name := fmt.Sprintf("front-%02d-%03d", i, j)
-			rows = append(rows, tableEntry{name: name, zone: controls[i].Zone, incarnation: rendezvousWeight(name, "", 2), servesView: true, challengedAt: now})
+			entries = append(entries, tableEntry{
+				name: name, zone: controls[i].Zone, incarnation: rendezvousWeight(name, "", 2), servesView: true, challengedAt: now,
+			})
 		}
-		m := tableMessage{tableVersion: tableVersion{controls[i].Name, controls[i].Incarnation, 1, 0}, entries: rows}
-		m.digest = newTable("", 0).digestAfter(rows)
+		m := tableMessage{tableVersion: tableVersion{controls[i].Name, controls[i].Incarnation, 1, 0}, entries: entries}
+		m.digest = newTable("", 0).digestAfter(entries)
 		require.NoError(t, s.ReceiveFromControl(now, controls[i].Name, controls[i].Incarnation, TableUpdate, m.encode()))
 	}
 	for i := range each {
@@ -46,16 +53,21 @@
 	return s, now
 }
 
+// heartbeatTo sends an attached front end's heartbeat; current says whether its view is that of the server.
 func heartbeatTo(t testing.TB, s *Server, now monotime.Micros, i int, current bool) {
 	name := fmt.Sprintf("front-00-%03d", i)
-	h := heartbeat{name: name, sentAt: now, subscribe: true, epoch: s.cfg.Incarnation, sequence: s.sequence, digest: s.view.Digest()}
+	h := heartbeat{
+		name: name, sentAt: now, subscribe: true,
+		epoch: s.cfg.Incarnation, sequence: s.sequence, digest: s.view.Digest(),
+	}
 	if !current {
 		h.epoch, h.sequence, h.digest, h.resume = 0, 0, 0, true
 	}
-	require.NoError(t, s.Receive(now, Link{From: name, Zone: "zone-00", Incarnation: rendezvousWeight(name, "", 2), ChallengedAt: now}, Heartbeat, h.encode()))
+	link := Link{From: name, Zone: "zone-00", Incarnation: rendezvousWeight(name, "", 2), ChallengedAt: now}
+	require.NoError(t, s.Receive(now, link, Heartbeat, h.encode()))
 }
 
-// clientWithView is a front end that has taken a whole view from its home.
+// clientWithView returns a front end that has received a snapshot from its home.
 func clientWithView(t testing.TB, s *Server, now monotime.Micros, body []byte) *Client {
 	c := NewClient(Config{Name: "front-00-000", Zone: "zone-00", Incarnation: 5, ControlMembers: s.cfg.ControlMembers})
 	c.Tick(now)
@@ -65,7 +77,7 @@
 	return c
 }
 
-// The bytes of a full view and of one change, and what a client needs to hold it.
+// The bytes of a full view and of one change, and what a client needs to store it.
 func TestCostsOfAFullView(t *testing.T) {
 	s, now := fullFleetServer(t)
 	require.Equal(t, 2756, s.View().Len())
@@ -81,12 +93,14 @@
 	require.Equal(t, 2756, c.View().Len())
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	t.Logf("a client holds it in %d bytes", after.HeapAlloc-before.HeapAlloc)
+	t.Logf("a client stores it in %d bytes", after.HeapAlloc-before.HeapAlloc)
 	assert.Less(t, after.HeapAlloc-before.HeapAlloc, uint64(2<<20))
 	runtime.KeepAlive(c)
 
 	m := tableMessage{tableVersion: tableVersion{s.members[1].Name, s.members[1].Incarnation, 2, 0}, baseSequence: 1,
-		entries: []tableEntry{{name: "front-01-007", zone: s.members[1].Zone, incarnation: 99, servesView: true, challengedAt: now}}}
+		entries: []tableEntry{
+			{name: "front-01-007", zone: s.members[1].Zone, incarnation: 99, servesView: true, challengedAt: now},
+		}}
 	m.digest = s.members[1].tables[0].digestAfter(m.entries)
 	require.NoError(t, s.ReceiveFromControl(now, m.home, m.epoch, TableUpdate, m.encode()))
 	s.Tick(now+50*ms, nil)
@@ -118,7 +132,8 @@
 	}
 }
 
-// A second of a control member at rest: ticks, a heartbeat of each that is attached, the versions of all others.
+// BenchmarkServerSecond is a second of a control member at rest: ticks, a heartbeat of each attached front end, and the
+// versions of all other members.
 func BenchmarkServerSecond(b *testing.B) {
 	s, now := fullFleetServer(b)
 	versions := make([][]byte, len(s.members))
--- a/fleet/membership/failures_test.go
+++ b/fleet/membership/failures_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A front end that dies is suspected and then dead everywhere within 5 s; one that comes back is alive at once, and its process
-// from before is gone for certain.
-func TestDeathAndReturn(t *testing.T) {
+// A front end that dies is Suspect and then Dead everywhere within 5 s; one that restarts is Alive at once, and its
+// earlier process has certainly ended.
+func TestDeathAndRestartOfAFrontEnd(t *testing.T) {
 	r := fleet(t, 2, 12)
 	r.run(8 * second)
 	c := r.client("f003")
@@ -44,8 +44,9 @@
 	}
 }
 
-// A front end that crashes and starts again a few times a minute is told in time each time: its death in 5 s, its start in 3 s.
-func TestCrashesInARow(t *testing.T) {
+// A front end that crashes and restarts a few times a minute is reported in time each time: its death in 5 s, its
+// restart in 3 s.
+func TestRepeatedCrashesAreReportedInTime(t *testing.T) {
 	r := fleet(t, 2, 12)
 	r.run(8 * second)
 	c := r.client("f003")
@@ -71,9 +72,9 @@
 	r.requireAgreement()
 }
 
-// Front ends whose home dies are seen alive all the time, as they hold another lease; their view goes on from the second slot
-// without a snapshot; and they spread over all control members instead of all going to one.
-func TestHomeDead(t *testing.T) {
+// Front ends whose home dies are seen alive all the time, as they have another lease; their view continues from the
+// second slot without a snapshot; and they spread over all control members instead of all going to one.
+func TestDeadHomeIsReplacedWithoutSnapshots(t *testing.T) {
 	r := fleet(t, 3, 60)
 	r.run(10 * second)
 	r.requireAgreement()
@@ -120,8 +121,13 @@
 	}
 	assert.Len(t, to, 4, "spread over all of the other zones")
 
-	// It comes back: its front ends return to it, spread over time.
 	r.check = func() {}
+	requireReturn(t, r, home, moved)
+}
+
+// requireReturn starts a home again and checks that its front ends return to it, spread over time.
+func requireReturn(t *testing.T, r *rig, home *rigServer, moved []*rigClient) {
+	t.Helper()
 	r.start(home)
 	r.run(8 * second)
 	for _, c := range moved {
@@ -135,9 +141,9 @@
 	}
 }
 
-// A control member that is cut off from all its front ends, and not from the rest, doubts itself: those that hold no other lease
-// are suspected, not dead, and have the time to attach elsewhere.
-func TestDoubt(t *testing.T) {
+// A control member that is cut off from all its front ends, and not from the rest, suspects itself: those that have no
+// other lease are Suspect, not Dead, and have the time to attach elsewhere.
+func TestHomeThatIsCutOffSuspectsItself(t *testing.T) {
 	r := newRig(t, 4, "za", "zb", "zc")
 	for i := range 12 {
 		r.attach(fmt.Sprintf("f%03d", i), []string{"za", "zb", "zc"}[i%3])
@@ -169,8 +175,8 @@
 	r.requireAgreement()
 }
 
-// One or two front ends that die are no reason for doubt; and doubt ends.
-func TestDoubtEnds(t *testing.T) {
+// One or two front ends that die are no reason for self-suspicion; and self-suspicion ends.
+func TestSelfSuspicionEnds(t *testing.T) {
 	r := newRig(t, 5, "za", "zb")
 	for i := range 10 {
 		r.attach(fmt.Sprintf("f%03d", i), "za")
@@ -184,17 +190,18 @@
 	}
 	r.run(6 * second)
 	for _, c := range r.clients[1:8] {
-		require.False(t, r.servers[0].View().PresumedDead(c.cfg.Incarnation), "in doubt")
+		require.False(t, r.servers[0].View().PresumedDead(c.cfg.Incarnation), "the home suspects itself")
 	}
 	r.run(selfSuspicionTimeout)
 	for _, c := range r.clients[1:8] {
-		require.True(t, r.servers[0].View().PresumedDead(c.cfg.Incarnation), "the doubt is over")
+		require.True(t, r.servers[0].View().PresumedDead(c.cfg.Incarnation), "the self-suspicion has ended")
 	}
 	require.Equal(t, 1, r.servers[0].Counters.SelfSuspicions)
 }
 
-// The rows of a home that is dead lapse: Suspect at first, and Dead after a further span, unless another home holds them.
-func TestLapse(t *testing.T) {
+// The table entries of a dead home expire: they are Suspect at first, and Dead after a further timeout, unless another
+// home has them.
+func TestEvidenceOfAnAbsentHomeExpires(t *testing.T) {
 	r := newRig(t, 6, "za", "zb", "zc")
 	c := r.attach("f000", "za")
 	r.run(5 * second)
@@ -218,11 +225,11 @@
 	require.Equal(t, Dead, e.State)
 }
 
-// A zone that is lost with its control members: the other homes' word that its front ends are dead counts more than that nobody
-// tells of them where they were.
-func TestZoneLost(t *testing.T) {
+// If a zone is lost with its control members, the other homes' reports that its front ends are Dead count more than
+// the last reports of the lost homes.
+func TestFrontEndsOfALostZoneAreReportedDead(t *testing.T) {
 	r := newRig(t, 11, "za", "za", "zb", "zc")
-	for i := range 6 { // too few for doubt
+	for i := range 6 { // too few for self-suspicion
 		r.attach(fmt.Sprintf("f%03d", i), []string{"za", "zb"}[i%2])
 	}
 	r.run(8 * second)
@@ -242,8 +249,8 @@
 	}
 }
 
-// That a lease ended before the homes since were lost says nothing: that front end may be moving.
-func TestEndedBefore(t *testing.T) {
+// A lease that ended before the later homes were lost proves nothing: that front end may be moving.
+func TestLeaseEndedBeforeTheHomeWasLostProvesNothing(t *testing.T) {
 	r := newRig(t, 12, "za", "zb", "zc")
 	c := r.attach("f000", "za")
 	r.run(8 * second)
@@ -265,8 +272,9 @@
 	require.True(t, first.View().PresumedDead(c.cfg.Incarnation))
 }
 
-// One that was not heard at its other home for long has, since its home was lost, as much time as any before it is dead.
-func TestEndedJustAfter(t *testing.T) {
+// A front end that its other home has not seen for long has, since its home was lost, as much time as any before it is
+// Dead.
+func TestLostHomeGivesTheFullTimeoutBeforeDeath(t *testing.T) {
 	r := newRig(t, 13, "za", "zb", "zc")
 	c := r.attach("f000", "za")
 	r.run(8 * second)
@@ -283,8 +291,8 @@
 	require.True(t, other.View().PresumedDead(c.cfg.Incarnation))
 }
 
-// Who says that it leaves is alive while it is heard, and has left once it is silent, without being suspected first.
-func TestLeaving(t *testing.T) {
+// A front end that leaves is Alive while it is seen, and Left once it is silent, without being Suspect first.
+func TestLeavingFrontEndIsNeverSuspected(t *testing.T) {
 	r := fleet(t, 7, 6)
 	r.run(6 * second)
 	c := r.client("f001")
@@ -310,8 +318,8 @@
 	}
 }
 
-// A control member that leaves tells its front ends, which go elsewhere before it is gone.
-func TestControlLeaves(t *testing.T) {
+// A control member that leaves announces it to its front ends, which go elsewhere before it ends.
+func TestFrontEndsMoveFromALeavingControlMember(t *testing.T) {
 	r := fleet(t, 8, 24)
 	r.run(8 * second)
 	home := r.names["m02"]
@@ -328,10 +336,11 @@
 	}
 }
 
-// A control member that was stopped has heard nobody, which says nothing of its front ends; nor do those that saw it stopped.
-func TestServerPause(t *testing.T) {
+// A control member that was stopped received nothing, which proves nothing about its front ends; the same holds at
+// those that saw it stopped.
+func TestPausedServerExtendsTheLeases(t *testing.T) {
 	r := newRig(t, 9, "za", "zb")
-	for i := range 3 { // too few for doubt
+	for i := range 3 { // too few for self-suspicion
 		r.attach(fmt.Sprintf("f%03d", i), "za")
 	}
 	r.run(6 * second)
@@ -355,9 +364,9 @@
 	}
 }
 
-// An attached front end that was stopped knows by its own clock that its view is old, whatever waits for it in its queues, until
-// its home has answered a question that it asked since.
-func TestClientPause(t *testing.T) {
+// An attached front end that was stopped knows by its own clock that its view is old, whatever is in its queues, until
+// its home has answered a heartbeat that was sent since.
+func TestPausedClientKnowsThatItsViewIsOld(t *testing.T) {
 	r := fleet(t, 10, 6)
 	r.run(6 * second)
 	r.requireAgreement()
@@ -368,7 +377,7 @@
 	r.restart(other)
 	r.run(5 * second)
 	require.Less(t, 30*second, c.View().Age(r.now))
-	// What waits is handled before anything is asked: none of it makes the view young.
+	// What is queued is received before anything is sent: none of it makes the view current.
 	list := c.backlog
 	c.backlog = nil
 	c.paused = false
--- a/fleet/membership/fullfleet_test.go
+++ b/fleet/membership/fullfleet_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The whole fleet in virtual time: 53 control members and 2,700 front ends in 23 zones. It logs what each front end receives when
-// all start at once, at rest, when a tenth restarts within 10 s, and when a control member dies.
+// The whole fleet in virtual time: 53 control members and 2,700 front ends in 23 zones. It logs what each front end
+// receives when all start at once, at rest, when a tenth restarts within 10 s, and when a control member dies.
 func TestFullFleet(t *testing.T) {
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("CHUTECHUTE_LONG is not set")
@@ -51,14 +51,16 @@
 			for _, n := range list {
 				sum += n
 			}
-			return fmt.Sprintf("%.2f mean, %.2f most", float64(sum)/float64(len(list))/seconds/1000, float64(list[len(list)-1])/seconds/1000)
+			mean, greatest := float64(sum)/float64(len(list)), float64(list[len(list)-1])
+			return fmt.Sprintf("%.2f mean, %.2f most", mean/seconds/1000, greatest/seconds/1000)
 		}
 		snapshots, repairs := 0, 0
 		for _, c := range r.clients {
 			snapshots, repairs = snapshots+c.Counters.Snapshots, repairs+c.Counters.DigestRepairs
 		}
 		t.Logf("%s: KB/s in %s, out %s; served by each %s; %d snapshots, %d repairs so far; ran %v",
-			name, kilobytes(incoming), kilobytes(outgoing), kilobytes(served), snapshots, repairs, time.Since(began).Round(time.Millisecond))
+			name, kilobytes(incoming), kilobytes(outgoing), kilobytes(served),
+			snapshots, repairs, time.Since(began).Round(time.Millisecond))
 	}
 	phase("all start", span)
 	r.requireAgreement()
--- a/fleet/membership/fuzz_test.go
+++ b/fleet/membership/fuzz_test.go
@@ -13,7 +13,10 @@
 	now := 100 * second
 	s := NewServer(Config{Name: "m0", Zone: "za", Incarnation: 1000, ControlMembers: threeControls, MaxEntries: 50})
 	s.Tick(now, []ControlMember{{Name: "m1", Zone: "zb", Incarnation: 1001}, {Name: "m2", Zone: "zc", Incarnation: 1002}})
-	for _, l := range []Link{{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: now}, {From: "g", Zone: "za", Incarnation: 8, ChallengedAt: now}} {
+	for _, l := range []Link{
+		{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: now},
+		{From: "g", Zone: "za", Incarnation: 8, ChallengedAt: now},
+	} {
 		s.LinkOpened(now, l)
 	}
 	s.Tick(now+second, nil)
@@ -21,7 +24,7 @@
 	return s, now + second
 }
 
-// requireInvariants checks what has to hold of a control member whatever it was told.
+// requireInvariants checks what has to hold of a control member whatever it has received.
 func requireInvariants(t *testing.T, s *Server) {
 	require.LessOrEqual(t, s.View().Len(), s.cfg.MaxEntries)
 	requireViewInvariants(t, s.View())
@@ -58,18 +61,21 @@
 	require.Equal(t, other.bucketDigests, v.bucketDigests)
 }
 
-// Whatever comes over the link of an attached front end: it speaks for that one only.
+// Whatever is received over the link of an attached front end changes the entry of that front end only.
 func FuzzServerReceive(f *testing.F) {
-	whole := heartbeat{name: "f", sentAt: 5, subscribe: true, resume: true}
-	sums := heartbeat{name: "f", sentAt: 5, leaving: true, subscribe: true, epoch: 1000, sequence: 1, digest: 3, bucketDigests: make([]uint32, bucketCount)}
+	resuming := heartbeat{name: "f", sentAt: 5, subscribe: true, resume: true}
+	withDigests := heartbeat{
+		name: "f", sentAt: 5, leaving: true, subscribe: true, epoch: 1000, sequence: 1, digest: 3,
+		bucketDigests: make([]uint32, bucketCount),
+	}
 	other := heartbeat{name: "g", sentAt: 5}
-	for _, h := range []heartbeat{whole, sums, other} {
+	for _, h := range []heartbeat{resuming, withDigests, other} {
 		f.Add(h.encode(), h.encode(), uint8(Heartbeat))
 	}
 	f.Add([]byte{0x0a, 0x01, 'f'}, []byte("garbage"), uint8(ViewUpdate))
 	f.Fuzz(func(t *testing.T, first, second []byte, kind uint8) {
 		s, now := fuzzServer()
-		l := Link{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: now - second1}
+		l := Link{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: now - oneSecond}
 		before, _ := s.View().Lookup("g")
 		digest := s.ownTable.entries["g"].digest()
 		_ = s.Receive(now, l, Kind(kind), first)
@@ -85,21 +91,26 @@
 	})
 }
 
-// second1 is a second where a message is named second.
-const second1 = second
+// oneSecond is a second where a message is named second.
+const oneSecond = second
 
-// Whatever a control member sends: no front end of this one's changes, no control member is taken for attached, and all sums hold.
+// Whatever a control member sends: no front end of this one's changes, no control member is listed as attached, and
+// all digests are right.
 func FuzzControlReceive(f *testing.F) {
-	rows := []tableEntry{{name: "h", zone: "zb", incarnation: 9, servesView: true, challengedAt: 5, supersededIncarnations: []uint64{3}}, {name: "i", zone: "zb", incarnation: 10}}
-	m := tableMessage{tableVersion: tableVersion{"m1", 1001, 1, 0}, entries: rows}
-	for i := range rows {
-		m.digest += rows[i].digest()
+	entries := []tableEntry{
+		{name: "h", zone: "zb", incarnation: 9, servesView: true, challengedAt: 5, supersededIncarnations: []uint64{3}},
+		{name: "i", zone: "zb", incarnation: 10},
+	}
+	m := tableMessage{tableVersion: tableVersion{"m1", 1001, 1, 0}, entries: entries}
+	for i := range entries {
+		m.digest += entries[i].digest()
 	}
 	f.Add(uint8(TableUpdate), m.encode(), uint8(TableUpdate), m.encode())
 	m.full = true
 	f.Add(uint8(TableUpdate), m.encode(), uint8(TablePull), (&pullMessage{home: "m0", epoch: 1000}).encode())
 	m.tableVersion.home = "m0"
-	f.Add(uint8(TableUpdate), m.encode(), uint8(0), encodeVersions(5, []tableVersion{{"m1", 1001, 3, 4}, {"m2", 1002, 0, 9}}))
+	versions := encodeVersions(5, []tableVersion{{"m1", 1001, 3, 4}, {"m2", 1002, 0, 9}})
+	f.Add(uint8(TableUpdate), m.encode(), uint8(0), versions)
 	f.Add(uint8(TablePull), (&pullMessage{home: "m1", epoch: 1001, full: true}).encode(), uint8(9), []byte("garbage"))
 	f.Fuzz(func(t *testing.T, kind1 uint8, first []byte, kind2 uint8, second []byte) {
 		s, now := fuzzServer()
@@ -120,15 +131,26 @@
 	})
 }
 
-// Whatever a home sends: the view is what was told as a whole with its digest, or stays as it was.
+// Whatever a home sends: the view gets all that was sent, with its digest, or stays as it was.
 func FuzzClientReceive(f *testing.F) {
-	entries := []change{{Entry: Entry{Name: "f", Zone: "za", Role: Attached, Incarnation: 7, Home: "m0"}, challengedAt: 5 * ms},
-		{Entry: Entry{Name: "m0", Zone: "za", Incarnation: 1000, Home: "m0"}}}
+	entries := []change{
+		{Entry: Entry{Name: "f", Zone: "za", Role: Attached, Incarnation: 7, Home: "m0"}, challengedAt: 5 * ms},
+		{Entry: Entry{Name: "m0", Zone: "za", Incarnation: 1000, Home: "m0"}},
+	}
 	view := newView()
 	view.apply(entries, fromMerge)
-	m := viewMessage{epoch: 1000, sequence: 1, digest: view.Digest(), content: fullBuckets, bucketMask: allBuckets, entries: encodeChanges(entries)}
-	more := []change{{Entry: Entry{Name: "f"}, removed: true}, {Entry: Entry{Name: "g", Role: Attached, Incarnation: 8, Home: "m1"}}}
-	changes := viewMessage{epoch: 1000, sequence: 2, digest: view.digestAfter(more), content: changesSince, baseSequence: 1, entries: encodeChanges(more)}
+	m := viewMessage{
+		epoch: 1000, sequence: 1, digest: view.Digest(),
+		content: fullBuckets, bucketMask: allBuckets, entries: encodeChanges(entries),
+	}
+	more := []change{
+		{Entry: Entry{Name: "f"}, removed: true},
+		{Entry: Entry{Name: "g", Role: Attached, Incarnation: 8, Home: "m1"}},
+	}
+	changes := viewMessage{
+		epoch: 1000, sequence: 2, digest: view.digestAfter(more),
+		content: changesSince, baseSequence: 1, entries: encodeChanges(more),
+	}
 	answer := viewMessage{epoch: 1000, sequence: 1, digest: view.Digest(), isAnswer: true, heartbeatSentAt: 5}
 	f.Add(m.encode(), changes.encode())
 	f.Add(m.encode(), answer.encode())
@@ -138,21 +160,21 @@
 	packed.entries, packed.compressed = (&compressor{}).compress(append(encodeChanges(entries), make([]byte, 400)...))
 	f.Add(packed.encode(), m.encode())
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		now := 100 * second1
+		now := 100 * oneSecond
 		c := NewClient(Config{Name: "f", Zone: "za", Incarnation: 7, ControlMembers: threeControls, MaxEntries: 50})
 		c.Tick(now)
-		c.Tick(now + second1)
-		c.LinkOpened(now+second1, "m0", 1000)
+		c.Tick(now + oneSecond)
+		c.LinkOpened(now+oneSecond, "m0", 1000)
 		require.Equal(t, "m0", c.Home())
 		for _, body := range [][]byte{first, second} {
 			before, sequence := c.View().Digest(), c.sequence
-			err := c.Receive(now+second1, "m0", 1000, ViewUpdate, body)
-			told, bad := decodeViewMessage(body)
+			err := c.Receive(now+oneSecond, "m0", 1000, ViewUpdate, body)
+			received, bad := decodeViewMessage(body)
 			require.True(t, bad == nil || err != nil)
 			if after := c.View().Digest(); after != before {
 				require.NoError(t, err)
-				require.Equal(t, told.digest, after)
-				require.Equal(t, told.sequence, c.sequence)
+				require.Equal(t, received.digest, after)
+				require.Equal(t, received.sequence, c.sequence)
 			}
 			if err != nil {
 				require.Equal(t, sequence, c.sequence)
@@ -163,8 +185,8 @@
 				require.NotNil(t, c.peersByName[e.Home])
 			}
 		}
-		c.Tick(now + 2*second1)
+		c.Tick(now + 2*oneSecond)
 		require.LessOrEqual(t, len(c.Actions()), 6)
-		require.GreaterOrEqual(t, c.Next(), now+2*second1)
+		require.GreaterOrEqual(t, c.Next(), now+2*oneSecond)
 	})
 }
--- a/fleet/membership/heartbeat_test.go
+++ b/fleet/membership/heartbeat_test.go
@@ -8,7 +8,9 @@
 
 // benchmarkHeartbeats are a heartbeat at rest, and one that requests a repair.
 func benchmarkHeartbeats() map[string]*heartbeat {
-	atRest := heartbeat{name: "front-17-042", sentAt: 77_000_000, subscribe: true, epoch: 1 << 60, sequence: 4711, digest: 1 << 63}
+	atRest := heartbeat{
+		name: "front-17-042", sentAt: 77_000_000, subscribe: true, epoch: 1 << 60, sequence: 4711, digest: 1 << 63,
+	}
 	repair := atRest
 	repair.bucketDigests = make([]uint32, bucketCount)
 	for i := range repair.bucketDigests {
@@ -41,8 +43,16 @@
 	}
 }
 
+// benchmarkAnswer is the answer to a heartbeat at rest.
+func benchmarkAnswer() viewMessage {
+	return viewMessage{
+		epoch: 1 << 60, sequence: 4711, digest: 1 << 63,
+		isAnswer: true, heartbeatSentAt: 77_000_000, sentAt: 78_000_000,
+	}
+}
+
 func BenchmarkAnswerEncode(b *testing.B) {
-	m := viewMessage{epoch: 1 << 60, sequence: 4711, digest: 1 << 63, isAnswer: true, heartbeatSentAt: 77_000_000, sentAt: 78_000_000}
+	m := benchmarkAnswer()
 	b.ReportAllocs()
 	for b.Loop() {
 		m.encode()
@@ -50,7 +60,7 @@
 }
 
 func BenchmarkAnswerDecode(b *testing.B) {
-	m := viewMessage{epoch: 1 << 60, sequence: 4711, digest: 1 << 63, isAnswer: true, heartbeatSentAt: 77_000_000, sentAt: 78_000_000}
+	m := benchmarkAnswer()
 	encoded := m.encode()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/fleet/membership/limits_test.go
+++ b/fleet/membership/limits_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A front end that is dead for long is forgotten by its home and in the view, and may come back.
-func TestRetention(t *testing.T) {
+// A front end that is Dead for long is removed by its home and from the view, and may come back.
+func TestEndedFrontEndsAreRemovedAndMayReturn(t *testing.T) {
 	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(retentionTime - second)
@@ -33,8 +33,8 @@
 	require.False(t, r.servers["m1"].View().PresumedDead(7))
 }
 
-// A control member that restarts without end leaves a bounded number of tables.
-func TestTablesAreBounded(t *testing.T) {
+// A control member that restarts again and again leaves a bounded number of tables.
+func TestTablesOfARestartingHomeAreBounded(t *testing.T) {
 	r := newThreeServers(t)
 	for i := range uint64(20) {
 		r.startProcess("m0", 2000+i)
@@ -48,8 +48,8 @@
 	require.True(t, s.View().Alive(119))
 }
 
-// Pulls are answered at a bounded rate for each control member and table.
-func TestPullsAreBounded(t *testing.T) {
+// Pulls are answered at a limited rate for each control member and table.
+func TestPullAnswersAreRateLimited(t *testing.T) {
 	r := newThreeServers(t)
 	s := r.servers["m0"]
 	s.LinkOpened(r.now, r.link("f", 7))
@@ -60,11 +60,12 @@
 	}
 	require.Len(t, s.Actions(), 3)
 	require.NoError(t, s.ReceiveFromControl(r.now, "m2", 1002, TablePull, p.encode()))
-	require.Len(t, s.Actions(), 1, "another is not held up")
+	require.Len(t, s.Actions(), 1, "another is not delayed")
 }
 
-// One name gets a bounded number of bytes of snapshots, however many processes it has, and the last of them gets one in the end.
-func TestSnapshotsOfANameAreBounded(t *testing.T) {
+// One name gets a limited number of bytes of snapshots, however many processes it has, and the last of them gets one
+// in the end.
+func TestSnapshotBytesOfANameAreLimited(t *testing.T) {
 	p := newServerAndClient(t, 2000)
 	before := p.server.Counters
 	subscribe := func(incarnation uint64) {
@@ -89,8 +90,8 @@
 	}
 }
 
-// Small views go to each process of a name at once.
-func TestSmallSnapshotsAreNotHeldBack(t *testing.T) {
+// Small views are sent to each process of a name at once.
+func TestSmallSnapshotsAreNotDelayed(t *testing.T) {
 	p := newServerAndClient(t, 5)
 	before := p.server.Counters.Snapshots
 	for i := range uint64(20) {
@@ -102,8 +103,8 @@
 	require.Equal(t, 20, p.server.Counters.Snapshots-before)
 }
 
-// What the log has is sent at a bounded rate too.
-func TestCatchUpsAreBounded(t *testing.T) {
+// What the log has is sent at a limited rate too.
+func TestCatchUpsAreRateLimited(t *testing.T) {
 	p := newServerAndClient(t, 3)
 	sequence, digest := p.server.sequence, p.server.View().Digest()
 	p.heartbeatOf(9, 9)
@@ -117,8 +118,8 @@
 	require.Equal(t, 8, p.server.Counters.CatchUps-before)
 }
 
-// A name with many processes tells the last few in its row, which others take.
-func TestManyProcesses(t *testing.T) {
+// The table entry of a name with many processes reports the last few, and others take them.
+func TestTableEntryReportsTheLastSupersededProcesses(t *testing.T) {
 	r := newThreeServers(t)
 	for i := range uint64(10) {
 		r.now += 20 * second // beyond damping
@@ -137,7 +138,7 @@
 }
 
 // A process has a bounded number of links; the oldest are closed.
-func TestManyLinks(t *testing.T) {
+func TestLinksOfAProcessAreBounded(t *testing.T) {
 	p := newServerAndClient(t, 0)
 	closed := 0
 	for i := range 10 {
@@ -150,8 +151,8 @@
 	require.Len(t, p.server.leasesByName["f"].links, maxLinksPerProcess)
 }
 
-// Messages that nobody fetches are bounded.
-func TestActionsAreBounded(t *testing.T) {
+// Messages that nobody takes are bounded.
+func TestQueuedMessagesAreBounded(t *testing.T) {
 	p := newServerAndClient(t, 0)
 	for range maxQueuedMessages + 10 {
 		require.NoError(t, p.server.Receive(p.now, p.link, Heartbeat, (&heartbeat{name: "f"}).encode()))
@@ -159,18 +160,19 @@
 	require.Len(t, p.server.Actions(), maxQueuedMessages)
 }
 
-// Of two processes of one name the order becomes right as soon as messages say better how far the clocks are apart, without any
-// change of their rows.
-func TestOrderFollowsTheClocks(t *testing.T) {
+// The order of two processes of one name becomes right as soon as messages give a better estimate of the clocks'
+// offset, without any change of their table entries.
+func TestProcessOrderFollowsTheClockEstimates(t *testing.T) {
 	r := newThreeServers(t)
 	s := NewServer(Config{Name: "m2", Zone: "zc", Incarnation: 1002, ControlMembers: threeControls})
 	s.Tick(r.now, r.membersSeenBy("m2"))
-	push := func(home string, epoch, incarnation uint64, sent, challenged monotime.Micros) {
-		m := tableMessage{tableVersion: tableVersion{home, epoch, 1, 0}, sentAt: sent, entries: []tableEntry{{name: "f", zone: "za", incarnation: incarnation, challengedAt: challenged}}}
+	push := func(home string, epoch, incarnation uint64, sentAt, challengedAt monotime.Micros) {
+		entries := []tableEntry{{name: "f", zone: "za", incarnation: incarnation, challengedAt: challengedAt}}
+		m := tableMessage{tableVersion: tableVersion{home, epoch, 1, 0}, sentAt: sentAt, entries: entries}
 		m.digest = m.entries[0].digest()
 		require.NoError(t, s.ReceiveFromControl(r.now, home, epoch, TableUpdate, m.encode()))
 	}
-	// The earlier process is told of in a message that took 10 s.
+	// The earlier process is reported in a message that took 10 s.
 	push("m0", 1000, 9, r.now-10*second, r.now-10*second-100*ms)
 	push("m1", 1001, 5, r.now, r.now-second)
 	s.Tick(r.now+50*ms, nil)
@@ -182,8 +184,8 @@
 	require.Equal(t, uint64(5), e.Incarnation)
 }
 
-// An empty slot leaves the preferred control member of the other empty slot to that.
-func TestSlotsLeaveEachOtherTheirs(t *testing.T) {
+// An empty slot leaves the preferred control member of the other empty slot to that slot.
+func TestEmptySlotLeavesTheOtherItsPreferredMember(t *testing.T) {
 	controls := []ControlMember{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z2"}, {Name: "c", Zone: "z2"}}
 	for i := range 50 {
 		c := NewClient(Config{Name: fmt.Sprint("f", i), Zone: "z1", Incarnation: 7, ControlMembers: controls})
--- a/fleet/membership/member_restart_test.go
+++ b/fleet/membership/member_restart_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// twoHomes is a front end with links to two control members, m0 and m1, of which the test says how each sees a third, m2.
+// twoHomes is a front end with links to two control members, m0 and m1, of which the test determines how each sees a
+// third, m2.
 type twoHomes struct {
 	t       *testing.T
 	now     monotime.Micros
@@ -26,12 +27,18 @@
 	laterProcess   = ControlMember{Name: "m2", Zone: "zc", Incarnation: 20, State: Alive, ChallengedAt: 101 * second}
 )
 
-// newTwoHomes has both control members see such a process of m2 first, and the front end follow m0.
+// newTwoHomes returns control members that each see such a process of m2 first, and a front end that follows m0.
 func newTwoHomes(t *testing.T, atM0, atM1 ControlMember) *twoHomes {
 	controls := []ControlMember{{Name: "m0", Zone: "za"}, {Name: "m1", Zone: "zb"}, {Name: "m2", Zone: "zc"}}
-	r := &twoHomes{t: t, now: 100 * second, servers: map[string]*Server{}, sees: map[string]ControlMember{"m0": atM0, "m1": atM1}}
+	r := &twoHomes{
+		t:       t,
+		now:     100 * second,
+		servers: map[string]*Server{},
+		sees:    map[string]ControlMember{"m0": atM0, "m1": atM1},
+	}
 	for i, name := range []string{"m0", "m1"} {
-		r.servers[name] = NewServer(Config{Name: name, Zone: controls[i].Zone, Incarnation: uint64(i + 1), ControlMembers: controls})
+		cfg := Config{Name: name, Zone: controls[i].Zone, Incarnation: uint64(i + 1), ControlMembers: controls}
+		r.servers[name] = NewServer(cfg)
 	}
 	for i := range 100 {
 		r.client = NewClient(Config{Name: fmt.Sprintf("f%d", i), Zone: "za", Incarnation: 9, ControlMembers: controls})
@@ -81,9 +88,9 @@
 	assert.Equal(r.t, Entry{Name: "m2", Zone: "zc", Role: Control, Incarnation: incarnation, State: state, Home: "m2"}, e)
 }
 
-// A home that has not heard of the later process of a control member does not bring the earlier one back at a front end that has
-// seen the later, and the later one is shown alive as soon as that home tells of it.
-func TestHomeBehindAboutAControlMember(t *testing.T) {
+// A home that does not know of the later process of a control member does not bring the earlier one back at a front
+// end that has seen the later; the later one is shown Alive as soon as that home reports it.
+func TestLaggingHomeDoesNotRestoreAnEarlierProcess(t *testing.T) {
 	r := newTwoHomes(t, earlierProcess, earlierProcess)
 	r.shows(earlierProcess.Incarnation, Alive)
 	r.sees["m0"] = laterProcess
@@ -102,8 +109,8 @@
 	assert.True(t, r.client.View().Alive(laterProcess.Incarnation))
 }
 
-// The same where the front end has only ever seen the later process.
-func TestHomeBehindShowsAnUnknownEarlierProcess(t *testing.T) {
+// The same holds if the front end has only ever seen the later process.
+func TestEarlierProcessNotSeenBeforeIsShownDead(t *testing.T) {
 	r := newTwoHomes(t, laterProcess, earlierProcess)
 	r.shows(laterProcess.Incarnation, Alive)
 	r.client.LinkClosed(r.now, "m0")
--- a/fleet/membership/property_test.go
+++ b/fleet/membership/property_test.go
@@ -8,16 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is lost, late, doubled, cut, stopped and restarted: after calm all views are the same and right, and at no time does a
-// view show an incarnation again that a later process of its name has replaced.
-func TestViewsAgreeInTheEnd(t *testing.T) {
+// Whatever is lost, late, duplicated, cut, stopped and restarted: after the faults have ended all views are the same
+// and right, and at no time does a view show an incarnation again that a later process of its name has superseded.
+func TestViewsConvergeAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		history(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 5).Draw(t, "servers"), rapid.IntRange(5, 30).Draw(t, "clients"),
-			func(i int) int { return rapid.IntRange(0, 10).Draw(t, fmt.Sprint("fault", i)) })
+		seed := rapid.Uint64().Draw(t, "seed")
+		servers, clients := rapid.IntRange(3, 5).Draw(t, "servers"), rapid.IntRange(5, 30).Draw(t, "clients")
+		history(t, seed, servers, clients, func(i int) int {
+			return rapid.IntRange(0, 10).Draw(t, fmt.Sprint("fault", i))
+		})
 	})
 }
 
-// tb gives a rapid.T the methods that the rig uses.
+// tb is a testing.TB that reports to a rapid.T, with the methods that the rig uses.
 type tb struct {
 	testing.TB
 	rapid *rapid.T
@@ -37,8 +40,8 @@
 	for i := range clients {
 		r.attach(fmt.Sprintf("f%02d", i), zones[i%servers])
 	}
-	lookers := map[any]*observer{}
-	r.check = func() { r.checkNoReturn(t, lookers) }
+	observers := map[any]*observer{}
+	r.check = func() { r.checkNoReturn(t, observers) }
 	for i := range steps {
 		r.fault(fault(i))
 		r.run(r.random.between(100*ms, 6*second))
@@ -50,49 +53,50 @@
 
 // observer is what was seen in one view.
 type observer struct {
-	digest uint64
-	last   map[string]uint64 // by name
-	past   map[uint64]bool
+	digest     uint64
+	last       map[string]uint64 // by name
+	superseded map[uint64]bool
 }
 
-// checkNoReturn checks every server's and client's view for incarnations that come again. At a client one that is Dead does not count:
-// a home on the other side of a cut may know of nothing later, and its front ends then show the earlier one as what it is.
-func (r *rig) checkNoReturn(t *rapid.T, lookers map[any]*observer) {
-	look := func(who string, key any, v *View, strict bool) {
-		l := lookers[key]
-		if l == nil {
-			l = &observer{last: map[string]uint64{}, past: map[uint64]bool{}}
-			lookers[key] = l
-		}
-		if l.digest == v.Digest() {
+// checkNoReturn checks that no server's or client's view shows a superseded incarnation again. At a client one that is
+// Dead does not count: a home on the other side of a cut may know of nothing later, and its front ends then show the
+// earlier one as Dead.
+func (r *rig) checkNoReturn(t *rapid.T, observers map[any]*observer) {
+	observe := func(who string, key any, v *View, strict bool) {
+		o := observers[key]
+		if o == nil {
+			o = &observer{last: map[string]uint64{}, superseded: map[uint64]bool{}}
+			observers[key] = o
+		}
+		if o.digest == v.Digest() {
 			return
 		}
-		l.digest = v.Digest()
+		o.digest = v.Digest()
 		for _, e := range v.Entries() {
-			before := l.last[e.Name]
+			before := o.last[e.Name]
 			if before == e.Incarnation || !strict && v.PresumedDead(e.Incarnation) {
 				continue
 			}
-			l.past[before] = true
-			l.last[e.Name] = e.Incarnation
-			if l.past[e.Incarnation] {
+			o.superseded[before] = true
+			o.last[e.Name] = e.Incarnation
+			if o.superseded[e.Incarnation] {
 				t.Fatalf("%s shows %d of %s again after %d, at %d ms", who, e.Incarnation, e.Name, before, r.now/ms)
 			}
 		}
 	}
 	for _, s := range r.servers {
 		if s.up {
-			look(s.cfg.Name, s.Server, s.View(), true)
+			observe(s.cfg.Name, s.Server, s.View(), true)
 		}
 	}
 	for _, c := range r.clients {
 		if c.up {
-			look(c.cfg.Name, c.Client, c.View(), false)
+			observe(c.cfg.Name, c.Client, c.View(), false)
 		}
 	}
 }
 
-// fault does one of the faults, to somebody that the seed chooses.
+// fault causes one of the faults, at a server or client that the seed chooses.
 func (r *rig) fault(kind int) {
 	s := r.servers[r.random.next()%uint64(len(r.servers))]
 	c := r.clients[r.random.next()%uint64(len(r.clients))]
--- a/fleet/membership/rig_test.go
+++ b/fleet/membership/rig_test.go
@@ -16,7 +16,7 @@
 	second                 = 1000 * ms
 )
 
-// event is something that happens at a time in the rig; equal times in the order they were planned.
+// event is something that happens at a time in the rig; events at equal times happen in the order of scheduling.
 type event struct {
 	at    monotime.Micros
 	order int
@@ -68,8 +68,8 @@
 	seen              map[uint64]bool // incarnations that its view has shown and replaced
 }
 
-// rig is servers and clients over a network that may lose, delay and double what it carries. Links are opened by a dial that
-// takes a while; a message is lost with its link. Everything follows from the seed.
+// rig is servers and clients over a network that may lose, delay and duplicate messages. Links are opened by a dial
+// that takes a while; a message is lost with its link. Everything is determined by the seed.
 type rig struct {
 	t                     testing.TB
 	now                   monotime.Micros
@@ -80,8 +80,8 @@
 	clients               []*rigClient
 	names                 map[string]*rigServer
 	byName                map[string]*rigClient
-	lostPerThousand       int // per thousand of messages
-	duplicatedPerThousand int // per thousand
+	lostPerThousand       int // messages
+	duplicatedPerThousand int // messages
 	maxDelay              monotime.Micros
 	cut                   func(from, to string) bool
 	next                  uint64 // incarnation
@@ -92,8 +92,17 @@
 }
 
 func newRig(t testing.TB, seed uint64, zones ...string) *rig {
-	r := &rig{t: t, random: splitMix64(seed), names: map[string]*rigServer{}, byName: map[string]*rigClient{}, next: 100, maxDelay: 5 * ms,
-		cut: func(_, _ string) bool { return false }, queueFull: func(*rigClient) bool { return false }, check: func() {}}
+	r := &rig{
+		t:         t,
+		random:    splitMix64(seed),
+		names:     map[string]*rigServer{},
+		byName:    map[string]*rigClient{},
+		next:      100,
+		maxDelay:  5 * ms,
+		cut:       func(_, _ string) bool { return false },
+		queueFull: func(*rigClient) bool { return false },
+		check:     func() {},
+	}
 	for i, zone := range zones {
 		r.controls = append(r.controls, ControlMember{Name: fmt.Sprintf("m%02d", i), Zone: zone})
 	}
@@ -110,23 +119,23 @@
 	return r
 }
 
-func (r *rig) schedule(span monotime.Micros, do func()) {
+func (r *rig) schedule(delay monotime.Micros, do func()) {
 	r.order++
-	heap.Push(&r.queue, event{r.now + span, r.order, do})
+	heap.Push(&r.queue, event{r.now + delay, r.order, do})
 }
 
-func (r *rig) every(span monotime.Micros, do func()) {
+func (r *rig) every(delay monotime.Micros, do func()) {
 	var again func()
 	again = func() {
 		do()
-		r.schedule(span, again)
+		r.schedule(delay, again)
 	}
-	r.schedule(r.random.between(0, span), again)
+	r.schedule(r.random.between(0, delay), again)
 }
 
-// run lets time pass.
-func (r *rig) run(span monotime.Micros) {
-	end := r.now + span
+// run advances the time.
+func (r *rig) run(delay monotime.Micros) {
+	end := r.now + delay
 	for len(r.queue) > 0 && r.queue[0].at <= end {
 		e := heap.Pop(&r.queue).(event)
 		r.now = e.at
@@ -157,16 +166,22 @@
 
 // membersSeenBy is the control members as one of them sees them: without a cut as they are.
 func (r *rig) membersSeenBy(s *rigServer) (list []ControlMember) {
-	for _, o := range r.servers {
-		if o == s {
+	for _, other := range r.servers {
+		if other == s {
 			continue
 		}
-		m := ControlMember{Name: o.cfg.Name, Zone: o.cfg.Zone, Incarnation: o.cfg.Incarnation, State: Alive, ChallengedAt: o.challengedAt}
-		switch cut := r.cut(o.cfg.Name, s.cfg.Name); {
-		case !o.up || o.paused:
+		m := ControlMember{
+			Name:         other.cfg.Name,
+			Zone:         other.cfg.Zone,
+			Incarnation:  other.cfg.Incarnation,
+			State:        Alive,
+			ChallengedAt: other.challengedAt,
+		}
+		switch cut := r.cut(other.cfg.Name, s.cfg.Name); {
+		case !other.up || other.paused:
 			m.State = Dead
 		case cut && slices.ContainsFunc(r.servers, func(via *rigServer) bool {
-			return via != o && via != s && via.up && !r.cut(o.cfg.Name, via.cfg.Name) && !r.cut(via.cfg.Name, s.cfg.Name)
+			return via != other && via != s && via.up && !r.cut(other.cfg.Name, via.cfg.Name) && !r.cut(via.cfg.Name, s.cfg.Name)
 		}):
 			m.IndirectlyAlive = true
 		case cut:
@@ -191,11 +206,11 @@
 		return
 	}
 	body, incarnation := s.Versions(r.now), s.cfg.Incarnation
-	for _, o := range r.servers {
-		if o != s {
-			r.transmit(s.cfg.Name, o.cfg.Name, func() {
-				r.atServer(o, func() {
-					if err := o.ReceiveVersions(r.now, s.cfg.Name, incarnation, body); err != nil {
+	for _, other := range r.servers {
+		if other != s {
+			r.transmit(s.cfg.Name, other.cfg.Name, func() {
+				r.atServer(other, func() {
+					if err := other.ReceiveVersions(r.now, s.cfg.Name, incarnation, body); err != nil {
 						r.errors = append(r.errors, err)
 					}
 				})
@@ -204,7 +219,7 @@
 	}
 }
 
-// transmit brings a message over, perhaps late, twice or not at all.
+// transmit delivers a message, perhaps late, twice or not at all.
 func (r *rig) transmit(from, to string, do func()) {
 	times := 1
 	if int(r.random.next()%1000) < r.duplicatedPerThousand {
@@ -244,10 +259,10 @@
 	incarnation := s.cfg.Incarnation
 	for _, m := range s.Actions() {
 		if m.Incarnation == 0 {
-			o := r.names[m.To]
+			other := r.names[m.To]
 			r.transmit(s.cfg.Name, m.To, func() {
-				r.atServer(o, func() {
-					if err := o.ReceiveFromControl(r.now, s.cfg.Name, incarnation, m.Kind, m.Body); err != nil {
+				r.atServer(other, func() {
+					if err := other.ReceiveFromControl(r.now, s.cfg.Name, incarnation, m.Kind, m.Body); err != nil {
 						r.errors = append(r.errors, err)
 					}
 				})
@@ -272,8 +287,8 @@
 	}
 	for _, l := range s.LinksToClose() {
 		if c := r.byName[l.From]; c != nil {
-			if o := c.links[s.cfg.Name]; o != nil && o.link == l {
-				r.closeLink(o)
+			if other := c.links[s.cfg.Name]; other != nil && other.link == l {
+				r.closeLink(other)
 			}
 		}
 	}
@@ -336,7 +351,7 @@
 	}
 }
 
-// tickClient ticks a client whenever it says.
+// tickClient ticks a client whenever it is due.
 func (r *rig) tickClient(c *rigClient, incarnation uint64) {
 	if !c.up || c.cfg.Incarnation != incarnation {
 		return
@@ -408,7 +423,7 @@
 	}
 }
 
-// pause stops a process as SIGSTOP does; resume lets it go on with all that came meanwhile.
+// resumeClient continues a client that was stopped as by SIGSTOP, with all that was queued meanwhile.
 func (r *rig) resumeClient(c *rigClient) {
 	c.paused = false
 	list := c.backlog
@@ -429,7 +444,7 @@
 
 func (r *rig) client(name string) *rigClient { return r.byName[name] }
 
-// requireAgreement checks that all views are the same and show every process that runs alive, under its incarnation.
+// requireAgreement checks that all views are the same and show every running process Alive, under its incarnation.
 func (r *rig) requireAgreement() {
 	r.t.Helper()
 	first := r.servers[slices.IndexFunc(r.servers, func(s *rigServer) bool { return s.up })].View()
--- a/fleet/membership/slots_test.go
+++ b/fleet/membership/slots_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// controlsInZones is control members in zones: perZone of each.
+// controlsInZones returns control members in zones: perZone of each.
 func controlsInZones(zones, perZone int) (list []ControlMember) {
 	for i := range zones {
 		for j := range perZone {
@@ -21,7 +21,7 @@
 	return list
 }
 
-// linkedClients gives clients that have links to their targets, and a view that says that all control members are alive.
+// linkedClients returns clients that have links to their targets, and a view that shows all control members Alive.
 func linkedClients(zones, each int, controls []ControlMember) (clients []*Client, now monotime.Micros) {
 	for i := range zones * each {
 		clients = append(clients, NewClient(Config{Name: fmt.Sprintf("f%04d", i), Zone: fmt.Sprintf("z%02d", i/each),
@@ -38,23 +38,24 @@
 // serveClient opens the links that a client wants, and answers each heartbeat.
 func serveClient(c *Client, now monotime.Micros) {
 	for _, name := range c.Targets(now) {
-		if o := c.peersByName[name]; !o.linked {
+		if member := c.peersByName[name]; !member.linked {
 			c.LinkOpened(now, name, 1+rendezvousWeight(name, "", 0)%1000)
 		}
 	}
 	for _, m := range c.Actions() {
-		o := c.peersByName[m.To]
-		if !o.linked {
+		member := c.peersByName[m.To]
+		if !member.linked {
 			continue
 		}
 		h, _ := decodeHeartbeat(m.Body)
-		answer := viewMessage{epoch: o.incarnation, isAnswer: true, heartbeatSentAt: h.sentAt}
-		_ = c.Receive(now, m.To, o.incarnation, ViewUpdate, answer.encode())
+		answer := viewMessage{epoch: member.incarnation, isAnswer: true, heartbeatSentAt: h.sentAt}
+		_ = c.Receive(now, m.To, member.incarnation, ViewUpdate, answer.encode())
 	}
 }
 
-// At the size of the fleet each control member gets its share: first links only from its zone, second ones from all others.
-func TestChoiceSpreads(t *testing.T) {
+// At the size of the fleet each control member gets its share: first links only from its zone, second ones from all
+// others.
+func TestPreferredMembersAreSpread(t *testing.T) {
 	controls := controlsInZones(23, 2)
 	clients, now := linkedClients(23, 117, controls)
 	first, both := map[string]int{}, map[string]int{}
@@ -68,20 +69,20 @@
 		both[list[0]]++
 		both[list[1]]++
 	}
-	for _, o := range controls {
-		assert.InDelta(t, 58.5, first[o.Name], 30, o.Name)
-		assert.InDelta(t, 117, both[o.Name], 45, o.Name)
+	for _, member := range controls {
+		assert.InDelta(t, 58.5, first[member.Name], 30, member.Name)
+		assert.InDelta(t, 117, both[member.Name], 45, member.Name)
 	}
 }
 
-// Front ends of a control member that is lost go to all others, spread over time, none to the zone's other one, and those that held
-// it not keep their other link; the view is taken from the second slot in the same instant.
-func TestLostControlSpreads(t *testing.T) {
+// Front ends of a lost control member go to all others, spread over time, and none of its zone to the zone's other
+// one; each keeps its other link, and the view is taken from the second slot at once.
+func TestFrontEndsOfALostMemberSpreadOverAll(t *testing.T) {
 	controls := controlsInZones(23, 2)
 	clients, now := linkedClients(23, 117, controls)
 	const lost = "m05-0"
 	var moved []*Client
-	kept := map[*Client]string{}
+	otherLink := map[*Client]string{}
 	for _, c := range clients {
 		list := c.Targets(now)
 		if !slices.Contains(list, lost) {
@@ -94,10 +95,10 @@
 			other = list[1]
 		}
 		require.Equal(t, other, c.Home())
-		kept[c] = other
+		otherLink[c] = other
 	}
 	require.Greater(t, len(moved), 80)
-	when, where := map[monotime.Micros]int{}, map[string]int{}
+	when, replaced := map[monotime.Micros]int{}, map[*Client]bool{}
 	for end := now + 4*second; now < end; now += 50 * ms {
 		for _, c := range moved {
 			if slices.Contains(c.Targets(now), lost) {
@@ -106,8 +107,10 @@
 			before := c.Counters.LostControlMembers
 			serveClient(c, now)
 			require.Equal(t, before, c.Counters.LostControlMembers)
-			if list := c.Targets(now); len(list) == 2 && c.peersByName[list[0]].linked && c.peersByName[list[1]].linked && where[c.cfg.Name] == 0 {
-				where[c.cfg.Name] = 1
+			list := c.Targets(now)
+			bothLinked := len(list) == 2 && c.peersByName[list[0]].linked && c.peersByName[list[1]].linked
+			if bothLinked && !replaced[c] {
+				replaced[c] = true
 				when[now/(200*ms)]++
 			}
 		}
@@ -118,7 +121,7 @@
 		require.Len(t, list, 2, c.cfg.Name)
 		require.NotContains(t, list, lost)
 		for _, name := range list {
-			if name != kept[c] {
+			if name != otherLink[c] {
 				to[name]++
 			}
 			if c.cfg.Zone == "z05" {
@@ -135,8 +138,8 @@
 	}
 }
 
-// A link that breaks while its control member is there is opened again to the same one.
-func TestBrokenLink(t *testing.T) {
+// A link that breaks while its control member is up is opened again to the same one.
+func TestBrokenLinkIsDialedAgain(t *testing.T) {
 	clients, now := linkedClients(3, 1, controlsInZones(3, 2))
 	c := clients[0]
 	list := c.Targets(now)
@@ -148,15 +151,15 @@
 	require.Equal(t, list, c.Targets(now))
 }
 
-// A control member whose link is open and that is silent is given up: its view first, and then its slot.
-func TestSilentControl(t *testing.T) {
+// A control member whose link is open and that is unresponsive is given up: first as the home, and then its slot.
+func TestUnresponsiveMemberIsReplaced(t *testing.T) {
 	clients, now := linkedClients(3, 1, controlsInZones(3, 2))
 	c := clients[0]
 	list := c.Targets(now)
 	answer := func(name string) {
-		o := c.peersByName[name]
-		m := viewMessage{epoch: o.incarnation, isAnswer: true, heartbeatSentAt: now}
-		require.NoError(t, c.Receive(now, name, o.incarnation, ViewUpdate, m.encode()))
+		member := c.peersByName[name]
+		m := viewMessage{epoch: member.incarnation, isAnswer: true, heartbeatSentAt: now}
+		require.NoError(t, c.Receive(now, name, member.incarnation, ViewUpdate, m.encode()))
 	}
 	answer(list[0])
 	began := now
@@ -179,47 +182,47 @@
 	assert.InDelta(t, 4*second, replaced, float64(100*ms))
 }
 
-// A front end that hears none of its control members any more tries others before its leases with them end, and holds links to
-// those from then on.
-func TestBothSilent(t *testing.T) {
+// A front end whose control members are all unresponsive tries others before its leases with them end, and keeps links
+// to those from then on.
+func TestCandidatesAreTriedBesideUnresponsiveMembers(t *testing.T) {
 	clients, now := linkedClients(6, 2, controlsInZones(6, 2))
 	for _, c := range clients {
 		list := c.Targets(now)
-		var dialled, held monotime.Micros
+		var dialedAfter, homeAfter monotime.Micros
 		for at := now; at < now+4*second; at += 50 * ms {
 			others := slices.DeleteFunc(c.Targets(at), func(name string) bool { return slices.Contains(list, name) })
 			for _, name := range others {
-				if dialled == 0 {
-					dialled = at - now
+				if dialedAfter == 0 {
+					dialedAfter = at - now
 				}
 				if !c.peersByName[name].linked {
 					c.LinkOpened(at+ms, name, 1)
 				}
 			}
 			answerHeartbeatsTo(c, at+2*ms, others)
-			if held == 0 && slices.Contains(others, c.Home()) {
-				held = at - now
+			if homeAfter == 0 && slices.Contains(others, c.Home()) {
+				homeAfter = at - now
 			}
 		}
-		require.InDelta(t, 2*second, dialled, float64(600*ms), "2.5 s after the last sign")
-		require.InDelta(t, 2*second, held, float64(600*ms), "as soon as the home is silent too")
+		require.InDelta(t, 2*second, dialedAfter, float64(600*ms), "2.5 s after the last sign")
+		require.InDelta(t, 2*second, homeAfter, float64(600*ms), "as soon as the home is unresponsive too")
 		require.Len(t, c.Targets(now+4*second), 2)
 	}
 }
 
-// answerHeartbeatsTo answers the heartbeats to some.
+// answerHeartbeatsTo answers the heartbeats to some control members.
 func answerHeartbeatsTo(c *Client, now monotime.Micros, names []string) {
 	for _, m := range c.Actions() {
-		if o := c.peersByName[m.To]; slices.Contains(names, m.To) && o.linked {
+		if member := c.peersByName[m.To]; slices.Contains(names, m.To) && member.linked {
 			h, _ := decodeHeartbeat(m.Body)
-			answer := viewMessage{epoch: o.incarnation, isAnswer: true, heartbeatSentAt: h.sentAt}
-			_ = c.Receive(now, m.To, o.incarnation, ViewUpdate, answer.encode())
+			answer := viewMessage{epoch: member.incarnation, isAnswer: true, heartbeatSentAt: h.sentAt}
+			_ = c.Receive(now, m.To, member.incarnation, ViewUpdate, answer.encode())
 		}
 	}
 }
 
-// A silent control member that is heard again keeps its slot; what was tried beside it is let go.
-func TestHeardAgain(t *testing.T) {
+// An unresponsive control member that responds again keeps its slot; the candidate beside it is dropped.
+func TestMemberThatRespondsAgainKeepsItsSlot(t *testing.T) {
 	clients, now := linkedClients(6, 1, controlsInZones(6, 2))
 	for _, c := range clients {
 		list := c.Targets(now)
@@ -229,16 +232,17 @@
 		}
 		require.Len(t, c.Targets(at), 4)
 		for _, name := range list {
-			o := c.peersByName[name]
-			answer := viewMessage{epoch: o.incarnation, isAnswer: true, heartbeatSentAt: now}
-			require.NoError(t, c.Receive(at, name, o.incarnation, ViewUpdate, answer.encode()))
+			member := c.peersByName[name]
+			answer := viewMessage{epoch: member.incarnation, isAnswer: true, heartbeatSentAt: now}
+			require.NoError(t, c.Receive(at, name, member.incarnation, ViewUpdate, answer.encode()))
 		}
 		require.Equal(t, list, c.Targets(at+50*ms))
 	}
 }
 
-// A front end that loses its only link dials at once, and one that has another after a longer pause, as many may do so.
-func TestNoLiveLink(t *testing.T) {
+// A front end that loses its only link dials at once, and one that has another link after a longer delay, as many may
+// do so.
+func TestIsolatedFrontEndDialsSoon(t *testing.T) {
 	clients, now := linkedClients(6, 20, controlsInZones(6, 2))
 	var slow int
 	for _, c := range clients {
@@ -255,9 +259,9 @@
 	require.Greater(t, slow, len(clients)*3/4, "the first was lost beside another")
 }
 
-// Control members that close each link after its hello, as those do that know of a later process of the name, are dialled rarely; one
-// that does so alone is replaced.
-func TestClosedAfterHello(t *testing.T) {
+// Control members that close each link after its hello, as those do that know of a later process of the name, are
+// dialed rarely; if only one does so it is replaced.
+func TestMembersThatCloseAfterTheHelloAreDialedRarely(t *testing.T) {
 	for _, refusing := range []int{1, 6} {
 		controls := controlsInZones(3, 2)
 		c := NewClient(Config{Name: "f", Zone: "z00", Incarnation: 7, ControlMembers: controls})
@@ -266,11 +270,11 @@
 		hellos := 0
 		for now := second; now < 120*second; now += 50 * ms {
 			for _, name := range c.Targets(now) {
-				if o := c.peersByName[name]; refusing == 6 || name == first {
+				if member := c.peersByName[name]; refusing == 6 || name == first {
 					hellos++
 					c.LinkOpened(now, name, 1)
 					c.LinkClosed(now, name)
-				} else if !o.linked {
+				} else if !member.linked {
 					c.LinkOpened(now, name, 1)
 				}
 			}
@@ -286,8 +290,8 @@
 	}
 }
 
-// Where nobody can be reached dials become rare, and go on for ever.
-func TestNobodyThere(t *testing.T) {
+// If nobody can be reached dials become rare, and continue for ever.
+func TestUnreachableMembersAreDialedRarely(t *testing.T) {
 	c := NewClient(Config{Name: "f", Zone: "z00", Incarnation: 7, ControlMembers: controlsInZones(3, 2)})
 	dials, late := 0, 0
 	for now := monotime.Micros(0); now < 1200*second; now += 50 * ms {
@@ -303,8 +307,8 @@
 	assert.NotZero(t, late)
 }
 
-// With one control member, or none outside the zone, what there is is used.
-func TestFewControls(t *testing.T) {
+// With one control member, or none outside the zone, those that there are are used.
+func TestFewMembersAreAllUsed(t *testing.T) {
 	for n := range 3 {
 		clients, now := linkedClients(1, 4, controlsInZones(1, n))
 		for _, c := range clients {
@@ -315,13 +319,15 @@
 	}
 }
 
-// However control members come and go, the two slots never hold the same one, and all is as preferred in the end.
-func TestSlotsDiffer(t *testing.T) {
+// However control members come and go, the two slots never have the same one, and all is as preferred in the end.
+func TestSlotsNeverShareAMember(t *testing.T) {
 	for seed := range 20 {
 		controls := controlsInZones(2, 2)
 		c := NewClient(Config{Name: fmt.Sprint("f", seed), Zone: "z00", Incarnation: 7, ControlMembers: controls})
-		for _, o := range controls {
-			c.view.apply([]change{{Entry: Entry{Name: o.Name, Zone: o.Zone, Home: o.Name, Incarnation: 1 + rendezvousWeight(o.Name, "", 0)%1000}}}, fromHomeChanges)
+		for _, member := range controls {
+			incarnation := 1 + rendezvousWeight(member.Name, "", 0)%1000
+			e := Entry{Name: member.Name, Zone: member.Zone, Home: member.Name, Incarnation: incarnation}
+			c.view.apply([]change{{Entry: e}}, fromHomeChanges)
 		}
 		down := splitMix64(seed)
 		var preferred []string
@@ -330,13 +336,13 @@
 			if now > 5*second && now < 600*second {
 				mask = rendezvousWeight("down", fmt.Sprint(now/(20*second)), uint64(down))
 			}
-			for i, o := range controls {
-				if mask>>i&1 == 1 && slices.Contains(c.Targets(now), o.Name) {
-					c.LinkClosed(now, o.Name)
+			for i, member := range controls {
+				if mask>>i&1 == 1 && slices.Contains(c.Targets(now), member.Name) {
+					c.LinkClosed(now, member.Name)
 				}
 			}
 			for _, name := range c.Targets(now) {
-				i := slices.IndexFunc(controls, func(o ControlMember) bool { return o.Name == name })
+				i := slices.IndexFunc(controls, func(member ControlMember) bool { return member.Name == name })
 				if mask>>i&1 == 0 && !c.peersByName[name].linked {
 					c.LinkOpened(now, name, 1+rendezvousWeight(name, "", 0)%1000)
 				}
@@ -353,16 +359,16 @@
 	}
 }
 
-// answerHeartbeatsExcept answers the heartbeats to those that are not in mask.
+// answerHeartbeatsExcept answers the heartbeats to the control members that are not in mask.
 func answerHeartbeatsExcept(c *Client, now monotime.Micros, mask uint64, controls []ControlMember) {
 	for _, m := range c.Actions() {
-		o := c.peersByName[m.To]
-		i := slices.IndexFunc(controls, func(o ControlMember) bool { return o.Name == m.To })
-		if mask>>i&1 == 1 || !o.linked {
+		member := c.peersByName[m.To]
+		i := slices.IndexFunc(controls, func(member ControlMember) bool { return member.Name == m.To })
+		if mask>>i&1 == 1 || !member.linked {
 			continue
 		}
 		h, _ := decodeHeartbeat(m.Body)
-		answer := viewMessage{epoch: o.incarnation, isAnswer: true, heartbeatSentAt: h.sentAt}
-		_ = c.Receive(now, m.To, o.incarnation, ViewUpdate, answer.encode())
+		answer := viewMessage{epoch: member.incarnation, isAnswer: true, heartbeatSentAt: h.sentAt}
+		_ = c.Receive(now, m.To, member.incarnation, ViewUpdate, answer.encode())
 	}
 }
--- a/fleet/membership/startup_test.go
+++ b/fleet/membership/startup_test.go
@@ -6,29 +6,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A control member that has just started does not show a front end as Dead, by the table of an earlier home of it, before the table
-// of the home that holds it has come, also where that home was not heard yet.
-func TestStartAmongTables(t *testing.T) {
-	for _, from := range []struct{ never, unheard bool }{{}, {never: true}, {unheard: true}, {never: true, unheard: true}} {
+// A control member that has just started does not show a front end as Dead, by the table of an earlier home of it,
+// before the table of its present home has arrived, even if that home was not seen yet.
+func TestStartingServerWithholdsDeathsUntilTablesArrive(t *testing.T) {
+	for _, from := range []struct{ noTable, neverSeen bool }{
+		{}, {noTable: true}, {neverSeen: true}, {noTable: true, neverSeen: true},
+	} {
 		r := newThreeServers(t)
 		r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 		for range 50 {
-			held := r.link("f", 7)
-			r.servers["m1"].LinkOpened(r.now, held)
+			r.servers["m1"].LinkOpened(r.now, r.link("f", 7))
 			r.run(100 * ms)
 		}
 		r.requireState("f", 7, Alive)
 		r.startProcess("m2", 2000)
 		r.drop = func(sender, to string, kind Kind) bool {
-			return sender == "m1" && to == "m2" && (from.never || kind == TableUpdate)
+			return sender == "m1" && to == "m2" && (from.noTable || kind == TableUpdate)
 		}
-		r.neverSeen = func(name, by string) bool { return from.unheard && name == "m1" && by == "m2" }
+		r.neverSeen = func(name, by string) bool { return from.neverSeen && name == "m1" && by == "m2" }
 		r.run(second)
 		s := r.servers["m2"]
 		e, ok := s.View().Lookup("f")
 		require.True(t, ok)
 		require.Equal(t, Suspect, e.State, "by m0 it is Dead")
-		if from.never { // death is told in the end where that table does not come
+		if from.noTable { // death is reported in the end if that table does not arrive
 			r.run(tableAwaitTimeout)
 			require.True(t, s.View().PresumedDead(7))
 			continue
@@ -41,7 +42,7 @@
 }
 
 // What is Dead already stays so while another control member starts.
-func TestDeadWhileOneStarts(t *testing.T) {
+func TestDeadStaysDeadWhileAnotherServerStarts(t *testing.T) {
 	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(5 * second)
@@ -49,7 +50,7 @@
 	r.startProcess("m2", 2000)
 	r.drop = func(from, _ string, _ Kind) bool { return from == "m2" }
 	for range 20 {
-		r.servers["m1"].markNameDirty(r.servers["m1"].mergedName("f")) // as when its rows change
+		r.servers["m1"].markNameDirty(r.servers["m1"].mergedName("f")) // as when its table entries change
 		r.run(50 * ms)
 		e, _ := r.servers["m1"].View().Lookup("f")
 		require.Equal(t, Dead, e.State)
--- a/fleet/membership/subscription_test.go
+++ b/fleet/membership/subscription_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// serverAndClient is one control member and one front end whose messages the test carries by hand; others attach without a Client.
+// serverAndClient is one control member and one front end whose messages the test delivers by hand; others attach
+// without a Client.
 type serverAndClient struct {
 	t        *testing.T
 	now      monotime.Micros
@@ -62,7 +63,7 @@
 	}
 }
 
-// heartbeatsOfOthers is a heartbeat of each that attached without a Client.
+// heartbeatsOfOthers sends a heartbeat of each front end that attached without a Client.
 func (p *serverAndClient) heartbeatsOfOthers() {
 	for i := range p.others {
 		p.heartbeatOf(i, uint64(100+i))
@@ -100,8 +101,8 @@
 	return v.content
 }
 
-// A batch of the view that is lost is seen from the next one, or from the version in the next answer, and comes from the log.
-func TestLostBatch(t *testing.T) {
+// A lost batch of the view shows by the next one, or by the version in the next answer, and is sent from the log.
+func TestLostBatchIsSentFromTheLog(t *testing.T) {
 	p := newServerAndClient(t, 50)
 	lost := 0
 	p.drop = func(m Message) bool {
@@ -128,10 +129,10 @@
 	require.Equal(t, 2, p.server.Counters.CatchUps)
 }
 
-// Where the log does not reach back, the sums of 64 parts show what differs, and only that comes.
-func TestBeyondTheLog(t *testing.T) {
+// If the log does not reach back, the digests of 64 buckets show what differs, and only that is sent.
+func TestBeyondTheLogOnlyDifferingBucketsAreSent(t *testing.T) {
 	p := newServerAndClient(t, 400)
-	whole := p.client.Counters.SnapshotBytes
+	snapshotBytes := p.client.Counters.SnapshotBytes
 	p.drop = func(Message) bool { return true }
 	for i := range maxLogBatches + 10 {
 		p.heartbeatOf(1000+i%6, uint64(5000+i))
@@ -140,7 +141,8 @@
 		p.server.publishView()
 		p.now += 20 * second // beyond damping
 		p.heartbeatsOfOthers()
-		p.recordError(p.server.Receive(p.now, p.link, Heartbeat, (&heartbeat{name: "f", sentAt: 1, subscribe: true}).encode()))
+		h := heartbeat{name: "f", sentAt: 1, subscribe: true}
+		p.recordError(p.server.Receive(p.now, p.link, Heartbeat, h.encode()))
 		p.server.Tick(p.now, nil)
 		p.server.Actions()
 	}
@@ -150,11 +152,12 @@
 	p.requireAgreement()
 	require.Equal(t, 1, p.client.Counters.Snapshots)
 	require.Equal(t, 1, p.client.Counters.DigestRepairs)
-	require.Less(t, p.client.Counters.RepairBytes, whole/3)
+	require.Less(t, p.client.Counters.RepairBytes, snapshotBytes/3)
 }
 
-// A front end that does not read gets nothing more until its next heartbeat, and then from the log; others are not delayed.
-func TestSlowReader(t *testing.T) {
+// A front end that does not read gets nothing more until its next heartbeat, and then from the log; others are not
+// delayed.
+func TestSubscriberWithAFullQueueResumesFromTheLog(t *testing.T) {
 	p := newServerAndClient(t, 20)
 	quick := Link{From: "quick", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
 	h := heartbeat{name: "quick", sentAt: p.now, subscribe: true, resume: true}
@@ -183,13 +186,14 @@
 	require.Equal(t, 1, p.server.Counters.CatchUps)
 }
 
-// Batches and the snapshot are encoded once and shared by all that get them.
-func TestSharedBodies(t *testing.T) {
+// Batches and the snapshot are encoded once and shared by all subscribers.
+func TestSubscribersShareBodies(t *testing.T) {
 	p := newServerAndClient(t, 300)
 	var bodies [][]byte
 	for _, name := range []string{"a", "b", "c"} {
 		h := heartbeat{name: name, subscribe: true, resume: true}
-		require.NoError(t, p.server.Receive(p.now, Link{From: name, Zone: "za", Incarnation: rendezvousWeight(name, "", 0), ChallengedAt: p.now}, Heartbeat, h.encode()))
+		link := Link{From: name, Zone: "za", Incarnation: rendezvousWeight(name, "", 0), ChallengedAt: p.now}
+		require.NoError(t, p.server.Receive(p.now, link, Heartbeat, h.encode()))
 	}
 	for _, m := range p.server.Actions() {
 		if p.contentOf(m) == fullBuckets {
@@ -211,13 +215,13 @@
 	assert.Same(t, &bodies[0][0], &bodies[3][0])
 }
 
-// A front end whose digests never agree gets repairs at a bounded rate, and its link is closed in the end.
-func TestNeverAgrees(t *testing.T) {
+// A front end whose digests never agree gets repairs at a limited rate, and its link is closed in the end.
+func TestSubscriberThatNeverAgreesLosesItsLink(t *testing.T) {
 	p := newServerAndClient(t, 20)
 	l := Link{From: "odd", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
 	var err error
-	beats, repairs := 0, -p.server.Counters.Snapshots-p.server.Counters.DigestRepairs
-	for ; err == nil && beats < 1000; beats++ {
+	heartbeats, repairs := 0, -p.server.Counters.Snapshots-p.server.Counters.DigestRepairs
+	for ; err == nil && heartbeats < 1000; heartbeats++ {
 		p.now += 100 * ms
 		h := heartbeat{name: "odd", subscribe: true, resume: true, digest: 1, bucketDigests: make([]uint32, bucketCount)}
 		err = p.server.Receive(p.now, l, Heartbeat, h.encode())
@@ -234,12 +238,12 @@
 		h := heartbeat{name: "odd", subscribe: true, resume: true}
 		require.NoError(t, p.server.Receive(p.now, l, Heartbeat, h.encode()), "over its next link it is not closed at once")
 	}
-	require.Greater(t, beats, 80, "over 8 s at least")
+	require.Greater(t, heartbeats, 80, "over 8 s at least")
 	require.Greater(t, p.server.Counters.RateLimited, 70)
 }
 
-// Repairs that helped are forgotten.
-func TestRepairsThatHelp(t *testing.T) {
+// Repairs that succeeded are not counted against a subscriber.
+func TestSuccessfulRepairsDoNotCountAgainstASubscriber(t *testing.T) {
 	p := newServerAndClient(t, 20)
 	l := Link{From: "odd", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
 	for range 3 * maxRepairsInARow {
@@ -252,17 +256,18 @@
 	}
 }
 
-// An answer that was asked for before the process was stopped does not make the view young, however late it is read.
-func TestLateAnswer(t *testing.T) {
+// An answer to a heartbeat from before the process was stopped does not make the view current, however late it is
+// read.
+func TestAnswerFromBeforeAPauseConfirmsNothingLater(t *testing.T) {
 	p := newServerAndClient(t, 3)
-	var held []Message
+	var dropped []Message
 	p.drop = func(m Message) bool {
-		held = append(held, m)
+		dropped = append(dropped, m)
 		return true
 	}
 	p.run(1050 * ms)
 	p.now += 30 * second
-	for _, m := range held {
+	for _, m := range dropped {
 		require.NoError(t, p.client.Receive(p.now, "m0", 1, m.Kind, m.Body))
 	}
 	require.Equal(t, 1, p.client.Counters.Pauses)
@@ -273,7 +278,7 @@
 }
 
 // A client's view is bounded over many messages too.
-func TestClientOversized(t *testing.T) {
+func TestClientViewIsBounded(t *testing.T) {
 	p := newServerAndClient(t, 4)
 	p.client.cfg.MaxEntries = p.client.View().Len()
 	e := change{Entry: Entry{Name: "n", Zone: "za", Role: Attached, Incarnation: 77, Home: "m0"}}
@@ -286,8 +291,8 @@
 	p.requireAgreement()
 }
 
-// A name that is not the link's, another kind, and garbage close the link and count for nothing.
-func TestBadHeartbeats(t *testing.T) {
+// A name that is not the link's, another kind, and garbage close the link and change nothing.
+func TestInvalidHeartbeatsAreRejected(t *testing.T) {
 	p := newServerAndClient(t, 3)
 	l := Link{From: "g", Zone: "za", Incarnation: 9, ChallengedAt: p.now}
 	h := heartbeat{name: "f", sentAt: p.now}
@@ -309,8 +314,8 @@
 	return m.encode()
 }
 
-// Whatever a home sends that does not hold is refused and counted, and the view stays as it was.
-func TestBadViews(t *testing.T) {
+// Whatever a home sends that is not valid is rejected and counted, and the view stays as it was.
+func TestInvalidViewMessagesAreRejected(t *testing.T) {
 	p := newServerAndClient(t, 20)
 	list := p.server.View().entriesIn(allBuckets)
 	nothing := func(*viewMessage) {}
@@ -319,9 +324,9 @@
 		at := slices.IndexFunc(out, func(c change) bool { return c.Name > e.Name })
 		return slices.Insert(out, at, change{Entry: e})
 	}
-	stranger := with(Entry{Name: "n", Zone: "za", Role: Attached, Incarnation: 77, Home: "mx"})
-	bomb, packed := (&compressor{}).compress(make([]byte, 8192*maxEntrySize+1000))
-	require.True(t, packed)
+	unknownHome := with(Entry{Name: "n", Zone: "za", Role: Attached, Incarnation: 77, Home: "mx"})
+	bomb, compressed := (&compressor{}).compress(make([]byte, 8192*maxEntrySize+1000))
+	require.True(t, compressed)
 	many := make([]change, DefaultMaxEntries+1)
 	for i := range many {
 		many[i] = change{Entry: Entry{Name: fmt.Sprintf("x%05d", i), Role: Attached, Incarnation: uint64(i + 1), Home: "m0"}}
@@ -335,16 +340,20 @@
 		target error
 		body   []byte
 	}{
-		{"an unknown home", &c.Counters.UnknownHomes, ErrUnknownHome, p.viewWith(allBuckets, stranger, nothing)},
-		{"more than the bound", &c.Counters.Oversized, ErrTooManyEntries, p.viewWith(allBuckets, many, nothing)},
-		{"unpacked more than the bound", &c.Counters.Oversized, ErrTooManyEntries,
+		{"an unknown home", &c.Counters.UnknownHomes, ErrUnknownHome, p.viewWith(allBuckets, unknownHome, nothing)},
+		{"more than the limit", &c.Counters.Oversized, ErrTooManyEntries, p.viewWith(allBuckets, many, nothing)},
+		{"decompressed more than the limit", &c.Counters.Oversized, ErrTooManyEntries,
 			p.viewWith(allBuckets, nil, func(m *viewMessage) { m.entries, m.compressed = bomb, true })},
-		{"not packed", &c.Counters.Malformed, ErrMalformed, p.viewWith(allBuckets, list, func(m *viewMessage) { m.compressed = true })},
+		{"not compressed", &c.Counters.Malformed, ErrMalformed,
+			p.viewWith(allBuckets, list, func(m *viewMessage) { m.compressed = true })},
 		{"out of order", &c.Counters.Malformed, ErrMalformed, p.viewWith(allBuckets, reversed, nothing)},
-		{"not of the part", &c.Counters.Malformed, ErrMalformed, p.viewWith(1<<(1+bucketOf("m0"))%bucketCount, list[:1], nothing)},
-		{"an unknown content", &c.Counters.Malformed, ErrMalformed, p.viewWith(allBuckets, list, func(m *viewMessage) { m.content = 9 })},
+		{"not in the buckets", &c.Counters.Malformed, ErrMalformed,
+			p.viewWith(1<<(1+bucketOf("m0"))%bucketCount, list[:1], nothing)},
+		{"an unknown content", &c.Counters.Malformed, ErrMalformed,
+			p.viewWith(allBuckets, list, func(m *viewMessage) { m.content = 9 })},
 		{"another digest", &c.Counters.DigestMismatches, ErrDigestMismatch, p.viewWith(allBuckets, list[1:], nothing)},
-		{"a whole one of an empty view", &c.Counters.DigestMismatches, ErrDigestMismatch, p.viewWith(allBuckets, nil, nothing)},
+		{"a snapshot of an empty view", &c.Counters.DigestMismatches, ErrDigestMismatch,
+			p.viewWith(allBuckets, nil, nothing)},
 	} {
 		before, view := *step.count, c.View().Entries()
 		err := c.Receive(p.now, "m0", 1, ViewUpdate, step.body)
@@ -354,17 +363,18 @@
 	}
 	require.ErrorIs(t, c.Receive(p.now, "mx", 1, ViewUpdate, nil), ErrUnknownHome)
 	require.ErrorIs(t, c.Receive(p.now, "m0", 1, Heartbeat, nil), ErrUnexpectedKind)
-	require.NoError(t, c.Receive(p.now, "m0", 1, ViewUpdate, p.viewWith(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })))
-	require.NoError(t, c.Receive(p.now, "m0", 7, ViewUpdate, p.viewWith(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })))
+	otherEpoch := p.viewWith(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })
+	require.NoError(t, c.Receive(p.now, "m0", 1, ViewUpdate, otherEpoch))
+	require.NoError(t, c.Receive(p.now, "m0", 7, ViewUpdate, otherEpoch))
 	require.Equal(t, 2, c.Counters.StaleEpochs)
 	p.requireAgreement()
 	p.run(3 * second)
 	p.requireAgreement()
 }
 
-// Changes whose digest does not agree are not applied: the parts that differ are asked for, and the whole where that does not help;
-// a home that never agrees loses its link.
-func TestClientNeverAgrees(t *testing.T) {
+// Changes whose digest does not agree are not applied: the buckets that differ are requested, and a snapshot if that
+// does not help; a home that never agrees loses its link.
+func TestHomeThatNeverAgreesLosesItsLink(t *testing.T) {
 	p := newServerAndClient(t, 20)
 	e := Entry{Name: "n", Zone: "za", Role: Attached, Incarnation: 77, Home: "m0"}
 	wrong := func() []byte {
@@ -386,12 +396,12 @@
 	}
 	require.ErrorIs(t, err, ErrDigestMismatch)
 	require.Equal(t, maxDigestFailures+1, tries)
-	beats := len(p.client.Actions())
-	require.LessOrEqual(t, beats, 1, "what it asks is bounded too")
+	heartbeats := len(p.client.Actions())
+	require.LessOrEqual(t, heartbeats, 1, "its requests are limited too")
 }
 
-// A front end that flaps changes the view at a bounded rate, and is seen right in the end.
-func TestFlapping(t *testing.T) {
+// A front end that flaps changes the view at a limited rate, and is shown right in the end.
+func TestFlappingFrontEndIsDamped(t *testing.T) {
 	p := newServerAndClient(t, 5)
 	p.run(second)
 	changes, batches := p.server.Counters.Changes, p.server.ownTable.sequence
--- a/fleet/membership/table_test.go
+++ b/fleet/membership/table_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// threeServers is three control members whose messages the test carries by hand.
+// threeServers is three control members whose messages the test delivers by hand.
 type threeServers struct {
 	t             *testing.T
 	now           monotime.Micros
 	servers       map[string]*Server
 	epochs        map[string]uint64
 	drop          func(from, to string, kind Kind) bool
-	neverSeen     func(name, by string) bool // that control member was never heard by the other
+	neverSeen     func(name, by string) bool // the other has never seen that control member
 	messageCounts map[Kind]int
 	errors        []error
 }
@@ -25,8 +25,15 @@
 var threeControls = []ControlMember{{Name: "m0", Zone: "za"}, {Name: "m1", Zone: "zb"}, {Name: "m2", Zone: "zc"}}
 
 func newThreeServers(t *testing.T) *threeServers {
-	r := &threeServers{t: t, now: 100 * second, servers: map[string]*Server{}, epochs: map[string]uint64{}, messageCounts: map[Kind]int{},
-		drop: func(string, string, Kind) bool { return false }, neverSeen: func(string, string) bool { return false }}
+	r := &threeServers{
+		t:             t,
+		now:           100 * second,
+		servers:       map[string]*Server{},
+		epochs:        map[string]uint64{},
+		messageCounts: map[Kind]int{},
+		drop:          func(string, string, Kind) bool { return false },
+		neverSeen:     func(string, string) bool { return false },
+	}
 	for i, c := range threeControls {
 		r.startProcess(c.Name, uint64(1000+i))
 	}
@@ -52,7 +59,7 @@
 	return list
 }
 
-// run lets time pass in ticks; all messages between control members arrive at once.
+// run advances the time in ticks; all messages between control members arrive at once.
 func (r *threeServers) run(span monotime.Micros) {
 	for end := r.now + span; r.now < end; {
 		r.now += 50 * ms
@@ -91,7 +98,7 @@
 	}
 }
 
-// sendHeartbeat is a heartbeat over a link.
+// sendHeartbeat sends a heartbeat over a link.
 func (r *threeServers) sendHeartbeat(server string, l Link) error {
 	h := heartbeat{name: l.From, sentAt: r.now}
 	return r.servers[server].Receive(r.now, l, Heartbeat, h.encode())
@@ -111,9 +118,9 @@
 	return Link{From: name, Zone: "za", Incarnation: incarnation, ChallengedAt: r.now}
 }
 
-// Two processes of one name at one home: the one challenged later is the later one, in whichever order they are heard. The
-// earlier is gone for ever; its links are closed and its late messages do not count.
-func TestLaterProcess(t *testing.T) {
+// Of two processes of one name at one home the one challenged later is the later one, whichever is seen first. The
+// earlier has ended for ever; its links are closed and its late messages are rejected.
+func TestLaterChallengeSupersedesAtOneHome(t *testing.T) {
 	r := newThreeServers(t)
 	earlier := r.link("f", 9)
 	r.run(100 * ms)
@@ -144,7 +151,7 @@
 	r.run(100 * ms)
 	r.requireState("f", 5, Alive)
 
-	// The later is heard first.
+	// The later one is seen first.
 	earlier = r.link("g", 19)
 	r.run(100 * ms)
 	later = r.link("g", 15)
@@ -155,9 +162,9 @@
 	r.requireState("g", 15, Alive)
 }
 
-// Two processes of one name at two homes, none of which has seen both: the one whose challenge is younger by the ages told,
-// whichever home's table comes first, and whichever number is greater.
-func TestTwoHomes(t *testing.T) {
+// Of two processes of one name at two homes, neither of which has seen both, the one whose reported challenge is later
+// is the later one, whichever home's table arrives first, and whichever incarnation is greater.
+func TestLaterChallengeSupersedesAcrossHomes(t *testing.T) {
 	for _, first := range []string{"m0", "m1"} {
 		for _, later := range []uint64{5, 9} {
 			r := newThreeServers(t)
@@ -180,8 +187,8 @@
 	}
 }
 
-// Equal ages: the greater number, everywhere the same.
-func TestTwoHomesAtOnce(t *testing.T) {
+// With equal times of challenge the greater incarnation is the later one, everywhere.
+func TestEqualChallengeTimesAreOrderedByIncarnation(t *testing.T) {
 	for _, homes := range [][]string{{"m0", "m1"}, {"m1", "m0"}} {
 		r := newThreeServers(t)
 		r.servers[homes[0]].LinkOpened(r.now, r.link("f", 7))
@@ -191,8 +198,9 @@
 	}
 }
 
-// Ages are told with an error. A process that is alive for long beside a later one that is dead is shown in the end.
-func TestAliveInTheEnd(t *testing.T) {
+// Times of challenges are reported with an error. A process that is alive for long beside a later one that is dead is
+// shown in the end.
+func TestAliveProcessIsReinstatedOverADeadLaterOne(t *testing.T) {
 	r := newThreeServers(t)
 	wrong := Link{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: r.now}
 	right := Link{From: "f", Zone: "za", Incarnation: 9, ChallengedAt: r.now - second}
@@ -208,8 +216,8 @@
 	r.requireState("f", 9, Alive)
 }
 
-// A push that is lost is seen from the version in the next heartbeat, and pulled from the log, not as a snapshot.
-func TestLostPush(t *testing.T) {
+// A lost push shows by the version in the next heartbeat, and is pulled from the log, not as a snapshot.
+func TestLostPushIsPulledFromTheLog(t *testing.T) {
 	r := newThreeServers(t)
 	for i := range 20 {
 		r.servers["m0"].LinkOpened(r.now, r.link(fmt.Sprintf("f%02d", i), uint64(i+1)))
@@ -231,8 +239,8 @@
 	assert.Zero(t, r.servers["m0"].Counters.TableSnapshots)
 }
 
-// Changes that do not follow on what is had are a gap, which is pulled; they are not taken in as they are.
-func TestGap(t *testing.T) {
+// Changes that do not follow on the table's version are a gap, which is pulled; they are not applied as they are.
+func TestGapInTableChangesIsPulled(t *testing.T) {
 	r := newThreeServers(t)
 	r.drop = func(from, to string, _ Kind) bool { return from == "m0" && to == "m1" }
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
@@ -246,8 +254,8 @@
 	r.requireState("g", 8, Alive)
 }
 
-// Changes of one name that homes tell without a bound are published at a bounded rate.
-func TestFlapsBetweenHomes(t *testing.T) {
+// Changes of one name that homes report without a limit are published at a limited rate.
+func TestFlapsReportedByAHomeAreDamped(t *testing.T) {
 	r := newThreeServers(t)
 	s := r.servers["m2"]
 	changes := s.Counters.Changes
@@ -271,8 +279,8 @@
 	require.Equal(t, m.entries[0].state, e.State)
 }
 
-// A gap that the log does not reach back over is filled by one snapshot.
-func TestLongCut(t *testing.T) {
+// A gap that the log does not reach back over is repaired by one snapshot.
+func TestLongCutIsRepairedByOneSnapshot(t *testing.T) {
 	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 50))
 	r.run(200 * ms)
@@ -288,16 +296,16 @@
 	assert.LessOrEqual(t, len(r.servers["m0"].ownTable.log.batches), maxLogBatches)
 }
 
-// What a cut keeps from a home's messages is had from another control member that hears it.
-func TestTableByAThird(t *testing.T) {
+// If a cut keeps a home's messages away, its table is pulled from another control member that receives them.
+func TestTableIsPulledFromAThirdMember(t *testing.T) {
 	r := newThreeServers(t)
 	cut := func(a, b string) bool { return a == "m0" && b == "m1" || a == "m1" && b == "m0" }
 	r.drop = func(from, to string, _ Kind) bool { return cut(from, to) }
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(2 * second)
 	_, ok := r.servers["m1"].View().Lookup("f")
-	require.False(t, ok, "as long as m1 hears m0 it asks nobody else")
-	// Package member sees the cut.
+	require.False(t, ok, "as long as m1 sees m0 it pulls from nobody else")
+	// Package heartbeat sees the cut.
 	for range 30 {
 		r.now += 50 * ms
 		seen := r.membersSeenBy("m1")
@@ -311,8 +319,8 @@
 	require.Equal(t, uint64(7), e.Incarnation)
 }
 
-// Messages of an earlier process of a home are dropped and counted, also where another control member brings them.
-func TestOlderEpoch(t *testing.T) {
+// Messages of an earlier process of a home are dropped and counted, even if another control member sends them.
+func TestMessagesOfAnEarlierEpochAreDropped(t *testing.T) {
 	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(200 * ms)
@@ -332,13 +340,14 @@
 	seen := r.membersSeenBy("m1")
 	seen[0].IndirectlyAlive = true
 	s.Tick(r.now, seen)
-	require.NoError(t, s.ReceiveVersions(r.now, "m2", r.epochs["m2"], encodeVersions(r.now, []tableVersion{{"m0", old, 99, 1}})))
+	oldVersion := encodeVersions(r.now, []tableVersion{{"m0", old, 99, 1}})
+	require.NoError(t, s.ReceiveVersions(r.now, "m2", r.epochs["m2"], oldVersion))
 	require.Equal(t, 4, s.Counters.StaleEpochs)
 	r.run(200 * ms)
 	_, ok := s.View().Lookup("late")
 	require.False(t, ok)
 	assert.Zero(t, s.Counters.Pulls)
-	// What the earlier process held lapses at those that had it, and is forgotten in the end.
+	// The entries of the earlier process expire at the members that had them, and are removed in the end.
 	state := func() State {
 		e, _ := s.View().Lookup("f")
 		return e.State
@@ -350,27 +359,27 @@
 	_, ok = s.View().Lookup("f")
 	require.False(t, ok)
 	require.True(t, s.View().PresumedDead(7))
-	require.Len(t, s.names, 3, "nothing is kept of it")
+	require.Len(t, s.names, 3, "nothing is retained of it")
 }
 
-// Names that a message may not hold are errors that are counted, and change nothing.
-func TestBadControlMessages(t *testing.T) {
+// Messages that are not valid cause errors that are counted, and change nothing.
+func TestInvalidControlMessagesAreRejected(t *testing.T) {
 	r := newThreeServers(t)
 	s := r.servers["m1"]
 	digest := s.View().Digest()
-	rows := func(name string) []tableEntry {
+	entries := func(name string) []tableEntry {
 		return []tableEntry{{name: name, zone: "z", incarnation: 3, challengedAt: r.now}}
 	}
-	table := func(home string, epoch uint64, rows []tableEntry) []byte {
-		m := tableMessage{tableVersion: tableVersion{home, epoch, 1, 0}, entries: rows}
-		for i := range rows {
-			m.digest += rows[i].digest()
+	table := func(home string, epoch uint64, entries []tableEntry) []byte {
+		m := tableMessage{tableVersion: tableVersion{home, epoch, 1, 0}, entries: entries}
+		for i := range entries {
+			m.digest += entries[i].digest()
 		}
 		return m.encode()
 	}
 	many := make([]tableEntry, 501)
 	for i := range many {
-		many[i] = rows(fmt.Sprintf("f%03d", i))[0]
+		many[i] = entries(fmt.Sprintf("f%03d", i))[0]
 	}
 	pull := pullMessage{home: "mx", epoch: 1}
 	for _, c := range []struct {
@@ -381,13 +390,15 @@
 		kind   Kind
 		body   []byte
 	}{
-		{"unknown home", &s.Counters.UnknownHomes, ErrUnknownHome, "m0", TableUpdate, table("mx", 1, rows("f"))},
+		{"unknown home", &s.Counters.UnknownHomes, ErrUnknownHome, "m0", TableUpdate, table("mx", 1, entries("f"))},
 		{"unknown home", &s.Counters.UnknownHomes, ErrUnknownHome, "m0", TablePull, pull.encode()},
-		{"unknown sender", &s.Counters.UnknownHomes, ErrUnknownHome, "mx", TableUpdate, table("m0", 1000, rows("f"))},
-		{"this one's table", &s.Counters.NameMismatches, ErrNameMismatch, "m0", TableUpdate, table("m1", 1001, rows("f"))},
-		{"a control member attached", &s.Counters.NameMismatches, ErrNameMismatch, "m0", TableUpdate, table("m0", 1000, rows("m2"))},
-		{"too many rows", &s.Counters.Oversized, ErrTooManyEntries, "m0", TableUpdate, table("m0", 1000, many)},
-		{"rows out of order", &s.Counters.Malformed, ErrMalformed, "m0", TableUpdate, table("m0", 1000, append(rows("g"), rows("f")...))},
+		{"unknown sender", &s.Counters.UnknownHomes, ErrUnknownHome, "mx", TableUpdate, table("m0", 1000, entries("f"))},
+		{"this one's table", &s.Counters.NameMismatches, ErrNameMismatch, "m0", TableUpdate, table("m1", 1001, entries("f"))},
+		{"a control member attached", &s.Counters.NameMismatches, ErrNameMismatch, "m0", TableUpdate,
+			table("m0", 1000, entries("m2"))},
+		{"too many entries", &s.Counters.Oversized, ErrTooManyEntries, "m0", TableUpdate, table("m0", 1000, many)},
+		{"entries out of order", &s.Counters.Malformed, ErrMalformed, "m0", TableUpdate,
+			table("m0", 1000, append(entries("g"), entries("f")...))},
 		{"garbage", &s.Counters.Malformed, ErrMalformed, "m0", TableUpdate, []byte("garbage")},
 		{"garbage", &s.Counters.Malformed, ErrMalformed, "m0", TablePull, []byte("garbage")},
 	} {
@@ -396,16 +407,17 @@
 		require.ErrorIs(t, err, c.target, c.name)
 		require.Equal(t, before+1, *c.count, c.name)
 	}
-	require.ErrorIs(t, s.ReceiveVersions(r.now, "m0", 1000, encodeVersions(r.now, []tableVersion{{"mx", 1, 1, 1}})), ErrUnknownHome)
+	unknownHome := encodeVersions(r.now, []tableVersion{{"mx", 1, 1, 1}})
+	require.ErrorIs(t, s.ReceiveVersions(r.now, "m0", 1000, unknownHome), ErrUnknownHome)
 	require.ErrorIs(t, s.ReceiveVersions(r.now, "m0", 1000, []byte("garbage")), ErrMalformed)
 	require.ErrorIs(t, s.ReceiveFromControl(r.now, "m0", 1000, Heartbeat, nil), ErrUnexpectedKind)
 	r.run(200 * ms)
 	require.Equal(t, digest, s.View().Digest())
 }
 
-// A table that differs at the same version is replaced by a snapshot, at a bounded rate; changes whose sum would not agree are
-// not taken in.
-func TestSumDiffers(t *testing.T) {
+// A table whose digest differs at the same version is replaced by a snapshot, at a limited rate; changes whose digest
+// would not agree are not applied.
+func TestTableWithAnotherDigestIsRepaired(t *testing.T) {
 	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(200 * ms)
@@ -418,7 +430,11 @@
 	_, ok := s.View().Lookup("wrong")
 	require.False(t, ok)
 
-	m := tableMessage{tableVersion: tableVersion{"m0", 1000, replica.sequence + 1, 1}, baseSequence: replica.sequence, entries: []tableEntry{{name: "wrong", incarnation: 3}}}
+	m := tableMessage{
+		tableVersion: tableVersion{"m0", 1000, replica.sequence + 1, 1},
+		baseSequence: replica.sequence,
+		entries:      []tableEntry{{name: "wrong", incarnation: 3}},
+	}
 	before := replica.version()
 	require.NoError(t, s.ReceiveFromControl(r.now, "m0", 1000, TableUpdate, m.encode()))
 	require.Equal(t, before, replica.version())
@@ -426,7 +442,7 @@
 	require.ErrorIs(t, s.ReceiveFromControl(r.now, "m0", 1000, TableUpdate, m.encode()), ErrMalformed)
 	require.Equal(t, before, replica.version())
 
-	// One that never agrees is pulled at a bounded rate.
+	// A table that never agrees is pulled at a limited rate.
 	before.digest++
 	pulls := s.Counters.Pulls
 	for range 600 {
@@ -438,8 +454,8 @@
 	assert.Greater(t, s.Counters.RateLimited, 500)
 }
 
-// Nobody attaches under a control member's name, nor more than a view may have.
-func TestWhoMayAttach(t *testing.T) {
+// No front end attaches under a control member's name, nor do more than a view may have.
+func TestNamesAndNumberOfAttachedAreChecked(t *testing.T) {
 	r := newThreeServers(t)
 	s := r.servers["m0"]
 	for _, l := range []Link{r.link("m1", 7), r.link("m0", 7), r.link("", 7), r.link("f", 0)} {
@@ -461,8 +477,8 @@
 	}
 }
 
-// HomeOf is who has a link to a process now.
-func TestHomeOf(t *testing.T) {
+// HomeOf returns a control member that has a link to a process now.
+func TestHomeOfReturnsAMemberWithALink(t *testing.T) {
 	r := newThreeServers(t)
 	l := r.link("f", 7)
 	r.servers["m0"].LinkOpened(r.now, l)
@@ -476,7 +492,7 @@
 	require.Equal(t, "m1", home("m1"))
 	require.Equal(t, "m0", home("m2"))
 	r.servers["m0"].LinkClosed(r.now, l)
-	require.Equal(t, "m1", home("m0"), "its own link is gone")
+	require.Equal(t, "m1", home("m0"), "its own link is closed")
 	require.Equal(t, "", func() string { name, _ := r.servers["m0"].HomeOf(1001); return name }(), "a control member")
 	require.Equal(t, "", func() string { name, _ := r.servers["m0"].HomeOf(8); return name }())
 }
--- a/fleet/membership/view_test.go
+++ b/fleet/membership/view_test.go
@@ -11,13 +11,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func reported(name string, incarnation uint64, state State, challenged monotime.Micros) []change {
-	return []change{{Entry: Entry{Name: name, Role: Attached, Incarnation: incarnation, State: state, Home: "m0"}, challengedAt: challenged}}
+// reported is the change that a home's report of a front end causes.
+func reported(name string, incarnation uint64, state State, challengedAt monotime.Micros) []change {
+	e := Entry{Name: name, Role: Attached, Incarnation: incarnation, State: state, Home: "m0"}
+	return []change{{Entry: e, challengedAt: challengedAt}}
 }
 
-// A home that missed a later process tells of the earlier: that is kept as told, and shown for what it is.
-func TestToldOfAnEarlier(t *testing.T) {
-	for _, between := range []string{"", "a home that has neither"} {
+// A home that missed a later process reports the earlier one: that is stored as reported, and shown as Dead.
+func TestReportedEarlierProcessIsShownDead(t *testing.T) {
+	for _, between := range []string{"", "a home that lacks both"} {
 		v := newView()
 		v.apply(reported("f", 9, Alive, 100*second), fromHomeChanges)
 		if between != "" {
@@ -34,13 +36,13 @@
 		require.True(t, v.Superseded(5))
 		require.False(t, v.PresumedDead(9))
 		v.apply(reported("f", 9, Alive, 101*second), fromHomeChanges)
-		require.True(t, v.Alive(9), "the home has heard of it")
+		require.True(t, v.Alive(9), "the home knows of it")
 		require.True(t, v.Superseded(5))
 	}
 }
 
-// An entry that the home took out is gone, and comes back if it is told again.
-func TestRemovedEntry(t *testing.T) {
+// The process of an entry that the home removed is presumed dead, until it is reported again.
+func TestRemovedEntryIsPresumedDeadUntilReportedAgain(t *testing.T) {
 	v := newView()
 	v.apply(reported("f", 9, Dead, 100*second), fromHomeChanges)
 	v.apply([]change{{Entry: Entry{Name: "f"}, removed: true}}, fromHomeChanges)
@@ -53,8 +55,9 @@
 	require.False(t, v.PresumedDead(9))
 }
 
-// A home that goes on showing a process alive which was held for replaced is believed in the end, and not before.
-func TestBelieveInTheEnd(t *testing.T) {
+// If a home continues to show a process alive that was taken for superseded, its report is accepted after a timeout,
+// and not before.
+func TestConflictWithTheHomeEndsAfterATimeout(t *testing.T) {
 	p := newServerAndClient(t, 3)
 	e, _ := p.client.View().Lookup("o0001")
 	p.client.view.superseded.add(e.Incarnation)
@@ -66,8 +69,9 @@
 	require.False(t, p.client.View().hasConflict)
 }
 
-// What is remembered of past processes is bounded, the oldest forgotten first.
-func TestPastIsBounded(t *testing.T) {
+// The incarnations that are remembered are bounded, and the oldest is dropped first; so are the entries that a home
+// lacks.
+func TestIncarnationSetIsBounded(t *testing.T) {
 	var p incarnationSet
 	for i := range uint64(maxIncarnations + 100) {
 		p.add(i + 1)
@@ -94,7 +98,7 @@
 }
 
 // A log is bounded by batches and by names.
-func TestLogIsBounded(t *testing.T) {
+func TestChangeLogIsBounded(t *testing.T) {
 	var l changeLog
 	for i := range 100 {
 		l.add(make([]string, 1000), uint64(i))
@@ -110,8 +114,9 @@
 	require.False(t, ok, "it has not been")
 }
 
-// The least delay that was seen says how far two clocks are apart; what is older than two spans does not count, as clocks drift.
-func TestOffset(t *testing.T) {
+// The least delay that was observed determines the offset of two clocks; what is older than two windows does not
+// count, as clocks drift.
+func TestClockOffsetIsTheLeastDifference(t *testing.T) {
 	var o clockOffset
 	o.observe(1000*second, 100*second-300*ms)
 	o.observe(1001*second, 101*second-5*ms)
@@ -125,8 +130,8 @@
 	require.Equal(t, second, own.toLocal(second))
 }
 
-// The rate lets a burst through, and then one in each gap.
-func TestRate(t *testing.T) {
+// The limit allows a burst, and then one event in each interval.
+func TestRateLimitAllowsABurstThenOneAnInterval(t *testing.T) {
 	var due monotime.Micros
 	allowed := 0
 	for now := monotime.Micros(0); now < 60*second; now += 100 * ms {
@@ -138,14 +143,14 @@
 	require.True(t, (rateLimit{10 * second, 6}).allow(200*second, &due))
 }
 
-// What is packed to blow up is not unpacked beyond the bound.
-func TestUnpackIsBounded(t *testing.T) {
-	bomb, packed := (&compressor{}).compress(make([]byte, 64<<20))
-	require.True(t, packed)
-	var u decompressor
+// What would decompress to more than the limit is not decompressed beyond it.
+func TestDecompressionIsBounded(t *testing.T) {
+	bomb, compressed := (&compressor{}).compress(make([]byte, 64<<20))
+	require.True(t, compressed)
+	var d decompressor
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	_, err := u.decompress(bomb, 1<<20)
+	_, err := d.decompress(bomb, 1<<20)
 	runtime.ReadMemStats(&after)
 	require.ErrorIs(t, err, ErrTooManyEntries)
 	assert.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(8<<20))
