--- a/fleet/membership/fullfleet_test.go
+++ b/fleet/membership/fullfleet_test.go
@@ -28,51 +28,52 @@
 	for i := range size {
 		r.attach(fmt.Sprintf("front-%04d", i), fmt.Sprintf("zone-%02d", i%zones))
 	}
-	phase := func(name string, length monotime.Micros) {
-		for _, c := range r.clients {
-			c.bytesIn, c.bytesOut = 0, 0
-		}
-		for _, s := range r.servers {
-			s.bytesOut = 0
-		}
-		began := time.Now()
-		r.run(length)
-		var incoming, outgoing, served []int
-		for _, c := range r.clients {
-			incoming, outgoing = append(incoming, c.bytesIn), append(outgoing, c.bytesOut)
-		}
-		for _, s := range r.servers {
-			served = append(served, s.bytesOut)
-		}
-		seconds := float64(length) / float64(second)
-		kilobytes := func(list []int) string {
-			slices.Sort(list)
-			sum := 0
-			for _, n := range list {
-				sum += n
-			}
-			mean, greatest := float64(sum)/float64(len(list)), float64(list[len(list)-1])
-			return fmt.Sprintf("%.2f mean, %.2f most", mean/seconds/1000, greatest/seconds/1000)
-		}
-		snapshots, repairs := 0, 0
-		for _, c := range r.clients {
-			snapshots, repairs = snapshots+c.Counters.Snapshots, repairs+c.Counters.DigestRepairs
-		}
-		t.Logf("%s: KB/s in %s, out %s; served by each %s; %d snapshots, %d repairs so far; ran %v",
-			name, kilobytes(incoming), kilobytes(outgoing), kilobytes(served),
-			snapshots, repairs, time.Since(began).Round(time.Millisecond))
-	}
-	phase("all start", span)
+	phase(t, r, "all start", span)
 	r.requireAgreement()
-	phase("at rest", span)
+	phase(t, r, "at rest", span)
 	for i := range size / 10 {
 		r.schedule(monotime.Micros(i)*span/(size/10), func() { r.restart(r.clients[i*10]) })
 	}
-	phase("a tenth restarts", span)
+	phase(t, r, "a tenth restarts", span)
 	r.run(5 * second)
 	r.requireAgreement()
 	r.stop(r.servers[7])
-	phase("a control member dies", span)
+	phase(t, r, "a control member dies", span)
 	require.Empty(t, r.errors)
 	r.requireAgreement()
 }
+
+// phase runs the rig for a while and logs what each front end and control member sent and received in that time.
+func phase(t *testing.T, r *rig, name string, length monotime.Micros) {
+	for _, c := range r.clients {
+		c.bytesIn, c.bytesOut = 0, 0
+	}
+	for _, s := range r.servers {
+		s.bytesOut = 0
+	}
+	began := time.Now()
+	r.run(length)
+	var incoming, outgoing, served []int
+	snapshots, repairs := 0, 0
+	for _, c := range r.clients {
+		incoming, outgoing = append(incoming, c.bytesIn), append(outgoing, c.bytesOut)
+		snapshots, repairs = snapshots+c.Counters.Snapshots, repairs+c.Counters.DigestRepairs
+	}
+	for _, s := range r.servers {
+		served = append(served, s.bytesOut)
+	}
+	t.Logf("%s: KB/s in %s, out %s; served by each %s; %d snapshots, %d repairs so far; ran %v",
+		name, kilobytesPerSecond(incoming, length), kilobytesPerSecond(outgoing, length),
+		kilobytesPerSecond(served, length), snapshots, repairs, time.Since(began).Round(time.Millisecond))
+}
+
+// kilobytesPerSecond describes the mean and the greatest of bytes that were sent in a time.
+func kilobytesPerSecond(bytes []int, length monotime.Micros) string {
+	seconds := float64(length) / float64(second)
+	sum := 0
+	for _, n := range bytes {
+		sum += n
+	}
+	mean, greatest := float64(sum)/float64(len(bytes)), float64(slices.Max(bytes))
+	return fmt.Sprintf("%.2f mean, %.2f most", mean/seconds/1000, greatest/seconds/1000)
+}
--- a/fleet/membership/property_test.go
+++ b/fleet/membership/property_test.go
@@ -15,7 +15,7 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		servers, clients := rapid.IntRange(3, 5).Draw(t, "servers"), rapid.IntRange(5, 30).Draw(t, "clients")
 		history(t, seed, servers, clients, func(i int) int {
-			return rapid.IntRange(0, 10).Draw(t, fmt.Sprint("fault", i))
+			return rapid.IntRange(int(changeLoss), int(fillQueues)).Draw(t, fmt.Sprint("fault", i))
 		})
 	})
 }
@@ -43,7 +43,7 @@
 	observers := map[any]*observer{}
 	r.check = func() { r.checkNoReturn(t, observers) }
 	for i := range steps {
-		r.fault(fault(i))
+		r.fault(faultKind(fault(i)))
 		r.run(r.random.between(100*ms, 6*second))
 	}
 	r.endFaults()
@@ -96,53 +96,71 @@
 	}
 }
 
+// faultKind is a kind of fault in a history.
+type faultKind int
+
+// The kinds of faults.
+const (
+	changeLoss faultKind = iota
+	changeDelays
+	restartClient
+	restartManyClients
+	restartServer
+	stopOrStartServer
+	cutOff
+	cutOneWay
+	pauseOrResumeClient
+	pauseOrResumeServer
+	fillQueues
+)
+
 // fault causes one of the faults, at a server or client that the seed chooses.
-func (r *rig) fault(kind int) {
+func (r *rig) fault(kind faultKind) {
 	s := r.servers[r.random.next()%uint64(len(r.servers))]
 	c := r.clients[r.random.next()%uint64(len(r.clients))]
-	one := r.random.next()
+	draw := r.random.next()
 	switch kind {
-	case 0:
+	case changeLoss:
 		r.lostPerThousand = int(r.random.next() % 300)
-	case 1:
+	case changeDelays:
 		r.duplicatedPerThousand, r.maxDelay = int(r.random.next()%300), r.random.between(5*ms, second)
-	case 2:
+	case restartClient:
 		r.restart(c)
-	case 3:
+	case restartManyClients:
 		for i := range r.clients {
-			if (one>>(i%64))&3 == 0 {
+			if (draw>>(i%64))&3 == 0 {
 				r.restart(r.clients[i])
 			}
 		}
-	case 4:
+	case restartServer:
 		if s.up && !s.paused {
 			r.stop(s)
 			r.start(s)
 		}
-	case 5:
+	case stopOrStartServer:
 		if s.up && !s.paused && r.upServers() > 1 {
 			r.stop(s)
 		} else if !s.up {
 			r.start(s)
 		}
-	case 6:
-		r.cut = func(from, to string) bool { return side(one, from) != side(one, to) }
-	case 7:
-		r.cut = func(from, to string) bool { return from == s.cfg.Name && side(one, to) == 0 } // one way
-	case 8:
+	case cutOff:
+		r.cut = func(from, to string) bool { return side(draw, from) != side(draw, to) }
+	case cutOneWay:
+		r.cut = func(from, to string) bool { return from == s.cfg.Name && side(draw, to) == 0 }
+	case pauseOrResumeClient:
 		if c.paused {
 			r.resumeClient(c)
 		} else {
 			c.paused = true
 		}
-	case 9:
+	case pauseOrResumeServer:
 		if s.paused {
 			r.resumeServer(s)
 		} else if s.up && r.upServers() > 1 {
 			s.paused = true
 		}
-	case 10:
-		r.queueFull = func(c *rigClient) bool { return side(one, c.cfg.Name) == 0 && r.random.next()%3 == 0 } // slow readers
+	case fillQueues:
+		r.queueFull = func(c *rigClient) bool { return side(draw, c.cfg.Name) == 0 && r.random.next()%3 == 0 } // slow readers
 	}
 }
 
@@ -182,7 +200,7 @@
 	run := func() string {
 		r := fleet(t, 11, 20)
 		for i := range 10 {
-			r.fault(i)
+			r.fault(faultKind(i))
 			r.run(3 * second)
 		}
 		text := ""
--- a/fleet/membership/rig_test.go
+++ b/fleet/membership/rig_test.go
@@ -37,6 +37,9 @@
 	return last
 }
 
+// messageOverhead is the bytes that framing adds to a message.
+const messageOverhead = 50
+
 // rigLink is an open link of a client to a server, as both sides know it.
 type rigLink struct {
 	client             *rigClient
@@ -65,7 +68,6 @@
 	links             map[string]*rigLink
 	dialing           map[string]bool
 	bytesIn, bytesOut int
-	seen              map[uint64]bool // incarnations that its view has shown and replaced
 }
 
 // rig is servers and clients over a network that may lose, delay and duplicate messages. Links are opened by a dial
@@ -281,8 +283,8 @@
 			s.QueueFull(r.now, m.To, m.Incarnation)
 			continue
 		}
-		s.bytesOut += len(m.Body) + 50
-		c.bytesIn += len(m.Body) + 50
+		s.bytesOut += len(m.Body) + messageOverhead
+		c.bytesIn += len(m.Body) + messageOverhead
 		r.transmit(s.cfg.Name, c.cfg.Name, func() { r.deliver(c, l, m) })
 	}
 	for _, l := range s.LinksToClose() {
@@ -338,7 +340,7 @@
 	r.halt(c)
 	c.cfg.Incarnation = r.incarnation()
 	c.Client, c.up, c.paused, c.backlog = NewClient(c.cfg), true, false, nil
-	c.links, c.dialing, c.seen = map[string]*rigLink{}, map[string]bool{}, map[uint64]bool{}
+	c.links, c.dialing = map[string]*rigLink{}, map[string]bool{}
 	r.tickClient(c, c.cfg.Incarnation)
 }
 
@@ -371,7 +373,7 @@
 		if l == nil || l.closed {
 			continue
 		}
-		c.bytesOut += len(m.Body) + 50
+		c.bytesOut += len(m.Body) + messageOverhead
 		r.transmit(c.cfg.Name, m.To, func() {
 			if l.closed || l.server.cfg.Incarnation != l.controlIncarnation {
 				return
--- a/fleet/membership/tablesync.go
+++ b/fleet/membership/tablesync.go
@@ -146,9 +146,10 @@
 		if home == nil {
 			return s.Counters.unknownHome(v.home)
 		}
-		// A home that is heard directly reports its own version; others are asked only about homes that are not.
-		heardDirectly := home.State == Alive && !home.IndirectlyAlive
-		if home == s.self || home != sender && heardDirectly {
+		// A home whose heartbeats are received here reports its own version; others are pulled from only for homes whose
+		// heartbeats are not.
+		directlyAlive := home.State == Alive && !home.IndirectlyAlive
+		if home == s.self || home != sender && directlyAlive {
 			continue
 		}
 		s.compareVersion(home, sender, v)
