--- a/fleet/membership/property_test.go
+++ b/fleet/membership/property_test.go
@@ -8,16 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is lost, late, doubled, cut, stopped and restarted: after calm all views are the same and right, and at no time does a
-// view show an incarnation again that a later process of its name has replaced.
-func TestViewsAgreeInTheEnd(t *testing.T) {
+// Whatever is lost, late, duplicated, cut, stopped and restarted: after the faults have ended all views are the same
+// and right, and at no time does a view show an incarnation again that a later process of its name has superseded.
+func TestViewsConvergeAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		history(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 5).Draw(t, "servers"), rapid.IntRange(5, 30).Draw(t, "clients"),
-			func(i int) int { return rapid.IntRange(0, 10).Draw(t, fmt.Sprint("fault", i)) })
+		seed := rapid.Uint64().Draw(t, "seed")
+		servers, clients := rapid.IntRange(3, 5).Draw(t, "servers"), rapid.IntRange(5, 30).Draw(t, "clients")
+		history(t, seed, servers, clients, func(i int) int {
+			return rapid.IntRange(int(changeLoss), int(fillQueues)).Draw(t, fmt.Sprint("fault", i))
+		})
 	})
 }
 
-// tb gives a rapid.T the methods that the rig uses.
+// tb is a testing.TB that reports to a rapid.T, with the methods that the rig uses.
 type tb struct {
 	testing.TB
 	rapid *rapid.T
@@ -37,112 +40,131 @@
 	for i := range clients {
 		r.attach(fmt.Sprintf("f%02d", i), zones[i%servers])
 	}
-	lookers := map[any]*looker{}
-	r.check = func() { r.neverBack(t, lookers) }
+	observers := map[any]*observer{}
+	r.check = func() { r.checkNoReturn(t, observers) }
 	for i := range steps {
-		r.fault(fault(i))
-		r.run(r.random.span(100*ms, 6*second))
+		r.fault(faultKind(fault(i)))
+		r.run(r.random.between(100*ms, 6*second))
 	}
-	r.calm()
+	r.endFaults()
 	r.run(120 * second)
-	r.agreed()
+	r.requireAgreement()
 }
 
-// looker is what was seen in one view.
-type looker struct {
-	digest uint64
-	last   map[string]uint64 // by name
-	past   map[uint64]bool
+// observer is what was seen in one view.
+type observer struct {
+	digest     uint64
+	last       map[string]uint64 // by name
+	superseded map[uint64]bool
 }
 
-// neverBack checks every server's and client's view for incarnations that come again. At a client one that is Dead does not count:
-// a home on the other side of a cut may know of nothing later, and its front ends then show the earlier one as what it is.
-func (r *rig) neverBack(t *rapid.T, lookers map[any]*looker) {
-	look := func(who string, key any, v *View, strict bool) {
-		l := lookers[key]
-		if l == nil {
-			l = &looker{last: map[string]uint64{}, past: map[uint64]bool{}}
-			lookers[key] = l
-		}
-		if l.digest == v.Digest() {
+// checkNoReturn checks that no server's or client's view shows a superseded incarnation again. At a client one that is
+// Dead does not count: a home on the other side of a cut may know of nothing later, and its front ends then show the
+// earlier one as Dead.
+func (r *rig) checkNoReturn(t *rapid.T, observers map[any]*observer) {
+	observe := func(who string, key any, v *View, strict bool) {
+		o := observers[key]
+		if o == nil {
+			o = &observer{last: map[string]uint64{}, superseded: map[uint64]bool{}}
+			observers[key] = o
+		}
+		if o.digest == v.Digest() {
 			return
 		}
-		l.digest = v.Digest()
+		o.digest = v.Digest()
 		for _, e := range v.Entries() {
-			before := l.last[e.Name]
+			before := o.last[e.Name]
 			if before == e.Incarnation || !strict && v.PresumedDead(e.Incarnation) {
 				continue
 			}
-			l.past[before] = true
-			l.last[e.Name] = e.Incarnation
-			if l.past[e.Incarnation] {
+			o.superseded[before] = true
+			o.last[e.Name] = e.Incarnation
+			if o.superseded[e.Incarnation] {
 				t.Fatalf("%s shows %d of %s again after %d, at %d ms", who, e.Incarnation, e.Name, before, r.now/ms)
 			}
 		}
 	}
 	for _, s := range r.servers {
 		if s.up {
-			look(s.cfg.Name, s.Server, s.View(), true)
+			observe(s.cfg.Name, s.Server, s.View(), true)
 		}
 	}
 	for _, c := range r.clients {
 		if c.up {
-			look(c.cfg.Name, c.Client, c.View(), false)
+			observe(c.cfg.Name, c.Client, c.View(), false)
 		}
 	}
 }
 
-// fault does one of the faults, to somebody that the seed chooses.
-func (r *rig) fault(kind int) {
+// faultKind is a kind of fault in a history.
+type faultKind int
+
+// The kinds of faults.
+const (
+	changeLoss faultKind = iota
+	changeDelays
+	restartClient
+	restartManyClients
+	restartServer
+	stopOrStartServer
+	cutOff
+	cutOneWay
+	pauseOrResumeClient
+	pauseOrResumeServer
+	fillQueues
+)
+
+// fault causes one of the faults, at a server or client that the seed chooses.
+func (r *rig) fault(kind faultKind) {
 	s := r.servers[r.random.next()%uint64(len(r.servers))]
 	c := r.clients[r.random.next()%uint64(len(r.clients))]
-	one := r.random.next()
+	draw := r.random.next()
 	switch kind {
-	case 0:
-		r.lossy = int(r.random.next() % 300)
-	case 1:
-		r.doubled, r.slowest = int(r.random.next()%300), r.random.span(5*ms, second)
-	case 2:
+	case changeLoss:
+		r.lostPerThousand = int(r.random.next() % 300)
+	case changeDelays:
+		r.duplicatedPerThousand, r.maxDelay = int(r.random.next()%300), r.random.between(5*ms, second)
+	case restartClient:
 		r.restart(c)
-	case 3:
+	case restartManyClients:
 		for i := range r.clients {
-			if (one>>(i%64))&3 == 0 {
+			if (draw>>(i%64))&3 == 0 {
 				r.restart(r.clients[i])
 			}
 		}
-	case 4:
+	case restartServer:
 		if s.up && !s.paused {
 			r.stop(s)
 			r.start(s)
 		}
-	case 5:
+	case stopOrStartServer:
 		if s.up && !s.paused && r.upServers() > 1 {
 			r.stop(s)
 		} else if !s.up {
 			r.start(s)
 		}
-	case 6:
-		r.cut = func(from, to string) bool { return side(one, from) != side(one, to) }
-	case 7:
-		r.cut = func(from, to string) bool { return from == s.cfg.Name && side(one, to) == 0 } // one way
-	case 8:
+	case cutOff:
+		r.cut = func(from, to string) bool { return side(draw, from) != side(draw, to) }
+	case cutOneWay:
+		r.cut = func(from, to string) bool { return from == s.cfg.Name && side(draw, to) == 0 }
+	case pauseOrResumeClient:
 		if c.paused {
 			r.resumeClient(c)
 		} else {
 			c.paused = true
 		}
-	case 9:
+	case pauseOrResumeServer:
 		if s.paused {
 			r.resumeServer(s)
 		} else if s.up && r.upServers() > 1 {
 			s.paused = true
 		}
-	case 10:
-		r.refuse = func(c *rigClient) bool { return side(one, c.cfg.Name) == 0 && r.random.next()%3 == 0 } // slow readers
+	case fillQueues:
+		r.queueFull = func(c *rigClient) bool { return side(draw, c.cfg.Name) == 0 && r.random.next()%3 == 0 } // slow readers
 	}
 }
 
-func side(seed uint64, name string) uint64 { return weight(name, "", seed) % 2 }
+func side(seed uint64, name string) uint64 { return rendezvousWeight(name, "", seed) % 2 }
 
 func (r *rig) upServers() (n int) {
 	for _, s := range r.servers {
@@ -153,11 +175,11 @@
 	return n
 }
 
-// calm ends all faults.
-func (r *rig) calm() {
-	r.lossy, r.doubled, r.slowest = 0, 0, 5*ms
+// endFaults ends all faults.
+func (r *rig) endFaults() {
+	r.lostPerThousand, r.duplicatedPerThousand, r.maxDelay = 0, 0, 5*ms
 	r.cut = func(_, _ string) bool { return false }
-	r.refuse = func(*rigClient) bool { return false }
+	r.queueFull = func(*rigClient) bool { return false }
 	for _, s := range r.servers {
 		switch {
 		case !s.up:
@@ -178,15 +200,15 @@
 	run := func() string {
 		r := fleet(t, 11, 20)
 		for i := range 10 {
-			r.fault(i)
+			r.fault(faultKind(i))
 			r.run(3 * second)
 		}
 		text := ""
 		for _, s := range r.servers {
-			text += fmt.Sprintf("%+v %d %d\n", s.Counters, s.bytes, s.View().Digest())
+			text += fmt.Sprintf("%+v %d %d\n", s.Counters, s.bytesOut, s.View().Digest())
 		}
 		for _, c := range r.clients {
-			text += fmt.Sprintf("%+v %d %d %d\n", c.Counters, c.in, c.out, c.View().Digest())
+			text += fmt.Sprintf("%+v %d %d %d\n", c.Counters, c.bytesIn, c.bytesOut, c.View().Digest())
 		}
 		return text
 	}
