--- a/fleet/replication/command.go
+++ b/fleet/replication/command.go
@@ -1,88 +1,95 @@
 package replication
 
-import "chutechute/internal/proto"
+import "chutechute/internal/fieldcodec"
 
-// Command is one entry of the record.
+// encodingOverhead is the space that the fields of a Command or Response other than the body usually need, in bytes.
+const encodingOverhead = 32
+
+// Command is a command to a state machine, and an entry of the replicated log.
 type Command struct {
+	// StateMachine is the ID of the state machine that applies the command.
 	StateMachine uint32
-	Version      uint32
-	Proposer     Incarnation
-	Sequence     uint64 // of the asker's question; its answer carries it
-	Body         []byte
+	// Version is the version of the body's form.
+	Version uint32
+	// Proposer is the process that proposed the command; 0 for a command that the leader proposed by itself.
+	Proposer Incarnation
+	// Sequence is the proposer's number of the proposal, which the response repeats.
+	Sequence uint64
+	// Body is the command in the state machine's own encoding.
+	Body []byte
+}
+
+func (c *Command) fields(f *fieldcodec.Fields) {
+	fieldcodec.Uint(f, 1, &c.StateMachine)
+	fieldcodec.Uint(f, 2, &c.Version)
+	fieldcodec.Uint(f, 3, &c.Proposer)
+	fieldcodec.Uint(f, 4, &c.Sequence)
+	f.Shared(5, &c.Body)
 }
 
-// Encode gives the command's bytes.
+// Encode returns the command's encoding.
 func (c Command) Encode() []byte {
-	b := make([]byte, 0, len(c.Body)+32)
-	b = proto.Uint(b, 1, uint64(c.StateMachine))
-	b = proto.Uint(b, 2, uint64(c.Version))
-	b = proto.Uint(b, 3, uint64(c.Proposer))
-	b = proto.Uint(b, 4, c.Sequence)
-	return proto.Bytes(b, 5, c.Body)
+	f := fieldcodec.Encode(make([]byte, 0, len(c.Body)+encodingOverhead))
+	c.fields(&f)
+	return f.Bytes()
 }
 
-// DecodeCommand reads one.
+// DecodeCommand decodes a command. Its body is a part of b.
 func DecodeCommand(b []byte) (c Command, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		switch f.Number {
-		case 1:
-			c.StateMachine = uint32(f.Uint)
-		case 2:
-			c.Version = uint32(f.Uint)
-		case 3:
-			c.Proposer = Incarnation(f.Uint)
-		case 4:
-			c.Sequence = f.Uint
-		case 5:
-			c.Body = f.Data
-		}
-		return nil
-	})
-	return c, err
+	f := fieldcodec.Decode(b)
+	for f.Next() {
+		c.fields(&f)
+	}
+	return c, f.Err()
 }
 
-// Response is what a copy tells who asked.
+// Response is a replica's response to a proposed command.
 type Response struct {
+	// Sequence is the number that the proposer gave the command.
 	Sequence uint64
-	Result   Result
-	Leader   uint64 // the copy to ask instead, with NotLeader
-	Body     []byte
+	// Result is what became of the command.
+	Result Result
+	// Leader is the ID of the leader, as far as the replica knows, unless the command was committed; 0 if unknown.
+	Leader uint64
+	// Body is the state machine's response, if the command was committed.
+	Body []byte
 }
 
-// Result says what became of a question.
+// Result says what became of a proposed command.
 type Result uint64
 
-// The results.
+// The results of a proposal.
 const (
-	Committed   Result = iota + 1
-	NotLeader          // ask elsewhere; nothing is known of what became of it
-	Busy               // not taken, as too much is under way
-	Unsupported        // of a kind or version that the copy does not know
+	// Committed is the result of a command that was committed and applied.
+	Committed Result = iota + 1
+	// NotLeader is the result of a proposal to a replica that does not lead. Nothing is known of what became of the
+	// command; another replica is to be tried.
+	NotLeader
+	// Busy is the result of a command that was not accepted, since too many bytes are proposed and not committed.
+	Busy
+	// Unsupported is the result of a command for a state machine, or in a version, that the replica does not know.
+	Unsupported
 )
 
-// Encode gives the answer's bytes.
-func (a Response) Encode() []byte {
-	b := make([]byte, 0, len(a.Body)+32)
-	b = proto.Uint(b, 1, a.Sequence)
-	b = proto.Uint(b, 2, uint64(a.Result))
-	b = proto.Uint(b, 3, a.Leader)
-	return proto.Bytes(b, 4, a.Body)
+func (r *Response) fields(f *fieldcodec.Fields) {
+	fieldcodec.Uint(f, 1, &r.Sequence)
+	fieldcodec.Uint(f, 2, &r.Result)
+	fieldcodec.Uint(f, 3, &r.Leader)
+	f.Copied(4, &r.Body)
+}
+
+// Encode returns the response's encoding.
+func (r Response) Encode() []byte {
+	f := fieldcodec.Encode(make([]byte, 0, len(r.Body)+encodingOverhead))
+	r.fields(&f)
+	return f.Bytes()
 }
 
-// DecodeResponse reads one; its body is the reader's own.
-func DecodeResponse(b []byte) (a Response, err error) {
-	err = proto.Each(b, func(f proto.Field) error {
-		switch f.Number {
-		case 1:
-			a.Sequence = f.Uint
-		case 2:
-			a.Result = Result(f.Uint)
-		case 3:
-			a.Leader = f.Uint
-		case 4:
-			a.Body = f.Copy()
-		}
-		return nil
-	})
-	return a, err
+// DecodeResponse decodes a response. Its body is a copy.
+func DecodeResponse(b []byte) (r Response, err error) {
+	f := fieldcodec.Decode(b)
+	for f.Next() {
+		r.fields(&f)
+	}
+	return r, f.Err()
 }
--- /dev/null
+++ b/fleet/replication/config.go
@@ -0,0 +1,61 @@
+package replication
+
+import (
+	"chutechute/internal/monotime"
+
+	"go.etcd.io/raft/v3"
+)
+
+// Config is the configuration of a Replica.
+type Config struct {
+	// ID is the replica's ID, drawn at random with its empty disk.
+	ID uint64
+	// StateMachines are the state machines that are replicated, in the order in which snapshots have them.
+	StateMachines []StateMachine
+	// Replicas is the number of voters that the leader aims for.
+	Replicas int
+	// TickInterval is the length of a Raft tick, in which the timeouts of heartbeats and elections are counted.
+	TickInterval monotime.Micros
+	// ReplaceAfter is the time without a sign of life after which a replica is replaced, if another front end can
+	// take its place.
+	ReplaceAfter monotime.Micros
+	// SnapshotLogBytes is the number of bytes applied from the log after which a snapshot is taken.
+	SnapshotLogBytes int
+	// Logger receives the messages of the Raft library. Its Panic and Fatal methods panic with an InvariantError.
+	Logger raft.Logger
+}
+
+// Timeouts, in ticks of Config.TickInterval.
+const (
+	electionTicks  = 8
+	heartbeatTicks = 1
+	// maxCatchUpTicks is how many ticks are made up for after the process did not run for a while.
+	maxCatchUpTicks = 4
+)
+
+// Limits of the Raft library.
+const (
+	maxMessageBytes     = 256 << 10 // of the entries in one message
+	maxApplyBytes       = 1 << 20   // of the entries that are applied at once
+	maxUncommittedBytes = 4 << 20   // of the entries that a leader has proposed and not committed
+	maxInflightMessages = 64        // to one follower, without a response
+)
+
+// raftConfig returns the Raft library's configuration of a replica that has applied the log up to an index.
+func (c *Config) raftConfig(storage raft.Storage, applied uint64) *raft.Config {
+	return &raft.Config{
+		ID:                        c.ID,
+		ElectionTick:              electionTicks,
+		HeartbeatTick:             heartbeatTicks,
+		Storage:                   storage,
+		Applied:                   applied,
+		AsyncStorageWrites:        true,
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxCommittedSizePerReady:  maxApplyBytes,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		MaxInflightMsgs:           maxInflightMessages,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		Logger:                    c.Logger,
+	}
+}
--- /dev/null
+++ b/fleet/replication/messages.go
@@ -0,0 +1,78 @@
+package replication
+
+import (
+	"errors"
+	"fmt"
+
+	"chutechute/internal/monotime"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// Receive processes a message of another replica in a Raft group. Messages to another ID than this replica's are
+// ignored: they are for a disk that was lost. An error says that the message is malformed or that Raft rejects it.
+func (r *Replica) Receive(now monotime.Micros, group uint64, encoded []byte) error {
+	defer r.recoverFromInvariantError()
+	r.now = now
+	message := &raftpb.Message{}
+	if err := proto.Unmarshal(encoded, message); err != nil {
+		return fmt.Errorf("replication: %w", err)
+	}
+	if message.GetTo() != r.config.ID || r.failure != nil || group == 0 {
+		return nil
+	}
+	if r.group == 0 {
+		if err := r.join(now, group); err != nil {
+			return err
+		}
+	}
+	if group != r.group || raft.IsLocalMsg(message.GetType()) {
+		return nil
+	}
+	r.membership.lastSeen[message.GetFrom()] = now
+	if message.GetType() == raftpb.MessageType_MsgProp {
+		return nil // commands are proposed by Propose only
+	}
+	err := r.node.Step(message)
+	r.processReady()
+	if errors.Is(err, raft.ErrStepPeerNotFound) {
+		return nil
+	}
+	return err
+}
+
+// Unreachable reports that a message to another replica was not sent. It may have been a snapshot.
+func (r *Replica) Unreachable(to uint64) {
+	defer r.recoverFromInvariantError()
+	if r.node != nil {
+		r.node.ReportUnreachable(to)
+		r.node.ReportSnapshot(to, raft.SnapshotFailure)
+		r.processReady()
+	}
+}
+
+// deliver delivers the responses of the library's append and apply threads, to this replica or to others.
+func (r *Replica) deliver(responses []*raftpb.Message) {
+	for _, message := range responses {
+		if message.GetTo() == r.config.ID {
+			_ = r.node.Step(message) // a message to itself is not rejected
+		} else {
+			r.send(message)
+		}
+	}
+}
+
+func (r *Replica) send(message *raftpb.Message) {
+	encoded, err := proto.Marshal(message)
+	if err != nil {
+		r.fail(err)
+		return
+	}
+	isSnapshot := message.GetType() == raftpb.MessageType_MsgSnap
+	r.actions = append(r.actions, Send{To: message.GetTo(), Bulk: isSnapshot, Message: encoded})
+	if isSnapshot { // if it is lost, the probe that follows finds out
+		r.node.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
+	}
+}
--- /dev/null
+++ b/fleet/replication/proposals.go
@@ -0,0 +1,98 @@
+package replication
+
+import (
+	"maps"
+
+	"chutechute/internal/monotime"
+)
+
+// Delays of the leader's own proposals, in ticks of Config.TickInterval.
+const (
+	// firstDueCommandsTicks is how long a new leader waits, so that what is in progress can end by itself.
+	firstDueCommandsTicks = 2 * electionTicks
+	dueCommandsTicks      = 4
+)
+
+// proposalTimeout is how long a proposal's response is awaited before the proposer is forgotten.
+const proposalTimeout = 10 * monotime.Second
+
+// proposalKey identifies a proposal.
+type proposalKey struct {
+	proposer Incarnation
+	sequence uint64
+}
+
+// proposalTracker has the proposals that were made at this replica and are not answered yet.
+type proposalTracker struct {
+	proposedAt map[proposalKey]monotime.Micros
+	lastPrune  monotime.Micros
+}
+
+func newProposalTracker() proposalTracker {
+	return proposalTracker{proposedAt: map[proposalKey]monotime.Micros{}}
+}
+
+func (t *proposalTracker) add(command Command, now monotime.Micros) {
+	t.proposedAt[proposalKey{command.Proposer, command.Sequence}] = now
+}
+
+// take removes the proposal of a command and reports whether it was made here.
+func (t *proposalTracker) take(command Command) bool {
+	key := proposalKey{command.Proposer, command.Sequence}
+	if t.proposedAt[key] == 0 {
+		return false
+	}
+	delete(t.proposedAt, key)
+	return true
+}
+
+// prune removes proposals that were never committed.
+func (t *proposalTracker) prune(now monotime.Micros) {
+	if now < t.lastPrune+proposalTimeout {
+		return
+	}
+	t.lastPrune = now
+	maps.DeleteFunc(t.proposedAt, func(_ proposalKey, proposedAt monotime.Micros) bool {
+		return now-proposedAt > proposalTimeout
+	})
+}
+
+// Propose proposes a front end's command. A Reply follows, unless another replica takes over as leader or this one
+// fails in the meantime.
+func (r *Replica) Propose(now monotime.Micros, command Command) {
+	defer r.recoverFromInvariantError()
+	r.now = now
+	switch {
+	case !r.IsLeader():
+		r.reject(command, NotLeader)
+	case !r.state.supports(command):
+		r.reject(command, Unsupported)
+	case r.node.Propose(command.Encode()) != nil:
+		r.reject(command, Busy)
+	default:
+		r.proposals.add(command, now)
+		r.processReady()
+	}
+}
+
+func (r *Replica) reject(command Command, result Result) {
+	response := Response{Sequence: command.Sequence, Result: result, Leader: r.Leader()}
+	r.actions = append(r.actions, Reply{To: command.Proposer, Response: response})
+}
+
+// proposeDueCommands proposes the commands that are due by the passing of time.
+func (r *Replica) proposeDueCommands() {
+	if r.nextDueCommands == 0 {
+		r.nextDueCommands = r.now + firstDueCommandsTicks*r.config.TickInterval
+	}
+	if r.now < r.nextDueCommands {
+		return
+	}
+	r.nextDueCommands = r.now + dueCommandsTicks*r.config.TickInterval
+	for _, stateMachine := range r.state.order {
+		for _, body := range stateMachine.DueCommands(r.now, r.detector) {
+			command := Command{StateMachine: stateMachine.ID(), Version: stateMachine.Version(), Body: body}
+			_ = r.node.Propose(command.Encode()) // if it is dropped, it will be due again
+		}
+	}
+}
--- a/internal/raftlog/raftlog.go
+++ b/internal/raftlog/raftlog.go
@@ -1,4 +1,6 @@
-// Package raftlog leads what the consensus library logs to the program's structured log, at debug level but for what is wrong.
+// Package raftlog passes the log messages of the Raft library to the program's structured log. Most are logged at debug
+// level, since operators see leaders and elections in 'fleet status'; errors are logged as such. A fatal message or a
+// panic of the library ends the replica with a replication.InvariantError.
 package raftlog
 
 import (
@@ -8,48 +10,57 @@
 	"chutechute/fleet/replication"
 )
 
-// Logger is the library's logger.
+// Log messages and the key of their attribute.
+const (
+	debugMessage = "raft library message"
+	errorMessage = "raft library error"
+	detailKey    = "detail"
+)
+
+// Logger is a raft.Logger over slog's default logger.
 type Logger struct{}
 
-// New is a logger over the program's own.
+// New returns a Logger.
 func New() Logger { return Logger{} }
 
-// Debug and the others are the library's interface.
-func (Logger) Debug(v ...any) { slog.Debug("raft", "text", fmt.Sprint(v...)) }
+func debug(detail string) { slog.Debug(debugMessage, slog.String(detailKey, detail)) }
+
+func fail(detail string) { panic(replication.InvariantError{Message: detail}) }
+
+// Debug logs at debug level.
+func (Logger) Debug(v ...any) { debug(fmt.Sprint(v...)) }
 
 // Debugf logs at debug level.
-func (Logger) Debugf(format string, v ...any) { slog.Debug("raft", "text", fmt.Sprintf(format, v...)) }
+func (Logger) Debugf(format string, v ...any) { debug(fmt.Sprintf(format, v...)) }
 
-// Info logs at debug level: an election is no news to an operator, who sees leaders in 'fleet status'.
-func (l Logger) Info(v ...any) { l.Debug(v...) }
+// Info logs at debug level.
+func (Logger) Info(v ...any) { debug(fmt.Sprint(v...)) }
 
 // Infof logs at debug level.
-func (l Logger) Infof(format string, v ...any) { l.Debugf(format, v...) }
+func (Logger) Infof(format string, v ...any) { debug(fmt.Sprintf(format, v...)) }
 
 // Warning logs at debug level.
-func (l Logger) Warning(v ...any) { l.Debug(v...) }
+func (Logger) Warning(v ...any) { debug(fmt.Sprint(v...)) }
 
 // Warningf logs at debug level.
-func (l Logger) Warningf(format string, v ...any) { l.Debugf(format, v...) }
+func (Logger) Warningf(format string, v ...any) { debug(fmt.Sprintf(format, v...)) }
 
-// Error logs an error.
-func (Logger) Error(v ...any) { slog.Error("raft", "text", fmt.Sprint(v...)) }
+// Error logs at error level.
+func (Logger) Error(v ...any) { slog.Error(errorMessage, slog.String(detailKey, fmt.Sprint(v...))) }
 
-// Errorf logs an error.
-func (Logger) Errorf(format string, v ...any) { slog.Error("raft", "text", fmt.Sprintf(format, v...)) }
+// Errorf logs at error level.
+func (Logger) Errorf(format string, v ...any) {
+	slog.Error(errorMessage, slog.String(detailKey, fmt.Sprintf(format, v...)))
+}
 
-// Fatal and Panic end the copy that called: its log can't be true any more.
-func (Logger) Fatal(v ...any) { panic(replication.InvariantError(fmt.Sprint(v...))) }
+// Fatal panics with a replication.InvariantError, which ends the replica that called.
+func (Logger) Fatal(v ...any) { fail(fmt.Sprint(v...)) }
 
-// Fatalf ends the copy.
-func (Logger) Fatalf(format string, v ...any) {
-	panic(replication.InvariantError(fmt.Sprintf(format, v...)))
-}
+// Fatalf panics with a replication.InvariantError, which ends the replica that called.
+func (Logger) Fatalf(format string, v ...any) { fail(fmt.Sprintf(format, v...)) }
 
-// Panic ends the copy.
-func (Logger) Panic(v ...any) { panic(replication.InvariantError(fmt.Sprint(v...))) }
+// Panic panics with a replication.InvariantError, which ends the replica that called.
+func (Logger) Panic(v ...any) { fail(fmt.Sprint(v...)) }
 
-// Panicf ends the copy.
-func (Logger) Panicf(format string, v ...any) {
-	panic(replication.InvariantError(fmt.Sprintf(format, v...)))
-}
+// Panicf panics with a replication.InvariantError, which ends the replica that called.
+func (Logger) Panicf(format string, v ...any) { fail(fmt.Sprintf(format, v...)) }
