--- a/fleet/replication/wal/golden_test.go
+++ b/fleet/replication/wal/golden_test.go
@@ -21,171 +21,256 @@
 )
 
 const (
-	second    = 1_000_000
-	tick      = 50_000
-	owner     = "legon/n1"
-	foundDisk = "testdata/found"
+	tickInterval = 50 * monotime.Millisecond
+	owner        = "legon/n1"
+	frontEnd     = "n1"
+	zone         = "a"
+	group        = 77
+	// earlierFolder is a folder as an earlier version wrote it.
+	earlierFolder = "testdata/found"
+	// tornBytes is how many bytes of the last record are missing in it.
+	tornBytes = 7
 )
 
-// onlyCopy is a record's one copy, on a folder.
-type onlyCopy struct {
-	t       *testing.T
-	now     monotime.Micros
-	replica *replication.Replica
-	loads   *idempotency.Registry
-	budgets *budget.Authority
-	store   *wal.Store
-	answers map[uint64]replication.Response
-	seq     uint64
+// singleReplica is the only replica of a Raft group, with a folder.
+type singleReplica struct {
+	t         *testing.T
+	now       monotime.Micros
+	replica   *replication.Replica
+	requests  *idempotency.Registry
+	budgets   *budget.Authority
+	store     *wal.Store
+	responses map[uint64]replication.Response
+	sequence  uint64
 }
 
-// everybody is a view of processes in which all are there.
-type everybody struct{}
+// allLive is a failure detector to which all processes are live.
+type allLive struct{}
 
-func (everybody) PresumedDead(replication.Incarnation) bool { return false }
-func (everybody) Superseded(replication.Incarnation) bool   { return false }
-func (everybody) Unreachable(replication.Incarnation) bool  { return false }
-func (everybody) Live() []replication.Incarnation           { return nil }
+func (allLive) PresumedDead(replication.Incarnation) bool { return false }
+func (allLive) Superseded(replication.Incarnation) bool   { return false }
+func (allLive) Unreachable(replication.Incarnation) bool  { return false }
+func (allLive) Live() []replication.Incarnation           { return nil }
 
-func openCopy(t *testing.T, folder string) *onlyCopy {
-	s, disk, err := wal.Open(folder, owner, func() uint64 { return 1<<40 + 5 })
+func openReplica(t *testing.T, folder string) *singleReplica {
+	store, persisted, err := wal.Open(folder, owner, func() uint64 { return 1<<40 + 5 })
 	require.NoError(t, err)
-	c := &onlyCopy{t: t, now: 1000 * second, store: s, answers: map[uint64]replication.Response{},
-		loads:   idempotency.NewRegistry(idempotency.Options{MaxBytes: 1 << 20, Retention: 60 * second, OrphanTimeout: 3 * second}),
-		budgets: budget.NewAuthority(budget.Options{Instances: 100})}
-	c.replica = replication.New(replication.Config{ID: s.ReplicaID(), StateMachines: []replication.StateMachine{c.loads, c.budgets}, Replicas: 1, TickInterval: tick, ReplaceAfter: 6 * second,
-		SnapshotLogBytes: 1500, Logger: raftlog.New()})
-	require.NoError(t, c.replica.Recover(c.now, disk))
-	c.carryOut()
-	return c
+	r := &singleReplica{
+		t:         t,
+		now:       1000 * monotime.Second,
+		store:     store,
+		responses: map[uint64]replication.Response{},
+		requests: idempotency.NewRegistry(idempotency.Options{
+			MaxBytes:      1 << 20,
+			Retention:     60 * monotime.Second,
+			OrphanTimeout: 3 * monotime.Second,
+		}),
+		budgets: budget.NewAuthority(budget.Options{Instances: 100}),
+	}
+	r.replica = replication.New(replication.Config{
+		ID:               store.ReplicaID(),
+		StateMachines:    []replication.StateMachine{r.requests, r.budgets},
+		Replicas:         1,
+		TickInterval:     tickInterval,
+		ReplaceAfter:     6 * monotime.Second,
+		SnapshotLogBytes: 1500,
+		Logger:           raftlog.New(),
+	})
+	require.NoError(t, r.replica.Recover(r.now, persisted))
+	r.perform()
+	return r
 }
 
-// carryOut writes what is to be saved until nothing is left.
-func (c *onlyCopy) carryOut() {
+// perform performs actions until there are none left.
+func (r *singleReplica) perform() {
 	for {
-		list := c.replica.Actions()
-		if len(list) == 0 {
+		actions := r.replica.Actions()
+		if len(actions) == 0 {
 			return
 		}
-		for _, action := range list {
+		for _, action := range actions {
 			switch action := action.(type) {
 			case replication.Save:
-				err := c.store.Write([]replication.Save{action})
-				require.NoError(c.t, err)
-				c.replica.Persisted(c.now, action.Token, err)
+				err := r.store.Write([]replication.Save{action})
+				require.NoError(r.t, err)
+				r.replica.Persisted(r.now, action.Token, err)
 			case replication.Reply:
-				c.answers[action.Response.Sequence] = action.Response
+				r.responses[action.Response.Sequence] = action.Response
 			}
 		}
 	}
 }
 
-func (c *onlyCopy) pass(span monotime.Micros) {
-	for until := c.now + span; c.now < until; c.now += tick {
-		c.replica.Tick(c.now, []replication.Member{{ID: c.store.ReplicaID(), Name: "n1", Zone: "a"}}, everybody{})
-		c.carryOut()
+func (r *singleReplica) member() replication.Member {
+	return replication.Member{ID: r.store.ReplicaID(), Name: frontEnd, Zone: zone}
+}
+
+// pass lets time pass.
+func (r *singleReplica) pass(duration monotime.Micros) {
+	for until := r.now + duration; r.now < until; r.now += tickInterval {
+		r.replica.Tick(r.now, []replication.Member{r.member()}, allLive{})
+		r.perform()
 	}
 }
 
-func (c *onlyCopy) ask(kind uint32, asker replication.Incarnation, body []byte) []byte {
-	c.seq++
-	c.replica.Propose(c.now, replication.Command{StateMachine: kind, Version: 1, Proposer: asker, Sequence: c.seq, Body: body})
-	c.carryOut()
-	require.Equal(c.t, replication.Committed, c.answers[c.seq].Result)
-	return c.answers[c.seq].Body
+// propose proposes a command and returns the body of the response.
+func (r *singleReplica) propose(stateMachine uint32, proposer replication.Incarnation, body []byte) []byte {
+	r.sequence++
+	r.replica.Propose(r.now, replication.Command{
+		StateMachine: stateMachine, Version: 1, Proposer: proposer, Sequence: r.sequence, Body: body,
+	})
+	r.perform()
+	require.Equal(r.t, replication.Committed, r.responses[r.sequence].Result)
+	return r.responses[r.sequence].Body
 }
 
-func (c *onlyCopy) askLoads(asker replication.Incarnation, command idempotency.Command) idempotency.Response {
-	v, err := idempotency.DecodeResponse(c.ask(c.loads.ID(), asker, command.Encode()))
-	require.NoError(c.t, err)
-	return v
+func (r *singleReplica) proposeRequest(
+	proposer replication.Incarnation, command idempotency.Command,
+) idempotency.Response {
+	response, err := idempotency.DecodeResponse(r.propose(r.requests.ID(), proposer, command.Encode()))
+	require.NoError(r.t, err)
+	return response
 }
 
-// held is all that the copy holds, a line each.
-func (c *onlyCopy) held() []string {
-	index, sum := c.replica.LastApplied()
-	voters, learners := c.replica.Members()
-	notes, err := json.Marshal(c.loads.Records())
-	require.NoError(c.t, err)
-	standing, err := json.Marshal(c.budgets.Status(c.now, ""))
-	require.NoError(c.t, err)
+// describe returns all that the replica holds, in lines.
+func (r *singleReplica) describe() []string {
+	index, checksum := r.replica.LastApplied()
+	voters, learners := r.replica.Members()
+	records, err := json.Marshal(r.requests.Records())
+	require.NoError(r.t, err)
+	budgets, err := json.Marshal(r.budgets.Status(r.now, ""))
+	require.NoError(r.t, err)
 	return []string{
-		fmt.Sprintf("number %d group %d term %d applied %d sum %x", c.store.ReplicaID(), c.replica.Group(), c.replica.Term(), index, sum),
-		fmt.Sprintf("copies %v %v", voters, learners), string(notes), string(standing),
-		fmt.Sprintf("loads %x", c.loads.AppendSnapshot(nil)), fmt.Sprintf("budgets %x", c.budgets.AppendSnapshot(nil)),
+		fmt.Sprintf("number %d group %d term %d applied %d sum %x",
+			r.store.ReplicaID(), r.replica.Group(), r.replica.Term(), index, checksum),
+		fmt.Sprintf("copies %v %v", voters, learners),
+		string(records),
+		string(budgets),
+		fmt.Sprintf("loads %x", r.requests.AppendSnapshot(nil)),
+		fmt.Sprintf("budgets %x", r.budgets.AppendSnapshot(nil)),
 	}
 }
 
-// write makes a folder with a snapshot, a log after it and a write that was cut short. It made foundDisk, once.
-func writeFolder(t *testing.T, folder string) {
-	c := openCopy(t, folder)
-	require.NoError(t, c.replica.Bootstrap(c.now, 77, []replication.Member{{ID: c.store.ReplicaID(), Name: "n1", Zone: "a"}}))
-	c.carryOut()
-	c.pass(3 * second)
-	take := func(asker replication.Incarnation, once, key string) uint64 {
-		return c.askLoads(asker, idempotency.Command{Op: idempotency.Register, IdempotencyKey: once, OrderKey: key, Tenant: "desk", Class: "load", StatementDigest: []byte(once),
-			RequestID: "call-" + once, TTL: 25 * second}).Epoch
+// register registers a request and returns its epoch.
+func (r *singleReplica) register(proposer replication.Incarnation, idempotencyKey, orderKey string) uint64 {
+	return r.proposeRequest(proposer, idempotency.Command{
+		Op:              idempotency.Register,
+		IdempotencyKey:  idempotencyKey,
+		OrderKey:        orderKey,
+		Tenant:          "desk",
+		Class:           "load",
+		StatementDigest: []byte(idempotencyKey),
+		RequestID:       "call-" + idempotencyKey,
+		TTL:             uint64(25 * monotime.Second),
+	}).Epoch
+}
+
+// run registers a request and authorizes its attempt. Every third request is completed.
+func (r *singleReplica) run(i int) {
+	idempotencyKey := fmt.Sprintf("once-%02d", i)
+	proposer := replication.Incarnation(5 + i%3)
+	epoch := r.register(proposer, idempotencyKey, fmt.Sprintf("key-%d", i%4))
+	r.proposeRequest(proposer, idempotency.Command{
+		Op:             idempotency.AuthorizeAttempt,
+		IdempotencyKey: idempotencyKey,
+		Epoch:          epoch,
+		Attempt:        1,
+		Engine:         "s-00000001",
+		RequestID:      "call-" + idempotencyKey,
+	})
+	if i%3 == 0 {
+		r.proposeRequest(proposer, idempotency.Command{
+			Op:             idempotency.Complete,
+			IdempotencyKey: idempotencyKey,
+			Epoch:          epoch,
+			Outcome:        idempotency.Served,
+			Rows:           []byte("rows of " + idempotencyKey),
+		})
 	}
-	set := &budget.Set{Version: 3, Lease: 2 * second, MaxFrontEnds: 5, Specs: []budget.Spec{
-		{Name: "places", Kind: account.Concurrency, Total: budget.Amount{Capacity: 6000}, MaxAttemptDuration: 25 * second, MinPart: 1000},
-		{Name: "rate", Kind: account.Rate, Total: budget.Amount{Capacity: 8000, Rate: 6000}, Reserve: 700, MinPart: 1000}}}
-	holder := budget.NewLeaseHolder(budget.LeaseHolderConfig{Name: "n1", Set: set, MinReportInterval: second / 50}, askBudgets{c}, wantsAll{})
-	holder.Start(c.now)
+}
+
+// leaseHolder returns a holder of leases on two budgets that the replica's authority divides.
+func (r *singleReplica) leaseHolder() *budget.LeaseHolder {
+	set := &budget.Set{Version: 3, Lease: 2 * monotime.Second, MaxFrontEnds: 5, Specs: []budget.Spec{
+		{
+			Name:               "places",
+			Kind:               account.Concurrency,
+			Total:              budget.Amount{Capacity: 6000},
+			MaxAttemptDuration: 25 * monotime.Second,
+			MinPart:            1000,
+		},
+		{
+			Name:    "rate",
+			Kind:    account.Rate,
+			Total:   budget.Amount{Capacity: 8000, Rate: 6000},
+			Reserve: 700,
+			MinPart: 1000,
+		},
+	}}
+	config := budget.LeaseHolderConfig{Name: frontEnd, Set: set, MinReportInterval: monotime.Second / 50}
+	return budget.NewLeaseHolder(config, budgetProposer{r}, constantDemand{})
+}
+
+// writeFolder writes a folder with a snapshot, a log after it and a torn record. It wrote earlierFolder, once.
+func writeFolder(t *testing.T, folder string) {
+	r := openReplica(t, folder)
+	require.NoError(t, r.replica.Bootstrap(r.now, group, []replication.Member{r.member()}))
+	r.perform()
+	r.pass(3 * monotime.Second)
+	holder := r.leaseHolder()
+	holder.Start(r.now)
 	for i := range 20 {
-		once := fmt.Sprintf("once-%02d", i)
-		asker := replication.Incarnation(5 + i%3)
-		epoch := take(asker, once, fmt.Sprintf("key-%d", i%4))
-		c.askLoads(asker, idempotency.Command{Op: idempotency.AuthorizeAttempt, IdempotencyKey: once, Epoch: epoch, Attempt: 1, Engine: "s-00000001", RequestID: "call-" + once})
-		if i%3 == 0 {
-			c.askLoads(asker, idempotency.Command{Op: idempotency.Complete, IdempotencyKey: once, Epoch: epoch, Outcome: idempotency.Served, Rows: []byte("rows of " + once)})
-		}
-		holder.Tick(c.now)
-		c.carryOut()
-		c.pass(second / 2)
+		r.run(i)
+		holder.Tick(r.now)
+		r.perform()
+		r.pass(monotime.Second / 2)
 	}
-	require.NoError(t, c.store.Close())
+	require.NoError(t, r.store.Close())
 	files, err := filepath.Glob(filepath.Join(folder, "log*"))
 	require.NoError(t, err)
 	require.Len(t, files, 1)
 	log, err := os.ReadFile(files[0])
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(files[0], log[:len(log)-7], 0o600))
+	require.NoError(t, os.WriteFile(files[0], log[:len(log)-tornBytes], 0o600))
 }
 
-// askBudgets puts a holder's questions to the copy.
-type askBudgets struct{ c *onlyCopy }
+// budgetProposer proposes a lease holder's commands to the replica.
+type budgetProposer struct{ r *singleReplica }
 
-func (a askBudgets) Propose(_ monotime.Micros, kind, _ uint32, body []byte, done func(replication.Response)) uint64 {
-	done(replication.Response{Result: replication.Committed, Body: a.c.ask(kind, 5, body)})
-	return a.c.seq
+func (p budgetProposer) Propose(
+	_ monotime.Micros, stateMachine, _ uint32, body []byte, done func(replication.Response),
+) uint64 {
+	done(replication.Response{Result: replication.Committed, Body: p.r.propose(stateMachine, 5, body)})
+	return p.r.sequence
 }
 
-func (askBudgets) Cancel(uint64) {}
-
-// The folder of a front end as an earlier version wrote it: its snapshot, its log, commands of both kinds, and a last write
-// that was cut short. All that it held is there.
-func TestFolderOfAnEarlierVersion(t *testing.T) {
-	if _, err := os.Stat(foundDisk); os.IsNotExist(err) && os.Getenv("CHUTECHUTE_GOLDEN_CREATE") != "" {
-		require.NoError(t, os.MkdirAll(foundDisk, 0o700))
-		writeFolder(t, foundDisk)
-	}
-	folder := t.TempDir()
-	require.NoError(t, os.CopyFS(filepath.Join(folder, "disk"), os.DirFS(foundDisk)))
-	c := openCopy(t, filepath.Join(folder, "disk"))
-	require.Empty(t, c.store.QuarantinedPath)
-	held := append([]string{fmt.Sprintf("cut off %d bytes", c.store.TruncatedBytes)}, c.held()...)
-	golden.Lines(t, "testdata/found.txt", held)
-	c.pass(3 * second) // it goes on with it
-	require.True(t, c.replica.IsLeader())
-	require.Equal(t, idempotency.Served, c.askLoads(99, idempotency.Command{Op: idempotency.Inspect, IdempotencyKey: "once-00"}).Phase)
-	require.NoError(t, c.store.Close())
-}
+func (budgetProposer) Cancel(uint64) {}
 
-// wantsAll is a spender that wants some of both budgets.
-type wantsAll struct{}
+// constantDemand is a consumer that always wants the same of both budgets.
+type constantDemand struct{}
 
-func (wantsAll) BudgetDemands(monotime.Micros) []scheduler.BudgetDemand {
+func (constantDemand) BudgetDemands(monotime.Micros) []scheduler.BudgetDemand {
 	return []scheduler.BudgetDemand{{Budget: "places", Want: 3000, InUse: 1000}, {Budget: "rate", Want: 5000}}
 }
 
-func (wantsAll) GrantBudgets(monotime.Micros, budget.Grant) {}
+func (constantDemand) GrantBudgets(monotime.Micros, budget.Grant) {}
+
+// The folder of a front end as an earlier version wrote it has a snapshot, a log, commands of both state machines,
+// and a torn record at the end. All of it is there after it is opened, and the replica goes on.
+func TestFolderOfAnEarlierVersion(t *testing.T) {
+	if _, err := os.Stat(earlierFolder); os.IsNotExist(err) && os.Getenv("CHUTECHUTE_GOLDEN_CREATE") != "" {
+		require.NoError(t, os.MkdirAll(earlierFolder, 0o700))
+		writeFolder(t, earlierFolder)
+	}
+	folder := filepath.Join(t.TempDir(), "disk")
+	require.NoError(t, os.CopyFS(folder, os.DirFS(earlierFolder)))
+	r := openReplica(t, folder)
+	require.Empty(t, r.store.QuarantinedPath)
+	lines := append([]string{fmt.Sprintf("cut off %d bytes", r.store.TruncatedBytes)}, r.describe()...)
+	golden.Lines(t, "testdata/found.txt", lines)
+	r.pass(3 * monotime.Second)
+	require.True(t, r.replica.IsLeader())
+	inspect := idempotency.Command{Op: idempotency.Inspect, IdempotencyKey: "once-00"}
+	require.Equal(t, idempotency.Served, r.proposeRequest(99, inspect).Phase)
+	require.NoError(t, r.store.Close())
+}
--- /dev/null
+++ b/fleet/replication/wal/logstate.go
@@ -0,0 +1,47 @@
+package wal
+
+import "go.etcd.io/raft/v3/raftpb"
+
+// logState is what the records of the log add up to. The next log begins with it.
+type logState struct {
+	group         uint64
+	hardState     *raftpb.HardState
+	entries       []*raftpb.Entry // after the snapshot
+	snapshotIndex uint64
+}
+
+// apply adds a record.
+func (s *logState) apply(record logRecord) {
+	if s.group == 0 {
+		s.group = record.group
+	}
+	if record.hardState != nil {
+		s.hardState = record.hardState
+	}
+	if record.discardLog {
+		s.entries = nil
+	}
+	for _, entry := range record.entries {
+		s.truncateFrom(entry.GetIndex())
+		if entry.GetIndex() > s.snapshotIndex {
+			s.entries = append(s.entries, entry)
+		}
+	}
+	for len(s.entries) > 0 && s.entries[0].GetIndex() <= s.snapshotIndex {
+		s.entries = s.entries[1:]
+	}
+}
+
+// truncateFrom removes the entries from an index on, which entries of another term replace.
+func (s *logState) truncateFrom(index uint64) {
+	n := len(s.entries)
+	for n > 0 && s.entries[n-1].GetIndex() >= index {
+		n--
+	}
+	s.entries = s.entries[:n]
+}
+
+// record returns the first record of the next log.
+func (s *logState) record() logRecord {
+	return logRecord{group: s.group, hardState: s.hardState, entries: s.entries}
+}
--- a/fleet/replication/wal/store_test.go
+++ b/fleet/replication/wal/store_test.go
@@ -16,126 +16,179 @@
 
 func TestMain(m *testing.M) { os.Exit(standin.Seeded(m)) }
 
-func entries(term uint64, from, to uint64) (list []*raftpb.Entry) {
+// entries returns the entries of a term from one index to another.
+func entries(term, from, to uint64) (list []*raftpb.Entry) {
 	for i := from; i <= to; i++ {
 		list = append(list, &raftpb.Entry{Index: &i, Term: &term, Data: []byte{byte(i), byte(term)}})
 	}
 	return list
 }
 
-func state(term, commit uint64) *raftpb.HardState {
+func hardState(term, commit uint64) *raftpb.HardState {
 	return &raftpb.HardState{Term: &term, Commit: &commit}
 }
 
-func numbers() func() uint64 {
+// countingIDs returns a function that returns 1, 2 and so on.
+func countingIDs() func() uint64 {
 	n := uint64(0)
 	return func() uint64 { n++; return n }
 }
 
-func last(d *replication.PersistedState) uint64 {
-	if n := len(d.Entries); n > 0 {
-		return d.Entries[n-1].GetIndex()
+// lastIndex returns the index of the last entry that was persisted, in the log or in the snapshot.
+func lastIndex(persisted *replication.PersistedState) uint64 {
+	if n := len(persisted.Entries); n > 0 {
+		return persisted.Entries[n-1].GetIndex()
 	}
-	return d.Snapshot.GetMetadata().GetIndex()
+	return persisted.Snapshot.GetMetadata().GetIndex()
 }
 
-// What was written is there after any number of openings, whatever the order of appends, overwrites and snapshots; a cut at any
-// byte of the last write loses that write alone, and a flipped bit anywhere is found and never served.
-func TestKeepsWhatWasWritten(t *testing.T) {
+// modelStore is a Store beside the log that it should hold.
+type modelStore struct {
+	store         *Store
+	folder        string
+	newReplicaID  func() uint64
+	replicaID     uint64
+	lastIndex     uint64
+	term          uint64
+	snapshotIndex uint64
+}
+
+func newModelStore(t *testing.T) *modelStore {
+	parent, err := os.MkdirTemp(t.TempDir(), "s")
+	require.NoError(t, err)
+	m := &modelStore{folder: filepath.Join(parent, "disk"), newReplicaID: countingIDs(), term: 1}
+	require.NoError(t, os.Mkdir(m.folder, 0o700))
+	persisted := m.open(t)
+	require.Zero(t, lastIndex(persisted), "a new folder holds nothing")
+	m.replicaID = m.store.ReplicaID()
+	return m
+}
+
+func (m *modelStore) open(t *testing.T) (persisted *replication.PersistedState) {
+	var err error
+	m.store, persisted, err = Open(m.folder, "site/n1", m.newReplicaID)
+	require.NoError(t, err)
+	return persisted
+}
+
+func (m *modelStore) logPath() string { return filepath.Join(m.folder, logName) }
+
+func (m *modelStore) write(t *testing.T, save replication.Save) {
+	save.Group = 7
+	require.NoError(t, m.store.Write([]replication.Save{save}))
+}
+
+// appendEntries writes new entries after the last one.
+func (m *modelStore) appendEntries(t *testing.T, count uint64) {
+	added := entries(m.term, m.lastIndex+1, m.lastIndex+count)
+	m.write(t, replication.Save{Entries: added, HardState: hardState(m.term, m.lastIndex)})
+}
+
+// overwrite replaces the last entry by one of another leader.
+func (m *modelStore) overwrite(t *testing.T) {
+	if m.lastIndex <= m.snapshotIndex {
+		return
+	}
+	m.term++
+	replaced := entries(m.term, m.lastIndex, m.lastIndex)
+	m.write(t, replication.Save{Entries: replaced, HardState: hardState(m.term, m.lastIndex)})
+}
+
+func (m *modelStore) snapshot(t *testing.T) {
+	if m.lastIndex <= m.snapshotIndex {
+		return
+	}
+	m.snapshotIndex = m.lastIndex
+	index, term := m.snapshotIndex, m.term
+	m.write(t, replication.Save{Snapshot: &raftpb.Snapshot{
+		Data:     []byte("all"),
+		Metadata: &raftpb.SnapshotMetadata{Index: &index, Term: &term},
+	}})
+}
+
+func (m *modelStore) reopen(t *testing.T) {
+	require.NoError(t, m.store.Close())
+	persisted := m.open(t)
+	require.Equal(t, m.replicaID, m.store.ReplicaID())
+	require.Equal(t, m.lastIndex, lastIndex(persisted))
+	require.Equal(t, m.snapshotIndex, persisted.Snapshot.GetMetadata().GetIndex())
+	if n := len(persisted.Entries); n > 0 {
+		require.Equal(t, m.term, persisted.Entries[n-1].GetTerm())
+	}
+}
+
+// What was written is there after any number of openings, whatever the order of appends, overwrites and snapshots. A
+// cut at any byte of the last write loses that write alone, and a flipped bit anywhere is found and never served.
+func TestReopenedStoreHasWhatWasWritten(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		dir, err := os.MkdirTemp(t.TempDir(), "s")
-		require.NoError(t, err)
-		folder := filepath.Join(dir, "disk")
-		require.NoError(t, os.Mkdir(folder, 0o700))
-		next := numbers()
-		s, disk, err := Open(folder, "site/n1", next)
-		require.NoError(t, err)
-		require.Zero(t, last(disk), "a new folder holds nothing")
-		number := s.ReplicaID()
-		at, term, snap := uint64(0), uint64(1), uint64(0)
+		model := newModelStore(t)
 		for range rapid.IntRange(1, 12).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 4).Draw(rt, "step") {
 			case 0, 1:
-				n := rapid.Uint64Range(1, 5).Draw(rt, "entries")
-				require.NoError(t, s.Write([]replication.Save{{Group: 7, Entries: entries(term, at+1, at+n), HardState: state(term, at)}}))
-				at += n
-			case 2: // another leader's entries in place of the last
-				if at > snap {
-					term++
-					require.NoError(t, s.Write([]replication.Save{{Group: 7, Entries: entries(term, at, at), HardState: state(term, at)}}))
-				}
+				count := rapid.Uint64Range(1, 5).Draw(rt, "entries")
+				model.appendEntries(t, count)
+				model.lastIndex += count
+			case 2:
+				model.overwrite(t)
 			case 3:
-				if at > snap {
-					snap = at
-					t := term
-					require.NoError(rt, s.Write([]replication.Save{{Group: 7, Snapshot: &raftpb.Snapshot{Data: []byte("all"),
-						Metadata: &raftpb.SnapshotMetadata{Index: &snap, Term: &t}}}}))
-				}
+				model.snapshot(t)
 			case 4:
-				require.NoError(t, s.Close())
-				s, disk, err = Open(folder, "site/n1", next)
-				require.NoError(t, err)
-				require.Equal(t, number, s.ReplicaID())
-				require.Equal(t, at, last(disk))
-				require.Equal(t, snap, disk.Snapshot.GetMetadata().GetIndex())
-				if n := len(disk.Entries); n > 0 {
-					require.Equal(t, term, disk.Entries[n-1].GetTerm())
-				}
+				model.reopen(t)
 			}
 		}
-		before, err := os.ReadFile(filepath.Join(folder, logName))
+		before, err := os.ReadFile(model.logPath())
 		require.NoError(t, err)
-		require.NoError(t, s.Write([]replication.Save{{Group: 7, Entries: entries(term, at+1, at+3), HardState: state(term, at)}}))
-		require.NoError(t, s.Close())
-		log := filepath.Join(folder, logName)
-		b, err := os.ReadFile(log)
+		model.appendEntries(t, 3)
+		require.NoError(t, model.store.Close())
+		log, err := os.ReadFile(model.logPath())
 		require.NoError(t, err)
-		cut := rapid.IntRange(len(before)+1, len(b)-1).Draw(rt, "cut")
-		require.NoError(t, os.WriteFile(log, b[:cut], 0o600))
-		s, disk, err = Open(folder, "site/n1", next)
-		require.NoError(t, err)
-		assert.Empty(t, s.QuarantinedPath)
-		assert.Equal(t, number, s.ReplicaID())
-		assert.Equal(t, at, last(disk))
-		require.NoError(t, s.Close())
-		if len(before) > 0 {
-			flipped := append([]byte(nil), b...)
-			bit := rapid.IntRange(0, len(before)*8-1).Draw(rt, "bit")
-			flipped[bit/8] ^= 1 << (bit % 8)
-			require.NoError(t, os.WriteFile(log, flipped, 0o600))
-			s, disk, err = Open(folder, "site/n1", next)
-			require.NoError(t, err)
-			assert.NotEmpty(t, s.QuarantinedPath)
-			assert.NotEqual(t, number, s.ReplicaID(), "a spoilt disk must not vote under its old number")
-			assert.Zero(t, disk.Group)
-			require.NoError(t, s.Close())
+
+		cut := rapid.IntRange(len(before)+1, len(log)-1).Draw(rt, "cut")
+		require.NoError(t, os.WriteFile(model.logPath(), log[:cut], 0o600))
+		persisted := model.open(t)
+		assert.Empty(t, model.store.QuarantinedPath)
+		assert.Equal(t, model.replicaID, model.store.ReplicaID())
+		assert.Equal(t, model.lastIndex, lastIndex(persisted))
+		require.NoError(t, model.store.Close())
+
+		if len(before) == 0 {
+			return
 		}
+		flipped := append([]byte(nil), log...)
+		bit := rapid.IntRange(0, len(before)*8-1).Draw(rt, "bit")
+		flipped[bit/8] ^= 1 << (bit % 8)
+		require.NoError(t, os.WriteFile(model.logPath(), flipped, 0o600))
+		persisted = model.open(t)
+		assert.NotEmpty(t, model.store.QuarantinedPath)
+		assert.NotEqual(t, model.replicaID, model.store.ReplicaID(), "a corrupt disk must not vote under its old ID")
+		assert.Zero(t, persisted.Group)
+		require.NoError(t, model.store.Close())
 	})
 }
 
-// Two processes on one folder, another front end's folder and one that can't be written each have their outcome.
-func TestFoldersThatCanNotBeUsed(t *testing.T) {
+// A folder that another process has open, another front end's folder and a missing one cannot be opened.
+func TestOpenFailsOnLockedForeignAndMissingFolders(t *testing.T) {
 	folder := t.TempDir()
-	s, _, err := Open(folder, "site/n1", numbers())
+	store, _, err := Open(folder, "site/n1", countingIDs())
 	require.NoError(t, err)
-	_, _, err = Open(folder, "site/n1", numbers())
+	_, _, err = Open(folder, "site/n1", countingIDs())
 	assert.ErrorIs(t, err, ErrLocked)
-	require.NoError(t, s.Close())
-	_, _, err = Open(folder, "site/n2", numbers())
+	require.NoError(t, store.Close())
+	_, _, err = Open(folder, "site/n2", countingIDs())
 	assert.ErrorIs(t, err, ErrWrongOwner)
-	_, _, err = Open(filepath.Join(folder, "missing"), "site/n1", numbers())
+	_, _, err = Open(filepath.Join(folder, "missing"), "site/n1", countingIDs())
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
 // After a write that failed nothing more is written, even where the disk would take it again.
-func TestNoSecondTryAfterAFailure(t *testing.T) {
-	s, _, err := Open(t.TempDir(), "site/n1", numbers())
+func TestNothingIsWrittenAfterAFailedWrite(t *testing.T) {
+	store, _, err := Open(t.TempDir(), "site/n1", countingIDs())
 	require.NoError(t, err)
-	good := s.log
-	bad, err := os.Open(os.DevNull) // not for writing
+	goodFile := store.logFile
+	readOnlyFile, err := os.Open(os.DevNull)
 	require.NoError(t, err)
-	s.log = bad
-	require.Error(t, s.Write([]replication.Save{{Group: 7, Entries: entries(1, 1, 2)}}))
-	s.log = good
-	assert.ErrorIs(t, s.Write([]replication.Save{{Group: 7, Entries: entries(1, 1, 2)}}), ErrFailed)
+	store.logFile = readOnlyFile
+	require.Error(t, store.Write([]replication.Save{{Group: 7, Entries: entries(1, 1, 2)}}))
+	store.logFile = goodFile
+	assert.ErrorIs(t, store.Write([]replication.Save{{Group: 7, Entries: entries(1, 1, 2)}}), ErrFailed)
 }
--- a/fleet/replication/wal/writer.go
+++ b/fleet/replication/wal/writer.go
@@ -6,65 +6,84 @@
 	"chutechute/fleet/replication"
 )
 
-// Writer writes saves in a goroutine of its own, so that no sync holds up the loop. What waits while one sync runs goes with
-// the next: one commit for all of it.
+// Writer writes saves to a Store in a goroutine of its own, so that no sync delays the event loop. Saves that are
+// queued while a sync runs are written together with the next one: a group commit.
 type Writer struct {
-	store  *Store
-	stored func(token uint64, err error) // from the writer's goroutine
-	mu     sync.Mutex
-	list   []replication.Save
-	wake   chan struct{}
-	done   chan struct{}
-	ended  bool
+	store       *Store
+	onPersisted func(token uint64, err error)
+
+	mu      sync.Mutex
+	queue   []replication.Save
+	closing bool
+
+	wake    chan struct{} // has an element if the queue or closing may have changed
+	stopped chan struct{} // closed when the goroutine has ended
 }
 
-// NewWriter begins; stored is called for each save, in order.
-func NewWriter(s *Store, stored func(token uint64, err error)) *Writer {
-	w := &Writer{store: s, stored: stored, wake: make(chan struct{}, 1), done: make(chan struct{})}
+// NewWriter starts a Writer. It calls onPersisted for each save, in order, from the Writer's goroutine, with the
+// error of Store.Write.
+func NewWriter(store *Store, onPersisted func(token uint64, err error)) *Writer {
+	w := &Writer{
+		store:       store,
+		onPersisted: onPersisted,
+		wake:        make(chan struct{}, 1),
+		stopped:     make(chan struct{}),
+	}
 	go w.run()
 	return w
 }
 
-// Enqueue queues a save. The record bounds what waits: it commits nothing that is not stored.
-func (w *Writer) Enqueue(s replication.Save) {
+// Enqueue queues a save. The queue needs no limit, since a replica accepts a limited number of bytes that are not
+// persisted.
+func (w *Writer) Enqueue(save replication.Save) {
 	w.mu.Lock()
-	w.list = append(w.list, s)
+	w.queue = append(w.queue, save)
 	w.mu.Unlock()
-	w.nudge()
+	w.signal()
 }
 
-func (w *Writer) nudge() {
+// signal wakes the goroutine.
+func (w *Writer) signal() {
 	select {
 	case w.wake <- struct{}{}:
-	default:
+	default: // it will wake up anyway
 	}
 }
 
 func (w *Writer) run() {
-	defer close(w.done)
+	defer close(w.stopped)
 	for range w.wake {
-		w.mu.Lock()
-		batch, ended := w.list, w.ended
-		w.list = nil
-		w.mu.Unlock()
-		if len(batch) > 0 {
-			err := w.store.Write(batch)
-			for _, s := range batch {
-				w.stored(s.Token, err)
-			}
-		}
-		if ended {
+		batch, closing := w.takeQueue()
+		w.write(batch)
+		if closing {
 			return
 		}
 	}
 }
 
-// Close writes what is queued, ends the goroutine and lets go of the folder.
+func (w *Writer) takeQueue() (batch []replication.Save, closing bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	batch, w.queue = w.queue, nil
+	return batch, w.closing
+}
+
+func (w *Writer) write(batch []replication.Save) {
+	if len(batch) == 0 {
+		return
+	}
+	err := w.store.Write(batch)
+	for _, save := range batch {
+		w.onPersisted(save.Token, err)
+	}
+}
+
+// Close writes what is queued, ends the goroutine, and closes the Store.
 func (w *Writer) Close() error {
 	w.mu.Lock()
-	w.ended = true
+	w.closing = true
 	w.mu.Unlock()
-	w.nudge()
-	<-w.done
+	w.signal()
+	<-w.stopped
 	return w.store.Close()
 }
