--- a/fleet/replication/command.go
+++ b/fleet/replication/command.go
@@ -49,7 +49,7 @@
 	Sequence uint64
 	// Result is what became of the command.
 	Result Result
-	// Leader is the ID of the leader, as far as the replica knows, unless the command was committed; 0 if unknown.
+	// Leader is the ID of the leader as far as a replica that rejects the proposal knows; 0 if unknown.
 	Leader uint64
 	// Body is the state machine's response, if the command was committed.
 	Body []byte
--- a/fleet/replication/config.go
+++ b/fleet/replication/config.go
@@ -12,7 +12,7 @@
 	ID uint64
 	// StateMachines are the state machines that are replicated, in the order in which snapshots have them.
 	StateMachines []StateMachine
-	// Replicas is the number of voters that the leader aims for.
+	// Replicas is the number of voters that there should be.
 	Replicas int
 	// TickInterval is the length of a Raft tick, in which the timeouts of heartbeats and elections are counted.
 	TickInterval monotime.Micros
--- /dev/null
+++ b/fleet/replication/invariant_test.go
@@ -0,0 +1,40 @@
+package replication_test
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
+	"chutechute/internal/raftlog"
+)
+
+// A heartbeat that tells of a commit beyond the end of the log shows that the log is not what it has to be. The library
+// panics; the replica ends with what the library reported, and its process goes on.
+func TestImpossibleCommitIndexEndsTheReplica(t *testing.T) {
+	const (
+		now    = 1000 * monotime.Second
+		group  = 77
+		other  = 2
+		commit = 99
+	)
+	replica := replication.New(replication.Config{
+		ID: 1, Replicas: 2, TickInterval: 50 * monotime.Millisecond, SnapshotLogBytes: 1 << 20, Logger: raftlog.New(),
+	})
+	require.NoError(t, replica.Bootstrap(now, group, []replication.Member{{ID: 1}, {ID: other}}))
+	heartbeat, err := proto.Marshal(&raftpb.Message{
+		Type: raftpb.MessageType_MsgHeartbeat.Enum(), To: proto.Uint64(1), From: proto.Uint64(other),
+		Term: proto.Uint64(1), Commit: proto.Uint64(commit),
+	})
+	require.NoError(t, err)
+	require.NoError(t, replica.Receive(now, group, heartbeat))
+	var invariant replication.InvariantError
+	require.ErrorAs(t, replica.Err(), &invariant)
+	require.Contains(t, invariant.Message, "commit")
+	require.Equal(t, "replication: "+invariant.Message, invariant.Error())
+	replica.Tick(now+monotime.Second, nil, nil) // it takes no part any more
+	require.Zero(t, replica.Term())
+}
