--- a/fleet/replication/command.go
+++ b/fleet/replication/command.go
@@ -65,7 +65,8 @@
 	// NotLeader is the result of a proposal to a replica that does not lead. Nothing is known of what became of the
 	// command; another replica is to be tried.
 	NotLeader
-	// Busy is the result of a command that was not accepted, since too many bytes are proposed and not committed.
+	// Busy is the result of a command that was not accepted, since too many bytes are proposed and not committed, or
+	// since the leader is about to change.
 	Busy
 	// Unsupported is the result of a command for a state machine, or in a version, that the replica does not know.
 	Unsupported
--- a/fleet/replication/doc.go
+++ b/fleet/replication/doc.go
@@ -1,7 +1,7 @@
 // Package replication replicates state machines over front ends of a fleet: what one of them promises on behalf of
-// all is committed by a majority of the replicas before anybody acts on it or is told of it. Consensus is the work of
-// go.etcd.io/raft. This package has what is proposed, answered and persisted, which front ends are replicas, and how
-// a front end that lost its disk becomes a replica again.
+// all is committed by a majority of the replicas before anybody acts on it or gets a response. Consensus is the work
+// of go.etcd.io/raft. This package has what is proposed, answered and persisted, which front ends are replicas, and
+// how a front end that lost its disk becomes a replica again.
 //
 // Guarantees:
 //
--- a/fleet/replication/invariant_test.go
+++ b/fleet/replication/invariant_test.go
@@ -12,7 +12,7 @@
 	"chutechute/internal/raftlog"
 )
 
-// A heartbeat that tells of a commit beyond the end of the log shows that the log is not what it has to be. The library
+// A heartbeat with a commit index beyond the end of the log shows that the log is not what it has to be. The library
 // panics; the replica ends with what the library reported, and its process goes on.
 func TestImpossibleCommitIndexEndsTheReplica(t *testing.T) {
 	const (
--- a/fleet/replication/leadertransfer.go
+++ b/fleet/replication/leadertransfer.go
@@ -40,8 +40,8 @@
 // equals, or 0 if there is none.
 func (r *Replica) leaderTransferTarget() (target uint64) {
 	var match uint64
-	r.node.WithProgress(func(id uint64, kind raft.ProgressType, progress tracker.Progress) {
-		if kind != raft.ProgressTypePeer || id == r.config.ID || !progress.RecentActive {
+	r.node.WithProgress(func(id uint64, progressType raft.ProgressType, progress tracker.Progress) {
+		if progressType != raft.ProgressTypePeer || id == r.config.ID || !progress.RecentActive {
 			return
 		}
 		if progress.Match > match || progress.Match == match && id < target {
--- a/fleet/replication/membership.go
+++ b/fleet/replication/membership.go
@@ -150,8 +150,8 @@
 	_ = r.node.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes, Context: EncodeMembers(added)})
 }
 
-func singleChange(kind raftpb.ConfChangeType, id uint64) *raftpb.ConfChangeSingle {
-	return &raftpb.ConfChangeSingle{Type: kind.Enum(), NodeId: &id}
+func singleChange(changeType raftpb.ConfChangeType, id uint64) *raftpb.ConfChangeSingle {
+	return &raftpb.ConfChangeSingle{Type: changeType.Enum(), NodeId: &id}
 }
 
 // caughtUpLearner returns the first learner that has all committed entries but a few, or 0.
--- a/fleet/replication/persistence.go
+++ b/fleet/replication/persistence.go
@@ -20,7 +20,7 @@
 	responses   []*raftpb.Message
 }
 
-// requestSave asks for the persisting of entries, hard state and snapshot.
+// requestSave requests that entries, hard state and snapshot are persisted, by an action Save.
 func (r *Replica) requestSave(save pendingSave) {
 	r.lastToken++
 	save.requestedAt = r.now
--- a/fleet/replication/ready.go
+++ b/fleet/replication/ready.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// appendEntries asks for the persisting of new entries, hard state and snapshot. A snapshot of the leader is restored
+// appendEntries requests that new entries, hard state and snapshot are persisted. A snapshot of the leader is restored
 // at once.
 func (r *Replica) appendEntries(message *raftpb.Message) error {
 	save := pendingSave{
--- a/fleet/replication/replica.go
+++ b/fleet/replication/replica.go
@@ -34,7 +34,7 @@
 	membership         membershipManager
 	lastLeaderTransfer monotime.Micros
 
-	// Elections counts how often this replica asked for votes.
+	// Elections counts the elections and pre-elections that this replica started.
 	Elections int
 	// Commits counts the committed commands that this replica applied.
 	Commits int
--- a/fleet/replication/wal/doc.go
+++ b/fleet/replication/wal/doc.go
@@ -3,7 +3,7 @@
 //
 //   - A failed write ends the store: nobody knows what a disk holds after a failed sync, so nothing is retried.
 //   - A record that is torn, which the end of the log cuts short or which is all zeros, was being written when the
-//     power failed. Nobody was told of it, and it is truncated. Any other record with a wrong checksum makes the
+//     power failed. It was not acknowledged, and it is truncated. Any other record with a wrong checksum makes the
 //     folder corrupt: it is quarantined as a whole, and the front end begins with an empty folder and a replica ID
 //     that was never used.
 //
--- a/fleet/replication/wal/format.go
+++ b/fleet/replication/wal/format.go
@@ -1,11 +1,10 @@
 package wal
 
 import (
+	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"go.etcd.io/raft/v3/raftpb"
-
 	"chutechute/fleet/replication"
 	"chutechute/internal/fieldcodec"
 )
