--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -25,10 +25,10 @@
 			b.ResetTimer()
 			for i := range b.N {
 				now, id := monotime.Micros(i)*monotime.Second/5, uint64(i)
-				r := ask(id, 0, now)
+				r := newRequest(id, 0, now)
 				r.Group = i % (2 * n)
-				for _, s := range sends(d.Step(now, []Event{r})) {
-					d.Step(now+1000, []Event{outcome(s.ID, 0, s.Engine, Succeeded, 1000)})
+				for _, s := range startedAttempts(d.Step(now, []Event{r})) {
+					d.Step(now+1000, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, 1000)})
 				}
 			}
 		})
--- a/scheduler/budgets.go
+++ b/scheduler/budgets.go
@@ -67,9 +67,9 @@
 	Until         monotime.Micros
 }
 
-// startWithin is how long what was spent for an attempt is good for: one that is not written by then spends anew, so that what
+// maxStartDelay is how long what was spent for an attempt is good for: one that is not written by then spends anew, so that what
 // engines see is what was spent, and when.
-const startWithin = monotime.Second / 4
+const maxStartDelay = monotime.Second / 4
 
 // budget is a rule in force, with what is spent of it.
 type budget struct {
@@ -144,7 +144,7 @@
 	}
 	subject := ""
 	switch {
-	case e != nil && (b.WarmingUp && !e.cold || b.EngineKind != "" && b.EngineKind != e.Kind):
+	case e != nil && (b.WarmingUp && !e.warmingUp || b.EngineKind != "" && b.EngineKind != e.Kind):
 		return nil, 0
 	case e != nil:
 		subject = e.Engine
@@ -165,7 +165,7 @@
 	case Threads:
 		return int64(q.class.Threads) * account.Unit
 	case Work:
-		return int64(q.class.work) // microseconds are thousandths of milliseconds
+		return int64(q.class.meanWork) // microseconds are thousandths of milliseconds
 	}
 	return account.Unit
 }
@@ -182,38 +182,38 @@
 			if acc == nil {
 				continue
 			}
-			if e != nil && !q.wanted || b.Retries {
+			if e != nil && !q.demandRecorded || b.Retries {
 				acc.RecordDemand(d.now, n)
 			}
 			if b.CountOnly {
 				acc.RecordUnbounded(d.now, n)
-			} else if u, _ := acc.Spend(d.now, n); until == 0 || min(u, d.now+startWithin) < until {
-				until = min(u, d.now+startWithin)
+			} else if u, _ := acc.Spend(d.now, n); until == 0 || min(u, d.now+maxStartDelay) < until {
+				until = min(u, d.now+maxStartDelay)
 			}
 			if b.Kind == account.Concurrency {
-				a.places = append(a.places, place{acc, n})
+				a.slots = append(a.slots, concurrencySlot{acc, n})
 				if b.MaxAttemptDuration > 0 && (life == 0 || b.MaxAttemptDuration < life) {
 					life = b.MaxAttemptDuration
 				}
 			}
 		}
 	}
-	q.wanted = true
+	q.demandRecorded = true
 	return until, life
 }
 
-// place is what an attempt holds of a budget.
-type place struct {
+// concurrencySlot is what an attempt holds of a budget.
+type concurrencySlot struct {
 	account *account.Account
-	n       int64
+	amount  int64
 }
 
 // giveBack gives an attempt's places back: it is over for certain.
 func (a *attempt) giveBack() {
-	for _, p := range a.places {
-		p.account.Release(p.n)
+	for _, p := range a.slots {
+		p.account.Release(p.amount)
 	}
-	a.places = nil
+	a.slots = nil
 }
 
 // wants notes what a query that has come asks of the budgets.
@@ -234,13 +234,13 @@
 	for _, b := range d.budgets.list {
 		waits := int64(0)
 		if b.Kind == account.Concurrency && b.EachEngine { // nobody knows where they will go
-			for _, q := range d.held {
+			for _, q := range d.queued {
 				waits += b.units(q)
 			}
 			waits /= int64(max(1, d.ready))
 		} else if b.Kind == account.Concurrency {
 			held := map[*account.Account]int64{}
-			for _, q := range d.held {
+			for _, q := range d.queued {
 				if a, n := d.charge(b, q, nil); a != nil {
 					held[a] += n
 				}
--- a/scheduler/budgets_test.go
+++ b/scheduler/budgets_test.go
@@ -9,10 +9,10 @@
 	"chutechute/internal/monotime"
 )
 
-// granted is a gateway that was told of budgets, with all of each leased to it.
-func granted(t *testing.T, cfg Config, l EndpointUpdate, rule BudgetRule, m account.Amount, subjects ...string) *Scheduler {
+// newTestSchedulerWithBudget is a gateway that was told of budgets, with all of each leased to it.
+func newTestSchedulerWithBudget(t *testing.T, cfg Config, l EndpointUpdate, rule BudgetRule, m account.Amount, subjects ...string) *Scheduler {
 	t.Helper()
-	d := started(t, cfg, l)
+	d := newTestScheduler(t, cfg, l)
 	if len(subjects) == 0 {
 		subjects = []string{""}
 	}
@@ -24,32 +24,32 @@
 	return d
 }
 
-func queries(first uint64, n, class int, now monotime.Micros) (list []Event) {
+func newRequests(first uint64, n, class int, now monotime.Micros) (list []Event) {
 	for i := range n {
-		list = append(list, ask(first+uint64(i), class, now))
+		list = append(list, newRequest(first+uint64(i), class, now))
 	}
 	return list
 }
 
 // Without a rule, whatever else it is told, a gateway decides exactly as one that was told nothing.
-func TestNoRulesChangeNothing(t *testing.T) {
+func TestGrantWithoutRulesChangesNothing(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "x", Share: 1, Quota: 40}}
 	cfg.Limits.HealthChecks = true
-	l := engines("a", "b", "c")
+	l := completeUpdate("a", "b", "c")
 	l.Entries[2].Started = monotime.Second
-	plain, told := started(t, cfg, l), started(t, cfg, l)
+	plain, told := newTestScheduler(t, cfg, l), newTestScheduler(t, cfg, l)
 	rng := rand.New(rand.NewPCG(1, 2))
 	var out []StartAttempt
 	for now := monotime.Second; now < 20*monotime.Second; now += monotime.Micros(rng.IntN(40_000)) {
 		var events []Event
 		if rng.IntN(2) == 0 {
-			r := ask(uint64(now), rng.IntN(2), now)
+			r := newRequest(uint64(now), rng.IntN(2), now)
 			r.Tenant, r.Group = 0, rng.IntN(5)
 			events = append(events, r)
 		}
 		if len(out) > 0 && rng.IntN(2) == 0 {
-			events = append(events, outcome(out[0].ID, 0, out[0].Engine, Result(rng.IntN(5)), monotime.Micros(rng.IntN(int(monotime.Second)))))
+			events = append(events, newOutcome(out[0].ID, 0, out[0].Engine, Result(rng.IntN(5)), monotime.Micros(rng.IntN(int(monotime.Second)))))
 			out = out[1:]
 		}
 		if rng.IntN(5) == 0 {
@@ -60,18 +60,18 @@
 		if !reflect.DeepEqual(got, want) {
 			t.Fatalf("at %d: %v instead of %v", now, got, want)
 		}
-		out = append(out, sends(want)...)
+		out = append(out, startedAttempts(want)...)
 	}
 }
 
 // What a rate has no room for is refused at once, each told a time of his own at which there will be room, and who comes back
 // then is let in.
-func TestRateTurnsAwayAndTellsWhen(t *testing.T) {
+func TestRateBudgetRejectsWithRetryAfter(t *testing.T) {
 	rule := BudgetRule{Name: "r", Kind: account.Rate, Class: -1, Tenant: -1}
-	d := granted(t, testConfig(), engines("a", "b"), rule, account.Amount{Capacity: 2000, Rate: 10_100}) // 9.999 by a clock that may be fast
+	d := newTestSchedulerWithBudget(t, testConfig(), completeUpdate("a", "b"), rule, account.Amount{Capacity: 2000, Rate: 10_100}) // 9.999 by a clock that may be fast
 	d.Step(monotime.Second, nil)
-	actions := d.Step(2*monotime.Second, queries(1, 5, 0, 2*monotime.Second))
-	if n := len(sends(actions)); n != 2 {
+	actions := d.Step(2*monotime.Second, newRequests(1, 5, 0, 2*monotime.Second))
+	if n := len(startedAttempts(actions)); n != 2 {
 		t.Fatalf("%d sends of a burst of 2", n)
 	}
 	var after []monotime.Micros
@@ -91,82 +91,82 @@
 		if want := monotime.Micros(i+1) * monotime.Second / 10; a < want || a > want+want/50 {
 			t.Errorf("the one in place %d is told %d, not about %d", i, a, want)
 		}
-		if n := len(sends(d.Step(now+a, queries(uint64(20+i), 1, 0, now+a)))); n != 1 {
+		if n := len(startedAttempts(d.Step(now+a, newRequests(uint64(20+i), 1, 0, now+a)))); n != 1 {
 			t.Errorf("who came back after %d was not let in", a)
 		}
 	}
-	for _, s := range sends(actions) {
-		if s.StartBy != 2*monotime.Second+startWithin {
+	for _, s := range startedAttempts(actions) {
+		if s.StartBy != 2*monotime.Second+maxStartDelay {
 			t.Errorf("may be begun until %d", s.StartBy)
 		}
 	}
 }
 
 // A lease that has ended lets nothing go, and a static part goes on.
-func TestLeaseEnds(t *testing.T) {
+func TestExpiredLeaseLeavesTheStaticAmount(t *testing.T) {
 	rule := BudgetRule{Name: "r", Kind: account.Rate, Class: -1, Tenant: -1}
-	d := started(t, testConfig(), engines("a", "b"))
+	d := newTestScheduler(t, testConfig(), completeUpdate("a", "b"))
 	d.Step(0, []Event{BudgetGrant{Rules: []BudgetRule{rule}, Until: 5 * monotime.Second, Leased: []BudgetAmount{{"r", "", account.Amount{Capacity: 9000, Rate: 9000}}},
 		Static: []BudgetAmount{{"r", "", account.Amount{Capacity: 1000, Rate: 1000}}}}})
-	if n := len(sends(d.Step(5*monotime.Second-1, queries(1, 20, 0, 5*monotime.Second)))); n != 10 {
+	if n := len(startedAttempts(d.Step(5*monotime.Second-1, newRequests(1, 20, 0, 5*monotime.Second)))); n != 10 {
 		t.Errorf("%d sends before the lease's end", n)
 	}
-	if n := len(sends(d.Step(7*monotime.Second, queries(30, 20, 0, 7*monotime.Second)))); n != 1 {
+	if n := len(startedAttempts(d.Step(7*monotime.Second, newRequests(30, 20, 0, 7*monotime.Second)))); n != 1 {
 		t.Errorf("%d sends without a lease", n)
 	}
 }
 
 // Places are held until an attempt is over for certain, and what waits for one goes then.
-func TestPlacesAreHeldUntilTheEnd(t *testing.T) {
+func TestConcurrencySlotsAreReleasedAtTheOutcome(t *testing.T) {
 	rule := BudgetRule{Name: "p", Kind: account.Concurrency, Class: 0, Tenant: -1, Overflow: QueueOverflow, MaxAttemptDuration: 3 * monotime.Second}
-	d := granted(t, testConfig(), engines("a", "b"), rule, account.Amount{Capacity: 2000})
-	got := sends(d.Step(monotime.Second, queries(1, 4, 0, monotime.Second)))
+	d := newTestSchedulerWithBudget(t, testConfig(), completeUpdate("a", "b"), rule, account.Amount{Capacity: 2000})
+	got := startedAttempts(d.Step(monotime.Second, newRequests(1, 4, 0, monotime.Second)))
 	if len(got) != 2 || got[0].Timeout == 0 || got[0].Timeout > 3*monotime.Second {
 		t.Fatalf("sends %v of two places", got)
 	}
 	if n := d.BudgetDemands(monotime.Second); len(n) != 1 || n[0].Want != 4000 || n[0].InUse != 2000 {
 		t.Errorf("demand %v", n)
 	}
-	if n := len(sends(d.Step(monotime.Second+1000, queries(9, 1, 1, monotime.Second)))); n != 1 {
+	if n := len(startedAttempts(d.Step(monotime.Second+1000, newRequests(9, 1, 1, monotime.Second)))); n != 1 {
 		t.Errorf("%d sends of a class that takes no places", n)
 	}
 	d.Step(monotime.Second+2000, []Event{BudgetGrant{Until: 1000 * monotime.Second, Leased: []BudgetAmount{{"p", "", account.Amount{Capacity: 1000}}}}})
-	if n := len(sends(d.Step(monotime.Second+3000, []Event{outcome(got[0].ID, 0, got[0].Engine, Succeeded, 1000)}))); n != 0 {
+	if n := len(startedAttempts(d.Step(monotime.Second+3000, []Event{newOutcome(got[0].ID, 0, got[0].Engine, Succeeded, 1000)}))); n != 0 {
 		t.Errorf("%d sends while all places that are left are held", n)
 	}
-	if n := len(sends(d.Step(monotime.Second+4000, []Event{outcome(got[1].ID, 0, got[1].Engine, TimedOut, 1000)}))); n != 1 {
+	if n := len(startedAttempts(d.Step(monotime.Second+4000, []Event{newOutcome(got[1].ID, 0, got[1].Engine, TimedOut, 1000)}))); n != 1 {
 		t.Errorf("%d sends with a place free", n)
 	}
 }
 
 // A budget that is not in force yet holds nothing back, and counts what runs, so that it is known when it comes into force.
-func TestCountedBeforeInForce(t *testing.T) {
+func TestCountOnlyBudgetCountsWithoutBinding(t *testing.T) {
 	rule := BudgetRule{Name: "p", Kind: account.Concurrency, Class: -1, Tenant: -1, Overflow: QueueOverflow, CountOnly: true}
-	d := started(t, testConfig(), engines("a", "b"))
+	d := newTestScheduler(t, testConfig(), completeUpdate("a", "b"))
 	d.Step(0, []Event{BudgetGrant{Rules: []BudgetRule{rule}}})
-	got := sends(d.Step(monotime.Second, queries(1, 4, 0, monotime.Second)))
+	got := startedAttempts(d.Step(monotime.Second, newRequests(1, 4, 0, monotime.Second)))
 	if len(got) != 4 {
 		t.Fatalf("%d sends of 4", len(got))
 	}
 	rule.CountOnly = false
 	d.Step(monotime.Second+1000, []Event{BudgetGrant{Rules: []BudgetRule{rule}, Until: 1000 * monotime.Second, Leased: []BudgetAmount{{"p", "", account.Amount{Capacity: 4000}}}}})
-	if n := len(sends(d.Step(monotime.Second+2000, queries(9, 1, 0, monotime.Second)))); n != 0 {
+	if n := len(startedAttempts(d.Step(monotime.Second+2000, newRequests(9, 1, 0, monotime.Second)))); n != 0 {
 		t.Errorf("%d sends with all places held", n)
 	}
-	if n := len(sends(d.Step(monotime.Second+3000, []Event{outcome(got[0].ID, 0, got[0].Engine, Succeeded, 1000)}))); n != 1 {
+	if n := len(startedAttempts(d.Step(monotime.Second+3000, []Event{newOutcome(got[0].ID, 0, got[0].Engine, Succeeded, 1000)}))); n != 1 {
 		t.Errorf("%d sends with a place free", n)
 	}
 }
 
 // Each engine's threads are divided: past the part of one, queries go to another, and nothing is left to a guess at this gateway's
 // part of the traffic.
-func TestThreadsOfEachEngine(t *testing.T) {
+func TestThreadBudgetOfEachEngine(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 40
 	rule := BudgetRule{Name: "t", Kind: account.Concurrency, Class: -1, Tenant: -1, EachEngine: true, Unit: Threads, Overflow: QueueOverflow}
-	d := granted(t, cfg, engines("a", "b"), rule, account.Amount{Capacity: 4000}, "a", "b")
+	d := newTestSchedulerWithBudget(t, cfg, completeUpdate("a", "b"), rule, account.Amount{Capacity: 4000}, "a", "b")
 	count := map[string]int{}
-	for _, s := range sends(d.Step(monotime.Second, queries(1, 12, 0, monotime.Second))) {
+	for _, s := range startedAttempts(d.Step(monotime.Second, newRequests(1, 12, 0, monotime.Second))) {
 		count[s.Engine]++
 	}
 	if count["a"] != 4 || count["b"] != 4 {
@@ -175,23 +175,23 @@
 }
 
 // A cold engine takes what the fleet's budget for it leaves to this gateway, and no trickles or turns are waited for.
-func TestColdWindow(t *testing.T) {
+func TestWarmUpWindowBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 40
-	l := engines("a", "b")
+	l := completeUpdate("a", "b")
 	l.Entries[0].Started = monotime.Second
 	rule := BudgetRule{Name: "c", Kind: account.Window, Window: monotime.Second, Class: -1, Tenant: -1, EachEngine: true, WarmingUp: true, Unit: Work, Overflow: QueueOverflow}
-	d := granted(t, cfg, l, rule, account.Amount{Capacity: 3 * monotime.Second}, "a")
+	d := newTestSchedulerWithBudget(t, cfg, l, rule, account.Amount{Capacity: 3 * monotime.Second}, "a")
 	d.Step(monotime.Second, []Event{l})
 	spent := map[monotime.Micros]monotime.Micros{}
 	for now := 2 * monotime.Second; now < 6*monotime.Second; now += monotime.Second / 10 {
-		list := sends(d.Step(now, queries(uint64(now), 3, 0, now)))
+		list := startedAttempts(d.Step(now, newRequests(uint64(now), 3, 0, now)))
 		for len(list) > 0 {
 			s := list[0]
 			if s.Engine == "a" {
-				spent[now] += monotime.Micros(d.classes[0].work)
+				spent[now] += monotime.Micros(d.classes[0].meanWork)
 			}
-			list = append(list[1:], sends(d.Step(now, []Event{outcome(s.ID, 0, s.Engine, Succeeded, monotime.Second)}))...)
+			list = append(list[1:], startedAttempts(d.Step(now, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, monotime.Second)}))...)
 		}
 	}
 	most := 0.0
@@ -212,43 +212,43 @@
 }
 
 // Further attempts of the fleet are rationed; first ones are not.
-func TestFurtherAttempts(t *testing.T) {
+func TestRetryBudgetOfTheFleet(t *testing.T) {
 	rule := BudgetRule{Name: "f", Kind: account.Rate, Class: -1, Tenant: -1, Retries: true, Overflow: QueueOverflow}
-	d := granted(t, testConfig(), engines("a", "b", "c"), rule, account.Amount{Capacity: 2000, Rate: 1})
+	d := newTestSchedulerWithBudget(t, testConfig(), completeUpdate("a", "b", "c"), rule, account.Amount{Capacity: 2000, Rate: 1})
 	now := 20000 * monotime.Second // the burst is full: the clock of the test has a rate of nearly nothing
 	d.Step(now, []Event{BudgetGrant{Until: now + 1000*monotime.Second, Leased: []BudgetAmount{{"f", "", account.Amount{Capacity: 2000, Rate: 1000}}}}})
 	now += 3 * monotime.Second
-	first := sends(d.Step(now, queries(1, 6, 0, now)))
+	first := startedAttempts(d.Step(now, newRequests(1, 6, 0, now)))
 	if len(first) != 6 {
 		t.Fatalf("%d first attempts", len(first))
 	}
 	var events []Event
 	for _, s := range first {
-		events = append(events, outcome(s.ID, 0, s.Engine, Errored, 1000))
+		events = append(events, newOutcome(s.ID, 0, s.Engine, Errored, 1000))
 	}
-	if n := len(sends(d.Step(now+1000, events))); n != 2 {
+	if n := len(startedAttempts(d.Step(now+1000, events))); n != 2 {
 		t.Errorf("%d further attempts of 2", n)
 	}
 }
 
 // Where a budget bounds who of a tenant comes first, what is beyond it goes last and is not refused.
-func TestLastGoesBehind(t *testing.T) {
+func TestDeprioritizedQueriesGoLast(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "x", Share: 1, Quota: 1}}
 	rule := BudgetRule{Name: "l", Kind: account.Rate, Class: -1, Tenant: -1, EachTenant: true, Overflow: DeprioritizeOverflow}
-	d := granted(t, cfg, EndpointUpdate{Kind: UpdateComplete}, rule, account.Amount{Capacity: 3000, Rate: 3000}, "x")
+	d := newTestSchedulerWithBudget(t, cfg, EndpointUpdate{Kind: UpdateComplete}, rule, account.Amount{Capacity: 3000, Rate: 3000}, "x")
 	var events []Event
 	for i := range uint64(5) {
-		r := ask(i+1, 0, 2*monotime.Second)
+		r := newRequest(i+1, 0, 2*monotime.Second)
 		r.Tenant = 0
 		events = append(events, r)
 	}
-	if n := len(refusals(d.Step(2*monotime.Second, events))); n != 0 {
+	if n := len(rejectedIDs(d.Step(2*monotime.Second, events))); n != 0 {
 		t.Errorf("%d refused", n)
 	}
 	over := 0
 	for _, q := range d.queries {
-		if q.over {
+		if q.deprioritized {
 			over++
 		}
 	}
@@ -258,13 +258,13 @@
 }
 
 // Probes are rationed too.
-func TestProbesAreRationed(t *testing.T) {
+func TestHealthCheckBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.HealthChecks = true
 	rule := BudgetRule{Name: "p", Kind: account.Rate, Class: -1, Tenant: -1, HealthChecks: true, Overflow: QueueOverflow}
 	for rate, want := range map[int64]bool{0: false, 1_000_000: true} {
-		d := granted(t, cfg, engines("a", "b"), rule, account.Amount{Capacity: rate, Rate: rate})
-		d.Step(monotime.Second, []Event{EngineUnresponsive{Engine: "a"}, ask(1, 0, monotime.Second)})
+		d := newTestSchedulerWithBudget(t, cfg, completeUpdate("a", "b"), rule, account.Amount{Capacity: rate, Rate: rate})
+		d.Step(monotime.Second, []Event{EngineUnresponsive{Engine: "a"}, newRequest(1, 0, monotime.Second)})
 		probed := false
 		for now := monotime.Second; now < 4*monotime.Second; now += 20_000 {
 			for _, a := range d.Step(now, []Event{Timer{Token: "sweep"}}) {
@@ -286,7 +286,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	d.Step(0, []Event{engines("a"), BudgetGrant{Rules: []BudgetRule{{Name: "r", Kind: account.Rate, Class: -1, Tenant: -1, EachTenant: true}},
+	d.Step(0, []Event{completeUpdate("a"), BudgetGrant{Rules: []BudgetRule{{Name: "r", Kind: account.Rate, Class: -1, Tenant: -1, EachTenant: true}},
 		Until: 1 << 60, Leased: []BudgetAmount{{"r", "x", account.Amount{Capacity: 1e12, Rate: 1e12}}}}})
 	q := &query{Request: Request{Tenant: 0}, class: d.classes[0]}
 	a := attempt{}
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -15,30 +15,30 @@
 
 // The size that the users name, as one front end sees it.
 const (
-	usersFrontEnds = 2700
-	usersEngines   = 34000
-	usersZones     = 23
-	betweenQueries = monotime.Second / 1000 // 1,000 statements a second at each front end
-	queryTakes     = monotime.Second / 50
+	fleetFrontEnds = 2700
+	fleetEngines   = 34000
+	fleetZones     = 23
+	queryInterval  = monotime.Second / 1000 // 1,000 statements a second at each front end
+	queryDuration  = monotime.Second / 50
 	tableGroups    = 97
 )
 
-// largeSite is a dispatcher that knows so many engines, among as many front ends as the users have for these.
-func largeSite(t *testing.T, engines int) *Scheduler {
+// newLargeScheduler is a dispatcher that knows so many engines, among as many front ends as the users have for these.
+func newLargeScheduler(t *testing.T, engines int) *Scheduler {
 	cfg := testConfig()
-	cfg.Gateways, cfg.Zone = max(1, engines*usersFrontEnds/usersEngines), "z0"
+	cfg.Gateways, cfg.Zone = max(1, engines*fleetFrontEnds/fleetEngines), "z0"
 	d, err := New(cfg, 7)
 	require.NoError(t, err)
 	list := EndpointUpdate{Kind: UpdateComplete}
 	for i := range engines {
-		list.Entries = append(list.Entries, Endpoint{Engine: fmt.Sprintf("s-%08x", i), Kind: "k", Zone: fmt.Sprint("z", i%usersZones)})
+		list.Entries = append(list.Entries, Endpoint{Engine: fmt.Sprintf("s-%08x", i), Kind: "k", Zone: fmt.Sprint("z", i%fleetZones)})
 	}
 	d.Step(0, []Event{list})
 	return d
 }
 
-// atPace plays so many queries at a front end's pace, each done 20 ms later, and the sweeps that fall due between them.
-func atPace(t *testing.T, d *Scheduler, now monotime.Micros, first, count int) (monotime.Micros, int) {
+// playAtRate plays so many queries at a front end's pace, each done 20 ms later, and the sweeps that fall due between them.
+func playAtRate(t *testing.T, d *Scheduler, now monotime.Micros, first, count int) (monotime.Micros, int) {
 	type running struct {
 		send StartAttempt
 		over monotime.Micros
@@ -50,14 +50,14 @@
 			switch action := action.(type) {
 			case StartAttempt:
 				sent++
-				out = append(out, running{action, now + queryTakes})
+				out = append(out, running{action, now + queryDuration})
 			case SetTimer:
 				sweepAt = action.At
 			}
 		}
 	}
 	for i := range count {
-		now += betweenQueries
+		now += queryInterval
 		if sweepAt > 0 && now >= sweepAt {
 			sweepAt = 0
 			take(d.Step(now, []Event{Timer{Token: "sweep"}}))
@@ -65,21 +65,21 @@
 		for len(out) > 0 && out[0].over <= now {
 			done := out[0]
 			out = out[1:]
-			take(d.Step(now, []Event{outcome(done.send.ID, 0, done.send.Engine, Succeeded, queryTakes)}))
+			take(d.Step(now, []Event{newOutcome(done.send.ID, 0, done.send.Engine, Succeeded, queryDuration)}))
 		}
-		query := ask(uint64(first+i), 0, now)
+		query := newRequest(uint64(first+i), 0, now)
 		query.Group = (first + i) % tableGroups
 		take(d.Step(now, []Event{query}))
 	}
 	for _, r := range out {
 		now = r.over
-		take(d.Step(now, []Event{outcome(r.send.ID, 0, r.send.Engine, Succeeded, queryTakes)}))
+		take(d.Step(now, []Event{newOutcome(r.send.ID, 0, r.send.Engine, Succeeded, queryDuration)}))
 	}
 	return now, sent
 }
 
 // What a query and its outcome cost by the engines that the list names, and what the dispatcher holds; long.
-func TestCapacityOfDecisions(t *testing.T) {
+func TestCostOfDecisionsByFleetSize(t *testing.T) {
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("measures: make scale-full")
 	}
@@ -88,13 +88,13 @@
 	for range 2 {
 		for _, engines := range []int{8, 64, 256, 1024, 2048, 8192, 34000} {
 			before := measure.Heap()
-			d := largeSite(t, engines)
+			d := newLargeScheduler(t, engines)
 			began := measure.Own()
-			now, _ := atPace(t, d, monotime.Second, 0, tableGroups) // each finds its engines
+			now, _ := playAtRate(t, d, monotime.Second, 0, tableGroups) // each finds its engines
 			first := float64((measure.Own() - began).Nanoseconds()) / 1000 / tableGroups
 			count := max(200, min(20_000, 4_000_000/engines))
 			began = measure.Own()
-			now, sent := atPace(t, d, now, 1000, count)
+			now, sent := playAtRate(t, d, now, 1000, count)
 			each := float64((measure.Own() - began).Nanoseconds()) / 1000 / float64(count)
 			heap := measure.Heap() - before
 			runtime.KeepAlive(d)
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -7,8 +7,8 @@
 	"chutechute/internal/monotime"
 )
 
-// fleet is many gateways in one process: tests feed all of them and look at the sum of what they send.
-func fleet(t *testing.T, n int, cfg Config, l EndpointUpdate) []*Scheduler {
+// newFleet is many gateways in one process: tests feed all of them and look at the sum of what they send.
+func newFleet(t *testing.T, n int, cfg Config, l EndpointUpdate) []*Scheduler {
 	t.Helper()
 	cfg.Gateways = n
 	var all []*Scheduler
@@ -24,8 +24,8 @@
 	return all
 }
 
-// vastConfig is a site of large engines, whose long queries take most of a second's work of a cold engine.
-func vastConfig() Config {
+// largeEngineConfig is a site of large engines, whose long queries take most of a second's work of a cold engine.
+func largeEngineConfig() Config {
 	cfg := testConfig()
 	cfg.Kinds[0].Cores = 8
 	cfg.Classes[0].LatencyObjective, cfg.Classes[1].LatencyObjective = monotime.Second/10, monotime.Second
@@ -37,10 +37,10 @@
 // Found on join+vast: new engines stood nearly idle until they were warm, as an even part of their budget is less than
 // one query and a turn came to gateways with nothing to send. Light queries trickle, and the sum over all gateways,
 // however uneven, stays within the budget of any span.
-func TestFleetFillsColdEngines(t *testing.T) {
-	cfg, l := vastConfig(), engines("a", "b", "c")
+func TestFleetUsesEnginesWarmingUp(t *testing.T) {
+	cfg, l := largeEngineConfig(), completeUpdate("a", "b", "c")
 	l.Entries[0].Started = 2 * monotime.Second
-	all := fleet(t, 80, cfg, l)
+	all := newFleet(t, 80, cfg, l)
 	type sent struct {
 		at   monotime.Micros
 		work float64
@@ -53,17 +53,17 @@
 				continue
 			}
 			id++
-			r := ask(id, int(id%6/5), now)
+			r := newRequest(id, int(id%6/5), now)
 			r.Tenant, r.Group = 0, int(id%7)
-			for _, s := range sends(d.Step(now, []Event{r})) {
+			for _, s := range startedAttempts(d.Step(now, []Event{r})) {
 				if s.Engine == "a" {
 					c := d.queries[s.ID].class
-					got = append(got, sent{now, c.work})
+					got = append(got, sent{now, c.meanWork})
 					if c == d.classes[0] {
-						light += c.work
+						light += c.meanWork
 					}
 				}
-				d.Step(now, []Event{outcome(s.ID, 0, s.Engine, Succeeded, monotime.Second/20)})
+				d.Step(now, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, monotime.Second/20)})
 			}
 		}
 	}
@@ -76,7 +76,7 @@
 			}
 		}
 		warmth := cfg.Rules.InitialWarmth + (1-cfg.Rules.InitialWarmth)*float64(from.at-2*monotime.Second)/float64(cfg.Rules.WarmUp)
-		most = max(most, sum/(cfg.Rules.OverloadMultiple*coldUtil*8*warmth*float64(cfg.Rules.OverloadWindow)))
+		most = max(most, sum/(cfg.Rules.OverloadMultiple*capacityUtilization*8*warmth*float64(cfg.Rules.OverloadWindow)))
 	}
 	if most > 1 {
 		t.Errorf("%.2f of the budget within a span", most)
@@ -88,24 +88,24 @@
 
 // Found on join+vast: at the end of the cold span all gateways turned to the engine that had had the least, with four
 // times what it can take.
-func TestWarmEngineIsNotFilledFirst(t *testing.T) {
-	l := engines("a", "b", "c", "e")
+func TestEngineIsNotFloodedAfterItsWarmUp(t *testing.T) {
+	l := completeUpdate("a", "b", "c", "e")
 	l.Entries[0].Started = 2 * monotime.Second
-	cfg := vastConfig()
+	cfg := largeEngineConfig()
 	cfg.Limits.Cancel = false
-	all := fleet(t, 80, cfg, l)
+	all := newFleet(t, 80, cfg, l)
 	count, id := map[string]int{}, uint64(0)
 	for now := 2 * monotime.Second; now < 14*monotime.Second; now += monotime.Second / 10 {
 		for rank, d := range all {
 			id++
-			r := ask(id, 0, now)
+			r := newRequest(id, 0, now)
 			r.Group = int(id*7+uint64(rank)) % 13
 			d.Step(now, []Event{Timer{Token: "sweep"}})
-			for _, s := range sends(d.Step(now, []Event{r})) {
+			for _, s := range startedAttempts(d.Step(now, []Event{r})) {
 				if now > 12*monotime.Second {
 					count[s.Engine]++
 				}
-				d.Step(now, []Event{outcome(s.ID, 0, s.Engine, Succeeded, monotime.Second/20)})
+				d.Step(now, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, monotime.Second/20)})
 			}
 		}
 	}
@@ -116,31 +116,31 @@
 }
 
 // Found on zone+vast: places were divided evenly, so busy gateways refused what the fleet had room for.
-func TestPlacesFollowTraffic(t *testing.T) {
-	cfg := vastConfig()
+func TestConcurrencySlotsFollowTheShareOfTraffic(t *testing.T) {
+	cfg := largeEngineConfig()
 	cfg.Gateways = 50
-	d := started(t, cfg, engines("a", "b", "c", "e"))
+	d := newTestScheduler(t, cfg, completeUpdate("a", "b", "c", "e"))
 	now := monotime.Second
 	for id := range uint64(1000) { // half of all that quotas allow
 		now += monotime.Second / 100
-		for _, s := range sends(d.Step(now, []Event{ask(id, 0, now)})) {
-			d.Step(now, []Event{outcome(s.ID, 0, s.Engine, Succeeded, 1000)})
+		for _, s := range startedAttempts(d.Step(now, []Event{newRequest(id, 0, now)})) {
+			d.Step(now, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, 1000)})
 		}
 	}
-	even := hardShare * shareFactor * 4 * 8 / 50
-	if d.places < 5*even {
-		t.Fatalf("%.1f places for a quarter of the traffic, %.1f for an even part", d.places, even)
+	even := unpressuredShareFactor * shareThreadsPerCore * 4 * 8 / 50
+	if d.concurrencySlots < 5*even {
+		t.Fatalf("%.1f places for a quarter of the traffic, %.1f for an even part", d.concurrencySlots, even)
 	}
 }
 
 // Found on zone+vast: what silent engines held took the places of queries for those that answer.
-func TestLostEnginesTakeNoPlace(t *testing.T) {
-	cfg := vastConfig()
+func TestEjectedEnginesTakeNoConcurrencySlots(t *testing.T) {
+	cfg := largeEngineConfig()
 	cfg.Gateways = 50
-	d := started(t, cfg, engines("a", "b"))
+	d := newTestScheduler(t, cfg, completeUpdate("a", "b"))
 	fill := func(from uint64, now monotime.Micros) (n int) {
 		for id := from; id < from+40; id++ {
-			n += len(sends(d.Step(now, []Event{ask(id, 0, now)})))
+			n += len(startedAttempts(d.Step(now, []Event{newRequest(id, 0, now)})))
 		}
 		return n
 	}
@@ -148,7 +148,7 @@
 	for _, q := range d.queries {
 		for _, a := range q.attempts {
 			d.Step(monotime.Second+1, []Event{EngineUnresponsive{Engine: a.engine.Engine}})
-			d.byName[a.engine.Engine].out = a.engine.Engine == "a"
+			d.byName[a.engine.Engine].ejected = a.engine.Engine == "a"
 		}
 	}
 	lost := d.byName["a"].threads
@@ -158,9 +158,9 @@
 }
 
 // A table group of much of the traffic has a home for each engine's worth of it; any other has two.
-func TestPopularGroupHasMoreHomes(t *testing.T) {
-	p := newPopular()
-	if got := p.homes(1, 30); got != 2 {
+func TestPopularGroupHasMoreHomeEngines(t *testing.T) {
+	p := newPopularity()
+	if got := p.homeEngines(1, 30); got != 2 {
 		t.Fatalf("%d homes for a group never seen", got)
 	}
 	for i := range 5000 {
@@ -170,16 +170,16 @@
 		}
 		p.add(group)
 	}
-	if hot, cold := p.homes(1, 30), p.homes(101, 30); hot != 4 || cold != 2 {
+	if hot, cold := p.homeEngines(1, 30), p.homeEngines(101, 30); hot != 4 || cold != 2 {
 		t.Fatalf("%d homes for a tenth of the traffic over 30 engines, %d for a fiftieth", hot, cold)
 	}
 }
 
 // Two hundred gateways that start together do not send their first query of a group to one engine.
-func TestFirstQueriesOfAFleetSpread(t *testing.T) {
+func TestFirstQueriesOfAFleetAreSpread(t *testing.T) {
 	count := map[string]int{}
-	for rank, d := range fleet(t, 200, vastConfig(), engines("a", "b", "c", "e")) {
-		for _, s := range sends(d.Step(2*monotime.Second, []Event{ask(uint64(rank), 0, 2*monotime.Second)})) {
+	for rank, d := range newFleet(t, 200, largeEngineConfig(), completeUpdate("a", "b", "c", "e")) {
+		for _, s := range startedAttempts(d.Step(2*monotime.Second, []Event{newRequest(uint64(rank), 0, 2*monotime.Second)})) {
 			count[s.Engine]++
 		}
 	}
@@ -193,16 +193,16 @@
 }
 
 // Found on zone+vast: each of 13 engines of a lost zone was tried by each gateway with queries that clients waited for.
-func TestLostZone(t *testing.T) {
+func TestZoneIsEjectedAfterTwoUnresponsiveEngines(t *testing.T) {
 	var l EndpointUpdate
 	l.Kind = UpdateComplete
 	for i := range 6 {
 		l.Entries = append(l.Entries, Endpoint{Engine: fmt.Sprint("e", i), Zone: []string{"x", "y"}[i%2], Kind: "k"})
 	}
-	d := started(t, vastConfig(), l)
+	d := newTestScheduler(t, largeEngineConfig(), l)
 	out := func(zone string) (n int) {
-		for _, e := range d.zone(zone) {
-			if e.out {
+		for _, e := range d.inZone(zone) {
+			if e.ejected {
 				n++
 			}
 		}
@@ -217,7 +217,7 @@
 		t.Fatalf("%d of the lost zone out, %d of the other", out("x"), out("y"))
 	}
 	probes := map[string]int{}
-	for now := 2*monotime.Second + 2000; now < 3*monotime.Second; now += sweepEvery {
+	for now := 2*monotime.Second + 2000; now < 3*monotime.Second; now += sweepInterval {
 		for _, a := range d.Step(now, []Event{Timer{Token: "sweep"}}) {
 			if p, ok := a.(HealthCheck); ok {
 				probes[p.Engine]++
@@ -230,39 +230,39 @@
 	for name := range probes {
 		d.Step(4*monotime.Second, []Event{HealthCheckResult{Engine: name, Result: Succeeded}})
 		e := d.byName[name]
-		if e.out || !e.cold || !e.supposed {
-			t.Fatalf("an engine that is heard after two seconds: out %v, cold %v", e.out, e.cold)
+		if e.ejected || !e.warmingUp || !e.warmUpAssumed {
+			t.Fatalf("an engine that is heard after two seconds: out %v, cold %v", e.ejected, e.warmingUp)
 		}
 	}
-	d.Step(4*monotime.Second+listLate, []Event{Timer{Token: "sweep"}})
+	d.Step(4*monotime.Second+maxDiscoveryDelay, []Event{Timer{Token: "sweep"}})
 	for _, e := range d.engines {
-		if e.cold {
+		if e.warmingUp {
 			t.Fatal("still held for cold when the list would have told")
 		}
 	}
 }
 
 // One that is heard of beside others that are silent is no sign of a lost zone.
-func TestHeardEngineKeepsItsZone(t *testing.T) {
-	d := started(t, vastConfig(), engines("a", "b", "c", "e"))
-	d.Step(2*monotime.Second, []Event{EngineUnresponsive{Engine: "a"}, ask(1, 0, 2*monotime.Second)})
-	s := sends(d.Step(2*monotime.Second, []Event{ask(2, 0, 2*monotime.Second)}))
-	d.Step(2*monotime.Second+1000, []Event{outcome(2, 0, s[0].Engine, Succeeded, 1000)})
+func TestZoneWithAResponsiveEngineIsNotEjected(t *testing.T) {
+	d := newTestScheduler(t, largeEngineConfig(), completeUpdate("a", "b", "c", "e"))
+	d.Step(2*monotime.Second, []Event{EngineUnresponsive{Engine: "a"}, newRequest(1, 0, 2*monotime.Second)})
+	s := startedAttempts(d.Step(2*monotime.Second, []Event{newRequest(2, 0, 2*monotime.Second)}))
+	d.Step(2*monotime.Second+1000, []Event{newOutcome(2, 0, s[0].Engine, Succeeded, 1000)})
 	d.Step(2*monotime.Second+2000, []Event{EngineUnresponsive{Engine: "b"}})
 	for _, e := range d.engines {
-		if e.out != (e.Engine == "a" || e.Engine == "b") {
-			t.Fatalf("%s: out %v", e.Engine, e.out)
+		if e.ejected != (e.Engine == "a" || e.Engine == "b") {
+			t.Fatalf("%s: out %v", e.Engine, e.ejected)
 		}
 	}
 }
 
 // An engine that fails at once looks idle: its errors count as slowness, so that it gets less.
-func TestErrorsCountAsSlowness(t *testing.T) {
-	d := started(t, vastConfig(), engines("a", "b"))
+func TestErrorsRaiseTheOutlierScore(t *testing.T) {
+	d := newTestScheduler(t, largeEngineConfig(), completeUpdate("a", "b"))
 	e := d.byName["a"]
 	q := &query{class: d.classes[0], attempts: []attempt{{engine: e}}}
 	for range 20 {
-		d.judge(q, &q.attempts[0], Outcome{Result: Errored})
+		d.learnFromOutcome(q, &q.attempts[0], Outcome{Result: Errored})
 	}
 	if d.survey(); d.size(e) > 0.6*e.cores {
 		t.Fatalf("worth %.1f of %.0f cores", d.size(e), e.cores)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -16,50 +16,50 @@
 )
 
 const (
-	multiplier  = 10.0 // the paper's deadline multiplier
-	groupRange  = 0.4  // the paper's Gr
-	spill       = 1.25 // an engine above this multiple of the mean is passed over
-	shareFactor = 1.6  // threads a core, over all gateways, that an engine holds under pressure
+	deadlineMultiplier  = 10.0 // the paper's deadline multiplier
+	groupRange          = 0.4  // the paper's Gr
+	spillFactor         = 1.25 // an engine above this multiple of the mean is passed over
+	shareThreadsPerCore = 1.6  // threads a core, over all gateways, that an engine holds under pressure
 
-	hardShare   = 2.0 // times the share that binds without pressure too
-	surge       = 1.4 // times the quotas that clients ask for in an overload, retries included
-	startSpread = 8.0 // threads an engine up to which many gateways begin unalike: else all begin alike
-	recentMost  = 4.0 // sends an engine that are looked back on: at full size few are in hand at once
+	unpressuredShareFactor = 2.0 // times the share that binds without pressure too
+	surge                  = 1.4 // times the quotas that clients ask for in an overload, retries included
+	startSpread            = 8.0 // threads an engine up to which many gateways begin unalike: else all begin alike
+	recentMost             = 4.0 // sends an engine that are looked back on: at full size few are in hand at once
 
 	ownChoice  = 1.25 // times the told memory: what an engine grants of itself
 	shareBurst = 2.0  // seconds of a tenant's share that may come at once, and two queries at least
 	retrySlack = 50   // of the give-up time that a first try's time left may vary by
 
-	decay        = 0.05            // weight of a new measure in a class's ratio: about the last 20 count
-	clip         = 3.0             // times the price: the most that one measure counts
-	engineDecay  = 0.15            // an engine is judged on fewer: it must show within a second or two
-	bestDrift    = 0.01            // a second; lets the best ratio follow a lasting change
-	pressureAt   = 2.0             // times the best ratio: beyond scatter, well before aims are missed
-	guessedBest  = 0.5             // of a query's work over its threads: none takes less, where no cost is told
-	bestOfAim    = 0.25            // of the aim at most is taken for the best, should we start under load
-	fullMemory   = monotime.Second // a full refusal is of late, and without a measure a price sinks to the best
-	fullPause    = sweepEvery      // between sends to an engine that was full of late
-	staleDecay   = 0.98            // a sweep
-	sweepEvery   = 20 * monotime.Second / 1000
-	coldMargin   = 0.7  // of the cold budget is used: work is only known on average
-	coldLight    = 0.5  // of the cold budget goes to light queries in a surge: their number scatters
-	coldHeavy    = 0.45 // to heavy ones: their work does
-	coldLot      = 0.1  // of it at most is a light query's work
-	turnSpans    = 5    // of the rule: a turn that is long enough for most gateways to have a heavy query
-	coldUtil     = 0.85 // capacity is told as the rate that keeps cores this busy
-	slowFrom     = 1.3  // an engine this much slower than the median counts as smaller
-	slowMost     = 20.0
-	errorSlow    = 3.0                 // ExecTimes that an error counts for
-	slowFade     = 5 * monotime.Second // an unmeasured engine's slowness halves in this time
-	markFrom     = 2.0                 // an attempt out this many ExecTimes counts as a measure, and at each doubling
-	zoneLost     = 2                   // engines of a zone that are out, and none heard since
-	awayFrom     = monotime.Second     // an engine out for longer may have started anew
-	listLate     = 7 * monotime.Second // what the list has to tell is told by then
-	backoffFirst = monotime.Second / 2
-	backoffMost  = 4 * monotime.Second
-	lateMost     = 1.5 // aims after which a running query gives its place up under pressure
-	planScatter  = 4.0 // usual errors of the price, beyond the price, that mark a bad plan
-	askRetry     = monotime.Second / 4
+	decay               = 0.05            // weight of a new measure in a class's ratio: about the last 20 count
+	clip                = 3.0             // times the price: the most that one measure counts
+	engineDecay         = 0.15            // an engine is judged on fewer: it must show within a second or two
+	bestDrift           = 0.01            // a second; lets the best ratio follow a lasting change
+	pressureAt          = 2.0             // times the best ratio: beyond scatter, well before aims are missed
+	guessedBest         = 0.5             // of a query's work over its threads: none takes less, where no cost is told
+	bestOfAim           = 0.25            // of the aim at most is taken for the best, should we start under load
+	fullMemory          = monotime.Second // a full refusal is of late, and without a measure a price sinks to the best
+	fullPause           = sweepInterval   // between sends to an engine that was full of late
+	staleDecay          = 0.98            // a sweep
+	sweepInterval       = 20 * monotime.Second / 1000
+	coldMargin          = 0.7  // of the cold budget is used: work is only known on average
+	coldLight           = 0.5  // of the cold budget goes to light queries in a surge: their number scatters
+	coldHeavy           = 0.45 // to heavy ones: their work does
+	coldLot             = 0.1  // of it at most is a light query's work
+	turnSpans           = 5    // of the rule: a turn that is long enough for most gateways to have a heavy query
+	capacityUtilization = 0.85 // capacity is told as the rate that keeps cores this busy
+	slowFrom            = 1.3  // an engine this much slower than the median counts as smaller
+	slowMost            = 20.0
+	errorSlow           = 3.0                 // ExecTimes that an error counts for
+	slowFade            = 5 * monotime.Second // an unmeasured engine's slowness halves in this time
+	markFrom            = 2.0                 // an attempt out this many ExecTimes counts as a measure, and at each doubling
+	zoneLost            = 2                   // engines of a zone that are out, and none heard since
+	awayFrom            = monotime.Second     // an engine out for longer may have started anew
+	maxDiscoveryDelay   = 7 * monotime.Second // what the list has to tell is told by then
+	minEjectionBackoff  = monotime.Second / 2
+	maxEjectionBackoff  = 4 * monotime.Second
+	lateMost            = 1.5 // aims after which a running query gives its place up under pressure
+	planScatter         = 4.0 // usual errors of the price, beyond the price, that mark a bad plan
+	askRetry            = monotime.Second / 4
 )
 
 // New builds a gateway.
@@ -68,25 +68,25 @@
 		return nil, err
 	}
 	d := &Scheduler{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*engine{},
-		orders: map[int][]*engine{}, queries: map[uint64]*query{}, lines: map[string]*line{},
-		popular: newPopular(), probeAt: map[string]monotime.Micros{},
-		fullAt: -fullMemory, median: 1}
+		orders: map[int][]*engine{}, queries: map[uint64]*query{}, keyQueues: map[string]*keyQueue{},
+		popularity: newPopularity(), nextHealthCheck: map[string]monotime.Micros{},
+		lastRejectedAt: -fullMemory, medianSlowness: 1}
 	for _, c := range cfg.Classes {
-		k := &class{Class: c, best: math.Inf(1), work: float64(c.LatencyObjective) * float64(c.Threads), scatter: 1}
+		k := &class{Class: c, bestRatio: math.Inf(1), meanWork: float64(c.LatencyObjective) * float64(c.Threads), estimateError: 1}
 		d.classes = append(d.classes, k)
-		d.someWait = d.someWait || c.WaitsForTableGroup
+		d.hasLockWaiters = d.hasLockWaiters || c.WaitsForTableGroup
 	}
 	for _, t := range cfg.Tenants {
 		d.tenants = append(d.tenants, &tenant{Tenant: t, tokens: t.Quota})
 		d.quota += t.Quota
 	}
-	d.rate.value = d.quota / float64(cfg.Gateways) // until there is a measure
+	d.arrivalRate.value = d.quota / float64(cfg.Gateways) // until there is a measure
 	return d, nil
 }
 
 // Step takes the events of one instant and returns what to do; the result is valid until the next call.
 func (d *Scheduler) Step(now monotime.Micros, events []Event) []Action {
-	d.now, d.out = now, nil
+	d.now, d.actions = now, nil
 	for _, ev := range events {
 		d.apply(ev)
 	}
@@ -96,14 +96,14 @@
 	if !d.started {
 		d.started, d.startedAt = true, now
 	}
-	if !d.armed && (len(d.held) > 0 || len(d.sent) > 0) {
-		d.armed = true
-		d.do(SetTimer{At: now + sweepEvery, Token: "sweep"})
+	if !d.sweepTimerSet && (len(d.queued) > 0 || len(d.inFlight) > 0) {
+		d.sweepTimerSet = true
+		d.do(SetTimer{At: now + sweepInterval, Token: "sweep"})
 	}
-	return d.out
+	return d.actions
 }
 
-func (d *Scheduler) do(a Action) { d.out = append(d.out, a) }
+func (d *Scheduler) do(a Action) { d.actions = append(d.actions, a) }
 
 func (d *Scheduler) apply(ev Event) {
 	switch ev := ev.(type) {
@@ -116,17 +116,17 @@
 	case Started:
 		if _, a := d.attempt(ev.ID, ev.Attempt); a != nil {
 			a.streaming = true
-			d.heard(a.engine)
+			d.markSeen(a.engine)
 		}
 	case ProgressReport:
 		if _, a := d.attempt(ev.ID, ev.Attempt); a != nil {
-			d.heard(a.engine)
+			d.markSeen(a.engine)
 		}
 	case ClientDisconnected:
 		if q := d.queries[ev.ID]; q != nil && ev.AnswerDue && !q.answered {
 			d.end(q)
 		} else if q != nil {
-			d.close(q)
+			d.closeQuery(q)
 		}
 	case EngineUnresponsive:
 		if e := d.byName[ev.Engine]; e != nil {
@@ -134,10 +134,10 @@
 		}
 	case HealthCheckResult:
 		if e := d.byName[ev.Engine]; e != nil {
-			e.probed = false
+			e.healthCheckInFlight = false
 			if ev.Result == Succeeded {
-				d.heard(e)
-			} else if e.out {
+				d.markSeen(e)
+			} else if e.ejected {
 				d.eject(e)
 			}
 		}
@@ -145,7 +145,7 @@
 		d.amounts(ev)
 	case Timer:
 		if ev.Token == "sweep" {
-			d.armed = false
+			d.sweepTimerSet = false
 			d.sweep()
 		}
 	}
@@ -154,12 +154,12 @@
 // list takes over what a list says of the engines.
 func (d *Scheduler) list(l EndpointUpdate) {
 	if l.Kind == UpdateFailed {
-		d.tries++
-		wait := askRetry << min(d.tries, 4)
+		d.failedUpdates++
+		wait := askRetry << min(d.failedUpdates, 4)
 		d.subscribeAt = d.now + wait + d.rng.Int64N(wait)
 		return
 	}
-	d.tries = 0
+	d.failedUpdates = 0
 	if l.Kind != UpdateCached {
 		d.subscribeAt = math.MaxInt64
 	}
@@ -181,26 +181,26 @@
 	e := d.byName[en.Engine]
 	if e == nil {
 		e = newEngine(en.Engine)
-		e.recent, e.recentAt = d.rng.Float64()*startSpread*max(0, 1-2/float64(d.cfg.Gateways)), d.sends
+		e.recentThreads, e.recentAt = d.rng.Float64()*startSpread*max(0, 1-2/float64(d.cfg.Gateways)), d.sends
 		d.byName[en.Engine], d.engines = e, append(d.engines, e)
 	}
 	restarted := en.Started > 0 && en.Started != e.Started
 	e.Endpoint, e.gone = en, en.State != Serving
 	for _, k := range d.cfg.Kinds {
 		if k.Name == en.Kind {
-			e.cores, e.memory = float64(k.Cores), k.MemoryMB
+			e.cores, e.memoryMB = float64(k.Cores), k.MemoryMB
 		}
 	}
 	if restarted && d.now < en.Started+d.cfg.Rules.WarmUp {
 		d.startCold(e, en.Started, false)
-		e.out, e.backoff, e.slow = false, 0, 1
+		e.ejected, e.backoff, e.slowness = false, 0, 1
 	}
 }
 
 // startCold begins an engine's cold span, supposed where its absence tells of that and not the list.
 func (d *Scheduler) startCold(e *engine, from monotime.Micros, supposed bool) {
-	e.cold, e.coldFrom, e.supposed = true, from, supposed
-	e.credit = credit{at: d.now, phase: d.rng.Float64()}
+	e.warmingUp, e.warmUpFrom, e.warmUpAssumed = true, from, supposed
+	e.credit = workCredit{at: d.now, phase: d.rng.Float64()}
 }
 
 // keepListed subscribes where lists must be asked for, and again after failures, by a timer of its own.
@@ -209,8 +209,8 @@
 		d.subscribeAt = d.now + d.cfg.Rules.ResponseTimeout/2
 		d.do(Subscribe{})
 	}
-	if d.cfg.PollEndpoints && d.subscribeAt < math.MaxInt64 && d.listTimer != d.subscribeAt {
-		d.listTimer = d.subscribeAt
+	if d.cfg.PollEndpoints && d.subscribeAt < math.MaxInt64 && d.subscribeTimerAt != d.subscribeAt {
+		d.subscribeTimerAt = d.subscribeAt
 		d.do(SetTimer{At: d.subscribeAt, Token: "list"})
 	}
 }
@@ -218,28 +218,28 @@
 // request takes a query in: its price, its deadline and its place in its key's line.
 func (d *Scheduler) request(r Request) {
 	c := d.classes[r.Class]
-	q := &query{Request: r, class: c, arrived: d.now, asked: d.now, held: true, priority: -1}
-	c.guessed = c.guessed || r.EstimatedHere
-	if c.estimate == 0 { // the first query seeds the ratio to the class's aim
-		c.estimate, c.latency = q.estimate(), float64(c.LatencyObjective)
-	}
-	q.due = d.now + monotime.Micros(multiplier*d.price(q))
-	d.rate.add(d.now)
-	d.popular.add(r.Group)
+	q := &query{Request: r, class: c, arrivedAt: d.now, firstAskedAt: d.now, queued: true, priority: -1}
+	c.ownEstimates = c.ownEstimates || r.EstimatedHere
+	if c.meanEstimate == 0 { // the first query seeds the ratio to the class's aim
+		c.meanEstimate, c.meanLatency = q.estimate(), float64(c.LatencyObjective)
+	}
+	q.dueAt = d.now + monotime.Micros(deadlineMultiplier*d.executionTime(q))
+	d.arrivalRate.add(d.now)
+	d.popularity.add(r.Group)
 	d.ration(&d.arrivals)
 	d.wants(q)
 	if d.retryPastAim(q) || r.Tenant >= 0 && d.overShare(q) {
-		q.over = true
-		q.due += c.ClientTimeout
+		q.deprioritized = true
+		q.dueAt += c.ClientTimeout
 	}
 	if c.Ordered && r.Key != "" {
 		d.enqueue(q)
 	}
 	// More than the client can wait for is no usual work, and may be made up.
 	if r.EstimatedWork > 0 && r.EstimatedWork <= c.ClientTimeout*monotime.Micros(c.Threads) {
-		c.work += decay * (float64(r.EstimatedWork) - c.work)
+		c.meanWork += decay * (float64(r.EstimatedWork) - c.meanWork)
 	}
-	d.queries[r.ID], d.held = q, append(d.held, q)
+	d.queries[r.ID], d.queued = q, append(d.queued, q)
 }
 
 // retryPastAim recognises a client's later try: it has less time left than first tries of its class, but
@@ -248,17 +248,17 @@
 func (d *Scheduler) retryPastAim(q *query) bool {
 	c, left := q.class, q.Deadline-d.now
 	if left <= c.ClientTimeout { // what waits longer is no usual client
-		c.longest = max(c.longest, left)
+		c.longestTimeLeft = max(c.longestTimeLeft, left)
 	}
-	if left < c.longest-c.ClientTimeout/retrySlack && left > c.LatencyObjective {
-		q.asked = min(d.now, q.Deadline-c.ClientTimeout)
+	if left < c.longestTimeLeft-c.ClientTimeout/retrySlack && left > c.LatencyObjective {
+		q.firstAskedAt = min(d.now, q.Deadline-c.ClientTimeout)
 	}
 	return d.now > d.aim(q)
 }
 
-// price is the query's ExecTime.
-func (d *Scheduler) price(q *query) float64 {
-	return q.estimate() * q.class.latency / q.class.estimate
+// executionTime is the query's ExecTime.
+func (d *Scheduler) executionTime(q *query) float64 {
+	return q.estimate() * q.class.meanLatency / q.class.meanEstimate
 }
 
 // overShare says whether a query is beyond its tenant's share: by the fleet's budgets where one bounds who of
@@ -316,12 +316,12 @@
 			d.send(q, e)
 			continue
 		}
-		q.held = false
+		q.queued = false
 		blocked = append(blocked, q)
-		q.class.blocked = q.class.blocked || q.fresh() // no engine for one is none for its like
+		q.class.blocked = q.class.blocked || q.interchangeable() // no engine for one is none for its like
 	}
 	for _, q := range blocked {
-		q.held, q.class.blocked, q.wanted = true, false, true
+		q.queued, q.class.blocked, q.demandRecorded = true, false, true
 	}
 	if len(d.budgets.list) > 0 {
 		d.turnAway()
@@ -330,13 +330,13 @@
 
 // turnAway refuses at once what a budget of the fleet has no room for, and tells when it will have some.
 func (d *Scheduler) turnAway() {
-	for _, q := range slices.Clone(d.held) {
+	for _, q := range slices.Clone(d.queued) {
 		if b, after := d.short(q); b != nil && d.refusable(q) {
 			if after == 0 {
-				after = monotime.Micros(d.price(q))
+				after = monotime.Micros(d.executionTime(q))
 			}
 			d.do(Reject{ID: q.ID, Budget: b.Name, After: min(d.cfg.Limits.MaxRetryAfter, after)})
-			d.close(q)
+			d.closeQuery(q)
 		} else if b != nil {
 			d.end(q)
 		}
@@ -359,24 +359,24 @@
 
 // next is the group EDF pick: the smallest ExecTime among those due soon after the earliest.
 func (d *Scheduler) next() *query {
-	first := d.pick(func(q, best *query) bool { return q.due < best.due })
+	first := d.pick(func(q, best *query) bool { return q.dueAt < best.dueAt })
 	if first == nil {
 		return nil
 	}
-	until := first.due + monotime.Micros(groupRange*float64(first.due-first.arrived))
+	until := first.dueAt + monotime.Micros(groupRange*float64(first.dueAt-first.arrivedAt))
 	return d.pick(func(q, best *query) bool {
-		if in := q.due <= until; in != (best.due <= until) {
+		if in := q.dueAt <= until; in != (best.dueAt <= until) {
 			return in
 		}
-		return d.price(q) < d.price(best)
+		return d.executionTime(q) < d.executionTime(best)
 	})
 }
 
 // pick is the first held query that comes before all others.
 func (d *Scheduler) pick(before func(q, best *query) bool) *query {
 	var best *query
-	for _, q := range d.held {
-		if q.held && !(q.class.blocked && q.fresh()) && d.hasPlace(q) && d.affords(q, nil) &&
+	for _, q := range d.queued {
+		if q.queued && !(q.class.blocked && q.interchangeable()) && d.hasPlace(q) && d.affords(q, nil) &&
 			(best == nil || before(q, best)) {
 			best = q
 		}
@@ -393,20 +393,20 @@
 	}
 	threads := 0
 	for _, c := range d.classes {
-		if c.latency <= q.class.latency {
-			threads += c.own*c.Threads - c.lost
+		if c.meanLatency <= q.class.meanLatency {
+			threads += c.inFlight*c.Threads - c.unavailableThreads
 		}
 	}
-	return threads == 0 || float64(threads) < d.places
+	return threads == 0 || float64(threads) < d.concurrencySlots
 }
 
 // refuseLapsed turns away what can no longer finish. What has only just arrived gets its chance of an
 // engine with room first: a price inflated by a jam must not refuse all that could measure it anew. Only
 // one whose client gives up before the sweep could come back to it is answered at once.
 func (d *Scheduler) refuseLapsed() {
-	pressed := d.pressure()
-	for _, q := range slices.Clone(d.held) {
-		if d.now > q.Deadline-2*sweepEvery || q.arrived < d.now && d.now+monotime.Micros(d.price(q)) > d.lapse(q, pressed) {
+	pressed := d.underPressure()
+	for _, q := range slices.Clone(d.queued) {
+		if d.now > q.Deadline-2*sweepInterval || q.arrivedAt < d.now && d.now+monotime.Micros(d.executionTime(q)) > d.lapse(q, pressed) {
 			d.lapsed(q)
 		}
 	}
@@ -416,36 +416,36 @@
 // a place on an engine goes first to what can still earn its full worth.
 func (d *Scheduler) lapse(q *query, pressed bool) monotime.Micros {
 	if pressed { // by the best price: the one inflated by a jam would refuse short queries at once
-		inflated := d.price(q) - q.estimate()*min(q.class.best, q.class.latency/q.class.estimate)
-		return min(q.due, d.aim(q)+monotime.Micros(inflated), q.Deadline-2*sweepEvery)
+		inflated := d.executionTime(q) - q.estimate()*min(q.class.bestRatio, q.class.meanLatency/q.class.meanEstimate)
+		return min(q.dueAt, d.aim(q)+monotime.Micros(inflated), q.Deadline-2*sweepInterval)
 	}
-	return min(q.due, q.arrived+q.class.ClientTimeout, q.Deadline-2*sweepEvery)
+	return min(q.dueAt, q.arrivedAt+q.class.ClientTimeout, q.Deadline-2*sweepInterval)
 }
 
 // end gives the final answer to a query that was not served: a refusal where that is true.
 func (d *Scheduler) end(q *query) {
-	after := min(d.cfg.Limits.MaxRetryAfter, monotime.Micros(d.price(q)))
+	after := min(d.cfg.Limits.MaxRetryAfter, monotime.Micros(d.executionTime(q)))
 	if d.refusable(q) {
 		d.do(Reject{ID: q.ID, After: after})
 	} else {
 		d.do(Fail{ID: q.ID})
 	}
-	d.close(q)
+	d.closeQuery(q)
 }
 
 // refusable says whether a retry would do no harm.
 func (d *Scheduler) refusable(q *query) bool {
-	if q.repeat() == Idempotent || q.repeat() == IdempotentByKey && q.class.DedupeScope == ScopeAll {
+	if q.effect() == Idempotent || q.effect() == IdempotentByKey && q.class.DedupeScope == ScopeAll {
 		return true
 	}
-	return !slices.ContainsFunc(q.attempts, func(a attempt) bool { return !a.harmless })
+	return !slices.ContainsFunc(q.attempts, func(a attempt) bool { return !a.neverRan })
 }
 
-// close forgets a query once it is answered and nothing of it is out.
-func (d *Scheduler) close(q *query) {
+// closeQuery forgets a query once it is answered and nothing of it is out.
+func (d *Scheduler) closeQuery(q *query) {
 	q.answered = true
-	d.held, q.held = remove(d.held, q), false
-	if q.open > 0 {
+	d.queued, q.queued = remove(d.queued, q), false
+	if q.inFlight > 0 {
 		if d.cfg.Limits.Cancel {
 			for i := range q.attempts {
 				d.cancel(q, i)
@@ -454,18 +454,18 @@
 		return
 	}
 	delete(d.queries, q.ID)
-	d.sent = remove(d.sent, q)
-	if q.line != nil {
-		q.line.queue = remove(q.line.queue, q)
-		if len(q.line.queue) == 0 && q.line.quiet <= d.now {
-			delete(d.lines, q.Key)
+	d.inFlight = remove(d.inFlight, q)
+	if q.keyQueue != nil {
+		q.keyQueue.queries = remove(q.keyQueue.queries, q)
+		if len(q.keyQueue.queries) == 0 && q.keyQueue.quietUntil <= d.now {
+			delete(d.keyQueues, q.Key)
 		}
 	}
 }
 
 func (d *Scheduler) cancel(q *query, i int) {
 	a := &q.attempts[i]
-	if a.open && !a.canceled && !a.streaming {
+	if a.inFlight && !a.canceled && !a.streaming {
 		a.canceled = true
 		d.do(Cancel{ID: q.ID, Attempt: i})
 	}
@@ -478,26 +478,26 @@
 		return nil
 	}
 	var able []*engine
-	for _, e := range d.order(q.Group) {
-		if (d.ready == 0 || !e.out || d.trial(q, e)) && d.admissible(q, e) && !d.pastShare(q, e) {
+	for _, e := range d.hashOrder(q.Group) {
+		if (d.ready == 0 || !e.ejected || d.trial(q, e)) && d.admissible(q, e) && !d.pastShare(q, e) {
 			able = append(able, e)
 		}
 	}
 	able = d.prefer(q, able)
-	turn := func(e *engine) bool { return e.cold && d.cfg.Gateways > d.ready }
+	turn := func(e *engine) bool { return e.warmingUp && d.cfg.Gateways > d.ready }
 	if i := slices.IndexFunc(able, turn); i >= 0 {
 		return able[i] // our turn: it gets nothing from those who are out of turn
 	}
 	if len(able) == 0 {
 		return nil
 	}
-	for i, home := 1, d.popular.homes(q.Group, d.ready); i < min(home, len(able)); i++ {
+	for i, home := 1, d.popularity.homeEngines(q.Group, d.ready); i < min(home, len(able)); i++ {
 		if d.load(able[i]) < d.load(able[0]) {
 			able[0], able[i] = able[i], able[0]
 		}
 	}
 	for _, e := range able {
-		if d.load(e) <= spill*d.mean+float64(q.class.Threads)/d.size(e) {
+		if d.load(e) <= spillFactor*d.meanLoad+float64(q.class.Threads)/d.size(e) {
 			return e
 		}
 	}
@@ -511,18 +511,18 @@
 	able = subset(able, func(e *engine) bool {
 		return !slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.engine == e })
 	})
-	if !d.someWait || !q.class.LocksTableGroup && !q.class.WaitsForTableGroup {
+	if !d.hasLockWaiters || !q.class.LocksTableGroup && !q.class.WaitsForTableGroup {
 		return able
 	}
 	if q.class.LocksTableGroup && len(able) > 2 {
 		start := len(able)/2 + int(q.ID%uint64(len(able)/2))
 		able = slices.Concat(able[start:], able[:start])
 	}
-	return subset(able, func(e *engine) bool { return e.loading[q.Group] == 0 })
+	return subset(able, func(e *engine) bool { return e.tableLocks[q.Group] == 0 })
 }
 
-// order is the rendezvous order of a table group, weighted by cores: the same at every gateway.
-func (d *Scheduler) order(group int) []*engine {
+// hashOrder is the rendezvous order of a table group, weighted by cores: the same at every gateway.
+func (d *Scheduler) hashOrder(group int) []*engine {
 	if order, ok := d.orders[group]; ok {
 		return order
 	}
@@ -549,7 +549,7 @@
 // lately: all gateways share the hash order, so what one would pile up, all would, and what each keeps even
 // is even over all.
 func (d *Scheduler) load(e *engine) float64 {
-	return (float64(e.threads) + d.thin*d.recent(e)) / d.size(e)
+	return (float64(e.threads) + d.recentWeight*d.recent(e)) / d.size(e)
 }
 
 // size is the cores that an engine is worth: fewer while cold, or while slower than its peers.
@@ -563,15 +563,15 @@
 
 // warmth is the part of its capacity that an engine has: a straight line over the cold span.
 func (d *Scheduler) warmth(e *engine) float64 {
-	if !e.cold {
+	if !e.warmingUp {
 		return 1
 	}
-	age := float64(d.now-e.coldFrom) / float64(max(1, d.cfg.Rules.WarmUp))
+	age := float64(d.now-e.warmUpFrom) / float64(max(1, d.cfg.Rules.WarmUp))
 	return min(1, d.cfg.Rules.InitialWarmth+(1-d.cfg.Rules.InitialWarmth)*max(0, age))
 }
 
 // relative is an engine's slowness against the median of the ready ones: what slows all is load.
-func (d *Scheduler) relative(e *engine) float64 { return min(slowMost, e.slow/d.median) }
+func (d *Scheduler) relative(e *engine) float64 { return min(slowMost, e.slowness/d.medianSlowness) }
 
 // survey takes stock of the ready engines once a step: their median slowness and mean load, how thinly
 // threads are spread over them, and the share. That does not bind without pressure, but hardShare times it
@@ -581,61 +581,61 @@
 	d.countLost()
 	threads, load, cores, sizes := 0, 0.0, 0.0, 0.0
 	for _, e := range d.engines {
-		if !e.gone && !e.out {
-			slow = append(slow, e.slow)
+		if !e.gone && !e.ejected {
+			slow = append(slow, e.slowness)
 			size := d.size(e)
 			threads, load, sizes = threads+e.threads, load+d.load(e)*size, sizes+size
 			cores += e.cores * d.warmth(e)
 		}
 	}
-	d.ready, d.mean, d.median = len(slow), load/max(sizes, 1), max(median(slow), 1e-9)
-	d.thin = 1 / (1 + float64(threads)/float64(max(1, d.ready)))
-	d.share = shareFactor * d.part()
-	if !d.pressure() {
-		d.share *= hardShare
+	d.ready, d.meanLoad, d.medianSlowness = len(slow), load/max(sizes, 1), max(median(slow), 1e-9)
+	d.recentWeight = 1 / (1 + float64(threads)/float64(max(1, d.ready)))
+	d.threadsPerCore = shareThreadsPerCore * d.part()
+	if !d.underPressure() {
+		d.threadsPerCore *= unpressuredShareFactor
 	}
-	d.places = d.share * cores
+	d.concurrencySlots = d.threadsPerCore * cores
 }
 
 // pastShare says whether the engine runs this gateway's part of its share, which longer classes do not take
 // from shorter ones while no engine is full.
 func (d *Scheduler) pastShare(q *query, e *engine) bool {
-	if d.now-e.fullAt < fullMemory && d.now-e.sentAt < fullPause { // else what it refuses makes it look idle
+	if d.now-e.lastRejectedAt < fullMemory && d.now-e.lastSentAt < fullPause { // else what it refuses makes it look idle
 		return true
 	}
-	full := e.memory > 0 && ownChoice*e.granted*shareFactor >= e.memory*d.share
+	full := e.memoryMB > 0 && ownChoice*e.grantedMB*shareThreadsPerCore >= e.memoryMB*d.threadsPerCore
 	threads := e.threads
-	if d.now-d.fullAt >= fullMemory {
+	if d.now-d.lastRejectedAt >= fullMemory {
 		threads = d.threadsUpTo(q.class, e)
 	}
-	return e.own > 0 && (!d.budgets.threads && float64(threads) >= d.share*d.size(e) || full)
+	return e.attempts > 0 && (!d.budgets.threads && float64(threads) >= d.threadsPerCore*d.size(e) || full)
 }
 
-// pressure is a full refusal of late, or a class's latency well above its best.
-func (d *Scheduler) pressure() bool {
-	return d.now-d.fullAt < fullMemory || slices.ContainsFunc(d.classes, func(c *class) bool {
-		return c.estimate > 0 && c.latency/c.estimate > pressureAt*c.best
+// underPressure is a full refusal of late, or a class's latency well above its best.
+func (d *Scheduler) underPressure() bool {
+	return d.now-d.lastRejectedAt < fullMemory || slices.ContainsFunc(d.classes, func(c *class) bool {
+		return c.meanEstimate > 0 && c.meanLatency/c.meanEstimate > pressureAt*c.bestRatio
 	})
 }
 
 // mayGo holds the rules that bind a query whatever the engine.
 func (d *Scheduler) mayGo(q *query) bool {
-	if q.answered || len(q.attempts) >= d.mostAttempts(q) || q.open > 0 && !d.mayCopy(q) {
+	if q.answered || len(q.attempts) >= d.mostAttempts(q) || q.inFlight > 0 && !d.mayCopy(q) {
 		return false
 	}
-	if q.line != nil && (q.line.queue[0] != q || q.line.quiet > d.now && q.line.except != q) {
+	if q.keyQueue != nil && (q.keyQueue.queries[0] != q || q.keyQueue.quietUntil > d.now && q.keyQueue.quietFor != q) {
 		return false
 	}
 	if r := d.cfg.Rules; len(q.attempts) > 0 && r.RetryBudget {
 		taken := d.arrivals.since(d.now - r.RetryBudgetWindow + 1)
-		return d.extras.since(d.now-r.RetryBudgetWindow)+1 <= r.MinRetries+r.RetryRatio*taken
+		return d.retries.since(d.now-r.RetryBudgetWindow)+1 <= r.MinRetries+r.RetryRatio*taken
 	}
 	return true
 }
 
 // admissible is the guard of every send: drains, placement, effects and the cold budget.
 func (d *Scheduler) admissible(q *query, e *engine) bool {
-	return !e.gone && !q.on(e) && allowed(q.class.Zones, e.Zone) && allowed(q.class.Kinds, e.Kind) &&
+	return !e.gone && !q.hasAttemptOn(e) && allowed(q.class.Zones, e.Zone) && allowed(q.class.Kinds, e.Kind) &&
 		d.effectSafe(q, e) && d.coldRoom(q, e) && d.affords(q, e)
 }
 
@@ -646,7 +646,7 @@
 	for _, b := range d.budgets.list {
 		if a, n := d.charge(b, q, e); a != nil && !b.CountOnly && !a.CanSpend(d.now, n) {
 			ok = false
-			if e != nil && !q.wanted {
+			if e != nil && !q.demandRecorded {
 				a.RecordDemand(d.now, n)
 			}
 		}
@@ -665,12 +665,12 @@
 // effectSafe says whether a send to e cannot make an effect happen twice.
 func (d *Scheduler) effectSafe(q *query, e *engine) bool {
 	for _, a := range q.attempts {
-		if a.harmless || q.repeat() == Idempotent {
+		if a.neverRan || q.effect() == Idempotent {
 			continue
 		}
 		same := q.class.DedupeScope == ScopeAll || q.class.DedupeScope == ScopeZone && a.zone == e.Zone ||
 			q.class.DedupeScope == ScopeCell && a.cell == e.Cell
-		if q.repeat() == NonIdempotent || !same || d.now >= q.repeatUntil() {
+		if q.effect() == NonIdempotent || !same || d.now >= q.dedupeUntil() {
 			return false
 		}
 	}
@@ -683,16 +683,16 @@
 // drawn by hash, has coldHeavy of the budget for all but one of turnSpans spans, so that no span meets two
 // turns. A gateway that has just started sits its turn out, having forgotten its own.
 func (d *Scheduler) coldRoom(q *query, e *engine) bool {
-	r, n, work := d.cfg.Rules, uint64(d.cfg.Gateways), q.class.work
-	if !e.cold || r.OverloadWindow <= 0 || d.budgets.cold {
+	r, n, work := d.cfg.Rules, uint64(d.cfg.Gateways), q.class.meanWork
+	if !e.warmingUp || r.OverloadWindow <= 0 || d.budgets.cold {
 		return true
 	}
-	budget, longest := r.OverloadMultiple*coldUtil*e.cores*d.warmth(e)*float64(r.OverloadWindow), 0.0
+	budget, longest := r.OverloadMultiple*capacityUtilization*e.cores*d.warmth(e)*float64(r.OverloadWindow), 0.0
 	for _, c := range d.classes {
-		longest = max(longest, c.work)
+		longest = max(longest, c.meanWork)
 	}
 	if part := coldMargin * budget / float64(n); part >= longest {
-		return e.sentCold.since(d.now-r.OverloadWindow)+work <= part
+		return e.warmUpWork.since(d.now-r.OverloadWindow)+work <= part
 	}
 	if work <= coldLot*budget {
 		e.credit.accrue(d.now, coldLight*budget*d.ownPart()/float64(r.OverloadWindow), work)
@@ -701,7 +701,7 @@
 	at := uint64(d.now/r.OverloadWindow) + e.hash%turnSpans
 	mine := (mix(e.hash^at/turnSpans)+uint64(d.cfg.Rank))%n == 0
 	return mine && at%turnSpans > 0 && d.now >= d.startedAt+r.OverloadWindow &&
-		e.sentCold.since(d.now-r.OverloadWindow)+work <= coldHeavy*budget
+		e.warmUpWork.since(d.now-r.OverloadWindow)+work <= coldHeavy*budget
 }
 
 // ownPart is this gateway's part of the fleet's traffic: its own rate of arrivals over what all tenants'
@@ -711,7 +711,7 @@
 	if d.quota == 0 {
 		return 1 / float64(d.cfg.Gateways)
 	}
-	return min(1, d.rate.at(d.now)/(surge*d.quota))
+	return min(1, d.arrivalRate.at(d.now)/(surge*d.quota))
 }
 
 // part is the part of what all gateways may have that this one takes for its own: an even part at least.
@@ -720,29 +720,29 @@
 // send starts an attempt. Every send passes here, after mayGo and admissible.
 func (d *Scheduler) send(q *query, e *engine) {
 	if len(q.attempts) > 0 {
-		d.ration(&d.extras)
+		d.ration(&d.retries)
 	}
-	if e.cold {
-		e.sentCold.add(d.now, q.class.work)
-		e.credit.left -= q.class.work
+	if e.warmingUp {
+		e.warmUpWork.add(d.now, q.class.meanWork)
+		e.credit.left -= q.class.meanWork
 	}
-	exec := d.price(q)
-	a := attempt{engine: e, at: d.now, exec: exec, open: true, mark: markFrom, zone: e.Zone, cell: e.Cell}
+	exec := d.executionTime(q)
+	a := attempt{engine: e, sentAt: d.now, executionTime: exec, inFlight: true, nextMeasure: markFrom, zone: e.Zone, cell: e.Cell}
 	until, life := d.pay(q, &a, e)
-	until = earlier(until, q.repeatUntil())
+	until = earlier(until, q.dedupeUntil())
 	q.attempts = append(q.attempts, a)
-	q.open++
+	q.inFlight++
 	d.book(q, e, 1)
 	d.sends++
-	e.recent, e.recentAt, e.sentAt = d.recent(e)+float64(q.class.Threads), d.sends, d.now
-	d.held, q.held = remove(d.held, q), false
+	e.recentThreads, e.recentAt, e.lastSentAt = d.recent(e)+float64(q.class.Threads), d.sends, d.now
+	d.queued, q.queued = remove(d.queued, q), false
 	if len(q.attempts) == 1 {
-		d.sent = append(d.sent, q)
+		d.inFlight = append(d.inFlight, q)
 	}
 	d.terms(q)
 	timeout := monotime.Micros(0)
 	// What can't be called off must end by itself, unless a second copy goes beside it.
-	if l := d.cfg.Limits; !l.Cancel && !l.HedgedRequests && q.repeat() == Idempotent {
+	if l := d.cfg.Limits; !l.Cancel && !l.HedgedRequests && q.effect() == Idempotent {
 		timeout = monotime.Micros(q.class.patience() * exec)
 	}
 	if life > 0 && (timeout == 0 || life < timeout) {
@@ -762,14 +762,14 @@
 func (d *Scheduler) priority(q *query) int {
 	top := 0.0
 	for _, c := range d.classes {
-		top = max(top, c.PriorityWeight/c.work)
+		top = max(top, c.PriorityWeight/c.meanWork)
 	}
 	switch {
-	case q.over || d.now > d.aim(q):
+	case q.deprioritized || d.now > d.aim(q):
 		return 0
 	case q.class.LocksTableGroup:
 		return 2
-	case q.class.PriorityWeight/q.class.work > top/2:
+	case q.class.PriorityWeight/q.class.meanWork > top/2:
 		return 3
 	}
 	return 1
@@ -777,34 +777,34 @@
 
 // aim is the time until which the answer earns its full worth, as far as told.
 func (d *Scheduler) aim(q *query) monotime.Micros {
-	return q.asked + q.class.aimFor(q.work())
+	return q.firstAskedAt + q.class.objectiveFor(q.expectedWork())
 }
 
 // patience is how many ExecTimes an attempt may be out: the longer, the worse the class's prices have been.
-func (c *class) patience() float64 { return 1 + planScatter*c.scatter }
+func (c *class) patience() float64 { return 1 + planScatter*c.estimateError }
 
 // outcome books the end of an attempt and decides what becomes of the query.
 func (d *Scheduler) outcome(o Outcome) {
 	q, a := d.attempt(o.ID, o.Attempt)
-	if a == nil || !a.open {
+	if a == nil || !a.inFlight {
 		return
 	}
-	a.open = false
+	a.inFlight = false
 	a.giveBack()
-	a.harmless = o.Result.NeverRan()
-	q.open--
+	a.neverRan = o.Result.NeverRan()
+	q.inFlight--
 	d.book(q, a.engine, -1)
-	d.judge(q, a, o)
-	if q.line != nil && (o.Result == TimedOut || o.Result == Reset || o.Result == Canceled) {
-		q.line.quiet, q.line.except = d.now+d.cfg.Rules.KeyQuietPeriod+1, q
+	d.learnFromOutcome(q, a, o)
+	if q.keyQueue != nil && (o.Result == TimedOut || o.Result == Reset || o.Result == Canceled) {
+		q.keyQueue.quietUntil, q.keyQueue.quietFor = d.now+d.cfg.Rules.KeyQuietPeriod+1, q
 	}
 	switch {
 	case o.Final || q.answered:
-		d.close(q)
-	case q.open > 0 || q.held:
+		d.closeQuery(q)
+	case q.inFlight > 0 || q.queued:
 	case d.again(q):
-		q.held = true
-		d.held = append(d.held, q)
+		q.queued = true
+		d.queued = append(d.queued, q)
 	default:
 		d.end(q)
 	}
@@ -812,86 +812,86 @@
 
 // again says whether a further attempt could still serve the query.
 func (d *Scheduler) again(q *query) bool {
-	if len(q.attempts) >= d.mostAttempts(q) || d.now+2*sweepEvery >= q.Deadline {
+	if len(q.attempts) >= d.mostAttempts(q) || d.now+2*sweepInterval >= q.Deadline {
 		return false
 	}
 	return slices.ContainsFunc(d.engines, func(e *engine) bool { return d.effectSafe(q, e) })
 }
 
-// judge learns from an outcome: the class's price, and the engine's soundness.
-func (d *Scheduler) judge(q *query, a *attempt, o Outcome) {
+// learnFromOutcome learns from an outcome: the class's price, and the engine's soundness.
+func (d *Scheduler) learnFromOutcome(q *query, a *attempt, o Outcome) {
 	switch o.Result {
 	case Succeeded:
-		q.took(o.WorkUsed)
+		q.learnWork(o.WorkUsed)
 		if q.MeasureLatency {
 			d.do(LatencyMeasurement{ID: q.ID, Elapsed: o.Elapsed, Slowdown: d.slowdown(q, a)})
 		}
 		d.measure(q, a, float64(o.Elapsed))
-		d.heard(a.engine)
+		d.markSeen(a.engine)
 	case Rejected:
-		d.fullAt, a.engine.fullAt = d.now, d.now
-		d.heard(a.engine)
+		d.lastRejectedAt, a.engine.lastRejectedAt = d.now, d.now
+		d.markSeen(a.engine)
 	case Errored: // it looks idle, and is as bad as one that takes some times as long
-		d.heard(a.engine)
+		d.markSeen(a.engine)
 		d.grade(a.engine, errorSlow)
 	case NoConnection, Reset:
 		d.eject(a.engine)
 	case TimedOut: // a measure from below: without it a jam in which nothing ends would not be seen
-		d.measure(q, a, max(float64(o.Elapsed), d.price(q)))
+		d.measure(q, a, max(float64(o.Elapsed), d.executionTime(q)))
 	}
 }
 
 // measure takes a served attempt's latency into its class's ratio.
 func (d *Scheduler) measure(q *query, a *attempt, latency float64) {
 	c := q.class
-	d.grade(a.engine, latency/max(a.exec, 1))
+	d.grade(a.engine, latency/max(a.executionTime, 1))
 	d.learn(q, latency)
-	if q.EstimatedWork == 0 && !d.pressure() {
-		c.work += decay * (latency*float64(c.Threads) - c.work)
+	if q.EstimatedWork == 0 && !d.underPressure() {
+		c.meanWork += decay * (latency*float64(c.Threads) - c.meanWork)
 	}
 }
 
 // slowdown is how many times its best latency a query is held to have taken for the load on its engine.
 func (d *Scheduler) slowdown(q *query, a *attempt) float64 {
-	return max(1, q.class.latency/q.class.estimate/q.class.best) * max(1, d.relative(a.engine))
+	return max(1, q.class.meanLatency/q.class.meanEstimate/q.class.bestRatio) * max(1, d.relative(a.engine))
 }
 
 // learn moves the class's ratio; one bad plan or wait for a load says little of the class and is clipped.
 func (d *Scheduler) learn(q *query, latency float64) {
-	price := d.price(q)
+	price := d.executionTime(q)
 	latency = min(latency, clip*price)
-	q.class.scatter += decay * (math.Abs(latency/price-1) - q.class.scatter)
+	q.class.estimateError += decay * (math.Abs(latency/price-1) - q.class.estimateError)
 	c := q.class
-	c.latency += decay * (latency - c.latency)
-	c.estimate += decay * (q.estimate() - c.estimate)
-	c.best = min(c.best, c.latency/c.estimate, bestOfAim*float64(c.aimFor(c.work))/c.estimate)
-	if c.guessed { // by estimates that were too high and have been put right, load would be seen for good
-		c.best = max(c.best, guessedBest/float64(c.Threads))
+	c.meanLatency += decay * (latency - c.meanLatency)
+	c.meanEstimate += decay * (q.estimate() - c.meanEstimate)
+	c.bestRatio = min(c.bestRatio, c.meanLatency/c.meanEstimate, bestOfAim*float64(c.objectiveFor(c.meanWork))/c.meanEstimate)
+	if c.ownEstimates { // by estimates that were too high and have been put right, load would be seen for good
+		c.bestRatio = max(c.bestRatio, guessedBest/float64(c.Threads))
 	}
 	c.measuredAt = d.now
 }
 
 // grade takes a measure of latency over ExecTime into the engine's slowness.
 func (d *Scheduler) grade(e *engine, ratio float64) {
-	e.slow += engineDecay * (min(ratio, slowMost) - e.slow)
-	e.slowAt = d.now
+	e.slowness += engineDecay * (min(ratio, slowMost) - e.slowness)
+	e.slownessAt = d.now
 }
 
-// heard notes a sign of life: an ejected engine returns, and those of its zone may be back too. Who has been
+// markSeen notes a sign of life: an ejected engine returns, and those of its zone may be back too. Who has been
 // away may have started anew, of which the list tells late: for that long it counts as cold.
-func (d *Scheduler) heard(e *engine) {
-	e.heardAt = d.now
-	if !e.out {
+func (d *Scheduler) markSeen(e *engine) {
+	e.lastSeenAt = d.now
+	if !e.ejected {
 		return
 	}
-	if away := d.now - e.outAt; away > awayFrom && !e.cold && d.cfg.Rules.WarmUp > 0 {
+	if away := d.now - e.ejectedAt; away > awayFrom && !e.warmingUp && d.cfg.Rules.WarmUp > 0 {
 		d.startCold(e, d.now, true)
 	}
-	e.out, e.backoff = false, 0
+	e.ejected, e.backoff = false, 0
 	d.do(Log{Text: "returned " + e.Engine})
-	for _, o := range d.zone(e.Zone) {
-		if o.out {
-			o.trialAt, o.backoff = d.now+d.rng.Int64N(backoffFirst), 0
+	for _, o := range d.inZone(e.Zone) {
+		if o.ejected {
+			o.probationAt, o.backoff = d.now+d.rng.Int64N(minEjectionBackoff), 0
 		}
 	}
 }
@@ -900,41 +900,41 @@
 // been heard since, the zone is lost: its others need not be tried one by one with what clients wait for.
 func (d *Scheduler) eject(e *engine) {
 	d.takeOut(e)
-	first, last, n, zone := d.now, monotime.Micros(-1), 0, d.zone(e.Zone)
+	first, last, n, zone := d.now, monotime.Micros(-1), 0, d.inZone(e.Zone)
 	for _, o := range zone {
-		last = max(last, o.heardAt)
-		if o.out {
-			first, n = min(first, o.outAt), n+1
+		last = max(last, o.lastSeenAt)
+		if o.ejected {
+			first, n = min(first, o.ejectedAt), n+1
 		}
 	}
 	for _, o := range zone {
-		if n >= zoneLost && last < first && !o.out {
+		if n >= zoneLost && last < first && !o.ejected {
 			d.takeOut(o)
 		}
 	}
 }
 
 func (d *Scheduler) takeOut(e *engine) {
-	if !e.out {
+	if !e.ejected {
 		d.do(Log{Text: "ejected " + e.Engine})
-		e.outAt = d.now
+		e.ejectedAt = d.now
 	}
-	e.out = true
-	e.backoff = min(backoffMost, max(backoffFirst, 2*e.backoff))
-	e.trialAt = d.now + e.backoff + d.rng.Int64N(e.backoff/2)
+	e.ejected = true
+	e.backoff = min(maxEjectionBackoff, max(minEjectionBackoff, 2*e.backoff))
+	e.probationAt = d.now + e.backoff + d.rng.Int64N(e.backoff/2)
 }
 
 // trial lets one harmless query at a time try an ejected engine, where probes can't.
 func (d *Scheduler) trial(q *query, e *engine) bool {
-	return e.out && !d.cfg.Limits.HealthChecks && d.now >= e.trialAt && e.own == 0 && q.repeat() == Idempotent && q.fresh()
+	return e.ejected && !d.cfg.Limits.HealthChecks && d.now >= e.probationAt && e.attempts == 0 && q.effect() == Idempotent && q.interchangeable()
 }
 
 // probe tries ejected engines whose time has come, one of a zone at a time.
 func (d *Scheduler) probe() {
 	for _, e := range d.engines {
-		if d.cfg.Limits.HealthChecks && e.out && !e.gone && !e.probed && d.now >= max(e.trialAt, d.probeAt[e.Zone]) &&
+		if d.cfg.Limits.HealthChecks && e.ejected && !e.gone && !e.healthCheckInFlight && d.now >= max(e.probationAt, d.nextHealthCheck[e.Zone]) &&
 			d.mayProbe() {
-			e.probed, d.probeAt[e.Zone] = true, d.now+backoffFirst/2
+			e.healthCheckInFlight, d.nextHealthCheck[e.Zone] = true, d.now+minEjectionBackoff/2
 			d.do(HealthCheck{Engine: e.Engine})
 		}
 	}
@@ -960,23 +960,23 @@
 	d.dropLines()
 	d.probe()
 	for _, c := range d.classes {
-		if c.estimate > 0 && c.own == 0 && d.now-c.measuredAt > fullMemory && c.latency > c.best*c.estimate {
-			c.latency = max(c.best*c.estimate, c.latency*staleDecay)
+		if c.meanEstimate > 0 && c.inFlight == 0 && d.now-c.measuredAt > fullMemory && c.meanLatency > c.bestRatio*c.meanEstimate {
+			c.meanLatency = max(c.bestRatio*c.meanEstimate, c.meanLatency*staleDecay)
 		}
-		c.best *= 1 + bestDrift*float64(sweepEvery)/float64(monotime.Second)
+		c.bestRatio *= 1 + bestDrift*float64(sweepInterval)/float64(monotime.Second)
 	}
 	for _, e := range d.engines {
-		if e.cold && (d.now >= e.coldFrom+d.cfg.Rules.WarmUp || e.supposed && d.now >= e.coldFrom+listLate) {
-			e.cold, e.supposed, e.sentCold = false, false, window{} // and goes on like others, not to be filled first
-			e.recent, e.recentAt = max(d.recent(e), d.mean*e.cores), d.sends
+		if e.warmingUp && (d.now >= e.warmUpFrom+d.cfg.Rules.WarmUp || e.warmUpAssumed && d.now >= e.warmUpFrom+maxDiscoveryDelay) {
+			e.warmingUp, e.warmUpAssumed, e.warmUpWork = false, false, slidingWindow{} // and goes on like others, not to be filled first
+			e.recentThreads, e.recentAt = max(d.recent(e), d.meanLoad*e.cores), d.sends
 		}
-		if d.now-e.slowAt > monotime.Second {
-			e.slow = 1 + (e.slow-1)*math.Exp2(-float64(sweepEvery)/float64(slowFade))
+		if d.now-e.slownessAt > monotime.Second {
+			e.slowness = 1 + (e.slowness-1)*math.Exp2(-float64(sweepInterval)/float64(slowFade))
 		}
 	}
-	for _, q := range append([]*query(nil), d.sent...) {
+	for _, q := range append([]*query(nil), d.inFlight...) {
 		for i := range q.attempts {
-			if q.attempts[i].open && !q.attempts[i].streaming {
+			if q.attempts[i].inFlight && !q.attempts[i].streaming {
 				d.watch(q, i)
 			}
 		}
@@ -986,11 +986,11 @@
 // watch looks at an attempt that is out.
 func (d *Scheduler) watch(q *query, i int) {
 	a := &q.attempts[i]
-	age := float64(d.now - a.at)
-	if age > a.mark*a.exec {
-		a.mark *= 2
-		d.grade(a.engine, age/a.exec)
-		if age > d.price(q) {
+	age := float64(d.now - a.sentAt)
+	if age > a.nextMeasure*a.executionTime {
+		a.nextMeasure *= 2
+		d.grade(a.engine, age/a.executionTime)
+		if age > d.executionTime(q) {
 			d.learn(q, age)
 		}
 	}
@@ -998,18 +998,18 @@
 		return
 	}
 	d.terms(q)
-	if !q.held && age > q.class.patience()*max(a.exec, d.price(q)) && d.mayCopy(q) && d.again(q) {
-		q.held, d.held = true, append(d.held, q)
+	if !q.queued && age > q.class.patience()*max(a.executionTime, d.executionTime(q)) && d.mayCopy(q) && d.again(q) {
+		q.queued, d.queued = true, append(d.queued, q)
 	}
-	if d.cfg.Limits.Cancel && d.pressure() && d.refusable(q) &&
-		float64(d.now-q.asked) > lateMost*float64(d.aim(q)-q.asked) {
+	if d.cfg.Limits.Cancel && d.underPressure() && d.refusable(q) &&
+		float64(d.now-q.firstAskedAt) > lateMost*float64(d.aim(q)-q.firstAskedAt) {
 		d.end(q)
 		return
 	}
 	left := float64(q.Deadline - d.now)
-	if !d.cfg.Limits.Cancel || q.repeat() != Idempotent || left < 2*d.price(q) || a.planned ||
+	if !d.cfg.Limits.Cancel || q.effect() != Idempotent || left < 2*d.executionTime(q) || a.planned ||
 		len(q.attempts) >= d.mostAttempts(q) ||
-		age < q.class.patience()*max(a.exec, d.price(q))*max(1, d.relative(a.engine)) {
+		age < q.class.patience()*max(a.executionTime, d.executionTime(q))*max(1, d.relative(a.engine)) {
 		return
 	}
 	a.planned = true
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func engines(names ...string) EndpointUpdate {
+func completeUpdate(names ...string) EndpointUpdate {
 	l := EndpointUpdate{Kind: UpdateComplete}
 	for _, n := range names {
 		l.Entries = append(l.Entries, Endpoint{Engine: n, Kind: "k"})
@@ -30,7 +30,7 @@
 	return l
 }
 
-func started(t *testing.T, cfg Config, l EndpointUpdate) *Scheduler {
+func newTestScheduler(t *testing.T, cfg Config, l EndpointUpdate) *Scheduler {
 	t.Helper()
 	d, err := New(cfg, 7)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return d
 }
 
-func sends(actions []Action) []StartAttempt {
+func startedAttempts(actions []Action) []StartAttempt {
 	var s []StartAttempt
 	for _, a := range actions {
 		if a, ok := a.(StartAttempt); ok {
@@ -50,30 +50,30 @@
 	return s
 }
 
-func ask(id uint64, class int, now monotime.Micros) Request {
+func newRequest(id uint64, class int, now monotime.Micros) Request {
 	return Request{ID: id, Class: class, Tenant: -1, Deadline: now + 4*monotime.Second}
 }
 
 // Rule 3: nothing goes to an engine that drains, is removed, or is missing from a complete list.
-func TestDrainsAreKept(t *testing.T) {
+func TestNoAttemptGoesToAnEngineThatIsNotServing(t *testing.T) {
 	for name, l := range map[string]EndpointUpdate{
 		"draining": {Entries: []Endpoint{{Engine: "a", Kind: "k", State: Draining}}},
 		"removed":  {Entries: []Endpoint{{Engine: "a", Kind: "k", State: Removed}}},
-		"missing":  engines("b"),
+		"missing":  completeUpdate("b"),
 	} {
-		d := started(t, testConfig(), engines("a", "b"))
-		got := sends(d.Step(monotime.Second, []Event{l, ask(1, 0, monotime.Second), ask(2, 0, monotime.Second)}))
+		d := newTestScheduler(t, testConfig(), completeUpdate("a", "b"))
+		got := startedAttempts(d.Step(monotime.Second, []Event{l, newRequest(1, 0, monotime.Second), newRequest(2, 0, monotime.Second)}))
 		if len(got) != 2 || got[0].Engine != "b" || got[1].Engine != "b" {
 			t.Errorf("%s: sends %v, want both to b", name, got)
 		}
 	}
 }
 
-func outcome(id uint64, attempt int, engine string, r Result, took monotime.Micros) Outcome {
+func newOutcome(id uint64, attempt int, engine string, r Result, took monotime.Micros) Outcome {
 	return Outcome{ID: id, Attempt: attempt, Engine: engine, Result: r, Elapsed: took, Final: r == Succeeded}
 }
 
-func refusals(actions []Action) (ids []uint64) {
+func rejectedIDs(actions []Action) (ids []uint64) {
 	for _, a := range actions {
 		if r, ok := a.(Reject); ok {
 			ids = append(ids, r.ID)
@@ -82,7 +82,7 @@
 	return ids
 }
 
-func fails(actions []Action) (ids []uint64) {
+func failedIDs(actions []Action) (ids []uint64) {
 	for _, a := range actions {
 		if r, ok := a.(Fail); ok {
 			ids = append(ids, r.ID)
@@ -92,24 +92,24 @@
 }
 
 // Rule 1: a query that no engine can take is answered before the client gives up, by the sweep alone.
-func TestHeldQueryIsAnswered(t *testing.T) {
-	d := started(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
+func TestQueuedQueryIsRejectedBeforeItsClientTimesOut(t *testing.T) {
+	d := newTestScheduler(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
 	now := monotime.Second
-	actions := d.Step(now, []Event{ask(1, 0, now)})
-	for len(refusals(actions)) == 0 && now < 10*monotime.Second {
-		now += sweepEvery
+	actions := d.Step(now, []Event{newRequest(1, 0, now)})
+	for len(rejectedIDs(actions)) == 0 && now < 10*monotime.Second {
+		now += sweepInterval
 		actions = d.Step(now, []Event{Timer{Token: "sweep"}})
 	}
 	if now >= 5*monotime.Second {
 		t.Fatalf("no answer by %d", now)
 	}
-	if got := sends(d.Step(now+1, []Event{engines("a")})); len(got) != 0 {
+	if got := startedAttempts(d.Step(now+1, []Event{completeUpdate("a")})); len(got) != 0 {
 		t.Fatalf("sent after the answer: %v", got)
 	}
 }
 
 // Rule 2: what follows a reset depends on what a second execution would do.
-func TestEffects(t *testing.T) {
+func TestRetryAfterResetDependsOnTheEffect(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		repeat     Effect
@@ -129,40 +129,40 @@
 	} {
 		cfg := testConfig()
 		cfg.Classes[0].Effect, cfg.Classes[0].DedupeScope, cfg.Classes[0].DedupeWindow = c.repeat, c.scope, 2*monotime.Second
-		l := engines("a")
+		l := completeUpdate("a")
 		l.Entries[0].Zone, l.Entries[0].Cell = "north", 1
-		d := started(t, cfg, l)
-		d.Step(monotime.Second, []Event{ask(1, 0, monotime.Second)})
+		d := newTestScheduler(t, cfg, l)
+		d.Step(monotime.Second, []Event{newRequest(1, 0, monotime.Second)})
 		others := EndpointUpdate{Entries: []Endpoint{{Engine: "b", Kind: "k", Zone: "south", Cell: 2},
 			{Engine: "c", Kind: "k", Zone: "north", Cell: 1}}}
 		if c.wantEngine == "b" {
 			others.Entries = others.Entries[:1]
 		}
 		now := monotime.Second + c.elapsed
-		actions := d.Step(now, []Event{others, outcome(1, 0, "a", c.result, c.elapsed)})
+		actions := d.Step(now, []Event{others, newOutcome(1, 0, "a", c.result, c.elapsed)})
 		got := ""
-		for _, s := range sends(actions) {
+		for _, s := range startedAttempts(actions) {
 			got = s.Engine
 		}
-		if got != c.wantEngine || (len(fails(actions)) > 0) != c.wantFail {
-			t.Errorf("%s: sent to %q, failed %v", c.name, got, fails(actions))
+		if got != c.wantEngine || (len(failedIDs(actions)) > 0) != c.wantFail {
+			t.Errorf("%s: sent to %q, failed %v", c.name, got, failedIDs(actions))
 		}
 	}
 }
 
 // Rule 4: what all gateways together send a cold engine within the rule's span stays under its budget.
-func TestColdBudget(t *testing.T) {
+func TestWorkForAnEngineWarmingUpStaysWithinItsBudget(t *testing.T) {
 	cfg := testConfig()
-	l := engines("a")
+	l := completeUpdate("a")
 	l.Entries[0].Started = monotime.Second
-	d := started(t, cfg, l)
+	d := newTestScheduler(t, cfg, l)
 	sent := 0
 	for now := 2 * monotime.Second; now < 12*monotime.Second; now += monotime.Second { // its turns among them
 		var events []Event
 		for i := range 200 {
-			events = append(events, ask(uint64(now)+uint64(i), 0, now))
+			events = append(events, newRequest(uint64(now)+uint64(i), 0, now))
 		}
-		sent = max(sent, len(sends(d.Step(now, events))))
+		sent = max(sent, len(startedAttempts(d.Step(now, events))))
 	}
 	usual := cfg.Classes[0].LatencyObjective // nothing is known of the class yet
 	budget := cfg.Rules.OverloadMultiple * cfg.Rules.InitialWarmth * 4 * float64(cfg.Rules.OverloadWindow) / float64(cfg.Gateways)
@@ -172,51 +172,51 @@
 }
 
 // Rule 5: queries of one key run singly and in order, and after a doubtful end others wait.
-func TestOrderByKey(t *testing.T) {
+func TestQueriesOfOneKeyRunOneAtATimeInOrder(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Ordered, cfg.Rules.KeyQuietPeriod = true, monotime.Second
-	d := started(t, cfg, engines("a", "b"))
-	first, second := ask(1, 0, monotime.Second), ask(2, 0, monotime.Second)
+	d := newTestScheduler(t, cfg, completeUpdate("a", "b"))
+	first, second := newRequest(1, 0, monotime.Second), newRequest(2, 0, monotime.Second)
 	first.Key, second.Key = "x", "x"
-	got := sends(d.Step(monotime.Second, []Event{first, second}))
+	got := startedAttempts(d.Step(monotime.Second, []Event{first, second}))
 	if len(got) != 1 || got[0].ID != 1 {
 		t.Fatalf("sends %v, want the first alone", got)
 	}
 	d.Step(monotime.Second+10, []Event{ClientDisconnected{ID: 1}})
-	got = sends(d.Step(monotime.Second+20, []Event{outcome(1, 0, got[0].Engine, Canceled, 20)}))
+	got = startedAttempts(d.Step(monotime.Second+20, []Event{newOutcome(1, 0, got[0].Engine, Canceled, 20)}))
 	if len(got) != 0 {
 		t.Fatalf("sends %v within the quiet time", got)
 	}
-	got = sends(d.Step(2*monotime.Second+40, []Event{Timer{Token: "sweep"}}))
+	got = startedAttempts(d.Step(2*monotime.Second+40, []Event{Timer{Token: "sweep"}}))
 	if len(got) != 1 || got[0].ID != 2 {
 		t.Fatalf("sends %v, want the second", got)
 	}
 }
 
 // Rule 6: a bound class waits or is refused rather than go elsewhere.
-func TestPlacement(t *testing.T) {
+func TestZoneConstraintIsKeptWithoutAnEngineInTheZone(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Zones = []string{"north"}
-	d := started(t, cfg, engines("a", "b"))
-	if got := sends(d.Step(monotime.Second, []Event{ask(1, 0, monotime.Second)})); len(got) != 0 {
+	d := newTestScheduler(t, cfg, completeUpdate("a", "b"))
+	if got := startedAttempts(d.Step(monotime.Second, []Event{newRequest(1, 0, monotime.Second)})); len(got) != 0 {
 		t.Fatalf("sent %v outside its zone", got)
 	}
 }
 
 // Rule 7: further attempts stay within the stated budget.
-func TestAttemptBudget(t *testing.T) {
+func TestRetriesStayWithinTheRetryBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Rules.RetryBudget, cfg.Rules.MinRetries, cfg.Rules.RetryRatio, cfg.Rules.RetryBudgetWindow = true, 1, 0.1, monotime.Second
-	d := started(t, cfg, engines("a", "b"))
+	d := newTestScheduler(t, cfg, completeUpdate("a", "b"))
 	now, extra := monotime.Second, 0
 	var events []Event
 	for i := range 10 {
-		events = append(events, ask(uint64(i), 0, now))
+		events = append(events, newRequest(uint64(i), 0, now))
 	}
-	firsts := sends(d.Step(now, events))
+	firsts := startedAttempts(d.Step(now, events))
 	for _, s := range firsts {
 		now += 1000
-		extra += len(sends(d.Step(now, []Event{outcome(s.ID, 0, s.Engine, Errored, 1000)})))
+		extra += len(startedAttempts(d.Step(now, []Event{newOutcome(s.ID, 0, s.Engine, Errored, 1000)})))
 	}
 	if len(firsts) < 4 || extra != 2 {
 		t.Fatalf("%d further attempts after %d sends, want 2", extra, len(firsts))
@@ -224,11 +224,11 @@
 }
 
 // Group EDF differs from EDF (1, due first, is not the smallest of its group) and from SJF (3 is smallest).
-func TestGroupEDF(t *testing.T) {
-	d := started(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
-	d.classes[0].latency, d.classes[0].estimate = 1, 1
+func TestGroupEDFPicksTheShortestOfTheFirstGroup(t *testing.T) {
+	d := newTestScheduler(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
+	d.classes[0].meanLatency, d.classes[0].meanEstimate = 1, 1
 	at := func(id uint64, cost, now monotime.Micros) {
-		r := ask(id, 0, now)
+		r := newRequest(id, 0, now)
 		r.EstimatedWork = cost
 		d.Step(now, []Event{r})
 	}
@@ -242,101 +242,101 @@
 
 // Found by incident i347ad8: a retry that arrives just before its client gives up was held until the next
 // sweep, too late for any answer.
-func TestShortDeadlineIsAnsweredAtOnce(t *testing.T) {
-	d := started(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
-	r := ask(1, 0, monotime.Second)
+func TestQueryThatWouldExpireBeforeTheNextSweepIsRejectedAtOnce(t *testing.T) {
+	d := newTestScheduler(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
+	r := newRequest(1, 0, monotime.Second)
 	r.Deadline = monotime.Second + 5000
-	if got := refusals(d.Step(monotime.Second, []Event{r})); len(got) != 1 {
+	if got := rejectedIDs(d.Step(monotime.Second, []Event{r})); len(got) != 1 {
 		t.Fatalf("refused %v, want the query at once", got)
 	}
 }
 
 // Found on big-2: with nothing ended for a second the price sank, pressure went off and all held went at once.
 // Twice the share must bind without any pressure.
-func TestTwiceTheShareAlwaysBinds(t *testing.T) {
-	d := started(t, testConfig(), engines("a"))
+func TestTwiceTheShareBindsWithoutPressure(t *testing.T) {
+	d := newTestScheduler(t, testConfig(), completeUpdate("a"))
 	var events []Event
 	for i := range 50 {
-		events = append(events, ask(uint64(i), 0, monotime.Second))
+		events = append(events, newRequest(uint64(i), 0, monotime.Second))
 	}
-	got := len(sends(d.Step(monotime.Second, events)))
-	if want := int(math.Ceil(hardShare * shareFactor * 4 / 2)); got != want {
+	got := len(startedAttempts(d.Step(monotime.Second, events)))
+	if want := int(math.Ceil(unpressuredShareFactor * shareThreadsPerCore * 4 / 2)); got != want {
 		t.Fatalf("sent %d at once, want %d", got, want)
 	}
 }
 
 // Without pressure the share does not bind; a full refusal makes it bind.
-func TestFullRefusalMakesTheShareBind(t *testing.T) {
-	d := started(t, testConfig(), engines("a"))
-	share := int(math.Ceil(shareFactor * 4 / 2))
+func TestRejectionByAnEngineMakesTheShareBind(t *testing.T) {
+	d := newTestScheduler(t, testConfig(), completeUpdate("a"))
+	share := int(math.Ceil(shareThreadsPerCore * 4 / 2))
 	var events []Event
 	for i := range share + 1 {
-		events = append(events, ask(uint64(i), 0, monotime.Second))
+		events = append(events, newRequest(uint64(i), 0, monotime.Second))
 	}
-	if got := len(sends(d.Step(monotime.Second, events))); got != share+1 {
+	if got := len(startedAttempts(d.Step(monotime.Second, events))); got != share+1 {
 		t.Fatalf("sent %d without pressure, want %d", got, share+1)
 	}
-	d.Step(monotime.Second+1000, []Event{outcome(0, 0, "a", Rejected, 1000)})
-	if got := sends(d.Step(monotime.Second+2000, []Event{ask(99, 0, monotime.Second+2000)})); len(got) != 0 {
+	d.Step(monotime.Second+1000, []Event{newOutcome(0, 0, "a", Rejected, 1000)})
+	if got := startedAttempts(d.Step(monotime.Second+2000, []Event{newRequest(99, 0, monotime.Second+2000)})); len(got) != 0 {
 		t.Fatalf("sent %v past the share under pressure", got)
 	}
 }
 
 // Found on budapest's busy days: queries that time out must count, or a jam in which nothing ends goes unseen.
-func TestTimeOutsRaiseThePrice(t *testing.T) {
-	d := started(t, testConfig(), engines("a"))
-	d.Step(monotime.Second, []Event{ask(1, 0, monotime.Second)})
+func TestTimeoutRaisesTheExecutionTimeEstimate(t *testing.T) {
+	d := newTestScheduler(t, testConfig(), completeUpdate("a"))
+	d.Step(monotime.Second, []Event{newRequest(1, 0, monotime.Second)})
 	c := d.classes[0]
-	c.latency = 0.1 * float64(monotime.Second)
-	before := c.latency
-	d.Step(5*monotime.Second, []Event{outcome(1, 0, "a", TimedOut, 4*monotime.Second)})
-	if c.latency <= before {
-		t.Fatalf("price went from %.0f to %.0f", before, c.latency)
+	c.meanLatency = 0.1 * float64(monotime.Second)
+	before := c.meanLatency
+	d.Step(5*monotime.Second, []Event{newOutcome(1, 0, "a", TimedOut, 4*monotime.Second)})
+	if c.meanLatency <= before {
+		t.Fatalf("price went from %.0f to %.0f", before, c.meanLatency)
 	}
 }
 
 // An ExecTime inflated by a jam, with nothing sent that could measure it, must sink back.
-func TestPriceRecovers(t *testing.T) {
-	d := started(t, testConfig(), engines("a"))
-	d.Step(0, []Event{ask(1, 0, 0)})
-	d.Step(1, []Event{outcome(1, 0, "a", Succeeded, 100_000)})
+func TestInflatedEstimateDecaysWithoutMeasurements(t *testing.T) {
+	d := newTestScheduler(t, testConfig(), completeUpdate("a"))
+	d.Step(0, []Event{newRequest(1, 0, 0)})
+	d.Step(1, []Event{newOutcome(1, 0, "a", Succeeded, 100_000)})
 	c := d.classes[0]
-	c.best, c.latency = 0.1*float64(monotime.Second), 100*float64(monotime.Second)
-	for now := monotime.Second; now < 20*monotime.Second; now += sweepEvery {
+	c.bestRatio, c.meanLatency = 0.1*float64(monotime.Second), 100*float64(monotime.Second)
+	for now := monotime.Second; now < 20*monotime.Second; now += sweepInterval {
 		d.Step(now, []Event{Timer{Token: "sweep"}})
 	}
-	if c.latency > float64(monotime.Second) {
-		t.Fatalf("price stays at %.0f", c.latency)
+	if c.meanLatency > float64(monotime.Second) {
+		t.Fatalf("price stays at %.0f", c.meanLatency)
 	}
 }
 
 // Found by incident id2e2b5: in overload the places went to retries whose aim had passed.
-func TestRetryPastItsAimGoesLast(t *testing.T) {
-	d := started(t, testConfig(), engines("a"))
-	d.fullAt = 2 * monotime.Second // pressure
-	d.engines[0].own, d.engines[0].threads = 9, 9
-	retry := ask(2, 0, 2*monotime.Second)
+func TestRetryPastItsLatencyObjectiveGoesLast(t *testing.T) {
+	d := newTestScheduler(t, testConfig(), completeUpdate("a"))
+	d.lastRejectedAt = 2 * monotime.Second // pressure
+	d.engines[0].attempts, d.engines[0].threads = 9, 9
+	retry := newRequest(2, 0, 2*monotime.Second)
 	retry.Deadline -= 2 * monotime.Second // its client first asked two seconds ago
-	d.Step(2*monotime.Second, []Event{ask(1, 0, 2*monotime.Second), retry, ask(3, 0, 2*monotime.Second)})
-	d.engines[0].own, d.engines[0].threads = 0, 0
+	d.Step(2*monotime.Second, []Event{newRequest(1, 0, 2*monotime.Second), retry, newRequest(3, 0, 2*monotime.Second)})
+	d.engines[0].attempts, d.engines[0].threads = 0, 0
 	first := d.next()
-	if first == nil || first.ID == 2 || !d.queries[2].over || d.queries[3].over {
+	if first == nil || first.ID == 2 || !d.queries[2].deprioritized || d.queries[3].deprioritized {
 		t.Fatalf("first is %+v", first)
 	}
 }
 
 // Found by incident ie86a9c: a cold engine's budget grows as it warms.
-func TestColdEngineGetsMoreAsItWarms(t *testing.T) {
-	l := engines("a")
+func TestWarmUpBudgetGrowsWithTime(t *testing.T) {
+	l := completeUpdate("a")
 	l.Entries[0].Started = monotime.Second
 	sent := func(from monotime.Micros) (n int) {
-		d := started(t, testConfig(), l)
+		d := newTestScheduler(t, testConfig(), l)
 		for now := from; now < from+4*monotime.Second; now += monotime.Second { // its turn among them
 			var events []Event
 			for i := range 200 {
-				events = append(events, ask(uint64(now)+uint64(i), 0, now))
+				events = append(events, newRequest(uint64(now)+uint64(i), 0, now))
 			}
-			n += len(sends(d.Step(now, events)))
+			n += len(startedAttempts(d.Step(now, events)))
 		}
 		return n
 	}
@@ -346,27 +346,27 @@
 }
 
 // A refused connection ejects an engine; one trial after the backoff, and its answer brings it back.
-func TestEjectionAndReturn(t *testing.T) {
-	d := started(t, testConfig(), engines("a"))
-	d.Step(0, []Event{engines("a", "b")})
+func TestEjectedEngineReturnsAfterOneProbationRequest(t *testing.T) {
+	d := newTestScheduler(t, testConfig(), completeUpdate("a"))
+	d.Step(0, []Event{completeUpdate("a", "b")})
 	d.eject(d.byName["b"])
-	now := backoffFirst - 1
+	now := minEjectionBackoff - 1
 	for id := range uint64(3) {
-		for _, s := range sends(d.Step(now, []Event{ask(id, 0, now)})) {
+		for _, s := range startedAttempts(d.Step(now, []Event{newRequest(id, 0, now)})) {
 			if s.Engine == "b" {
 				t.Fatal("sent to an ejected engine before its trial")
 			}
 		}
 	}
-	now = 2 * backoffFirst
+	now = 2 * minEjectionBackoff
 	trials := 0
 	for id := uint64(10); id < 14; id++ {
-		for _, s := range sends(d.Step(now, []Event{ask(id, 0, now)})) {
+		for _, s := range startedAttempts(d.Step(now, []Event{newRequest(id, 0, now)})) {
 			if s.Engine == "b" {
 				trials++
 				defer func(id uint64) {
-					d.Step(now+1000, []Event{outcome(id, 0, "b", Succeeded, 1000)})
-					if d.byName["b"].out {
+					d.Step(now+1000, []Event{newOutcome(id, 0, "b", Succeeded, 1000)})
+					if d.byName["b"].ejected {
 						t.Error("an answer did not bring the engine back")
 					}
 				}(s.ID)
@@ -379,15 +379,15 @@
 }
 
 // A class that waits passes over an engine on which this gateway loads its table group.
-func TestWaitersAvoidLoads(t *testing.T) {
+func TestLockWaitersAvoidEnginesThatHoldTheLock(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].WaitsForTableGroup, cfg.Classes[1].LocksTableGroup = true, true
-	d := started(t, cfg, engines("a", "b", "c"))
-	load := ask(1, 1, 0)
+	d := newTestScheduler(t, cfg, completeUpdate("a", "b", "c"))
+	load := newRequest(1, 1, 0)
 	load.Deadline = 20 * monotime.Second
-	at := sends(d.Step(0, []Event{load}))[0].Engine
+	at := startedAttempts(d.Step(0, []Event{load}))[0].Engine
 	for id := uint64(2); id < 8; id++ {
-		for _, s := range sends(d.Step(1000, []Event{ask(id, 0, 1000)})) {
+		for _, s := range startedAttempts(d.Step(1000, []Event{newRequest(id, 0, 1000)})) {
 			if s.Engine == at {
 				t.Fatalf("query %d went behind the load", id)
 			}
@@ -396,22 +396,22 @@
 }
 
 // The same events give the same actions, also with another instance stepped in between.
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsCallForTheSameActions(t *testing.T) {
 	run := func(between bool) (all []Action) {
-		d := started(t, testConfig(), engines("a", "b", "c"))
-		other := started(t, testConfig(), engines("x", "y"))
+		d := newTestScheduler(t, testConfig(), completeUpdate("a", "b", "c"))
+		other := newTestScheduler(t, testConfig(), completeUpdate("x", "y"))
 		for i := range 300 {
 			now := monotime.Micros(i) * 3000
-			r := ask(uint64(i), i%2, now)
+			r := newRequest(uint64(i), i%2, now)
 			r.Group = i % 5
 			events := []Event{r, Timer{Token: "sweep"}}
 			if i > 9 {
-				if q := d.queries[uint64(i-9)]; q != nil && q.open > 0 {
-					events = append(events, outcome(q.ID, 0, q.attempts[0].engine.Engine, Result(i%3), 20_000))
+				if q := d.queries[uint64(i-9)]; q != nil && q.inFlight > 0 {
+					events = append(events, newOutcome(q.ID, 0, q.attempts[0].engine.Engine, Result(i%3), 20_000))
 				}
 			}
 			if between {
-				other.Step(now, []Event{ask(uint64(i), 0, now)})
+				other.Step(now, []Event{newRequest(uint64(i), 0, now)})
 			}
 			all = append(all, d.Step(now, events)...)
 		}
@@ -423,7 +423,7 @@
 }
 
 // An unusable Config is an error.
-func TestBadConfig(t *testing.T) {
+func TestNewRejectsInvalidConfig(t *testing.T) {
 	noThreads := testConfig()
 	noThreads.Classes[0].Threads = 0
 	for name, cfg := range map[string]Config{"empty": {}, "no classes": {Gateways: 1}, "no threads": noThreads} {
@@ -434,7 +434,7 @@
 }
 
 // Where lists must be asked for, a failed call is made again though nothing else happens at an idle gateway.
-func TestSubscribesAgainAfterFailure(t *testing.T) {
+func TestFailedSubscriptionIsRetriedByTimer(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollEndpoints, cfg.Rules.ResponseTimeout = true, 10*monotime.Second
 	d, err := New(cfg, 7)
@@ -459,26 +459,26 @@
 }
 
 // Where attempts cannot be called off, a safe query's attempt ends by itself and is tried elsewhere.
-func TestTimeoutWhereCancelIsNotAllowed(t *testing.T) {
+func TestAttemptsThatCannotBeCanceledHaveATimeout(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.Cancel = false
-	d := started(t, cfg, engines("a", "b"))
-	d.classes[0].latency, d.classes[0].estimate = 50_000, 1
-	first := sends(d.Step(monotime.Second, []Event{ask(1, 0, monotime.Second)}))[0]
+	d := newTestScheduler(t, cfg, completeUpdate("a", "b"))
+	d.classes[0].meanLatency, d.classes[0].meanEstimate = 50_000, 1
+	first := startedAttempts(d.Step(monotime.Second, []Event{newRequest(1, 0, monotime.Second)}))[0]
 	if first.Timeout <= 50_000 || first.Timeout >= 4*monotime.Second {
 		t.Fatalf("time-out %d", first.Timeout)
 	}
 	now := monotime.Second + first.Timeout
-	next := sends(d.Step(now, []Event{outcome(1, 0, first.Engine, TimedOut, first.Timeout)}))
+	next := startedAttempts(d.Step(now, []Event{newOutcome(1, 0, first.Engine, TimedOut, first.Timeout)}))
 	if len(next) != 1 || next[0].Engine == first.Engine {
 		t.Fatalf("then %v", next)
 	}
 }
 
 // A table group stays on the first two engines of its order, and spills past 1.25 times the mean plus one query.
-func TestHomeAndSpill(t *testing.T) {
-	d := started(t, testConfig(), engines("a", "b", "c", "e"))
-	order := d.order(0)
+func TestGroupStaysOnItsHomeEnginesAndSpillsUnderLoad(t *testing.T) {
+	d := newTestScheduler(t, testConfig(), completeUpdate("a", "b", "c", "e"))
+	order := d.hashOrder(0)
 	q := &query{class: d.classes[0]}
 	if got := d.choose(q); got != order[0] {
 		t.Fatalf("an idle order gives %s, want the first, %s", got.Engine, order[0].Engine)
@@ -494,59 +494,59 @@
 }
 
 // A held query is refused once it can no longer finish by ten times its ExecTime, and not before.
-func TestLapse(t *testing.T) {
-	d := started(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
-	d.classes[0].latency, d.classes[0].estimate = 100_000, 1
-	d.Step(0, []Event{ask(1, 0, 0)})
-	if got := refusals(d.Step(900_000, []Event{Timer{Token: "sweep"}})); len(got) != 0 {
+func TestQueuedQueryExpiresAtItsDeadline(t *testing.T) {
+	d := newTestScheduler(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
+	d.classes[0].meanLatency, d.classes[0].meanEstimate = 100_000, 1
+	d.Step(0, []Event{newRequest(1, 0, 0)})
+	if got := rejectedIDs(d.Step(900_000, []Event{Timer{Token: "sweep"}})); len(got) != 0 {
 		t.Fatal("refused while it could still finish")
 	}
-	if got := refusals(d.Step(901_000, []Event{Timer{Token: "sweep"}})); len(got) != 1 {
+	if got := rejectedIDs(d.Step(901_000, []Event{Timer{Token: "sweep"}})); len(got) != 1 {
 		t.Fatal("not refused once it could not finish")
 	}
 }
 
 // Found on budapest-later big-1 (0.10): one report filled a gateway's part of the share and held up its look-ups.
-func TestLongQueryDoesNotHoldUpShort(t *testing.T) {
+func TestLongQueriesTakeNoSlotsFromShortOnes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 50
-	d := started(t, cfg, engines("a", "b"))
-	d.classes[0].latency, d.classes[0].estimate = 100_000, 1
-	d.classes[1].latency, d.classes[1].estimate = 4_000_000, 1
-	long := ask(1, 1, monotime.Second)
+	d := newTestScheduler(t, cfg, completeUpdate("a", "b"))
+	d.classes[0].meanLatency, d.classes[0].meanEstimate = 100_000, 1
+	d.classes[1].meanLatency, d.classes[1].meanEstimate = 4_000_000, 1
+	long := newRequest(1, 1, monotime.Second)
 	long.Deadline += 20 * monotime.Second
 	again := long
 	again.ID = 2
 	d.Step(monotime.Second, []Event{long})
-	got := sends(d.Step(monotime.Second, []Event{again, ask(3, 0, monotime.Second)}))
+	got := startedAttempts(d.Step(monotime.Second, []Event{again, newRequest(3, 0, monotime.Second)}))
 	if len(got) != 1 || got[0].ID != 3 {
 		t.Fatalf("sends %v, want the short query alone", got)
 	}
 }
 
 // Found on jadwal-later rough-1: clients who come with little time are no retries; a late retry still goes last.
-func TestShortPatienceIsNoRetry(t *testing.T) {
-	d := started(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
-	hurried, retry := ask(2, 0, monotime.Second), ask(3, 0, monotime.Second)
+func TestShortClientTimeoutIsNotTakenForARetry(t *testing.T) {
+	d := newTestScheduler(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
+	hurried, retry := newRequest(2, 0, monotime.Second), newRequest(3, 0, monotime.Second)
 	hurried.Deadline = monotime.Second + d.cfg.Classes[0].LatencyObjective/2
 	retry.Deadline = monotime.Second + d.cfg.Classes[0].LatencyObjective*2
-	d.Step(monotime.Second, []Event{ask(1, 0, monotime.Second), hurried, retry})
-	if d.queries[2].over || !d.queries[3].over {
-		t.Fatalf("hurried goes last %v, retry goes last %v", d.queries[2].over, d.queries[3].over)
+	d.Step(monotime.Second, []Event{newRequest(1, 0, monotime.Second), hurried, retry})
+	if d.queries[2].deprioritized || !d.queries[3].deprioritized {
+		t.Fatalf("hurried goes last %v, retry goes last %v", d.queries[2].deprioritized, d.queries[3].deprioritized)
 	}
 }
 
 // Where a gateway's part of a tenant's share is below one query a second, its queries are still within it.
-func TestThinTenantShare(t *testing.T) {
+func TestQuotaBelowOneQueryASecondStillLetsQueriesThrough(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways, cfg.Tenants = 200, []Tenant{{Name: "t", Share: 1, Quota: 70}}
-	d := started(t, cfg, EndpointUpdate{Kind: UpdateComplete})
+	d := newTestScheduler(t, cfg, EndpointUpdate{Kind: UpdateComplete})
 	for i := range uint64(5) {
 		now := monotime.Micros(10*i+10) * monotime.Second
-		r := ask(i, 0, now)
+		r := newRequest(i, 0, now)
 		r.Tenant = 0
 		d.Step(now, []Event{r})
-		if d.queries[i].over {
+		if d.queries[i].deprioritized {
 			t.Fatalf("query %d, ten seconds after the last, is taken for more than its share", i)
 		}
 	}
@@ -554,16 +554,16 @@
 
 // Found by incident ib5a1e9: with many gateways an even part of a cold engine's budget is below one query, and
 // replacements stood idle until warm. In turns they get work, and never more in any span than the rule allows.
-func TestColdEngineGetsTurns(t *testing.T) {
+func TestGatewaysTakeTurnsOnAnEngineWarmingUp(t *testing.T) {
 	const n = 100
 	cfg := testConfig()
 	cfg.Gateways = n
-	l := engines("a")
+	l := completeUpdate("a")
 	l.Entries[0].Started = 2 * monotime.Second
 	var all []*Scheduler
 	for rank := range n {
 		cfg.Rank = rank
-		all = append(all, started(t, cfg, l))
+		all = append(all, newTestScheduler(t, cfg, l))
 	}
 	type sent struct {
 		at   monotime.Micros
@@ -575,8 +575,8 @@
 		for _, d := range all {
 			for class := range cfg.Classes {
 				id++
-				r := ask(id, class, now)
-				for _, s := range sends(d.Step(now, []Event{r})) {
+				r := newRequest(id, class, now)
+				for _, s := range startedAttempts(d.Step(now, []Event{r})) {
 					k := cfg.Classes[d.queries[s.ID].Request.Class]
 					got = append(got, sent{now, float64(k.LatencyObjective) * float64(k.Threads)})
 				}
@@ -600,17 +600,17 @@
 }
 
 // Patience with a plan follows how far prices are off: short where estimates are good.
-func TestPatienceFollowsPrices(t *testing.T) {
+func TestMaxAttemptTimeFollowsTheEstimateError(t *testing.T) {
 	patience := func(off monotime.Micros) float64 {
-		d := started(t, testConfig(), engines("a"))
+		d := newTestScheduler(t, testConfig(), completeUpdate("a"))
 		now := monotime.Second
 		for id := range uint64(100) {
 			now += monotime.Second
-			r := ask(id, 0, now)
+			r := newRequest(id, 0, now)
 			r.EstimatedWork = 100_000
 			d.Step(now, []Event{r})
 			took := 100_000 - off + 2*off*monotime.Micros(id%2)
-			d.Step(now+took, []Event{outcome(id, 0, "a", Succeeded, took)})
+			d.Step(now+took, []Event{newOutcome(id, 0, "a", Succeeded, took)})
 		}
 		return d.classes[0].patience()
 	}
--- a/scheduler/sequences_test.go
+++ b/scheduler/sequences_test.go
@@ -15,18 +15,18 @@
 
 // sequence feeds a module random events and digests the actions that it answers with.
 type sequence struct {
-	rng      *rand.Rand
-	d        *Scheduler
-	cfg      Config
-	now      monotime.Micros
-	events   int
-	nextID   uint64
-	engines  []Endpoint
-	inFlight []sentAttempt
-	attempts map[uint64]int
-	timers   []SetTimer
-	probes   []string
-	digest   hash.Hash
+	rng          *rand.Rand
+	scheduler    *Scheduler
+	cfg          Config
+	now          monotime.Micros
+	events       int
+	nextID       uint64
+	engines      []Endpoint
+	inFlight     []sentAttempt
+	attempts     map[uint64]int
+	timers       []SetTimer
+	healthChecks []string
+	digest       hash.Hash
 }
 
 // sentAttempt is an attempt that an engine has.
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &sequence{rng: rand.New(rand.NewPCG(seed, 3)), d: d, cfg: cfg, now: 5 * monotime.Second, attempts: map[uint64]int{}, digest: sha256.New()}
+	s := &sequence{rng: rand.New(rand.NewPCG(seed, 3)), scheduler: d, cfg: cfg, now: 5 * monotime.Second, attempts: map[uint64]int{}, digest: sha256.New()}
 	for i := range 12 {
 		s.engines = append(s.engines, s.engine(i, 0))
 	}
@@ -92,7 +92,7 @@
 // step hands events over and notes what the module does.
 func (s *sequence) step(events ...Event) {
 	s.events += len(events)
-	for _, a := range s.d.Step(s.now, events) {
+	for _, a := range s.scheduler.Step(s.now, events) {
 		tag := 0
 		switch a := a.(type) {
 		case StartAttempt:
@@ -114,7 +114,7 @@
 			tag = 5
 		case HealthCheck:
 			tag = 6
-			s.probes = append(s.probes, a.Engine)
+			s.healthChecks = append(s.healthChecks, a.Engine)
 		case Subscribe:
 			tag = 7
 		case FetchList:
@@ -131,8 +131,8 @@
 	}
 }
 
-// due is the timers that have fallen due, in their order.
-func (s *sequence) due() (events []Event) {
+// dueTimers is the timers that have fallen due, in their order.
+func (s *sequence) dueTimers() (events []Event) {
 	slices.SortStableFunc(s.timers, func(a, b SetTimer) int { return int(a.At - b.At) })
 	for len(s.timers) > 0 && s.timers[0].At <= s.now {
 		events = append(events, Timer{Token: s.timers[0].Token})
@@ -158,7 +158,7 @@
 	return r
 }
 
-func (s *sequence) load() *LoadReport {
+func (s *sequence) loadReport() *LoadReport {
 	if !s.chance(50) {
 		return nil
 	}
@@ -173,7 +173,7 @@
 	i := s.rng.IntN(len(s.inFlight))
 	a := s.inFlight[i]
 	s.inFlight = slices.Delete(s.inFlight, i, i+1)
-	o := Outcome{ID: a.id, Attempt: a.number, Engine: a.engine, Elapsed: s.now - a.at, Load: s.load()}
+	o := Outcome{ID: a.id, Attempt: a.number, Engine: a.engine, Elapsed: s.now - a.at, Load: s.loadReport()}
 	good := 85
 	if a.engine[len(a.engine)-1]%4 == 0 {
 		good = 40
@@ -192,8 +192,8 @@
 	return []Event{o}
 }
 
-// news changes the list of engines.
-func (s *sequence) news() Event {
+// endpointUpdate changes the list of engines.
+func (s *sequence) endpointUpdate() Event {
 	i := s.rng.IntN(len(s.engines))
 	switch s.rng.IntN(8) {
 	case 0:
@@ -233,8 +233,8 @@
 	return list
 }
 
-// amounts tells of budgets and of what of each is leased.
-func (s *sequence) amounts() Event {
+// budgetGrant tells of budgets and of what of each is leased.
+func (s *sequence) budgetGrant() Event {
 	ev := BudgetGrant{Rules: s.rules(), Until: s.now + s.span(6*monotime.Second)}
 	for _, r := range ev.Rules {
 		subjects := []string{""}
@@ -257,19 +257,19 @@
 	return ev
 }
 
-// any draws one event, and what goes with it.
-func (s *sequence) any() []Event {
+// randomEvents draws one event, and what goes with it.
+func (s *sequence) randomEvents() []Event {
 	switch n := s.rng.IntN(200); {
 	case n < 80:
 		return []Event{s.request()}
 	case n < 168:
 		return s.outcome()
 	case n < 174:
-		return []Event{s.news()}
-	case n < 180 && len(s.probes) > 0:
-		engine := s.probes[0]
-		s.probes = s.probes[1:]
-		return []Event{HealthCheckResult{Engine: engine, Result: Result(s.rng.IntN(2) * s.rng.IntN(int(NotSent))), Elapsed: s.span(monotime.Second / 10), Load: s.load()}}
+		return []Event{s.endpointUpdate()}
+	case n < 180 && len(s.healthChecks) > 0:
+		engine := s.healthChecks[0]
+		s.healthChecks = s.healthChecks[1:]
+		return []Event{HealthCheckResult{Engine: engine, Result: Result(s.rng.IntN(2) * s.rng.IntN(int(NotSent))), Elapsed: s.span(monotime.Second / 10), Load: s.loadReport()}}
 	case n < 182:
 		return []Event{EngineUnresponsive{Engine: s.engines[s.rng.IntN(len(s.engines))].Engine}}
 	case n < 186 && len(s.inFlight) > 0:
@@ -281,9 +281,9 @@
 	case n < 194 && s.nextID > 0:
 		return []Event{ClientDisconnected{ID: s.nextID - uint64(s.span(min(int64(s.nextID), 40))), AnswerDue: s.chance(50)}}
 	case n < 196 && s.now > 20*monotime.Second:
-		return []Event{s.amounts()}
+		return []Event{s.budgetGrant()}
 	}
-	return s.due()
+	return s.dueTimers()
 }
 
 // The digest of all actions that random sequences of events call for: a change of names or of structure changes none of them.
@@ -293,16 +293,16 @@
 		s := newSequence(t, seed)
 		for s.events < eventsEach {
 			s.now += s.span(30_000)
-			events := s.due()
+			events := s.dueTimers()
 			for range 1 + s.rng.IntN(3) {
-				events = append(events, s.any()...)
+				events = append(events, s.randomEvents()...)
 			}
 			s.step(events...)
 			if s.chance(2) {
-				fmt.Fprintln(s.digest, s.d.BudgetDemands(s.now))
+				fmt.Fprintln(s.digest, s.scheduler.BudgetDemands(s.now))
 			}
 		}
-		for _, spending := range s.d.BudgetStatuses(s.now) {
+		for _, spending := range s.scheduler.BudgetStatuses(s.now) {
 			fmt.Fprintln(s.digest, spending)
 		}
 		golden.Entry(t, "testdata/sequences.txt", fmt.Sprint("seed-", seed), fmt.Sprintf("%x", s.digest.Sum(nil)))
