--- a/scheduler/budgets_test.go
+++ b/scheduler/budgets_test.go
@@ -293,8 +293,8 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		d.now = monotime.Micros(i)
-		if d.affords(q, nil) {
-			d.pay(q, &a, d.engines[0])
+		if d.budgets.affords(d.now, q, nil) {
+			d.budgets.spend(d.now, q, &a, d.endpoints.engines[0])
 		}
 	}
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -127,9 +127,9 @@
 			d.Step(now, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, 1000)})
 		}
 	}
-	even := unpressuredShareFactor * shareThreadsPerCore * 4 * 8 / 50
-	if d.concurrencySlots < 5*even {
-		t.Fatalf("%.1f places for a quarter of the traffic, %.1f for an even part", d.concurrencySlots, even)
+	even := unpressuredFactor * pressuredThreadsPerCore * 4 * 8 / 50
+	if d.placement.slots < 5*even {
+		t.Fatalf("%.1f places for a quarter of the traffic, %.1f for an even part", d.placement.slots, even)
 	}
 }
 
@@ -148,10 +148,10 @@
 	for _, q := range d.queries {
 		for _, a := range q.attempts {
 			d.Step(monotime.Second+1, []Event{EngineUnresponsive{Engine: a.engine.Engine}})
-			d.byName[a.engine.Engine].ejected = a.engine.Engine == "a"
+			d.endpoints.byName[a.engine.Engine].health.ejected = a.engine.Engine == "a"
 		}
 	}
-	lost := d.byName["a"].threads
+	lost := d.endpoints.byName["a"].usage.threads
 	if again := fill(100, monotime.Second+2); lost == 0 || again == 0 {
 		t.Fatalf("%d sent, %d of them to the lost engine, then %d", before, lost, again)
 	}
@@ -201,8 +201,8 @@
 	}
 	d := newTestScheduler(t, largeEngineConfig(), l)
 	out := func(zone string) (n int) {
-		for _, e := range d.inZone(zone) {
-			if e.ejected {
+		for _, e := range d.endpoints.inZone(zone) {
+			if e.health.ejected {
 				n++
 			}
 		}
@@ -229,14 +229,14 @@
 	}
 	for name := range probes {
 		d.Step(4*monotime.Second, []Event{HealthCheckResult{Engine: name, Result: Succeeded}})
-		e := d.byName[name]
-		if e.ejected || !e.warmingUp || !e.warmUpAssumed {
-			t.Fatalf("an engine that is heard after two seconds: out %v, cold %v", e.ejected, e.warmingUp)
+		e := d.endpoints.byName[name]
+		if e.health.ejected || e.warmUp.state != warmUpAssumed {
+			t.Fatalf("an engine that is heard after two seconds: out %v, cold %v", e.health.ejected, e.warmUp.active())
 		}
 	}
 	d.Step(4*monotime.Second+maxDiscoveryDelay, []Event{Timer{Token: "sweep"}})
-	for _, e := range d.engines {
-		if e.warmingUp {
+	for _, e := range d.endpoints.engines {
+		if e.warmUp.active() {
 			t.Fatal("still held for cold when the list would have told")
 		}
 	}
@@ -249,9 +249,9 @@
 	s := startedAttempts(d.Step(2*monotime.Second, []Event{newRequest(2, 0, 2*monotime.Second)}))
 	d.Step(2*monotime.Second+1000, []Event{newOutcome(2, 0, s[0].Engine, Succeeded, 1000)})
 	d.Step(2*monotime.Second+2000, []Event{EngineUnresponsive{Engine: "b"}})
-	for _, e := range d.engines {
-		if e.ejected != (e.Engine == "a" || e.Engine == "b") {
-			t.Fatalf("%s: out %v", e.Engine, e.ejected)
+	for _, e := range d.endpoints.engines {
+		if e.health.ejected != (e.Engine == "a" || e.Engine == "b") {
+			t.Fatalf("%s: out %v", e.Engine, e.health.ejected)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 // An engine that fails at once looks idle: its errors count as slowness, so that it gets less.
 func TestErrorsRaiseTheOutlierScore(t *testing.T) {
 	d := newTestScheduler(t, largeEngineConfig(), completeUpdate("a", "b"))
-	e := d.byName["a"]
+	e := d.endpoints.byName["a"]
 	q := &query{class: d.classes[0], attempts: []attempt{{engine: e}}}
 	for range 20 {
 		d.learnFromOutcome(q, &q.attempts[0], Outcome{Result: Errored})
--- a/scheduler/repeats_test.go
+++ b/scheduler/repeats_test.go
@@ -163,6 +163,6 @@
 		d.Step(35*monotime.Second, []Event{newOutcome(100, 1, further[0].Engine, Succeeded, monotime.Second)})
 		assert.Empty(t, rejectedIDs(d.Step(36*monotime.Second, []Event{Outcome{ID: 100, Engine: first[0].Engine, Result: Canceled, Elapsed: 6 * monotime.Second, Final: true}})))
 		assert.Empty(t, d.queries, "nothing of it is left")
-		assert.Empty(t, d.queued)
+		assert.Empty(t, d.queue.queries)
 	}
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -235,7 +235,7 @@
 	at(1, 100_000, 0)      // due at 1.0 s, its group reaches to 1.4 s
 	at(2, 90_000, 400_000) // due at 1.3 s
 	at(3, 80_000, 700_000) // due at 1.5 s
-	if q := d.next(); q == nil || q.ID != 2 {
+	if q := d.nextQuery(); q == nil || q.ID != 2 {
 		t.Fatalf("picked %+v, want 2", q)
 	}
 }
@@ -260,7 +260,7 @@
 		events = append(events, newRequest(uint64(i), 0, monotime.Second))
 	}
 	got := len(startedAttempts(d.Step(monotime.Second, events)))
-	if want := int(math.Ceil(unpressuredShareFactor * shareThreadsPerCore * 4 / 2)); got != want {
+	if want := int(math.Ceil(unpressuredFactor * pressuredThreadsPerCore * 4 / 2)); got != want {
 		t.Fatalf("sent %d at once, want %d", got, want)
 	}
 }
@@ -268,7 +268,7 @@
 // Without pressure the share does not bind; a full refusal makes it bind.
 func TestRejectionByAnEngineMakesTheShareBind(t *testing.T) {
 	d := newTestScheduler(t, testConfig(), completeUpdate("a"))
-	share := int(math.Ceil(shareThreadsPerCore * 4 / 2))
+	share := int(math.Ceil(pressuredThreadsPerCore * 4 / 2))
 	var events []Event
 	for i := range share + 1 {
 		events = append(events, newRequest(uint64(i), 0, monotime.Second))
@@ -314,12 +314,12 @@
 func TestRetryPastItsLatencyObjectiveGoesLast(t *testing.T) {
 	d := newTestScheduler(t, testConfig(), completeUpdate("a"))
 	d.lastRejectedAt = 2 * monotime.Second // pressure
-	d.engines[0].attempts, d.engines[0].threads = 9, 9
+	d.endpoints.engines[0].usage.attempts, d.endpoints.engines[0].usage.threads = 9, 9
 	retry := newRequest(2, 0, 2*monotime.Second)
 	retry.Deadline -= 2 * monotime.Second // its client first asked two seconds ago
 	d.Step(2*monotime.Second, []Event{newRequest(1, 0, 2*monotime.Second), retry, newRequest(3, 0, 2*monotime.Second)})
-	d.engines[0].attempts, d.engines[0].threads = 0, 0
-	first := d.next()
+	d.endpoints.engines[0].usage.attempts, d.endpoints.engines[0].usage.threads = 0, 0
+	first := d.nextQuery()
 	if first == nil || first.ID == 2 || !d.queries[2].deprioritized || d.queries[3].deprioritized {
 		t.Fatalf("first is %+v", first)
 	}
@@ -349,7 +349,7 @@
 func TestEjectedEngineReturnsAfterOneProbationRequest(t *testing.T) {
 	d := newTestScheduler(t, testConfig(), completeUpdate("a"))
 	d.Step(0, []Event{completeUpdate("a", "b")})
-	d.eject(d.byName["b"])
+	d.eject(d.endpoints.byName["b"])
 	now := minEjectionBackoff - 1
 	for id := range uint64(3) {
 		for _, s := range startedAttempts(d.Step(now, []Event{newRequest(id, 0, now)})) {
@@ -366,7 +366,7 @@
 				trials++
 				defer func(id uint64) {
 					d.Step(now+1000, []Event{newOutcome(id, 0, "b", Succeeded, 1000)})
-					if d.byName["b"].ejected {
+					if d.endpoints.byName["b"].health.ejected {
 						t.Error("an answer did not bring the engine back")
 					}
 				}(s.ID)
@@ -478,16 +478,16 @@
 // A table group stays on the first two engines of its order, and spills past 1.25 times the mean plus one query.
 func TestGroupStaysOnItsHomeEnginesAndSpillsUnderLoad(t *testing.T) {
 	d := newTestScheduler(t, testConfig(), completeUpdate("a", "b", "c", "e"))
-	order := d.hashOrder(0)
+	order := d.placement.hashOrder(0, d.endpoints.engines)
 	q := &query{class: d.classes[0]}
 	if got := d.choose(q); got != order[0] {
 		t.Fatalf("an idle order gives %s, want the first, %s", got.Engine, order[0].Engine)
 	}
-	order[0].threads = 1
+	order[0].usage.threads = 1
 	if got := d.choose(q); got != order[1] {
 		t.Fatalf("got %s, want the less loaded second, %s", got.Engine, order[1].Engine)
 	}
-	order[0].threads, order[1].threads = 7, 7
+	order[0].usage.threads, order[1].usage.threads = 7, 7
 	if got := d.choose(q); got != order[2] {
 		t.Fatalf("got %s, want the spill to the third, %s", got.Engine, order[2].Engine)
 	}
@@ -612,7 +612,7 @@
 			took := 100_000 - off + 2*off*monotime.Micros(id%2)
 			d.Step(now+took, []Event{newOutcome(id, 0, "a", Succeeded, took)})
 		}
-		return d.classes[0].patience()
+		return d.classes[0].timeoutFactor()
 	}
 	if good, rough := patience(5_000), patience(70_000); good > 2 || rough < 3 {
 		t.Fatalf("patience %.1f with good prices, %.1f with rough ones", good, rough)
--- a/structure_test.go
+++ b/structure_test.go
@@ -20,6 +20,8 @@
 	schedulerFolder = "scheduler"
 	// maxWidth is the width of a line, in characters, in finished packages.
 	maxWidth = 120
+	// maxDecisionLines is the number of lines of a file of decisions.
+	maxDecisionLines = 400
 )
 
 // deployList returns the values of a list in the deploy file.
@@ -53,6 +55,17 @@
 	assert.ElementsMatch(t, sources(t, schedulerFolder), deployList(t, "policy"))
 }
 
+// A file of decisions is short enough to be read at one sitting.
+func TestDecisionFilesAreNotTooLong(t *testing.T) {
+	for _, file := range deployList(t, "policy") {
+		text, err := os.ReadFile(file)
+		require.NoError(t, err)
+		if lines := strings.Count(string(text), "\n"); lines > maxDecisionLines {
+			t.Errorf("%s has %d lines, at most %d", file, lines, maxDecisionLines)
+		}
+	}
+}
+
 // The deploy file names every package of this module that the front end is built of.
 func TestNodeNamesEveryPackage(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "./cmd/"+module).Output()
