--- /dev/null
+++ b/scheduler/admission_test.go
@@ -0,0 +1,91 @@
+package scheduler
+
+import (
+	"testing"
+
+	"chutechute/internal/monotime"
+)
+
+// Rule 1: a query that no engine can take is answered before the client gives up, by the sweep alone.
+func TestQueuedQueryIsRejectedBeforeItsClientTimesOut(t *testing.T) {
+	sched := newTestScheduler(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
+	now := monotime.Second
+	actions := sched.Step(now, []Event{newRequest(1, 0, now)})
+	for len(rejectedIDs(actions)) == 0 && now < 10*monotime.Second {
+		now += sweepInterval
+		actions = sched.Step(now, []Event{Timer{Token: "sweep"}})
+	}
+	if now >= 5*monotime.Second {
+		t.Fatalf("no answer by %d", now)
+	}
+	if got := startedAttempts(sched.Step(now+1, []Event{completeUpdate("a")})); len(got) != 0 {
+		t.Fatalf("sent after the answer: %v", got)
+	}
+}
+
+// Found by incident i347ad8: a retry that arrives just before its client gives up was held until the next
+// sweep, too late for any answer.
+func TestQueryThatWouldExpireBeforeTheNextSweepIsRejectedAtOnce(t *testing.T) {
+	sched := newTestScheduler(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
+	r := newRequest(1, 0, monotime.Second)
+	r.Deadline = monotime.Second + 5000
+	if got := rejectedIDs(sched.Step(monotime.Second, []Event{r})); len(got) != 1 {
+		t.Fatalf("refused %v, want the query at once", got)
+	}
+}
+
+// A held query is refused once it can no longer finish by ten times its ExecTime, and not before.
+func TestQueuedQueryExpiresAtItsDeadline(t *testing.T) {
+	sched := newTestScheduler(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
+	sched.classes[0].meanLatency, sched.classes[0].meanEstimate = 100_000, 1
+	sched.Step(0, []Event{newRequest(1, 0, 0)})
+	if got := rejectedIDs(sched.Step(900_000, []Event{Timer{Token: "sweep"}})); len(got) != 0 {
+		t.Fatal("refused while it could still finish")
+	}
+	if got := rejectedIDs(sched.Step(901_000, []Event{Timer{Token: "sweep"}})); len(got) != 1 {
+		t.Fatal("not refused once it could not finish")
+	}
+}
+
+// Found by incident id2e2b5: in overload the places went to retries whose aim had passed.
+func TestRetryPastItsLatencyObjectiveGoesLast(t *testing.T) {
+	sched := newTestScheduler(t, testConfig(), completeUpdate("a"))
+	sched.lastRejectedAt = 2 * monotime.Second // pressure
+	sched.endpoints.engines[0].usage.attempts, sched.endpoints.engines[0].usage.threads = 9, 9
+	retry := newRequest(2, 0, 2*monotime.Second)
+	retry.Deadline -= 2 * monotime.Second // its client first asked two seconds ago
+	sched.Step(2*monotime.Second, []Event{newRequest(1, 0, 2*monotime.Second), retry, newRequest(3, 0, 2*monotime.Second)})
+	sched.endpoints.engines[0].usage.attempts, sched.endpoints.engines[0].usage.threads = 0, 0
+	first := sched.nextQuery()
+	if first == nil || first.ID == 2 || !sched.queries[2].deprioritized || sched.queries[3].deprioritized {
+		t.Fatalf("first is %+v", first)
+	}
+}
+
+// Found on jadwal-later rough-1: clients who come with little time are no retries; a late retry still goes last.
+func TestShortClientTimeoutIsNotTakenForARetry(t *testing.T) {
+	sched := newTestScheduler(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
+	hurried, retry := newRequest(2, 0, monotime.Second), newRequest(3, 0, monotime.Second)
+	hurried.Deadline = monotime.Second + sched.cfg.Classes[0].LatencyObjective/2
+	retry.Deadline = monotime.Second + sched.cfg.Classes[0].LatencyObjective*2
+	sched.Step(monotime.Second, []Event{newRequest(1, 0, monotime.Second), hurried, retry})
+	if sched.queries[2].deprioritized || !sched.queries[3].deprioritized {
+		t.Fatalf("hurried goes last %v, retry goes last %v", sched.queries[2].deprioritized, sched.queries[3].deprioritized)
+	}
+}
+
+// Where a gateway's part of a tenant's share is below one query a second, its queries are still within it.
+func TestQuotaBelowOneQueryASecondStillLetsQueriesThrough(t *testing.T) {
+	cfg := testConfig()
+	cfg.Gateways, cfg.Tenants = 200, []Tenant{{Name: "t", Share: 1, Quota: 70}}
+	sched := newTestScheduler(t, cfg, EndpointUpdate{Kind: UpdateComplete})
+	for i := range uint64(5) {
+		now := monotime.Micros(10*i+10) * monotime.Second
+		r := newRequest(i, 0, now)
+		r.Tenant = 0
+		sched.Step(now, []Event{r})
+		if sched.queries[i].deprioritized {
+			t.Fatalf("query %d, ten seconds after the last, is taken for more than its share", i)
+		}
+	}
+}
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -11,24 +11,24 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{6, 60} {
 		b.Run(fmt.Sprintf("%d engines", n), func(b *testing.B) {
-			l := EndpointUpdate{Kind: UpdateComplete}
+			update := EndpointUpdate{Kind: UpdateComplete}
 			for i := range n {
-				l.Entries = append(l.Entries, Endpoint{Engine: fmt.Sprint("e", i), Kind: "k"})
+				update.Entries = append(update.Entries, Endpoint{Engine: fmt.Sprint("e", i), Kind: "k"})
 			}
 			cfg := testConfig()
 			cfg.Gateways = 5 * n
-			d, err := New(cfg, 7)
+			sched, err := New(cfg, 7)
 			if err != nil {
 				b.Fatal(err)
 			}
-			d.Step(0, []Event{l})
+			sched.Step(0, []Event{update})
 			b.ResetTimer()
 			for i := range b.N {
 				now, id := monotime.Micros(i)*monotime.Second/5, uint64(i)
 				r := newRequest(id, 0, now)
 				r.Group = i % (2 * n)
-				for _, s := range startedAttempts(d.Step(now, []Event{r})) {
-					d.Step(now+1000, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, 1000)})
+				for _, s := range startedAttempts(sched.Step(now, []Event{r})) {
+					sched.Step(now+1000, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, 1000)})
 				}
 			}
 		})
--- a/scheduler/budgets.go
+++ b/scheduler/budgets.go
@@ -229,8 +229,8 @@
 	return ok
 }
 
-// spend spends what an attempt costs. It returns until when the attempt may be started and how long it may be in flight;
-// 0 without a bound.
+// spend spends what an attempt costs. It returns until when the attempt may be started and how long it may be in
+// flight; 0 without a bound.
 func (bs *budgets) spend(
 	now monotime.Micros, q *query, a *attempt, e *engine,
 ) (startBy, maxDuration monotime.Micros) {
--- a/scheduler/budgets_test.go
+++ b/scheduler/budgets_test.go
@@ -10,9 +10,9 @@
 )
 
 // newTestSchedulerWithBudget is a gateway that was told of budgets, with all of each leased to it.
-func newTestSchedulerWithBudget(t *testing.T, cfg Config, l EndpointUpdate, rule BudgetRule, m account.Amount, subjects ...string) *Scheduler {
+func newTestSchedulerWithBudget(t *testing.T, cfg Config, update EndpointUpdate, rule BudgetRule, m account.Amount, subjects ...string) *Scheduler {
 	t.Helper()
-	d := newTestScheduler(t, cfg, l)
+	sched := newTestScheduler(t, cfg, update)
 	if len(subjects) == 0 {
 		subjects = []string{""}
 	}
@@ -20,8 +20,8 @@
 	for _, s := range subjects {
 		ev.Leased = append(ev.Leased, BudgetAmount{rule.Name, s, m})
 	}
-	d.Step(0, []Event{ev})
-	return d
+	sched.Step(0, []Event{ev})
+	return sched
 }
 
 func newRequests(first uint64, n, class int, now monotime.Micros) (list []Event) {
@@ -36,9 +36,9 @@
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "x", Share: 1, Quota: 40}}
 	cfg.Limits.HealthChecks = true
-	l := completeUpdate("a", "b", "c")
-	l.Entries[2].Started = monotime.Second
-	plain, told := newTestScheduler(t, cfg, l), newTestScheduler(t, cfg, l)
+	update := completeUpdate("a", "b", "c")
+	update.Entries[2].Started = monotime.Second
+	plain, told := newTestScheduler(t, cfg, update), newTestScheduler(t, cfg, update)
 	rng := rand.New(rand.NewPCG(1, 2))
 	var out []StartAttempt
 	for now := monotime.Second; now < 20*monotime.Second; now += monotime.Micros(rng.IntN(40_000)) {
@@ -64,13 +64,13 @@
 	}
 }
 
-// What a rate has no room for is refused at once, each told a time of his own at which there will be room, and who comes back
-// then is let in.
+// What a rate has no room for is refused at once, each told a time of his own at which there will be room, and who
+// comes back then is let in.
 func TestRateBudgetRejectsWithRetryAfter(t *testing.T) {
 	rule := BudgetRule{Name: "r", Kind: account.Rate, Class: -1, Tenant: -1}
-	d := newTestSchedulerWithBudget(t, testConfig(), completeUpdate("a", "b"), rule, account.Amount{Capacity: 2000, Rate: 10_100}) // 9.999 by a clock that may be fast
-	d.Step(monotime.Second, nil)
-	actions := d.Step(2*monotime.Second, newRequests(1, 5, 0, 2*monotime.Second))
+	sched := newTestSchedulerWithBudget(t, testConfig(), completeUpdate("a", "b"), rule, account.Amount{Capacity: 2000, Rate: 10_100}) // 9.999 by a clock that may be fast
+	sched.Step(monotime.Second, nil)
+	actions := sched.Step(2*monotime.Second, newRequests(1, 5, 0, 2*monotime.Second))
 	if n := len(startedAttempts(actions)); n != 2 {
 		t.Fatalf("%d sends of a burst of 2", n)
 	}
@@ -91,7 +91,7 @@
 		if want := monotime.Micros(i+1) * monotime.Second / 10; a < want || a > want+want/50 {
 			t.Errorf("the one in place %d is told %d, not about %d", i, a, want)
 		}
-		if n := len(startedAttempts(d.Step(now+a, newRequests(uint64(20+i), 1, 0, now+a)))); n != 1 {
+		if n := len(startedAttempts(sched.Step(now+a, newRequests(uint64(20+i), 1, 0, now+a)))); n != 1 {
 			t.Errorf("who came back after %d was not let in", a)
 		}
 	}
@@ -105,13 +105,13 @@
 // A lease that has ended lets nothing go, and a static part goes on.
 func TestExpiredLeaseLeavesTheStaticAmount(t *testing.T) {
 	rule := BudgetRule{Name: "r", Kind: account.Rate, Class: -1, Tenant: -1}
-	d := newTestScheduler(t, testConfig(), completeUpdate("a", "b"))
-	d.Step(0, []Event{BudgetGrant{Rules: []BudgetRule{rule}, Until: 5 * monotime.Second, Leased: []BudgetAmount{{"r", "", account.Amount{Capacity: 9000, Rate: 9000}}},
+	sched := newTestScheduler(t, testConfig(), completeUpdate("a", "b"))
+	sched.Step(0, []Event{BudgetGrant{Rules: []BudgetRule{rule}, Until: 5 * monotime.Second, Leased: []BudgetAmount{{"r", "", account.Amount{Capacity: 9000, Rate: 9000}}},
 		Static: []BudgetAmount{{"r", "", account.Amount{Capacity: 1000, Rate: 1000}}}}})
-	if n := len(startedAttempts(d.Step(5*monotime.Second-1, newRequests(1, 20, 0, 5*monotime.Second)))); n != 10 {
+	if n := len(startedAttempts(sched.Step(5*monotime.Second-1, newRequests(1, 20, 0, 5*monotime.Second)))); n != 10 {
 		t.Errorf("%d sends before the lease's end", n)
 	}
-	if n := len(startedAttempts(d.Step(7*monotime.Second, newRequests(30, 20, 0, 7*monotime.Second)))); n != 1 {
+	if n := len(startedAttempts(sched.Step(7*monotime.Second, newRequests(30, 20, 0, 7*monotime.Second)))); n != 1 {
 		t.Errorf("%d sends without a lease", n)
 	}
 }
@@ -119,54 +119,55 @@
 // Places are held until an attempt is over for certain, and what waits for one goes then.
 func TestConcurrencySlotsAreReleasedAtTheOutcome(t *testing.T) {
 	rule := BudgetRule{Name: "p", Kind: account.Concurrency, Class: 0, Tenant: -1, Overflow: QueueOverflow, MaxAttemptDuration: 3 * monotime.Second}
-	d := newTestSchedulerWithBudget(t, testConfig(), completeUpdate("a", "b"), rule, account.Amount{Capacity: 2000})
-	got := startedAttempts(d.Step(monotime.Second, newRequests(1, 4, 0, monotime.Second)))
+	sched := newTestSchedulerWithBudget(t, testConfig(), completeUpdate("a", "b"), rule, account.Amount{Capacity: 2000})
+	got := startedAttempts(sched.Step(monotime.Second, newRequests(1, 4, 0, monotime.Second)))
 	if len(got) != 2 || got[0].Timeout == 0 || got[0].Timeout > 3*monotime.Second {
 		t.Fatalf("sends %v of two places", got)
 	}
-	if n := d.BudgetDemands(monotime.Second); len(n) != 1 || n[0].Want != 4000 || n[0].InUse != 2000 {
+	if n := sched.BudgetDemands(monotime.Second); len(n) != 1 || n[0].Want != 4000 || n[0].InUse != 2000 {
 		t.Errorf("demand %v", n)
 	}
-	if n := len(startedAttempts(d.Step(monotime.Second+1000, newRequests(9, 1, 1, monotime.Second)))); n != 1 {
+	if n := len(startedAttempts(sched.Step(monotime.Second+1000, newRequests(9, 1, 1, monotime.Second)))); n != 1 {
 		t.Errorf("%d sends of a class that takes no places", n)
 	}
-	d.Step(monotime.Second+2000, []Event{BudgetGrant{Until: 1000 * monotime.Second, Leased: []BudgetAmount{{"p", "", account.Amount{Capacity: 1000}}}}})
-	if n := len(startedAttempts(d.Step(monotime.Second+3000, []Event{newOutcome(got[0].ID, 0, got[0].Engine, Succeeded, 1000)}))); n != 0 {
+	sched.Step(monotime.Second+2000, []Event{BudgetGrant{Until: 1000 * monotime.Second, Leased: []BudgetAmount{{"p", "", account.Amount{Capacity: 1000}}}}})
+	if n := len(startedAttempts(sched.Step(monotime.Second+3000, []Event{newOutcome(got[0].ID, 0, got[0].Engine, Succeeded, 1000)}))); n != 0 {
 		t.Errorf("%d sends while all places that are left are held", n)
 	}
-	if n := len(startedAttempts(d.Step(monotime.Second+4000, []Event{newOutcome(got[1].ID, 0, got[1].Engine, TimedOut, 1000)}))); n != 1 {
+	if n := len(startedAttempts(sched.Step(monotime.Second+4000, []Event{newOutcome(got[1].ID, 0, got[1].Engine, TimedOut, 1000)}))); n != 1 {
 		t.Errorf("%d sends with a place free", n)
 	}
 }
 
-// A budget that is not in force yet holds nothing back, and counts what runs, so that it is known when it comes into force.
+// A budget that is not in force yet holds nothing back, and counts what runs, so that it is known when it comes
+// into force.
 func TestCountOnlyBudgetCountsWithoutBinding(t *testing.T) {
 	rule := BudgetRule{Name: "p", Kind: account.Concurrency, Class: -1, Tenant: -1, Overflow: QueueOverflow, CountOnly: true}
-	d := newTestScheduler(t, testConfig(), completeUpdate("a", "b"))
-	d.Step(0, []Event{BudgetGrant{Rules: []BudgetRule{rule}}})
-	got := startedAttempts(d.Step(monotime.Second, newRequests(1, 4, 0, monotime.Second)))
+	sched := newTestScheduler(t, testConfig(), completeUpdate("a", "b"))
+	sched.Step(0, []Event{BudgetGrant{Rules: []BudgetRule{rule}}})
+	got := startedAttempts(sched.Step(monotime.Second, newRequests(1, 4, 0, monotime.Second)))
 	if len(got) != 4 {
 		t.Fatalf("%d sends of 4", len(got))
 	}
 	rule.CountOnly = false
-	d.Step(monotime.Second+1000, []Event{BudgetGrant{Rules: []BudgetRule{rule}, Until: 1000 * monotime.Second, Leased: []BudgetAmount{{"p", "", account.Amount{Capacity: 4000}}}}})
-	if n := len(startedAttempts(d.Step(monotime.Second+2000, newRequests(9, 1, 0, monotime.Second)))); n != 0 {
+	sched.Step(monotime.Second+1000, []Event{BudgetGrant{Rules: []BudgetRule{rule}, Until: 1000 * monotime.Second, Leased: []BudgetAmount{{"p", "", account.Amount{Capacity: 4000}}}}})
+	if n := len(startedAttempts(sched.Step(monotime.Second+2000, newRequests(9, 1, 0, monotime.Second)))); n != 0 {
 		t.Errorf("%d sends with all places held", n)
 	}
-	if n := len(startedAttempts(d.Step(monotime.Second+3000, []Event{newOutcome(got[0].ID, 0, got[0].Engine, Succeeded, 1000)}))); n != 1 {
+	if n := len(startedAttempts(sched.Step(monotime.Second+3000, []Event{newOutcome(got[0].ID, 0, got[0].Engine, Succeeded, 1000)}))); n != 1 {
 		t.Errorf("%d sends with a place free", n)
 	}
 }
 
-// Each engine's threads are divided: past the part of one, queries go to another, and nothing is left to a guess at this gateway's
-// part of the traffic.
+// Each engine's threads are divided: past the part of one, queries go to another, and nothing is left to a guess at
+// this gateway's part of the traffic.
 func TestThreadBudgetOfEachEngine(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 40
 	rule := BudgetRule{Name: "t", Kind: account.Concurrency, Class: -1, Tenant: -1, EachEngine: true, Unit: Threads, Overflow: QueueOverflow}
-	d := newTestSchedulerWithBudget(t, cfg, completeUpdate("a", "b"), rule, account.Amount{Capacity: 4000}, "a", "b")
+	sched := newTestSchedulerWithBudget(t, cfg, completeUpdate("a", "b"), rule, account.Amount{Capacity: 4000}, "a", "b")
 	count := map[string]int{}
-	for _, s := range startedAttempts(d.Step(monotime.Second, newRequests(1, 12, 0, monotime.Second))) {
+	for _, s := range startedAttempts(sched.Step(monotime.Second, newRequests(1, 12, 0, monotime.Second))) {
 		count[s.Engine]++
 	}
 	if count["a"] != 4 || count["b"] != 4 {
@@ -178,20 +179,20 @@
 func TestWarmUpWindowBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 40
-	l := completeUpdate("a", "b")
-	l.Entries[0].Started = monotime.Second
+	update := completeUpdate("a", "b")
+	update.Entries[0].Started = monotime.Second
 	rule := BudgetRule{Name: "c", Kind: account.Window, Window: monotime.Second, Class: -1, Tenant: -1, EachEngine: true, WarmingUp: true, Unit: Work, Overflow: QueueOverflow}
-	d := newTestSchedulerWithBudget(t, cfg, l, rule, account.Amount{Capacity: 3 * monotime.Second}, "a")
-	d.Step(monotime.Second, []Event{l})
+	sched := newTestSchedulerWithBudget(t, cfg, update, rule, account.Amount{Capacity: 3 * monotime.Second}, "a")
+	sched.Step(monotime.Second, []Event{update})
 	spent := map[monotime.Micros]monotime.Micros{}
 	for now := 2 * monotime.Second; now < 6*monotime.Second; now += monotime.Second / 10 {
-		list := startedAttempts(d.Step(now, newRequests(uint64(now), 3, 0, now)))
+		list := startedAttempts(sched.Step(now, newRequests(uint64(now), 3, 0, now)))
 		for len(list) > 0 {
 			s := list[0]
 			if s.Engine == "a" {
-				spent[now] += monotime.Micros(d.classes[0].meanWork)
+				spent[now] += monotime.Micros(sched.classes[0].meanWork)
 			}
-			list = append(list[1:], startedAttempts(d.Step(now, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, monotime.Second)}))...)
+			list = append(list[1:], startedAttempts(sched.Step(now, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, monotime.Second)}))...)
 		}
 	}
 	most := 0.0
@@ -214,11 +215,11 @@
 // Further attempts of the fleet are rationed; first ones are not.
 func TestRetryBudgetOfTheFleet(t *testing.T) {
 	rule := BudgetRule{Name: "f", Kind: account.Rate, Class: -1, Tenant: -1, Retries: true, Overflow: QueueOverflow}
-	d := newTestSchedulerWithBudget(t, testConfig(), completeUpdate("a", "b", "c"), rule, account.Amount{Capacity: 2000, Rate: 1})
+	sched := newTestSchedulerWithBudget(t, testConfig(), completeUpdate("a", "b", "c"), rule, account.Amount{Capacity: 2000, Rate: 1})
 	now := 20000 * monotime.Second // the burst is full: the clock of the test has a rate of nearly nothing
-	d.Step(now, []Event{BudgetGrant{Until: now + 1000*monotime.Second, Leased: []BudgetAmount{{"f", "", account.Amount{Capacity: 2000, Rate: 1000}}}}})
+	sched.Step(now, []Event{BudgetGrant{Until: now + 1000*monotime.Second, Leased: []BudgetAmount{{"f", "", account.Amount{Capacity: 2000, Rate: 1000}}}}})
 	now += 3 * monotime.Second
-	first := startedAttempts(d.Step(now, newRequests(1, 6, 0, now)))
+	first := startedAttempts(sched.Step(now, newRequests(1, 6, 0, now)))
 	if len(first) != 6 {
 		t.Fatalf("%d first attempts", len(first))
 	}
@@ -226,7 +227,7 @@
 	for _, s := range first {
 		events = append(events, newOutcome(s.ID, 0, s.Engine, Errored, 1000))
 	}
-	if n := len(startedAttempts(d.Step(now+1000, events))); n != 2 {
+	if n := len(startedAttempts(sched.Step(now+1000, events))); n != 2 {
 		t.Errorf("%d further attempts of 2", n)
 	}
 }
@@ -236,18 +237,18 @@
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "x", Share: 1, Quota: 1}}
 	rule := BudgetRule{Name: "l", Kind: account.Rate, Class: -1, Tenant: -1, EachTenant: true, Overflow: DeprioritizeOverflow}
-	d := newTestSchedulerWithBudget(t, cfg, EndpointUpdate{Kind: UpdateComplete}, rule, account.Amount{Capacity: 3000, Rate: 3000}, "x")
+	sched := newTestSchedulerWithBudget(t, cfg, EndpointUpdate{Kind: UpdateComplete}, rule, account.Amount{Capacity: 3000, Rate: 3000}, "x")
 	var events []Event
 	for i := range uint64(5) {
 		r := newRequest(i+1, 0, 2*monotime.Second)
 		r.Tenant = 0
 		events = append(events, r)
 	}
-	if n := len(rejectedIDs(d.Step(2*monotime.Second, events))); n != 0 {
+	if n := len(rejectedIDs(sched.Step(2*monotime.Second, events))); n != 0 {
 		t.Errorf("%d refused", n)
 	}
 	over := 0
-	for _, q := range d.queries {
+	for _, q := range sched.queries {
 		if q.deprioritized {
 			over++
 		}
@@ -263,11 +264,11 @@
 	cfg.Limits.HealthChecks = true
 	rule := BudgetRule{Name: "p", Kind: account.Rate, Class: -1, Tenant: -1, HealthChecks: true, Overflow: QueueOverflow}
 	for rate, want := range map[int64]bool{0: false, 1_000_000: true} {
-		d := newTestSchedulerWithBudget(t, cfg, completeUpdate("a", "b"), rule, account.Amount{Capacity: rate, Rate: rate})
-		d.Step(monotime.Second, []Event{EngineUnresponsive{Engine: "a"}, newRequest(1, 0, monotime.Second)})
+		sched := newTestSchedulerWithBudget(t, cfg, completeUpdate("a", "b"), rule, account.Amount{Capacity: rate, Rate: rate})
+		sched.Step(monotime.Second, []Event{EngineUnresponsive{Engine: "a"}, newRequest(1, 0, monotime.Second)})
 		probed := false
 		for now := monotime.Second; now < 4*monotime.Second; now += 20_000 {
-			for _, a := range d.Step(now, []Event{Timer{Token: "sweep"}}) {
+			for _, a := range sched.Step(now, []Event{Timer{Token: "sweep"}}) {
 				_, ok := a.(HealthCheck)
 				probed = probed || ok
 			}
@@ -282,19 +283,19 @@
 func BenchmarkAfford(b *testing.B) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "x", Share: 1, Quota: 1}}
-	d, err := New(cfg, 1)
+	sched, err := New(cfg, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	d.Step(0, []Event{completeUpdate("a"), BudgetGrant{Rules: []BudgetRule{{Name: "r", Kind: account.Rate, Class: -1, Tenant: -1, EachTenant: true}},
+	sched.Step(0, []Event{completeUpdate("a"), BudgetGrant{Rules: []BudgetRule{{Name: "r", Kind: account.Rate, Class: -1, Tenant: -1, EachTenant: true}},
 		Until: 1 << 60, Leased: []BudgetAmount{{"r", "x", account.Amount{Capacity: 1e12, Rate: 1e12}}}}})
-	q := &query{Request: Request{Tenant: 0}, class: d.classes[0]}
+	q := &query{Request: Request{Tenant: 0}, class: sched.classes[0]}
 	a := attempt{}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		d.now = monotime.Micros(i)
-		if d.budgets.affords(d.now, q, nil) {
-			d.budgets.spend(d.now, q, &a, d.endpoints.engines[0])
+		sched.now = monotime.Micros(i)
+		if sched.budgets.affords(sched.now, q, nil) {
+			sched.budgets.spend(sched.now, q, &a, sched.endpoints.engines[0])
 		}
 	}
 }
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -27,18 +27,19 @@
 func newLargeScheduler(t *testing.T, engines int) *Scheduler {
 	cfg := testConfig()
 	cfg.Gateways, cfg.Zone = max(1, engines*fleetFrontEnds/fleetEngines), "z0"
-	d, err := New(cfg, 7)
+	sched, err := New(cfg, 7)
 	require.NoError(t, err)
 	list := EndpointUpdate{Kind: UpdateComplete}
 	for i := range engines {
 		list.Entries = append(list.Entries, Endpoint{Engine: fmt.Sprintf("s-%08x", i), Kind: "k", Zone: fmt.Sprint("z", i%fleetZones)})
 	}
-	d.Step(0, []Event{list})
-	return d
+	sched.Step(0, []Event{list})
+	return sched
 }
 
-// playAtRate plays so many queries at a front end's pace, each done 20 ms later, and the sweeps that fall due between them.
-func playAtRate(t *testing.T, d *Scheduler, now monotime.Micros, first, count int) (monotime.Micros, int) {
+// playAtRate plays so many queries at a front end's pace, each done 20 ms later, and the sweeps that fall due
+// between them.
+func playAtRate(t *testing.T, sched *Scheduler, now monotime.Micros, first, count int) (monotime.Micros, int) {
 	type running struct {
 		send StartAttempt
 		over monotime.Micros
@@ -60,20 +61,20 @@
 		now += queryInterval
 		if sweepAt > 0 && now >= sweepAt {
 			sweepAt = 0
-			take(d.Step(now, []Event{Timer{Token: "sweep"}}))
+			take(sched.Step(now, []Event{Timer{Token: "sweep"}}))
 		}
 		for len(out) > 0 && out[0].over <= now {
 			done := out[0]
 			out = out[1:]
-			take(d.Step(now, []Event{newOutcome(done.send.ID, 0, done.send.Engine, Succeeded, queryDuration)}))
+			take(sched.Step(now, []Event{newOutcome(done.send.ID, 0, done.send.Engine, Succeeded, queryDuration)}))
 		}
 		query := newRequest(uint64(first+i), 0, now)
 		query.Group = (first + i) % tableGroups
-		take(d.Step(now, []Event{query}))
+		take(sched.Step(now, []Event{query}))
 	}
 	for _, r := range out {
 		now = r.over
-		take(d.Step(now, []Event{newOutcome(r.send.ID, 0, r.send.Engine, Succeeded, queryDuration)}))
+		take(sched.Step(now, []Event{newOutcome(r.send.ID, 0, r.send.Engine, Succeeded, queryDuration)}))
 	}
 	return now, sent
 }
@@ -88,16 +89,16 @@
 	for range 2 {
 		for _, engines := range []int{8, 64, 256, 1024, 2048, 8192, 34000} {
 			before := measure.Heap()
-			d := newLargeScheduler(t, engines)
+			sched := newLargeScheduler(t, engines)
 			began := measure.Own()
-			now, _ := playAtRate(t, d, monotime.Second, 0, tableGroups) // each finds its engines
+			now, _ := playAtRate(t, sched, monotime.Second, 0, tableGroups) // each finds its engines
 			first := float64((measure.Own() - began).Nanoseconds()) / 1000 / tableGroups
 			count := max(200, min(20_000, 4_000_000/engines))
 			began = measure.Own()
-			now, sent := playAtRate(t, d, now, 1000, count)
+			now, sent := playAtRate(t, sched, now, 1000, count)
 			each := float64((measure.Own() - began).Nanoseconds()) / 1000 / float64(count)
 			heap := measure.Heap() - before
-			runtime.KeepAlive(d)
+			runtime.KeepAlive(sched)
 			t.Logf("%5d engines: %8.1f us, the first of a table group %8.1f us, %9.0f bytes of heap, %d of %d sent in %d s", engines, each,
 				first, heap, sent, count, now/monotime.Second)
 			require.Greater(t, sent, count*9/10, "so few were sent that it measures something else")
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -9,7 +9,7 @@
 
 // A gateway is told of one engine and sends it the first query.
 func ExampleScheduler_Step() {
-	d, err := scheduler.New(scheduler.Config{
+	sched, err := scheduler.New(scheduler.Config{
 		Gateways: 1,
 		Kinds:    []scheduler.EngineKind{{Name: "small", Cores: 4}},
 		Classes:  []scheduler.Class{{Name: "short", LatencyObjective: monotime.Second, ClientTimeout: 5 * monotime.Second, PriorityWeight: 1, Threads: 1}},
@@ -21,7 +21,7 @@
 	}
 	list := scheduler.EndpointUpdate{Kind: scheduler.UpdateComplete, Entries: []scheduler.Endpoint{{Engine: "e1", Kind: "small"}}}
 	query := scheduler.Request{ID: 7, Tenant: -1, Deadline: 5 * monotime.Second}
-	for _, action := range d.Step(0, []scheduler.Event{list, query}) {
+	for _, action := range sched.Step(0, []scheduler.Event{list, query}) {
 		if send, ok := action.(scheduler.StartAttempt); ok {
 			fmt.Println("query", send.ID, "to", send.Engine)
 		}
--- /dev/null
+++ b/scheduler/helpers_test.go
@@ -0,0 +1,109 @@
+package scheduler
+
+import (
+	"testing"
+
+	"chutechute/internal/monotime"
+)
+
+// testConfig is a small site: two gateways, engines of four cores, a short and a long class.
+func testConfig() Config {
+	return Config{
+		Gateways: 2,
+		Kinds:    []EngineKind{{Name: "k", Cores: 4, MemoryMB: 1000}},
+		Classes: []Class{
+			{Name: "short", LatencyObjective: monotime.Second, ClientTimeout: 4 * monotime.Second, PriorityWeight: 1, Threads: 1},
+			{Name: "long", LatencyObjective: 4 * monotime.Second, ClientTimeout: 30 * monotime.Second, PriorityWeight: 5, Threads: 2},
+		},
+		Limits: Limits{Cancel: true, MaxAttempts: 3, MaxRetryAfter: monotime.Second},
+		Rules:  Rules{WarmUp: 10 * monotime.Second, InitialWarmth: 0.5, OverloadWindow: monotime.Second, OverloadMultiple: 2, DrainGrace: monotime.Second},
+	}
+}
+
+// keyedClassConfig has a keyed class, whose engines drop repeats of a key, beside a safe one.
+func keyedClassConfig() Config {
+	cfg := testConfig()
+	cfg.Classes[1].Effect, cfg.Classes[1].DedupeScope, cfg.Classes[1].DedupeWindow = IdempotentByKey, ScopeAll, 25*monotime.Second
+	return cfg
+}
+
+// largeEngineConfig is a site of large engines, whose long queries take most of a second's work of a cold engine.
+func largeEngineConfig() Config {
+	cfg := testConfig()
+	cfg.Kinds[0].Cores = 8
+	cfg.Classes[0].LatencyObjective, cfg.Classes[1].LatencyObjective = monotime.Second/10, monotime.Second
+	cfg.Limits.HealthChecks = true
+	cfg.Tenants = []Tenant{{Name: "x", Share: 1, Quota: 200}}
+	return cfg
+}
+
+func completeUpdate(names ...string) EndpointUpdate {
+	update := EndpointUpdate{Kind: UpdateComplete}
+	for _, n := range names {
+		update.Entries = append(update.Entries, Endpoint{Engine: n, Kind: "k"})
+	}
+	return update
+}
+
+func newTestScheduler(t *testing.T, cfg Config, update EndpointUpdate) *Scheduler {
+	t.Helper()
+	sched, err := New(cfg, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sched.Step(0, []Event{update})
+	return sched
+}
+
+// newFleet is many gateways in one process: tests feed all of them and look at the sum of what they send.
+func newFleet(t *testing.T, n int, cfg Config, update EndpointUpdate) []*Scheduler {
+	t.Helper()
+	cfg.Gateways = n
+	var all []*Scheduler
+	for rank := range n {
+		cfg.Rank = rank
+		sched, err := New(cfg, uint64(rank)+1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		sched.Step(monotime.Second, []Event{update})
+		all = append(all, sched)
+	}
+	return all
+}
+
+func newRequest(id uint64, class int, now monotime.Micros) Request {
+	return Request{ID: id, Class: class, Tenant: -1, Deadline: now + 4*monotime.Second}
+}
+
+func newOutcome(id uint64, attempt int, engine string, r Result, took monotime.Micros) Outcome {
+	return Outcome{ID: id, Attempt: attempt, Engine: engine, Result: r, Elapsed: took, Final: r == Succeeded}
+}
+
+func startedAttempts(actions []Action) []StartAttempt {
+	var s []StartAttempt
+	for _, a := range actions {
+		if a, ok := a.(StartAttempt); ok {
+			s = append(s, a)
+		}
+	}
+	return s
+}
+
+func rejectedIDs(actions []Action) (ids []uint64) {
+	for _, a := range actions {
+		if r, ok := a.(Reject); ok {
+			ids = append(ids, r.ID)
+		}
+	}
+	return ids
+}
+
+func failedIDs(actions []Action) (ids []uint64) {
+	for _, a := range actions {
+		if r, ok := a.(Fail); ok {
+			ids = append(ids, r.ID)
+		}
+	}
+	return ids
+}
--- /dev/null
+++ b/scheduler/placement_test.go
@@ -0,0 +1,161 @@
+package scheduler
+
+import (
+	"math"
+	"testing"
+
+	"chutechute/internal/monotime"
+)
+
+// Rule 6: a bound class waits or is refused rather than go elsewhere.
+func TestZoneConstraintIsKeptWithoutAnEngineInTheZone(t *testing.T) {
+	cfg := testConfig()
+	cfg.Classes[0].Zones = []string{"north"}
+	sched := newTestScheduler(t, cfg, completeUpdate("a", "b"))
+	if got := startedAttempts(sched.Step(monotime.Second, []Event{newRequest(1, 0, monotime.Second)})); len(got) != 0 {
+		t.Fatalf("sent %v outside its zone", got)
+	}
+}
+
+// A table group stays on the first two engines of its order, and spills past 1.25 times the mean plus one query.
+func TestGroupStaysOnItsHomeEnginesAndSpillsUnderLoad(t *testing.T) {
+	sched := newTestScheduler(t, testConfig(), completeUpdate("a", "b", "c", "e"))
+	order := sched.placement.hashOrder(0, sched.endpoints.engines)
+	q := &query{class: sched.classes[0]}
+	if got := sched.choose(q); got != order[0] {
+		t.Fatalf("an idle order gives %s, want the first, %s", got.Engine, order[0].Engine)
+	}
+	order[0].usage.threads = 1
+	if got := sched.choose(q); got != order[1] {
+		t.Fatalf("got %s, want the less loaded second, %s", got.Engine, order[1].Engine)
+	}
+	order[0].usage.threads, order[1].usage.threads = 7, 7
+	if got := sched.choose(q); got != order[2] {
+		t.Fatalf("got %s, want the spill to the third, %s", got.Engine, order[2].Engine)
+	}
+}
+
+// A class that waits passes over an engine on which this gateway loads its table group.
+func TestLockWaitersAvoidEnginesThatHoldTheLock(t *testing.T) {
+	cfg := testConfig()
+	cfg.Classes[0].WaitsForTableGroup, cfg.Classes[1].LocksTableGroup = true, true
+	sched := newTestScheduler(t, cfg, completeUpdate("a", "b", "c"))
+	load := newRequest(1, 1, 0)
+	load.Deadline = 20 * monotime.Second
+	at := startedAttempts(sched.Step(0, []Event{load}))[0].Engine
+	for id := uint64(2); id < 8; id++ {
+		for _, s := range startedAttempts(sched.Step(1000, []Event{newRequest(id, 0, 1000)})) {
+			if s.Engine == at {
+				t.Fatalf("query %d went behind the load", id)
+			}
+		}
+	}
+}
+
+// Found on big-2: with nothing ended for a second the price sank, pressure went off and all held went at once.
+// Twice the share must bind without any pressure.
+func TestTwiceTheShareBindsWithoutPressure(t *testing.T) {
+	sched := newTestScheduler(t, testConfig(), completeUpdate("a"))
+	var events []Event
+	for i := range 50 {
+		events = append(events, newRequest(uint64(i), 0, monotime.Second))
+	}
+	got := len(startedAttempts(sched.Step(monotime.Second, events)))
+	if want := int(math.Ceil(unpressuredFactor * pressuredThreadsPerCore * 4 / 2)); got != want {
+		t.Fatalf("sent %d at once, want %d", got, want)
+	}
+}
+
+// Without pressure the share does not bind; a full refusal makes it bind.
+func TestRejectionByAnEngineMakesTheShareBind(t *testing.T) {
+	sched := newTestScheduler(t, testConfig(), completeUpdate("a"))
+	share := int(math.Ceil(pressuredThreadsPerCore * 4 / 2))
+	var events []Event
+	for i := range share + 1 {
+		events = append(events, newRequest(uint64(i), 0, monotime.Second))
+	}
+	if got := len(startedAttempts(sched.Step(monotime.Second, events))); got != share+1 {
+		t.Fatalf("sent %d without pressure, want %d", got, share+1)
+	}
+	sched.Step(monotime.Second+1000, []Event{newOutcome(0, 0, "a", Rejected, 1000)})
+	if got := startedAttempts(sched.Step(monotime.Second+2000, []Event{newRequest(99, 0, monotime.Second+2000)})); len(got) != 0 {
+		t.Fatalf("sent %v past the share under pressure", got)
+	}
+}
+
+// Found on budapest-later big-1 (0.10): one report filled a gateway's part of the share and held up its look-ups.
+func TestLongQueriesTakeNoSlotsFromShortOnes(t *testing.T) {
+	cfg := testConfig()
+	cfg.Gateways = 50
+	sched := newTestScheduler(t, cfg, completeUpdate("a", "b"))
+	sched.classes[0].meanLatency, sched.classes[0].meanEstimate = 100_000, 1
+	sched.classes[1].meanLatency, sched.classes[1].meanEstimate = 4_000_000, 1
+	long := newRequest(1, 1, monotime.Second)
+	long.Deadline += 20 * monotime.Second
+	again := long
+	again.ID = 2
+	sched.Step(monotime.Second, []Event{long})
+	got := startedAttempts(sched.Step(monotime.Second, []Event{again, newRequest(3, 0, monotime.Second)}))
+	if len(got) != 1 || got[0].ID != 3 {
+		t.Fatalf("sends %v, want the short query alone", got)
+	}
+}
+
+// Found on zone+vast: places were divided evenly, so busy gateways refused what the fleet had room for.
+func TestConcurrencySlotsFollowTheShareOfTraffic(t *testing.T) {
+	cfg := largeEngineConfig()
+	cfg.Gateways = 50
+	sched := newTestScheduler(t, cfg, completeUpdate("a", "b", "c", "e"))
+	now := monotime.Second
+	for id := range uint64(1000) { // half of all that quotas allow
+		now += monotime.Second / 100
+		for _, s := range startedAttempts(sched.Step(now, []Event{newRequest(id, 0, now)})) {
+			sched.Step(now, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, 1000)})
+		}
+	}
+	even := unpressuredFactor * pressuredThreadsPerCore * 4 * 8 / 50
+	if sched.placement.slots < 5*even {
+		t.Fatalf("%.1f places for a quarter of the traffic, %.1f for an even part", sched.placement.slots, even)
+	}
+}
+
+// Found on zone+vast: what silent engines held took the places of queries for those that answer.
+func TestEjectedEnginesTakeNoConcurrencySlots(t *testing.T) {
+	cfg := largeEngineConfig()
+	cfg.Gateways = 50
+	sched := newTestScheduler(t, cfg, completeUpdate("a", "b"))
+	fill := func(from uint64, now monotime.Micros) (n int) {
+		for id := from; id < from+40; id++ {
+			n += len(startedAttempts(sched.Step(now, []Event{newRequest(id, 0, now)})))
+		}
+		return n
+	}
+	before := fill(0, monotime.Second)
+	for _, q := range sched.queries {
+		for _, a := range q.attempts {
+			sched.Step(monotime.Second+1, []Event{EngineUnresponsive{Engine: a.engine.Engine}})
+			sched.endpoints.byName[a.engine.Engine].health.ejected = a.engine.Engine == "a"
+		}
+	}
+	lost := sched.endpoints.byName["a"].usage.threads
+	if again := fill(100, monotime.Second+2); lost == 0 || again == 0 {
+		t.Fatalf("%d sent, %d of them to the lost engine, then %d", before, lost, again)
+	}
+}
+
+// Two hundred gateways that start together do not send their first query of a group to one engine.
+func TestFirstQueriesOfAFleetAreSpread(t *testing.T) {
+	count := map[string]int{}
+	for rank, sched := range newFleet(t, 200, largeEngineConfig(), completeUpdate("a", "b", "c", "e")) {
+		for _, s := range startedAttempts(sched.Step(2*monotime.Second, []Event{newRequest(uint64(rank), 0, 2*monotime.Second)})) {
+			count[s.Engine]++
+		}
+	}
+	most := 0
+	for _, n := range count {
+		most = max(most, n)
+	}
+	if most > 140 {
+		t.Fatalf("one engine got %d of 200 first queries", most)
+	}
+}
--- a/scheduler/sequences_test.go
+++ b/scheduler/sequences_test.go
@@ -68,11 +68,11 @@
 
 func newSequence(t *testing.T, seed uint64) *sequence {
 	cfg := sequenceConfig(seed)
-	d, err := New(cfg, seed)
+	sched, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &sequence{rng: rand.New(rand.NewPCG(seed, 3)), scheduler: d, cfg: cfg, now: 5 * monotime.Second, attempts: map[uint64]int{}, digest: sha256.New()}
+	s := &sequence{rng: rand.New(rand.NewPCG(seed, 3)), scheduler: sched, cfg: cfg, now: 5 * monotime.Second, attempts: map[uint64]int{}, digest: sha256.New()}
 	for i := range 12 {
 		s.engines = append(s.engines, s.engine(i, 0))
 	}
@@ -286,7 +286,8 @@
 	return s.dueTimers()
 }
 
-// The digest of all actions that random sequences of events call for: a change of names or of structure changes none of them.
+// The digest of all actions that random sequences of events call for: a change of names or of structure changes
+// none of them.
 func TestDecisionsOnRandomSequences(t *testing.T) {
 	const eventsEach = 6500
 	for seed := range uint64(16) {
--- a/scheduler/cold_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -7,9 +7,9 @@
 	"math/rand/v2"
 	"testing"
 
-	"chutechute/internal/monotime"
-
 	"github.com/stretchr/testify/assert"
+
+	"chutechute/internal/monotime"
 )
 
 // warmUpScenario is a day on which engines start cold under a whole fleet, in virtual time.
@@ -44,18 +44,22 @@
 
 type scenarioQueue []scenarioEvent
 
-func (q scenarioQueue) Len() int           { return len(q) }
+func (q scenarioQueue) Len() int { return len(q) }
+
 func (q scenarioQueue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q scenarioQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *scenarioQueue) Push(x any)        { *q = append(*q, x.(scenarioEvent)) }
+
+func (q scenarioQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *scenarioQueue) Push(x any) { *q = append(*q, x.(scenarioEvent)) }
+
 func (q *scenarioQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// scenarioResult is what a day came to: the most that a cold engine got within a span of the rule, as a part of what is allowed, and
-// the worth served in time on cold and warm engines, of all that was asked.
+// scenarioResult is what a day came to: the most that a cold engine got within a span of the rule, as a part of
+// what is allowed, and the worth served in time on cold and warm engines, of all that was asked.
 type scenarioResult struct {
 	maxBudgetUse                           float64
 	servedWarmingUp, servedWarm, requested float64
@@ -92,22 +96,22 @@
 		}
 		entries = append(entries, e)
 	}
-	list := func(now monotime.Micros) (l EndpointUpdate) {
-		l.Kind = UpdateComplete
+	list := func(now monotime.Micros) (update EndpointUpdate) {
+		update.Kind = UpdateComplete
 		for _, e := range entries {
 			if e.Started <= now {
-				l.Entries = append(l.Entries, e)
+				update.Entries = append(update.Entries, e)
 			}
 		}
-		return l
+		return update
 	}
 	begin := func(i int, now monotime.Micros) {
 		cfg.Rank = i
-		d, err := New(cfg, day.seed<<20|uint64(gens[i])<<10|uint64(i))
+		sched, err := New(cfg, day.seed<<20|uint64(gens[i])<<10|uint64(i))
 		if err != nil {
 			panic(err)
 		}
-		fronts[i] = d
+		fronts[i] = sched
 		heap.Push(&q, scenarioEvent{now, i, list(now), gens[i]})
 	}
 	for i := range fronts {
@@ -215,8 +219,9 @@
 	return res
 }
 
-// What all front ends together send to a cold engine within the span of the rule stays within what the settings allow it then and
-// the scatter of that, however many and uneven they are, with empty memories and late lists; and cold engines serve all the same.
+// What all front ends together send to a cold engine within the span of the rule stays within what the settings
+// allow it then and the scatter of that, however many and uneven they are, with empty memories and late lists; and
+// cold engines serve all the same.
 func TestFleetKeepsToWarmUpBudgets(t *testing.T) {
 	for _, fronts := range []int{3, 20, 30, 80, 300} {
 		for _, skew := range []float64{0, 0.9} {
