--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -56,7 +56,7 @@
 		c.longestTimeLeft = max(c.longestTimeLeft, timeLeft)
 	}
 	if timeLeft < c.longestTimeLeft-c.ClientTimeout/firstTryTolerance && timeLeft > c.LatencyObjective {
-		q.firstAskedAt = min(s.now, q.Deadline-c.ClientTimeout)
+		q.firstRequestedAt = min(s.now, q.Deadline-c.ClientTimeout)
 	}
 	return s.now > q.objective()
 }
--- a/scheduler/budgets.go
+++ b/scheduler/budgets.go
@@ -15,16 +15,16 @@
 	maxReportedSubjects = 4096
 )
 
-// BudgetUnit is what a budget counts.
+// BudgetUnit is what a budget counts. Amounts are in thousandths of it.
 type BudgetUnit int
 
 // The units.
 const (
-	// Queries counts attempts, in thousandths.
+	// Queries counts attempts.
 	Queries BudgetUnit = iota
-	// Threads counts the threads of attempts, in thousandths.
+	// Threads counts the threads of attempts.
 	Threads
-	// Work counts the mean work of a class, in milliseconds on one thread.
+	// Work counts the mean work of the class of an attempt, in milliseconds on one thread.
 	Work
 )
 
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -13,7 +13,7 @@
 type Config struct {
 	// Gateways is the number of gateways of the site, this one included; at least 1.
 	Gateways int
-	// Rank is this gateway's number among them, from 0.
+	// Rank is this gateway's number among them, from 0 to Gateways-1.
 	Rank int
 	// Zone is where this gateway stands. The decisions don't read it.
 	Zone string
@@ -122,7 +122,8 @@
 	Effect Effect
 	// DedupeScope is the set of engines that discards duplicates by key; zero: all.
 	DedupeScope DedupeScope
-	// DedupeWindow is how long engines of DedupeScope remember a key.
+	// DedupeWindow is how long engines of DedupeScope remember a key; 0: an IdempotentByKey query that may have run is
+	// never retried.
 	DedupeWindow monotime.Micros
 	// Ordered says that queries of one key run one at a time, in the order of their arrival.
 	Ordered bool
@@ -161,9 +162,9 @@
 	// RetryAfter says that clients heed Reject.After. The decisions don't read it.
 	RetryAfter bool
 
-	// MaxAttempts is the number of attempts of a query, the first included.
+	// MaxAttempts is the number of attempts of a query, the first included; 0 allows none.
 	MaxAttempts int
-	// MaxRetryAfter is the upper bound of Reject.After.
+	// MaxRetryAfter is the upper bound of Reject.After; 0 makes that 0.
 	MaxRetryAfter monotime.Micros
 }
 
@@ -171,11 +172,11 @@
 type Rules struct {
 	// ResponseTimeout is the time in which discovery answers a Subscribe.
 	ResponseTimeout monotime.Micros
-	// WarmUp is the time from an engine's start until it has its full capacity.
+	// WarmUp is the time from an engine's start until it has its full capacity; 0: engines have no warm-up.
 	WarmUp monotime.Micros
 	// InitialWarmth is the part of its capacity that an engine has at its start, up to 1.
 	InitialWarmth float64
-	// OverloadWindow is the span over which the work sent to an engine that is warming up is bounded.
+	// OverloadWindow is the span over which the work sent to an engine that is warming up is bounded; 0: no bound.
 	OverloadWindow monotime.Micros
 	// OverloadMultiple is how many times its capacity such an engine may be sent in an OverloadWindow.
 	OverloadMultiple float64
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -19,17 +19,17 @@
 // query is a request in hand.
 type query struct {
 	Request
-	class          *class
-	arrivedAt      monotime.Micros
-	firstAskedAt   monotime.Micros // when its client first sent it, as far as known
-	dueAt          monotime.Micros // group EDF deadline
-	keyQueue       *keyQueue       // nil if nothing orders it
-	attempts       []attempt
-	inFlight       int // attempts without outcome
-	priority       int // last one sent, -1 before
-	state          queryState
-	deprioritized  bool // goes last: over its tenant's quota, or a retry past its latency objective
-	demandRecorded bool // its demand on budgets of engines is recorded
+	class            *class
+	arrivedAt        monotime.Micros
+	firstRequestedAt monotime.Micros // when its client first sent it, as far as known
+	dueAt            monotime.Micros // group EDF deadline
+	keyQueue         *keyQueue       // nil if nothing orders it
+	attempts         []attempt
+	inFlight         int // attempts without outcome
+	priority         int // last one sent, -1 before
+	state            queryState
+	deprioritized    bool // goes last: over its tenant's quota, or a retry past its latency objective
+	demandRecorded   bool // its demand on budgets of engines is recorded
 }
 
 // attemptState is how far an attempt is.
@@ -135,7 +135,7 @@
 
 // objective returns the time until which a response has its full value.
 func (q *query) objective() monotime.Micros {
-	return q.firstAskedAt + q.class.objectiveFor(q.expectedWork())
+	return q.firstRequestedAt + q.class.objectiveFor(q.expectedWork())
 }
 
 // maxAttempts returns how many attempts the query may have.
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -89,7 +89,7 @@
 // request takes a query in: its estimate, its deadline and its place in the queues.
 func (s *Scheduler) request(r Request) {
 	c := s.classes[r.Class]
-	q := &query{Request: r, class: c, arrivedAt: s.now, firstAskedAt: s.now, priority: -1}
+	q := &query{Request: r, class: c, arrivedAt: s.now, firstRequestedAt: s.now, priority: -1}
 	c.ownEstimates = c.ownEstimates || r.EstimatedHere
 	c.seed(q)
 	q.dueAt = s.now + monotime.Micros(deadlineMultiplier*q.executionTime())
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -154,7 +154,7 @@
 // tooLateUnderPressure reports whether a running query is so late that it gives its slot up to others.
 func (s *Scheduler) tooLateUnderPressure(q *query) bool {
 	return s.cfg.Limits.Cancel && s.underPressure() && q.canReject() &&
-		float64(s.now-q.firstAskedAt) > maxLateness*float64(q.objective()-q.firstAskedAt)
+		float64(s.now-q.firstRequestedAt) > maxLateness*float64(q.objective()-q.firstRequestedAt)
 }
 
 // mayCancelToRetry reports whether a slow attempt, maybe one with a bad query plan, may be canceled for another.
