--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -61,9 +61,9 @@
 	return s.now > q.objective()
 }
 
-// expireQueries answers queued queries that can no longer finish in time. Those that have only just arrived get their
-// chance of an engine first, as an estimate inflated by a jam must not reject all queries that could measure it anew;
-// only one whose client times out before the next sweep is answered at once.
+// expireQueries answers queued queries that can no longer finish in time. Those that have only just arrived get
+// their chance of an engine first, as an estimate inflated by an overload must not reject all queries that could
+// measure it anew; only one whose client times out before the next sweep is answered at once.
 func (s *Scheduler) expireQueries() {
 	pressed := s.underPressure()
 	for _, q := range slices.Clone(s.queue.queries) {
@@ -85,8 +85,8 @@
 }
 
 // latestFinish returns the time by which a queued query must be able to finish. Under pressure that is its latency
-// objective, since slots go first to what can still be of full value; what a jam has added to the estimated execution
-// time is allowed on top, or short queries would be rejected at once.
+// objective, since slots go first to what can still be of full value; what an overload has added to the estimated
+// execution time is allowed on top, or short queries would be rejected at once.
 func (q *query) latestFinish(pressed bool) monotime.Micros {
 	c := q.class
 	if pressed {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -4,8 +4,6 @@
 	"math"
 	"slices"
 	"sort"
-
-	"chutechute/internal/monotime"
 )
 
 const (
@@ -15,7 +13,7 @@
 	// pressuredThreadsPerCore is the threads a core, over all gateways, that an engine runs under pressure. The share
 	// of it of one gateway is the bound that choose keeps to.
 	pressuredThreadsPerCore = 1.6
-	// unpressuredFactor is the multiple of that bound that holds without pressure too: a jam starts sooner than
+	// unpressuredFactor is the multiple of that bound that holds without pressure too: an overload starts sooner than
 	// latencies can show it.
 	unpressuredFactor = 2.0
 	// recentRounds is how many attempts for each engine recent threads fade over: where a gateway has many engines it
@@ -281,24 +279,3 @@
 	}
 	return n
 }
-
-// underPressure reports whether an engine rejected an attempt lately or a class's latency is well above its best.
-func (s *Scheduler) underPressure() bool {
-	if s.now-s.lastRejectedAt < rejectionMemory {
-		return true
-	}
-	return slices.ContainsFunc(s.classes, (*class).slowed)
-}
-
-const (
-	// rejectionMemory is how long a rejection by an engine counts as pressure.
-	rejectionMemory = monotime.Second
-	// pressureRatio is the multiple of the best ratio of latency to estimate that counts as pressure: beyond scatter,
-	// well before latency objectives are missed.
-	pressureRatio = 2.0
-)
-
-// slowed reports whether the class's latency is well above its best.
-func (c *class) slowed() bool {
-	return c.meanEstimate > 0 && c.meanLatency/c.meanEstimate > pressureRatio*c.bestRatio
-}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -101,7 +101,7 @@
 		a.engine.health.score(errorScore, s.now)
 	case NoConnection, Reset:
 		s.eject(a.engine)
-	case TimedOut: // a lower bound of the latency: without it a jam in which nothing ends would not be seen
+	case TimedOut: // a lower bound of the latency: without it an overload in which nothing ends would go unseen
 		s.recordLatency(q, a, max(float64(o.Elapsed), q.executionTime()))
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -13,7 +13,7 @@
 //   - placement.go chooses an engine: the hash order of the query's table group, with spill under load; slowstart.go,
 //     health.go and budgets.go hold back from engines that are warming up, ejected, or over a budget.
 //   - dispatch.go starts, cancels and closes attempts; retry.go retries and hedges.
-//   - admission.go rejects what can no longer finish in time or is over a budget.
+//   - admission.go rejects what can no longer finish in time or is over a budget; pressure.go recognises an overload.
 //
 // Group EDF and its constants are from Bavishi's paper "Revisiting Query Scheduling Policies for Lambda Functions".
 package scheduler
