--- /dev/null
+++ b/scheduler/slowstart_test.go
@@ -0,0 +1,184 @@
+package scheduler
+
+import (
+	"testing"
+
+	"chutechute/internal/monotime"
+)
+
+// capacityAfter returns the part of its capacity that an engine has at an age within its warm-up.
+func capacityAfter(rules Rules, age monotime.Micros) float64 {
+	return rules.InitialWarmth + (1-rules.InitialWarmth)*float64(age)/float64(rules.WarmUp)
+}
+
+// Rule 4: the work that all gateways send an engine that is warming up stays within the rule's budget of any window.
+func TestWorkForAnEngineWarmingUpStaysWithinItsBudget(t *testing.T) {
+	cfg := testConfig()
+	update := completeUpdate("a")
+	update.Entries[0].Started = monotime.Second
+	sched := newTestScheduler(t, cfg, update)
+	sent := 0
+	for now := 2 * monotime.Second; now < 12*monotime.Second; now += monotime.Second { // its turns are among them
+		var events []Event
+		for i := range 200 {
+			events = append(events, newRequest(uint64(now)+uint64(i), 0, now))
+		}
+		sent = max(sent, len(startedAttempts(sched.Step(now, events))))
+	}
+	workEach := cfg.Classes[0].LatencyObjective // nothing is known of the class yet
+	rules := cfg.Rules
+	budget := rules.OverloadMultiple * rules.InitialWarmth * 4 * float64(rules.OverloadWindow) / float64(cfg.Gateways)
+	if work := float64(sent) * float64(workEach); sent == 0 || work > budget {
+		t.Fatalf("sent %d queries of %d, budget %.0f", sent, workEach, budget)
+	}
+}
+
+// Guards against a work budget that stays at its start while the engine's capacity grows (incident ie86a9c).
+func TestWarmUpBudgetGrowsWithTime(t *testing.T) {
+	update := completeUpdate("a")
+	update.Entries[0].Started = monotime.Second
+	sent := func(from monotime.Micros) (n int) {
+		sched := newTestScheduler(t, testConfig(), update)
+		for now := from; now < from+4*monotime.Second; now += monotime.Second { // its turn is among them
+			var events []Event
+			for i := range 200 {
+				events = append(events, newRequest(uint64(now)+uint64(i), 0, now))
+			}
+			n += len(startedAttempts(sched.Step(now, events)))
+		}
+		return n
+	}
+	if early, late := sent(monotime.Second), sent(8*monotime.Second); late <= early {
+		t.Fatalf("%d sends at the start of the warm-up, %d near its end", early, late)
+	}
+}
+
+// Guards against new engines that idle through their warm-up, as with many gateways an even part of their work
+// budget is below one query (incident ib5a1e9). In turns they get work, and never more in any window than the rule
+// allows.
+func TestGatewaysTakeTurnsOnAnEngineWarmingUp(t *testing.T) {
+	const n = 100
+	cfg := testConfig()
+	cfg.Gateways = n
+	update := completeUpdate("a")
+	update.Entries[0].Started = 2 * monotime.Second
+	var all []*Scheduler
+	for rank := range n {
+		cfg.Rank = rank
+		all = append(all, newTestScheduler(t, cfg, update))
+	}
+	type sent struct {
+		at   monotime.Micros
+		work float64
+	}
+	var got []sent
+	id := uint64(0)
+	for now := 2 * monotime.Second; now < 8*monotime.Second; now += monotime.Second / 10 {
+		for _, sched := range all {
+			for class := range cfg.Classes {
+				id++
+				r := newRequest(id, class, now)
+				for _, s := range startedAttempts(sched.Step(now, []Event{r})) {
+					k := cfg.Classes[sched.queries[s.ID].Request.Class]
+					got = append(got, sent{now, float64(k.LatencyObjective) * float64(k.Threads)})
+				}
+			}
+		}
+	}
+	maxUse := 0.0 // of the budget of a window
+	for _, from := range got {
+		sum := 0.0
+		for _, s := range got {
+			if s.at >= from.at && s.at < from.at+cfg.Rules.OverloadWindow {
+				sum += s.work
+			}
+		}
+		capacity := capacityAfter(cfg.Rules, from.at-2*monotime.Second)
+		maxUse = max(maxUse, sum/(cfg.Rules.OverloadMultiple*capacity*4*float64(cfg.Rules.OverloadWindow)))
+	}
+	if len(got) == 0 || maxUse > 1 {
+		t.Fatalf("%d sends, %.2f of the budget at most", len(got), maxUse)
+	}
+}
+
+// Guards against new engines that are nearly idle through their warm-up, because a turn comes to gateways with
+// nothing to send. Light queries draw on a credit, and the sum over all gateways, however uneven, stays within the
+// budget of any window.
+func TestFleetUsesEnginesWarmingUp(t *testing.T) {
+	cfg, update := largeEngineConfig(), completeUpdate("a", "b", "c")
+	update.Entries[0].Started = 2 * monotime.Second
+	all := newFleet(t, 80, cfg, update)
+	type sent struct {
+		at   monotime.Micros
+		work float64
+	}
+	var got []sent
+	id, light := uint64(0), 0.0
+	for now := 2 * monotime.Second; now < 12*monotime.Second; now += monotime.Second / 20 {
+		for rank, sched := range all {
+			// One gateway of eight has twenty times the traffic of the others.
+			if rank%8 > 0 && (now/(monotime.Second/20)+monotime.Micros(rank))%20 > 0 {
+				continue
+			}
+			id++
+			r := newRequest(id, int(id%6/5), now)
+			r.Tenant, r.Group = 0, int(id%7)
+			for _, s := range startedAttempts(sched.Step(now, []Event{r})) {
+				if s.Engine == "a" {
+					c := sched.queries[s.ID].class
+					got = append(got, sent{now, c.meanWork})
+					if c == sched.classes[0] {
+						light += c.meanWork
+					}
+				}
+				sched.Step(now, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, monotime.Second/20)})
+			}
+		}
+	}
+	maxUse := 0.0 // of the budget of a window
+	for i, from := range got {
+		sum := 0.0
+		for _, s := range got[i:] {
+			if s.at < from.at+cfg.Rules.OverloadWindow {
+				sum += s.work
+			}
+		}
+		capacity := capacityAfter(cfg.Rules, from.at-2*monotime.Second)
+		budget := cfg.Rules.OverloadMultiple * capacityUtilization * 8 * capacity * float64(cfg.Rules.OverloadWindow)
+		maxUse = max(maxUse, sum/budget)
+	}
+	if maxUse > 1 {
+		t.Errorf("%.2f of the budget within a window", maxUse)
+	}
+	if perSecond := light / 10 / float64(monotime.Second); perSecond < 1 {
+		t.Errorf("%.2f core seconds of light queries a second on an engine of 8 cores that warms up", perSecond)
+	}
+}
+
+// Guards against all gateways turning to an engine at the end of its warm-up, because it has had the least so far.
+func TestEngineIsNotFloodedAfterItsWarmUp(t *testing.T) {
+	update := completeUpdate("a", "b", "c", "e")
+	update.Entries[0].Started = 2 * monotime.Second
+	cfg := largeEngineConfig()
+	cfg.Limits.Cancel = false
+	all := newFleet(t, 80, cfg, update)
+	count, id := map[string]int{}, uint64(0)
+	for now := 2 * monotime.Second; now < 14*monotime.Second; now += monotime.Second / 10 {
+		for rank, sched := range all {
+			id++
+			r := newRequest(id, 0, now)
+			r.Group = int(id*7+uint64(rank)) % 13
+			sched.Step(now, []Event{Timer{Token: "sweep"}})
+			for _, s := range startedAttempts(sched.Step(now, []Event{r})) {
+				if now > 12*monotime.Second {
+					count[s.Engine]++
+				}
+				sched.Step(now, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, monotime.Second/20)})
+			}
+		}
+	}
+	others := (count["b"] + count["c"] + count["e"]) / 3
+	if count["a"] > others*5/4 || count["a"] < others/3 {
+		t.Fatalf("%d to the engine after its warm-up, %d to others on average", count["a"], others)
+	}
+}
