--- a/fleet/budget/account/account.go
+++ b/fleet/budget/account/account.go
@@ -1,253 +1,202 @@
-// Package account is one front end's balance of one budget: what it may spend of the whole, by a lease that ends and by a static
-// part that does not, and what it has spent. It is plain state without I/O, clock or goroutines, spent from memory: no message,
-// lock or allocation a query.
+// Package account is one front end's balance of one budget: what it may spend of the total, by a lease that expires and
+// by a static allocation that does not, and what it has spent. It is plain state without I/O, clock or goroutines,
+// and spending takes no message, lock or allocation.
 //
-// In terms of true time, for the amounts that are set and as long as this machine's clock runs no faster than Drift allows:
+// In terms of true time, for the amounts that are set and as long as this machine's clock runs no faster than
+// ClockDriftDivisor allows:
 //
-//   - A rate: within any span w what is spent is at most Rate·w + Much. An amount that grows brings no tokens with it, and one
-//     that shrinks takes them away, so what moves between front ends is gone on one side before it is there on the other.
-//   - Places: at every instant at most Much are held by what was begun under the amounts; an amount that shrinks below what is
-//     held takes no place away, and lets nothing begin until enough have been given back.
-//   - A window: within any span of that length at most Much is spent.
-//   - Nothing is spent of a lease whose time has come.
+//   - Rate: what is spent within any time span w is at most Rate·w + Capacity. An amount that grows brings no tokens
+//     with it, and one that shrinks takes them away, so tokens that move between front ends are gone from one before
+//     the other has them.
+//   - Concurrency: at every instant at most Capacity is in use under the amounts. An amount that shrinks below what is
+//     in use takes nothing away, and lets nothing start until enough has been released.
+//   - Window: within any time span of the window's length at most Capacity is spent.
+//   - Nothing is spent from an expired lease.
 package account
 
 import "chutechute/internal/monotime"
 
-const second = 1_000_000
+// windowSlots is the resolution of a sliding window: an expense counts until the end of its slot is a window ago.
+const windowSlots = 32
 
-// Kind is what a budget bounds.
-type Kind int
+// noDeadline is the deadline of what is spent without a lease.
+const noDeadline monotime.Micros = 1 << 62
 
-// The kinds.
-const (
-	Rate        Kind = iota + 1 // so much a second, with a burst
-	Concurrency                 // so much at a time
-	Window                      // so much within any window
-)
-
-func (k Kind) String() string { return [...]string{"", "rate", "places", "window"}[k] }
-
-// Unit is one query, thread or millisecond of work in amounts.
-const Unit = 1000
-
-// ClockDriftDivisor is the bound on how much faster one machine's clock may run than another's, as one part in so many.
-const ClockDriftDivisor = 100
-
-// Amount is a part of a budget, in thousandths: Much is a rate's burst, places, or what a window takes; Rate is a second's, for
-// rates alone.
-type Amount struct{ Capacity, Rate int64 }
-
-// Add, Sub, Max and Min go by each of the two.
-func (a Amount) Add(b Amount) Amount { return Amount{a.Capacity + b.Capacity, a.Rate + b.Rate} }
-
-// Sub takes another amount off.
-func (a Amount) Sub(b Amount) Amount { return Amount{a.Capacity - b.Capacity, a.Rate - b.Rate} }
-
-// Max is the larger of each.
-func (a Amount) Max(b Amount) Amount { return Amount{max(a.Capacity, b.Capacity), max(a.Rate, b.Rate)} }
-
-// Min is the smaller of each.
-func (a Amount) Min(b Amount) Amount { return Amount{min(a.Capacity, b.Capacity), min(a.Rate, b.Rate)} }
-
-// bucket is one part of a rate: tokens in thousandths of a thousandth of a thousandth, so that a rate in thousandths a second
-// times microseconds is exact.
-type bucket struct {
-	Amount
-	level int64
-	at    monotime.Micros
-}
-
-const nano = 1_000_000
-
-// set puts another amount into force; tokens never come with it.
-func (b *bucket) set(now monotime.Micros, a Amount) {
-	b.fill(now)
-	b.Amount = a
-	b.level = min(b.level, a.Capacity*nano)
-}
-
-func (b *bucket) fill(now monotime.Micros) {
-	span := now - b.at
-	if b.at = max(b.at, now); span <= 0 || b.Rate <= 0 {
-		return
-	}
-	full := b.Capacity * nano
-	if missing := full - b.level; span > missing/b.Rate {
-		b.level = max(b.level, full)
-		return
-	}
-	b.level += span * b.Rate
-}
-
-// slots is how finely a window is kept: what was spent counts until its slot's end is a window ago.
-const slots = 32
-
-// Account is the balance.
+// Account is one front end's balance of one subject's budget.
 type Account struct {
-	kind   Kind
-	span   monotime.Micros // a window's, on this clock, with the drift
-	until  monotime.Micros // of the lease
-	lease  bucket
-	static bucket
-
-	earned int64 // of a rate, by what was done here; in thousandths
-	used   int64 // held, or spent within the window
-	spent  [slots + 1]int64
-	slot   int64 // the last that was counted
-	demand demand
-	owed   monotime.Micros // up to when tokens to come were spoken for to those who were turned away
-	// Spent and Denied count over the account's life, in thousandths and in questions.
-	Spent  int64
+	kind           Kind
+	window         monotime.Micros // by this clock, with the drift
+	leaseExpiresAt monotime.Micros
+	lease          tokenBucket
+	static         tokenBucket
+
+	earned      int64 // of a rate: earned here and not spent yet, in thousandths
+	inUse       int64 // in use now, or spent within the window
+	spentInSlot [windowSlots + 1]int64
+	currentSlot int64
+	demand      demand
+
+	// promisedUntil is the time up to which future tokens were promised to rejected requests by RetryAfter.
+	promisedUntil monotime.Micros
+
+	// Spent is what was spent over the account's life, in thousandths of a unit.
+	Spent int64
+	// Denied is the number of requests that were rejected over the account's life; the owner counts it.
 	Denied int
 }
 
-// New is an empty balance; span is a window's.
-func New(kind Kind, span monotime.Micros) *Account {
-	return &Account{kind: kind, span: span + span/ClockDriftDivisor}
+// New returns an empty account. window is the length of the sliding window of a Window budget.
+func New(kind Kind, window monotime.Micros) *Account {
+	return &Account{kind: kind, window: window + window/ClockDriftDivisor}
 }
 
-// slowed is a rate by a clock that may be fast by Drift.
-func (a *Account) slowed(m Amount) Amount {
-	m.Rate -= (m.Rate + ClockDriftDivisor - 1) / ClockDriftDivisor
-	return m
+// slowed returns the amount with the rate that is safe by a clock that may run fast by the bound on drift.
+func (a *Account) slowed(amount Amount) Amount {
+	amount.Rate -= (amount.Rate + ClockDriftDivisor - 1) / ClockDriftDivisor
+	return amount
 }
 
-// Lease puts the leased part into force, until a time.
-func (a *Account) Lease(now monotime.Micros, m Amount, until monotime.Micros) {
-	a.expire(now)
-	a.lease.set(now, a.slowed(m))
-	a.until = until
+// Lease sets the leased amount, and when the lease expires.
+func (a *Account) Lease(now monotime.Micros, amount Amount, until monotime.Micros) {
+	a.expireLease(now)
+	a.lease.set(now, a.slowed(amount))
+	a.leaseExpiresAt = until
 }
 
-// Static puts the part into force that takes no lease.
-func (a *Account) Static(now monotime.Micros, m Amount) { a.static.set(now, a.slowed(m)) }
+// Static sets the amount that needs no lease.
+func (a *Account) Static(now monotime.Micros, amount Amount) { a.static.set(now, a.slowed(amount)) }
 
-// expire ends a lease whose time has come; what comes with the next one begins at nothing.
-func (a *Account) expire(now monotime.Micros) {
-	if now >= a.until && a.lease.Amount != (Amount{}) {
-		a.lease = bucket{at: now}
+// expireLease drops the lease if it has expired. The tokens of the next lease start at zero.
+func (a *Account) expireLease(now monotime.Micros) {
+	if now >= a.leaseExpiresAt && a.lease.Amount != (Amount{}) {
+		a.lease = tokenBucket{filledAt: now}
 	}
 }
 
-// turn brings the balance to now.
-func (a *Account) turn(now monotime.Micros) {
-	a.expire(now)
+// advance brings the balance to the present: it expires the lease, fills token buckets and moves the window.
+func (a *Account) advance(now monotime.Micros) {
+	a.expireLease(now)
 	switch a.kind {
 	case Rate:
 		a.lease.fill(now)
 		a.static.fill(now)
 	case Window:
-		slot := now / (a.span/slots + 1)
-		if slot-a.slot > slots {
-			a.spent, a.used = [slots + 1]int64{}, 0
-		} else {
-			for a.slot < slot {
-				a.slot++
-				p := &a.spent[a.slot%(slots+1)]
-				a.used, *p = a.used-*p, 0
-			}
-		}
-		a.slot = max(a.slot, slot)
+		a.advanceWindow(now)
+	}
+}
+
+// advanceWindow moves the sliding window's end to now and forgets what was spent before its start.
+func (a *Account) advanceWindow(now monotime.Micros) {
+	slot := now / (a.window/windowSlots + 1)
+	if slot-a.currentSlot > windowSlots {
+		a.spentInSlot, a.inUse, a.currentSlot = [windowSlots + 1]int64{}, 0, slot
+		return
+	}
+	for a.currentSlot < slot {
+		a.currentSlot++
+		spent := &a.spentInSlot[a.currentSlot%(windowSlots+1)]
+		a.inUse -= *spent
+		*spent = 0
 	}
 }
 
-// left is what may be spent now of the lease and of the static part, for rates, or of both together.
-func (a *Account) room(n int64) bool {
+// affords reports whether n is available: for a rate in one of its parts, otherwise in all of them together.
+func (a *Account) affords(n int64) bool {
 	if a.kind == Rate {
-		return a.earned >= n || a.lease.level >= n*nano || a.static.level >= n*nano
+		return a.earned >= n || a.lease.tokens >= n*tokensPerAmount || a.static.tokens >= n*tokensPerAmount
 	}
-	return a.used+n <= a.lease.Capacity+a.static.Capacity
+	return a.inUse+n <= a.lease.Capacity+a.static.Capacity
 }
 
-// CanSpend says whether n may be spent now.
+// CanSpend reports whether n thousandths of a unit may be spent now.
 func (a *Account) CanSpend(now monotime.Micros, n int64) bool {
-	a.turn(now)
-	return a.room(n)
+	a.advance(now)
+	return a.affords(n)
 }
 
-// Spend spends n, if there is room. What is spent of a lease may be begun until the time that is given, and not later.
+// Spend spends n thousandths of a unit if they are available. What they were spent for may start until the time that
+// is returned, and not later.
 func (a *Account) Spend(now monotime.Micros, n int64) (until monotime.Micros, ok bool) {
-	a.turn(now)
-	if !a.room(n) {
+	a.advance(now)
+	if !a.affords(n) {
 		return 0, false
 	}
-	until = 1 << 62
+	until = noDeadline
 	switch a.kind {
 	case Rate:
 		if a.earned >= n {
 			a.earned -= n
-		} else if a.static.level >= n*nano { // it is small, and would be full and idle else
-			a.static.level -= n * nano
+		} else if a.static.tokens >= n*tokensPerAmount { // first: it is small, and would otherwise be full and idle
+			a.static.tokens -= n * tokensPerAmount
 		} else {
-			a.lease.level -= n * nano
-			until = a.until
+			a.lease.tokens -= n * tokensPerAmount
+			until = a.leaseExpiresAt
 		}
 	default:
 		a.RecordUnbounded(now, n)
 	}
-	if a.kind != Rate && a.used > a.static.Capacity {
-		until = a.until
+	if a.kind != Rate && a.inUse > a.static.Capacity {
+		until = a.leaseExpiresAt
 	}
 	a.Spent += n
 	return until, true
 }
 
-// RecordUnbounded notes what is spent whatever there is room for: of a budget that is not in force yet, so that what runs when it comes into
-// force is known.
+// RecordUnbounded records n thousandths of a unit as spent whether or not they are available. It is for a budget that
+// is not in force yet, so that what is in use is known when it comes into force.
 func (a *Account) RecordUnbounded(now monotime.Micros, n int64) {
-	a.turn(now)
+	a.advance(now)
 	switch a.kind {
 	case Window:
-		a.spent[a.slot%(slots+1)] += n
-		a.used += n
+		a.spentInSlot[a.currentSlot%(windowSlots+1)] += n
+		a.inUse += n
 	case Concurrency:
-		a.used += n
+		a.inUse += n
 	}
 }
 
-// MaxEarned bounds what is earned and not spent, in thousandths.
+// MaxEarned bounds what is earned and not spent, in thousandths of a unit.
 const MaxEarned = 2 * Unit
 
-// Earn adds to a rate what something done here is worth. It is this front end's own and never leased: what all of them spend so
-// is no more than what was earned by then and MostEarned of each.
+// Earn adds n thousandths of a unit to a rate. What is earned belongs to this front end and is never leased: all front
+// ends together spend no more of it than they have earned by then, and MaxEarned each.
 func (a *Account) Earn(n int64) { a.earned = min(MaxEarned, a.earned+n) }
 
-// Release gives places back: what held them is over for certain.
+// Release gives back n thousandths of a unit of a concurrency limit: what used them has certainly finished.
 func (a *Account) Release(n int64) {
 	if a.kind == Concurrency {
-		a.used -= n
+		a.inUse -= n
 	}
 }
 
-// InUse is what is held, or was spent within the window, beyond the static part.
+// InUse returns what is in use, or was spent within the window, beyond the static allocation, in thousandths of a unit.
 func (a *Account) InUse(now monotime.Micros) int64 {
-	a.turn(now)
-	return max(0, a.used-a.static.Capacity)
+	a.advance(now)
+	return max(0, a.inUse-a.static.Capacity)
 }
 
-// Used is all that is held or was spent within the window.
+// Used returns all that is in use, or was spent within the window, in thousandths of a unit.
 func (a *Account) Used(now monotime.Micros) int64 {
-	a.turn(now)
-	return a.used
+	a.advance(now)
+	return a.inUse
 }
 
-// RetryAfter is when n will be there for one who is turned away now, as a span; each who asks is told a time of his own. Zero says
-// that nobody knows.
+// RetryAfter returns how long a request that is rejected now should wait for n thousandths of a unit. Each caller gets
+// a time of its own. Zero means that the time is unknown.
 func (a *Account) RetryAfter(now monotime.Micros, n int64) monotime.Micros {
 	rate := a.lease.Rate + a.static.Rate
 	if a.kind != Rate || rate <= 0 {
 		return 0
 	}
-	a.turn(now)
-	span := func(n int64) monotime.Micros { return n*nano/rate + 1 }
-	at := max(now+span(n)-max(a.lease.level, a.static.level)/rate, a.owed+span(n))
-	a.owed = at
-	return at - now
+	a.advance(now)
+	fillTime := n*tokensPerAmount/rate + 1
+	available := max(a.lease.tokens, a.static.tokens) / rate
+	a.promisedUntil = max(now+fillTime-available, a.promisedUntil+fillTime)
+	return a.promisedUntil - now
 }
 
-// Amounts is what is in force now, by lease and without; until is the lease's time.
+// Amounts returns the leased and the static amount that are in force, and when the lease expires.
 func (a *Account) Amounts(now monotime.Micros) (lease, static Amount, until monotime.Micros) {
-	a.expire(now)
-	return a.lease.Amount, a.static.Amount, a.until
+	a.expireLease(now)
+	return a.lease.Amount, a.static.Amount, a.leaseExpiresAt
 }
--- a/fleet/budget/account/book.go
+++ b/fleet/budget/account/book.go
@@ -7,21 +7,22 @@
 	"chutechute/internal/monotime"
 )
 
-// Lease is what is leased of one subject's budget.
+// Lease is the leased amount of one subject's budget.
 type Lease struct {
 	Subject string
 	Amount  Amount
 }
 
-// Book is one front end's balances for all subjects of one budget.
+// Book is one front end's accounts for all subjects of one budget. The zero Book with its Kind and, for a Window
+// budget, its Window set is empty and ready to use.
 type Book struct {
 	Kind     Kind
 	Window   monotime.Micros
-	static   Amount
+	static   Amount // of each subject
 	accounts map[string]*Account
 }
 
-// Account is one subject's balance.
+// Account returns a subject's account, and opens one with the static amount if there is none.
 func (b *Book) Account(now monotime.Micros, subject string) *Account {
 	a := b.accounts[subject]
 	if a == nil {
@@ -35,36 +36,36 @@
 	return a
 }
 
-// Static puts the part into force that every subject has without a lease.
-func (b *Book) Static(now monotime.Micros, m Amount) {
-	b.static = m
+// Static sets the amount that every subject has without a lease.
+func (b *Book) Static(now monotime.Micros, amount Amount) {
+	b.static = amount
 	for _, a := range b.accounts {
-		a.Static(now, m)
+		a.Static(now, amount)
 	}
 }
 
-// Lease puts all that is leased into force; what is not named is leased no more.
-func (b *Book) Lease(now monotime.Micros, list []Lease, until monotime.Micros) {
-	named := make(map[string]bool, len(list))
-	for _, l := range list {
-		named[l.Subject] = true
-		b.Account(now, l.Subject).Lease(now, l.Amount, until)
+// Lease sets the leases of all subjects. A subject that is not in the list has nothing leased any more.
+func (b *Book) Lease(now monotime.Micros, leases []Lease, until monotime.Micros) {
+	leased := make(map[string]bool, len(leases))
+	for _, lease := range leases {
+		leased[lease.Subject] = true
+		b.Account(now, lease.Subject).Lease(now, lease.Amount, until)
 	}
 	for subject, a := range b.accounts {
-		if !named[subject] {
+		if !leased[subject] {
 			a.Lease(now, Amount{}, until)
 		}
 	}
 }
 
-// Each gives all balances, by subject.
+// Each calls a function for all accounts, in the order of their subjects.
 func (b *Book) Each(do func(subject string, a *Account)) {
 	for _, subject := range slices.Sorted(maps.Keys(b.accounts)) {
 		do(subject, b.accounts[subject])
 	}
 }
 
-// EvictIdle drops balances of which nothing is held, wanted or leased.
+// EvictIdle drops the accounts of which nothing is in use, leased or in demand. That of the empty subject stays.
 func (b *Book) EvictIdle(now monotime.Micros) {
 	maps.DeleteFunc(b.accounts, func(subject string, a *Account) bool {
 		lease, _, _ := a.Amounts(now)
--- a/fleet/budget/account/demand.go
+++ b/fleet/budget/account/demand.go
@@ -6,115 +6,139 @@
 	"chutechute/internal/monotime"
 )
 
+// Time spans of the measurement of demand, in microseconds.
 const (
-	// demandSpan is the span over which what is asked for is measured: short, as a budget is to follow it within half a second.
-	demandSpan = second / 8
-	// peakSpan is the one over which the most places that were wanted at a time count.
+	// recentSpan is the time constant of the recent demand: short, because the division of a budget is to follow a
+	// change of demand within half a second.
+	recentSpan = second / 8
+	// peakSpan is the span over which the peak demand for a concurrency limit is measured.
 	peakSpan = second / 4
-	// newSpan is how long one who asks for the first time in a while may be kept waiting for a lease, instead of being turned away
-	// by a front end that has not asked for one yet.
-	newSpan = second * 3 / 10
-	// restSpan is how long nothing was asked for, so that the next one to ask is the first.
-	restSpan = 2 * second
-	// steadySpan is the one over which it is measured while it does not move: a quarter second of a few queries is mostly noise.
-	steadySpan = 2 * second
-	// moves is how many times the noise a measure has to be off to count as a move.
-	moves = 3
+	// firstLeaseSpan is how long the first request after an idle span may be queued until a lease arrives. Without it,
+	// a front end that has not asked for a lease yet would reject the request.
+	firstLeaseSpan = second * 3 / 10
+	// idleSpan is the span without requests after which the next request counts as the first.
+	idleSpan = 2 * second
+	// meanSpan is the longest span of the mean. It is longer than recentSpan because a quarter of a second of a few
+	// queries is mostly noise.
+	meanSpan = 2 * second
 )
 
-// demand is what was asked for of late, admitted or not. For rates and windows it is the mean since the last move, over steadySpan
-// at most; a decayed sum over demandSpan finds the moves. For places it is the most that was wanted at a time.
+const (
+	// shiftDeviations is by how many standard deviations the recent demand has to differ from the mean to count as a
+	// shift of demand.
+	shiftDeviations = 3
+	// silenceDivisor is how much lower than without the last gap the mean has to be for the gap to count as a shift.
+	silenceDivisor = 8
+	// gapArrivals bounds the rate after a gap without requests: at a higher one, as many arrivals would have been
+	// expected in the gap, and at least one of them would have come in 19 of 20 cases.
+	gapArrivals = 3
+	// requestSizeWeight is the weight of the previous requests in the moving average of the request's size.
+	requestSizeWeight = 16
+)
+
+// demand measures what was requested lately, whether it was admitted or not. For rates and windows it is the mean since
+// the last shift of demand, over at most meanSpan; a sum that decays over recentSpan detects the shifts. For
+// concurrency limits it is the peak of what was in use and requested at a time.
 type demand struct {
-	fast   float64
-	sum    float64 // over time
-	time   float64
-	unit   float64 // the usual size of what is asked for
-	at     monotime.Micros
-	peak   int64 // of places, in this span
-	before int64 // in the last one
-	began  monotime.Micros
-	first  monotime.Micros // since when something has been asked for without a rest
+	recentSum    float64 // decays over recentSpan
+	sum          float64 // since the last shift
+	sumSpan      float64 // the time over which sum was collected, in microseconds
+	requestSize  float64 // moving average
+	lastRequest  monotime.Micros
+	peak         int64 // in the current peak span
+	previousPeak int64
+	peakStart    monotime.Micros
+	activeSince  monotime.Micros // the first request after the last idle span
 }
 
-// RecordDemand notes that n were asked for, whatever became of it. For places, held ones count besides.
+// RecordDemand records that n thousandths of a unit were requested, whether they were granted or not. For a concurrency
+// limit, what is in use is added to them.
 func (a *Account) RecordDemand(now monotime.Micros, n int64) {
 	d := &a.demand
-	if d.at == 0 {
-		d.unit = float64(n)
+	if d.lastRequest == 0 {
+		d.requestSize = float64(n)
 	}
-	if d.at == 0 || now-d.at > restSpan {
-		d.first = now
+	if d.lastRequest == 0 || now-d.lastRequest > idleSpan {
+		d.activeSince = now
 	}
-	d.moved(now)
-	d.fast = d.fast*fade(now-d.at, demandSpan) + float64(n)
+	d.currentRate(now)
+	d.recentSum = d.recentSum*decay(now-d.lastRequest, recentSpan) + float64(n)
 	d.sum += float64(n)
-	if d.time += float64(now - d.at); d.time > steadySpan {
-		d.sum, d.time = d.sum*steadySpan/d.time, steadySpan
+	if d.sumSpan += float64(now - d.lastRequest); d.sumSpan > meanSpan {
+		d.sum, d.sumSpan = d.sum*meanSpan/d.sumSpan, meanSpan
 	}
-	d.unit += (float64(n) - d.unit) / 16
-	d.at = now
-	a.wanted(now, a.used+n)
+	d.requestSize += (float64(n) - d.requestSize) / requestSizeWeight
+	d.lastRequest = now
+	a.recordPeak(now, a.inUse+n)
 }
 
-// RecordQueued notes that n wait for places at this time.
-func (a *Account) RecordQueued(now monotime.Micros, n int64) { a.wanted(now, a.used+n) }
+// RecordQueued records that n thousandths of a unit of a concurrency limit are waited for.
+func (a *Account) RecordQueued(now monotime.Micros, n int64) { a.recordPeak(now, a.inUse+n) }
 
-func (a *Account) wanted(now monotime.Micros, n int64) {
+func (a *Account) recordPeak(now monotime.Micros, n int64) {
 	d := &a.demand
-	if span := now - d.began; span >= peakSpan {
-		d.before, d.peak, d.began = d.peak, 0, now
-		if span >= 2*peakSpan {
-			d.before = 0
+	if elapsed := now - d.peakStart; elapsed >= peakSpan {
+		d.previousPeak, d.peak, d.peakStart = d.peak, 0, now
+		if elapsed >= 2*peakSpan {
+			d.previousPeak = 0
 		}
 	}
 	d.peak = max(d.peak, n)
 }
 
-// AwaitsFirstLease says whether who asks is the first in a while and nothing was leased for him yet: it may only take the record's answer.
+// AwaitsFirstLease reports whether requests have only just started and nothing is leased yet: a lease may be granted as
+// soon as the authority responds.
 func (a *Account) AwaitsFirstLease(now monotime.Micros) bool {
-	return now-a.demand.first < newSpan && a.demand.at != 0 && a.lease.Amount == (Amount{})
+	d := &a.demand
+	return now-d.activeSince < firstLeaseSpan && d.lastRequest != 0 && a.lease.Amount == (Amount{})
 }
 
-func fade(span, over monotime.Micros) float64 {
-	return math.Exp(-float64(max(0, span)) / float64(over))
+// decay returns the factor of exponential decay after a time.
+func decay(elapsed, timeConstant monotime.Micros) float64 {
+	return math.Exp(-float64(max(0, elapsed)) / float64(timeConstant))
 }
 
-// rates are what is asked for in a second, by the last moments and by the mean. Where nothing has come for a while, neither is
-// higher than one at which something would have come in 19 of 20 cases.
-func (d *demand) rates(now monotime.Micros) (fast, mean float64) {
-	gap := float64(now - d.at)
-	fast = d.fast * fade(now-d.at, demandSpan) * second / demandSpan
-	mean = d.sum * second / max(d.time+gap, demandSpan)
+// rates returns the demand per second, recently and by the mean. After a gap without requests neither is higher than
+// gapArrivals allow.
+func (d *demand) rates(now monotime.Micros) (recent, mean float64) {
+	gap := float64(now - d.lastRequest)
+	recent = d.recentSum * decay(now-d.lastRequest, recentSpan) * second / recentSpan
+	mean = d.sum * second / max(d.sumSpan+gap, recentSpan)
 	if gap > 0 {
-		most := 3 * d.unit * second / gap
-		fast, mean = min(fast, most), min(mean, most)
+		limit := gapArrivals * d.requestSize * second / gap
+		recent, mean = min(recent, limit), min(mean, limit)
 	}
-	return fast, mean
+	return recent, mean
 }
 
-// moved begins the mean anew where the last moments are off it by more than noise. The decayed count of a Poisson stream of λ a
-// second over a span τ has the deviation sqrt(λ/2τ) as a measure of λ.
-func (d *demand) moved(now monotime.Micros) float64 {
-	fast, mean := d.rates(now)
-	if math.Abs(fast-mean) <= moves*math.Sqrt(max(mean, d.unit)*d.unit*second/(2*demandSpan)) && mean >= d.sum/max(d.time, 1)*second/8 {
+// currentRate returns the demand per second. It starts the mean anew from the recent demand if they differ by more than
+// noise: the decayed sum of a Poisson process of rate λ over a time constant τ measures λ with a standard deviation of
+// sqrt(λ/2τ).
+func (d *demand) currentRate(now monotime.Micros) float64 {
+	recent, mean := d.rates(now)
+	deviation := math.Sqrt(max(mean, d.requestSize) * d.requestSize * second / (2 * recentSpan))
+	shifted := math.Abs(recent-mean) > shiftDeviations*deviation
+	silent := mean < d.sum/max(d.sumSpan, 1)*second/silenceDivisor
+	if !shifted && !silent {
 		return mean
 	}
-	d.time = 2 * demandSpan
-	d.sum = fast * d.time / second
-	return fast
+	d.sumSpan = 2 * recentSpan
+	d.sum = recent * d.sumSpan / second
+	return recent
 }
 
-// Demand is what this front end could spend beyond its static part: a second's for rates, and else at a time or within the
-// window.
+// Demand returns what this front end could spend beyond its static allocation, in thousandths of a unit: per second for
+// a rate, at a time for a concurrency limit, within the window for a window.
 func (a *Account) Demand(now monotime.Micros) int64 {
-	a.turn(now)
+	a.advance(now)
 	d := &a.demand
 	switch a.kind {
 	case Rate:
-		return max(0, int64(d.moved(now))-a.static.Rate)
+		return max(0, int64(d.currentRate(now))-a.static.Rate)
 	case Window:
-		return max(0, a.used-a.static.Capacity, int64(d.moved(now)*float64(a.span)/second)-a.static.Capacity)
+		expected := int64(d.currentRate(now) * float64(a.window) / second)
+		return max(0, a.inUse-a.static.Capacity, expected-a.static.Capacity)
 	}
-	a.wanted(now, a.used)
-	return max(0, max(d.peak, d.before)-a.static.Capacity)
+	a.recordPeak(now, a.inUse)
+	return max(0, max(d.peak, d.previousPeak)-a.static.Capacity)
 }
