--- a/fleet/budget/division.go
+++ b/fleet/budget/division.go
@@ -4,167 +4,192 @@
 	"slices"
 
 	"chutechute/fleet/budget/account"
-	"chutechute/fleet/replication"
 )
 
 const (
-	// worth is the part of a whole that has to be given back, as one in so many, before others are told of it.
-	worth = 64
-	// mostNotes bounds how many are told at a time; all others find out with their next report.
-	mostNotes = 16
+	// minReleasedDivisor is what part of a total has to be released before others are notified of it, as one in so
+	// many.
+	minReleasedDivisor = 64
+	// maxNotifications bounds how many lease holders are notified at a time. All others see a change of their share
+	// with their next report.
+	maxNotifications = 16
+	// rotationPeriod is after how many log indexes parts that cannot be divided evenly go to other lease holders.
+	rotationPeriod = 256
+	// rotationParts is the number of smallest parts per lease holder below which such parts are rotated.
+	rotationParts = 4
 )
 
-// room notes those who could have more of what was given back, once it is worth it.
-func (a *Authority) room(from *hold) {
-	i := from.i
-	if p := a.set.Lookup(i.budget); p == nil || i.freed < max(1, i.of(p.Total)/worth) {
+// Differences that count, as one part in so many of an amount.
+const (
+	// unmetDivisor is how far demand has to be above an allocation for its holder to be notified of released parts.
+	unmetDivisor = 8
+	// shrinkDivisor is how far a share has to be below an allocation that nobody else lacks, for the allocation to
+	// shrink to it.
+	shrinkDivisor = 8
+	// growDivisor is how far a share has to be above an allocation for the allocation to grow to it.
+	growDivisor = 16
+)
+
+// notifyOfRelease notifies lease holders that could use what others have released of a subject's budget, once it is
+// worth it.
+func (a *Authority) notifyOfRelease(from *allocation) {
+	s := from.subject
+	spec := a.set.Lookup(s.key.budget)
+	if spec == nil || s.released < max(1, s.quantity(spec.Total)/minReleasedDivisor) {
 		return
 	}
-	i.freed = 0
-	n := 0
-	for k := range i.holds { // from another one on each time
-		o := i.holds[(uint64(k)+a.index)%uint64(len(i.holds))]
-		if o != from && !o.h.lapsed && o.h.issue != 0 && o.want > i.of(o.cur)+i.of(o.cur)/8 && n < mostNotes {
-			a.notes[o.h.who] = true
-			n++
+	s.released = 0
+	a.notifySome(s, func(_ int, o *allocation) bool {
+		current := s.quantity(o.current)
+		return o != from && !o.holder.expired && o.holder.grant != 0 && o.demand > current+current/unmetDivisor
+	})
+}
+
+// notifySome notifies lease holders whose allocations meet a condition, maxNotifications at most. It begins with a
+// different one each time, so that each has its turn.
+func (a *Authority) notifySome(s *subjectBudget, meets func(i int, o *allocation) bool) {
+	notified := 0
+	count := uint64(len(s.allocations))
+	for k := range count {
+		i := int((k + a.index) % count)
+		o := s.allocations[i]
+		if notified < maxNotifications && meets(i, o) {
+			a.notify[o.holder.incarnation] = true
+			notified++
 		}
 	}
 }
 
-// of is what of an amount is divided.
-func (i *inst) of(m Amount) int64 {
-	if i.kind == account.Rate {
-		return m.Rate
+// allocate returns what a lease holder may have of one subject's budget from now on. It is the present allocation as
+// long as nothing has changed that the division depends on.
+func (a *Authority) allocate(o *allocation) Amount {
+	s := o.subject
+	spec, b := a.set.Lookup(s.key.budget), a.budgets[s.key.budget]
+	if spec == nil || !b.open {
+		return Amount{}
+	}
+	s.drainTime = max(s.drainTime, spec.drainTime())
+	rotation := s.rotation(spec, a.index)
+	if o.dividedAt > s.changedAt && o.dividedAt > b.changedAt && o.rotation == rotation {
+		return o.current
+	}
+	o.dividedAt, o.rotation = a.index, rotation
+	shares := a.shares(spec, s)
+	available := spec.Total.Sub(s.outstanding).Sub(b.staticReserved)
+	target := o.target(shares, available)
+	amount := spec.usable(target.Min(o.limit(spec, available)))
+	if s.quantity(amount) < s.quantity(target)*7/8 { // the rest is in the hands of others
+		a.notifyExceeding(o, shares)
 	}
-	return m.Capacity
+	return amount
 }
 
-// wants takes over what a holder wants.
-func (a *Authority) wants(o *hold, want int64) {
-	if want != o.want {
-		o.want, o.i.change = want, a.index
+// rotation returns the number of the current rotation of parts that cannot be divided evenly, or 0 if there are enough
+// parts for all.
+func (s *subjectBudget) rotation(spec *Spec, index uint64) uint64 {
+	if spec.Kind == account.Rate || spec.Total.Capacity/spec.MinPart >= rotationParts*int64(len(s.allocations)) {
+		return 0
 	}
+	return index / rotationPeriod
 }
 
-// kept is what of a budget is kept back for newcomers.
-func (p *Spec) kept() Amount {
-	return Amount{Capacity: p.Total.Capacity * p.NewcomerReserve / 1000, Rate: p.Total.Rate * p.NewcomerReserve / 1000}
+// limit returns the most that an allocation can be: what is outstanding of it and what is available. The reserve for
+// newcomers is available only to those that have nothing.
+//
+// What is available can be negative: the total was lowered, or a lease holder whose work was released is back and still
+// has it in use. Then nobody may have what that one has, until it has given it back.
+func (o *allocation) limit(spec *Spec, available Amount) Amount {
+	outstanding := o.outstanding()
+	beyondReserve := available
+	if outstanding != (Amount{}) {
+		beyondReserve = available.Sub(spec.newcomerReserve()).Max(Amount{})
+	}
+	return outstanding.Add(available.Min(beyondReserve)).Max(Amount{})
 }
 
-// part is what a holder may have of one subject's budget from now on.
-func (a *Authority) part(at replication.ApplyContext, o *hold) Amount {
-	p, s := a.set.Lookup(o.i.budget), a.specs[o.i.budget]
-	if p == nil || !s.open {
-		return Amount{}
-	}
-	o.i.lingers = max(o.i.lingers, p.lingers())
-	turn := uint64(0)
-	if p.Kind != account.Rate && p.Total.Capacity/p.MinPart < 4*int64(len(o.i.holds)) {
-		turn = at.Index / turns
-	}
-	if o.seen > o.i.change && o.seen > s.changed && o.turn == turn {
-		return o.cur
-	}
-	o.seen, o.turn = at.Index, turn
-	shares := a.shares(p, o.i, at.Index)
-	share := shares[slices.Index(o.i.holds, o)]
-	counted := o.counted()
-	// What is free may be less than nothing: the whole was lowered, or a holder that had lapsed has come back and still counts what
-	// surely is over as in use. Then nobody may have what he holds, until it is not.
-	free := p.Total.Sub(o.i.leased).Sub(s.reserved)
-	room := free
-	if counted != (Amount{}) {
-		room = free.Sub(p.kept()).Max(Amount{})
-	}
-	most := counted.Add(free.Min(room)).Max(Amount{})
-	target := share
-	now, then := o.i.of(o.cur), o.i.of(share)
-	contested := free.Capacity < 0 || free.Rate < 0
-	for j, other := range o.i.holds {
-		contested = contested || other.want > other.i.of(other.cur) && other.i.of(other.cur) < other.i.of(shares[j])*15/16
-	}
-	if !contested && then < now && then >= now-now/8 || then > now && then-now < now/16 {
-		target = o.cur // not worth the moving
-	}
-	cur := target.Min(most)
-	if p.Kind != account.Rate {
-		cur.Capacity -= cur.Capacity % p.MinPart
-	} else if cur.Rate == 0 {
-		cur.Capacity = 0
-	}
-	if cur.Capacity < p.MinPart {
-		cur = Amount{}
-	}
-	if o.i.of(cur) < o.i.of(target)*7/8 { // others have what is this one's
-		n := 0
-		for k := range o.i.holds {
-			j := int((uint64(k) + at.Index) % uint64(len(o.i.holds)))
-			other := o.i.holds[j]
-			if other != o && !other.h.lapsed && o.i.of(other.counted()) > o.i.of(shares[j])*9/8 && n < mostNotes {
-				a.notes[other.h.who] = true
-				n++
-			}
+// target returns what an allocation should become: its share, or what it is now if the difference is not worth a
+// change.
+func (o *allocation) target(shares []Amount, available Amount) Amount {
+	s := o.subject
+	share := shares[slices.Index(s.allocations, o)]
+	current, next := s.quantity(o.current), s.quantity(share)
+	switch {
+	case next > current && next-current < current/growDivisor:
+		return o.current
+	case next < current && next >= current-current/shrinkDivisor && !s.contested(shares, available):
+		return o.current
+	}
+	return share
+}
+
+// contested reports whether somebody lacks a part of its share, or more is outstanding than the total.
+func (s *subjectBudget) contested(shares []Amount, available Amount) bool {
+	if available.Capacity < 0 || available.Rate < 0 {
+		return true
+	}
+	for i, o := range s.allocations {
+		current := s.quantity(o.current)
+		if o.demand > current && current < s.quantity(shares[i])*15/16 {
+			return true
 		}
 	}
-	return cur
+	return false
+}
+
+// usable rounds an allocation down to what is of use.
+func (s *Spec) usable(amount Amount) Amount {
+	if s.Kind != account.Rate {
+		amount.Capacity -= amount.Capacity % s.MinPart
+	} else if amount.Rate == 0 {
+		amount.Capacity = 0
+	}
+	if amount.Capacity < s.MinPart {
+		return Amount{}
+	}
+	return amount
 }
 
-// turns is how many places in the record a division stands before parts that can't be divided evenly go to others.
-const turns = 256
+// notifyExceeding notifies lease holders that have more than their shares, as they have what another one lacks.
+func (a *Authority) notifyExceeding(lacking *allocation, shares []Amount) {
+	s := lacking.subject
+	a.notifySome(s, func(i int, o *allocation) bool {
+		return o != lacking && !o.holder.expired && s.quantity(o.outstanding()) > s.quantity(shares[i])*9/8
+	})
+}
 
-// shares divides one subject's budget among all who hold or want some.
-func (a *Authority) shares(p *Spec, i *inst, index uint64) []Amount {
-	pool := p.Total.Sub(a.specs[p.Name].reserved).Sub(p.kept())
-	claims := make([]claim, len(i.holds))
-	for j, o := range i.holds {
-		if o.h.lapsed {
-			pool = pool.Sub(o.counted())
+// shares divides one subject's budget among all lease holders that have or want a part of it.
+func (a *Authority) shares(spec *Spec, s *subjectBudget) []Amount {
+	pool := spec.Total.Sub(a.budgets[spec.Name].staticReserved).Sub(spec.newcomerReserve())
+	claims := make([]claim, len(s.allocations))
+	floor := s.quantity(spec.Total) / permille * spec.Floor
+	for i, o := range s.allocations {
+		if o.holder.expired {
+			pool = pool.Sub(o.outstanding())
 			continue
 		}
-		claims[j] = claim{want: o.want, floor: i.of(p.Total) / 1000 * p.Floor, weight: p.weight(o.h.name)}
+		claims[i] = claim{demand: o.demand, floor: floor, weight: spec.weight(o.holder.name)}
 	}
 	pool = pool.Max(Amount{})
-	list := divide(i.of(pool), claims)
-	amounts := make([]Amount, len(list))
-	if i.kind != account.Rate {
-		round(pool.Capacity, p.MinPart, index/turns, claims, list)
-		for j, n := range list {
-			amounts[j].Capacity = n
-		}
-		return amounts
+	quantities := divide(s.quantity(pool), claims)
+	if s.kind == account.Rate {
+		return spec.rateShares(pool, quantities)
 	}
-	for j, n := range list {
-		if n > 0 {
-			amounts[j] = Amount{Capacity: max(p.MinPart, mulDiv(pool.Capacity, n, pool.Rate)), Rate: n}
-		}
+	roundShares(pool.Capacity, spec.MinPart, a.index/rotationPeriod, claims, quantities)
+	shares := make([]Amount, len(quantities))
+	for i, capacity := range quantities {
+		shares[i].Capacity = capacity
 	}
-	return amounts
+	return shares
 }
 
-// restatic adds up the static parts anew.
-func (a *Authority) restatic() {
-	for i := range a.set.Specs {
-		p := &a.set.Specs[i]
-		s := a.specs[p.Name]
-		each := p.part(a.set.MaxFrontEnds)
-		rest := int64(a.set.MaxFrontEnds)
-		real, reserved := s.real, s.reserved
-		s.real, s.reserved = Amount{}, Amount{}
-		for _, h := range a.holders {
-			c := Amount{}
-			if q := h.statics[p.Name]; q != nil {
-				c = q.counted()
-			}
-			s.real = s.real.Add(c)
-			if h.enrolled {
-				rest--
-				c = c.Max(each)
-			}
-			s.reserved = s.reserved.Add(c)
-		}
-		s.reserved = s.reserved.Add(Amount{Capacity: each.Capacity * rest, Rate: each.Rate * rest})
-		if s.real != real || s.reserved != reserved {
-			s.changed = a.index
+// rateShares gives each rate its part of the burst.
+func (s *Spec) rateShares(pool Amount, rates []int64) []Amount {
+	shares := make([]Amount, len(rates))
+	for i, rate := range rates {
+		if rate > 0 {
+			burst := max(s.MinPart, mulDiv(pool.Capacity, rate, pool.Rate))
+			shares[i] = Amount{Capacity: burst, Rate: rate}
 		}
 	}
+	return shares
 }
--- a/fleet/budget/enforce/enforce.go
+++ b/fleet/budget/enforce/enforce.go
@@ -1,6 +1,6 @@
-// Package enforce stands between the division of the fleet's budgets (budget.LeaseHolder) and the decision module that spends them: it
-// reads what each budget applies to, in the words of the settings, and hands amounts over as the module's events. A stepped
-// module without I/O, clock or goroutines.
+// Package enforce stands between the division of the fleet's budgets (budget.LeaseHolder) and the decision module
+// that spends them: it reads what each budget applies to, in the words of the settings, and hands amounts over as
+// the module's events. A stepped module without I/O, clock or goroutines.
 package enforce
 
 import (
--- a/fleet/budget/export_test.go
+++ b/fleet/budget/export_test.go
@@ -2,59 +2,61 @@
 
 import "chutechute/internal/monotime"
 
-// What a command or an answer says, for variants that break something on purpose.
+// What tests need to know of commands and responses, and changes of them for variants that are broken on purpose.
 
-// IsFree, IsOpen and IsLapse say what a command that Due gave is.
-func IsFree(body []byte) bool  { return is(body, opFree) }
-func IsOpen(body []byte) bool  { return is(body, opOpen) }
-func IsLapse(body []byte) bool { return is(body, opLapse) }
+// IsRelease reports whether a due command releases what an expired lease holder had in use.
+func IsRelease(body []byte) bool { return isOperation(body, opRelease) }
 
-func is(body []byte, o op) bool {
+// IsOpen reports whether a due command opens a budget.
+func IsOpen(body []byte) bool { return isOperation(body, opOpen) }
+
+// IsExpire reports whether a due command lets a lease expire.
+func IsExpire(body []byte) bool { return isOperation(body, opExpire) }
+
+func isOperation(body []byte, operation operation) bool {
 	c, err := decodeCommand(body)
-	return err == nil && c.Op == o
+	return err == nil && c.Operation == operation
 }
 
-// Denying is a report that says that nothing is leased, wanted or in use.
-func Denying(body []byte) []byte {
+// ReportWithoutLease returns a report changed to say that nothing is leased, in demand or in use.
+func ReportWithoutLease(body []byte) []byte {
 	c, _ := decodeCommand(body)
-	c.Adopted, c.Wants = 0, nil
+	c.Grant, c.Demands = 0, nil
 	return c.encode()
 }
 
-// Forgetting is a report that says that nothing is in use.
-func Forgetting(body []byte) []byte {
+// ReportWithoutUse returns a report changed to say that nothing is in use.
+func ReportWithoutUse(body []byte) []byte {
 	c, _ := decodeCommand(body)
-	for i := range c.Wants {
-		c.Wants[i].InUse = 0
+	for i := range c.Demands {
+		c.Demands[i].InUse = 0
 	}
 	return c.encode()
 }
 
-// Larger is an answer in which each leased part is larger by another.
-func Larger(out []byte, more func(budget string) Amount) []byte {
-	a, err := decodeAnswer(out)
+// ResponseWithMore returns a response in which each leased amount is larger by another one.
+func ResponseWithMore(body []byte, more func(budget string) Amount) []byte {
+	r, err := decodeReportResponse(body)
 	if err != nil {
-		return out
+		return body
 	}
-	for i := range a.Parts {
-		if p := &a.Parts[i]; !p.Static {
-			p.Amount = p.Amount.Add(more(p.Budget))
+	for i := range r.Amounts {
+		if granted := &r.Amounts[i]; !granted.Static {
+			granted.Amount = granted.Amount.Add(more(granted.Budget))
 		}
 	}
-	return a.encode()
+	return r.encode()
 }
 
-// Reserved is all static parts together.
-func (s *Spec) Reserved() Amount {
-	return Amount{Capacity: s.Total.Capacity * s.Reserve / 1000, Rate: s.Total.Rate * s.Reserve / 1000}
-}
-
-// Longer is an answer with a longer lease.
-func Longer(out []byte, by monotime.Micros) []byte {
-	a, err := decodeAnswer(out)
+// ResponseWithLongerLease returns a response with a lease that is longer by a time.
+func ResponseWithLongerLease(body []byte, by monotime.Micros) []byte {
+	r, err := decodeReportResponse(body)
 	if err != nil {
-		return out
+		return body
 	}
-	a.Lease += by
-	return a.encode()
+	r.Lease += by
+	return r.encode()
 }
+
+// Reserved returns the sum of all static allocations.
+func (s *Spec) Reserved() Amount { return thousandths(s.Total, s.Reserve) }
--- /dev/null
+++ b/fleet/budget/fairshare.go
@@ -0,0 +1,98 @@
+package budget
+
+import (
+	"cmp"
+	"math/bits"
+	"slices"
+)
+
+// claim is one lease holder's claim to a pool.
+type claim struct {
+	demand int64
+	floor  int64 // what it gets before others get more
+	weight int64
+}
+
+// waterLevelUnit is the resolution in which claims are compared by demand per weight.
+const waterLevelUnit = 1 << 20
+
+// divide returns each claim's share of a pool, max-min fair by weight (water-filling): first the floors, as far as
+// there is demand for them; then the rest by weight to those with more demand; and what is left by weight as room
+// to grow. The shares add up to no more than the pool, and to all of it but what rounding leaves, if there is any
+// demand.
+func divide(pool int64, claims []claim) []int64 {
+	shares := make([]int64, len(claims))
+	if pool <= 0 {
+		return shares
+	}
+	order := make([]int, 0, len(claims)) // of the claims with demand
+	totalWeight := int64(0)
+	for i, c := range claims {
+		if c.demand <= 0 {
+			continue
+		}
+		shares[i] = min(c.demand, c.floor, pool)
+		pool -= shares[i]
+		totalWeight += c.weight
+		order = append(order, i)
+	}
+	waterLevel := func(i int) int64 { // at which a claim is met
+		return mulDiv(claims[i].demand-shares[i], waterLevelUnit, claims[i].weight)
+	}
+	slices.SortStableFunc(order, func(i, j int) int { return cmp.Compare(waterLevel(i), waterLevel(j)) })
+	weight := totalWeight
+	for _, i := range order {
+		c := claims[i]
+		share := min(c.demand-shares[i], mulDiv(pool, c.weight, weight))
+		shares[i] += share
+		pool -= share
+		weight -= c.weight
+	}
+	weight = totalWeight
+	for _, i := range order {
+		c := claims[i]
+		share := mulDiv(pool, c.weight, weight)
+		shares[i] += share
+		pool -= share
+		weight -= c.weight
+	}
+	return shares
+}
+
+// roundShares rounds shares down to multiples of the smallest part. What that leaves goes to those with more demand,
+// one part each, beginning with another one in each rotation.
+func roundShares(pool, minPart int64, rotation uint64, claims []claim, shares []int64) {
+	left := pool
+	for i := range shares {
+		shares[i] -= shares[i] % minPart
+		left -= shares[i]
+	}
+	count := uint64(len(shares))
+	for k := range count {
+		i := (rotation + k) % count
+		if left < minPart {
+			return
+		}
+		if claims[i].demand > shares[i] {
+			shares[i] += minPart
+			left -= minPart
+		}
+	}
+}
+
+// maxQuotient bounds the result of mulDiv.
+const maxQuotient = 1 << 62
+
+// mulDiv returns a·b/c, rounded down and maxQuotient at most, without overflow. It takes a negative a as 0 and returns
+// 0 if c is not positive; b must not be negative.
+func mulDiv(a, b, c int64) int64 {
+	if c <= 0 {
+		return 0
+	}
+	high, low := bits.Mul64(uint64(max(0, a)), uint64(b))
+	if high >= uint64(c) {
+		return maxQuotient
+	}
+	quotient, _ := bits.Div64(high, low, uint64(c))
+	return int64(min(quotient, maxQuotient))
+}
--- a/fleet/budget/figures_test.go
+++ b/fleet/budget/figures_test.go
@@ -32,8 +32,9 @@
 	return min(total, float64(w.set.Specs[0].Total.Rate)/1000)
 }
 
-// even is what an even division would let be spent in a second, and guess what each front end's guess at its part does, which is
-// its demand over 1.4 times the whole and an even part at least: what it would let be spent may be more than the whole.
+// even is what an even division would let be spent in a second, and guess what each front end's guess at its part
+// does, which is its demand over 1.4 times the whole and an even part at least: what it would let be spent may be
+// more than the whole.
 func (w *world) even() (even, guess float64) {
 	whole := float64(w.set.Specs[0].Total.Rate) / 1000
 	for _, h := range w.holders {
@@ -47,7 +48,8 @@
 	return w.used(&w.set.Specs[0], span) * float64(w.set.Specs[0].Total.Rate) / 1000
 }
 
-// The whole is in use under steady, skewed and moving demand, against an oracle; and how soon a move of demand is followed.
+// The whole is in use under steady, skewed and moving demand, against an oracle; and how soon a move of demand is
+// followed.
 func TestShareInUse(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -153,8 +155,8 @@
 	}
 }
 
-// 2,000 engines begin cold at once, each with a budget of its own, and 10,000 tenants: all stay within their wholes, and the record
-// within its bound.
+// 2,000 engines begin cold at once, each with a budget of its own, and 10,000 tenants: all stay within their
+// wholes, and the record within its bound.
 func TestThousandsOfBudgets(t *testing.T) {
 	for _, each := range []int{2000, 10000} {
 		set := &budget.Set{Version: 1, Lease: 2 * second, MaxFrontEnds: 5, Specs: []budget.Spec{{Name: "each", Kind: account.Window, Window: second,
--- a/fleet/budget/history_test.go
+++ b/fleet/budget/history_test.go
@@ -17,9 +17,10 @@
 	"chutechute/scheduler"
 )
 
-// A world plays the division in virtual time: copies of the record that apply the same commands at times of their own, holders
-// with clocks of their own that spend as much as they can, and a network that loses, delays, doubles and reorders. Any copy may
-// propose what is due, whether it leads or not, and however late: safety is not to rest on it.
+// A world plays the division in virtual time: copies of the record that apply the same commands at times of their
+// own, holders with clocks of their own that spend as much as they can, and a network that loses, delays, doubles
+// and reorders. Any copy may propose what is due, whether it leads or not, and however late: safety is not to rest
+// on it.
 
 type micros = int64
 
@@ -225,10 +226,10 @@
 		c.applied++
 		body := w.log[i]
 		if w.broken.forgets && w.askers[i] != 0 {
-			body = budget.Forgetting(body)
+			body = budget.ReportWithoutUse(body)
 		}
 		if w.broken.denies && w.askers[i] != 0 && (uint64(w.askers[i])+uint64(i))%4 == 0 {
-			body = budget.Denying(body)
+			body = budget.ReportWithoutLease(body)
 		}
 		applied := func() {}
 		if w.applying != nil {
@@ -237,7 +238,7 @@
 		out := c.kind.Apply(replication.ApplyContext{Index: uint64(i + 1), Now: c.clock.at(w.now), Notify: w.note}, w.askers[i], body)
 		applied()
 		if w.broken.noReserve && w.askers[i] != 0 {
-			out = budget.Larger(out, func(name string) budget.Amount { return w.set.Lookup(name).Reserved() })
+			out = budget.ResponseWithMore(out, func(name string) budget.Amount { return w.set.Lookup(name).Reserved() })
 		}
 		if told := w.answers[i+1]; told != nil {
 			w.bytes += len(out)
@@ -281,7 +282,7 @@
 		for _, early := range []struct {
 			is   bool
 			what func([]byte) bool
-		}{{w.broken.trustsClock, budget.IsLapse}, {w.broken.freesAtLapse, budget.IsFree}, {w.broken.opensAtOnce, budget.IsOpen}} {
+		}{{w.broken.trustsClock, budget.IsExpire}, {w.broken.freesAtLapse, budget.IsRelease}, {w.broken.opensAtOnce, budget.IsOpen}} {
 			for _, body := range c.kind.DueCommands(now+60*second, w) {
 				if early.is && early.what(body) {
 					list = append(list, body)
@@ -371,7 +372,7 @@
 				if done := p.open[id]; done != nil {
 					delete(p.open, id)
 					if w.broken.fromAnswer {
-						out = budget.Longer(out, p.local()-asked)
+						out = budget.ResponseWithLongerLease(out, p.local()-asked)
 					}
 					done(replication.Response{Sequence: id, Result: replication.Committed, Body: out})
 				}
@@ -642,8 +643,8 @@
 	}
 }
 
-// lowered is how long after all is healed a smaller whole is in force at the latest: an earlier lease may have to end first, and
-// what was begun under it.
+// lowered is how long after all is healed a smaller whole is in force at the latest: an earlier lease may have to
+// end first, and what was begun under it.
 const lowered = 8 * second
 
 // check finds breaches of what is promised, from what was spent in true time alone.
@@ -761,7 +762,8 @@
 	}), 0, 14).Draw(t, "script")
 }
 
-// Whatever fails, no more than the whole is spent; all copies hold the same; once all is healed the whole is in use again.
+// Whatever fails, no more than the whole is spent; all copies hold the same; once all is healed the whole is in use
+// again.
 func TestSumNeverExceedsTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -793,8 +795,8 @@
 	return list
 }
 
-// Found by TestSumNeverExceedsTheWhole: a holder that had stood still came back after what it had begun was freed, still counted
-// it as in use, and was granted as much again.
+// Found by TestSumNeverExceedsTheWhole: a holder that had stood still came back after what it had begun was freed,
+// still counted it as in use, and was granted as much again.
 func TestBackAfterAllWasFreed(t *testing.T) {
 	_, breaches := history(0, 300*ms, []fault{{11, 0, 0, 20 * ms}, {0, 1, 4 * ms, 45 * ms}, {5, 3, 328 * ms, 89 * ms}, {11, 6, 0, 447 * ms},
 		{2, 9, 6934 * ms, 6946 * ms}, {0, 7, 1883 * ms, 4848 * ms}}, broken{})
--- /dev/null
+++ b/fleet/budget/holder_record.go
@@ -0,0 +1,118 @@
+package budget
+
+import (
+	"cmp"
+	"slices"
+
+	"chutechute/fleet/budget/account"
+	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
+)
+
+// maxHoldersPerFrontEnd bounds the incarnations per front end, lost ones among them, that are recorded at a time.
+const maxHoldersPerFrontEnd = 4
+
+// holderRecord is what the authority records of one lease holder, which is one incarnation of a front end.
+type holderRecord struct {
+	incarnation   replication.Incarnation
+	name          string
+	lastReport    uint64 // the number of the last report that was applied
+	grant         uint64 // the log index of the grant in the last response
+	previousGrant uint64 // the grant that this one replaces
+	expired       bool   // the lease has expired; what was spent under it may still be in use
+	hasStatic     bool   // static allocations are assigned to it
+	staticGrant   uint64 // the log index of the grant of static allocations in the last response
+	longestLease  monotime.Micros
+	statics       map[string]*staticAllocation
+	allocations   []*allocation // by budget and subject
+
+	// By this machine's clock, no part of the replicated state: when the lease has certainly expired, when it was
+	// found to have expired, and when the incarnation was found to be superseded (0 before).
+	leaseExpiresAt  monotime.Micros
+	expiredSince    monotime.Micros
+	supersededSince monotime.Micros
+}
+
+func (h *holderRecord) compareIncarnation(incarnation replication.Incarnation) int {
+	return cmp.Compare(h.incarnation, incarnation)
+}
+
+// holderIndex returns the position of a lease holder in the list, or where it is to be inserted.
+func (a *Authority) holderIndex(incarnation replication.Incarnation) (index int, found bool) {
+	return slices.BinarySearchFunc(a.holders, incarnation, (*holderRecord).compareIncarnation)
+}
+
+// holder returns the record of a lease holder, or nil.
+func (a *Authority) holder(incarnation replication.Incarnation) *holderRecord {
+	if i, found := a.holderIndex(incarnation); found {
+		return a.holders[i]
+	}
+	return nil
+}
+
+// addHolder returns a record for a lease holder that has none. It returns nil if its report says that it had one, or if
+// there are too many.
+func (a *Authority) addHolder(incarnation replication.Incarnation, report *command) *holderRecord {
+	if report.Grant != 0 || report.StaticGrant != 0 || report.Leaving {
+		return nil
+	}
+	if len(a.holders) >= maxHoldersPerFrontEnd*a.set.MaxFrontEnds {
+		return nil
+	}
+	h := &holderRecord{incarnation: incarnation, name: report.Name, statics: map[string]*staticAllocation{}}
+	i, _ := a.holderIndex(incarnation)
+	a.holders = slices.Insert(a.holders, i, h)
+	return h
+}
+
+func (a *Authority) removeHolder(h *holderRecord) {
+	if i, found := a.holderIndex(h.incarnation); found {
+		a.holders = slices.Delete(a.holders, i, i+1)
+	}
+}
+
+// removeIfDone removes an expired lease holder of which nothing is left.
+func (a *Authority) removeIfDone(h *holderRecord) {
+	if h.expired && len(h.allocations) == 0 && !h.hasStatic {
+		a.removeHolder(h)
+	}
+}
+
+// expire ends a lease. Rates are available again at once; for other kinds what may be in use stays outstanding.
+func (a *Authority) expire(h *holderRecord) {
+	h.expired, h.grant, h.previousGrant = true, 0, 0
+	h.expiredSince = a.now
+	a.updateAll(h, func(o *allocation) {
+		draining := o.outstanding()
+		if o.subject.kind == account.Rate {
+			draining = Amount{}
+		}
+		o.grantPair, o.inUse, o.demand = grantPair{previous: draining}, 0, 0
+	})
+	a.removeUnused(h)
+	a.removeIfDone(h)
+}
+
+// effectiveDrainTime returns how long work may go on after its lease has expired. What uses a concurrency limit ends
+// sooner if its incarnation has certainly ended, because nobody polls for it any more.
+func effectiveDrainTime(drainTime monotime.Micros, kind account.Kind, superseded bool) monotime.Micros {
+	if superseded && kind == account.Concurrency {
+		return min(drainTime, replication.AbandonTimeout)
+	}
+	return drainTime
+}
+
+// release releases what an expired lease holder had in use with a drain time of no more than elapsed. If the
+// incarnation is superseded, that applies to its static allocations as well.
+func (a *Authority) release(h *holderRecord, elapsed monotime.Micros, superseded bool) {
+	a.updateAll(h, func(o *allocation) {
+		if effectiveDrainTime(o.subject.drainTime, o.subject.kind, superseded) <= elapsed {
+			o.grantPair, o.inUse = grantPair{}, 0
+		}
+	})
+	a.removeUnused(h)
+	if superseded {
+		a.releaseStatic(h, elapsed)
+	}
+	a.removeIfDone(h)
+}
--- /dev/null
+++ b/fleet/budget/lease_holder.go
@@ -0,0 +1,234 @@
+package budget
+
+import (
+	"slices"
+
+	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
+	"chutechute/scheduler"
+)
+
+// Proposer proposes commands to the replicated state machine; see fleet.Node.
+type Proposer interface {
+	// Propose proposes a command and calls done with the response, if there is one. The id is never 0.
+	Propose(
+		now monotime.Micros, stateMachine, version uint32, body []byte, done func(replication.Response),
+	) (id uint64)
+	// Cancel abandons a proposal: done is not called any more. The command may still be committed.
+	Cancel(id uint64)
+}
+
+// Consumer spends budgets: the gateway, by way of package enforce.
+type Consumer interface {
+	// BudgetDemands returns the demand for all subjects' budgets and what is in use.
+	BudgetDemands(now monotime.Micros) []scheduler.BudgetDemand
+	// GrantBudgets sets what may be spent. It has to be in force before the consumer starts anything more.
+	GrantBudgets(now monotime.Micros, g Grant)
+}
+
+// Grant is what a front end may spend from now on.
+type Grant struct {
+	Set        *Set                     // the budgets, if they or NotInForce have changed; nil otherwise
+	NotInForce []string                 // budgets of the set that are not in force yet
+	Until      monotime.Micros          // when the lease expires
+	Leased     []scheduler.BudgetAmount // by budget and subject
+	Static     []scheduler.BudgetAmount // without a lease; nil: as before
+}
+
+// LeaseHolderConfig configures a LeaseHolder.
+type LeaseHolderConfig struct {
+	Name              string          // of the front end
+	Set               *Set            // of this front end's settings
+	MinReportInterval monotime.Micros // the shortest time between two reports
+}
+
+// leaseHolderPhase is whether a LeaseHolder uses its budgets.
+type leaseHolderPhase int
+
+const (
+	phaseActive    leaseHolderPhase = iota
+	phaseReleasing                  // everything is given back, and the authority has not confirmed it yet
+	phaseReleased
+)
+
+// LeaseHolder is one front end's side of the division. It counts a lease from before it requested it, drops it when it
+// expires by its own clock, and ignores responses to reports from before that.
+type LeaseHolder struct {
+	config   LeaseHolderConfig
+	proposer Proposer
+	consumer Consumer
+	now      monotime.Micros
+	phase    leaseHolderPhase
+
+	set              *Set // in force: the authority's, once it is known
+	encodedSet       []byte
+	notInForce       []string // budgets of the set
+	settingsAccepted bool     // the authority has this front end's settings
+
+	grant             uint64 // the grant in force; 0 without a lease
+	leaseExpiresAt    monotime.Micros
+	leased            map[subjectKey]Amount
+	staticGrant       uint64
+	statics           []scheduler.BudgetAmount
+	reportNumber      uint64 // of the last report
+	oldestValidReport uint64 // responses to earlier reports are ignored
+	baseReport        uint64 // the last report if it was answered, otherwise 0
+	reported          map[subjectKey]subjectDemand
+	reportedNothing   bool // the last report had no demand, and nothing was leased
+	reportedAt        monotime.Micros
+	reportDue         bool
+	pendingProposal   uint64 // the report without a response; 0 if there is none
+	demandCheckedAt   monotime.Micros
+
+	Reports          int  // reports so far
+	ChangedGrants    int  // grants that changed something
+	ExpiredLeases    int  // leases that expired without another one
+	LateResponses    int  // responses whose lease had expired when they came
+	SettingsConflict bool // this front end's settings have the authority's version but differ
+	SettingsOutdated bool // the authority's settings have a newer version than this front end's
+}
+
+// NewLeaseHolder returns a lease holder that may spend nothing yet.
+func NewLeaseHolder(config LeaseHolderConfig, proposer Proposer, consumer Consumer) *LeaseHolder {
+	h := &LeaseHolder{
+		config:   config,
+		proposer: proposer,
+		consumer: consumer,
+		reported: map[subjectKey]subjectDemand{},
+		leased:   map[subjectKey]Amount{},
+	}
+	h.setSettings(config.Set)
+	return h
+}
+
+// Start gives the consumer the budgets, of which it may spend nothing yet.
+func (h *LeaseHolder) Start(now monotime.Micros) {
+	h.now = now
+	h.enforce(h.set)
+}
+
+// SetNow sets the time for what is called before the next Tick.
+func (h *LeaseHolder) SetNow(now monotime.Micros) { h.now = now }
+
+// Reload changes this front end's own settings. They come into force once the authority has accepted them.
+func (h *LeaseHolder) Reload(now monotime.Micros, set *Set) {
+	h.now, h.config.Set, h.reportDue = now, set, true
+	h.SettingsConflict, h.settingsAccepted = false, false
+}
+
+// Notify has the lease holder report, as its share may have changed.
+func (h *LeaseHolder) Notify(now monotime.Micros) { h.now, h.reportDue = now, true }
+
+// Release gives everything back: nothing may be spent any more. Released reports when the authority knows it.
+func (h *LeaseHolder) Release(now monotime.Micros) {
+	h.now = now
+	if h.phase != phaseActive {
+		return
+	}
+	h.phase = phaseReleasing
+	h.reportDue, h.reportedAt = true, 0
+	h.cancelProposal()
+	h.statics, h.staticGrant = []scheduler.BudgetAmount{}, 0
+	h.dropLease()
+}
+
+// Released reports whether the authority knows that everything was given back, or there was never anything.
+func (h *LeaseHolder) Released() bool { return h.phase == phaseReleased || h.reportNumber == 0 }
+
+// Tick advances the time: a lease may expire, or a report be due.
+func (h *LeaseHolder) Tick(now monotime.Micros) {
+	h.now = now
+	if h.grant != 0 && now >= h.leaseExpiresAt {
+		h.ExpiredLeases++
+		h.reportDue = true
+		h.dropLease()
+	}
+	if h.phase == phaseReleased {
+		return
+	}
+	if h.pendingProposal != 0 {
+		if now-h.reportedAt < h.set.Lease/2 {
+			return
+		}
+		h.cancelProposal() // the next report has everything that this one had
+		h.reportDue = true
+	}
+	if now-h.reportedAt < h.minReportInterval() {
+		return
+	}
+	if !h.reportDue {
+		h.checkReportDue()
+	}
+	if h.reportDue {
+		h.report()
+	}
+}
+
+func (h *LeaseHolder) cancelProposal() {
+	if h.pendingProposal != 0 {
+		h.proposer.Cancel(h.pendingProposal)
+		h.pendingProposal = 0
+	}
+}
+
+// dropLease ends the lease here. Responses to reports so far are ignored.
+func (h *LeaseHolder) dropLease() {
+	h.grant, h.leaseExpiresAt, h.oldestValidReport = 0, h.now, h.reportNumber+1
+	clear(h.leased)
+	h.consumer.GrantBudgets(h.now, Grant{Until: h.now, Static: h.statics})
+}
+
+// leasedAmounts returns everything that is leased, by budget and subject.
+func (h *LeaseHolder) leasedAmounts() (list []scheduler.BudgetAmount) {
+	for key, amount := range h.leased {
+		list = append(list, scheduler.BudgetAmount{Budget: key.budget, Subject: key.subject, Amount: amount})
+	}
+	slices.SortFunc(list, func(a, b scheduler.BudgetAmount) int {
+		return subjectKey{a.Budget, a.Subject}.compare(subjectKey{b.Budget, b.Subject})
+	})
+	return list
+}
+
+func (h *LeaseHolder) setSettings(set *Set) { h.set, h.encodedSet = set, set.Encode() }
+
+// enforce has the consumer enforce another set. What is leased stays in force, as the authority has granted it.
+func (h *LeaseHolder) enforce(set *Set) {
+	h.setSettings(set)
+	h.consumer.GrantBudgets(h.now, Grant{
+		Set:        set,
+		NotInForce: h.notInForce,
+		Until:      h.leaseExpiresAt,
+		Leased:     h.leasedAmounts(),
+		Static:     h.statics,
+	})
+}
+
+// LeaseStatus is the state of a front end's lease, for operators.
+type LeaseStatus struct {
+	Version          uint64          `json:"version"`       // of the settings in force
+	OwnVersion       uint64          `json:"own_version"`   // of this front end's settings
+	Differs          bool            `json:"differs"`       // see LeaseHolder.SettingsConflict
+	Grant            uint64          `json:"grant"`         // the log index of the grant in force; 0 without a lease
+	LeaseRemainingUS monotime.Micros `json:"lease_left_us"` // until the lease expires, in microseconds
+	Reports          int             `json:"reports"`       // see LeaseHolder.Reports and the next fields
+	ChangedGrants    int             `json:"moved"`
+	ExpiredLeases    int             `json:"lapsed"`
+	LateResponses    int             `json:"too_late"`
+	HasStaticPart    bool            `json:"static_part"`
+}
+
+// Status returns the state of the lease.
+func (h *LeaseHolder) Status(now monotime.Micros) LeaseStatus {
+	return LeaseStatus{
+		Version:          h.set.Version,
+		OwnVersion:       h.config.Set.Version,
+		Differs:          h.SettingsConflict,
+		Grant:            h.grant,
+		LeaseRemainingUS: max(0, h.leaseExpiresAt-now),
+		Reports:          h.Reports,
+		ChangedGrants:    h.ChangedGrants,
+		ExpiredLeases:    h.ExpiredLeases,
+		LateResponses:    h.LateResponses,
+		HasStaticPart:    h.staticGrant != 0,
+	}
+}
--- /dev/null
+++ b/fleet/budget/status.go
@@ -0,0 +1,120 @@
+package budget
+
+import (
+	"fmt"
+
+	"chutechute/fleet/budget/account"
+	"chutechute/internal/monotime"
+)
+
+// Status is the state of a budget, for operators. Amounts are in units: queries, threads or milliseconds of work, per
+// second for rates.
+type Status struct {
+	Name      string          `json:"name"`
+	Kind      string          `json:"kind"`
+	Total     float64         `json:"whole"`
+	Burst     float64         `json:"burst,omitempty"`
+	WindowMS  int64           `json:"window_ms,omitempty"`
+	Reserve   float64         `json:"reserve"`     // for static allocations, whether they are assigned or not
+	Newcomers float64         `json:"newcomers"`   // reserved for who has no allocation yet
+	Open      bool            `json:"open"`        // granted: a new authority waits until earlier grants have expired
+	InForce   bool            `json:"in_force"`    // no more is outstanding than the total; false while a lowered one waits
+	SinceMS   int64           `json:"in_force_ms"` // for how long it has been in force, by this replica's clock
+	Subjects  []SubjectStatus `json:"subjects"`    // maxShownSubjects at most
+}
+
+// SubjectStatus is the division of one subject's budget.
+type SubjectStatus struct {
+	Subject string         `json:"subject,omitempty"`
+	Leased  float64        `json:"leased"`
+	Free    float64        `json:"free"`
+	Holders []HolderStatus `json:"holders"`
+}
+
+// HolderStatus is one lease holder's allocation of a subject's budget.
+type HolderStatus struct {
+	Name    string  `json:"name"`    // of the front end
+	Process string  `json:"process"` // the incarnation, hexadecimal
+	Want    float64 `json:"want"`    // demand
+	Granted float64 `json:"granted"`
+	Counted float64 `json:"counted"` // outstanding: what may be in force, or in use
+	InUse   float64 `json:"in_use"`
+	Lapsed  bool    `json:"lapsed"` // the lease has expired; what was spent under it may still be in use
+}
+
+// maxShownSubjects bounds the subjects of a budget in its Status.
+const maxShownSubjects = 100
+
+// units returns the quantity of an amount in units, per second for rates.
+func (s *Spec) units(amount Amount) float64 {
+	if s.Kind == account.Rate {
+		return inUnits(amount.Rate)
+	}
+	return inUnits(amount.Capacity)
+}
+
+func inUnits(thousandths int64) float64 { return float64(thousandths) / account.Unit }
+
+// Status returns the state of the budget with a name, or of all budgets if the name is empty. now is the time of this
+// replica's clock.
+func (a *Authority) Status(now monotime.Micros, name string) []Status {
+	list := []Status{}
+	if a.set == nil {
+		return list
+	}
+	keys := a.subjectKeys()
+	for i := range a.set.Specs {
+		if spec := &a.set.Specs[i]; name == "" || name == spec.Name {
+			list = append(list, a.budgetStatus(now, spec, keys))
+		}
+	}
+	return list
+}
+
+func (a *Authority) budgetStatus(now monotime.Micros, spec *Spec, keys []subjectKey) Status {
+	b := a.budgets[spec.Name]
+	status := Status{
+		Name:      spec.Name,
+		Kind:      spec.Kind.String(),
+		Total:     spec.units(spec.Total),
+		WindowMS:  spec.Window / monotime.Millisecond,
+		Reserve:   spec.units(b.staticReserved),
+		Newcomers: spec.units(spec.newcomerReserve()),
+		Open:      b.open,
+		InForce:   !a.exceedsTotal(spec),
+		Subjects:  []SubjectStatus{},
+	}
+	if spec.Kind == account.Rate {
+		status.Burst = inUnits(spec.Total.Capacity)
+	}
+	if status.InForce && b.inForceSince != 0 {
+		status.SinceMS = (now - b.inForceSince) / monotime.Millisecond
+	}
+	for _, key := range keys {
+		if key.budget == spec.Name && len(status.Subjects) < maxShownSubjects {
+			status.Subjects = append(status.Subjects, a.subjects[key].status(spec, b))
+		}
+	}
+	return status
+}
+
+func (s *subjectBudget) status(spec *Spec, b *budgetState) SubjectStatus {
+	status := SubjectStatus{
+		Subject: s.key.subject,
+		Leased:  spec.units(s.outstanding),
+		Free:    spec.units(spec.Total.Sub(s.outstanding).Sub(b.staticReserved)),
+		Holders: []HolderStatus{},
+	}
+	for _, o := range s.allocations {
+		status.Holders = append(status.Holders, HolderStatus{
+			Name:    o.holder.name,
+			Process: fmt.Sprintf("%016x", uint64(o.holder.incarnation)),
+			Want:    inUnits(o.demand),
+			Granted: spec.units(o.current),
+			Counted: spec.units(o.outstanding()),
+			InUse:   inUnits(o.inUse),
+			Lapsed:  o.holder.expired,
+		})
+	}
+	return status
+}
