--- /dev/null
+++ b/fleet/budget/enforce/scope.go
@@ -0,0 +1,137 @@
+package enforce
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"chutechute/fleet/budget"
+	"chutechute/fleet/budget/account"
+	"chutechute/internal/settings"
+	"chutechute/scheduler"
+)
+
+// Scope is what a budget applies to, as in the settings. Each, "*", gives every tenant or engine the total for itself.
+type Scope struct {
+	Tenant       string  `json:"tenant,omitempty"` // a name or "*"
+	Class        string  `json:"class,omitempty"`
+	Engine       string  `json:"engine,omitempty"` // "*"
+	EngineKind   string  `json:"engine_kind,omitempty"`
+	WarmingUp    bool    `json:"cold,omitempty"`    // only engines that are warming up
+	Retries      bool    `json:"further,omitempty"` // only attempts after the first
+	EarnedShare  float64 `json:"share,omitempty"`   // with further: the share of first attempts that is earned on top
+	HealthChecks bool    `json:"probes,omitempty"`  // only health checks
+	Unit         string  `json:"unit,omitempty"`    // queries, threads or work (milliseconds of it)
+	OnExceeded   string  `json:"over,omitempty"`    // refuse, wait or last
+}
+
+// Each is the tenant or engine of a Scope that stands for every one of them.
+const Each = "*"
+
+// The units and the ways of handling what exceeds a budget, by their names in the settings.
+var (
+	units = map[string]scheduler.BudgetUnit{
+		"":        scheduler.Queries,
+		"queries": scheduler.Queries,
+		"threads": scheduler.Threads,
+		"work":    scheduler.Work,
+	}
+	overflows = map[string]scheduler.Overflow{
+		"refuse": scheduler.RejectOverflow,
+		"wait":   scheduler.QueueOverflow,
+		"last":   scheduler.DeprioritizeOverflow,
+	}
+)
+
+// Rule returns the scheduler's rule for a budget with this scope. The error begins with the faulty key.
+func (s *Scope) Rule(spec *budget.Spec, site *settings.Settings) (rule scheduler.BudgetRule, err error) {
+	rule = scheduler.BudgetRule{
+		Name:               spec.Name,
+		Kind:               spec.Kind,
+		Window:             spec.Window,
+		MaxAttemptDuration: spec.MaxAttemptDuration,
+		Class:              -1,
+		Tenant:             -1,
+		EngineKind:         s.EngineKind,
+		WarmingUp:          s.WarmingUp,
+		Retries:            s.Retries,
+		HealthChecks:       s.HealthChecks,
+		Earned:             int64(s.EarnedShare * account.Unit),
+	}
+	if err := s.resolveNames(&rule, site); err != nil {
+		return rule, err
+	}
+	return rule, s.checkCombination(&rule)
+}
+
+// keyError returns the error of a faulty key.
+func keyError(key, format string, args ...any) error {
+	return fmt.Errorf("%s: %s", key, fmt.Sprintf(format, args...))
+}
+
+// resolveNames replaces the names in the scope by what they stand for at the site.
+func (s *Scope) resolveNames(rule *scheduler.BudgetRule, site *settings.Settings) error {
+	var ok bool
+	if s.Class != "" {
+		if rule.Class, ok = site.ClassOf[s.Class]; !ok {
+			return keyError("class", "the site has no %q", s.Class)
+		}
+	}
+	switch {
+	case s.Tenant == Each:
+		rule.EachTenant = true
+	case s.Tenant != "":
+		if rule.Tenant, ok = site.TenantOf[s.Tenant]; !ok {
+			return keyError("tenant", "the site has no %q", s.Tenant)
+		}
+	}
+	isKind := func(kind scheduler.EngineKind) bool { return kind.Name == s.EngineKind }
+	if s.EngineKind != "" && !slices.ContainsFunc(site.Kinds, isKind) {
+		return keyError("engine_kind", "the site has no %q", s.EngineKind)
+	}
+	switch s.Engine {
+	case "":
+	case Each:
+		rule.EachEngine = true
+	default:
+		return keyError("engine", "%q is not \"*\"", s.Engine)
+	}
+	if rule.Unit, ok = units[s.Unit]; !ok {
+		return keyError("unit", "%q is none of queries, threads and work", s.Unit)
+	}
+	if rule.Overflow, ok = overflows[s.OnExceeded]; !ok {
+		return keyError("over", "%q is none of refuse, wait and last", s.OnExceeded)
+	}
+	return nil
+}
+
+// checkCombination returns an error if the keys of the scope do not go together.
+func (s *Scope) checkCombination(rule *scheduler.BudgetRule) error {
+	forTenant := rule.EachTenant || rule.Tenant >= 0
+	each := rule.EachTenant || rule.EachEngine
+	switch {
+	case rule.EachEngine && rule.EachTenant:
+		return keyError("engine", "\"*\" stands with tenant \"*\"")
+	case (rule.WarmingUp || rule.EngineKind != "") && !rule.EachEngine:
+		return keyError("engine", "missing, with cold or engine_kind")
+	case rule.Overflow == scheduler.DeprioritizeOverflow && (!forTenant || rule.EachEngine || rule.Retries):
+		return keyError("over", "\"last\" takes a tenant, and neither engine nor further")
+	case s.EarnedShare < 0 || s.EarnedShare > 1,
+		s.EarnedShare > 0 && (!rule.Retries || each || rule.Kind != account.Rate):
+		return keyError("share",
+			"%g is not from 0 to 1, or stands without further and a rate, or with \"*\"", s.EarnedShare)
+	case rule.HealthChecks &&
+		(each || forTenant || rule.Class >= 0 || rule.Retries || rule.Unit != scheduler.Queries):
+		return keyError("probes", "stands alone")
+	}
+	return nil
+}
+
+// Encode returns the scope as JSON, for budget.Spec.
+func (s *Scope) Encode() []byte {
+	b, err := json.Marshal(s)
+	if err != nil {
+		panic(err) // no field of a scope can fail
+	}
+	return b
+}
--- a/fleet/budget/status.go
+++ b/fleet/budget/status.go
@@ -18,7 +18,7 @@
 	Reserve   float64         `json:"reserve"`     // for static allocations, whether they are assigned or not
 	Newcomers float64         `json:"newcomers"`   // reserved for who has no allocation yet
 	Open      bool            `json:"open"`        // granted: a new authority waits until earlier grants have expired
-	InForce   bool            `json:"in_force"`    // no more is outstanding than the total; false while a lowered one waits
+	InForce   bool            `json:"in_force"`    // no more is outstanding than the total, which may have been lowered
 	SinceMS   int64           `json:"in_force_ms"` // for how long it has been in force, by this replica's clock
 	Subjects  []SubjectStatus `json:"subjects"`    // maxShownSubjects at most
 }
