--- a/fleet/budget/figures_test.go
+++ b/fleet/budget/figures_test.go
@@ -10,176 +10,204 @@
 
 	"chutechute/fleet/budget"
 	"chutechute/fleet/budget/account"
+	"chutechute/internal/monotime"
 )
 
-// fleetOf is a calm world of so many front ends with one budget of a rate and a burst of half a second's.
-func fleetOf(n int, rate int64, lease micros) *world {
-	set := &budget.Set{Version: 1, Lease: lease, MaxFrontEnds: n, Specs: []budget.Spec{{Name: "rate", Kind: account.Rate,
-		Total: budget.Amount{Capacity: rate * 500, Rate: rate * 1000}, Reserve: 20, NewcomerReserve: 5, MinPart: 1000}}}
-	w := newWorld(1, set, n, broken{})
-	for _, h := range w.holders {
-		h.want = 1
-	}
+// newFleet returns a world without faults in which a number of front ends share one rate per second, with a burst of
+// half a second's.
+func newFleet(frontEnds int, rate int64, lease monotime.Micros) *world {
+	set := &budget.Set{Version: 1, Lease: lease, MaxFrontEnds: frontEnds, Specs: []budget.Spec{{
+		Name: "rate", Kind: account.Rate, Total: budget.Amount{Capacity: rate * 500, Rate: rate * account.Unit},
+		Reserve: 20, NewcomerReserve: 5, MinPart: 1000,
+	}}}
+	w := newWorld(1, set, frontEnds, defects{})
+	w.setDemand(1)
 	return w
 }
 
-// oracle is what could be spent in a second by who knows all demand.
-func (w *world) oracle() float64 {
-	total := 0.0
-	for _, h := range w.holders {
-		total += h.want
+// totalRate returns the rate that the fleet shares, per second.
+func (w *world) totalRate() float64 { return float64(w.newestSet.Specs[0].Total.Rate) / account.Unit }
+
+// rateInUse returns what was spent per second in the last span.
+func (w *world) rateInUse(span monotime.Micros) float64 {
+	return w.shareInUse(&w.newestSet.Specs[0], span) * w.totalRate()
+}
+
+// oracleRate returns what could be spent per second if all demand were known.
+func (w *world) oracleRate() float64 { return min(w.totalDemand(), w.totalRate()) }
+
+// evenRate returns what could be spent per second with an even division.
+func (w *world) evenRate() (rate float64) {
+	share := w.totalRate() / float64(len(w.frontEnds))
+	for _, f := range w.frontEnds {
+		rate += min(f.demand, share)
 	}
-	return min(total, float64(w.set.Specs[0].Total.Rate)/1000)
+	return rate
 }
 
-// even is what an even division would let be spent in a second, and guess what each front end's guess at its part
-// does, which is its demand over 1.4 times the whole and an even part at least: what it would let be spent may be
-// more than the whole.
-func (w *world) even() (even, guess float64) {
-	whole := float64(w.set.Specs[0].Total.Rate) / 1000
-	for _, h := range w.holders {
-		even += min(h.want, whole/float64(len(w.holders)))
-		guess += min(h.want, whole*max(min(1, h.want/(1.4*whole)), 1/float64(len(w.holders))))
+// guessedRate returns what would be spent per second if each front end guessed its share, as its demand over 1.4 times
+// the total and an even share at least. It may be more than the total.
+func (w *world) guessedRate() (rate float64) {
+	total := w.totalRate()
+	for _, f := range w.frontEnds {
+		rate += min(f.demand, total*max(min(1, f.demand/(1.4*total)), 1/float64(len(w.frontEnds))))
 	}
-	return even, guess
+	return rate
 }
 
-func (w *world) rate(span micros) float64 {
-	return w.used(&w.set.Specs[0], span) * float64(w.set.Specs[0].Total.Rate) / 1000
+// rateOf returns the rate that a front end may spend, in thousandths per second.
+func (w *world) rateOf(i int) float64 {
+	p := w.frontEnds[i].process
+	now := p.localTime()
+	lease, static, _ := p.books["rate"].Account(now, "").Amounts(now)
+	return float64(lease.Rate + static.Rate)
 }
 
-// The whole is in use under steady, skewed and moving demand, against an oracle; and how soon a move of demand is
-// followed.
-func TestShareInUse(t *testing.T) {
+// The total is in use under steady, skewed and changing demand, compared with an oracle.
+func TestShareOfTheTotalInUse(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		want func(i int, at micros) float64
+		name   string
+		demand func(i int, at monotime.Micros) float64
 	}{
-		{"steady, all alike", func(int, micros) float64 { return 60 }},
-		{"steady, one has nearly all", func(i int, _ micros) float64 { return []float64{400, 5, 5, 5, 5}[i] }},
-		{"steady, below the whole", func(i int, _ micros) float64 { return []float64{90, 40, 10, 5, 5}[i] }},
-		{"moves each 2 s", func(i int, at micros) float64 { return []float64{300, 20, 20, 20, 20}[(i+int(at/(2*second)))%5] }},
+		{"steady, all alike", func(int, monotime.Micros) float64 { return 60 }},
+		{"steady, one has nearly all", func(i int, _ monotime.Micros) float64 { return []float64{400, 5, 5, 5, 5}[i] }},
+		{"steady, below the total", func(i int, _ monotime.Micros) float64 { return []float64{90, 40, 10, 5, 5}[i] }},
+		{"moves every 2 s", func(i int, at monotime.Micros) float64 {
+			return []float64{300, 20, 20, 20, 20}[(i+int(at/(2*second)))%5]
+		}},
 	} {
-		w := fleetOf(5, 200, 2*second)
+		w := newFleet(5, 200, 2*second)
 		w.run(8 * second)
 		got, oracle, even, guess := 0.0, 0.0, 0.0, 0.0
 		for k := range 40 {
-			for i, h := range w.holders {
-				h.want = c.want(i, w.now)
+			for i, f := range w.frontEnds {
+				f.demand = c.demand(i, w.now)
 			}
 			w.run(w.now + second/2)
 			if k >= 8 {
-				e, g := w.even()
-				got, oracle, even, guess = got+w.rate(second/2), oracle+w.oracle(), even+e, guess+g
+				got, oracle = got+w.rateInUse(second/2), oracle+w.oracleRate()
+				even, guess = even+w.evenRate(), guess+w.guessedRate()
 			}
 		}
-		t.Logf("%-28s %.2f of the oracle; an even division %.2f, a guess at one's part %.2f", c.name, got/oracle, even/oracle, guess/oracle)
+		t.Logf("%-28s %.2f of the oracle; an even division %.2f, a guess at one's share %.2f",
+			c.name, got/oracle, even/oracle, guess/oracle)
 		assert.Greater(t, got/oracle, 0.75, c.name)
 		assert.GreaterOrEqual(t, got/oracle, even/oracle-0.05, c.name)
 	}
-	w := fleetOf(5, 200, 2*second)
-	w.holders[0].want = 300
+	checkShareFollowsDemand(t)
+}
+
+// checkShareFollowsDemand measures how soon the division follows when all demand moves from one front end to another.
+func checkShareFollowsDemand(t *testing.T) {
+	w := newFleet(5, 200, 2*second)
+	w.frontEnds[0].demand = 300
 	w.run(12 * second)
-	w.holders[0].want, w.holders[3].want = 1, 300
-	moved := w.now
-	has := func() float64 {
-		now := w.holders[3].proc.local()
-		lease, static, _ := w.holders[3].proc.books["rate"].Account(now, "").Amounts(now)
-		return float64(lease.Rate + static.Rate)
-	}
-	followed := map[micros]float64{}
-	for at := moved; at < moved+5*second; at += 10 * ms {
+	w.frontEnds[0].demand, w.frontEnds[3].demand = 1, 300
+	movedAt := w.now
+	rates := map[monotime.Micros]float64{}
+	for at := movedAt; at < movedAt+5*second; at += 10 * millisecond {
 		w.run(at)
-		followed[at] = has()
+		rates[at] = w.rateOf(3)
 	}
-	at := moved
-	for followed[at] < 0.9*has() {
-		at += 10 * ms
+	followedAt := movedAt
+	for rates[followedAt] < 0.9*w.rateOf(3) {
+		followedAt += 10 * millisecond
 	}
-	t.Logf("90%% of a move of all demand is followed in %d ms; it then has %.2f of the whole", (at-moved)/ms, has()/200_000)
-	assert.Less(t, at-moved, second*7/10, "of virtual time")
-	assert.Greater(t, has(), 0.85*200_000)
+	t.Logf("90%% of a move of all demand is followed in %d ms; the front end then has %.2f of the total",
+		(followedAt-movedAt)/millisecond, w.rateOf(3)/200_000)
+	assert.Less(t, followedAt-movedAt, second*7/10, "of virtual time")
+	assert.Greater(t, w.rateOf(3), 0.85*200_000)
 	require.Empty(t, w.check())
 }
 
-// Shares are max-min fair: none that wants more has less than any other, by weight, and no more is given than there is.
+// Shares are max-min fair: none with more demand has less than any other, by weight, and no more is granted than there
+// is. Here 5 and 30 are granted in full, and the other three share 165 evenly.
 func TestSharesAreFair(t *testing.T) {
-	w := fleetOf(5, 200, 2*second)
-	for i, want := range []float64{5, 30, 80, 150, 400} {
-		w.holders[i].want = want
+	w := newFleet(5, 200, 2*second)
+	for i, demand := range []float64{5, 30, 80, 150, 400} {
+		w.frontEnds[i].demand = demand
 	}
 	w.run(14 * second)
-	// 5 and 30 are served whole; the other three share 165 evenly
 	for i, share := range []float64{5, 30, 55, 55, 55} {
-		now := w.holders[i].proc.local()
-		lease, static, _ := w.holders[i].proc.books["rate"].Account(now, "").Amounts(now)
-		assert.InDelta(t, share, float64(lease.Rate+static.Rate)/1000, share*0.2+3, "of %d", i)
+		assert.InDelta(t, share, w.rateOf(i)/account.Unit, share*0.2+3, "of %d", i)
 	}
 }
 
-// Messages, bytes and commits by front ends and by budgets; long.
+// cost is what a world's messages and commits have cost so far.
+type cost struct {
+	reports, messageBytes, commits int
+	measuredAt                     time.Time
+}
+
+func (w *world) cost() cost { return cost{w.reports, w.messageBytes, len(w.log), time.Now()} }
+
+// since returns the cost per second of virtual time, and the processor time of a report.
+func (c cost) since(before cost, span monotime.Micros) (reports, commits, kilobytes float64, perReport time.Duration) {
+	seconds := float64(span) / float64(second)
+	elapsed := c.measuredAt.Sub(before.measuredAt)
+	return float64(c.reports-before.reports) / seconds, float64(c.commits-before.commits) / seconds,
+		float64(c.messageBytes-before.messageBytes) / seconds / 1024,
+		elapsed / time.Duration(max(1, c.reports-before.reports))
+}
+
+// Messages, bytes and commits by the number of front ends and of budgets; long.
 func TestCostOfDividing(t *testing.T) {
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("long")
 	}
-	for _, n := range []int{3, 9, 80, 500} {
-		w := fleetOf(n, 2000, 2*second)
-		for _, h := range w.holders {
-			h.want = 3000 / float64(n)
-		}
+	for _, frontEnds := range []int{3, 9, 80, 500} {
+		w := newFleet(frontEnds, 2000, 2*second)
+		w.setDemand(3000 / float64(frontEnds))
 		w.run(8 * second)
-		asks, bytes, commits, steps := w.asks, w.bytes, len(w.log), time.Now()
+		before := w.cost()
 		w.run(12 * second)
-		t.Logf("%3d front ends, one budget: %.0f reports, %.0f commits and %.1f KB a second; a report takes %.0f us of a core", n,
-			float64(w.asks-asks)/4, float64(len(w.log)-commits)/4, float64(w.bytes-bytes)/4/1024,
-			float64(time.Since(steps).Microseconds())/float64(max(1, w.asks-asks)))
+		reports, commits, kilobytes, perReport := w.cost().since(before, 4*second)
+		t.Logf("%3d front ends, one budget: %.0f reports, %.0f commits and %.1f KB a second; "+
+			"a report takes %d us of a core", frontEnds, reports, commits, kilobytes, perReport.Microseconds())
 		require.Empty(t, w.check())
 	}
-	for _, each := range []int{100, 2000, 10000} {
-		set := &budget.Set{Version: 1, Lease: 2 * second, MaxFrontEnds: 9, Specs: []budget.Spec{{Name: "each", Kind: account.Window, Window: second,
-			Total: budget.Amount{Capacity: 20_000}, Reserve: 30, NewcomerReserve: 10, MinPart: 1}}}
-		w := newWorld(1, set, 9, broken{})
-		for _, c := range w.copies {
-			c.kind = budget.NewAuthority(budget.Options{Instances: budget.MaxInstances})
-		}
-		w.each = each
-		for _, h := range w.holders {
-			h.want = 1000
-		}
+	for _, subjects := range []int{100, 2000, 10000} {
+		w := newWorld(1, subjectsSet(9, 20_000, 30, 10, 1), 9, defects{})
+		w.setMaxSubjects(budget.MaxInstances)
+		w.subjects = subjects
+		w.setDemand(1000)
 		w.run(8 * second)
-		asks, bytes, commits, began := w.asks, w.bytes, len(w.log), time.Now()
+		before := w.cost()
 		w.run(10 * second)
-		t.Logf("9 front ends, %5d budgets: %.0f reports, %.0f commits and %.0f KB a second; a report takes %.1f ms of a core", each,
-			float64(w.asks-asks)/2, float64(len(w.log)-commits)/2, float64(w.bytes-bytes)/2/1024,
-			float64(time.Since(began).Microseconds())/1000/float64(max(1, w.asks-asks)))
+		reports, commits, kilobytes, perReport := w.cost().since(before, 2*second)
+		t.Logf("9 front ends, %5d budgets: %.0f reports, %.0f commits and %.0f KB a second; "+
+			"a report takes %.1f ms of a core", subjects, reports, commits, kilobytes, perReport.Seconds()*1000)
 	}
 }
 
-// 2,000 engines begin cold at once, each with a budget of its own, and 10,000 tenants: all stay within their
-// wholes, and the record within its bound.
-func TestThousandsOfBudgets(t *testing.T) {
-	for _, each := range []int{2000, 10000} {
-		set := &budget.Set{Version: 1, Lease: 2 * second, MaxFrontEnds: 5, Specs: []budget.Spec{{Name: "each", Kind: account.Window, Window: second,
-			Total: budget.Amount{Capacity: 5_000}, Reserve: 0, MinPart: 1000}}}
-		w := newWorld(1, set, 5, broken{})
-		for _, c := range w.copies {
-			c.kind = budget.NewAuthority(budget.Options{Instances: each / 2})
-		}
-		w.each = each
-		for _, h := range w.holders {
-			h.want = 400
-		}
+// subjectsSet returns a set with one budget of a window of a second.
+func subjectsSet(frontEnds int, capacity, reserve, newcomerReserve, minPart int64) *budget.Set {
+	return &budget.Set{Version: 1, Lease: 2 * second, MaxFrontEnds: frontEnds, Specs: []budget.Spec{{
+		Name: "each", Kind: account.Window, Window: second, Total: budget.Amount{Capacity: capacity},
+		Reserve: reserve, NewcomerReserve: newcomerReserve, MinPart: minPart,
+	}}}
+}
+
+// 2,000 engines that warm up at once, each with a budget of its own, and 10,000 tenants: all stay within their totals,
+// and the authority within its limit.
+func TestThousandsOfBudgetsStayWithinTheirTotals(t *testing.T) {
+	for _, subjects := range []int{2000, 10000} {
+		set := subjectsSet(5, 5_000, 0, 0, 1000)
+		w := newWorld(1, set, 5, defects{})
+		w.setMaxSubjects(subjects / 2)
+		w.subjects = subjects
+		w.setDemand(400)
 		w.run(8 * second)
-		bySubject := map[string][]*spend{}
-		for _, s := range w.spends {
-			bySubject[s.subject] = append(bySubject[s.subject], s)
+		bySubject := map[string][]*expense{}
+		for _, e := range w.expenses {
+			bySubject[e.subject] = append(bySubject[e.subject], e)
 		}
-		for subject, list := range bySubject {
-			require.Empty(t, checkSpends(&set.Specs[0], list), subject)
+		for subject, expenses := range bySubject {
+			require.Empty(t, checkExpenses(&set.Specs[0], expenses), subject)
 		}
-		assert.Greater(t, len(bySubject), each/8, "subjects of which something was spent")
-		for _, s := range w.copies[0].kind.Status(0, "") {
-			assert.LessOrEqual(t, len(s.Subjects), 100)
+		assert.Greater(t, len(bySubject), subjects/8, "subjects of which something was spent")
+		for _, status := range w.replicas[0].authority.Status(0, "") {
+			assert.LessOrEqual(t, len(status.Subjects), 100)
 		}
 	}
 }
