--- a/fleet/budget/fairshare.go
+++ b/fleet/budget/fairshare.go
@@ -36,10 +36,12 @@
 		totalWeight += c.weight
 		order = append(order, i)
 	}
-	waterLevel := func(i int) int64 { // at which a claim is met
-		return mulDiv(claims[i].demand-shares[i], waterLevelUnit, claims[i].weight)
-	}
-	slices.SortStableFunc(order, func(i, j int) int { return cmp.Compare(waterLevel(i), waterLevel(j)) })
+	slices.SortStableFunc(order, func(i, j int) int { // by the water level at which a claim is met
+		a, b := claims[i], claims[j]
+		levelOfA := mulDiv(a.demand-shares[i], waterLevelUnit, a.weight)
+		levelOfB := mulDiv(b.demand-shares[j], waterLevelUnit, b.weight)
+		return cmp.Compare(levelOfA, levelOfB)
+	})
 	weight := totalWeight
 	for _, i := range order {
 		c := claims[i]
--- a/fleet/budget/holder_record.go
+++ b/fleet/budget/holder_record.go
@@ -26,11 +26,10 @@
 	statics       map[string]*staticAllocation
 	allocations   []*allocation // by budget and subject
 
-	// By this machine's clock, no part of the replicated state: when the lease has certainly expired, when it was
-	// found to have expired, and when the incarnation was found to be superseded (0 before).
-	leaseExpiresAt  monotime.Micros
-	expiredSince    monotime.Micros
-	supersededSince monotime.Micros
+	// By this machine's clock, no part of the replicated state.
+	leaseExpiresAt  monotime.Micros // when the lease has certainly expired
+	expiredSince    monotime.Micros // since when it has
+	supersededSince monotime.Micros // since when the incarnation is known to be superseded; 0 while it is not
 }
 
 func (h *holderRecord) compareIncarnation(incarnation replication.Incarnation) int {
--- a/fleet/budget/spec.go
+++ b/fleet/budget/spec.go
@@ -47,7 +47,7 @@
 	return 0
 }
 
-// permille is the whole, in thousandths.
+// permille is all of something, in thousandths.
 const permille = 1000
 
 // thousandths returns n thousandths of an amount.
@@ -98,12 +98,12 @@
 	minLease       = monotime.Second / 10
 	maxLease       = 600 * monotime.Second
 	maxFrontEnds   = 10_000
-	maxNameLength  = 64  // bytes, of budgets and subjects
-	maxScopeLength = 512 // bytes
-	maxTotal       = 1_000_000_000_000
+	maxNameLength  = 64                // bytes, of budgets and subjects
+	maxScopeLength = 512               // bytes
+	maxTotal       = 1_000_000_000_000 // thousandths of a unit, per second for rates
 	maxWindow      = 3600 * monotime.Second
 	maxAttempt     = 3600 * monotime.Second
-	maxWeight      = 1_000_000
+	maxWeight      = 1_000_000 // thousandths
 )
 
 // ErrInvalidSet is the error of a Set that cannot be used.
