--- /dev/null
+++ b/fleet/idempotency/apply.go
@@ -0,0 +1,195 @@
+package idempotency
+
+import (
+	"slices"
+
+	"chutechute/fleet/replication"
+)
+
+// committedCommand is a command with who proposed it and where in the log it was committed.
+type committedCommand struct {
+	*Command
+	replication.ApplyContext
+	proposer replication.Incarnation
+}
+
+// Apply carries out a committed command. It returns an encoded Response, or nothing for Transfer, for the commands of
+// the leader, and for bytes that are no command.
+func (r *Registry) Apply(at replication.ApplyContext, proposer replication.Incarnation, body []byte) []byte {
+	command, err := DecodeCommand(body)
+	if err != nil {
+		return nil
+	}
+	c := &committedCommand{Command: command, ApplyContext: at, proposer: proposer}
+	rec := r.records[c.IdempotencyKey]
+	switch c.Op {
+	case Register:
+		return r.register(c, rec)
+	case AuthorizeAttempt:
+		return r.authorizeAttempt(c, rec)
+	case Complete:
+		return r.complete(c, rec)
+	case Inspect:
+		return r.inspect(rec)
+	}
+	if rec == nil {
+		return nil
+	}
+	switch c.Op {
+	case Expire:
+		r.expire(c, rec)
+	case Forget:
+		r.evict(c, rec)
+	case OfferTransfer:
+		offerTransfer(c, rec)
+	case Transfer:
+		transfer(c, rec)
+	}
+	return nil
+}
+
+// register adds a record, or joins the one of the same idempotency key.
+func (r *Registry) register(c *committedCommand, rec *record) []byte {
+	if rec != nil {
+		return r.join(c, rec)
+	}
+	rec = newRecord(c)
+	if r.bytes+rec.size() > r.options.MaxBytes {
+		return r.respond(nil, CapacityExceeded)
+	}
+	r.add(rec)
+	return r.respond(rec, OK)
+}
+
+// join registers a request of which there is a record: the proposer renews its registration, takes over, or waits.
+func (r *Registry) join(c *committedCommand, rec *record) []byte {
+	switch {
+	case !rec.sameRequest(c):
+		return r.respond(rec, Conflict)
+	case rec.phase.Finished():
+	case rec.owner == c.proposer:
+		if rec.phase == Waiting && rec.requestID != c.RequestID {
+			rec.registerAgain(c)
+		}
+	case rec.phase == Waiting && c.TakeOver:
+		c.Notify(rec.owner, rec.idempotencyKey)
+		rec.registerAgain(c)
+		rec.ownerMissedAt = 0
+	case !slices.Contains(rec.watchers, c.proposer):
+		rec.watchers = append(rec.watchers, c.proposer)
+		c.Notify(rec.owner, rec.idempotencyKey) // an owner that tracks the request no more then releases it
+	}
+	return r.respond(rec, OK)
+}
+
+// authorizeAttempt authorizes the owner to start an attempt, if its request is first in its queue. An attempt that was
+// authorized already stays so.
+func (r *Registry) authorizeAttempt(c *committedCommand, rec *record) []byte {
+	switch {
+	case rec == nil:
+		return r.respond(nil, NotFound)
+	case rec.phase.Finished() || !rec.ownedBy(c):
+		return r.respond(rec, Denied)
+	case !r.isFirst(rec):
+		return r.respond(rec, Blocked)
+	case rec.hasAttempt(c.Attempt):
+		return r.respond(rec, OK)
+	}
+	rec.attempts = append(rec.attempts, attempt{c.Attempt, c.Engine, c.RequestID, c.proposer})
+	rec.phase, rec.changedIndex, rec.changedAt = Started, c.Index, c.Now
+	return r.respond(rec, OK)
+}
+
+// complete commits the outcome of a request, unless it has one. A request that never ran is removed.
+func (r *Registry) complete(c *committedCommand, rec *record) []byte {
+	switch {
+	case rec == nil:
+		return r.respond(nil, NotFound)
+	case rec.phase.Finished():
+		return r.respond(rec, OK) // the first outcome stays
+	case !rec.ownedBy(c):
+		return r.respond(rec, Denied)
+	case c.Outcome == Unregistered:
+		r.remove(c, rec)
+		return r.respond(nil, OK)
+	case c.Outcome == Served && len(c.Rows) > MaxOutcomeBytes:
+		r.finish(c, rec, Failed, nil)
+	case c.Outcome == Served || c.Outcome == Failed:
+		r.finish(c, rec, c.Outcome, c.Rows)
+	default:
+		return r.respond(rec, Denied)
+	}
+	return r.respond(rec, OK)
+}
+
+// inspect returns the state of a record.
+func (r *Registry) inspect(rec *record) []byte {
+	if rec == nil {
+		return r.respond(nil, NotFound)
+	}
+	return r.respond(rec, OK)
+}
+
+// expire ends a request of which no attempt can run any more. One that may have run fails; another is removed.
+func (r *Registry) expire(c *committedCommand, rec *record) {
+	switch {
+	case rec.changedIndex != c.ChangedIndex || rec.phase.Finished():
+	case rec.phase == Started:
+		r.finish(c, rec, Failed, nil)
+	default:
+		r.remove(c, rec)
+	}
+}
+
+// evict removes a record whose outcome was retained long enough.
+func (r *Registry) evict(c *committedCommand, rec *record) {
+	if rec.changedIndex == c.ChangedIndex && rec.phase.Finished() {
+		r.remove(c, rec)
+	}
+}
+
+// offerTransfer gives a started request a new owner, or notifies the owner again that it is one.
+func offerTransfer(c *committedCommand, rec *record) {
+	if rec.changedIndex != c.ChangedIndex || rec.phase != Started {
+		return
+	}
+	rec.changedAt = c.Now
+	if newOwner := replication.Incarnation(c.NewOwner); rec.owner != newOwner {
+		rec.setOwner(c, newOwner)
+		rec.registeredAt = c.Now
+	}
+	c.Notify(rec.owner, rec.idempotencyKey)
+}
+
+// transfer leaves a started request without an owner; the leader then offers it to another front end.
+func transfer(c *committedCommand, rec *record) {
+	if rec.ownedBy(c) && rec.phase == Started {
+		rec.setOwner(c, 0)
+	}
+}
+
+// respond returns the encoded response to a command: its status and the state of the record. A nil record and one that
+// belongs to another request are not shown.
+func (r *Registry) respond(rec *record, status Status) []byte {
+	response := Response{Status: status}
+	if rec == nil || status == Conflict {
+		return response.Encode()
+	}
+	response.Phase = rec.phase
+	response.Owner = uint64(rec.owner)
+	response.Epoch = rec.epoch
+	response.Index = rec.index
+	response.FirstOfKey = r.isFirst(rec)
+	response.OwnerRequestID = rec.requestID
+	response.Rows = rec.rows
+	if rec.phase == Started {
+		last := rec.lastAttempt()
+		response.TTL = rec.ttl
+		response.Engine = last.engine
+		response.StartedRequestID = last.requestID
+		response.Class = rec.class
+		response.OrderKey = rec.orderKey
+		response.StatementDigest = rec.statementDigest
+	}
+	return response.Encode()
+}
--- a/fleet/idempotency/golden_test.go
+++ b/fleet/idempotency/golden_test.go
@@ -8,72 +8,167 @@
 
 	"chutechute/fleet/replication"
 	"chutechute/internal/golden"
+	"chutechute/internal/monotime"
 )
 
+func recodeCommand(b []byte) ([]byte, error) {
+	command, err := DecodeCommand(b)
+	return command.Encode(), err
+}
+
+func recodeResponse(b []byte) ([]byte, error) {
+	response, err := DecodeResponse(b)
+	return response.Encode(), err
+}
+
+// Commands of every kind and responses are encoded to the recorded bytes, and those come through decoding unchanged.
 func TestWireFormat(t *testing.T) {
-	recodeCommand := func(b []byte) ([]byte, error) {
-		c, err := DecodeCommand(b)
-		return c.Encode(), err
+	command := Command{
+		Op:              Register,
+		IdempotencyKey:  "once-1",
+		OrderKey:        "key",
+		Tenant:          "desk",
+		Class:           "load",
+		StatementDigest: []byte{1, 2, 3},
+		RequestID:       "call-1",
+		TTL:             25_000_000,
+		TakeOver:        true,
+		Epoch:           300,
+		Attempt:         2,
+		Engine:          "s-00000001",
+		Outcome:         Served,
+		Rows:            []byte("rows"),
+		ChangedIndex:    301,
+		NewOwner:        1 << 61,
 	}
-	recodeView := func(b []byte) ([]byte, error) {
-		v, err := DecodeResponse(b)
-		return v.Encode(), err
+	messages := []golden.Message{
+		{Name: "command-empty", Encoded: (&Command{}).Encode(), Recode: recodeCommand},
 	}
-	whole := Command{Op: Register, IdempotencyKey: "once-1", OrderKey: "key", Tenant: "desk", Class: "load", StatementDigest: []byte{1, 2, 3}, RequestID: "call-1",
-		TTL: 25_000_000, TakeOver: true, Epoch: 300, Attempt: 2, Engine: "s-00000001", Outcome: Served, Rows: []byte("rows"), ChangedIndex: 301,
-		NewOwner: 1 << 61}
-	list := []golden.Message{{Name: "command-empty", Encoded: (&Command{}).Encode(), Recode: recodeCommand}}
 	for op := Register; op <= Transfer; op++ {
-		whole.Op = op
-		list = append(list, golden.Message{Name: fmt.Sprintf("command-%d", op), Encoded: whole.Encode(), Recode: recodeCommand})
+		command.Op = op
+		name := fmt.Sprintf("command-%d", op)
+		messages = append(messages, golden.Message{Name: name, Encoded: command.Encode(), Recode: recodeCommand})
+	}
+	response := Response{
+		Status:           CapacityExceeded,
+		Phase:            Failed,
+		Owner:            1 << 61,
+		Epoch:            300,
+		Index:            299,
+		FirstOfKey:       true,
+		OwnerRequestID:   "call-1",
+		Rows:             []byte("rows"),
+		TTL:              25_000_000,
+		Engine:           "s-00000001",
+		StartedRequestID: "call-0",
+		Class:            "load",
+		OrderKey:         "key",
+		StatementDigest:  []byte{1, 2, 3},
 	}
-	view := Response{Status: CapacityExceeded, Phase: Failed, Owner: 1 << 61, Epoch: 300, Index: 299, FirstOfKey: true, OwnerRequestID: "call-1", Rows: []byte("rows"),
-		TTL: 25_000_000, Engine: "s-00000001", StartedRequestID: "call-0", Class: "load", OrderKey: "key", StatementDigest: []byte{1, 2, 3}}
-	list = append(list, golden.Message{Name: "view", Encoded: view.Encode(), Recode: recodeView},
-		golden.Message{Name: "view-empty", Encoded: (&Response{}).Encode(), Recode: recodeView})
-	golden.Messages(t, "testdata/messages.txt", list)
+	messages = append(messages,
+		golden.Message{Name: "view", Encoded: response.Encode(), Recode: recodeResponse},
+		golden.Message{Name: "view-empty", Encoded: (&Response{}).Encode(), Recode: recodeResponse},
+	)
+	golden.Messages(t, "testdata/messages.txt", messages)
 }
 
-// The answers to a sequence of commands that reaches every phase, and the snapshot after it.
+// testOptions are those of the registry whose states were recorded.
+var testOptions = Options{MaxBytes: 1 << 20, Retention: 60 * monotime.Second, OrphanTimeout: 3 * monotime.Second}
+
+// recordedRegistry is a registry of which each command's response is noted for the comparison.
+type recordedRegistry struct {
+	t         *testing.T
+	registry  *Registry
+	at        replication.ApplyContext
+	responses []golden.Message
+}
+
+func (r *recordedRegistry) apply(proposer replication.Incarnation, command Command) Response {
+	r.at.Index++
+	r.at.Now += 1000
+	encoded := r.registry.Apply(r.at, proposer, command.Encode())
+	name := fmt.Sprintf("answer-%d", r.at.Index)
+	r.responses = append(r.responses, golden.Message{Name: name, Encoded: encoded, Recode: recodeResponse})
+	response, err := DecodeResponse(encoded)
+	require.NoError(r.t, err)
+	return response
+}
+
+func (r *recordedRegistry) register(proposer replication.Incarnation, idempotencyKey, orderKey string) (epoch uint64) {
+	return r.apply(proposer, Command{
+		Op:              Register,
+		IdempotencyKey:  idempotencyKey,
+		OrderKey:        orderKey,
+		Tenant:          "desk",
+		Class:           "load",
+		StatementDigest: []byte(idempotencyKey + orderKey),
+		RequestID:       "call-" + idempotencyKey,
+		TTL:             uint64(25 * monotime.Second),
+	}).Epoch
+}
+
+func (r *recordedRegistry) authorize(
+	proposer replication.Incarnation, idempotencyKey string, epoch, attempt uint64, engine string,
+) {
+	r.apply(proposer, Command{
+		Op:             AuthorizeAttempt,
+		IdempotencyKey: idempotencyKey,
+		Epoch:          epoch,
+		Attempt:        attempt,
+		Engine:         engine,
+		RequestID:      "call-" + idempotencyKey,
+	})
+}
+
+// registerAgain registers a request of which there is a record, with the statement of the digest.
+func (r *recordedRegistry) registerAgain(idempotencyKey, digest string) {
+	r.apply(7, Command{
+		Op:              Register,
+		IdempotencyKey:  idempotencyKey,
+		StatementDigest: []byte(digest),
+		RequestID:       "again",
+		TTL:             uint64(monotime.Second),
+	})
+}
+
+// The responses to a sequence of commands that reaches every phase, and the snapshot after it, have the recorded bytes.
 func TestWireFormatOfStates(t *testing.T) {
-	s := NewRegistry(Options{MaxBytes: 1 << 20, Retention: 60 * second, OrphanTimeout: 3 * second})
-	at := replication.ApplyContext{Index: 100, Notify: func(replication.Incarnation, string) {}}
-	var list []golden.Message
-	apply := func(asker replication.Incarnation, c Command) Response {
-		at.Index++
-		at.Now += 1000
-		answer := s.Apply(at, asker, c.Encode())
-		list = append(list, golden.Message{Name: fmt.Sprintf("answer-%d", at.Index), Encoded: answer, Recode: func(b []byte) ([]byte, error) {
-			v, err := DecodeResponse(b)
-			return v.Encode(), err
-		}})
-		v, err := DecodeResponse(answer)
-		require.NoError(t, err)
-		return v
-	}
-	take := func(asker replication.Incarnation, once, key string) uint64 {
-		return apply(asker, Command{Op: Register, IdempotencyKey: once, OrderKey: key, Tenant: "desk", Class: "load", StatementDigest: []byte(once + key), RequestID: "call-" + once,
-			TTL: 25 * second}).Epoch
+	r := &recordedRegistry{t: t, registry: NewRegistry(testOptions)}
+	r.at = replication.ApplyContext{Index: 100, Notify: func(replication.Incarnation, string) {}}
+	one := r.register(5, "one", "key")
+	two := r.register(6, "two", "key")
+	three := r.register(1<<61, "three", "")
+	r.authorize(5, "one", one, 1, "s-1")
+	r.authorize(6, "two", two, 1, "s-2")
+	r.authorize(5, "one", one, 2, "s-2")
+	r.authorize(1<<61, "three", three, 1, "s-3")
+	rows := []byte("rows of three")
+	r.apply(1<<61, Command{Op: Complete, IdempotencyKey: "three", Epoch: three, Outcome: Served, Rows: rows})
+	r.registerAgain("three", "three")
+	r.registerAgain("three", "other")
+	r.apply(7, Command{Op: Inspect, IdempotencyKey: "none"})
+	four := r.register(8, "four", "")
+	r.apply(8, Command{Op: Complete, IdempotencyKey: "four", Epoch: four, Outcome: Failed})
+	r.register(8, "five", "other")
+	r.apply(9, Command{
+		Op:              Register,
+		IdempotencyKey:  "five",
+		OrderKey:        "other",
+		Tenant:          "desk",
+		Class:           "load",
+		StatementDigest: []byte("fiveother"),
+		RequestID:       "second",
+		TTL:             uint64(monotime.Second),
+		TakeOver:        true,
+	})
+	r.apply(5, Command{Op: Transfer, IdempotencyKey: "one", Epoch: one})
+	recodeSnapshot := func(b []byte) ([]byte, error) {
+		restored := NewRegistry(testOptions)
+		err := restored.Restore(b, 5)
+		return restored.AppendSnapshot(nil), err
 	}
-	one, two, three := take(5, "one", "key"), take(6, "two", "key"), take(1<<61, "three", "")
-	apply(5, Command{Op: AuthorizeAttempt, IdempotencyKey: "one", Epoch: one, Attempt: 1, Engine: "s-1", RequestID: "call-one"})
-	apply(6, Command{Op: AuthorizeAttempt, IdempotencyKey: "two", Epoch: two, Attempt: 1, Engine: "s-2", RequestID: "call-two"})
-	apply(5, Command{Op: AuthorizeAttempt, IdempotencyKey: "one", Epoch: one, Attempt: 2, Engine: "s-2", RequestID: "call-one"})
-	apply(1<<61, Command{Op: AuthorizeAttempt, IdempotencyKey: "three", Epoch: three, Attempt: 1, Engine: "s-3", RequestID: "call-three"})
-	apply(1<<61, Command{Op: Complete, IdempotencyKey: "three", Epoch: three, Outcome: Served, Rows: []byte("rows of three")})
-	apply(7, Command{Op: Register, IdempotencyKey: "three", StatementDigest: []byte("three"), RequestID: "again", TTL: second})
-	apply(7, Command{Op: Register, IdempotencyKey: "three", StatementDigest: []byte("other"), RequestID: "again", TTL: second})
-	apply(7, Command{Op: Inspect, IdempotencyKey: "none"})
-	four := take(8, "four", "")
-	apply(8, Command{Op: Complete, IdempotencyKey: "four", Epoch: four, Outcome: Failed})
-	take(8, "five", "other")
-	apply(9, Command{Op: Register, IdempotencyKey: "five", OrderKey: "other", Tenant: "desk", Class: "load", StatementDigest: []byte("fiveother"), RequestID: "second", TTL: second,
-		TakeOver: true})
-	apply(5, Command{Op: Transfer, IdempotencyKey: "one", Epoch: one})
-	list = append(list, golden.Message{Name: "snapshot", Encoded: s.AppendSnapshot(nil), Recode: func(b []byte) ([]byte, error) {
-		other := NewRegistry(Options{MaxBytes: 1 << 20, Retention: 60 * second, OrphanTimeout: 3 * second})
-		err := other.Restore(b, 5)
-		return other.AppendSnapshot(nil), err
-	}}, golden.Message{Name: "snapshot-empty", Encoded: NewRegistry(Options{}).AppendSnapshot(nil)})
-	golden.Messages(t, "testdata/states.txt", list)
+	golden.Messages(t, "testdata/states.txt", append(r.responses,
+		golden.Message{Name: "snapshot", Encoded: r.registry.AppendSnapshot(nil), Recode: recodeSnapshot},
+		golden.Message{Name: "snapshot-empty", Encoded: NewRegistry(Options{}).AppendSnapshot(nil)},
+	))
 }
--- /dev/null
+++ b/fleet/idempotency/status.go
@@ -0,0 +1,42 @@
+package idempotency
+
+import "fmt"
+
+// RecordStatus is a record as operators see it.
+type RecordStatus struct {
+	IdempotencyKey string   `json:"dedupe"`
+	OrderKey       string   `json:"key,omitempty"`
+	Class          string   `json:"class"`
+	Phase          string   `json:"phase"`
+	Owner          string   `json:"owner"` // incarnation, in hexadecimal
+	Epoch          uint64   `json:"epoch"`
+	Index          uint64   `json:"place"`
+	Starts         []string `json:"starts,omitempty"` // the attempts that were authorized
+	Bytes          int      `json:"bytes"`            // of the rows
+}
+
+// Records returns the status of all records, by index. The list is never nil.
+func (r *Registry) Records() []RecordStatus {
+	list := make([]RecordStatus, 0, len(r.ordered))
+	for _, rec := range r.ordered {
+		list = append(list, rec.status())
+	}
+	return list
+}
+
+func (rec *record) status() RecordStatus {
+	status := RecordStatus{
+		IdempotencyKey: rec.idempotencyKey,
+		OrderKey:       rec.orderKey,
+		Class:          rec.class,
+		Phase:          rec.phase.String(),
+		Owner:          fmt.Sprintf("%016x", uint64(rec.owner)),
+		Epoch:          rec.epoch,
+		Index:          rec.index,
+		Bytes:          len(rec.rows),
+	}
+	for _, a := range rec.attempts {
+		status.Starts = append(status.Starts, fmt.Sprintf("%d on %s as %s", a.number, a.engine, a.requestID))
+	}
+	return status
+}
