--- /dev/null
+++ b/fleet/idempotency/idempotencyclient/register.go
@@ -0,0 +1,187 @@
+package idempotencyclient
+
+import (
+	"bytes"
+	"log/slog"
+
+	"chutechute/fleet/idempotency"
+	"chutechute/gateway"
+	"chutechute/internal/monotime"
+)
+
+// Register registers a request that this front end received. One of the registration's methods is called later, unless
+// the registration is released before.
+func (c *Client) Register(now monotime.Micros, registration *gateway.Registration) {
+	c.now = now
+	if t := c.tracked[registration.Call().IdempotencyKey]; t != nil {
+		t.addRegistration(registration)
+		return // the next Tick finds another statement, as the gateway must not be called from within its own call
+	}
+	t := newTrackedRecord(registration)
+	c.track(t)
+	c.register(t, false)
+}
+
+// register proposes a Register for the oldest request, which also polls for the state of the record. With takeOver this
+// front end becomes the owner if nothing was started.
+func (c *Client) register(t *trackedRecord, takeOver bool) {
+	if t.registerProposal != 0 || t.completing || len(t.registrations) == 0 || c.mustWaitToRegister(t) {
+		return
+	}
+	t.nextPoll = c.now + c.config.PollInterval
+	registration := t.registrations[0]
+	call := registration.Call()
+	command := &idempotency.Command{
+		Op:              idempotency.Register,
+		IdempotencyKey:  t.idempotencyKey,
+		OrderKey:        call.Key,
+		Tenant:          call.Tenant,
+		Class:           call.Class,
+		StatementDigest: t.statementDigest,
+		RequestID:       call.ID,
+		TTL:             uint64(max(1, registration.Deadline()-c.now)),
+		TakeOver:        takeOver,
+	}
+	t.registerProposal = c.propose(command, func(response idempotency.Response, committed bool) {
+		t.registerProposal = 0
+		c.handleRegistered(t, response, committed, takeOver)
+	})
+}
+
+// mustWaitToRegister reports whether an earlier request of the order key is not registered yet. What one front end
+// receives is registered in that order, whatever becomes of messages.
+func (c *Client) mustWaitToRegister(t *trackedRecord) bool {
+	if t.registered || t.orderKey == "" {
+		return false
+	}
+	for _, other := range c.ordered {
+		if other == t {
+			return false
+		}
+		if other.orderKey == t.orderKey && !other.registered {
+			return true
+		}
+	}
+	return false
+}
+
+// registerNext registers the next request of the order key, which waited for this one.
+func (c *Client) registerNext(t *trackedRecord) {
+	if t.orderKey == "" {
+		return
+	}
+	for _, other := range c.ordered {
+		if other != t && other.orderKey == t.orderKey && !other.registered {
+			c.register(other, false)
+			return
+		}
+	}
+}
+
+// handleRegistered handles the response to a Register.
+func (c *Client) handleRegistered(t *trackedRecord, response idempotency.Response, committed, takeOver bool) {
+	isFirstResponse := !t.registered
+	t.registered = true
+	for _, registration := range t.registrations {
+		registration.Seen = true
+	}
+	isOwner := committed && response.Status == idempotency.OK && response.Owner == c.config.Incarnation
+	if isOwner && takeOver && !t.isOwner() && response.Phase == idempotency.Waiting {
+		c.TakenOver++
+		slog.Info("unstarted request taken over", slog.String("idempotency_key", t.idempotencyKey),
+			slog.Uint64("epoch", response.Epoch))
+	}
+	t.update(response, isOwner)
+	if len(t.registrations) == 0 {
+		c.abandon(t)
+	} else {
+		c.advance(t, response, committed)
+	}
+	if isFirstResponse {
+		c.registerNext(t)
+	}
+}
+
+// abandon ends a record whose requests were all released while its Register was pending.
+func (c *Client) abandon(t *trackedRecord) {
+	if t.isOwner() && t.phase == idempotency.Waiting {
+		c.complete(t, idempotency.Unregistered, nil)
+		return
+	}
+	c.close(t)
+}
+
+// advance does what the state of a record, as the response to a Register shows it, calls for.
+func (c *Client) advance(t *trackedRecord, response idempotency.Response, committed bool) {
+	switch {
+	case !committed:
+		c.rejectAll(t)
+	case response.Status == idempotency.Conflict:
+		c.Conflicts++
+		slog.Warn("request rejected: idempotency key reused with another statement, order key or class",
+			slog.String("idempotency_key", t.idempotencyKey), slog.String("request_id", t.registrations[0].Call().ID))
+		c.rejectAll(t)
+	case response.Status == idempotency.CapacityExceeded:
+		slog.Warn("request rejected: registry at capacity", slog.String("idempotency_key", t.idempotencyKey))
+		c.rejectAll(t)
+	case response.Phase.Finished():
+		c.finish(t, response.Phase == idempotency.Served, response.Rows)
+	case t.isOwner():
+		c.advanceOwned(t, response)
+	default:
+		c.waitForOwner(t, response)
+	}
+}
+
+// advanceOwned does what the state of a record of which this front end is the owner calls for.
+func (c *Client) advanceOwned(t *trackedRecord, response idempotency.Response) {
+	switch {
+	case t.phase == idempotency.Waiting && response.FirstOfKey:
+		if response.OwnerRequestID != t.registrations[0].Call().ID {
+			c.register(t, false) // its request was released; the registry must know how long the next client waits
+			return
+		}
+		t.dispatched = t.registrations[0]
+		t.dispatched.Owned()
+	case t.phase == idempotency.Started && t.dispatched == nil:
+		if t.ownership == ownerAfterStart {
+			c.takeOver(t, response)
+			return
+		}
+		// The request that was dispatched was released before anything ran. The next one registers anew.
+		c.complete(t, idempotency.Unregistered, nil)
+	}
+}
+
+// waitForOwner waits for the outcome of a request that another front end owns, or takes it over if nothing was started
+// and the owner is presumed dead.
+func (c *Client) waitForOwner(t *trackedRecord, response idempotency.Response) {
+	if !t.joinedWait {
+		t.joinedWait = true
+		c.JoinedWaits++
+	}
+	if response.Phase == idempotency.Waiting && c.proposer.PresumedDead(response.Owner) {
+		c.register(t, true)
+	}
+}
+
+// rejectOtherStatements rejects the requests that came for a record with another statement. Each is checked once.
+func (c *Client) rejectOtherStatements(t *trackedRecord) {
+	var conflicting []*gateway.Registration
+	for _, registration := range t.registrations {
+		if registration.Checked {
+			continue
+		}
+		registration.Checked = true
+		if !bytes.Equal(statementDigest(registration.Call().Statement), t.statementDigest) {
+			conflicting = append(conflicting, registration)
+		}
+	}
+	for _, registration := range conflicting {
+		c.Conflicts++
+		slog.Warn("request rejected: idempotency key reused with another statement",
+			slog.String("idempotency_key", t.idempotencyKey), slog.String("request_id", registration.Call().ID))
+		t.removeRegistration(registration)
+		registration.Reject(c.now, c.config.CapacityRetryAfter)
+	}
+}
--- /dev/null
+++ b/fleet/idempotency/idempotencyclient/takeover.go
@@ -0,0 +1,104 @@
+package idempotencyclient
+
+import (
+	"log/slog"
+
+	"chutechute/fleet/idempotency"
+	"chutechute/gateway"
+	"chutechute/internal/monotime"
+)
+
+// Notify tells that the record of the idempotency key may have changed.
+func (c *Client) Notify(now monotime.Micros, idempotencyKey string) {
+	c.now = now
+	t := c.tracked[idempotencyKey]
+	if t == nil {
+		c.inspectUntracked(idempotencyKey)
+		return
+	}
+	if t.dispatched == nil {
+		c.register(t, false)
+	}
+}
+
+// inspectUntracked asks for a record that is not tracked here. Its owner may be this front end nevertheless: by an
+// offered transfer, or by a command that was repeated late.
+func (c *Client) inspectUntracked(idempotencyKey string) {
+	command := &idempotency.Command{Op: idempotency.Inspect, IdempotencyKey: idempotencyKey}
+	c.propose(command, func(response idempotency.Response, committed bool) {
+		if !committed || response.Owner != c.config.Incarnation || c.tracked[idempotencyKey] != nil {
+			return
+		}
+		switch response.Phase {
+		case idempotency.Started:
+			c.takeOverUntracked(idempotencyKey, response)
+		case idempotency.Waiting:
+			c.removeUntracked(idempotencyKey, response.Epoch)
+		}
+	})
+}
+
+// takeOverUntracked begins to track a record for its started attempt.
+func (c *Client) takeOverUntracked(idempotencyKey string, response idempotency.Response) {
+	t := &trackedRecord{
+		idempotencyKey:  idempotencyKey,
+		orderKey:        response.OrderKey,
+		statementDigest: response.StatementDigest,
+		ownership:       ownerAfterStart,
+		epoch:           response.Epoch,
+		phase:           response.Phase,
+		registered:      true,
+	}
+	c.track(t)
+	c.takeOver(t, response)
+	if t.dispatched == nil {
+		c.close(t)
+	}
+}
+
+// removeUntracked removes the record of a request that is not here any more and of which nothing ran.
+func (c *Client) removeUntracked(idempotencyKey string, epoch uint64) {
+	command := &idempotency.Command{
+		Op:             idempotency.Complete,
+		IdempotencyKey: idempotencyKey,
+		Epoch:          epoch,
+		Outcome:        idempotency.Unregistered,
+	}
+	c.propose(command, ignoreResponse)
+}
+
+// takeOver has the gateway poll for an attempt that another front end has started; the registry has made this one its
+// owner.
+func (c *Client) takeOver(t *trackedRecord, response idempotency.Response) {
+	registration := c.core.TakeOver(c.now, gateway.Takeover{
+		RequestID:      response.StartedRequestID,
+		Engine:         response.Engine,
+		IdempotencyKey: t.idempotencyKey,
+		Key:            response.OrderKey,
+		Class:          response.Class,
+		TTL:            monotime.Micros(response.TTL),
+	})
+	if registration == nil {
+		return // a client's request here has that id; the record expires
+	}
+	slog.Info("started request taken over", slog.String("idempotency_key", t.idempotencyKey),
+		slog.String("engine", response.Engine), slog.String("request_id", response.StartedRequestID),
+		slog.Uint64("epoch", response.Epoch))
+	registration.Checked = true
+	t.addRegistration(registration)
+	t.dispatched = registration
+}
+
+// Transfer gives a started request back to the registry, which offers it to another front end. An outcome from here
+// counts only if it is committed before.
+func (c *Client) Transfer(now monotime.Micros, registration *gateway.Registration) {
+	c.now = now
+	t := recordOf(registration)
+	if t.dispatched != registration || t.completing || t.closed {
+		return
+	}
+	slog.Info("started request transferred", slog.String("idempotency_key", t.idempotencyKey),
+		slog.Uint64("epoch", t.epoch))
+	command := &idempotency.Command{Op: idempotency.Transfer, IdempotencyKey: t.idempotencyKey, Epoch: t.epoch}
+	c.propose(command, ignoreResponse)
+}
