--- a/fleet/idempotency/apply.go
+++ b/fleet/idempotency/apply.go
@@ -69,11 +69,11 @@
 	case rec.phase.Finished():
 	case rec.owner == c.proposer:
 		if rec.phase == Waiting && rec.requestID != c.RequestID {
-			rec.registerAgain(c)
+			rec.assignToProposer(c)
 		}
 	case rec.phase == Waiting && c.TakeOver:
 		c.Notify(rec.owner, rec.idempotencyKey)
-		rec.registerAgain(c)
+		rec.assignToProposer(c)
 		rec.ownerMissedAt = 0
 	case !slices.Contains(rec.watchers, c.proposer):
 		rec.watchers = append(rec.watchers, c.proposer)
--- a/fleet/idempotency/due.go
+++ b/fleet/idempotency/due.go
@@ -17,8 +17,8 @@
 	maxTransferOffers = 64
 	// transferOfferInterval is how long a new owner may take to poll before it is notified again.
 	transferOfferInterval = monotime.Second
-	// maxDriftDivisor gives how much faster one machine's clock may run than another's: one part in so many.
-	maxDriftDivisor = 100
+	// clockDriftDivisor bounds how much faster one machine's clock may run than another's: one part in so many.
+	clockDriftDivisor = 100
 	// expiryMargin is added to the time after which a request expires.
 	expiryMargin = monotime.Second / 2
 )
@@ -72,11 +72,11 @@
 	return &Command{Op: op, IdempotencyKey: rec.idempotencyKey, ChangedIndex: rec.changedIndex}
 }
 
-// lifetime returns the time after which no attempt of the request is started or polled any more: the client's
-// timeout, as the slowest clock measures it.
+// lifetime returns how long after its registration the owner may start and poll for attempts of the request: the
+// client's timeout, with the maximal clock drift and a margin.
 func (rec *record) lifetime() monotime.Micros {
 	ttl := monotime.Micros(rec.ttl)
-	return ttl + ttl/maxDriftDivisor + expiryMargin
+	return ttl + ttl/clockDriftDivisor + expiryMargin
 }
 
 // dueTransfer returns the offer that a started request needs, or nil: to another front end if its owner is unreachable,
--- a/fleet/idempotency/idempotencyclient/client.go
+++ b/fleet/idempotency/idempotencyclient/client.go
@@ -17,7 +17,7 @@
 type Proposer interface {
 	// Propose proposes a command until it is answered. It returns an id for Cancel, which is not 0; done is called
 	// once, with the response, unless the proposal is canceled before.
-	Propose(now monotime.Micros, kind, version uint32, body []byte, done func(replication.Response)) (id uint64)
+	Propose(now monotime.Micros, stateMachine, version uint32, body []byte, done func(replication.Response)) (id uint64)
 	// Cancel ends a proposal. Its command may be committed nevertheless.
 	Cancel(id uint64)
 	// PresumedDead reports whether the process of the incarnation is presumed dead, which is a guess.
@@ -39,7 +39,7 @@
 	CapacityRetryAfter monotime.Micros // when a client may retry a request that was rejected
 }
 
-// Client is one front end's side of the registry. It implements gateway.IdempotencyStore.
+// Client is one front end's side of the registry.
 type Client struct {
 	config   Config
 	proposer Proposer
@@ -54,6 +54,8 @@
 	Committed   int // outcomes committed by this front end
 }
 
+var _ gateway.IdempotencyStore = (*Client)(nil)
+
 // New returns a client that tracks no requests.
 func New(config Config, proposer Proposer, core Core) *Client {
 	return &Client{config: config, proposer: proposer, core: core, tracked: map[string]*trackedRecord{}}
@@ -90,9 +92,9 @@
 
 // propose proposes a command to the registry.
 func (c *Client) propose(command *idempotency.Command, handle responseHandler) (id uint64) {
-	done := func(answer replication.Response) {
-		response, err := idempotency.DecodeResponse(answer.Body)
-		handle(response, err == nil && answer.Result == replication.Committed)
+	done := func(reply replication.Response) {
+		response, err := idempotency.DecodeResponse(reply.Body)
+		handle(response, err == nil && reply.Result == replication.Committed)
 	}
 	return c.proposer.Propose(c.now, idempotency.StateMachineID, idempotency.CommandVersion, command.Encode(), done)
 }
--- a/fleet/idempotency/record.go
+++ b/fleet/idempotency/record.go
@@ -99,8 +99,8 @@
 	rec.owner, rec.epoch, rec.changedIndex = owner, c.Index, c.Index
 }
 
-// registerAgain has the owner hold another registration of the request, whose client waits for another time.
-func (rec *record) registerAgain(c *committedCommand) {
+// assignToProposer makes the proposer of a Register the owner, with its registration of the request.
+func (rec *record) assignToProposer(c *committedCommand) {
 	rec.setOwner(c, c.proposer)
 	rec.requestID, rec.ttl = c.RequestID, c.TTL
 	rec.registeredAt, rec.changedAt = c.Now, c.Now
--- a/fleet/idempotency/registry.go
+++ b/fleet/idempotency/registry.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"slices"
 
+	"chutechute/fleet/replication"
 	"chutechute/internal/monotime"
 )
 
@@ -23,7 +24,7 @@
 	OrphanTimeout monotime.Micros // how long an unstarted request stays registered after its owner was presumed dead
 }
 
-// Registry is the replicated state machine of idempotent requests. It implements replication.StateMachine.
+// Registry is the replicated state machine of idempotent requests.
 type Registry struct {
 	options Options
 	records map[string]*record   // by idempotency key
@@ -32,6 +33,8 @@
 	bytes   int
 }
 
+var _ replication.StateMachine = (*Registry)(nil)
+
 // NewRegistry returns an empty registry.
 func NewRegistry(options Options) *Registry {
 	return &Registry{options: options, records: map[string]*record{}, queues: map[string][]*record{}}
