--- a/cmd/chutechute/attached_load_test.go
+++ b/cmd/chutechute/attached_load_test.go
@@ -56,7 +56,7 @@
 	assert.Len(t, history.Runs(f.Record.Events()), 1+len(f.AttachedOnes()))
 	n := f.AttachedOnes()[1]
 	assert.Equal(t, history.Shed, f.Load(n, load("at-once", "k", 301)).What)
-	n.AwaitLog(`stands for another statement.*dedupe=at-once`)
+	n.AwaitLog(`reused with another statement.*idempotency_key=at-once`)
 	f.Check()
 }
 
--- a/cmd/chutechute/attached_off_test.go
+++ b/cmd/chutechute/attached_off_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"chutechute/fleet/transport"
-	"chutechute/internal/proto"
+	"chutechute/internal/fieldcodec"
 	"chutechute/internal/standin"
 )
 
@@ -49,7 +49,11 @@
 		size, n := binary.Uvarint(body[1:])
 		body = body[1+n : 1+n+int(size)]
 	}
-	if err := proto.Each(body, func(f proto.Field) error { c.fields[kind][int(f.Number)] = true; return nil }); err != nil {
+	message := fieldcodec.Decode(body)
+	for message.Next() {
+		c.fields[kind][int(message.Number())] = true
+	}
+	if err := message.Err(); err != nil {
 		c.broken = append(c.broken, fmt.Sprintf("%s: %v", kind, err))
 	}
 }
--- a/cmd/chutechute/copies_test.go
+++ b/cmd/chutechute/copies_test.go
@@ -132,7 +132,7 @@
 	assert.Len(t, history.Runs(f.Record.Events()), 1)
 	other := load("once", "k", 301)
 	assert.Equal(t, history.Shed, f.Load(f.Fronts[1], other).What)
-	f.Fronts[1].AwaitLog(`stands for another statement.*dedupe=once`)
+	f.Fronts[1].AwaitLog(`reused with another statement.*idempotency_key=once`)
 	f.Check()
 }
 
--- a/fleet/membership/cost_test.go
+++ b/fleet/membership/cost_test.go
@@ -5,10 +5,10 @@
 	"runtime"
 	"testing"
 
-	"chutechute/internal/monotime"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/monotime"
 )
 
 // fullFleetControls is the number of control members of a full fleet.
--- a/fleet/membership/fullfleet_test.go
+++ b/fleet/membership/fullfleet_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"chutechute/internal/monotime"
-
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/monotime"
 )
 
 // The whole fleet in virtual time: 53 control members and 2,700 front ends in 23 zones. It logs what each front end
--- a/fleet/membership/fuzz_test.go
+++ b/fleet/membership/fuzz_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"chutechute/internal/monotime"
-
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/monotime"
 )
 
 // fuzzServer is a control member with a table of another's and front ends of its own.
--- a/fleet/membership/limits_test.go
+++ b/fleet/membership/limits_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"testing"
 
-	"chutechute/internal/monotime"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/monotime"
 )
 
 // A front end that is Dead for long is removed by its home and from the view, and may come back.
--- a/fleet/membership/member_restart_test.go
+++ b/fleet/membership/member_restart_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"testing"
 
-	"chutechute/internal/monotime"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/monotime"
 )
 
 // twoHomes is a front end with links to two control members, m0 and m1, of which the test determines how each sees a
--- a/fleet/membership/rig_test.go
+++ b/fleet/membership/rig_test.go
@@ -6,9 +6,9 @@
 	"slices"
 	"testing"
 
-	"chutechute/internal/monotime"
-
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/monotime"
 )
 
 const (
--- a/fleet/membership/slots_test.go
+++ b/fleet/membership/slots_test.go
@@ -5,10 +5,10 @@
 	"slices"
 	"testing"
 
-	"chutechute/internal/monotime"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/monotime"
 )
 
 // controlsInZones returns control members in zones: perZone of each.
--- a/fleet/membership/subscription_test.go
+++ b/fleet/membership/subscription_test.go
@@ -5,10 +5,10 @@
 	"slices"
 	"testing"
 
-	"chutechute/internal/monotime"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/monotime"
 )
 
 // serverAndClient is one control member and one front end whose messages the test delivers by hand; others attach
--- a/fleet/membership/table_test.go
+++ b/fleet/membership/table_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"testing"
 
-	"chutechute/internal/monotime"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/monotime"
 )
 
 // threeServers is three control members whose messages the test delivers by hand.
--- a/fleet/membership/view_test.go
+++ b/fleet/membership/view_test.go
@@ -5,10 +5,10 @@
 	"runtime"
 	"testing"
 
-	"chutechute/internal/monotime"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/monotime"
 )
 
 // reported is the change that a home's report of a front end causes.
--- a/fleet/replication/config.go
+++ b/fleet/replication/config.go
@@ -1,9 +1,9 @@
 package replication
 
 import (
-	"chutechute/internal/monotime"
-
 	"go.etcd.io/raft/v3"
+
+	"chutechute/internal/monotime"
 )
 
 // Config is the configuration of a Replica.
--- a/fleet/replication/membership.go
+++ b/fleet/replication/membership.go
@@ -3,11 +3,11 @@
 import (
 	"slices"
 
-	"chutechute/internal/monotime"
-
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 	"go.etcd.io/raft/v3/tracker"
+
+	"chutechute/internal/monotime"
 )
 
 const (
--- a/fleet/replication/messages.go
+++ b/fleet/replication/messages.go
@@ -4,11 +4,11 @@
 	"errors"
 	"fmt"
 
-	"chutechute/internal/monotime"
-
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"chutechute/internal/monotime"
 )
 
 // Receive processes a message of another replica in a Raft group. Messages to another ID than this replica's are
--- a/fleet/replication/persistence.go
+++ b/fleet/replication/persistence.go
@@ -3,10 +3,10 @@
 import (
 	"errors"
 
-	"chutechute/internal/monotime"
-
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
+
+	"chutechute/internal/monotime"
 )
 
 // pendingSave is a Save that was not reported as persisted yet. What it holds becomes visible to the Raft library, and
--- a/fleet/replication/recovery.go
+++ b/fleet/replication/recovery.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"slices"
 
-	"chutechute/internal/monotime"
-
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
+
+	"chutechute/internal/monotime"
 )
 
 // PersistedState is what a replica had persisted when its process ended.
--- a/fleet/replication/replica.go
+++ b/fleet/replication/replica.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 
-	"chutechute/internal/monotime"
-
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
+
+	"chutechute/internal/monotime"
 )
 
 // Replica is a replica of the replicated state, or a front end that may become one.
--- a/internal/fieldcodec/fieldcodec.go
+++ b/internal/fieldcodec/fieldcodec.go
@@ -133,7 +133,10 @@
 // Encoding reports whether the message is being encoded.
 func (f *Fields) Encoding() bool { return f.encoding }
 
-// Value returns the current field's number, 0 for a field of bytes.
+// Number returns the number of the current field of a message that is being decoded.
+func (f *Fields) Number() protowire.Number { return f.number }
+
+// Value returns the current field's value, 0 for a field of bytes.
 func (f *Fields) Value() uint64 { return f.value }
 
 // Data returns the current field's bytes, nil for a number. They are part of the input.
