--- a/cmd/chutechute/budget.go
+++ b/cmd/chutechute/budget.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"chutechute/internal/cli"
-	"chutechute/internal/epoll"
+	"chutechute/internal/peering"
 )
 
 func newBudget(o *options) *cobra.Command {
@@ -50,7 +50,7 @@
 	return a.Command
 }
 
-func readBudgets(text []byte) (b epoll.FleetBudgets, err error) {
+func readBudgets(text []byte) (b peering.BudgetPage, err error) {
 	if err = json.Unmarshal(text, &b); err == nil && !b.On {
 		err = errors.New("this front end has no budgets set: installation: fleet.budgets")
 	}
--- a/cmd/chutechute/endings_test.go
+++ b/cmd/chutechute/endings_test.go
@@ -152,14 +152,14 @@
 
 // Who connects in the last moment before the listener is closed is served too; closed on them unread, they were reset.
 func TestListenQueueIsServedBeforeItCloses(t *testing.T) {
-	text, err := os.ReadFile("../../internal/epoll/server.go")
+	text, err := os.ReadFile("../../internal/server/server.go")
 	require.NoError(t, err)
 	const closing = "if phase < gateway.Closing && now >= gateway.Closing {"
 	require.Contains(t, string(text), closing)
 	require.NotContains(t, string(text), `"time"`, "the variant brings the import")
 	slow := strings.Replace(string(text), closing, closing+"\ntime.Sleep(400*time.Millisecond)\n", 1)
 	slow = strings.Replace(slow, "import (", "import (\n\"time\"", 1)
-	r := standin.Start(t, standin.Variant(t, "internal/epoll/server.go", slow), 1, standin.Store(0, standin.Row))
+	r := standin.Start(t, standin.Variant(t, "internal/server/server.go", slow), 1, standin.Store(0, standin.Row))
 	r.Signal(syscall.SIGTERM)
 	r.AwaitLog("phase=closing")
 	c := r.Client()
--- a/cmd/chutechute/fleet.go
+++ b/cmd/chutechute/fleet.go
@@ -15,7 +15,7 @@
 
 	"chutechute/internal/cli"
 	"chutechute/internal/config"
-	"chutechute/internal/epoll"
+	"chutechute/internal/peering"
 )
 
 // adminWait bounds an operator's question.
@@ -128,7 +128,7 @@
 }
 
 func printStatus(cmd *cobra.Command, text []byte) error {
-	var s epoll.FleetStatus
+	var s peering.Status
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
 	}
@@ -169,7 +169,7 @@
 }
 
 // printView tells how the view of all front ends stands.
-func printView(line func(...any), a *epoll.FleetAttached) {
+func printView(line func(...any), a *peering.ViewStatus) {
 	line("home", nameOr(a.Home, "none"))
 	age := fmt.Sprintf("%d ms old", a.ViewAge)
 	if a.ViewAge < 0 {
@@ -191,7 +191,7 @@
 }
 
 func printMembers(cmd *cobra.Command, text []byte) error {
-	var s epoll.FleetStatus
+	var s peering.Status
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
 	}
@@ -211,7 +211,7 @@
 }
 
 // printAllMembers prints the front ends of both roles.
-func printAllMembers(cmd *cobra.Command, s *epoll.FleetStatus) error {
+func printAllMembers(cmd *cobra.Command, s *peering.Status) error {
 	err := table(cmd, func(line func(...any)) {
 		line("NAME", "ROLE", "ZONE", "STATE", "HOME", "LINK", "PROCESS")
 		for _, m := range s.Members {
@@ -234,7 +234,7 @@
 }
 
 func printLedger(cmd *cobra.Command, text []byte) error {
-	var s epoll.FleetRecord
+	var s peering.ReplicatedRecords
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
 	}
--- a/cmd/chutechute/serve.go
+++ b/cmd/chutechute/serve.go
@@ -12,7 +12,7 @@
 
 	"chutechute/internal/cli"
 	"chutechute/internal/config"
-	"chutechute/internal/epoll"
+	"chutechute/internal/server"
 )
 
 func newServe(o *options) *cobra.Command {
@@ -46,7 +46,7 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(cfg.HeapLimit())
 	slog.SetDefault(log)
-	server, err := epoll.New(cfg, os.Stderr)
+	server, err := server.New(cfg, os.Stderr)
 	if err != nil {
 		return err
 	}
--- a/exercise/membership/link.go
+++ b/exercise/membership/link.go
@@ -5,7 +5,7 @@
 	"chutechute/internal/monotime"
 )
 
-// Spans and bounds of a link, as package epoll has them for links between front ends.
+// Spans and bounds of a link, as package peering has them for links between front ends.
 const (
 	linkOpen    = 2000 * ms   // until a link has to be open, hello and all
 	linkSilent  = 10_000 * ms // a link on which nothing comes for so long is closed
--- a/internal/epoll/admin.go
+++ b/internal/peering/admin.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"encoding/json"
@@ -9,25 +9,26 @@
 	"golang.org/x/sys/unix"
 
 	"chutechute/fleet/idempotency"
+	"chutechute/internal/eventloop"
 	"chutechute/internal/monotime"
 	"chutechute/internal/ring"
 )
 
 const (
 	adminMost    = 8 // operators at a time
-	adminPatient = 3000 * ms
+	adminPatient = 3000 * monotime.Millisecond
 	adminIn      = 4 << 10
 	adminOut     = 4 << 20
 )
 
 // adminListener is the operators' socket, a file that only its owner may use: a line with a question in, JSON out.
 type adminListener struct {
-	p    *peers
+	p    *Peering
 	fd   int
 	open map[*adminConn]struct{}
 }
 
-func newAdminListener(p *peers) (*adminListener, error) {
+func newAdminListener(p *Peering) (*adminListener, error) {
 	fault := func(err error) (*adminListener, error) { return nil, fmt.Errorf("installation: fleet.admin: %w", err) }
 	if err := os.Remove(p.cfg.Admin); err != nil && !os.IsNotExist(err) { // of an earlier process
 		return fault(err)
@@ -46,10 +47,10 @@
 		return fault(err)
 	}
 	a := &adminListener{p: p, fd: fd, open: map[*adminConn]struct{}{}}
-	return a, p.host.loop.add(fd, unix.EPOLLIN, a)
+	return a, p.Host.Loop.Add(fd, unix.EPOLLIN, a)
 }
 
-func (a *adminListener) ready(uint32) {
+func (a *adminListener) Ready(uint32) {
 	for {
 		fd, _, err := unix.Accept4(a.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		if err != nil {
@@ -59,12 +60,12 @@
 			unix.Close(fd)
 			continue
 		}
-		c := &adminConn{a: a, since: a.p.host.now}
+		c := &adminConn{a: a, since: a.p.Host.TurnTime}
 		c.budget.Most = adminIn + adminOut
-		c.stream = newStream(a.p.host.loop, fd, adminIn, adminOut, &c.budget)
-		c.want = unix.EPOLLIN
-		if err := a.p.host.loop.add(fd, c.want, c); err != nil {
-			c.close()
+		c.Stream = eventloop.NewStream(a.p.Host.Loop, fd, adminIn, adminOut, &c.budget)
+		c.Interest = unix.EPOLLIN
+		if err := a.p.Host.Loop.Add(fd, c.Interest, c); err != nil {
+			c.Close()
 			continue
 		}
 		a.open[c] = struct{}{}
@@ -73,19 +74,19 @@
 
 func (a *adminListener) tick() {
 	for c := range a.open {
-		if a.p.host.now-c.since >= adminPatient {
+		if a.p.Host.TurnTime-c.since >= adminPatient {
 			c.end()
 		}
 	}
 }
 
 func (a *adminListener) close() {
-	a.p.host.loop.drop(a.fd)
+	a.p.Host.Loop.CloseDescriptor(a.fd)
 	_ = os.Remove(a.p.cfg.Admin) // the next start takes it away too
 }
 
 type adminConn struct {
-	stream
+	eventloop.Stream
 	a        *adminListener
 	budget   ring.Budget
 	since    monotime.Micros
@@ -93,14 +94,14 @@
 }
 
 func (c *adminConn) end() {
-	c.close()
+	c.Close()
 	delete(c.a.open, c)
 }
 
-func (c *adminConn) ready(events uint32) {
+func (c *adminConn) Ready(events uint32) {
 	if events&unix.EPOLLIN != 0 && !c.answered {
-		more := c.fill()
-		line := c.in.Bytes()
+		more := c.Fill()
+		line := c.In.Bytes()
 		if n := len(line); n == 0 || line[n-1] != '\n' {
 			if !more || n >= adminIn {
 				c.end()
@@ -110,22 +111,22 @@
 		c.answered = true
 		b, err := json.Marshal(c.a.p.answer(string(line[:len(line)-1])))
 		if err == nil {
-			_, err = c.out.Write(append(b, '\n'))
+			_, err = c.Out.Write(append(b, '\n'))
 		}
 		if err != nil {
 			c.end()
 			return
 		}
 	}
-	if err := c.flush(); err != nil || c.answered && c.out.Len() == 0 {
+	if err := c.Flush(); err != nil || c.answered && c.Out.Len() == 0 {
 		c.end()
 		return
 	}
-	c.watch(false)
+	c.UpdateInterest(false)
 }
 
 // recorded is the loads on record as this front end's copy has them; none where it keeps no copy.
-func (p *peers) recorded() []idempotency.RecordStatus {
+func (p *Peering) recorded() []idempotency.RecordStatus {
 	if p.node == nil {
 		return []idempotency.RecordStatus{}
 	}
@@ -133,12 +134,12 @@
 }
 
 // answer is what an operator's question comes to.
-func (p *peers) answer(question string) any {
+func (p *Peering) answer(question string) any {
 	switch question {
 	case "status":
 		return p.status()
 	case "ledger":
-		return FleetRecord{p.status(), p.recorded(), p.records.Records()}
+		return ReplicatedRecords{p.status(), p.recorded(), p.records.Records()}
 	}
 	if question == "budgets" || strings.HasPrefix(question, "budgets ") {
 		return p.showBudgets(strings.TrimPrefix(strings.TrimPrefix(question, "budgets"), " "))
--- a/internal/epoll/attached.go
+++ b/internal/peering/attached.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"log/slog"
@@ -9,17 +9,17 @@
 )
 
 // attach builds an attached front end's part: no record, no disk, no listener, and links to the control members of its choice.
-func (p *peers) attach(cfg *config.Peers, incarnation uint64) {
+func (p *Peering) attach(cfg *config.Peers, incarnation uint64) {
 	c := fleet.AttachedConfig{Membership: cfg.Attached.Config, RetryInterval: cfg.Node.RetryInterval}
-	c.Membership.Incarnation, c.Membership.Seed = incarnation, p.seed
-	p.attached = fleet.NewAttachedNode(c, func(about string) { p.records.Notify(p.host.now, about) })
+	c.Membership.Incarnation, c.Membership.Seed = incarnation, p.Seed
+	p.attached = fleet.NewAttachedNode(c, func(about string) { p.records.Notify(p.Host.TurnTime, about) })
 	p.part = p.attached
 	p.refused = map[string]string{}
 }
 
 // follow keeps links to the control members that an attached front end wants to have links with, and to no others.
-func (p *peers) follow() {
-	targets := p.attached.Targets(p.host.now)
+func (p *Peering) follow() {
+	targets := p.attached.Targets(p.Host.TurnTime)
 	for name, l := range p.out {
 		if !slices.Contains(targets, name) {
 			l.give()
@@ -41,15 +41,15 @@
 
 // give ends a link that is wanted no more.
 func (l *outLink) give() {
-	l.close()
+	l.Close()
 	delete(l.p.out, l.name)
-	l.p.attached.LinkClosed(l.p.host.now, l.name)
+	l.p.attached.LinkClosed(l.p.Host.TurnTime, l.name)
 }
 
 // linked tells an attached front end's part that a link is open.
 func (l *outLink) linked() {
 	if l.p.attached != nil {
-		l.p.attached.LinkOpened(l.p.host.now, l.name, l.shake.Remote.Incarnation)
+		l.p.attached.LinkOpened(l.p.Host.TurnTime, l.name, l.shake.Remote.Incarnation)
 	}
 }
 
@@ -58,8 +58,8 @@
 	for _, m := range l.shake.Messages() {
 		l.p.traffic.took(m)
 		from := fleet.Link{From: l.name, Incarnation: l.shake.Remote.Incarnation}
-		if err := l.p.attached.Receive(l.p.host.now, from, m.Kind, m.Body); err != nil {
-			l.p.host.count.PeerRejected++
+		if err := l.p.attached.Receive(l.p.Host.TurnTime, from, m.Kind, m.Body); err != nil {
+			l.p.Host.Counters.PeerRejected++
 			slog.Warn("link closed for what came", "from", l.name, "error", err)
 			return err
 		}
@@ -77,7 +77,7 @@
 	}
 	l.p.refused[l.name] = l.refused
 	delete(l.p.out, l.name)
-	l.p.attached.LinkClosed(l.p.host.now, l.name)
+	l.p.attached.LinkClosed(l.p.Host.TurnTime, l.name)
 }
 
 // undialled is lost for a link whose dialling failed at once, of which a copy of the record need not hear.
--- a/internal/epoll/attached_test.go
+++ b/internal/peering/attached_test.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"crypto/rand"
@@ -13,13 +13,14 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-	"golang.org/x/sys/unix"
 
 	"chutechute/fleet"
 	"chutechute/fleet/membership"
 	"chutechute/fleet/transport"
 	"chutechute/internal/config"
 	"chutechute/internal/counters"
+	"chutechute/internal/eventloop"
+	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
 	"chutechute/internal/standin"
 )
@@ -29,23 +30,23 @@
 	os.Exit(standin.Seeded(m))
 }
 
-const second = 1000 * ms
+const second = 1000 * monotime.Millisecond
 
 // testFleet is front ends of both roles over one loop and real sockets, without clients and engines.
 type testFleet struct {
 	t       *testing.T
-	host    host
-	fronts  map[string]*peers
+	host    Host
+	fronts  map[string]*Peering
 	section map[string]any
 	sockets int
 }
 
 // newTestFleet begins with three control members that others may attach to.
 func newTestFleet(t *testing.T, change ...func(*testFleet)) *testFleet {
-	l, err := newLoop()
+	l, err := eventloop.NewLoop()
 	require.NoError(t, err)
-	t.Cleanup(func() { unix.Close(l.fd) })
-	f := &testFleet{t: t, host: newHost(l), fronts: map[string]*peers{}}
+	t.Cleanup(func() { l.Close() })
+	f := &testFleet{t: t, host: NewHost(l), fronts: map[string]*Peering{}}
 	members := []any{}
 	for i := range 3 {
 		members = append(members, map[string]any{"name": fmt.Sprintf("n%d", i+1), "address": freeAddress(t), "zone": string(rune('a' + i))})
@@ -85,47 +86,47 @@
 	return cfg
 }
 
-func (f *testFleet) start(name string) *peers {
-	of := program{host: &f.host, seed: uint64(len(f.fronts) + 1), post: func(work func()) { work() }, draining: func() bool { return false },
-		sockets: f.sockets}
-	p, err := newPeers(of, f.config(name))
+func (f *testFleet) start(name string) *Peering {
+	of := Program{Host: &f.host, Seed: uint64(len(f.fronts) + 1), Post: func(work func()) { work() }, Draining: func() bool { return false },
+		MaxDescriptors: f.sockets}
+	p, err := NewPeering(of, f.config(name))
 	require.NoError(f.t, err)
-	require.NoError(f.t, p.listen())
+	require.NoError(f.t, p.Listen())
 	f.fronts[name] = p
 	f.t.Cleanup(func() { f.kill(p) })
 	return p
 }
 
 // kill closes all that a front end has open, as its process's end would.
-func (f *testFleet) kill(p *peers) {
+func (f *testFleet) kill(p *Peering) {
 	if f.fronts[p.cfg.Name] != p {
 		return
 	}
 	delete(f.fronts, p.cfg.Name)
 	for _, l := range p.out {
-		l.close()
+		l.Close()
 	}
 	for l := range p.in {
-		l.close()
+		l.Close()
 	}
 	if p.listener != nil {
-		f.host.loop.drop(p.listener.fd)
+		f.host.Loop.CloseDescriptor(p.listener.fd)
 	}
-	p.close()
+	p.Close()
 }
 
 // turn is what a Server does in one turn, for all front ends.
 func (f *testFleet) turn() {
-	n, err := f.host.loop.wait(5 * ms)
+	n, err := f.host.Loop.Wait(5 * monotime.Millisecond)
 	require.NoError(f.t, err)
-	f.host.now = f.host.clock.now()
+	f.host.TurnTime = f.host.Clock.Now()
 	for _, p := range f.fronts {
-		p.at(f.host.now)
+		p.SetNow(f.host.TurnTime)
 	}
-	f.host.loop.dispatch(n)
+	f.host.Loop.Dispatch(n)
 	for _, p := range f.fronts {
-		p.tick()
-		p.pump()
+		p.Tick()
+		p.CarryOut()
 	}
 }
 
@@ -138,7 +139,7 @@
 }
 
 // complete says whether a front end sees so many alive, itself among them.
-func complete(p *peers, total int) bool {
+func complete(p *Peering, total int) bool {
 	alive := 0
 	for _, e := range p.part.View().Entries() {
 		if e.State == membership.Alive {
@@ -172,7 +173,7 @@
 	assert.True(t, os.IsNotExist(err))
 	assert.LessOrEqual(t, len(x.out), 3)
 	assert.Empty(t, x.in)
-	f.until("both links", func() bool { return len(x.out) == 2 && x.descriptors() == 2 })
+	f.until("both links", func() bool { return len(x.out) == 2 && x.Descriptors() == 2 })
 
 	f.until("its home is known to all", func() bool {
 		for _, p := range f.fronts {
@@ -193,14 +194,14 @@
 	home := f.fronts[s.Attached.Home].status()
 	assert.Positive(t, home.Attached.Links)
 	assert.Zero(t, home.Attached.ViewAge)
-	assert.Contains(t, home.Members, FleetMembers{Name: "x1", State: "alive", Incarnation: s.Incarnation, Link: true, Role: "attached", Home: home.Name})
+	assert.Contains(t, home.Members, MemberStatus{Name: "x1", State: "alive", Incarnation: s.Incarnation, Link: true, Role: "attached", Home: home.Name})
 	f.until("their views are the same", func() bool {
 		return x.status().Attached.ViewDigest == f.fronts[home.Name].status().Attached.ViewDigest
 	})
 	assert.False(t, x.showBudgets("").On)
 	var here, there counters.Set
-	x.counted(&here)
-	f.fronts[home.Name].counted(&there)
+	x.ReportCounters(&here)
+	f.fronts[home.Name].ReportCounters(&there)
 	assert.Positive(t, here.ViewBeats)
 	assert.Positive(t, there.ViewBeats)
 	assert.Positive(t, there.ViewSnapshots)
@@ -252,7 +253,7 @@
 func (l *inLink) neverSilent() { l.since += 3600 * second }
 
 // dialAs says hello to a control member over a connection of its own, and gives that with the link's side.
-func (f *testFleet) dialAs(control *peers, self *transport.Identity) (*net.TCPConn, *transport.Dialer) {
+func (f *testFleet) dialAs(control *Peering, self *transport.Identity) (*net.TCPConn, *transport.Dialer) {
 	conn, err := net.DialTCP("tcp4", nil, net.TCPAddrFromAddrPort(control.cfg.Listen))
 	require.NoError(f.t, err)
 	f.t.Cleanup(func() { conn.Close() })
@@ -283,10 +284,10 @@
 	f.allSee(3)
 	n1 := f.fronts["n1"]
 	for _, self := range []*transport.Identity{f.identity("n2", true), f.identity("x1", false), f.identity("x 1", true)} {
-		before := f.host.count.PeerRejected
+		before := f.host.Counters.PeerRejected
 		conn, d := f.dialAs(n1, self)
 		f.until("it is turned away", func() bool { return !read(t, conn, d) })
-		assert.Equal(t, before+1, f.host.count.PeerRejected)
+		assert.Equal(t, before+1, f.host.Counters.PeerRejected)
 		assert.False(t, d.Established())
 	}
 	assert.Equal(t, 3, n1.part.View().Len())
@@ -311,7 +312,7 @@
 	}
 	f.turn()
 	assert.Equal(t, 4, n1.attachedIn)
-	assert.Equal(t, 2, f.host.count.AttachRefused)
+	assert.Equal(t, 2, f.host.Counters.AttachRefused)
 	assert.False(t, links[4].d.Established() || links[5].d.Established(), "they go elsewhere without having been linked")
 	links[0].conn.Close()
 	f.until("room again", func() bool { return n1.attachedIn == 3 })
@@ -333,12 +334,12 @@
 	l := n1.byProcess[d.Local.Incarnation][0]
 	l.neverSilent()
 	refused := &n1.node.MembershipServer().Counters.FullQueues
-	before, small := l.out.Len()+l.queue.Len(), make([]byte, 1000)
+	before, small := l.Out.Len()+l.queue.Len(), make([]byte, 1000)
 	const pushed = 1000
 	for range pushed {
 		n1.pushAttached(tellOf("slow", d.Local.Incarnation, small))
 	}
-	waits := l.out.Len() + l.queue.Len() - before
+	waits := l.Out.Len() + l.queue.Len() - before
 	assert.Greater(t, waits, pushed*len(small)-8*attachedSend, "the system takes little of what is not read")
 	for range 64 {
 		before := *refused
@@ -399,7 +400,7 @@
 		for _, p := range f.fronts {
 			linked += p.attachedIn
 			for l := range p.in {
-				l.since = f.host.now // it is not closed for its silence
+				l.since = f.host.TurnTime // it is not closed for its silence
 			}
 		}
 		return len(x.out) == 2 && linked == 2
@@ -417,22 +418,21 @@
 		}
 		p.ticked -= 60 * second
 		before := p.attachedIn
-		p.tick()
+		p.Tick()
 		assert.Equal(t, before, p.attachedIn, p.cfg.Name)
 	}
 }
 
-// Links take descriptors that clients and engines would else use, where front ends may attach; without it nothing is counted.
+// Links are counted as descriptors that clients and engines share, where front ends may attach, and not elsewhere.
 func TestLinksCountAsDescriptors(t *testing.T) {
 	f := newTestFleet(t)
 	f.start("x1")
 	f.allSee(4)
-	s := &Server{cfg: &config.Config{Sockets: 1000}, pool: &pool{}, listener: &listener{}}
-	assert.Equal(t, 1000-spare, s.unused())
-	s.peers = f.fronts["n1"]
-	assert.Equal(t, 1000-spare-len(s.peers.in)-2, s.unused())
-	off := *s.peers.cfg
+	p := f.fronts["n1"]
+	assert.Positive(t, len(p.in))
+	assert.Equal(t, len(p.in)+2, p.Descriptors())
+	off := *p.cfg
 	off.Attached = nil
-	s.peers = &peers{cfg: &off, in: s.peers.in, out: s.peers.out}
-	assert.Equal(t, 1000-spare, s.unused())
+	assert.Zero(t, (&Peering{cfg: &off, in: p.in, out: p.out}).Descriptors())
+	assert.Zero(t, (*Peering)(nil).Descriptors())
 }
--- a/internal/epoll/attachlinks.go
+++ b/internal/peering/attachlinks.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"errors"
@@ -24,21 +24,21 @@
 	// what waits there counts in no bound here.
 	attachedSend = 64 << 10
 	// attachedPause is a gap between two ticks above which this process stood still.
-	attachedPause = 600 * ms
+	attachedPause = 600 * monotime.Millisecond
 )
 
 // attachedMost bounds the links of attached front ends here: as many as there may be front ends, and a quarter of the descriptors.
-func (p *peers) attachedMost() int {
+func (p *Peering) attachedMost() int {
 	most := p.cfg.Attached.Config.MaxEntries
 	most += most / attachedSpare
-	if p.sockets > 0 {
-		most = min(most, p.sockets/4)
+	if p.MaxDescriptors > 0 {
+		most = min(most, p.MaxDescriptors/4)
 	}
 	return most
 }
 
 // room says whether another link may be accepted: of members mostLinks each, and of those that attach as many as begin at once.
-func (p *peers) room() bool {
+func (p *Peering) room() bool {
 	most := mostLinks * (len(p.out) + 1)
 	if p.attaches() {
 		most += min(attachedShaking, p.attachedMost())
@@ -54,22 +54,22 @@
 		return
 	}
 	l.p.attachedIn++
-	l.p.host.count.Attached++
+	l.p.Host.Counters.Attached++
 	l.attached = true
-	_ = unix.SetsockoptInt(l.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, attachedSend) // without it more waits in the system
+	_ = unix.SetsockoptInt(l.FD, unix.SOL_SOCKET, unix.SO_SNDBUF, attachedSend) // without it more waits in the system
 	l.queue = transport.Queue{MaxUrgentBytes: attachedUrgent, MaxBulkBytes: l.p.cfg.Attached.MostView}
 	l.p.byProcess[other.Incarnation] = append(l.p.byProcess[other.Incarnation], l)
 	slog.Debug("attached", "from", other.Name, "incarnation", hex(other.Incarnation))
-	l.p.node.LinkOpened(l.p.host.now, l.link)
+	l.p.node.LinkOpened(l.p.Host.TurnTime, l.link)
 }
 
 // rejected notes why a link is closed for what came over it.
 func (l *inLink) rejected(err error) {
 	if errors.Is(err, transport.ErrAtCapacity) { // there may be many of these
-		l.p.host.count.AttachRefused++
+		l.p.Host.Counters.AttachRefused++
 		return
 	}
-	l.p.host.count.PeerRejected++
+	l.p.Host.Counters.PeerRejected++
 	slog.Warn("link closed for what came", "from", l.shake.Remote.Name, "error", err)
 }
 
@@ -94,15 +94,15 @@
 	} else {
 		l.p.byProcess[l.link.Incarnation] = list
 	}
-	l.p.node.LinkClosed(l.p.host.now, l.link)
+	l.p.node.LinkClosed(l.p.Host.TurnTime, l.link)
 }
 
 // pushAttached sends a message over the newest link to a process of an attached front end. Without one it is lost, as it might be on
 // the way. A reader that is too slow for it loses all that waits, and resumes by its next heartbeat.
-func (p *peers) pushAttached(t fleet.Send) {
+func (p *Peering) pushAttached(t fleet.Send) {
 	list := p.byProcess[t.Incarnation]
 	if len(list) == 0 {
-		p.host.count.PeerDropped++
+		p.Host.Counters.PeerDropped++
 		return
 	}
 	l := list[len(list)-1]
@@ -110,11 +110,11 @@
 	full := p.queued+len(t.Body) > attachedTotal || !l.queue.Push(t.Kind, t.Bulk, t.Body)
 	if full {
 		l.queue.DropUnstarted()
-		p.host.count.PeerDropped++
+		p.Host.Counters.PeerDropped++
 	}
 	p.queued += l.queue.Len() - before
 	if full {
-		p.node.QueueFull(p.host.now, l.link.From, t.Incarnation)
+		p.node.QueueFull(p.Host.TurnTime, l.link.From, t.Incarnation)
 		return
 	}
 	l.pour()
@@ -122,44 +122,44 @@
 
 // pour hands to the socket what waits, as far as there is room.
 func (l *inLink) pour() {
-	if l.closed {
+	if l.Closed {
 		return
 	}
-	before := l.out.Len()
-	for l.out.Len() < linkOut/2 {
+	before := l.Out.Len()
+	for l.Out.Len() < linkOut/2 {
 		frame := l.queue.Pop()
 		if frame == nil {
 			break
 		}
 		l.p.queued -= len(frame)
-		if _, err := l.out.Write(frame); err != nil {
+		if _, err := l.Out.Write(frame); err != nil {
 			l.end()
 			return
 		}
 		l.p.traffic.sent(frame)
 	}
 	if before == 0 {
-		l.taken = l.p.host.now
+		l.taken = l.p.Host.TurnTime
 	}
 	l.send()
 }
 
 // send writes what the socket takes.
 func (l *inLink) send() {
-	before := l.out.Len()
-	if err := l.flush(); err != nil {
+	before := l.Out.Len()
+	if err := l.Flush(); err != nil {
 		l.end()
 		return
 	}
-	if l.out.Len() < before || l.out.Len() == 0 {
-		l.taken = l.p.host.now
+	if l.Out.Len() < before || l.Out.Len() == 0 {
+		l.taken = l.p.Host.TurnTime
 	}
-	l.watch(true)
+	l.UpdateInterest(true)
 }
 
 // stalled says whether an attached front end has taken nothing for so long that its link is to be made anew.
 func (l *inLink) stalled() bool {
-	return l.attached && l.out.Len() > 0 && l.p.host.now-l.taken >= linkStalled
+	return l.attached && l.Out.Len() > 0 && l.p.Host.TurnTime-l.taken >= linkStalled
 }
 
 // mostSilent is after what silence a link is closed: the other side has made a new one, or is gone.
@@ -172,18 +172,18 @@
 
 // resumed forgives attached front ends the silence of a time in which this process itself stood still: what they have sent
 // meanwhile may not have been read yet.
-func (p *peers) resumed() {
-	gap := p.host.now - p.ticked
+func (p *Peering) resumed() {
+	gap := p.Host.TurnTime - p.ticked
 	if p.attaches() && p.ticked != 0 && gap > attachedPause {
 		for l := range p.in {
 			l.since, l.taken = l.since+gap, l.taken+gap
 		}
 	}
-	p.ticked = p.host.now
+	p.ticked = p.Host.TurnTime
 }
 
 // closeAttached closes a link on the part's wish: of a process that has been replaced, or for what came.
-func (p *peers) closeAttached(link fleet.Link) {
+func (p *Peering) closeAttached(link fleet.Link) {
 	for _, l := range append([]*inLink(nil), p.byProcess[link.Incarnation]...) {
 		if l.link.ChallengedAt == link.ChallengedAt {
 			l.end()
--- a/internal/epoll/budgets.go
+++ b/internal/peering/budgets.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"chutechute/fleet/budget"
@@ -6,8 +6,8 @@
 	"chutechute/scheduler"
 )
 
-// FleetBudgets is how the fleet's budgets stand, as this front end and its copy of the record know it.
-type FleetBudgets struct {
+// BudgetPage is how the fleet's budgets stand, as this front end and its copy of the record know it.
+type BudgetPage struct {
 	Name    string              `json:"name"`
 	On      bool                `json:"on"`
 	Leader  string              `json:"leader"`
@@ -16,20 +16,20 @@
 	Holder  *budget.LeaseStatus `json:"holder,omitempty"`
 	Unknown map[string]string   `json:"unknown,omitempty"` // budgets that this site has nothing for, with the reasons
 	Budgets []budget.Status     `json:"budgets"`
-	Here    []FleetSpending     `json:"here"`
-	Denied  []FleetDenial       `json:"denied"` // of late, the newest first
+	Here    []BudgetSpending    `json:"here"`
+	Denied  []BudgetDenial      `json:"denied"` // of late, the newest first
 }
 
-// FleetDenial is a request that was turned away for want of room in a budget.
-type FleetDenial struct {
+// BudgetDenial is a request that was turned away for want of room in a budget.
+type BudgetDenial struct {
 	Call    string `json:"call"`
 	Budget  string `json:"budget"`
 	AgeMS   int64  `json:"age_ms"`
 	AfterMS int64  `json:"after_ms"`
 }
 
-// FleetSpending is how one budget stands at this front end. Amounts are in queries, threads or milliseconds of work.
-type FleetSpending struct {
+// BudgetSpending is how one budget stands at this front end. Amounts are in queries, threads or milliseconds of work.
+type BudgetSpending struct {
 	Budget  string  `json:"budget"`
 	Subject string  `json:"subject,omitempty"`
 	Want    float64 `json:"want"`
@@ -42,43 +42,43 @@
 }
 
 // showBudgets tells of all budgets, or of one; of a call, why it was turned away.
-func (p *peers) showBudgets(name string) FleetBudgets {
+func (p *Peering) showBudgets(name string) BudgetPage {
 	if p.node == nil { // none are divided among attached front ends
-		return FleetBudgets{Name: p.cfg.Name, Budgets: []budget.Status{}, Here: []FleetSpending{}, Denied: []FleetDenial{}}
+		return BudgetPage{Name: p.cfg.Name, Budgets: []budget.Status{}, Here: []BudgetSpending{}, Denied: []BudgetDenial{}}
 	}
-	denied := p.core.Denials(name)
+	denied := p.Core.Denials(name)
 	if name != "" && len(denied) > 0 {
 		name = denied[0].Budget
 	}
-	f := FleetBudgets{Name: p.cfg.Name, On: p.holder != nil, Leader: p.node.ReplicaName(p.node.Replica().Leader()),
-		Copy: p.node.Replica().Group() != 0, Version: p.budgets.SetVersion(), Budgets: p.budgets.Status(p.host.now, name), Here: []FleetSpending{},
-		Denied: []FleetDenial{}}
+	f := BudgetPage{Name: p.cfg.Name, On: p.holder != nil, Leader: p.node.ReplicaName(p.node.Replica().Leader()),
+		Copy: p.node.Replica().Group() != 0, Version: p.budgets.SetVersion(), Budgets: p.budgets.Status(p.Host.TurnTime, name), Here: []BudgetSpending{},
+		Denied: []BudgetDenial{}}
 	for _, d := range denied {
-		f.Denied = append(f.Denied, FleetDenial{d.RequestID, d.Budget, (p.host.now - d.At) / ms, d.RetryAfter / ms})
+		f.Denied = append(f.Denied, BudgetDenial{d.RequestID, d.Budget, (p.Host.TurnTime - d.At) / monotime.Millisecond, d.RetryAfter / monotime.Millisecond})
 	}
 	if p.holder == nil {
 		return f
 	}
-	shown := p.holder.Status(p.host.now)
+	shown := p.holder.Status(p.Host.TurnTime)
 	f.Holder, f.Unknown = &shown, p.enforcer.Unknown
 	if !f.Copy {
 		f.Version = shown.Version
 	}
-	for _, s := range p.core.BudgetStatuses(p.host.now) {
+	for _, s := range p.Core.BudgetStatuses(p.Host.TurnTime) {
 		if name == "" || name == s.Budget {
-			f.Here = append(f.Here, spending(s, p.host.now))
+			f.Here = append(f.Here, spending(s, p.Host.TurnTime))
 		}
 	}
 	return f
 }
 
-func spending(s scheduler.BudgetStatus, now monotime.Micros) FleetSpending {
+func spending(s scheduler.BudgetStatus, now monotime.Micros) BudgetSpending {
 	const units = 1000.0
 	lease, static := s.Lease.Capacity, s.Static.Capacity
 	if s.Lease.Rate+s.Static.Rate > 0 {
 		lease, static = s.Lease.Rate, s.Static.Rate
 	}
-	return FleetSpending{Budget: s.Budget, Subject: s.Subject, Want: float64(s.Want) / units, InUse: float64(s.Used) / units,
+	return BudgetSpending{Budget: s.Budget, Subject: s.Subject, Want: float64(s.Want) / units, InUse: float64(s.Used) / units,
 		Lease: float64(lease) / units, Static: float64(static) / units, Spent: float64(s.Spent) / units, Denied: s.Denied,
-		LeftMS: max(0, s.Until-now) / ms}
+		LeftMS: max(0, s.Until-now) / monotime.Millisecond}
 }
--- a/internal/epoll/controlmember.go
+++ b/internal/peering/controlmember.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"errors"
@@ -18,7 +18,7 @@
 )
 
 // join builds a control member's part: its disk, its copy of the record, and what serves those that attach to it.
-func (p *peers) join(cfg *config.Peers, incarnation uint64) error {
+func (p *Peering) join(cfg *config.Peers, incarnation uint64) error {
 	disk := (*replication.PersistedState)(nil)
 	c := cfg.Node
 	c.Incarnation, c.NewID = incarnation, number
@@ -40,7 +40,7 @@
 				slog.Warn("a write to the record's log had not come to its end and was cut off", "bytes", p.store.TruncatedBytes)
 			}
 			if p.store.QuarantinedPath != "" {
-				p.host.count.StoreErrors++
+				p.Host.Counters.StoreErrors++
 				slog.Error("the record's file could not be trusted and was set aside; this is an empty disk now", "file", p.store.QuarantinedPath)
 			}
 		}
@@ -50,7 +50,7 @@
 	c.Replication.StateMachines = []replication.StateMachine{p.loads, p.budgets}
 	if a := cfg.Attached; a != nil {
 		server := a.Config
-		server.Incarnation, server.Seed = incarnation, p.seed
+		server.Incarnation, server.Seed = incarnation, p.Seed
 		c.Membership, p.byProcess = &server, map[uint64][]*inLink{}
 	}
 	p.node = fleet.NewNode(c, p.noted)
@@ -58,7 +58,7 @@
 	p.node.OnPeerChange = func(m *heartbeat.Peer) {
 		slog.Info("front end", "name", m.Name, "state", m.State.String(), "incarnation", hex(m.Incarnation))
 	}
-	if err := p.node.Recover(p.host.now, disk); err != nil && p.storeErr == nil {
+	if err := p.node.Recover(p.Host.TurnTime, disk); err != nil && p.storeErr == nil {
 		p.failed(err)
 	}
 	if p.storeErr != nil {
@@ -69,43 +69,43 @@
 }
 
 // spend begins this front end's part in the fleet's budgets.
-func (p *peers) spend(cfg *config.Peers) {
-	p.enforcer = enforce.New(p.settings, p.core)
+func (p *Peering) spend(cfg *config.Peers) {
+	p.enforcer = enforce.New(p.Settings, p.Core)
 	p.holder = budget.NewLeaseHolder(budget.LeaseHolderConfig{Name: cfg.Name, Set: cfg.Budgets, MinReportInterval: reportGap}, p.node, p.enforcer)
-	p.holder.Start(p.host.now)
+	p.holder.Start(p.Host.TurnTime)
 }
 
 // noted takes the record's word that something this front end waits for may have changed.
-func (p *peers) noted(about string) {
+func (p *Peering) noted(about string) {
 	if about != budget.NotificationTopic {
-		p.records.Notify(p.host.now, about)
+		p.records.Notify(p.Host.TurnTime, about)
 	} else if p.holder != nil {
-		p.holder.Notify(p.host.now)
+		p.holder.Notify(p.Host.TurnTime)
 	}
 }
 
 // failed notes that the disk serves no more.
-func (p *peers) failed(err error) {
+func (p *Peering) failed(err error) {
 	p.storeErr = err
-	p.host.count.StoreErrors++
+	p.Host.Counters.StoreErrors++
 	slog.Error("the record's disk failed: this front end is no copy any more", "error", err)
 }
 
 // written takes the writer's word.
-func (p *peers) written(token uint64, err error) {
+func (p *Peering) written(token uint64, err error) {
 	if err != nil && p.storeErr == nil {
 		p.failed(err)
 	}
-	p.node.Persisted(p.host.now, token, err)
+	p.node.Persisted(p.Host.TurnTime, token, err)
 }
 
-func (p *peers) save(a replication.Save) {
+func (p *Peering) save(a replication.Save) {
 	switch {
 	case p.writer != nil:
 		p.writer.Enqueue(a)
 	case p.storeErr != nil:
-		p.node.Persisted(p.host.now, a.Token, p.storeErr)
+		p.node.Persisted(p.Host.TurnTime, a.Token, p.storeErr)
 	default: // memory is all that this copy has
-		p.node.Persisted(p.host.now, a.Token, nil)
+		p.node.Persisted(p.Host.TurnTime, a.Token, nil)
 	}
 }
--- a/internal/epoll/fleet.go
+++ b/internal/peering/fleet.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"bytes"
@@ -19,10 +19,10 @@
 	"chutechute/internal/monotime"
 )
 
-// peers is this front end among others: the links, the disk and the stepped module between them. The server has none where
+// Peering is this front end among others: the links, the disk and the stepped module between them. The server has none where
 // no fleet is set.
-type peers struct {
-	program
+type Peering struct {
+	Program
 	cfg      *config.Peers
 	self     *transport.Identity
 	part     part                // node or attached
@@ -61,9 +61,9 @@
 	return binary.BigEndian.Uint64(b[:])>>2 | 1
 }
 
-// newPeers builds this front end's part in a fleet, in the role that the settings give it.
-func newPeers(of program, cfg *config.Peers) (*peers, error) {
-	p := &peers{program: of, cfg: cfg, out: map[string]*outLink{}, in: map[*inLink]struct{}{}, jitter: of.seed | 1}
+// NewPeering builds this front end's part in a fleet, in the role that the settings give it.
+func NewPeering(of Program, cfg *config.Peers) (*Peering, error) {
+	p := &Peering{Program: of, cfg: cfg, out: map[string]*outLink{}, in: map[*inLink]struct{}{}, jitter: of.Seed | 1}
 	incarnation := number()
 	if a := cfg.Attached; a != nil && a.Here {
 		p.attach(cfg, incarnation)
@@ -82,11 +82,11 @@
 	}
 	if p.store != nil {
 		p.writer = wal.NewWriter(p.store, func(token uint64, err error) {
-			p.post(func() { p.written(token, err) })
+			p.Post(func() { p.written(token, err) })
 		})
 	}
-	if p.core != nil {
-		p.core.UseIdempotencyStore(p.records)
+	if p.Core != nil {
+		p.Core.UseIdempotencyStore(p.records)
 	}
 	if cfg.Budgets != nil {
 		p.spend(cfg)
@@ -101,12 +101,12 @@
 }
 
 // reportGap is the least span between two reports of what this front end wants of the budgets.
-const reportGap = 20 * ms
+const reportGap = 20 * monotime.Millisecond
 
 func hex(n uint64) string { return fmt.Sprintf("%016x", n) }
 
-// listen opens the door for the others, where this is a control member, and the operators'.
-func (p *peers) listen() (err error) {
+// Listen opens the door for the others, where this is a control member, and the operators'.
+func (p *Peering) Listen() (err error) {
 	if p.attached != nil {
 		return p.listenAdmin()
 	}
@@ -116,25 +116,25 @@
 	return p.listenAdmin()
 }
 
-func (p *peers) listenAdmin() (err error) {
+func (p *Peering) listenAdmin() (err error) {
 	if p.cfg.Admin != "" {
 		p.admin, err = newAdminListener(p)
 	}
 	return err
 }
 
-// at sets the time for what comes in this turn of the loop.
-func (p *peers) at(now monotime.Micros) {
+// SetNow sets the time for what comes in this turn of the loop.
+func (p *Peering) SetNow(now monotime.Micros) {
 	p.records.SetNow(now)
 	if p.holder != nil {
 		p.holder.SetNow(now)
 	}
 }
 
-// tick lets time pass.
-func (p *peers) tick() {
-	now := p.host.now
-	if p.draining() {
+// Tick lets time pass.
+func (p *Peering) Tick() {
+	now := p.Host.TurnTime
+	if p.Draining() {
 		p.part.Leave()
 	}
 	if p.attached != nil {
@@ -155,7 +155,7 @@
 	if p.holder != nil {
 		p.holder.Tick(now)
 	}
-	p.pump()
+	p.CarryOut()
 	p.logView()
 	if p.node == nil {
 		return
@@ -165,8 +165,8 @@
 	}
 }
 
-// pump carries out what the part wants, until it wants nothing more.
-func (p *peers) pump() {
+// CarryOut carries out what the part wants, until it wants nothing more.
+func (p *Peering) CarryOut() {
 	for {
 		list := p.part.Actions()
 		if len(list) == 0 {
@@ -186,7 +186,7 @@
 }
 
 // tell sends a message over the link to another front end.
-func (p *peers) tell(t fleet.Send) {
+func (p *Peering) tell(t fleet.Send) {
 	if t.Incarnation != 0 {
 		p.pushAttached(t)
 	} else if l := p.out[t.To]; l != nil { // an attached front end may have given it up meanwhile
@@ -195,23 +195,23 @@
 }
 
 // leaveWait bounds how long a planned end waits for the record to take back what this front end may spend.
-const leaveWait = 300 * ms
+const leaveWait = 300 * monotime.Millisecond
 
-// left says whether this front end may end, once nothing is open: what it may spend was given back, so that others have it at
+// Released says whether this front end may end, once nothing is open: what it may spend was given back, so that others have it at
 // once, or that takes too long.
-func (p *peers) left() bool {
+func (p *Peering) Released() bool {
 	if p.holder == nil {
 		return true
 	}
 	if p.leaving == 0 {
-		p.leaving = p.host.now
-		p.holder.Release(p.host.now)
+		p.leaving = p.Host.TurnTime
+		p.holder.Release(p.Host.TurnTime)
 	}
-	return p.holder.Released() || p.host.now-p.leaving >= leaveWait
+	return p.holder.Released() || p.Host.TurnTime-p.leaving >= leaveWait
 }
 
-// reload puts other budgets into force.
-func (p *peers) reload(cfg *config.Peers) {
+// Reload puts other budgets into force.
+func (p *Peering) Reload(cfg *config.Peers) {
 	if p != nil && cfg != nil && (p.cfg.Attached != nil || cfg.Attached != nil) && !bytes.Equal(p.cfg.Digest, cfg.Digest) {
 		slog.Warn("reload: what all front ends of the fleet agree on takes effect at the next start")
 	}
@@ -219,14 +219,14 @@
 	case p == nil || cfg == nil:
 	case p.holder != nil && cfg.Budgets != nil:
 		p.cfg.Budgets = cfg.Budgets
-		p.holder.Reload(p.host.now, cfg.Budgets)
+		p.holder.Reload(p.Host.TurnTime, cfg.Budgets)
 	case (p.holder != nil) != (cfg.Budgets != nil):
 		slog.Warn("reload: fleet.budgets is taken in or out at the next start; an empty list takes all budgets out")
 	}
 }
 
-// close writes what is queued, before a planned end.
-func (p *peers) close() {
+// Close writes what is queued, before a planned end.
+func (p *Peering) Close() {
 	if p.writer != nil {
 		if err := p.writer.Close(); err != nil {
 			slog.Warn("the record's file", "error", err)
@@ -238,7 +238,7 @@
 }
 
 // spread draws from a sequence that differs from process to process: a span from half to one and a half.
-func (p *peers) spread(span monotime.Micros) monotime.Micros {
+func (p *Peering) spread(span monotime.Micros) monotime.Micros {
 	p.jitter ^= p.jitter << 13
 	p.jitter ^= p.jitter >> 7
 	p.jitter ^= p.jitter << 17
--- a/internal/epoll/golden_test.go
+++ b/internal/peering/golden_test.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"encoding/json"
@@ -48,7 +48,7 @@
 // What commands print of a running front end as JSON: its names and their order, with every field set and with none.
 func TestStatusPagesKeepTheirForm(t *testing.T) {
 	var lines []string
-	for _, page := range []any{&FleetStatus{}, &FleetRecord{}, &budget.LeaseStatus{}, &budget.Status{}, &budget.Plan{}} {
+	for _, page := range []any{&Status{}, &ReplicatedRecords{}, &budget.LeaseStatus{}, &budget.Status{}, &budget.Plan{}} {
 		empty, err := json.Marshal(page)
 		require.NoError(t, err)
 		n := 0
--- a/internal/epoll/hollow.go
+++ b/internal/peering/hollow.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"errors"
@@ -9,6 +9,7 @@
 	"chutechute/fleet/heartbeat"
 	"chutechute/fleet/membership"
 	"chutechute/internal/config"
+	"chutechute/internal/eventloop"
 	"chutechute/internal/monotime"
 )
 
@@ -16,8 +17,8 @@
 // the copy of the record that a Server has. It is there to measure what a large fleet's control costs. Run and all methods but Do
 // and Stop belong to one goroutine.
 type Hollow struct {
-	host
-	posts   posts
+	Host
+	posts   eventloop.Tasks
 	members []*hollowMember // in the order of their starts
 	awaited []*awaited
 	stopped bool
@@ -25,7 +26,7 @@
 
 // hollowMember is one front end of a Hollow.
 type hollowMember struct {
-	*peers
+	*Peering
 	nextTick monotime.Micros
 	pumped   int             // bytes that had come at the last pump
 	paused   monotime.Micros // until when it stands still; 0: it runs
@@ -33,39 +34,39 @@
 
 // Errors of a Hollow.
 var (
-	ErrHollowName = errors.New("epoll: no hollow front end of that name runs here")
-	ErrHollowTwin = errors.New("epoll: a hollow front end of that name runs already")
+	ErrUnknownHollow   = errors.New("peering: no hollow front end of that name runs here")
+	ErrDuplicateHollow = errors.New("peering: a hollow front end of that name runs already")
 )
 
 // NewHollow builds a loop without front ends.
 func NewHollow() (*Hollow, error) {
-	l, err := newLoop()
+	l, err := eventloop.NewLoop()
 	if err != nil {
 		return nil, err
 	}
-	return &Hollow{host: newHost(l)}, nil
+	return &Hollow{Host: NewHost(l)}, nil
 }
 
 // Do hands work to the loop, which runs it within a tick. It may be called from any goroutine.
-func (h *Hollow) Do(work func()) { h.posts.add(work) }
+func (h *Hollow) Do(work func()) { h.posts.Add(work) }
 
 // Stop ends Run within a tick. It may be called from any goroutine.
 func (h *Hollow) Stop() { h.Do(func() { h.stopped = true }) }
 
-// Now is the time of this turn of the loop, in microseconds of Unix time that never goes back.
-func (h *Hollow) Now() monotime.Micros { return h.now }
+// CurrentTime is the time of this turn of the loop, in microseconds of Unix time that never goes back.
+func (h *Hollow) CurrentTime() monotime.Micros { return h.TurnTime }
 
 // Start starts a front end under its configured name and addresses, and gives its process's number. Its record is kept in memory.
 func (h *Hollow) Start(cfg *config.Peers, seed uint64) (incarnation uint64, err error) {
 	if h.member(cfg.Name) != nil {
-		return 0, fmt.Errorf("%w: %q", ErrHollowTwin, cfg.Name)
+		return 0, fmt.Errorf("%w: %q", ErrDuplicateHollow, cfg.Name)
 	}
-	m := &hollowMember{nextTick: h.now + monotime.Micros(seed%uint64(tickEvery))} // processes don't tick together
-	of := program{host: &h.host, seed: seed, post: h.Do, draining: func() bool { return false }}
-	if m.peers, err = newPeers(of, cfg); err != nil {
+	m := &hollowMember{nextTick: h.TurnTime + monotime.Micros(seed%uint64(eventloop.TickInterval))} // processes don't tick together
+	of := Program{Host: &h.Host, Seed: seed, Post: h.Do, Draining: func() bool { return false }}
+	if m.Peering, err = NewPeering(of, cfg); err != nil {
 		return 0, err
 	}
-	if err := m.listen(); err != nil {
+	if err := m.Listen(); err != nil {
 		return 0, err
 	}
 	h.members = append(h.members, m)
@@ -76,7 +77,7 @@
 func (h *Hollow) Kill(name string) error {
 	m := h.member(name)
 	if m == nil {
-		return fmt.Errorf("%w: %q", ErrHollowName, name)
+		return fmt.Errorf("%w: %q", ErrUnknownHollow, name)
 	}
 	m.halt()
 	for i := range h.members {
@@ -93,10 +94,10 @@
 func (h *Hollow) Pause(name string, until monotime.Micros) error {
 	m := h.member(name)
 	if m == nil {
-		return fmt.Errorf("%w: %q", ErrHollowName, name)
+		return fmt.Errorf("%w: %q", ErrUnknownHollow, name)
 	}
 	if m.paused == 0 {
-		m.each(func(fd int, _ uint32, _ handler) { h.loop.mute(fd) })
+		m.each(func(fd int, _ uint32, _ eventloop.Handler) { h.Loop.Detach(fd) })
 	}
 	m.paused = until
 	h.forget(m)
@@ -106,9 +107,9 @@
 // resume lets a front end go on that stood still.
 func (h *Hollow) resume(m *hollowMember) {
 	m.paused = 0
-	m.each(func(fd int, want uint32, owner handler) {
-		if err := h.loop.add(fd, want, owner); err != nil {
-			h.loop.drop(fd) // its next write fails, and the link is made anew
+	m.each(func(fd int, want uint32, owner eventloop.Handler) {
+		if err := h.Loop.Add(fd, want, owner); err != nil {
+			h.Loop.CloseDescriptor(fd) // its next write fails, and the link is made anew
 		}
 	})
 }
@@ -124,7 +125,7 @@
 
 // Run carries the loop until a time of its clock, or until Stop.
 func (h *Hollow) Run(until monotime.Micros) error {
-	for !h.stopped && h.now < until {
+	for !h.stopped && h.TurnTime < until {
 		if err := h.turn(until); err != nil {
 			return err
 		}
@@ -134,55 +135,55 @@
 
 // turn waits, reads all that is ready, and lets each front end do what a Server's turn does.
 func (h *Hollow) turn(until monotime.Micros) error {
-	if rest := h.now + leastTurn - h.clock.now(); rest > 0 {
+	if rest := h.TurnTime + eventloop.MinTurnInterval - h.Clock.Now(); rest > 0 {
 		t := unix.NsecToTimespec(rest * 1000)
 		_ = unix.Nanosleep(&t, nil) // a signal may cut it short, to no harm
 	}
-	next := min(until, h.now+tickEvery)
+	next := min(until, h.TurnTime+eventloop.TickInterval)
 	for _, m := range h.members {
 		next = min(next, max(m.nextTick, m.paused))
 	}
-	n, err := h.loop.wait(next - h.clock.now())
+	n, err := h.Loop.Wait(next - h.Clock.Now())
 	if err != nil {
 		return err
 	}
-	h.now = h.clock.now()
-	h.posts.run()
+	h.TurnTime = h.Clock.Now()
+	h.posts.Run()
 	for _, m := range h.members {
-		m.at(h.now)
+		m.SetNow(h.TurnTime)
 	}
-	h.loop.dispatch(n)
+	h.Loop.Dispatch(n)
 	for _, m := range h.members {
 		h.step(m)
 	}
-	h.count.LongestTurn = max(h.count.LongestTurn, int(h.clock.now()-h.now))
+	h.Counters.LongestTurn = max(h.Counters.LongestTurn, int(h.Clock.Now()-h.TurnTime))
 	return nil
 }
 
 // LongestTurn is the longest turn of the loop since this was asked last, in microseconds. Where it comes near the links' own spans,
 // front ends that share the loop disturb one another as processes of their own would not.
 func (h *Hollow) LongestTurn() monotime.Micros {
-	longest := h.count.LongestTurn
-	h.count.LongestTurn = 0
+	longest := h.Counters.LongestTurn
+	h.Counters.LongestTurn = 0
 	return monotime.Micros(longest)
 }
 
 // step lets time pass for a front end whose tick is due, and carries out what messages have made it want.
 func (h *Hollow) step(m *hollowMember) {
-	if m.paused > h.now {
+	if m.paused > h.TurnTime {
 		return
 	}
 	if m.paused > 0 {
 		h.resume(m)
 	}
-	if h.now >= m.nextTick {
-		m.nextTick = h.now + tickEvery
-		m.tick()
+	if h.TurnTime >= m.nextTick {
+		m.nextTick = h.TurnTime + eventloop.TickInterval
+		m.Tick()
 		h.look(m)
 	}
 	if m.pumped != m.traffic.BytesIn {
 		m.pumped = m.traffic.BytesIn
-		m.pump()
+		m.CarryOut()
 	}
 }
 
@@ -224,42 +225,42 @@
 		m.halt()
 	}
 	h.members, h.awaited = nil, nil
-	unix.Close(h.loop.fd)
+	h.Loop.Close()
 }
 
 // halt closes all that a front end has open.
-func (p *peers) halt() {
+func (p *Peering) halt() {
 	for _, l := range p.out {
-		l.close()
+		l.Close()
 	}
 	for l := range p.in {
 		l.end()
 	}
 	if p.listener != nil {
-		p.host.loop.drop(p.listener.fd)
+		p.Host.Loop.CloseDescriptor(p.listener.fd)
 	}
-	p.close()
+	p.Close()
 }
 
 // each gives all of a front end's open descriptors with what is awaited of them and their owners.
-func (p *peers) each(do func(fd int, want uint32, owner handler)) {
+func (p *Peering) each(do func(fd int, want uint32, owner eventloop.Handler)) {
 	if p.listener != nil {
 		do(p.listener.fd, unix.EPOLLIN, p.listener)
 	}
 	for _, l := range p.out {
-		if !l.closed {
-			do(l.fd, l.want, l)
+		if !l.Closed {
+			do(l.FD, l.Interest, l)
 		}
 	}
 	for l := range p.in {
-		do(l.fd, l.want, l)
+		do(l.FD, l.Interest, l)
 	}
 }
 
-func (p *peers) connections() int {
+func (p *Peering) connections() int {
 	open := len(p.in)
 	for _, l := range p.out {
-		if !l.closed {
+		if !l.Closed {
 			open++
 		}
 	}
@@ -268,7 +269,7 @@
 
 // alive is how many front ends this one sees as alive, itself too; of a view with fewer than total entries, these. What counting a
 // view comes to is kept in counted.
-func (p *peers) alive(total int, counted map[uint64]int) int {
+func (p *Peering) alive(total int, counted map[uint64]int) int {
 	view := p.part.View()
 	switch {
 	case view == nil:
@@ -289,7 +290,7 @@
 	return alive
 }
 
-func (p *peers) aliveMembers() int {
+func (p *Peering) aliveMembers() int {
 	alive := 1
 	for _, m := range p.node.Members().Peers() {
 		if m.State == heartbeat.Alive {
--- a/internal/epoll/hollow_change.go
+++ b/internal/peering/hollow_change.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"chutechute/fleet/heartbeat"
@@ -29,7 +29,7 @@
 		switch {
 		case m.cfg.Name == change.Name || m.paused > 0:
 		case m.sees(change):
-			a.seen = h.now
+			a.seen = h.TurnTime
 		default:
 			a.pending[m] = struct{}{}
 		}
@@ -59,7 +59,7 @@
 	for _, a := range h.awaited {
 		if _, waits := a.pending[m]; waits && m.sees(a.change) {
 			delete(a.pending, m)
-			a.seen = h.now
+			a.seen = h.TurnTime
 		}
 	}
 	h.settle()
@@ -91,7 +91,7 @@
 }
 
 // sees says whether a front end's view shows a change. A process that it never heard of is gone for it.
-func (p *peers) sees(change Change) bool {
+func (p *Peering) sees(change Change) bool {
 	if view := p.part.View(); view != nil {
 		if change.Gone {
 			e, known := view.Lookup(change.Name)
--- a/internal/epoll/hollow_test.go
+++ b/internal/peering/hollow_test.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"encoding/json"
@@ -64,7 +64,7 @@
 		if holds() {
 			return
 		}
-		require.NoError(f.t, f.Run(f.Now()+10*ms))
+		require.NoError(f.t, f.Run(f.CurrentTime()+10*monotime.Millisecond))
 	}
 	require.Fail(f.t, "it does not come to hold in 30 s")
 }
@@ -103,9 +103,6 @@
 	assert.InDelta(t, d.MessagesOut, d.MessagesIn, 4*size*size, "but for what is on its way")
 	assert.Positive(t, d.HeartbeatSize)
 	assert.LessOrEqual(t, d.HeartbeatSize, d.PayloadIn)
-	var none *Traffic
-	none.read(5) // connections of clients are not counted
-	none.written(5)
 }
 
 // One that stands still neither takes nor sends, and goes on afterwards; one that is killed leaves no connection, and the rest see
@@ -117,9 +114,9 @@
 		f.start(name)
 	}
 	f.until(func() bool { return f.complete() == size })
-	require.NoError(t, f.Pause("n2", f.Now()+1000*ms))
+	require.NoError(t, f.Pause("n2", f.CurrentTime()+1000*monotime.Millisecond))
 	still, _ := f.Traffic("n2")
-	require.NoError(t, f.Run(f.Now()+900*ms))
+	require.NoError(t, f.Run(f.CurrentTime()+900*monotime.Millisecond))
 	after, _ := f.Traffic("n2")
 	assert.Equal(t, still, after)
 	f.until(func() bool { t, _ := f.Traffic("n2"); return t.HeartbeatsIn > after.HeartbeatsIn+2*size })
@@ -155,7 +152,7 @@
 	var ended []monotime.Micros
 	never := Change{Name: "n1", Incarnation: 1}
 	f.Await(never, func(at monotime.Micros) { ended = append(ended, at) })
-	require.NoError(t, f.Pause("n2", f.Now()+60_000*ms))
+	require.NoError(t, f.Pause("n2", f.CurrentTime()+60_000*monotime.Millisecond))
 	assert.Empty(t, ended)
 	require.NoError(t, f.Kill("n3"))
 	assert.Equal(t, []monotime.Micros{0}, ended, "nobody has seen it")
@@ -164,8 +161,8 @@
 	f.Await(Change{Name: "n3", Incarnation: f.of["n3"], Gone: true}, func(at monotime.Micros) { ended = append(ended, at) })
 	f.until(func() bool { return len(ended) == 3 })
 	assert.Positive(t, ended[2])
-	assert.ErrorIs(t, f.Kill("n3"), ErrHollowName)
-	assert.ErrorIs(t, f.Pause("n3", 1), ErrHollowName)
+	assert.ErrorIs(t, f.Kill("n3"), ErrUnknownHollow)
+	assert.ErrorIs(t, f.Pause("n3", 1), ErrUnknownHollow)
 	_, err := f.Start(f.config["n1"], 9)
-	assert.ErrorIs(t, err, ErrHollowTwin)
+	assert.ErrorIs(t, err, ErrDuplicateHollow)
 }
--- a/internal/epoll/part.go
+++ b/internal/peering/part.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"chutechute/fleet"
@@ -24,18 +24,20 @@
 }
 
 // attaches says whether front ends may attach to this one.
-func (p *peers) attaches() bool { return p.node != nil && p.node.MembershipServer() != nil }
+func (p *Peering) attaches() bool { return p.node != nil && p.node.MembershipServer() != nil }
 
-// descriptors is how many the links take of those that clients and engines share, where front ends may attach.
-func (p *peers) descriptors() int {
+// Descriptors is how many the links take of those that clients and engines share, where front ends may attach.
+func (p *Peering) Descriptors() int {
 	if p == nil || p.cfg.Attached == nil {
 		return 0
 	}
 	return len(p.in) + len(p.out)
 }
 
-// counted fills in the counters of the view, where front ends may attach.
-func (p *peers) counted(count *counters.Set) {
+// ReportCounters fills in the counters of idempotent requests and, where front ends may attach, those of the view.
+func (p *Peering) ReportCounters(count *counters.Set) {
+	count.Noted, count.Adopted = p.part.Proposals(), p.records.TakenOver
+	count.Shared, count.Conflicts = p.records.JoinedWaits, p.records.Conflicts
 	var c *membership.Counters
 	switch {
 	case p.attached != nil:
--- a/internal/epoll/traffic.go
+++ b/internal/peering/traffic.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import "chutechute/fleet/transport"
 
@@ -19,17 +19,13 @@
 // frameHeader is the length of a frame that carries nothing.
 var frameHeader = len(transport.AppendFrame(nil, transport.ControlHeartbeat, 0, false, nil))
 
-// read and written count bytes at the socket; without a receiver they count nothing.
-func (t *Traffic) read(n int) {
-	if t != nil {
-		t.BytesIn += n
-	}
+// BytesRead and BytesWritten count bytes at the socket.
+func (t *Traffic) BytesRead(n int) {
+	t.BytesIn += n
 }
 
-func (t *Traffic) written(n int) {
-	if t != nil {
-		t.BytesOut += n
-	}
+func (t *Traffic) BytesWritten(n int) {
+	t.BytesOut += n
 }
 
 // sent counts a frame that is handed to a socket. A message above transport.MaxFrameBody takes several.
--- a/internal/epoll/viewlog.go
+++ b/internal/peering/viewlog.go
@@ -1,4 +1,4 @@
-package epoll
+package peering
 
 import (
 	"log/slog"
@@ -8,7 +8,7 @@
 )
 
 const (
-	viewLogEvery = 1000 * ms
+	viewLogEvery = 1000 * monotime.Millisecond
 	mostViewLog  = 8 // changes in that span that get a line each; more get one line together
 )
 
@@ -26,12 +26,12 @@
 }
 
 // logView logs what has changed in the view since a second ago. Of control members the others tell one another themselves.
-func (p *peers) logView() {
+func (p *Peering) logView() {
 	view := p.part.View()
-	if view == nil || p.host.now < p.viewLog.next {
+	if view == nil || p.Host.TurnTime < p.viewLog.next {
 		return
 	}
-	p.viewLog.next = p.host.now + viewLogEvery
+	p.viewLog.next = p.Host.TurnTime + viewLogEvery
 	changes := p.viewLog.changes(view, p.node != nil)
 	if len(changes) > mostViewLog {
 		counts := map[membership.State]int{}
--- a/internal/scale/sockets/change.go
+++ b/internal/scale/sockets/change.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"chutechute/internal/epoll"
 	"chutechute/internal/monotime"
+	"chutechute/internal/peering"
 )
 
 // watch collects how long changes take to reach the last hollow front end alive.
@@ -138,7 +138,7 @@
 }
 
 // follow notes when a change, that was at a time, has reached all hollow front ends.
-func (r *run) follow(change epoll.Change, at monotime.Micros) error {
+func (r *run) follow(change peering.Change, at monotime.Micros) error {
 	left, last := len(r.hollows), at
 	var mu sync.Mutex
 	r.watch.begun(change.Gone)
@@ -218,7 +218,7 @@
 	if err != nil {
 		return err
 	}
-	return r.follow(epoll.Change{Name: f.name, Incarnation: process.incarnation, Gone: true}, at)
+	return r.follow(peering.Change{Name: f.name, Incarnation: process.incarnation, Gone: true}, at)
 }
 
 // bring starts a front end that doesn't run and follows its start.
@@ -230,7 +230,7 @@
 		return err
 	}
 	s := r.running[f]
-	return r.follow(epoll.Change{Name: f.name, Incarnation: s.incarnation}, s.at)
+	return r.follow(peering.Change{Name: f.name, Incarnation: s.incarnation}, s.at)
 }
 
 // restart ends a front end and starts it as another process at once.
--- a/internal/scale/sockets/protocol.go
+++ b/internal/scale/sockets/protocol.go
@@ -1,13 +1,13 @@
 // Package sockets runs a fleet over loopback sockets and measures its control traffic: processes of the built program as control
-// members, and beside them hollow front ends (epoll.Hollow), many a process, so that a role's processor time and memory can be told
+// members, and beside them hollow front ends (peering.Hollow), many a process, so that a role's processor time and memory can be told
 // from the other's. The processes of hollow front ends are the tool itself, which is told what to do over a pipe.
 package sockets
 
 import (
 	"encoding/json"
 
-	"chutechute/internal/epoll"
 	"chutechute/internal/monotime"
+	"chutechute/internal/peering"
 )
 
 // op is what a process of hollow front ends is asked to do.
@@ -35,7 +35,7 @@
 	Seed    uint64          `json:"seed,omitempty"`
 	Span    monotime.Micros `json:"span,omitempty"`    // of opPause
 	Total   int             `json:"total,omitempty"`   // of opSeen: how many there are
-	Change  *epoll.Change   `json:"change,omitempty"`  // of opAwait
+	Change  *peering.Change `json:"change,omitempty"`  // of opAwait
 	Collect bool            `json:"collect,omitempty"` // of opFigures: garbage is collected before memory is read
 }
 
@@ -57,7 +57,7 @@
 	CPU         monotime.Micros `json:"cpu"`      // of the process, user and system
 	Resident    int64           `json:"resident"` // bytes
 	Heap        int64           `json:"heap"`     // bytes allocated and not freed
-	Traffic     epoll.Traffic   `json:"traffic"`  // of all front ends here together, those ended too
+	Traffic     peering.Traffic `json:"traffic"`  // of all front ends here together, those ended too
 	Members     int             `json:"members"`
 	Connections int             `json:"connections"`
 	LongestTurn monotime.Micros `json:"longest_turn"` // of the loop, since the last figures
--- a/internal/scale/sockets/run_test.go
+++ b/internal/scale/sockets/run_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chutechute/internal/epoll"
+	"chutechute/internal/peering"
 	"chutechute/internal/scale"
 )
 
@@ -145,7 +145,7 @@
 		_, err := c.ask(q)
 		assert.Error(t, err, q.Op)
 	}
-	r, err := c.ask(request{Op: opAwait, Change: &epoll.Change{Name: "c001"}})
+	r, err := c.ask(request{Op: opAwait, Change: &peering.Change{Name: "c001"}})
 	require.NoError(t, err)
 	assert.Zero(t, r.SeenAt, "none is here to see it")
 	in.Close()
--- a/internal/scale/sockets/worker.go
+++ b/internal/scale/sockets/worker.go
@@ -10,26 +10,26 @@
 	"time"
 
 	"chutechute/internal/config"
-	"chutechute/internal/epoll"
 	"chutechute/internal/monotime"
+	"chutechute/internal/peering"
 	"chutechute/internal/settings"
 	"chutechute/internal/standin/site"
 )
 
 // worker is a process of hollow front ends, or one within a test.
 type worker struct {
-	hollow  *epoll.Hollow
+	hollow  *peering.Hollow
 	replies *json.Encoder
 	section *config.Fleet
 	site    *settings.Settings
-	names   []string      // of the front ends that run
-	ended   epoll.Traffic // of those that were killed
-	failure error         // of writing a reply
+	names   []string        // of the front ends that run
+	ended   peering.Traffic // of those that were killed
+	failure error           // of writing a reply
 }
 
 // Work carries out requests from in, a line each, and replies on out, until the end is asked for, in ends, or most has passed.
 func Work(in io.Reader, out io.Writer, most time.Duration) error {
-	hollow, err := epoll.NewHollow()
+	hollow, err := peering.NewHollow()
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 	}
 	w := &worker{hollow: hollow, replies: json.NewEncoder(out), site: parsed}
 	go w.read(in)
-	if err := hollow.Run(hollow.Now() + most.Microseconds()); err != nil {
+	if err := hollow.Run(hollow.CurrentTime() + most.Microseconds()); err != nil {
 		return err
 	}
 	return w.failure
@@ -61,7 +61,7 @@
 
 // reply writes a reply; the loop stops where that fails, since nobody listens any more.
 func (w *worker) reply(r reply) {
-	r.At = w.hollow.Now()
+	r.At = w.hollow.CurrentTime()
 	if err := w.replies.Encode(r); err != nil && w.failure == nil {
 		w.failure = fmt.Errorf("sockets: reply: %w", err)
 		w.hollow.Stop()
@@ -80,7 +80,7 @@
 	case opKill:
 		err = w.kill(q.Member)
 	case opPause:
-		err = w.hollow.Pause(q.Member, w.hollow.Now()+q.Span)
+		err = w.hollow.Pause(q.Member, w.hollow.CurrentTime()+q.Span)
 	case opSeen:
 		r.Seen, r.Least = w.hollow.Complete(q.Total)
 	case opFigures:
--- a/internal/epoll/clients.go
+++ b/internal/server/clients.go
@@ -1,4 +1,4 @@
-package epoll
+package server
 
 import (
 	"crypto/x509"
@@ -12,6 +12,7 @@
 
 	"chutechute/gateway"
 	"chutechute/identity"
+	"chutechute/internal/eventloop"
 	"chutechute/internal/figure"
 	"chutechute/internal/monotime"
 	"chutechute/internal/thrift"
@@ -27,23 +28,22 @@
 	maxTTL     = 3600 * 1000
 	maxWork    = 1e9 // milliseconds
 	maxMB      = 1e9
-	backlog    = 1024
 
 	// A client that has said nothing, or half of something, is owed an answer or a close within 3 s of its
 	// connecting. One that has said something may keep its connection for good.
-	silentMost = 2500 * ms
-	partMost   = 2000 * ms
-	lingerMost = 500 * ms
-	freshFor   = 1000 * ms // how long a newcomer is expected to send
+	silentMost = 2500 * monotime.Millisecond
+	partMost   = 2000 * monotime.Millisecond
+	lingerMost = 500 * monotime.Millisecond
+	freshFor   = 1000 * monotime.Millisecond // how long a newcomer is expected to send
 	mostLooks  = 8
 )
 
 // idle says whether nothing is owed to the client.
-func (c *client) idle() bool { return len(c.open) == 0 && c.out.Len() == 0 && !c.queued }
+func (c *client) idle() bool { return len(c.open) == 0 && c.Out.Len() == 0 && !c.queued }
 
 // client is one client's connection.
 type client struct {
-	stream
+	eventloop.Stream
 	l       *listener
 	open    map[int32]*gateway.Request // by sequence number
 	address uint64                     // the client's, as a number
@@ -63,12 +63,12 @@
 	drawn       int                   // bytes read off since
 }
 
-func (c *client) ready(events uint32) {
+func (c *client) Ready(events uint32) {
 	if c.ending || c.shut && events&^unix.EPOLLOUT != 0 {
 		c.draw()
 		return
 	}
-	if over(events) {
+	if eventloop.HasHangup(events) {
 		c.leave()
 		return
 	}
@@ -89,18 +89,18 @@
 		c.leave()
 		return
 	}
-	c.ready(unix.EPOLLIN)
+	c.Ready(unix.EPOLLIN)
 }
 
 // leave follows the client's end, in the turn in which it has come: what is open is taken back, and what came before the end and
 // was not taken yet never is, as nobody waits for its answer. It is read off, since a close over unread bytes would reset the
 // connection under the answers that its client may still read.
 func (c *client) leave() {
-	if c.closed || c.ending {
+	if c.Closed || c.ending {
 		return
 	}
-	c.l.s.count.Left++
-	c.ending, c.shut, c.since = true, true, c.l.s.now
+	c.l.s.Counters.Left++
+	c.ending, c.shut, c.since = true, true, c.l.s.TurnTime
 	c.cancel()
 	c.draw()
 }
@@ -108,7 +108,7 @@
 // read takes the messages that have come whole, as far as one turn goes and unless the client leaves too many
 // answers unread.
 func (c *client) read() {
-	for taken := 0; !c.closed && !c.shut && c.out.Len() <= pauseAbove; taken++ {
+	for taken := 0; !c.Closed && !c.shut && c.Out.Len() <= pauseAbove; taken++ {
 		if taken >= mostTaken {
 			if !c.queued {
 				c.queued = true
@@ -116,17 +116,17 @@
 			}
 			break
 		}
-		m, ok, err := thrift.Next(c.in)
+		m, ok, err := thrift.Next(c.In)
 		if ok || err != nil {
-			c.spoke, c.part, c.since = true, 0, c.l.s.now
+			c.spoke, c.part, c.since = true, 0, c.l.s.TurnTime
 		}
 		var exception *thrift.Exception
 		switch {
 		case errors.As(err, &exception):
-			c.l.s.count.Unusable++
+			c.l.s.Counters.Unusable++
 			c.write(exception.Reply())
 		case err != nil:
-			c.l.s.count.Malformed++
+			c.l.s.Counters.Malformed++
 			slog.Debug("client", "error", err)
 			c.hangUp()
 		case !ok && c.more():
@@ -137,20 +137,20 @@
 			c.take(m)
 		}
 	}
-	if !c.closed && !c.ending {
-		c.watch(c.shut || c.out.Len() <= pauseAbove && !c.queued)
+	if !c.Closed && !c.ending {
+		c.UpdateInterest(c.shut || c.Out.Len() <= pauseAbove && !c.queued)
 	}
 }
 
 // rest waits for more of a message.
 func (c *client) rest() {
-	if c.in.Len() > 0 && c.part == 0 {
-		c.part = c.l.s.now
+	if c.In.Len() > 0 && c.part == 0 {
+		c.part = c.l.s.TurnTime
 	}
-	if len(c.in.Space()) == 0 {
+	if len(c.In.Space()) == 0 {
 		c.l.relieve()
 	}
-	c.watch(true)
+	c.UpdateInterest(true)
 }
 
 func (c *client) take(m thrift.Message) {
@@ -169,13 +169,13 @@
 
 func (c *client) call(m thrift.Message) {
 	fail := func(err error) {
-		c.l.s.count.Unusable++
+		c.l.s.Counters.Unusable++
 		slog.Debug("client", "error", err)
 		e := thrift.Exception{Seq: m.Seq, Name: m.Name, Kind: thrift.ProtocolError, Text: err.Error()}
 		c.write(e.Reply())
 	}
 	if c.open[m.Seq] != nil { // two answers to one number could not be told apart
-		c.l.s.count.Malformed++
+		c.l.s.Counters.Malformed++
 		c.hangUp()
 		return
 	}
@@ -190,7 +190,7 @@
 	}
 	call.Proof = c.proofOf(m.Fields["token"])
 	w := &waiting{c: c, seq: m.Seq}
-	r, err := c.l.s.core.Submit(c.l.s.now, call, w)
+	r, err := c.l.s.core.Submit(c.l.s.TurnTime, call, w)
 	var denied *identity.Denied
 	if errors.As(err, &denied) {
 		w.denied(denied)
@@ -259,7 +259,7 @@
 
 // write adds an answer and writes what it can.
 func (c *client) write(answer []byte) {
-	if c.closed || c.ending {
+	if c.Closed || c.ending {
 		return
 	}
 	c.told = true
@@ -268,60 +268,60 @@
 
 // raw writes bytes as they go over the connection.
 func (c *client) raw(answer []byte) {
-	if c.closed || c.ending || len(answer) == 0 && c.out.Len() == 0 {
+	if c.Closed || c.ending || len(answer) == 0 && c.Out.Len() == 0 {
 		return
 	}
-	_, err := c.out.Write(answer)
-	if err != nil && c.out.Len()+len(answer) <= c.l.maxUnread() {
+	_, err := c.Out.Write(answer)
+	if err != nil && c.Out.Len()+len(answer) <= c.l.maxUnread() {
 		c.l.relieve()
-		if c.closed {
+		if c.Closed {
 			return
 		}
-		_, err = c.out.Write(answer)
+		_, err = c.Out.Write(answer)
 	}
 	if err != nil {
 		slog.Warn("client leaves its answers unread", "error", err)
 		c.end()
 		return
 	}
-	if err := c.flush(); err != nil {
+	if err := c.Flush(); err != nil {
 		c.end()
 		return
 	}
-	c.watch(c.shut || c.out.Len() <= pauseAbove && !c.queued)
+	c.UpdateInterest(c.shut || c.Out.Len() <= pauseAbove && !c.queued)
 	c.finish()
 }
 
 // hangUp ends the connection from this side once all that was taken on it is answered; nothing more is taken.
 func (c *client) hangUp() {
-	if c.closed || c.ending || c.shut {
+	if c.Closed || c.ending || c.shut {
 		return
 	}
 	c.shut, c.part = true, 0
-	c.in.Free()
-	c.watch(true)
+	c.In.Free()
+	c.UpdateInterest(true)
 	c.finish()
 }
 
 // finish ends a connection that is to end, where nothing is owed on it any more. It reads on for a moment: a close with input
 // unread would reset it, and with it the answers that the client has not read yet.
 func (c *client) finish() {
-	if !c.shut || c.closed || c.ending || len(c.open) > 0 || c.out.Len() > 0 {
+	if !c.shut || c.Closed || c.ending || len(c.open) > 0 || c.Out.Len() > 0 {
 		return
 	}
-	c.ending, c.since = true, c.l.s.now
-	if err := unix.Shutdown(c.fd, unix.SHUT_WR); err != nil {
+	c.ending, c.since = true, c.l.s.TurnTime
+	if err := unix.Shutdown(c.FD, unix.SHUT_WR); err != nil {
 		c.end()
 		return
 	}
-	c.watch(true)
+	c.UpdateInterest(true)
 	c.draw()
 }
 
 // cut ends a connection without the answers that are owed on it: they could not be read.
 func (c *client) cut() {
 	c.cancel()
-	c.out.Free()
+	c.Out.Free()
 	c.hangUp()
 }
 
@@ -329,7 +329,7 @@
 func (c *client) draw() {
 	var b [16 << 10]byte
 	for c.drawn < mostDrawn {
-		n, err := unix.Read(c.fd, b[:])
+		n, err := unix.Read(c.FD, b[:])
 		if err == unix.EAGAIN || err == unix.EINTR {
 			return
 		}
@@ -347,10 +347,10 @@
 
 // end closes the connection.
 func (c *client) end() {
-	if c.closed {
+	if c.Closed {
 		return
 	}
-	c.close()
+	c.Close()
 	delete(c.l.clients, c)
 	c.cancel()
 }
@@ -384,7 +384,7 @@
 func (w *waiting) Reject(after monotime.Micros) {
 	fields := map[string]string{}
 	if w.c.l.s.cfg.Settings.Limits.RetryAfter {
-		fields["pushback"] = strconv.FormatInt((after+ms-1)/ms, 10)
+		fields["pushback"] = strconv.FormatInt((after+monotime.Millisecond-1)/monotime.Millisecond, 10)
 	}
 	w.answer(thrift.Shed(w.seq, fields))
 }
@@ -397,7 +397,7 @@
 		return
 	}
 	if w.c.l.s.cfg.Settings.Limits.RetryAfter {
-		fields["pushback"] = strconv.FormatInt((min(d.After, w.c.l.s.cfg.Settings.Limits.MaxRetryAfter)+ms-1)/ms, 10)
+		fields["pushback"] = strconv.FormatInt((min(d.After, w.c.l.s.cfg.Settings.Limits.MaxRetryAfter)+monotime.Millisecond-1)/monotime.Millisecond, 10)
 	}
 	w.answer(thrift.Shed(w.seq, fields))
 }
--- a/internal/epoll/engine_conn.go
+++ b/internal/server/engine_conn.go
@@ -1,4 +1,4 @@
-package epoll
+package server
 
 import (
 	"errors"
@@ -6,6 +6,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"chutechute/internal/eventloop"
 	"chutechute/internal/monotime"
 	"chutechute/internal/rest"
 	"chutechute/scheduler"
@@ -13,7 +14,7 @@
 
 // conn is a connection to an engine; it carries one call at a time.
 type conn struct {
-	stream
+	eventloop.Stream
 	p          *pool
 	engine     *engine
 	job        *job // whose call is out; nil also while an answer that nobody waits for is to come
@@ -56,35 +57,35 @@
 		c.release(true)
 		return
 	}
-	b, err := c.seal(j.query.Call())
-	c.busy, c.since, c.size, c.part, c.suspect = true, c.p.s.now, len(b), 0, 0
+	b, err := c.Seal(j.query.Call())
+	c.busy, c.since, c.size, c.part, c.suspect = true, c.p.s.TurnTime, len(b), 0, 0
 	if !j.query.Dropping() {
 		j.asked = c.since
 	}
-	c.p.s.count.Calls++
+	c.p.s.Counters.Calls++
 	if err == nil {
-		_, err = c.out.Write(b)
+		_, err = c.Out.Write(b)
 	}
 	if err == nil {
-		err = c.flush()
+		err = c.Flush()
 	}
-	if c.out.Len() < c.size {
+	if c.Out.Len() < c.size {
 		j.posted = true
 	}
 	if err != nil {
 		c.fail(false)
 		return
 	}
-	c.watch(true)
+	c.UpdateInterest(true)
 }
 
-func (c *conn) ready(events uint32) {
+func (c *conn) Ready(events uint32) {
 	if c.shaking {
 		c.shake(events)
 		return
 	}
 	if c.connecting {
-		if err := dialled(c.fd); err != nil {
+		if err := eventloop.DialResult(c.FD); err != nil {
 			j := c.job
 			c.end()
 			if j != nil && err == unix.ECONNREFUSED {
@@ -104,19 +105,19 @@
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
-		if j := c.job; j.late() && c.out.Len() > 0 { // what is left of its start stays unwritten
+		if j := c.job; j.late() && c.Out.Len() > 0 { // what is left of its start stays unwritten
 			c.fail(false)
 			return
 		}
-		err := c.flush()
-		if c.job != nil && c.out.Len() < c.size {
+		err := c.Flush()
+		if c.job != nil && c.Out.Len() < c.size {
 			c.job.posted = true
 		}
 		if err != nil {
 			c.fail(false)
 			return
 		}
-		c.watch(true)
+		c.UpdateInterest(true)
 	}
 	if events&^unix.EPOLLOUT == 0 {
 		return
@@ -126,13 +127,13 @@
 		c.spoilt(err)
 		return
 	}
-	if !c.busy && c.in.Len() > 0 { // a second copy, or a part of one: what follows it could be taken for the next query's answer
-		slog.Debug("stray", "engine", c.engine.name, "ms", float64(c.p.s.clock.now()-c.since)/1000)
+	if !c.busy && c.In.Len() > 0 { // a second copy, or a part of one: what follows it could be taken for the next query's answer
+		slog.Debug("stray", "engine", c.engine.name, "ms", float64(c.p.s.Clock.Now()-c.since)/1000)
 		c.spoilt(nil)
 		return
 	}
-	for !c.closed && c.in.Len() > 0 {
-		r, ok, err := rest.NextResponse(c.in)
+	for !c.Closed && c.In.Len() > 0 {
+		r, ok, err := rest.NextResponse(c.In)
 		if err != nil {
 			c.spoilt(err)
 			return
@@ -143,19 +144,19 @@
 		c.answer(r, more)
 	}
 	switch {
-	case c.closed:
+	case c.Closed:
 	case !more:
-		c.fail(c.in.Len() > 0)
-	case len(c.in.Space()) == 0: // the storage for all engines is taken
-		c.fail(c.in.Len() > 0)
-	case c.in.Len() > 0 && c.part == 0:
-		c.part = c.p.s.now
+		c.fail(c.In.Len() > 0)
+	case len(c.In.Space()) == 0: // the storage for all engines is taken
+		c.fail(c.In.Len() > 0)
+	case c.In.Len() > 0 && c.part == 0:
+		c.part = c.p.s.TurnTime
 	}
 }
 
 // spoilt ends a connection on which something came that is no answer to its call.
 func (c *conn) spoilt(err error) {
-	c.p.s.count.Spoilt++
+	c.p.s.Counters.Spoilt++
 	slog.Debug("engine", "engine", c.engine.name, "error", err)
 	c.fail(true)
 }
@@ -163,13 +164,13 @@
 // answer takes a whole answer; what follows goes out at once over the same connection.
 func (c *conn) answer(r rest.Response, more bool) {
 	j := c.job
-	c.engine.heard, c.engine.cuts = c.p.s.now, 0
+	c.engine.heard, c.engine.cuts = c.p.s.TurnTime, 0
 	result, ended, err := scheduler.Succeeded, false, error(nil)
 	if j != nil {
 		result, ended, err = j.query.Take(r)
 	}
 	if errors.Is(err, rest.ErrStray) { // what the DELETE ends may still run: it goes again over another connection
-		c.p.s.count.Spoilt++
+		c.p.s.Counters.Spoilt++
 		c.fail(false)
 		return
 	}
@@ -178,19 +179,19 @@
 		return
 	}
 	// No news before it is time may be the last answer once more, and the one to this call still to come.
-	c.unsure = c.unsure || r.Status == 202 && c.p.s.now-c.since < newsAfter-newsSlack
-	c.busy, c.job, c.since, c.part = false, nil, c.p.s.now, 0
+	c.unsure = c.unsure || r.Status == 202 && c.p.s.TurnTime-c.since < newsAfter-newsSlack
+	c.busy, c.job, c.since, c.part = false, nil, c.p.s.TurnTime, 0
 	room := c.p.s.unused() >= 0 || !c.p.replaceable(c)
-	usable := more && !r.Close && c.in.Len() == 0 && c.out.Len() == 0 && room && c.quiet()
+	usable := more && !r.Close && c.In.Len() == 0 && c.Out.Len() == 0 && room && c.PeerSilent()
 	if j == nil {
 		if j = c.asking; j != nil { // it counts as asked after until now
-			c.asking, j.asked = nil, c.p.s.now
+			c.asking, j.asked = nil, c.p.s.TurnTime
 		}
 		c.release(usable)
 		return
 	}
 	j.conn, j.resumes = nil, 0
-	c.p.s.count.OddFacts += r.Odd
+	c.p.s.Counters.OddFacts += r.Odd
 	if n := j.query.Note(); n != nil && j.attempt != nil && !ended {
 		c.p.s.core.ReportProgress(j.attempt, n.Kind, n.Value)
 	}
@@ -232,15 +233,15 @@
 		return
 	}
 	e.idle = append(e.idle, c)
-	c.watch(true)
+	c.UpdateInterest(true)
 }
 
 // fail ends a broken connection and settles its job; arrived says that its call has come whole.
 func (c *conn) fail(arrived bool) {
 	j := c.job
 	if e := c.engine; c.busy && !arrived {
-		if c.p.s.now-e.cutAt > atOnce {
-			e.cuts, e.cutAt = 0, c.p.s.now
+		if c.p.s.TurnTime-e.cutAt > atOnce {
+			e.cuts, e.cutAt = 0, c.p.s.TurnTime
 		}
 		e.cuts++
 	}
@@ -262,7 +263,7 @@
 
 // end closes the connection and takes it out of the pool; its job, if any, is its caller's to settle.
 func (c *conn) end() {
-	c.close()
+	c.Close()
 	c.job = nil
 	if _, ok := c.p.conns[c]; !ok {
 		return
--- a/internal/epoll/engine_outcomes.go
+++ b/internal/server/engine_outcomes.go
@@ -1,4 +1,4 @@
-package epoll
+package server
 
 import (
 	"log/slog"
@@ -31,7 +31,7 @@
 			p.carry(next)
 		}
 	default:
-		j.retry = p.s.now + redialAfter
+		j.retry = p.s.TurnTime + redialAfter
 	}
 }
 
@@ -42,7 +42,7 @@
 	j.trace("broken", "arrived", arrived)
 	j.conn = nil
 	j.cut = !arrived
-	j.asked = p.s.now // as far as its engine may know
+	j.asked = p.s.TurnTime // as far as its engine may know
 	j.resumes++
 	switch {
 	case j.attempt == nil:
@@ -106,7 +106,7 @@
 	j.engine.jobs--
 	j.done = true
 	if j.attempt == nil {
-		p.s.core.HealthCheckEnded(j.engine.name, result, p.s.now-j.begun, j.query.Load())
+		p.s.core.HealthCheckEnded(j.engine.name, result, p.s.TurnTime-j.begun, j.query.Load())
 		return
 	}
 	delete(p.byTry, j.attempt)
@@ -114,7 +114,7 @@
 		cost := j.query.Cost()
 		j.attempt.WorkUsed, j.attempt.MemoryUsedMB = cost.Work, cost.MemoryMB
 	}
-	p.s.core.AttemptEnded(p.s.now, j.attempt, result, j.query.Rows(), j.query.Load())
+	p.s.core.AttemptEnded(p.s.TurnTime, j.attempt, result, j.query.Rows(), j.query.Load())
 }
 
 // unsent settles a job whose connection broke before it carried its call: one connection says nothing of the
--- a/internal/epoll/engines.go
+++ b/internal/server/engines.go
@@ -1,4 +1,4 @@
-package epoll
+package server
 
 import (
 	"log/slog"
@@ -8,6 +8,7 @@
 	"golang.org/x/sys/unix"
 
 	"chutechute/gateway"
+	"chutechute/internal/eventloop"
 	"chutechute/internal/journal"
 	"chutechute/internal/monotime"
 	"chutechute/internal/rest"
@@ -16,20 +17,20 @@
 )
 
 const (
-	answerWithin = 300 * ms  // an engine answers each call within 250 ms
-	silentAfter  = 1000 * ms // and stands still for 600 at most, unless it is heard on other connections
-	suspectFor   = 50 * ms
-	partAfter    = 100 * ms // an answer comes at one go
+	answerWithin = 300 * monotime.Millisecond  // an engine answers each call within 250 monotime.Millisecond
+	silentAfter  = 1000 * monotime.Millisecond // and stands still for 600 at most, unless it is heard on other connections
+	suspectFor   = 50 * monotime.Millisecond
+	partAfter    = 100 * monotime.Millisecond // an answer comes at one go
 	unaskedAfter = gateway.AbandonTimeout
-	redialAfter  = 100 * ms
-	atOnce       = 50 * ms // what ends in one moment is read within
-	mostResumes  = 3       // connections, one after another, on which a query is asked after again
-	mostRedials  = 2       // connections that may break before they carry anything of a query
-	probeWait    = 250 * ms
-	freeAfter    = 1000 * ms // idle connections hold no storage
-	restFor      = 50 * ms   // that a connection rests between two queries: what crosses, a second answer too, does so within that
-	newsAfter    = 250 * ms  // an engine that has no news says so after as long, no sooner
-	newsSlack    = 50 * ms
+	redialAfter  = 100 * monotime.Millisecond
+	atOnce       = 50 * monotime.Millisecond // what ends in one moment is read within
+	mostResumes  = 3                         // connections, one after another, on which a query is asked after again
+	mostRedials  = 2                         // connections that may break before they carry anything of a query
+	probeWait    = 250 * monotime.Millisecond
+	freeAfter    = 1000 * monotime.Millisecond // idle connections hold no storage
+	restFor      = 50 * monotime.Millisecond   // that a connection rests between two queries: what crosses, a second answer too, does so within that
+	newsAfter    = 250 * monotime.Millisecond  // an engine that has no news says so after as long, no sooner
+	newsSlack    = 50 * monotime.Millisecond
 	maxCall      = 512 << 10 // bytes of one call: a client's frame and its headers
 )
 
@@ -96,7 +97,7 @@
 	for _, en := range event.Engines {
 		e := p.engines[en.Engine]
 		if e == nil {
-			e = &engine{name: en.Engine, now: p.s.clock.now}
+			e = &engine{name: en.Engine, now: p.s.Clock.Now}
 			p.engines[en.Engine] = e
 		}
 		slog.Debug("listed", "engine", en.Engine, "addr", en.Addr, "zone", en.Zone, "state", en.State, "started", en.Started)
@@ -138,13 +139,13 @@
 func (p *pool) Start(a *gateway.Attempt) {
 	e := p.engines[a.Engine]
 	if e == nil {
-		p.s.core.AttemptEnded(p.s.now, a, scheduler.NotSent, nil, nil)
+		p.s.core.AttemptEnded(p.s.TurnTime, a, scheduler.NotSent, nil, nil)
 		return
 	}
-	j := &job{attempt: a, engine: e, begun: p.s.now, query: rest.NewQuery(e.addr.String(), rest.Start{ID: a.ID,
+	j := &job{attempt: a, engine: e, begun: p.s.TurnTime, query: rest.NewQuery(e.addr.String(), rest.Start{ID: a.ID,
 		Class: a.Class, Once: a.IdempotencyKey, Statement: a.Statement, Wait: a.Timeout, GrantMB: a.GrantMB, Priority: a.Priority})}
 	if a.AlreadyRunning { // it may not have come to its engine yet, or never will
-		j.posted, j.doubt, j.asked = true, true, p.s.now
+		j.posted, j.doubt, j.asked = true, true, p.s.TurnTime
 		j.query.Resume()
 	}
 	p.byTry[a] = j
@@ -159,7 +160,7 @@
 		p.s.core.HealthCheckEnded(name, scheduler.NoConnection, 0, nil)
 		return
 	}
-	j := &job{engine: e, begun: p.s.now, query: rest.NewProbe(e.addr.String())}
+	j := &job{engine: e, begun: p.s.TurnTime, query: rest.NewProbe(e.addr.String())}
 	p.add(j)
 	p.carry(j)
 }
@@ -232,7 +233,7 @@
 		if now-c.since < c.rest() {
 			continue
 		}
-		if !c.quiet() {
+		if !c.PeerSilent() {
 			c.end() // which takes it out
 			continue
 		}
@@ -245,20 +246,20 @@
 // dial gives a job a new connection.
 func (p *pool) dial(j *job) {
 	e := j.engine
-	fd, err := dial(e.addr)
+	fd, err := eventloop.Dial(e.addr)
 	if err != nil {
 		p.lost(j, err == unix.ECONNREFUSED)
 		return
 	}
-	p.s.count.Dialled++
+	p.s.Counters.Dialled++
 	slog.Debug("dial", "engine", e.name, "conns", e.conns)
-	c := &conn{stream: newStream(p.s.loop, fd, rest.MaxResponse, maxCall, &p.budget), p: p, engine: e, job: j,
-		connecting: true, since: p.s.now}
+	c := &conn{Stream: eventloop.NewStream(p.s.Loop, fd, rest.MaxResponse, maxCall, &p.budget), p: p, engine: e, job: j,
+		connecting: true, since: p.s.TurnTime}
 	j.conn = c
-	c.want = unix.EPOLLOUT
+	c.Interest = unix.EPOLLOUT
 	p.conns[c] = struct{}{}
 	e.conns++
-	if err := p.s.loop.add(fd, c.want, c); err != nil {
+	if err := p.s.Loop.Add(fd, c.Interest, c); err != nil {
 		c.end()
 		p.lost(j, false)
 	}
@@ -315,7 +316,7 @@
 // given up by now, and idle connections, which are closed well before the engine closes them so that no
 // POST meets a closing one.
 func (p *pool) tick() {
-	now, s := p.s.now, p.s.cfg.Settings
+	now, s := p.s.TurnTime, p.s.cfg.Settings
 	for c := range p.conns {
 		age := now - c.since
 		switch j := c.job; {
@@ -334,7 +335,7 @@
 		case !c.busy && !c.connecting && age >= s.ConnIdle/2:
 			c.end()
 		case !c.busy && !c.connecting && age >= freeAfter:
-			c.free()
+			c.FreeBuffers()
 		}
 	}
 	for name, e := range p.engines {
--- a/internal/epoll/feed.go
+++ b/internal/server/feed.go
@@ -1,4 +1,4 @@
-package epoll
+package server
 
 import (
 	"errors"
@@ -6,18 +6,19 @@
 
 	"golang.org/x/sys/unix"
 
+	"chutechute/internal/eventloop"
 	"chutechute/internal/journal"
 	"chutechute/internal/monotime"
 	"chutechute/internal/ring"
 	"chutechute/scheduler"
 )
 
-const feedDial = 1000 * ms // for a connection to come up
+const feedDial = 1000 * monotime.Millisecond // for a connection to come up
 
 // feed is the connection to the journal service. It is made again whenever it breaks or falls silent,
 // from the last event known: what the journal tells counts as told soon after, heard or not.
 type feed struct {
-	stream
+	eventloop.Stream
 	s          *Server
 	follower   journal.Follower
 	redial     *journal.Redial
@@ -33,21 +34,21 @@
 		names.Kinds = append(names.Kinds, k.Name)
 	}
 	f := &feed{s: s, follower: journal.Follower{Names: names, Last: s.cfg.LastPos}, redial: journal.NewRedial(s.cfg.Seed)}
-	f.closed = true
+	f.Closed = true
 	return f
 }
 
 func (f *feed) connect() {
-	f.since, f.silence = f.s.now, f.redial.Silence()
-	fd, err := dial(f.s.cfg.Journal)
+	f.since, f.silence = f.s.TurnTime, f.redial.Silence()
+	fd, err := eventloop.Dial(f.s.cfg.Journal)
 	if err != nil {
 		f.lose(err)
 		return
 	}
-	f.s.count.Reconnected++
-	f.stream = newStream(f.s.loop, fd, journal.MaxFrame, 64, &ring.Budget{Most: journal.MaxFrame + 64})
-	f.connecting, f.want = true, unix.EPOLLOUT
-	if err := f.s.loop.add(fd, f.want, f); err != nil {
+	f.s.Counters.Reconnected++
+	f.Stream = eventloop.NewStream(f.s.Loop, fd, journal.MaxFrame, 64, &ring.Budget{Most: journal.MaxFrame + 64})
+	f.connecting, f.Interest = true, unix.EPOLLOUT
+	if err := f.s.Loop.Add(fd, f.Interest, f); err != nil {
 		f.lose(err)
 	}
 }
@@ -55,13 +56,13 @@
 // lose ends a connection; the next is tried for after a while of this process's own.
 func (f *feed) lose(why error) {
 	slog.Warn("journal", "error", why)
-	f.close()
-	f.retryAt = f.s.now + f.redial.Wait()
+	f.Close()
+	f.retryAt = f.s.TurnTime + f.redial.Wait()
 }
 
 // move leaves the journal service's old address for the one now in force, and goes on from the last event.
 func (f *feed) move() {
-	f.close()
+	f.Close()
 	f.connect()
 }
 
@@ -71,49 +72,49 @@
 )
 
 func (f *feed) tick() {
-	age := f.s.now - f.since
+	age := f.s.TurnTime - f.since
 	switch {
-	case f.closed && f.s.now >= f.retryAt:
+	case f.Closed && f.s.TurnTime >= f.retryAt:
 		f.connect()
-	case !f.closed && (age >= f.silence || f.connecting && age >= feedDial):
+	case !f.Closed && (age >= f.silence || f.connecting && age >= feedDial):
 		f.lose(errFeedSilent)
 	}
 }
 
-func (f *feed) ready(events uint32) {
+func (f *feed) Ready(events uint32) {
 	if f.connecting {
-		if err := dialled(f.fd); err != nil {
+		if err := eventloop.DialResult(f.FD); err != nil {
 			f.lose(err)
 			return
 		}
 		f.connecting = false
-		if _, err := f.out.Write(journal.Hello(f.follower.Last)); err != nil {
+		if _, err := f.Out.Write(journal.Hello(f.follower.Last)); err != nil {
 			f.lose(err)
 			return
 		}
 	}
-	if err := f.flush(); err != nil {
+	if err := f.Flush(); err != nil {
 		f.lose(err)
 		return
 	}
-	f.watch(true)
+	f.UpdateInterest(true)
 	if events&^unix.EPOLLOUT == 0 {
 		return
 	}
-	more := f.fill()
+	more := f.Fill()
 	for {
-		e, news, ok, err := f.follower.Next(f.in)
+		e, news, ok, err := f.follower.Next(f.In)
 		if err != nil {
-			f.s.count.OddEvents++
+			f.s.Counters.OddEvents++
 			f.lose(err)
 			return
 		}
 		if !ok {
 			break
 		}
-		f.since = f.s.now
+		f.since = f.s.TurnTime
 		f.redial.Heard()
-		f.s.count.Frames++
+		f.s.Counters.Frames++
 		f.s.life.Reloaded()
 		if news {
 			f.s.listed(e)
--- a/internal/epoll/keys.go
+++ b/internal/server/keys.go
@@ -1,40 +1,14 @@
-package epoll
+package server
 
 import (
-	"sync"
-
 	"chutechute/identity"
 	"chutechute/internal/config"
 	"chutechute/internal/keyfiles"
 )
 
-// posts are what other goroutines hand to the loop, which runs them in its next turn.
-type posts struct {
-	mu   sync.Mutex
-	list []func()
-}
-
-// add hands work to the loop. It may be called from any goroutine.
-func (p *posts) add(work func()) {
-	p.mu.Lock()
-	p.list = append(p.list, work)
-	p.mu.Unlock()
-}
-
-// run runs what was handed over.
-func (p *posts) run() {
-	p.mu.Lock()
-	list := p.list
-	p.list = nil
-	p.mu.Unlock()
-	for _, work := range list {
-		work()
-	}
-}
-
 // post hands work to the loop. It may be called from any goroutine.
 func (s *Server) post(work func()) {
-	s.posts.add(work)
+	s.posts.Add(work)
 	s.wake.send(wakePosted)
 }
 
--- a/internal/epoll/listener.go
+++ b/internal/server/listener.go
@@ -1,4 +1,4 @@
-package epoll
+package server
 
 import (
 	"encoding/binary"
@@ -9,6 +9,7 @@
 	"golang.org/x/sys/unix"
 
 	"chutechute/gateway"
+	"chutechute/internal/eventloop"
 	"chutechute/internal/ring"
 	"chutechute/internal/thrift"
 	"chutechute/internal/tlsio"
@@ -27,7 +28,7 @@
 }
 
 func (s *Server) listen() error {
-	fd, err := listenAt(s.cfg.Listen)
+	fd, err := eventloop.Listen(s.cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -39,34 +40,15 @@
 	if in, ok := bound.(*unix.SockaddrInet4); ok { // port 0 has taken a free one
 		s.listener.addr = netip.AddrPortFrom(s.cfg.Listen.Addr(), uint16(in.Port))
 	}
-	return s.loop.add(fd, unix.EPOLLIN, s.listener)
+	return s.Loop.Add(fd, unix.EPOLLIN, s.listener)
 }
 
-// listenAt opens a socket that listens at an address.
-func listenAt(addr netip.AddrPort) (int, error) {
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return -1, fmt.Errorf("socket: %w", err)
-	}
-	if err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err == nil {
-		err = unix.Bind(fd, sockaddr(addr))
-	}
-	if err == nil {
-		err = unix.Listen(fd, backlog)
-	}
-	if err != nil {
-		unix.Close(fd)
-		return -1, fmt.Errorf("%s: %w", addr, err)
-	}
-	return fd, nil
-}
-
-// ready accepts all who wait, and reads at once what they have already sent: the order of requests is
+// Ready accepts all who wait, and reads at once what they have already sent: the order of requests is
 // that of their last bytes, and a connection read only in the next turn could lose its place.
 //
 // Without a descriptor the system does not say whether anybody waits. Who does is told of again in the next turn, so that only a
 // turn's first accept makes room: after others it may be that nobody waits, and a newcomer that has said nothing yet would go.
-func (l *listener) ready(uint32) {
+func (l *listener) Ready(uint32) {
 	for accepted := 0; ; accepted++ {
 		fd, from, err := unix.Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch {
@@ -98,19 +80,19 @@
 // admit begins a client's connection, and reads what it has sent by now.
 func (l *listener) admit(fd int, from unix.Sockaddr) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // without it answers are only slower
-	c := &client{stream: newStream(l.s.loop, fd, thrift.MaxFrame+4, l.maxUnread(), &l.budget), l: l,
-		open: map[int32]*gateway.Request{}, born: l.s.now, since: l.s.now, address: address(from)}
-	c.always = unix.EPOLLRDHUP // its end, also while it is not read from
-	c.want = unix.EPOLLIN | c.always
-	if err := l.s.loop.add(fd, c.want, c); err != nil {
+	c := &client{Stream: eventloop.NewStream(l.s.Loop, fd, thrift.MaxFrame+4, l.maxUnread(), &l.budget), l: l,
+		open: map[int32]*gateway.Request{}, born: l.s.TurnTime, since: l.s.TurnTime, address: address(from)}
+	c.AlwaysInterest = unix.EPOLLRDHUP // its end, also while it is not read from
+	c.Interest = unix.EPOLLIN | c.AlwaysInterest
+	if err := l.s.Loop.Add(fd, c.Interest, c); err != nil {
 		slog.Warn("accept", "error", err)
-		c.close()
+		c.Close()
 		return
 	}
-	l.s.count.Accepted++
+	l.s.Counters.Accepted++
 	l.clients[c] = struct{}{}
 	if m := l.s.security.material; m != nil && m.Config != nil {
-		c.secure = tlsio.Server(m.Config)
+		c.TLS = tlsio.Server(m.Config)
 	}
 	c.look()
 }
@@ -125,9 +107,9 @@
 	want := uint32(unix.EPOLLIN)
 	if rest {
 		want = 0
-		l.s.count.Rested++
+		l.s.Counters.Rested++
 	}
-	l.s.loop.change(l.fd, want)
+	l.s.Loop.Modify(l.fd, want)
 }
 
 // address is a client's IPv4 address as a number.
@@ -150,14 +132,14 @@
 			return false
 		}
 		c.look()
-		switch spare := c.idle() && c.part != l.s.now; {
+		switch spare := c.idle() && c.part != l.s.TurnTime; {
 		case c.ending || spare && l.s.unused() <= 0:
 			c.end()
 		case spare: // a close over what crosses it would take back its last answers
 			c.hangUp()
 			return true
 		}
-		if c.closed {
+		if c.Closed {
 			return true
 		}
 	}
@@ -177,7 +159,7 @@
 	rank := -1
 	for c := range l.clients {
 		r := 0
-		switch old := l.s.now-c.since >= freshFor; {
+		switch old := l.s.TurnTime-c.since >= freshFor; {
 		case c.ending:
 			r = 4
 		case !c.idle():
@@ -200,12 +182,12 @@
 func (l *listener) relieve() {
 	var most *client
 	for c := range l.clients {
-		if most == nil || c.in.Cap()+c.out.Cap() > most.in.Cap()+most.out.Cap() {
+		if most == nil || c.In.Cap()+c.Out.Cap() > most.In.Cap()+most.Out.Cap() {
 			most = c
 		}
 	}
 	if most != nil {
-		l.s.count.Relieved++
+		l.s.Counters.Relieved++
 		slog.Warn("clients hold all the storage they may")
 		most.end()
 	}
@@ -213,17 +195,17 @@
 
 // tick ends the connections whose time for a message, or for their end, is over.
 func (l *listener) tick() {
-	now := l.s.now
+	now := l.s.TurnTime
 	l.rest(false)
 	for c := range l.clients {
 		switch {
 		case c.ending && now-c.since >= lingerMost:
 			c.end()
 		case !c.shut && (!c.told && len(c.open) == 0 && now-c.born >= silentMost || c.part != 0 && now-c.part >= partMost):
-			l.s.count.Silent++
+			l.s.Counters.Silent++
 			c.hangUp()
 		case now-c.since >= freeAfter:
-			c.free()
+			c.FreeBuffers()
 		}
 	}
 }
@@ -239,7 +221,7 @@
 }
 
 func (l *listener) close() {
-	l.s.loop.drop(l.fd)
+	l.s.Loop.CloseDescriptor(l.fd)
 	l.fd = -1
 }
 
--- a/internal/epoll/secure.go
+++ b/internal/server/secure.go
@@ -1,12 +1,9 @@
-package epoll
+package server
 
 import (
-	"errors"
 	"log/slog"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"chutechute/gateway"
 	"chutechute/identity"
 	"chutechute/internal/certs"
@@ -30,8 +27,7 @@
 
 const (
 	scratchSize = 16 << 10
-	mostChunks  = 16 // of scratchSize that one connection reads in one turn
-	warnEvery   = 3600 * 1000 * ms
+	warnEvery   = 3600 * 1000 * monotime.Millisecond
 )
 
 // secure puts the TLS section into force for connections that come from now on, and adds its files to those that are
@@ -98,9 +94,9 @@
 	if c.greeted || c.ending {
 		return
 	}
-	whole, err := c.secure.Hello()
+	whole, err := c.TLS.Hello()
 	if err != nil {
-		c.l.s.count.BadHandshakes++
+		c.l.s.Counters.BadHandshakes++
 		c.cut()
 		return
 	}
@@ -110,12 +106,12 @@
 	c.greeted = true
 	server, s := c.l.s, &c.l.s.security
 	s.handshakes.Ask(c.address, func() {
-		if c.closed { // it left while it waited
+		if c.Closed { // it left while it waited
 			server.post(func() { s.handshakes.Ended(c.address) })
 			return
 		}
 		c.slot = true
-		s.pool.Start(c.secure, func(done bool, err error) { server.post(func() { c.shook(done, err) }) })
+		s.pool.Start(c.TLS, func(done bool, err error) { server.post(func() { c.shook(done, err) }) })
 	})
 }
 
@@ -126,23 +122,23 @@
 		c.slot = false
 		s.handshakes.Ended(c.address)
 	}
-	if c.closed || c.ending {
+	if c.Closed || c.ending {
 		return
 	}
-	c.raw(c.secure.Output())
+	c.raw(c.TLS.Output())
 	switch {
-	case !done || c.closed:
+	case !done || c.Closed:
 	case err != nil:
-		c.l.s.count.BadHandshakes++
+		c.l.s.Counters.BadHandshakes++
 		slog.Debug("client", "handshake", err)
 		c.cut()
 	default:
-		c.l.s.count.Handshakes++
-		c.secure.Finish()
-		c.shaken, c.since, c.born = true, c.l.s.now, c.l.s.now
-		state := c.secure.State()
+		c.l.s.Counters.Handshakes++
+		c.TLS.Finish()
+		c.HandshakeDone, c.since, c.born = true, c.l.s.TurnTime, c.l.s.TurnTime
+		state := c.TLS.State()
 		if state.DidResume {
-			c.l.s.count.Resumed++
+			c.l.s.Counters.Resumed++
 		}
 		if len(state.PeerCertificates) > 0 {
 			c.leaf, c.certificate = state.PeerCertificates[0], certs.Of(state.PeerCertificates[0])
@@ -163,117 +159,42 @@
 
 // fill reads what has come.
 func (c *client) fill() (more bool) {
-	if c.secure == nil {
-		return c.stream.fill()
+	if c.TLS == nil {
+		return c.Stream.Fill()
 	}
-	more, err := c.receive(c.l.s.security.scratch, c.greet)
+	more, err := c.Receive(c.l.s.security.scratch, c.greet)
 	c.broken(err)
 	return more
 }
 
 // more says whether a connection with TLS has had more to say.
 func (c *client) more() bool {
-	if c.secure == nil || c.closed || c.ending {
+	if c.TLS == nil || c.Closed || c.ending {
 		return false
 	}
-	got, err := c.decrypt()
+	got, err := c.Decrypt()
 	c.broken(err)
 	return got && err == nil
 }
 
 // broken ends a connection whose records can't be read, once the peer has been told.
 func (c *client) broken(err error) {
-	if err != nil && !c.closed && !c.ending {
+	if err != nil && !c.Closed && !c.ending {
 		c.raw(nil)
-		c.l.s.count.Malformed++
+		c.l.s.Counters.Malformed++
 		c.cut()
 	}
 }
 
 // sealed is an answer as it goes over the connection.
 func (c *client) sealed(answer []byte) []byte {
-	b, err := c.seal(answer)
+	b, err := c.Seal(answer)
 	if err != nil {
 		c.end()
 	}
 	return b
 }
 
-// receive reads the records that have come and decrypts them into the ring; greet is called while the handshake goes on. More is
-// false at the stream's end.
-func (s *stream) receive(scratch []byte, greet func()) (more bool, err error) {
-	for n := 0; n < mostChunks && !s.closed; n++ {
-		n, err := unix.Read(s.fd, scratch)
-		switch {
-		case err == unix.EAGAIN:
-			return true, nil
-		case err == unix.EINTR:
-			continue
-		case err != nil || n == 0:
-			return false, nil
-		}
-		if err := s.secure.Feed(scratch[:n]); err != nil {
-			return true, err
-		}
-		if !s.shaken {
-			greet()
-		}
-		got, err := s.decrypt()
-		if err != nil {
-			return true, err
-		}
-		if s.shaken && !got && len(s.in.Space()) == 0 || n < len(scratch) {
-			return true, nil
-		}
-	}
-	return true, nil
-}
-
-// decrypt moves what the peer has said into the ring; got says whether there was anything. What is to be said in return, an alert
-// or an answer to a change of keys, is added to what goes out.
-func (s *stream) decrypt() (got bool, err error) {
-	if !s.shaken || s.closed {
-		return false, nil
-	}
-	for {
-		space := s.in.Space()
-		if len(space) == 0 {
-			return got, nil
-		}
-		n, err := s.secure.Read(space)
-		s.in.Commit(n)
-		got = got || n > 0
-		if err == nil {
-			continue
-		}
-		if out := s.secure.Output(); len(out) > 0 {
-			if _, err := s.out.Write(out); err != nil {
-				return got, err
-			}
-		}
-		if errors.Is(err, tlsio.ErrAgain) || errors.Is(err, tlsio.ErrEnd) {
-			return got, nil
-		}
-		return got, err
-	}
-}
-
-var errUnshaken = errors.New("epoll: a message before the handshake's end")
-
-// seal is a message as it goes over the connection.
-func (s *stream) seal(b []byte) ([]byte, error) {
-	if s.secure == nil {
-		return b, nil
-	}
-	if !s.shaken { // crypto/tls would wait for the handshake, and the loop with it
-		return nil, errUnshaken
-	}
-	if err := s.secure.Write(b); err != nil {
-		return nil, err
-	}
-	return s.secure.Output(), nil
-}
-
 // proofOf gathers what a call shows of who it comes from.
 func (c *client) proofOf(token string) gateway.Proof {
 	p := gateway.Proof{Token: token, Address: c.address}
--- a/internal/epoll/secure_engines.go
+++ b/internal/server/secure_engines.go
@@ -1,4 +1,4 @@
-package epoll
+package server
 
 import (
 	"log/slog"
@@ -21,31 +21,31 @@
 	s := &c.p.s.security
 	config := s.material.Engines.Clone()
 	config.ServerName = strings.ReplaceAll(s.files.EngineName, "{id}", c.engine.name)
-	c.secure, c.shaking = tlsio.Client(config), true
+	c.TLS, c.shaking = tlsio.Client(config), true
 	server := c.p.s
-	s.outward.Start(c.secure, func(done bool, err error) { server.post(func() { c.shook(done, err) }) })
-	c.watch(true)
+	s.outward.Start(c.TLS, func(done bool, err error) { server.post(func() { c.shook(done, err) }) })
+	c.UpdateInterest(true)
 }
 
 // shook goes on with a handshake that has something to say, or that is over. Until then nothing of the job's call has been sent.
 func (c *conn) shook(done bool, err error) {
-	if c.closed {
+	if c.Closed {
 		return
 	}
-	if out := c.secure.Output(); err == nil && len(out) > 0 {
-		if _, err = c.out.Write(out); err == nil {
-			err = c.flush()
+	if out := c.TLS.Output(); err == nil && len(out) > 0 {
+		if _, err = c.Out.Write(out); err == nil {
+			err = c.Flush()
 		}
 	}
 	switch {
 	case err != nil:
 		c.unshaken(err)
 	case !done:
-		c.watch(true)
+		c.UpdateInterest(true)
 	default:
-		c.p.s.count.EngineHandshakes++
-		c.secure.Finish()
-		c.shaken, c.since = true, c.p.s.now
+		c.p.s.Counters.EngineHandshakes++
+		c.TLS.Finish()
+		c.HandshakeDone, c.since = true, c.p.s.TurnTime
 		c.cameUp()
 		if c.job == nil {
 			c.release(true)
@@ -58,7 +58,7 @@
 // unshaken ends a connection whose handshake failed.
 func (c *conn) unshaken(err error) {
 	slog.Warn("handshake", "engine", c.engine.name, "error", err)
-	c.p.s.count.BadEngineHandshakes++
+	c.p.s.Counters.BadEngineHandshakes++
 	j := c.job
 	c.end()
 	if j != nil {
@@ -69,16 +69,16 @@
 // shake carries on a handshake with what the loop has seen.
 func (c *conn) shake(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
-		if err := c.flush(); err != nil {
+		if err := c.Flush(); err != nil {
 			c.unshaken(err)
 			return
 		}
-		c.watch(true)
+		c.UpdateInterest(true)
 	}
 	if events&^unix.EPOLLOUT == 0 {
 		return
 	}
-	more, err := c.receive(c.p.s.security.scratch, func() {})
+	more, err := c.Receive(c.p.s.security.scratch, func() {})
 	if err == nil && !more {
 		err = unix.ECONNRESET
 	}
@@ -89,8 +89,8 @@
 
 // fill reads what has come.
 func (c *conn) fill() (more bool, err error) {
-	if c.secure == nil {
-		return c.stream.fill(), nil
+	if c.TLS == nil {
+		return c.Stream.Fill(), nil
 	}
-	return c.receive(c.p.s.security.scratch, func() {})
+	return c.Receive(c.p.s.security.scratch, func() {})
 }
--- a/internal/epoll/server.go
+++ b/internal/server/server.go
@@ -1,4 +1,4 @@
-package epoll
+package server
 
 import (
 	"encoding/binary"
@@ -13,23 +13,21 @@
 
 	"chutechute/gateway"
 	"chutechute/internal/config"
+	"chutechute/internal/eventloop"
 	"chutechute/internal/keyfiles"
 	"chutechute/internal/monotime"
+	"chutechute/internal/peering"
 )
 
 const (
-	tickEvery = 25 * ms
-	// leastTurn is the least span between turns. Each costs the module a look at all that is held, so a loop
-	// that steps for every packet runs out of its core under load.
-	leastTurn = 1 * ms
-	spare     = 24 // descriptors for the loop, the journal, the log and what the runtime holds
+	spare = 24 // descriptors for the loop, the journal, the log and what the runtime holds
 	// overdraft is how many of the spare ones clients may take for a moment, where nothing else can be closed for them.
 	overdraft = 8
 )
 
 // Server is the front end on its sockets.
 type Server struct {
-	host
+	peering.Host
 	cfg      *config.Config
 	core     *gateway.Core
 	life     gateway.Lifecycle
@@ -39,30 +37,30 @@
 	wake     *waker
 	nextTick monotime.Micros
 	log      io.Writer
-	posts    posts
+	posts    eventloop.Tasks
 	security security
 	// installation is the path of the installation file, which stays as it was at the start.
 	installation string
 	reloading    sync.Mutex
-	watches      int             // so far
-	watch        *keyfiles.Watch // of the files that identity is fed from; nil where it is off
-	peers        *peers          // nil where no fleet is set
+	watches      int              // so far
+	watch        *keyfiles.Watch  // of the files that identity is fed from; nil where it is off
+	peers        *peering.Peering // nil where no fleet is set
 }
 
 // New builds a front end; it does not listen yet. Counters are printed to log.
 func New(cfg *config.Config, log io.Writer) (*Server, error) {
-	l, err := newLoop()
+	l, err := eventloop.NewLoop()
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{host: newHost(l), cfg: cfg, log: log, installation: cfg.Installation}
+	s := &Server{Host: peering.NewHost(l), cfg: cfg, log: log, installation: cfg.Installation}
 	for _, c := range cfg.Settings.Classes {
 		s.life.LongestDeadline = max(s.life.LongestDeadline, c.ClientTimeout)
 	}
 	s.pool = newPool(s)
 	s.listener = &listener{s: s, clients: map[*client]struct{}{}, most: s.clientsMost()}
 	s.listener.budget.Most, s.pool.budget.Most = cfg.BufferBytes(), cfg.BufferBytes()
-	if s.core, err = gateway.New(cfg.Settings, cfg.Seed, cfg.Bounds(), s.pool, &s.count); err != nil {
+	if s.core, err = gateway.New(cfg.Settings, cfg.Seed, cfg.Bounds(), s.pool, &s.Counters); err != nil {
 		return nil, err
 	}
 	if err = s.core.ReadStatements(cfg.Statements); err != nil {
@@ -76,9 +74,9 @@
 		return nil, fmt.Errorf("installation: %w", err)
 	}
 	if cfg.Peers != nil {
-		of := program{host: &s.host, seed: cfg.Seed, post: s.post, core: s.core, settings: cfg.Settings, draining: s.draining,
-			sockets: cfg.Sockets}
-		if s.peers, err = newPeers(of, cfg.Peers); err != nil {
+		of := peering.Program{Host: &s.Host, Seed: cfg.Seed, Post: s.post, Core: s.core, Settings: cfg.Settings, Draining: s.draining,
+			MaxDescriptors: cfg.Sockets}
+		if s.peers, err = peering.NewPeering(of, cfg.Peers); err != nil {
 			return nil, err
 		}
 	}
@@ -97,7 +95,7 @@
 
 // unused is how many descriptors are left.
 func (s *Server) unused() int {
-	return s.cfg.Sockets - spare - len(s.pool.conns) - len(s.listener.clients) - s.peers.descriptors()
+	return s.cfg.Sockets - spare - len(s.pool.conns) - len(s.listener.clients) - s.peers.Descriptors()
 }
 
 // Run serves until a planned end is over.
@@ -105,16 +103,16 @@
 	for _, e := range s.cfg.Known {
 		s.listed(e)
 	}
-	s.core.Step(s.now)
+	s.core.Step(s.TurnTime)
 	if err := s.listen(); err != nil {
 		return err
 	}
 	s.feed.connect()
 	if s.peers != nil {
-		if err := s.peers.listen(); err != nil {
+		if err := s.peers.Listen(); err != nil {
 			return err
 		}
-		defer s.peers.close()
+		defer s.peers.Close()
 	}
 	s.life.Serve()
 	slog.Info("serving", "name", s.cfg.Name, "listen", s.listener.addr)
@@ -126,11 +124,11 @@
 		if phase == gateway.Answering {
 			s.listener.part()
 		}
-		quiet := s.core.Idle() && len(s.listener.clients) == 0 && (s.peers == nil || phase == gateway.Answering && s.peers.left())
-		if now := s.life.Advance(s.now, quiet); now != phase {
+		quiet := s.core.Idle() && len(s.listener.clients) == 0 && (s.peers == nil || phase == gateway.Answering && s.peers.Released())
+		if now := s.life.Advance(s.TurnTime, quiet); now != phase {
 			slog.Info("phase", "phase", now.String())
 			if phase < gateway.Closing && now >= gateway.Closing {
-				s.listener.ready(0) // who has connected by now is served
+				s.listener.Ready(0) // who has connected by now is served
 				s.listener.close()
 			}
 		}
@@ -143,7 +141,7 @@
 
 // turn waits, reads all that is ready, and lets the core take one step.
 func (s *Server) turn() error {
-	if rest := s.now + leastTurn - s.clock.now(); rest > 0 {
+	if rest := s.TurnTime + eventloop.MinTurnInterval - s.Clock.Now(); rest > 0 {
 		t := unix.NsecToTimespec(rest * 1000)
 		_ = unix.Nanosleep(&t, nil) // a signal may cut it short, to no harm
 	}
@@ -152,39 +150,39 @@
 		until = min(until, at)
 	}
 	if len(s.listener.again) > 0 || s.core.Pending() {
-		until = s.now
+		until = s.TurnTime
 	}
-	n, err := s.loop.wait(until - s.clock.now())
+	n, err := s.Loop.Wait(until - s.Clock.Now())
 	if err != nil {
 		return err
 	}
-	s.now = s.clock.now()
+	s.TurnTime = s.Clock.Now()
 	if s.peers != nil {
-		s.peers.at(s.now)
+		s.peers.SetNow(s.TurnTime)
 	}
 	s.listener.leftOver()
-	s.loop.dispatch(n)
-	if s.now >= s.nextTick {
-		s.nextTick = s.now + tickEvery
+	s.Loop.Dispatch(n)
+	if s.TurnTime >= s.nextTick {
+		s.nextTick = s.TurnTime + eventloop.TickInterval
 		s.pool.tick()
 		s.listener.tick()
 		s.feed.tick()
-		s.security.tick(s.now)
+		s.security.tick(s.TurnTime)
 		if s.peers != nil {
-			s.peers.tick()
+			s.peers.Tick()
 		}
-		if s.life.Expired(s.now) {
+		if s.life.Expired(s.TurnTime) {
 			s.core.ExpireAll()
 		}
 	}
 	if s.peers != nil {
-		s.peers.pump()
+		s.peers.CarryOut()
 	}
-	s.core.Step(s.now)
+	s.core.Step(s.TurnTime)
 	if s.peers != nil {
-		s.peers.pump()
+		s.peers.CarryOut()
 	}
-	s.count.LongestTurn = max(s.count.LongestTurn, int(s.clock.now()-s.now))
+	s.Counters.LongestTurn = max(s.Counters.LongestTurn, int(s.Clock.Now()-s.TurnTime))
 	return nil
 }
 
@@ -211,15 +209,15 @@
 		}
 	}
 	if err != nil {
-		s.count.Rejected++
+		s.Counters.Rejected++
 		slog.Error("reload: the old configuration stays in force", "error", err)
 		return
 	}
-	s.count.Reloaded++
+	s.Counters.Reloaded++
 	if keys := s.cfg.Fixed(cfg); len(keys) > 0 {
 		slog.Warn("reload: these keys take effect at the next start", "keys", keys)
 	}
-	s.peers.reload(cfg.Peers)
+	s.peers.Reload(cfg.Peers)
 	moved := cfg.Journal != s.cfg.Journal
 	s.cfg = s.cfg.With(cfg)
 	s.listener.most = s.clientsMost()
@@ -239,19 +237,18 @@
 // print prints the counters, those of the statement reader among them.
 func (s *Server) print() {
 	c := s.core.StatementCounts()
-	s.count.ShapeHits, s.count.ShapeMisses, s.count.Unparsed = c.Hits, c.Misses, c.Failures
-	s.count.Learned, s.count.Shapes, s.count.ShapeBytes = c.Learned, c.Shapes, c.Bytes
+	s.Counters.ShapeHits, s.Counters.ShapeMisses, s.Counters.Unparsed = c.Hits, c.Misses, c.Failures
+	s.Counters.Learned, s.Counters.Shapes, s.Counters.ShapeBytes = c.Learned, c.Shapes, c.Bytes
 	if g := s.core.Guard(); g != nil {
 		i := g.Counts()
-		s.count.Identified, s.count.SignatureChecks = i.Allowed, i.Checked
-		s.count.BadProofs, s.count.Forbidden = i.Missing+i.Unsigned+i.Negative+i.Expired+i.Unmapped, i.Forbidden+i.Foreign
-		s.count.OverCeiling = i.Over + i.Busy
+		s.Counters.Identified, s.Counters.SignatureChecks = i.Allowed, i.Checked
+		s.Counters.BadProofs, s.Counters.Forbidden = i.Missing+i.Unsigned+i.Negative+i.Expired+i.Unmapped, i.Forbidden+i.Foreign
+		s.Counters.OverCeiling = i.Over + i.Busy
 	}
 	if p := s.peers; p != nil {
-		s.count.Noted, s.count.Adopted, s.count.Shared, s.count.Conflicts = p.part.Proposals(), p.records.TakenOver, p.records.JoinedWaits, p.records.Conflicts
-		p.counted(&s.count)
+		p.ReportCounters(&s.Counters)
 	}
-	s.count.Print(s.log)
+	s.Counters.Print(s.log)
 }
 
 // PrintCounters prints the counters. It may be called from any goroutine.
@@ -276,7 +273,7 @@
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
 	w := &waker{s, fd}
-	return w, s.loop.add(fd, unix.EPOLLIN, w)
+	return w, s.Loop.Add(fd, unix.EPOLLIN, w)
 }
 
 func (w *waker) send(n uint64) {
@@ -284,7 +281,7 @@
 	_, _ = unix.Write(w.fd, binary.NativeEndian.AppendUint64(nil, n))
 }
 
-func (w *waker) ready(uint32) {
+func (w *waker) Ready(uint32) {
 	var b [8]byte
 	if n, err := unix.Read(w.fd, b[:]); n != 8 || err != nil {
 		return
@@ -294,9 +291,9 @@
 		w.s.print()
 	}
 	if told >= wakePosted {
-		w.s.posts.run()
+		w.s.posts.Run()
 	}
 	if told%wakePosted >= wakeDrain {
-		w.s.life.Drain(w.s.now)
+		w.s.life.Drain(w.s.TurnTime)
 	}
 }
