--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -9,7 +9,7 @@
 	"io"
 	"os"
 
-	"chutechute/internal/wire"
+	"chutechute/internal/simwire"
 	"chutechute/scheduler"
 )
 
@@ -22,7 +22,7 @@
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	h := host{decoder: wire.NewDecoder(), instances: map[int]*scheduler.Scheduler{}}
+	h := host{decoder: simwire.NewDecoder(), instances: map[int]*scheduler.Scheduler{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
@@ -45,9 +45,9 @@
 }
 
 type host struct {
-	decoder   *wire.Decoder
+	decoder   *simwire.Decoder
 	instances map[int]*scheduler.Scheduler
-	reply     wire.Reply
+	reply     simwire.Reply
 }
 
 // batch hands each instance its events at once, in the order in which the instances appear.
--- a/docs/expression_test.go
+++ b/docs/expression_test.go
@@ -16,17 +16,17 @@
 	"strconv"
 	"strings"
 
-	"chutechute/internal/journal"
+	"chutechute/internal/discovery"
 	"chutechute/internal/scale"
 )
 
 // constants may stand in expressions by their names.
 var constants = map[string]float64{
 	"secondsADay":   86400,
-	"changesEach":   2,                // of the view, for a machine that fails or is restarted: it goes, and it comes
-	"loadOneIn":     20,               // statements, as QUESTIONS.md takes it
-	"socketsEach":   3,                // of limits.sockets for a client connection: clients get a third
-	"largestFrame":  journal.MaxFrame, // bytes of a list
+	"changesEach":   2,                  // of the view, for a machine that fails or is restarted: it goes, and it comes
+	"loadOneIn":     20,                 // statements, as QUESTIONS.md takes it
+	"socketsEach":   3,                  // of limits.sockets for a client connection: clients get a third
+	"largestFrame":  discovery.MaxFrame, // bytes of a list
 	"usersFronts":   2700,
 	"usersEngines":  34000,
 	"usersZones":    23,
--- a/fleet/budget/capacity_test.go
+++ b/fleet/budget/capacity_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chutechute/internal/measure"
+	"chutechute/internal/procstat"
 	"chutechute/internal/scale"
 )
 
@@ -17,7 +17,7 @@
 		t.Skip("measures: make scale-full")
 	}
 	const span = 3 * second
-	result := measure.New("budgets", "One budget of a rate, in virtual time, 3 s after 8 s; one copy of the record applies, the two others "+
+	result := procstat.New("budgets", "One budget of a rate, in virtual time, 3 s after 8 s; one copy of the record applies, the two others "+
 		"stand still. Processor time of the process within Apply, and of the rest of the world (front ends, Due, the queue) over "+
 		"front ends; two runs a size.")
 	for range 2 {
@@ -30,12 +30,12 @@
 			w.run(8 * second)
 			var inApply time.Duration
 			w.applying = func() func() {
-				began := measure.Own()
-				return func() { inApply += measure.Own() - began }
+				began := procstat.Own()
+				return func() { inApply += procstat.Own() - began }
 			}
-			asks, bytes, commits, began := w.asks, w.bytes, len(w.log), measure.Own()
+			asks, bytes, commits, began := w.asks, w.bytes, len(w.log), procstat.Own()
 			w.run(8*second + span)
-			all := measure.Own() - began
+			all := procstat.Own() - began
 			const spanSeconds = float64(span) / float64(second)
 			committed := float64(len(w.log) - commits)
 			figures := map[string]float64{
@@ -51,5 +51,5 @@
 			require.Empty(t, w.check())
 		}
 	}
-	require.NoError(t, measure.Save(result))
+	require.NoError(t, procstat.Save(result))
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,7 +12,7 @@
 
 	"chutechute/gateway"
 	"chutechute/identity"
-	"chutechute/internal/journal"
+	"chutechute/internal/discovery"
 	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
 	"chutechute/scheduler"
@@ -39,7 +39,7 @@
 	MemoryMB int
 	Sockets  int
 	Settings *settings.Settings
-	Known    []journal.Event
+	Known    []discovery.Event
 	LastPos  uint64
 
 	// Installation is the path of the installation file; empty without one.
@@ -128,7 +128,7 @@
 			Sockets  float64 `json:"sockets"`
 		} `json:"limits"`
 		Journal  string          `json:"journal"`
-		Known    journal.Known   `json:"known"`
+		Known    discovery.Known `json:"known"`
 		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
--- a/internal/figure/figure.go
+++ b/internal/decimal/decimal.go
@@ -1,5 +1,5 @@
-// Package figure reads figures that peers send as text.
-package figure
+// Package decimal reads figures that peers send as text.
+package decimal
 
 import (
 	"fmt"
--- a/internal/journal/follower.go
+++ b/internal/discovery/follower.go
@@ -1,4 +1,4 @@
-package journal
+package discovery
 
 import (
 	"errors"
--- a/internal/journal/journal.go
+++ b/internal/discovery/journal.go
@@ -1,6 +1,6 @@
-// Package journal reads the journal service's events: changes of the list of engines, as frames from
+// Package discovery reads the journal service's events: changes of the list of engines, as frames from
 // its stream and as JSON from the configuration. It is fed bytes and knows no socket.
-package journal
+package discovery
 
 import (
 	"encoding/binary"
--- a/internal/measure/measure.go
+++ b/internal/procstat/procstat.go
@@ -1,6 +1,6 @@
-// Package measure reads what processes take of the machine: processor time and memory, in the system's own counts. Long tests use
+// Package procstat reads what processes take of the machine: processor time and memory, in the system's own counts. Long tests use
 // it for the results under docs/capacity.
-package measure
+package procstat
 
 import (
 	"fmt"
--- a/internal/measure/result.go
+++ b/internal/procstat/result.go
@@ -1,4 +1,4 @@
-package measure
+package procstat
 
 import (
 	"fmt"
--- a/internal/rest/response.go
+++ b/internal/rest/response.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"chutechute/internal/figure"
+	"chutechute/internal/decimal"
 	"chutechute/internal/monotime"
 	"chutechute/internal/ring"
 	"chutechute/scheduler"
@@ -140,7 +140,7 @@
 
 // figure reads a number from 0 to most; what is none counts as odd and as not said.
 func (r *Response) figure(text string, most float64) float64 {
-	x, err := figure.Decimal(text, most)
+	x, err := decimal.Decimal(text, most)
 	if err != nil {
 		r.Odd++
 	}
@@ -158,7 +158,7 @@
 		return
 	}
 	k, ok := noteKinds[kind]
-	x, err := figure.Decimal(number, k.most)
+	x, err := decimal.Decimal(number, k.most)
 	if !ok || err != nil || k.kind == scheduler.ProgressWaiting && x != 1 && x != 2 {
 		r.Odd++
 		return
--- a/internal/server/clients.go
+++ b/internal/server/clients.go
@@ -12,8 +12,8 @@
 
 	"chutechute/gateway"
 	"chutechute/identity"
+	"chutechute/internal/decimal"
 	"chutechute/internal/eventloop"
-	"chutechute/internal/figure"
 	"chutechute/internal/monotime"
 	"chutechute/internal/thrift"
 )
@@ -239,7 +239,7 @@
 	if !ok {
 		return 0, nil
 	}
-	x, err := figure.Decimal(text, most)
+	x, err := decimal.Decimal(text, most)
 	if err != nil {
 		err = fmt.Errorf("%s: %w", name, err)
 	}
--- a/internal/server/engines.go
+++ b/internal/server/engines.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 
 	"chutechute/gateway"
+	"chutechute/internal/discovery"
 	"chutechute/internal/eventloop"
-	"chutechute/internal/journal"
 	"chutechute/internal/monotime"
 	"chutechute/internal/rest"
 	"chutechute/internal/ring"
@@ -88,7 +88,7 @@
 }
 
 // listed takes over the addresses of engines; connections to an old one are of no more use.
-func (p *pool) listed(event journal.Event) {
+func (p *pool) listed(event discovery.Event) {
 	if event.Kind != scheduler.UpdateChanges {
 		for _, e := range p.engines {
 			e.removed = true // unless it is listed below
--- a/internal/server/feed.go
+++ b/internal/server/feed.go
@@ -6,8 +6,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"chutechute/internal/discovery"
 	"chutechute/internal/eventloop"
-	"chutechute/internal/journal"
 	"chutechute/internal/monotime"
 	"chutechute/internal/ring"
 	"chutechute/scheduler"
@@ -20,8 +20,8 @@
 type feed struct {
 	eventloop.Stream
 	s          *Server
-	follower   journal.Follower
-	redial     *journal.Redial
+	follower   discovery.Follower
+	redial     *discovery.Redial
 	connecting bool
 	since      monotime.Micros // of the last sign of life, or of the last try
 	silence    monotime.Micros // that this connection may keep
@@ -29,11 +29,11 @@
 }
 
 func newFeed(s *Server) *feed {
-	names := journal.Names{Zones: s.cfg.Settings.Zones}
+	names := discovery.Names{Zones: s.cfg.Settings.Zones}
 	for _, k := range s.cfg.Settings.Kinds {
 		names.Kinds = append(names.Kinds, k.Name)
 	}
-	f := &feed{s: s, follower: journal.Follower{Names: names, Last: s.cfg.LastPos}, redial: journal.NewRedial(s.cfg.Seed)}
+	f := &feed{s: s, follower: discovery.Follower{Names: names, Last: s.cfg.LastPos}, redial: discovery.NewRedial(s.cfg.Seed)}
 	f.Closed = true
 	return f
 }
@@ -46,7 +46,7 @@
 		return
 	}
 	f.s.Counters.Reconnected++
-	f.Stream = eventloop.NewStream(f.s.Loop, fd, journal.MaxFrame, 64, &ring.Budget{Most: journal.MaxFrame + 64})
+	f.Stream = eventloop.NewStream(f.s.Loop, fd, discovery.MaxFrame, 64, &ring.Budget{Most: discovery.MaxFrame + 64})
 	f.connecting, f.Interest = true, unix.EPOLLOUT
 	if err := f.s.Loop.Add(fd, f.Interest, f); err != nil {
 		f.lose(err)
@@ -88,7 +88,7 @@
 			return
 		}
 		f.connecting = false
-		if _, err := f.Out.Write(journal.Hello(f.follower.Last)); err != nil {
+		if _, err := f.Out.Write(discovery.Hello(f.follower.Last)); err != nil {
 			f.lose(err)
 			return
 		}
@@ -126,7 +126,7 @@
 }
 
 // listed hands an event of the journal to the pool and the core.
-func (s *Server) listed(e journal.Event) {
+func (s *Server) listed(e discovery.Event) {
 	s.pool.listed(e)
 	entries := make([]scheduler.Endpoint, len(e.Engines))
 	for i, en := range e.Engines {
--- a/internal/wire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's protocol and the decision
+// Package simwire translates between the simulator's protocol and the decision
 // module's own terms. It decides nothing.
-package wire
+package simwire
 
 import (
 	"encoding/base64"
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
