--- a/cmd/chutechute/capacity_dials_test.go
+++ b/cmd/chutechute/capacity_dials_test.go
@@ -20,7 +20,7 @@
 // long. With many more engines than statements a second, all but popular table groups find none that is open.
 func TestCapacityOfDials(t *testing.T) {
 	longOnly(t)
-	result := procstat.New("dials", "The real program, 8 stand-in engines, 9,600 look-ups by so many clients at once; engines that keep connections, "+
+	result := procstat.NewResult("dials", "The real program, 8 stand-in engines, 9,600 look-ups by so many clients at once; engines that keep connections, "+
 		"or end each with its answer; processor time of the front end; two runs a size.")
 	ways := []struct {
 		name string
@@ -58,5 +58,5 @@
 			result.Points = append(result.Points, scale.Point{Axis: "statements at once", X: float64(clients), Figures: figures})
 		}
 	}
-	require.NoError(t, procstat.Save(result))
+	require.NoError(t, procstat.SaveResult(result))
 }
--- a/cmd/chutechute/capacity_test.go
+++ b/cmd/chutechute/capacity_test.go
@@ -31,9 +31,9 @@
 
 func takenBy(t *testing.T, pid int) (v taken) {
 	var err error
-	v.processor, err = procstat.Processor(pid)
+	v.processor, err = procstat.ProcessorTime(pid)
 	require.NoError(t, err)
-	v.residentBytes, err = procstat.Resident(pid)
+	v.residentBytes, err = procstat.ResidentMemory(pid)
 	require.NoError(t, err)
 	v.descriptorCount, err = procstat.Descriptors(pid)
 	require.NoError(t, err)
@@ -97,7 +97,7 @@
 // What client connections cost a front end: idle, and with statements over a tenth of them; long.
 func TestCapacityOfConnections(t *testing.T) {
 	longOnly(t)
-	result := procstat.New("connections", fmt.Sprintf("The real program, %d stand-in engines, limits.memory_mb %d; all connections' "+
+	result := procstat.NewResult("connections", fmt.Sprintf("The real program, %d stand-in engines, limits.memory_mb %d; all connections' "+
 		"resident bytes and descriptors as differences to %d connections, idle ones after one health call; then %d look-ups over a "+
 		"tenth of them, with the front end's processor time; the kernel's memory for sockets is not in it; two runs a size.",
 		standInEngines, capacityMB, warmClients, busyStatements))
@@ -128,13 +128,13 @@
 			}
 		}
 	}
-	require.NoError(t, procstat.Save(result))
+	require.NoError(t, procstat.SaveResult(result))
 }
 
 // What idle client connections by TLS cost a front end; long.
 func TestCapacityOfTLSConnections(t *testing.T) {
 	longOnly(t)
-	result := procstat.New("connections-tls", fmt.Sprintf("The real program with TLS for clients, whole handshakes, limits.memory_mb %d; "+
+	result := procstat.NewResult("connections-tls", fmt.Sprintf("The real program with TLS for clients, whole handshakes, limits.memory_mb %d; "+
 		"all connections' resident bytes as differences to %d connections, after one health call each; two runs a size.",
 		capacityMB, warmClients))
 	for range 2 {
@@ -158,13 +158,13 @@
 			require.NoError(t, r.Cmd.Process.Kill())
 		}
 	}
-	require.NoError(t, procstat.Save(result))
+	require.NoError(t, procstat.SaveResult(result))
 }
 
 // What a reload costs a front end, by engines and by tenants in its configuration; long.
 func TestCapacityOfReloads(t *testing.T) {
 	longOnly(t)
-	result := procstat.New("reloads", "SIGHUP to the log's word that the configuration is in force, seen each millisecond; processor time "+
+	result := procstat.NewResult("reloads", "SIGHUP to the log's word that the configuration is in force, seen each millisecond; processor time "+
 		"of the front end for one; the mean of five; two runs a size. settings themselves take effect at the next start only.")
 	const reloads = 5
 	for range 2 {
@@ -201,7 +201,7 @@
 			}
 		}
 	}
-	require.NoError(t, procstat.Save(result))
+	require.NoError(t, procstat.SaveResult(result))
 }
 
 // manyTenants are the settings' tenants, "t" among them.
@@ -237,7 +237,7 @@
 // What loads on record cost the processes that keep it, by clients at once, and what they take there; long.
 func TestCapacityOfLoads(t *testing.T) {
 	longOnly(t)
-	result := procstat.New("loads", "Three processes of the real program, the record in memory only, stand-in engines that answer at once, "+
+	result := procstat.NewResult("loads", "Three processes of the real program, the record in memory only, stand-in engines that answer at once, "+
 		"all on one machine; processor time of the front ends, the leader's among it; two runs a size.")
 	for range 2 {
 		f := standin.NewFleet(t, program, 3)
@@ -274,14 +274,14 @@
 			n.Kill(true)
 		}
 	}
-	require.NoError(t, procstat.Save(result))
+	require.NoError(t, procstat.SaveResult(result))
 }
 
 // How long no load is served after the front end that leads the record is lost with what it holds, by front ends; long.
 func TestCapacityOfPrimaryChanges(t *testing.T) {
 	longOnly(t)
 	const changes = 8
-	result := procstat.New("primary-changes", fmt.Sprintf("Processes of the real program, the record in memory only; from the kill of the "+
+	result := procstat.NewResult("primary-changes", fmt.Sprintf("Processes of the real program, the record in memory only; from the kill of the "+
 		"leader's process to the answer of a load through another front end, %d times a run, a dead leader started again after each; "+
 		"two runs a size.", changes))
 	for range 2 {
@@ -293,7 +293,7 @@
 			result.Points = append(result.Points, scale.Point{Axis: "front ends", X: float64(frontEnds), Figures: figures})
 		}
 	}
-	require.NoError(t, procstat.Save(result))
+	require.NoError(t, procstat.SaveResult(result))
 }
 
 // primaryChanges loses the leader of a fleet's record so many times, and gives how long no load was served after each.
--- a/fleet/budget/capacity_test.go
+++ b/fleet/budget/capacity_test.go
@@ -17,7 +17,7 @@
 		t.Skip("measures: make scale-full")
 	}
 	const span = 3 * second
-	result := procstat.New("budgets", "One budget of a rate, in virtual time, 3 s after 8 s; one copy of the record applies, the two others "+
+	result := procstat.NewResult("budgets", "One budget of a rate, in virtual time, 3 s after 8 s; one copy of the record applies, the two others "+
 		"stand still. Processor time of the process within Apply, and of the rest of the world (front ends, Due, the queue) over "+
 		"front ends; two runs a size.")
 	for range 2 {
@@ -30,12 +30,12 @@
 			w.run(8 * second)
 			var inApply time.Duration
 			w.applying = func() func() {
-				began := procstat.Own()
-				return func() { inApply += procstat.Own() - began }
+				began := procstat.OwnProcessorTime()
+				return func() { inApply += procstat.OwnProcessorTime() - began }
 			}
-			asks, bytes, commits, began := w.asks, w.bytes, len(w.log), procstat.Own()
+			asks, bytes, commits, began := w.asks, w.bytes, len(w.log), procstat.OwnProcessorTime()
 			w.run(8*second + span)
-			all := procstat.Own() - began
+			all := procstat.OwnProcessorTime() - began
 			const spanSeconds = float64(span) / float64(second)
 			committed := float64(len(w.log) - commits)
 			figures := map[string]float64{
@@ -51,5 +51,5 @@
 			require.Empty(t, w.check())
 		}
 	}
-	require.NoError(t, procstat.Save(result))
+	require.NoError(t, procstat.SaveResult(result))
 }
--- a/fleet/membership/capacity_test.go
+++ b/fleet/membership/capacity_test.go
@@ -28,7 +28,7 @@
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("measures: make scale-full")
 	}
-	result := procstat.New("view", "53 control members with as many attached front ends each; heap of the stepped modules after a collection, "+
+	result := procstat.NewResult("view", "53 control members with as many attached front ends each; heap of the stepped modules after a collection, "+
 		"without links, queues and the record; one run a size.")
 	for _, each := range []int{1, 6, 19, 51} {
 		before := reachable()
@@ -48,5 +48,5 @@
 		t.Logf("%d front ends: %v", each*fullControls, figures)
 		result.Points = append(result.Points, scale.Point{Axis: "front ends", X: float64(each * fullControls), Figures: figures})
 	}
-	require.NoError(t, procstat.Save(result))
+	require.NoError(t, procstat.SaveResult(result))
 }
--- a/gateway/capacity_test.go
+++ b/gateway/capacity_test.go
@@ -42,7 +42,7 @@
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("measures: make scale-full")
 	}
-	result := procstat.New("lists", "From the bytes of a journal frame through the core's step to the decisions; without the pool of "+
+	result := procstat.NewResult("lists", "From the bytes of a journal frame through the core's step to the decisions; without the pool of "+
 		"connections; processor time of the process, the mean of many changes; two runs a size.")
 	for range 2 {
 		for _, engines := range []int{64, 256, 1024, 2048, 8192, 34000} {
@@ -71,25 +71,25 @@
 				records = append(records, journalRecord(i, 0))
 			}
 			complete := standin.Frame(1, 1, records...)
-			before := procstat.Heap()
-			began := procstat.Own()
+			before := procstat.HeapInUse()
+			began := procstat.OwnProcessorTime()
 			feed(complete)
-			list := procstat.Own() - began
-			heap := procstat.Heap() - before
+			list := procstat.OwnProcessorTime() - began
+			heap := procstat.HeapInUse() - before
 			changes := max(20, 400_000/engines)
 			var bytes int
-			began = procstat.Own()
+			began = procstat.OwnProcessorTime()
 			for i := range changes { // each drains or returns one engine
 				frame := standin.Frame(uint64(2+i), 2, journalRecord(i/2%engines, byte(1-i%2)))
 				bytes = len(frame)
 				feed(frame)
 			}
-			change := (procstat.Own() - began) / time.Duration(changes)
+			change := (procstat.OwnProcessorTime() - began) / time.Duration(changes)
 			t.Logf("%5d engines: list %d bytes, %s; change %d bytes, %s; heap %.0f", engines, len(complete), list, bytes, change, heap)
 			result.Points = append(result.Points, scale.Point{Axis: "engines", X: float64(engines), Figures: map[string]float64{
 				"list bytes": float64(len(complete)), "list us": float64(list.Nanoseconds()) / 1000, "list heap bytes": heap,
 				"change bytes": float64(bytes), "change us": float64(change.Nanoseconds()) / 1000}})
 		}
 	}
-	require.NoError(t, procstat.Save(result))
+	require.NoError(t, procstat.SaveResult(result))
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -128,7 +128,7 @@
 			Sockets  float64 `json:"sockets"`
 		} `json:"limits"`
 		Journal  string          `json:"journal"`
-		Known    discovery.Known `json:"known"`
+		Known    discovery.CachedEvents `json:"known"`
 		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -10,8 +10,8 @@
 	"chutechute/scheduler"
 )
 
-// ErrGap says that an event came whose predecessor has not: the connection has to end, and the next begins from the last one known.
-var ErrGap = errors.New("journal: an event is missing")
+// ErrMissingEvent says that an event came whose predecessor has not: the connection has to end, and the next begins from the last one known.
+var ErrMissingEvent = errors.New("journal: an event is missing")
 
 // Follower takes events in the order of their numbers, each once, over one connection after another. An event that can't be taken
 // as it stands ends its connection, since the next may bring it whole. One that comes again just so is how the journal service
@@ -19,7 +19,7 @@
 type Follower struct {
 	Names Names
 	Last  uint64 // the number of the last event taken
-	Odd   int    // events that were taken though they were not whole
+	Malformed   int    // events that were taken though they were not whole
 	again uint64 // the event for which a connection was ended last; 0: none
 }
 
@@ -33,14 +33,14 @@
 		return e, false, true, nil
 	}
 	if err == nil && e.Number > f.Last+1 && e.Kind == scheduler.UpdateChanges {
-		err = fmt.Errorf("%w: %d after %d", ErrGap, e.Number, f.Last)
+		err = fmt.Errorf("%w: %d after %d", ErrMissingEvent, e.Number, f.Last)
 	}
 	if err != nil {
 		if f.again != e.Number {
 			f.again = e.Number
 			return e, false, false, err
 		}
-		f.Odd++
+		f.Malformed++
 	}
 	f.Last = e.Number
 	return e, true, true, nil
@@ -55,24 +55,24 @@
 	waitMost    = 800 * monotime.Second / 1000
 )
 
-// Redial says when to give a connection up for silent, and when to try for the next. All front ends lose theirs in one moment, when
+// Backoff says when to give a connection up for silent, and when to try for the next. All front ends lose theirs in one moment, when
 // the journal service goes: each goes by times of its own, further apart the longer it lasts.
-type Redial struct {
+type Backoff struct {
 	rng   *rand.Rand
 	tries int
 }
 
-// NewRedial begins with a seed of the process's own.
-func NewRedial(seed uint64) *Redial { return &Redial{rng: rand.New(rand.NewPCG(seed, 2))} }
+// NewBackoff begins with a seed of the process's own.
+func NewBackoff(seed uint64) *Backoff { return &Backoff{rng: rand.New(rand.NewPCG(seed, 2))} }
 
-// Heard says that a whole frame has come.
-func (r *Redial) Heard() { r.tries = 0 }
+// Reset says that a whole frame has come.
+func (r *Backoff) Reset() { r.tries = 0 }
 
-// Silence is how long the next connection may be silent.
-func (r *Redial) Silence() monotime.Micros { return silentAfter + r.rng.Int64N(silentMore) }
+// ReadTimeout is how long the next connection may be silent.
+func (r *Backoff) ReadTimeout() monotime.Micros { return silentAfter + r.rng.Int64N(silentMore) }
 
-// Wait is how long to wait before the next try.
-func (r *Redial) Wait() monotime.Micros {
+// NextDelay is how long to wait before the next try.
+func (r *Backoff) NextDelay() monotime.Micros {
 	most := min(waitMost, waitFirst<<min(r.tries, 8))
 	r.tries++
 	return most/4 + r.rng.Int64N(most*3/4)
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -85,7 +85,7 @@
 		})
 		assert.Equal(t, []uint64{42, 43, 44}, taken, name)
 		assert.LessOrEqual(t, conns, 2, name)
-		assert.Zero(t, f.Odd, name)
+		assert.Zero(t, f.Malformed, name)
 	}
 }
 
@@ -109,7 +109,7 @@
 		assert.Equal(t, uint64(44), taken[len(taken)-1], name)
 		assert.Len(t, taken, 2, name)
 		assert.Equal(t, 2, conns, name)
-		assert.Equal(t, 1, f.Odd, name)
+		assert.Equal(t, 1, f.Malformed, name)
 		if name != "unknown kind of event" {
 			assert.Equal(t, []string{"s-00000007", "s-00000009"}, engines, name)
 		}
@@ -126,10 +126,10 @@
 	const fronts, away = 300, 3 * monotime.Second
 	var dials []monotime.Micros
 	for seed := range uint64(fronts) {
-		r := NewRedial(seed)
-		at := r.Silence() // it fell silent at 0 and is back after a while
+		r := NewBackoff(seed)
+		at := r.ReadTimeout() // it fell silent at 0 and is back after a while
 		for {
-			at += r.Wait()
+			at += r.NextDelay()
 			dials = append(dials, at)
 			if at >= away {
 				break
@@ -137,8 +137,8 @@
 		}
 		assert.Less(t, at, 6*monotime.Second)
 		assert.GreaterOrEqual(t, at, 2*monotime.Second, "an empty frame that is a second late is no silence")
-		r.Heard()
-		assert.Less(t, r.Wait(), monotime.Second/4, "and is dialled soon after a break once it has been heard")
+		r.Reset()
+		assert.Less(t, r.NextDelay(), monotime.Second/4, "and is dialled soon after a break once it has been heard")
 	}
 	busiest := 0
 	for _, from := range dials {
--- a/internal/discovery/journal.go
+++ b/internal/discovery/journal.go
@@ -33,8 +33,8 @@
 	Engines []Engine
 }
 
-// ErrFrame says that the stream holds no frame of ours: the connection has to end.
-var ErrFrame = errors.New("journal: unreadable frame")
+// ErrMalformedFrame says that the stream holds no frame of ours: the connection has to end.
+var ErrMalformedFrame = errors.New("journal: unreadable frame")
 
 // Names turns places in the settings' lists into names.
 type Names struct{ Zones, Kinds []string }
@@ -53,7 +53,7 @@
 	data := in.Bytes()
 	size := int64(binary.BigEndian.Uint32(data))
 	if size < headSize-4 || size > MaxFrame-4 {
-		return e, false, false, fmt.Errorf("%w: length %d", ErrFrame, size)
+		return e, false, false, fmt.Errorf("%w: length %d", ErrMalformedFrame, size)
 	}
 	if int64(len(data)) < 4+size {
 		return e, false, false, nil
@@ -71,10 +71,10 @@
 		e.Kind = scheduler.UpdateChanges
 	default:
 		e.Kind = scheduler.UpdateChanges // without any: who goes on without it has missed it
-		return e, true, true, fmt.Errorf("%w: kind %d", ErrFrame, kind)
+		return e, true, true, fmt.Errorf("%w: kind %d", ErrMalformedFrame, kind)
 	}
 	if len(payload)%recordSize != 0 {
-		err = fmt.Errorf("%w: %d bytes of records", ErrFrame, len(payload))
+		err = fmt.Errorf("%w: %d bytes of records", ErrMalformedFrame, len(payload))
 	}
 	for ; len(payload) >= recordSize; payload = payload[recordSize:] {
 		engine, bad := n.record(payload[:recordSize])
@@ -91,7 +91,7 @@
 	be := binary.BigEndian
 	state, zone, kind := int(b[10]), int(b[11]), int(b[12])
 	if state >= len(states) || zone >= len(n.Zones) || kind >= len(n.Kinds) {
-		return Engine{}, fmt.Errorf("%w: state %d, zone %d, kind %d", ErrFrame, state, zone, kind)
+		return Engine{}, fmt.Errorf("%w: state %d, zone %d, kind %d", ErrMalformedFrame, state, zone, kind)
 	}
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), be.Uint16(b[8:]))
 	return Engine{Addr: addr, Endpoint: scheduler.Endpoint{Engine: fmt.Sprintf("s-%08x", be.Uint32(b)), Zone: n.Zones[zone],
@@ -99,8 +99,8 @@
 		Started: monotime.Micros(be.Uint64(b[19:])) * 1000}}, nil
 }
 
-// Known is the configuration's form of the events so far.
-type Known struct {
+// CachedEvents is the configuration's form of the events so far.
+type CachedEvents struct {
 	Pos     uint64 `json:"pos"`
 	Entries []struct {
 		Pos   uint64 `json:"pos"`
@@ -123,7 +123,7 @@
 	"terminated": scheduler.Removed}
 
 // Events reads the known events; an error names the faulty key.
-func (k *Known) Events() ([]Event, error) {
+func (k *CachedEvents) Events() ([]Event, error) {
 	var events []Event
 	for i, entry := range k.Entries {
 		e := Event{Number: entry.Pos, Kind: scheduler.UpdateChanges}
--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Own is the processor time that this process has taken since its start.
-func Own() time.Duration {
+// OwnProcessorTime is the processor time that this process has taken since its start.
+func OwnProcessorTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &ts); err != nil {
 		panic(err) // the clock is always there on Linux
@@ -23,9 +23,9 @@
 	return time.Duration(ts.Nano())
 }
 
-// Processor is the processor time that the threads which a process has now have taken since its start. It is exact to the
+// ProcessorTime is the processor time that the threads which a process has now have taken since its start. It is exact to the
 // scheduler's own count, while /proc/PID/stat counts in steps of 10 ms.
-func Processor(pid int) (sum time.Duration, err error) {
+func ProcessorTime(pid int) (sum time.Duration, err error) {
 	paths, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(paths) == 0 {
 		return 0, fmt.Errorf("measure: no threads of process %d: %w", pid, err)
@@ -45,8 +45,8 @@
 	return sum, nil
 }
 
-// Resident is a process's resident memory in bytes.
-func Resident(pid int) (float64, error) {
+// ResidentMemory is a process's resident memory in bytes.
+func ResidentMemory(pid int) (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0, fmt.Errorf("measure: %w", err)
@@ -67,8 +67,8 @@
 	return float64(len(list)), nil
 }
 
-// Heap is the bytes of this process's heap that are in use, after what is not has been collected.
-func Heap() float64 {
+// HeapInUse is the bytes of this process's heap that are in use, after what is not has been collected.
+func HeapInUse() float64 {
 	runtime.GC()
 	runtime.GC() // finalizers of the first may have freed more
 	var m runtime.MemStats
--- a/internal/procstat/result.go
+++ b/internal/procstat/result.go
@@ -9,19 +9,19 @@
 	"chutechute/internal/scale"
 )
 
-// Folder is the environment variable that names the folder for results; without it nothing is written.
-const Folder = "CHUTECHUTE_RESULTS"
+// ResultsVariable is the environment variable that names the folder for results; without it nothing is written.
+const ResultsVariable = "CHUTECHUTE_RESULTS"
 
-// New begins a result of a measurement.
-func New(name string, notes ...string) *scale.Result {
+// NewResult begins a result of a measurement.
+func NewResult(name string, notes ...string) *scale.Result {
 	return &scale.Result{Name: name, Mode: scale.ModeMeasure, Date: time.Now().UTC().Format(time.DateOnly), Machine: scale.Machine(),
 		Notes: notes}
 }
 
-// Save writes a result into the folder for results as NAME.json, where one is set. The load of the machine, over the minute before,
+// SaveResult writes a result into the folder for results as NAME.json, where one is set. The load of the machine, over the minute before,
 // goes to its notes: processor times differ by as much as two times where other work takes all cores.
-func Save(result *scale.Result) error {
-	folder := os.Getenv(Folder)
+func SaveResult(result *scale.Result) error {
+	folder := os.Getenv(ResultsVariable)
 	if folder == "" {
 		return nil
 	}
--- a/internal/rest/response.go
+++ b/internal/rest/response.go
@@ -140,7 +140,7 @@
 
 // figure reads a number from 0 to most; what is none counts as odd and as not said.
 func (r *Response) figure(text string, most float64) float64 {
-	x, err := decimal.Decimal(text, most)
+	x, err := decimal.Parse(text, most)
 	if err != nil {
 		r.Odd++
 	}
@@ -158,7 +158,7 @@
 		return
 	}
 	k, ok := noteKinds[kind]
-	x, err := decimal.Decimal(number, k.most)
+	x, err := decimal.Parse(number, k.most)
 	if !ok || err != nil || k.kind == scheduler.ProgressWaiting && x != 1 && x != 2 {
 		r.Odd++
 		return
--- a/internal/server/clients.go
+++ b/internal/server/clients.go
@@ -239,7 +239,7 @@
 	if !ok {
 		return 0, nil
 	}
-	x, err := decimal.Decimal(text, most)
+	x, err := decimal.Parse(text, most)
 	if err != nil {
 		err = fmt.Errorf("%s: %w", name, err)
 	}
--- a/internal/server/feed.go
+++ b/internal/server/feed.go
@@ -21,7 +21,7 @@
 	eventloop.Stream
 	s          *Server
 	follower   discovery.Follower
-	redial     *discovery.Redial
+	redial     *discovery.Backoff
 	connecting bool
 	since      monotime.Micros // of the last sign of life, or of the last try
 	silence    monotime.Micros // that this connection may keep
@@ -33,13 +33,13 @@
 	for _, k := range s.cfg.Settings.Kinds {
 		names.Kinds = append(names.Kinds, k.Name)
 	}
-	f := &feed{s: s, follower: discovery.Follower{Names: names, Last: s.cfg.LastPos}, redial: discovery.NewRedial(s.cfg.Seed)}
+	f := &feed{s: s, follower: discovery.Follower{Names: names, Last: s.cfg.LastPos}, redial: discovery.NewBackoff(s.cfg.Seed)}
 	f.Closed = true
 	return f
 }
 
 func (f *feed) connect() {
-	f.since, f.silence = f.s.TurnTime, f.redial.Silence()
+	f.since, f.silence = f.s.TurnTime, f.redial.ReadTimeout()
 	fd, err := eventloop.Dial(f.s.cfg.Journal)
 	if err != nil {
 		f.lose(err)
@@ -57,7 +57,7 @@
 func (f *feed) lose(why error) {
 	slog.Warn("journal", "error", why)
 	f.Close()
-	f.retryAt = f.s.TurnTime + f.redial.Wait()
+	f.retryAt = f.s.TurnTime + f.redial.NextDelay()
 }
 
 // move leaves the journal service's old address for the one now in force, and goes on from the last event.
@@ -113,7 +113,7 @@
 			break
 		}
 		f.since = f.s.TurnTime
-		f.redial.Heard()
+		f.redial.Reset()
 		f.s.Counters.Frames++
 		f.s.life.Reloaded()
 		if news {
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -83,20 +83,20 @@
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("measures: make scale-full")
 	}
-	result := procstat.New("decisions", "One query, its outcome and its part of the 20 ms sweeps, 1,000 queries a second, each of 20 ms; "+
+	result := procstat.NewResult("decisions", "One query, its outcome and its part of the 20 ms sweeps, 1,000 queries a second, each of 20 ms; "+
 		"front ends in the users' ratio to engines, 23 zones, 97 table groups; processor time of the process; two runs a size.")
 	for range 2 {
 		for _, engines := range []int{8, 64, 256, 1024, 2048, 8192, 34000} {
-			before := procstat.Heap()
+			before := procstat.HeapInUse()
 			d := largeSite(t, engines)
-			began := procstat.Own()
+			began := procstat.OwnProcessorTime()
 			now, _ := atPace(t, d, monotime.Second, 0, tableGroups) // each finds its engines
-			first := float64((procstat.Own() - began).Nanoseconds()) / 1000 / tableGroups
+			first := float64((procstat.OwnProcessorTime() - began).Nanoseconds()) / 1000 / tableGroups
 			count := max(200, min(20_000, 4_000_000/engines))
-			began = procstat.Own()
+			began = procstat.OwnProcessorTime()
 			now, sent := atPace(t, d, now, 1000, count)
-			each := float64((procstat.Own() - began).Nanoseconds()) / 1000 / float64(count)
-			heap := procstat.Heap() - before
+			each := float64((procstat.OwnProcessorTime() - began).Nanoseconds()) / 1000 / float64(count)
+			heap := procstat.HeapInUse() - before
 			runtime.KeepAlive(d)
 			t.Logf("%5d engines: %8.1f us, the first of a table group %8.1f us, %9.0f bytes of heap, %d of %d sent in %d s", engines, each,
 				first, heap, sent, count, now/monotime.Second)
@@ -105,5 +105,5 @@
 				Figures: map[string]float64{"query us": each, "first query of a group us": first, "heap bytes": heap}})
 		}
 	}
-	require.NoError(t, procstat.Save(result))
+	require.NoError(t, procstat.SaveResult(result))
 }
