--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -17,15 +17,15 @@
 // as it stands ends its connection, since the next may bring it whole. One that comes again just so is how the journal service
 // has it: it is taken as far as it can be read, or the list would stand still from there on.
 type Follower struct {
-	Names Names
-	Last  uint64 // the number of the last event taken
-	Malformed   int    // events that were taken though they were not whole
-	again uint64 // the event for which a connection was ended last; 0: none
+	Names        Names
+	Last         uint64 // the number of the last event taken
+	Malformed    int    // events that were taken though they were not whole
+	retriedEvent uint64 // the event for which a connection was ended last; 0: none
 }
 
 // Next takes the next whole frame from what has come; ok is false until there is one, and news is false where it brings nothing new.
 func (f *Follower) Next(in *ring.Buffer) (e Event, news, ok bool, err error) {
-	e, news, ok, err = f.Names.next(in)
+	e, news, ok, err = f.Names.nextFrame(in)
 	if !ok || !news {
 		return e, false, ok, err
 	}
@@ -36,8 +36,8 @@
 		err = fmt.Errorf("%w: %d after %d", ErrMissingEvent, e.Number, f.Last)
 	}
 	if err != nil {
-		if f.again != e.Number {
-			f.again = e.Number
+		if f.retriedEvent != e.Number {
+			f.retriedEvent = e.Number
 			return e, false, false, err
 		}
 		f.Malformed++
@@ -49,31 +49,33 @@
 // Spans of Redial, in microseconds. What the journal has to tell counts as told after 7 s, heard or not, which leaves time for a
 // silence to be noticed, for a dial that comes to nothing and for two more.
 const (
-	silentAfter = 2250 * monotime.Second / 1000 // an empty frame comes each second
-	silentMore  = 500 * monotime.Second / 1000
-	waitFirst   = 200 * monotime.Second / 1000
-	waitMost    = 800 * monotime.Second / 1000
+	minReadTimeout    = 2250 * monotime.Second / 1000 // an empty frame comes each second
+	readTimeoutJitter = 500 * monotime.Second / 1000
+	initialDelay      = 200 * monotime.Second / 1000
+	maxDelay          = 800 * monotime.Second / 1000
 )
 
 // Backoff says when to give a connection up for silent, and when to try for the next. All front ends lose theirs in one moment, when
 // the journal service goes: each goes by times of its own, further apart the longer it lasts.
 type Backoff struct {
-	rng   *rand.Rand
-	tries int
+	rng      *rand.Rand
+	attempts int
 }
 
 // NewBackoff begins with a seed of the process's own.
 func NewBackoff(seed uint64) *Backoff { return &Backoff{rng: rand.New(rand.NewPCG(seed, 2))} }
 
 // Reset says that a whole frame has come.
-func (r *Backoff) Reset() { r.tries = 0 }
+func (r *Backoff) Reset() { r.attempts = 0 }
 
 // ReadTimeout is how long the next connection may be silent.
-func (r *Backoff) ReadTimeout() monotime.Micros { return silentAfter + r.rng.Int64N(silentMore) }
+func (r *Backoff) ReadTimeout() monotime.Micros {
+	return minReadTimeout + r.rng.Int64N(readTimeoutJitter)
+}
 
 // NextDelay is how long to wait before the next try.
 func (r *Backoff) NextDelay() monotime.Micros {
-	most := min(waitMost, waitFirst<<min(r.tries, 8))
-	r.tries++
+	most := min(maxDelay, initialDelay<<min(r.attempts, 8))
+	r.attempts++
 	return most/4 + r.rng.Int64N(most*3/4)
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -65,7 +65,7 @@
 
 // Events that come again, out of order or with one missing are each taken once, in order: a drain that was passed over for its
 // successor was never heard of.
-func TestEventsInOrderAndOnce(t *testing.T) {
+func TestFollowerTakesEachEventOnceInOrder(t *testing.T) {
 	event := func(n uint64) []byte { return frame(n, changes, record(uint32(n), 1, 0)) }
 	for name, first := range map[string][][]byte{
 		"repeated":  {event(42), event(42), frame(42, 0), event(43), event(42), event(44)},
@@ -91,7 +91,7 @@
 
 // What the service has just so, with a number left out or a record that can't be read, does not keep the front end from all that
 // comes after it.
-func TestOddEventsAreNotWaitedForForever(t *testing.T) {
+func TestFollowerTakesMalformedEventWhenItComesAgain(t *testing.T) {
 	for name, odd := range map[string][]byte{
 		"number left out":       frame(43, changes, record(7, 1, 0)),
 		"unknown zone":          frame(42, changes, record(7, 1, 0), record(8, 1, 9)),
@@ -122,7 +122,7 @@
 
 // When the journal service goes, all front ends lose it in one moment. They dial it again apart from each other, ever less often
 // while it is away, and each has been heard well before what it has to tell counts as told.
-func TestRedialsOfAFleetAreSpread(t *testing.T) {
+func TestBackoffSpreadsReconnectsOfAFleet(t *testing.T) {
 	const fronts, away = 300, 3 * monotime.Second
 	var dials []monotime.Micros
 	for seed := range uint64(fronts) {
--- a/internal/discovery/journal.go
+++ b/internal/discovery/journal.go
@@ -15,7 +15,7 @@
 
 const (
 	recordSize = 27
-	headSize   = 4 + 8 + 1
+	headerSize = 4 + 8 + 1
 	// MaxFrame is the longest frame that is taken: a list of some 38,000 engines.
 	MaxFrame = 1 << 20
 )
@@ -44,15 +44,15 @@
 // Hello is what a connection begins with: the number of the last event known.
 func Hello(last uint64) []byte { return binary.BigEndian.AppendUint64(nil, last) }
 
-// next takes the next whole frame from what has come. ok is false until there is one; news is false for the empty frame of each
+// nextFrame takes the next whole frame from what has come. ok is false until there is one; news is false for the empty frame of each
 // second. What of its records can't be read is left out, with an error that names the first.
-func (n Names) next(in *ring.Buffer) (e Event, news, ok bool, err error) {
+func (n Names) nextFrame(in *ring.Buffer) (e Event, news, ok bool, err error) {
 	if in.Len() < 4 {
 		return e, false, false, nil
 	}
 	data := in.Bytes()
 	size := int64(binary.BigEndian.Uint32(data))
-	if size < headSize-4 || size > MaxFrame-4 {
+	if size < headerSize-4 || size > MaxFrame-4 {
 		return e, false, false, fmt.Errorf("%w: length %d", ErrMalformedFrame, size)
 	}
 	if int64(len(data)) < 4+size {
@@ -77,7 +77,7 @@
 		err = fmt.Errorf("%w: %d bytes of records", ErrMalformedFrame, len(payload))
 	}
 	for ; len(payload) >= recordSize; payload = payload[recordSize:] {
-		engine, bad := n.record(payload[:recordSize])
+		engine, bad := n.parseRecord(payload[:recordSize])
 		if bad == nil {
 			e.Engines = append(e.Engines, engine)
 		} else if err == nil {
@@ -87,7 +87,7 @@
 	return e, true, true, err
 }
 
-func (n Names) record(b []byte) (Engine, error) {
+func (n Names) parseRecord(b []byte) (Engine, error) {
 	be := binary.BigEndian
 	state, zone, kind := int(b[10]), int(b[11]), int(b[12])
 	if state >= len(states) || zone >= len(n.Zones) || kind >= len(n.Kinds) {
--- a/internal/server/feed.go
+++ b/internal/server/feed.go
@@ -13,88 +13,88 @@
 	"chutechute/scheduler"
 )
 
-const feedDial = 1000 * monotime.Millisecond // for a connection to come up
+const discoveryDialTimeout = 1000 * monotime.Millisecond // for a connection to come up
 
-// feed is the connection to the journal service. It is made again whenever it breaks or falls silent,
+// discoveryWatch is the connection to the journal service. It is made again whenever it breaks or falls silent,
 // from the last event known: what the journal tells counts as told soon after, heard or not.
-type feed struct {
+type discoveryWatch struct {
 	eventloop.Stream
-	s          *Server
-	follower   discovery.Follower
-	redial     *discovery.Backoff
-	connecting bool
-	since      monotime.Micros // of the last sign of life, or of the last try
-	silence    monotime.Micros // that this connection may keep
-	retryAt    monotime.Micros // when to try again, while there is none
+	server       *Server
+	follower     discovery.Follower
+	backoff      *discovery.Backoff
+	connecting   bool
+	lastActivity monotime.Micros // of the last sign of life, or of the last try
+	readTimeout  monotime.Micros // that this connection may keep
+	retryAt      monotime.Micros // when to try again, while there is none
 }
 
-func newFeed(s *Server) *feed {
+func newDiscoveryWatch(s *Server) *discoveryWatch {
 	names := discovery.Names{Zones: s.cfg.Settings.Zones}
 	for _, k := range s.cfg.Settings.Kinds {
 		names.Kinds = append(names.Kinds, k.Name)
 	}
-	f := &feed{s: s, follower: discovery.Follower{Names: names, Last: s.cfg.LastPos}, redial: discovery.NewBackoff(s.cfg.Seed)}
+	f := &discoveryWatch{server: s, follower: discovery.Follower{Names: names, Last: s.cfg.LastPos}, backoff: discovery.NewBackoff(s.cfg.Seed)}
 	f.Closed = true
 	return f
 }
 
-func (f *feed) connect() {
-	f.since, f.silence = f.s.TurnTime, f.redial.ReadTimeout()
-	fd, err := eventloop.Dial(f.s.cfg.Journal)
+func (f *discoveryWatch) connect() {
+	f.lastActivity, f.readTimeout = f.server.host.TurnTime, f.backoff.ReadTimeout()
+	fd, err := eventloop.Dial(f.server.cfg.Journal)
 	if err != nil {
-		f.lose(err)
+		f.disconnect(err)
 		return
 	}
-	f.s.Counters.Reconnected++
-	f.Stream = eventloop.NewStream(f.s.Loop, fd, discovery.MaxFrame, 64, &ring.Budget{Most: discovery.MaxFrame + 64})
+	f.server.host.Counters.Reconnected++
+	f.Stream = eventloop.NewStream(f.server.host.Loop, fd, discovery.MaxFrame, 64, &ring.Budget{Most: discovery.MaxFrame + 64})
 	f.connecting, f.Interest = true, unix.EPOLLOUT
-	if err := f.s.Loop.Add(fd, f.Interest, f); err != nil {
-		f.lose(err)
+	if err := f.server.host.Loop.Add(fd, f.Interest, f); err != nil {
+		f.disconnect(err)
 	}
 }
 
-// lose ends a connection; the next is tried for after a while of this process's own.
-func (f *feed) lose(why error) {
+// disconnect ends a connection; the next is tried for after a while of this process's own.
+func (f *discoveryWatch) disconnect(why error) {
 	slog.Warn("journal", "error", why)
 	f.Close()
-	f.retryAt = f.s.TurnTime + f.redial.NextDelay()
+	f.retryAt = f.server.host.TurnTime + f.backoff.NextDelay()
 }
 
-// move leaves the journal service's old address for the one now in force, and goes on from the last event.
-func (f *feed) move() {
+// reconnect leaves the journal service's old address for the one now in force, and goes on from the last event.
+func (f *discoveryWatch) reconnect() {
 	f.Close()
 	f.connect()
 }
 
 var (
-	errFeedSilent = errors.New("it is silent")
-	errFeedEnded  = errors.New("it ended the connection")
+	errWatchTimeout = errors.New("it is silent")
+	errWatchClosed  = errors.New("it ended the connection")
 )
 
-func (f *feed) tick() {
-	age := f.s.TurnTime - f.since
+func (f *discoveryWatch) tick() {
+	age := f.server.host.TurnTime - f.lastActivity
 	switch {
-	case f.Closed && f.s.TurnTime >= f.retryAt:
+	case f.Closed && f.server.host.TurnTime >= f.retryAt:
 		f.connect()
-	case !f.Closed && (age >= f.silence || f.connecting && age >= feedDial):
-		f.lose(errFeedSilent)
+	case !f.Closed && (age >= f.readTimeout || f.connecting && age >= discoveryDialTimeout):
+		f.disconnect(errWatchTimeout)
 	}
 }
 
-func (f *feed) Ready(events uint32) {
+func (f *discoveryWatch) Ready(events uint32) {
 	if f.connecting {
 		if err := eventloop.DialResult(f.FD); err != nil {
-			f.lose(err)
+			f.disconnect(err)
 			return
 		}
 		f.connecting = false
 		if _, err := f.Out.Write(discovery.Hello(f.follower.Last)); err != nil {
-			f.lose(err)
+			f.disconnect(err)
 			return
 		}
 	}
 	if err := f.Flush(); err != nil {
-		f.lose(err)
+		f.disconnect(err)
 		return
 	}
 	f.UpdateInterest(true)
@@ -105,29 +105,29 @@
 	for {
 		e, news, ok, err := f.follower.Next(f.In)
 		if err != nil {
-			f.s.Counters.OddEvents++
-			f.lose(err)
+			f.server.host.Counters.OddEvents++
+			f.disconnect(err)
 			return
 		}
 		if !ok {
 			break
 		}
-		f.since = f.s.TurnTime
-		f.redial.Reset()
-		f.s.Counters.Frames++
-		f.s.life.Reloaded()
+		f.lastActivity = f.server.host.TurnTime
+		f.backoff.Reset()
+		f.server.host.Counters.Frames++
+		f.server.lifecycle.Reloaded()
 		if news {
-			f.s.listed(e)
+			f.server.updateEndpoints(e)
 		}
 	}
 	if !more {
-		f.lose(errFeedEnded)
+		f.disconnect(errWatchClosed)
 	}
 }
 
-// listed hands an event of the journal to the pool and the core.
-func (s *Server) listed(e discovery.Event) {
-	s.pool.listed(e)
+// updateEndpoints hands an event of the journal to the pool and the core.
+func (s *Server) updateEndpoints(e discovery.Event) {
+	s.pool.updateEndpoints(e)
 	entries := make([]scheduler.Endpoint, len(e.Engines))
 	for i, en := range e.Engines {
 		entries[i] = en.Endpoint
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -8,23 +8,23 @@
 
 // post hands work to the loop. It may be called from any goroutine.
 func (s *Server) post(work func()) {
-	s.posts.Add(work)
-	s.wake.send(wakePosted)
+	s.tasks.Add(work)
+	s.waker.send(wakePosted)
 }
 
-// guarded puts the identity and TLS sections into force, and their files, which are watched from then on. With an error
+// applySecurity puts the identity and TLS sections into force, and their files, which are watched from then on. With an error
 // nothing changes.
-func (s *Server) guarded(cfg *config.Config) error {
+func (s *Server) applySecurity(cfg *config.Config) error {
 	started := false
-	watch := s.watches + 1       // in force once nothing can fail any more: until then the earlier watch goes on
-	later := func(work func()) { // what an earlier watch has read may be older than what is in force
+	watch := s.keyWatchGeneration + 1 // in force once nothing can fail any more: until then the earlier watch goes on
+	later := func(work func()) {      // what an earlier watch has read may be older than what is in force
 		s.post(func() {
-			if s.watches == watch {
+			if s.keyWatchGeneration == watch {
 				work()
 			}
 		})
 	}
-	files, force, err := s.secure(cfg, later, &started)
+	files, force, err := s.prepareTLS(cfg, later, &started)
 	if err != nil {
 		return err
 	}
@@ -45,15 +45,15 @@
 	if err := s.core.IdentifyCallers(cfg.Callers); err != nil {
 		return err
 	}
-	s.watches = watch
+	s.keyWatchGeneration = watch
 	force()
 	for _, work := range first {
 		work()
 	}
-	s.unwatch()
+	s.stopKeyWatch()
 	started = true
 	if len(files) > 0 {
-		s.watch = keyfiles.Start(files, cfg.Identity().Every())
+		s.keyWatch = keyfiles.Start(files, cfg.Identity().Every())
 	}
 	return nil
 }
@@ -64,7 +64,7 @@
 		files = append(files, &keyfiles.File{Path: one.Keys, Load: func(path string) error {
 			set, err := keyfiles.Keys(path)
 			if err == nil {
-				now(func() { s.keysChanged(one.Name, set) })
+				now(func() { s.setKeys(one.Name, set) })
 			}
 			return err
 		}})
@@ -73,7 +73,7 @@
 		files = append(files, &keyfiles.File{Path: section.Revoked, Load: func(path string) error {
 			list, err := keyfiles.Revoked(path)
 			if err == nil {
-				now(func() { s.revoked(list) })
+				now(func() { s.setRevoked(list) })
 			}
 			return err
 		}})
@@ -81,21 +81,21 @@
 	return files
 }
 
-func (s *Server) unwatch() {
-	if s.watch != nil {
-		s.watch.Stop()
-		s.watch = nil
+func (s *Server) stopKeyWatch() {
+	if s.keyWatch != nil {
+		s.keyWatch.Stop()
+		s.keyWatch = nil
 	}
 }
 
-// keysChanged and revoked may come just after identity was turned off.
-func (s *Server) keysChanged(issuer string, keys []identity.Key) {
+// setKeys and revoked may come just after identity was turned off.
+func (s *Server) setKeys(issuer string, keys []identity.Key) {
 	if g := s.core.Guard(); g != nil {
 		g.SetKeys(issuer, keys)
 	}
 }
 
-func (s *Server) revoked(list identity.Revoked) {
+func (s *Server) setRevoked(list identity.Revoked) {
 	if g := s.core.Guard(); g != nil {
 		g.Revoke(list)
 	}
--- a/internal/server/secure.go
+++ b/internal/server/secure.go
@@ -13,27 +13,27 @@
 	"chutechute/internal/tlsio"
 )
 
-// security is the server's side of TLS with clients: what new connections are made with and who may shake hands.
-type security struct {
-	material   *certs.Material // nil where TLS is off
-	files      *certs.Files
-	handshakes *identity.Handshakes
-	pool       *tlsio.Pool
-	outward    *tlsio.Pool     // for handshakes with engines, which clients' are not to hold up
-	warn       time.Duration   // ahead of an expiry
-	warnAt     monotime.Micros // next
-	scratch    []byte          // for what comes of any connection
+// tlsState is the server's side of TLS with clients: what new connections are made with and who may shake hands.
+type tlsState struct {
+	material         *certs.Material // nil where TLS is off
+	files            *certs.Files
+	handshakes       *identity.Handshakes
+	clientHandshakes *tlsio.Pool
+	engineHandshakes *tlsio.Pool     // for handshakes with engines, which clients' are not to hold up
+	warnAhead        time.Duration   // ahead of an expiry
+	nextWarningAt    monotime.Micros // next
+	scratch          []byte          // for what comes of any connection
 }
 
 const (
-	scratchSize = 16 << 10
-	warnEvery   = 3600 * 1000 * monotime.Millisecond
+	scratchSize           = 16 << 10
+	expiryWarningInterval = 3600 * 1000 * monotime.Millisecond
 )
 
-// secure puts the TLS section into force for connections that come from now on, and adds its files to those that are
+// prepareTLS puts the TLS section into force for connections that come from now on, and adds its files to those that are
 // watched. With an error nothing changes.
-func (s *Server) secure(cfg *config.Config, later func(func()), started *bool) (files []*keyfiles.File, force func(), err error) {
-	section, off := cfg.TLS(), func() { s.security.material = nil }
+func (s *Server) prepareTLS(cfg *config.Config, later func(func()), started *bool) (files []*keyfiles.File, force func(), err error) {
+	section, off := cfg.TLS(), func() { s.tls.material = nil }
 	if !section.Enabled && !section.Engines.Enabled {
 		return nil, off, nil
 	}
@@ -52,155 +52,155 @@
 			}
 			changed, err := certs.Load(set)
 			if err == nil {
-				later(func() { s.renewed(changed) })
+				later(func() { s.setTLSMaterial(changed) })
 			}
 			return err
 		}})
 	}
 	return files, func() {
 		pending, share := section.Bounds()
-		s.security.files, s.security.warn = set, section.Warn()
-		if s.security.pool == nil {
-			s.security.pool, s.security.handshakes = tlsio.NewPool(share), identity.NewHandshakes(pending)
-			s.security.outward = tlsio.NewPool(1)
-			s.security.scratch = make([]byte, scratchSize)
+		s.tls.files, s.tls.warnAhead = set, section.Warn()
+		if s.tls.clientHandshakes == nil {
+			s.tls.clientHandshakes, s.tls.handshakes = tlsio.NewPool(share), identity.NewHandshakes(pending)
+			s.tls.engineHandshakes = tlsio.NewPool(1)
+			s.tls.scratch = make([]byte, scratchSize)
 		}
-		s.renewed(material)
+		s.setTLSMaterial(material)
 	}, nil
 }
 
-// renewed puts a state of the files into force: connections that come from now on are made with its certificates, and what
+// setTLSMaterial puts a state of the files into force: connections that come from now on are made with its certificates, and what
 // it says is revoked is so for all.
-func (s *Server) renewed(m *certs.Material) {
-	s.security.material = m
-	s.security.warnAt = 0
+func (s *Server) setTLSMaterial(m *certs.Material) {
+	s.tls.material = m
+	s.tls.nextWarningAt = 0
 }
 
-// tick logs what will expire soon, now and again.
-func (s *security) tick(now monotime.Micros) {
-	if s.material == nil || now < s.warnAt {
+// warnOfExpiry logs what will expire soon, now and again.
+func (s *tlsState) warnOfExpiry(now monotime.Micros) {
+	if s.material == nil || now < s.nextWarningAt {
 		return
 	}
-	s.warnAt = now + warnEvery
+	s.nextWarningAt = now + expiryWarningInterval
 	for _, e := range s.material.Expiry {
-		if left := time.Until(e.At); left < s.warn {
+		if left := time.Until(e.At); left < s.warnAhead {
 			slog.Warn("expires soon", "file", e.Path, "at", e.At.UTC().Format(time.RFC3339), "left", left.Round(time.Second).String())
 		}
 	}
 }
 
-// greet begins the handshake once the client's first message has come whole: who sends half of one, or noise, costs none.
-func (c *client) greet() {
-	if c.greeted || c.ending {
+// startHandshake begins the handshake once the client's first message has come whole: who sends half of one, or noise, costs none.
+func (c *clientConn) startHandshake() {
+	if c.handshakeRequested || c.ending {
 		return
 	}
 	whole, err := c.TLS.Hello()
 	if err != nil {
-		c.l.s.Counters.BadHandshakes++
-		c.cut()
+		c.listener.server.host.Counters.BadHandshakes++
+		c.abort()
 		return
 	}
 	if !whole {
 		return
 	}
-	c.greeted = true
-	server, s := c.l.s, &c.l.s.security
+	c.handshakeRequested = true
+	server, s := c.listener.server, &c.listener.server.tls
 	s.handshakes.Ask(c.address, func() {
 		if c.Closed { // it left while it waited
 			server.post(func() { s.handshakes.Ended(c.address) })
 			return
 		}
-		c.slot = true
-		s.pool.Start(c.TLS, func(done bool, err error) { server.post(func() { c.shook(done, err) }) })
+		c.holdsHandshakeSlot = true
+		s.clientHandshakes.Start(c.TLS, func(done bool, err error) { server.post(func() { c.handleHandshakeProgress(done, err) }) })
 	})
 }
 
-// shook goes on with a handshake that has something to say, or that is over.
-func (c *client) shook(done bool, err error) {
-	s := &c.l.s.security
-	if c.slot { // what it waits for now is its peer, or nothing
-		c.slot = false
+// handleHandshakeProgress goes on with a handshake that has something to say, or that is over.
+func (c *clientConn) handleHandshakeProgress(done bool, err error) {
+	s := &c.listener.server.tls
+	if c.holdsHandshakeSlot { // what it waits for now is its peer, or nothing
+		c.holdsHandshakeSlot = false
 		s.handshakes.Ended(c.address)
 	}
 	if c.Closed || c.ending {
 		return
 	}
-	c.raw(c.TLS.Output())
+	c.writeBytes(c.TLS.Output())
 	switch {
 	case !done || c.Closed:
 	case err != nil:
-		c.l.s.Counters.BadHandshakes++
+		c.listener.server.host.Counters.BadHandshakes++
 		slog.Debug("client", "handshake", err)
-		c.cut()
+		c.abort()
 	default:
-		c.l.s.Counters.Handshakes++
+		c.listener.server.host.Counters.Handshakes++
 		c.TLS.Finish()
-		c.HandshakeDone, c.since, c.born = true, c.l.s.TurnTime, c.l.s.TurnTime
+		c.HandshakeDone, c.lastActivity, c.establishedAt = true, c.listener.server.host.TurnTime, c.listener.server.host.TurnTime
 		state := c.TLS.State()
 		if state.DidResume {
-			c.l.s.Counters.Resumed++
+			c.listener.server.host.Counters.Resumed++
 		}
 		if len(state.PeerCertificates) > 0 {
-			c.leaf, c.certificate = state.PeerCertificates[0], certs.Of(state.PeerCertificates[0])
+			c.peerCertificate, c.callerCertificate = state.PeerCertificates[0], certs.Of(state.PeerCertificates[0])
 		}
-		c.read()
+		c.processMessages()
 	}
 }
 
-// proof is what the connection shows of who its client is, as of now.
-func (c *client) proof(wall monotime.Micros) *identity.Certificate {
-	if c.certificate == nil {
+// certificateAt is what the connection shows of who its client is, as of now.
+func (c *clientConn) certificateAt(wall monotime.Micros) *identity.Certificate {
+	if c.callerCertificate == nil {
 		return nil
 	}
-	s := &c.l.s.security
-	c.certificate.Revoked = s.material == nil || s.material.Revoked.Has(c.leaf, time.UnixMicro(wall), s.files.StaleRefuses)
-	return c.certificate
+	s := &c.listener.server.tls
+	c.callerCertificate.Revoked = s.material == nil || s.material.Revoked.Has(c.peerCertificate, time.UnixMicro(wall), s.files.StaleRefuses)
+	return c.callerCertificate
 }
 
-// fill reads what has come.
-func (c *client) fill() (more bool) {
+// readInput reads what has come.
+func (c *clientConn) readInput() (more bool) {
 	if c.TLS == nil {
 		return c.Stream.Fill()
 	}
-	more, err := c.Receive(c.l.s.security.scratch, c.greet)
-	c.broken(err)
+	more, err := c.Receive(c.listener.server.tls.scratch, c.startHandshake)
+	c.abortOnTLSError(err)
 	return more
 }
 
-// more says whether a connection with TLS has had more to say.
-func (c *client) more() bool {
+// decryptMore says whether a connection with TLS has had more to say.
+func (c *clientConn) decryptMore() bool {
 	if c.TLS == nil || c.Closed || c.ending {
 		return false
 	}
 	got, err := c.Decrypt()
-	c.broken(err)
+	c.abortOnTLSError(err)
 	return got && err == nil
 }
 
-// broken ends a connection whose records can't be read, once the peer has been told.
-func (c *client) broken(err error) {
+// abortOnTLSError ends a connection whose records can't be read, once the peer has been told.
+func (c *clientConn) abortOnTLSError(err error) {
 	if err != nil && !c.Closed && !c.ending {
-		c.raw(nil)
-		c.l.s.Counters.Malformed++
-		c.cut()
+		c.writeBytes(nil)
+		c.listener.server.host.Counters.Malformed++
+		c.abort()
 	}
 }
 
-// sealed is an answer as it goes over the connection.
-func (c *client) sealed(answer []byte) []byte {
+// seal is an answer as it goes over the connection.
+func (c *clientConn) seal(answer []byte) []byte {
 	b, err := c.Seal(answer)
 	if err != nil {
-		c.end()
+		c.terminate()
 	}
 	return b
 }
 
-// proofOf gathers what a call shows of who it comes from.
-func (c *client) proofOf(token string) gateway.Proof {
+// callerProof gathers what a call shows of who it comes from.
+func (c *clientConn) callerProof(token string) gateway.Proof {
 	p := gateway.Proof{Token: token, Address: c.address}
-	if c.l.s.core.Guard() != nil {
+	if c.listener.server.core.Guard() != nil {
 		p.Wall = time.Now().UnixMicro()
-		p.Certificate = c.proof(p.Wall)
+		p.Certificate = c.certificateAt(p.Wall)
 	}
 	return p
 }
--- a/internal/server/secure_engines.go
+++ b/internal/server/secure_engines.go
@@ -9,26 +9,26 @@
 	"chutechute/internal/tlsio"
 )
 
-// shakes says whether connections to engines have TLS.
-func (p *pool) shakes() bool {
-	m := p.s.security.material
+// usesTLS says whether connections to engines have TLS.
+func (p *enginePool) usesTLS() bool {
+	m := p.server.tls.material
 	return m != nil && m.Engines != nil
 }
 
-// greet begins the handshake on a connection that has come up. The engine has to show a certificate for its name, which is made
+// startHandshake begins the handshake on a connection that has come up. The engine has to show a certificate for its name, which is made
 // from its id: an address that has passed to another engine shows another.
-func (c *conn) greet() {
-	s := &c.p.s.security
+func (c *engineConn) startHandshake() {
+	s := &c.pool.server.tls
 	config := s.material.Engines.Clone()
 	config.ServerName = strings.ReplaceAll(s.files.EngineName, "{id}", c.engine.name)
 	c.TLS, c.shaking = tlsio.Client(config), true
-	server := c.p.s
-	s.outward.Start(c.TLS, func(done bool, err error) { server.post(func() { c.shook(done, err) }) })
+	server := c.pool.server
+	s.engineHandshakes.Start(c.TLS, func(done bool, err error) { server.post(func() { c.handleHandshakeProgress(done, err) }) })
 	c.UpdateInterest(true)
 }
 
-// shook goes on with a handshake that has something to say, or that is over. Until then nothing of the job's call has been sent.
-func (c *conn) shook(done bool, err error) {
+// handleHandshakeProgress goes on with a handshake that has something to say, or that is over. Until then nothing of the job's call has been sent.
+func (c *engineConn) handleHandshakeProgress(done bool, err error) {
 	if c.Closed {
 		return
 	}
@@ -39,38 +39,38 @@
 	}
 	switch {
 	case err != nil:
-		c.unshaken(err)
+		c.failHandshake(err)
 	case !done:
 		c.UpdateInterest(true)
 	default:
-		c.p.s.Counters.EngineHandshakes++
+		c.pool.server.host.Counters.EngineHandshakes++
 		c.TLS.Finish()
-		c.HandshakeDone, c.since = true, c.p.s.TurnTime
-		c.cameUp()
-		if c.job == nil {
+		c.HandshakeDone, c.lastActivity = true, c.pool.server.host.TurnTime
+		c.markEstablished()
+		if c.request == nil {
 			c.release(true)
 			return
 		}
-		c.call()
+		c.send()
 	}
 }
 
-// unshaken ends a connection whose handshake failed.
-func (c *conn) unshaken(err error) {
+// failHandshake ends a connection whose handshake failed.
+func (c *engineConn) failHandshake(err error) {
 	slog.Warn("handshake", "engine", c.engine.name, "error", err)
-	c.p.s.Counters.BadEngineHandshakes++
-	j := c.job
-	c.end()
+	c.pool.server.host.Counters.BadEngineHandshakes++
+	j := c.request
+	c.terminate()
 	if j != nil {
-		c.p.unsent(j)
+		c.pool.redial(j)
 	}
 }
 
-// shake carries on a handshake with what the loop has seen.
-func (c *conn) shake(events uint32) {
+// driveHandshake carries on a handshake with what the loop has seen.
+func (c *engineConn) driveHandshake(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
 		if err := c.Flush(); err != nil {
-			c.unshaken(err)
+			c.failHandshake(err)
 			return
 		}
 		c.UpdateInterest(true)
@@ -78,19 +78,19 @@
 	if events&^unix.EPOLLOUT == 0 {
 		return
 	}
-	more, err := c.Receive(c.p.s.security.scratch, func() {})
+	more, err := c.Receive(c.pool.server.tls.scratch, func() {})
 	if err == nil && !more {
 		err = unix.ECONNRESET
 	}
 	if err != nil {
-		c.unshaken(err)
+		c.failHandshake(err)
 	}
 }
 
-// fill reads what has come.
-func (c *conn) fill() (more bool, err error) {
+// readInput reads what has come.
+func (c *engineConn) readInput() (more bool, err error) {
 	if c.TLS == nil {
 		return c.Stream.Fill(), nil
 	}
-	return c.Receive(c.p.s.security.scratch, func() {})
+	return c.Receive(c.pool.server.tls.scratch, func() {})
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -20,31 +20,31 @@
 )
 
 const (
-	spare = 24 // descriptors for the loop, the journal, the log and what the runtime holds
-	// overdraft is how many of the spare ones clients may take for a moment, where nothing else can be closed for them.
-	overdraft = 8
+	reservedDescriptors = 24 // descriptors for the loop, the journal, the log and what the runtime holds
+	// descriptorOverdraft is how many of the spare ones clients may take for a moment, where nothing else can be closed for them.
+	descriptorOverdraft = 8
 )
 
 // Server is the front end on its sockets.
 type Server struct {
-	peering.Host
-	cfg      *config.Config
-	core     *gateway.Core
-	life     gateway.Lifecycle
-	listener *listener
-	pool     *pool
-	feed     *feed
-	wake     *waker
-	nextTick monotime.Micros
-	log      io.Writer
-	posts    eventloop.Tasks
-	security security
-	// installation is the path of the installation file, which stays as it was at the start.
-	installation string
-	reloading    sync.Mutex
-	watches      int              // so far
-	watch        *keyfiles.Watch  // of the files that identity is fed from; nil where it is off
-	peers        *peering.Peering // nil where no fleet is set
+	host peering.Host
+	cfg           *config.Config
+	core          *gateway.Core
+	lifecycle     gateway.Lifecycle
+	listener      *clientListener
+	pool          *enginePool
+	discovery     *discoveryWatch
+	waker         *waker
+	nextTickAt    monotime.Micros
+	counterOutput io.Writer
+	tasks         eventloop.Tasks
+	tls           tlsState
+	// installationPath is the path of the installation file, which stays as it was at the start.
+	installationPath   string
+	reloadMutex        sync.Mutex
+	keyWatchGeneration int              // so far
+	keyWatch           *keyfiles.Watch  // of the files that identity is fed from; nil where it is off
+	peering            *peering.Peering // nil where no fleet is set
 }
 
 // New builds a front end; it does not listen yet. Counters are printed to log.
@@ -53,30 +53,30 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{Host: peering.NewHost(l), cfg: cfg, log: log, installation: cfg.Installation}
+	s := &Server{host: peering.NewHost(l), cfg: cfg, counterOutput: log, installationPath: cfg.Installation}
 	for _, c := range cfg.Settings.Classes {
-		s.life.LongestDeadline = max(s.life.LongestDeadline, c.ClientTimeout)
+		s.lifecycle.LongestDeadline = max(s.lifecycle.LongestDeadline, c.ClientTimeout)
 	}
-	s.pool = newPool(s)
-	s.listener = &listener{s: s, clients: map[*client]struct{}{}, most: s.clientsMost()}
-	s.listener.budget.Most, s.pool.budget.Most = cfg.BufferBytes(), cfg.BufferBytes()
-	if s.core, err = gateway.New(cfg.Settings, cfg.Seed, cfg.Bounds(), s.pool, &s.Counters); err != nil {
+	s.pool = newEnginePool(s)
+	s.listener = &clientListener{server: s, clients: map[*clientConn]struct{}{}, maxClients: s.maxClients()}
+	s.listener.bufferBudget.Most, s.pool.bufferBudget.Most = cfg.BufferBytes(), cfg.BufferBytes()
+	if s.core, err = gateway.New(cfg.Settings, cfg.Seed, cfg.Bounds(), s.pool, &s.host.Counters); err != nil {
 		return nil, err
 	}
 	if err = s.core.ReadStatements(cfg.Statements); err != nil {
 		return nil, fmt.Errorf("installation: statement.%w", err)
 	}
-	s.feed = newFeed(s)
-	if s.wake, err = newWaker(s); err != nil {
+	s.discovery = newDiscoveryWatch(s)
+	if s.waker, err = newWaker(s); err != nil {
 		return nil, err
 	}
-	if err = s.guarded(cfg); err != nil {
+	if err = s.applySecurity(cfg); err != nil {
 		return nil, fmt.Errorf("installation: %w", err)
 	}
 	if cfg.Peers != nil {
-		of := peering.Program{Host: &s.Host, Seed: cfg.Seed, Post: s.post, Core: s.core, Settings: cfg.Settings, Draining: s.draining,
+		of := peering.Program{Host: &s.host, Seed: cfg.Seed, Post: s.post, Core: s.core, Settings: cfg.Settings, Draining: s.draining,
 			MaxDescriptors: cfg.Sockets}
-		if s.peers, err = peering.NewPeering(of, cfg.Peers); err != nil {
+		if s.peering, err = peering.NewPeering(of, cfg.Peers); err != nil {
 			return nil, err
 		}
 	}
@@ -84,124 +84,124 @@
 }
 
 // draining says whether a planned end has begun.
-func (s *Server) draining() bool { return s.life.Phase() >= gateway.Draining }
+func (s *Server) draining() bool { return s.lifecycle.Phase() >= gateway.Draining }
 
-// clientsMost is how many connections of clients may be open: a little over the third of all descriptors
+// maxClients is how many connections of clients may be open: a little over the third of all descriptors
 // that clients hold at most, since a closed one may be noticed late.
-func (s *Server) clientsMost() int { return s.cfg.Sockets/3 + 8 }
+func (s *Server) maxClients() int { return s.cfg.Sockets/3 + 8 }
 
-// headroom is how many descriptors engines leave for clients who come at once.
-func (s *Server) headroom() int { return s.cfg.Sockets / 20 }
+// clientReserve is how many descriptors engines leave for clients who come at once.
+func (s *Server) clientReserve() int { return s.cfg.Sockets / 20 }
 
-// unused is how many descriptors are left.
-func (s *Server) unused() int {
-	return s.cfg.Sockets - spare - len(s.pool.conns) - len(s.listener.clients) - s.peers.Descriptors()
+// freeDescriptors is how many descriptors are left.
+func (s *Server) freeDescriptors() int {
+	return s.cfg.Sockets - reservedDescriptors - len(s.pool.connections) - len(s.listener.clients) - s.peering.Descriptors()
 }
 
 // Run serves until a planned end is over.
 func (s *Server) Run() error {
 	for _, e := range s.cfg.Known {
-		s.listed(e)
+		s.updateEndpoints(e)
 	}
-	s.core.Step(s.TurnTime)
-	if err := s.listen(); err != nil {
+	s.core.Step(s.host.TurnTime)
+	if err := s.listenForClients(); err != nil {
 		return err
 	}
-	s.feed.connect()
-	if s.peers != nil {
-		if err := s.peers.Listen(); err != nil {
+	s.discovery.connect()
+	if s.peering != nil {
+		if err := s.peering.Listen(); err != nil {
 			return err
 		}
-		defer s.peers.Close()
+		defer s.peering.Close()
 	}
-	s.life.Serve()
-	slog.Info("serving", "name", s.cfg.Name, "listen", s.listener.addr)
+	s.lifecycle.Serve()
+	slog.Info("serving", "name", s.cfg.Name, "listen", s.listener.address)
 	for {
-		if err := s.turn(); err != nil {
+		if err := s.runTurn(); err != nil {
 			return err
 		}
-		phase := s.life.Phase()
+		phase := s.lifecycle.Phase()
 		if phase == gateway.Answering {
-			s.listener.part()
+			s.listener.closeIdle()
 		}
-		quiet := s.core.Idle() && len(s.listener.clients) == 0 && (s.peers == nil || phase == gateway.Answering && s.peers.Released())
-		if now := s.life.Advance(s.TurnTime, quiet); now != phase {
+		quiet := s.core.Idle() && len(s.listener.clients) == 0 && (s.peering == nil || phase == gateway.Answering && s.peering.Released())
+		if now := s.lifecycle.Advance(s.host.TurnTime, quiet); now != phase {
 			slog.Info("phase", "phase", now.String())
 			if phase < gateway.Closing && now >= gateway.Closing {
 				s.listener.Ready(0) // who has connected by now is served
 				s.listener.close()
 			}
 		}
-		if s.life.Phase() == gateway.Stopped {
-			s.print()
+		if s.lifecycle.Phase() == gateway.Stopped {
+			s.printCounters()
 			return nil
 		}
 	}
 }
 
-// turn waits, reads all that is ready, and lets the core take one step.
-func (s *Server) turn() error {
-	if rest := s.TurnTime + eventloop.MinTurnInterval - s.Clock.Now(); rest > 0 {
+// runTurn waits, reads all that is ready, and lets the core take one step.
+func (s *Server) runTurn() error {
+	if rest := s.host.TurnTime + eventloop.MinTurnInterval - s.host.Clock.Now(); rest > 0 {
 		t := unix.NsecToTimespec(rest * 1000)
 		_ = unix.Nanosleep(&t, nil) // a signal may cut it short, to no harm
 	}
-	until := s.nextTick
+	until := s.nextTickAt
 	if at, ok := s.core.Next(); ok {
 		until = min(until, at)
 	}
-	if len(s.listener.again) > 0 || s.core.Pending() {
-		until = s.TurnTime
+	if len(s.listener.deferred) > 0 || s.core.Pending() {
+		until = s.host.TurnTime
 	}
-	n, err := s.Loop.Wait(until - s.Clock.Now())
+	n, err := s.host.Loop.Wait(until - s.host.Clock.Now())
 	if err != nil {
 		return err
 	}
-	s.TurnTime = s.Clock.Now()
-	if s.peers != nil {
-		s.peers.SetNow(s.TurnTime)
+	s.host.TurnTime = s.host.Clock.Now()
+	if s.peering != nil {
+		s.peering.SetNow(s.host.TurnTime)
 	}
-	s.listener.leftOver()
-	s.Loop.Dispatch(n)
-	if s.TurnTime >= s.nextTick {
-		s.nextTick = s.TurnTime + eventloop.TickInterval
+	s.listener.processDeferred()
+	s.host.Loop.Dispatch(n)
+	if s.host.TurnTime >= s.nextTickAt {
+		s.nextTickAt = s.host.TurnTime + eventloop.TickInterval
 		s.pool.tick()
 		s.listener.tick()
-		s.feed.tick()
-		s.security.tick(s.TurnTime)
-		if s.peers != nil {
-			s.peers.Tick()
+		s.discovery.tick()
+		s.tls.warnOfExpiry(s.host.TurnTime)
+		if s.peering != nil {
+			s.peering.Tick()
 		}
-		if s.life.Expired(s.TurnTime) {
+		if s.lifecycle.Expired(s.host.TurnTime) {
 			s.core.ExpireAll()
 		}
 	}
-	if s.peers != nil {
-		s.peers.CarryOut()
+	if s.peering != nil {
+		s.peering.CarryOut()
 	}
-	s.core.Step(s.TurnTime)
-	if s.peers != nil {
-		s.peers.CarryOut()
+	s.core.Step(s.host.TurnTime)
+	if s.peering != nil {
+		s.peering.CarryOut()
 	}
-	s.Counters.LongestTurn = max(s.Counters.LongestTurn, int(s.Clock.Now()-s.TurnTime))
+	s.host.Counters.LongestTurn = max(s.host.Counters.LongestTurn, int(s.host.Clock.Now()-s.host.TurnTime))
 	return nil
 }
 
 // Reload reads the configuration and the installation file again, which may take a while, and hands them to the loop. It
 // may be called from any goroutine but the loop's.
 func (s *Server) Reload() {
-	s.reloading.Lock() // of two, the later reads later
-	defer s.reloading.Unlock()
-	cfg, err := config.Load(os.Getenv, s.installation)
-	s.post(func() { s.reload(cfg, err) })
+	s.reloadMutex.Lock() // of two, the later reads later
+	defer s.reloadMutex.Unlock()
+	cfg, err := config.Load(os.Getenv, s.installationPath)
+	s.post(func() { s.applyReload(cfg, err) })
 }
 
-// reload puts a new configuration into force, once all of it has been read and checked, or keeps the old.
-func (s *Server) reload(cfg *config.Config, err error) {
+// applyReload puts a new configuration into force, once all of it has been read and checked, or keeps the old.
+func (s *Server) applyReload(cfg *config.Config, err error) {
 	if err == nil {
 		cfg, err = s.cfg.Rebase(cfg)
 	}
 	if err == nil {
-		err = s.guarded(cfg) // reads files, so it comes first: with an error nothing changes
+		err = s.applySecurity(cfg) // reads files, so it comes first: with an error nothing changes
 	}
 	if err == nil {
 		if err = s.core.ReadStatements(cfg.Statements); err != nil {
@@ -209,50 +209,50 @@
 		}
 	}
 	if err != nil {
-		s.Counters.Rejected++
+		s.host.Counters.Rejected++
 		slog.Error("reload: the old configuration stays in force", "error", err)
 		return
 	}
-	s.Counters.Reloaded++
+	s.host.Counters.Reloaded++
 	if keys := s.cfg.Fixed(cfg); len(keys) > 0 {
 		slog.Warn("reload: these keys take effect at the next start", "keys", keys)
 	}
-	s.peers.Reload(cfg.Peers)
+	s.peering.Reload(cfg.Peers)
 	moved := cfg.Journal != s.cfg.Journal
 	s.cfg = s.cfg.With(cfg)
-	s.listener.most = s.clientsMost()
-	s.listener.budget.Most, s.pool.budget.Most = s.cfg.BufferBytes(), s.cfg.BufferBytes()
+	s.listener.maxClients = s.maxClients()
+	s.listener.bufferBudget.Most, s.pool.bufferBudget.Most = s.cfg.BufferBytes(), s.cfg.BufferBytes()
 	s.core.SetLimits(s.cfg.Bounds())
 	debug.SetMemoryLimit(s.cfg.HeapLimit())
-	slog.Info("reloaded", "journal", s.cfg.Journal, "last", s.feed.follower.Last)
+	slog.Info("reloaded", "journal", s.cfg.Journal, "last", s.discovery.follower.Last)
 	if moved {
-		s.life.Reload()
-		s.feed.move()
+		s.lifecycle.Reload()
+		s.discovery.reconnect()
 	}
 }
 
 // Drain begins a planned end. It may be called from any goroutine.
-func (s *Server) Drain() { s.wake.send(wakeDrain) }
+func (s *Server) Drain() { s.waker.send(wakeDrain) }
 
-// print prints the counters, those of the statement reader among them.
-func (s *Server) print() {
+// printCounters prints the counters, those of the statement reader among them.
+func (s *Server) printCounters() {
 	c := s.core.StatementCounts()
-	s.Counters.ShapeHits, s.Counters.ShapeMisses, s.Counters.Unparsed = c.Hits, c.Misses, c.Failures
-	s.Counters.Learned, s.Counters.Shapes, s.Counters.ShapeBytes = c.Learned, c.Shapes, c.Bytes
+	s.host.Counters.ShapeHits, s.host.Counters.ShapeMisses, s.host.Counters.Unparsed = c.Hits, c.Misses, c.Failures
+	s.host.Counters.Learned, s.host.Counters.Shapes, s.host.Counters.ShapeBytes = c.Learned, c.Shapes, c.Bytes
 	if g := s.core.Guard(); g != nil {
 		i := g.Counts()
-		s.Counters.Identified, s.Counters.SignatureChecks = i.Allowed, i.Checked
-		s.Counters.BadProofs, s.Counters.Forbidden = i.Missing+i.Unsigned+i.Negative+i.Expired+i.Unmapped, i.Forbidden+i.Foreign
-		s.Counters.OverCeiling = i.Over + i.Busy
+		s.host.Counters.Identified, s.host.Counters.SignatureChecks = i.Allowed, i.Checked
+		s.host.Counters.BadProofs, s.host.Counters.Forbidden = i.Missing+i.Unsigned+i.Negative+i.Expired+i.Unmapped, i.Forbidden+i.Foreign
+		s.host.Counters.OverCeiling = i.Over + i.Busy
 	}
-	if p := s.peers; p != nil {
-		p.ReportCounters(&s.Counters)
+	if p := s.peering; p != nil {
+		p.ReportCounters(&s.host.Counters)
 	}
-	s.Counters.Print(s.log)
+	s.host.Counters.Print(s.counterOutput)
 }
 
 // PrintCounters prints the counters. It may be called from any goroutine.
-func (s *Server) PrintCounters() { s.wake.send(wakePrint) }
+func (s *Server) PrintCounters() { s.waker.send(wakePrint) }
 
 // What the loop is woken for; the values of an eventfd add up.
 const (
@@ -263,8 +263,8 @@
 
 // waker lets other goroutines reach the loop.
 type waker struct {
-	s  *Server
-	fd int
+	server *Server
+	fd     int
 }
 
 func newWaker(s *Server) (*waker, error) {
@@ -273,7 +273,7 @@
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
 	w := &waker{s, fd}
-	return w, s.Loop.Add(fd, unix.EPOLLIN, w)
+	return w, s.host.Loop.Add(fd, unix.EPOLLIN, w)
 }
 
 func (w *waker) send(n uint64) {
@@ -288,12 +288,12 @@
 	}
 	told := binary.NativeEndian.Uint64(b[:])
 	if told%wakeDrain != 0 {
-		w.s.print()
+		w.server.printCounters()
 	}
 	if told >= wakePosted {
-		w.s.posts.Run()
+		w.server.tasks.Run()
 	}
 	if told%wakePosted >= wakeDrain {
-		w.s.life.Drain(w.s.TurnTime)
+		w.server.lifecycle.Drain(w.server.host.TurnTime)
 	}
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -36,17 +36,17 @@
 }
 
 // Links take descriptors that clients and engines would else use, where front ends may attach.
-func TestLinksLeaveFewerDescriptors(t *testing.T) {
-	s := &Server{cfg: &config.Config{Sockets: 1000}, pool: &pool{}, listener: &listener{}}
-	assert.Equal(t, 1000-spare, s.unused())
+func TestPeerLinksReduceFreeDescriptors(t *testing.T) {
+	s := &Server{cfg: &config.Config{Sockets: 1000}, pool: &enginePool{}, listener: &clientListener{}}
+	assert.Equal(t, 1000-reservedDescriptors, s.freeDescriptors())
 	l, err := eventloop.NewLoop()
 	require.NoError(t, err)
 	t.Cleanup(l.Close)
-	s.Host = peering.NewHost(l)
-	of := peering.Program{Host: &s.Host, Seed: 1, Post: func(work func()) { work() }, Draining: func() bool { return false }}
-	s.peers, err = peering.NewPeering(of, controlMember(t))
+	s.host = peering.NewHost(l)
+	of := peering.Program{Host: &s.host, Seed: 1, Post: func(work func()) { work() }, Draining: func() bool { return false }}
+	s.peering, err = peering.NewPeering(of, controlMember(t))
 	require.NoError(t, err)
-	t.Cleanup(s.peers.Close)
-	assert.Equal(t, 2, s.peers.Descriptors(), "a link to each other control member")
-	assert.Equal(t, 1000-spare-2, s.unused())
+	t.Cleanup(s.peering.Close)
+	assert.Equal(t, 2, s.peering.Descriptors(), "a link to each other control member")
+	assert.Equal(t, 1000-reservedDescriptors-2, s.freeDescriptors())
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -30,13 +30,13 @@
 
 // Decoder reads batches; it remembers the numbered lists and each instance's names.
 type Decoder struct {
-	lists map[int][]scheduler.Endpoint
-	names map[int]*settings.Settings
+	lists    map[int][]scheduler.Endpoint
+	settings map[int]*settings.Settings
 }
 
 // NewDecoder returns a decoder that has seen nothing.
 func NewDecoder() *Decoder {
-	return &Decoder{lists: map[int][]scheduler.Endpoint{}, names: map[int]*settings.Settings{}}
+	return &Decoder{lists: map[int][]scheduler.Endpoint{}, settings: map[int]*settings.Settings{}}
 }
 
 // Batch reads one line.
@@ -53,7 +53,7 @@
 	}
 	items := make([]Item, 0, len(batch.In))
 	for i, raw := range batch.In {
-		item, keep, err := d.message(raw)
+		item, keep, err := d.parseMessage(raw)
 		if err != nil {
 			return 0, nil, fmt.Errorf("message %d: %w", i, err)
 		}
@@ -61,40 +61,40 @@
 			items = append(items, item)
 		}
 	}
-	return micros(*batch.Now), items, nil
+	return secondsToMicros(*batch.Now), items, nil
 }
 
-func micros(s float64) monotime.Micros { return monotime.Micros(math.Round(s * 1e6)) }
+func secondsToMicros(s float64) monotime.Micros { return monotime.Micros(math.Round(s * 1e6)) }
 
-// message reads one message; a list is kept for later and gives no item.
-func (d *Decoder) message(raw []json.RawMessage) (Item, bool, error) {
+// parseMessage reads one message; a list is kept for later and gives no item.
+func (d *Decoder) parseMessage(raw []json.RawMessage) (Item, bool, error) {
 	f := &fields{raw: raw, name: "message"}
 	f.name = f.text(0)
 	if f.err == nil && f.name == "catalog" {
-		n := f.whole(1)
-		entries, err := readList(f, 2)
+		n := f.integer(1)
+		entries, err := parseEndpoints(f, 2)
 		d.lists[int(n)] = entries
 		return Item{}, false, err
 	}
-	item := Item{Instance: int(f.whole(1))}
+	item := Item{Instance: int(f.integer(1))}
 	if f.err != nil {
 		return item, false, f.err
 	}
 	switch f.name {
 	case "attach":
-		s, n, err := readStart(f)
-		d.names[item.Instance] = n
+		s, n, err := parseStart(f)
+		d.settings[item.Instance] = n
 		item.Start = s
 		return item, true, err
 	case "down":
 		item.Stop = true
 		return item, true, nil
 	}
-	n, ok := d.names[item.Instance]
+	n, ok := d.settings[item.Instance]
 	if !ok {
 		return item, false, fmt.Errorf("%s: instance %d was never attached", f.name, item.Instance)
 	}
-	ev, err := d.event(f, n)
+	ev, err := d.parseEvent(f, n)
 	if err == nil {
 		err = f.err
 	}
@@ -102,7 +102,7 @@
 	return item, ev != nil, err
 }
 
-func readStart(f *fields) (*Start, *settings.Settings, error) {
+func parseStart(f *fields) (*Start, *settings.Settings, error) {
 	var text json.RawMessage
 	seed := f.id(2)
 	f.read(3, &text)
@@ -116,34 +116,34 @@
 	return &Start{Seed: seed, Config: s.Config}, s, nil
 }
 
-var listKinds = map[string]scheduler.UpdateKind{"Partial": scheduler.UpdateChanges, "Complete": scheduler.UpdateComplete,
+var updateKinds = map[string]scheduler.UpdateKind{"Partial": scheduler.UpdateChanges, "Complete": scheduler.UpdateComplete,
 	"Persisted": scheduler.UpdateCached, "Error": scheduler.UpdateFailed}
 
 var results = map[string]scheduler.Result{"completed": scheduler.Succeeded, "errored": scheduler.Errored, "saturated": scheduler.Rejected,
 	"overdue": scheduler.TimedOut, "refused_conn": scheduler.NoConnection, "severed": scheduler.Reset,
 	"recalled": scheduler.Canceled, "superseded": scheduler.NotSent}
 
-func (d *Decoder) event(f *fields, n *settings.Settings) (scheduler.Event, error) {
+func (d *Decoder) parseEvent(f *fields, n *settings.Settings) (scheduler.Event, error) {
 	switch f.name {
 	case "endpoints":
-		return d.endpoints(f)
+		return d.parseEndpointUpdate(f)
 	case "new_request":
-		return request(f, n)
+		return parseRequest(f, n)
 	case "flowing":
-		return scheduler.Started{ID: f.id(2), Attempt: int(f.whole(3))}, nil
+		return scheduler.Started{ID: f.id(2), Attempt: int(f.integer(3))}, nil
 	case "response":
 		used := int64(0) // milliseconds x 4096, plus units of 4 MB
-		if f.present(8) {
+		if f.isPresent(8) {
 			used = int64(max(0, f.number(8)))
 		}
-		return scheduler.Outcome{ID: f.id(2), Attempt: int(f.whole(3)), Engine: f.text(4), Result: f.result(5),
-			Elapsed: f.time(6), Final: f.truth(7), Load: f.load(9), WorkUsed: monotime.Micros(used>>12) * 1000,
+		return scheduler.Outcome{ID: f.id(2), Attempt: int(f.integer(3)), Engine: f.text(4), Result: f.result(5),
+			Elapsed: f.time(6), Final: f.boolean(7), Load: f.load(9), WorkUsed: monotime.Micros(used>>12) * 1000,
 			MemoryUsedMB: float64(used&0xfff) * 4}, nil
 	case "client_gone":
 		return scheduler.ClientDisconnected{ID: f.id(2)}, nil
 	case "note":
-		return scheduler.ProgressReport{ID: f.id(2), Value: f.number(3), Kind: scheduler.ProgressKind(f.whole(4)),
-			Attempt: int(f.whole(5)), Engine: f.text(6)}, nil
+		return scheduler.ProgressReport{ID: f.id(2), Value: f.number(3), Kind: scheduler.ProgressKind(f.integer(4)),
+			Attempt: int(f.integer(5)), Engine: f.text(6)}, nil
 	case "echo":
 		return scheduler.HealthCheckResult{Engine: f.text(2), Result: f.result(3), Elapsed: f.time(4), Load: f.load(5)}, nil
 	case "memo":
@@ -151,54 +151,54 @@
 		if err != nil {
 			return nil, fmt.Errorf("memo: body: %w", err)
 		}
-		return scheduler.PeerMessage{From: int(f.whole(2)), Body: body}, nil
+		return scheduler.PeerMessage{From: int(f.integer(2)), Body: body}, nil
 	case "timeout_fired":
 		return scheduler.Timer{Token: f.text(2)}, nil
 	}
 	return nil, fmt.Errorf("unknown message %q", f.name)
 }
 
-func (d *Decoder) endpoints(f *fields) (scheduler.Event, error) {
-	kind, ok := listKinds[f.text(2)]
+func (d *Decoder) parseEndpointUpdate(f *fields) (scheduler.Event, error) {
+	kind, ok := updateKinds[f.text(2)]
 	if !ok {
 		return nil, fmt.Errorf("endpoints: unknown kind %q", f.text(2))
 	}
 	if kind == scheduler.UpdateFailed {
 		return scheduler.EndpointUpdate{Kind: kind}, nil
 	}
-	entries, ok := d.lists[int(f.whole(3))]
+	entries, ok := d.lists[int(f.integer(3))]
 	if !ok {
-		return nil, fmt.Errorf("endpoints: no list %d", f.whole(3))
+		return nil, fmt.Errorf("endpoints: no list %d", f.integer(3))
 	}
 	return scheduler.EndpointUpdate{Kind: kind, Entries: entries}, nil
 }
 
 // Bits of a request.
-const costValid = 1
+const estimateValidFlag = 1
 
-func request(f *fields, n *settings.Settings) (scheduler.Event, error) {
-	r := scheduler.Request{ID: f.id(2), Tenant: -1, Key: f.optText(5), Deadline: f.time(6), MemoryMB: f.optNumber(8),
-		Group: int(f.optNumber(9))}
+func parseRequest(f *fields, n *settings.Settings) (scheduler.Event, error) {
+	r := scheduler.Request{ID: f.id(2), Tenant: -1, Key: f.optionalText(5), Deadline: f.time(6), MemoryMB: f.optionalNumber(8),
+		Group: int(f.optionalNumber(9))}
 	class, ok := n.ClassOf[f.text(3)]
 	if !ok && f.err == nil {
 		return nil, fmt.Errorf("new_request: unknown class %q", f.text(3))
 	}
 	r.Class = class
-	if t := f.optText(4); t != "" {
+	if t := f.optionalText(4); t != "" {
 		if r.Tenant, ok = n.TenantOf[t]; !ok {
 			return nil, fmt.Errorf("new_request: unknown tenant %q", t)
 		}
 	}
-	if int(f.optNumber(10))&costValid != 0 {
-		r.EstimatedWork = max(0, micros(f.optNumber(7)))
+	if int(f.optionalNumber(10))&estimateValidFlag != 0 {
+		r.EstimatedWork = max(0, secondsToMicros(f.optionalNumber(7)))
 	}
 	return r, nil
 }
 
-var states = map[string]scheduler.EngineState{"SERVING": scheduler.Serving, "DRAINING": scheduler.Draining,
+var engineStates = map[string]scheduler.EngineState{"SERVING": scheduler.Serving, "DRAINING": scheduler.Draining,
 	"DELETED": scheduler.Removed}
 
-func readList(f *fields, at int) ([]scheduler.Endpoint, error) {
+func parseEndpoints(f *fields, at int) ([]scheduler.Endpoint, error) {
 	var rows [][]json.RawMessage
 	f.read(at, &rows)
 	if f.err != nil {
@@ -207,9 +207,9 @@
 	entries := make([]scheduler.Endpoint, 0, len(rows))
 	for i, row := range rows {
 		r := &fields{raw: row, name: fmt.Sprintf("catalog: record %d", i)}
-		state, ok := states[r.text(4)]
-		e := scheduler.Endpoint{Engine: r.text(0), Zone: r.optText(1), Kind: r.optText(2), Cell: int(r.optNumber(3)),
-			State: state, Started: micros(r.optNumber(6))}
+		state, ok := engineStates[r.text(4)]
+		e := scheduler.Endpoint{Engine: r.text(0), Zone: r.optionalText(1), Kind: r.optionalText(2), Cell: int(r.optionalNumber(3)),
+			State: state, Started: secondsToMicros(r.optionalNumber(6))}
 		if r.err != nil {
 			return nil, r.err
 		}
@@ -228,7 +228,7 @@
 	err  error
 }
 
-func (f *fields) present(i int) bool {
+func (f *fields) isPresent(i int) bool {
 	return i < len(f.raw) && len(f.raw[i]) > 0 && string(f.raw[i]) != "null"
 }
 
@@ -236,7 +236,7 @@
 	if f.err != nil {
 		return
 	}
-	if !f.present(i) {
+	if !f.isPresent(i) {
 		f.err = fmt.Errorf("%s: value %d is missing", f.name, i)
 		return
 	}
@@ -246,12 +246,12 @@
 }
 
 func (f *fields) text(i int) (s string)      { f.read(i, &s); return s }
-func (f *fields) truth(i int) (b bool)       { f.read(i, &b); return b }
+func (f *fields) boolean(i int) (b bool)     { f.read(i, &b); return b }
 func (f *fields) id(i int) (n uint64)        { f.read(i, &n); return n }
-func (f *fields) time(i int) monotime.Micros { return micros(f.number(i)) }
+func (f *fields) time(i int) monotime.Micros { return secondsToMicros(f.number(i)) }
 
-func (f *fields) whole(i int) int64 {
-	if f.err == nil && f.present(i) {
+func (f *fields) integer(i int) int64 {
+	if f.err == nil && f.isPresent(i) {
 		if n, err := strconv.ParseInt(string(f.raw[i]), 10, 32); err == nil {
 			return n
 		}
@@ -264,15 +264,15 @@
 
 func (f *fields) number(i int) (n float64) { f.read(i, &n); return n }
 
-func (f *fields) optText(i int) string {
-	if !f.present(i) || string(f.raw[i]) == "0" {
+func (f *fields) optionalText(i int) string {
+	if !f.isPresent(i) || string(f.raw[i]) == "0" {
 		return ""
 	}
 	return f.text(i)
 }
 
-func (f *fields) optNumber(i int) float64 {
-	if !f.present(i) {
+func (f *fields) optionalNumber(i int) float64 {
+	if !f.isPresent(i) {
 		return 0
 	}
 	return f.number(i)
@@ -287,7 +287,7 @@
 }
 
 func (f *fields) load(i int) *scheduler.LoadReport {
-	if !f.present(i) {
+	if !f.isPresent(i) {
 		return nil
 	}
 	var m map[string]float64
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -10,8 +10,8 @@
 
 // Reply builds the answer to one batch.
 type Reply struct {
-	buf  []byte
-	some bool
+	buffer     []byte
+	hasActions bool
 }
 
 // Add appends an instance's actions.
@@ -19,80 +19,80 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case scheduler.StartAttempt:
-			r.open("place", instance)
+			r.beginAction("place", instance)
 			r.id(a.ID)
 			r.text(a.Engine)
 			r.seconds(a.Timeout)
 		case scheduler.AttemptParameters:
-			r.open("allot", instance)
+			r.beginAction("allot", instance)
 			r.id(a.ID)
 			r.raw(strconv.FormatFloat(a.GrantMB, 'f', -1, 64))
 			r.raw(strconv.Itoa(a.Priority))
 		case scheduler.Cancel:
-			r.open("stop_attempt", instance)
+			r.beginAction("stop_attempt", instance)
 			r.id(a.ID)
 			r.raw(strconv.Itoa(a.Attempt))
 		case scheduler.Reject:
-			r.open("push_back", instance)
+			r.beginAction("push_back", instance)
 			r.id(a.ID)
 			r.seconds(a.After)
 		case scheduler.Fail:
-			r.open("report_failure", instance)
+			r.beginAction("report_failure", instance)
 			r.id(a.ID)
 		case scheduler.HealthCheck:
-			r.open("ask_load", instance)
+			r.beginAction("ask_load", instance)
 			r.text(a.Engine)
 		case scheduler.Subscribe:
-			r.open("subscribe", instance)
+			r.beginAction("subscribe", instance)
 			r.raw("true")
 		case scheduler.FetchList:
-			r.open("list_all", instance)
+			r.beginAction("list_all", instance)
 		case scheduler.SetTimer:
-			r.open("remind", instance)
+			r.beginAction("remind", instance)
 			r.seconds(a.At)
 			r.text(a.Token)
 		case scheduler.Log:
-			r.open("remark", instance)
+			r.beginAction("remark", instance)
 			r.text(a.Text)
 		}
-		r.buf = append(r.buf, ']')
+		r.buffer = append(r.buffer, ']')
 	}
 }
 
 // Broken reports that an instance's decisions cannot go on.
 func (r *Reply) Broken(instance int, what string) {
-	r.open("broken", instance)
+	r.beginAction("broken", instance)
 	r.text(what)
-	r.buf = append(r.buf, ']')
+	r.buffer = append(r.buffer, ']')
 }
 
 // Line ends the reply, gives it as a line, and starts the next.
 func (r *Reply) Line() []byte {
-	if len(r.buf) == 0 {
-		r.buf = append(r.buf, `{"cmds":[`...)
+	if len(r.buffer) == 0 {
+		r.buffer = append(r.buffer, `{"cmds":[`...)
 	}
-	line := append(r.buf, "]}\n"...)
-	r.buf, r.some = nil, false
+	line := append(r.buffer, "]}\n"...)
+	r.buffer, r.hasActions = nil, false
 	return line
 }
 
-func (r *Reply) open(name string, instance int) {
-	if len(r.buf) == 0 {
-		r.buf = append(r.buf, `{"cmds":[`...)
+func (r *Reply) beginAction(name string, instance int) {
+	if len(r.buffer) == 0 {
+		r.buffer = append(r.buffer, `{"cmds":[`...)
 	}
-	if r.some {
-		r.buf = append(r.buf, ',')
+	if r.hasActions {
+		r.buffer = append(r.buffer, ',')
 	}
-	r.some = true
-	r.buf = append(r.buf, '[', '"')
-	r.buf = append(r.buf, name...)
-	r.buf = append(r.buf, '"')
+	r.hasActions = true
+	r.buffer = append(r.buffer, '[', '"')
+	r.buffer = append(r.buffer, name...)
+	r.buffer = append(r.buffer, '"')
 	r.raw(strconv.Itoa(instance))
 }
 
 func (r *Reply) raw(s string) {
-	r.buf = append(r.buf, ',')
-	r.buf = append(r.buf, s...)
+	r.buffer = append(r.buffer, ',')
+	r.buffer = append(r.buffer, s...)
 }
 
 func (r *Reply) id(n uint64) { r.raw(strconv.FormatUint(n, 10)) }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -20,7 +20,7 @@
 	return []byte(`{"now":2.5,"in":[` + strings.Join(messages, ",") + "]}\n")
 }
 
-func TestSettings(t *testing.T) {
+func TestStartIsReadIntoConfig(t *testing.T) {
 	now, items, err := NewDecoder().Batch(batch(attach))
 	if err != nil || now != 2_500_000 || len(items) != 1 || items[0].Start == nil {
 		t.Fatalf("%v %d %+v", err, now, items)
@@ -35,7 +35,7 @@
 }
 
 // Every event that may come is read into the project's own terms; extra values are skipped.
-func TestEvents(t *testing.T) {
+func TestEventsAreReadIntoSchedulerTerms(t *testing.T) {
 	for message, want := range map[string]scheduler.Event{
 		`["new_request",3,7,"c","t","key",5.5,0.25,64,9,1,"extra"]`: scheduler.Request{ID: 7, Key: "key", Deadline: 5_500_000,
 			EstimatedWork: 250_000, MemoryMB: 64, Group: 9},
@@ -69,7 +69,7 @@
 }
 
 // A list number that is reused within a batch stands for the list given last before each event.
-func TestReusedListNumber(t *testing.T) {
+func TestEndpointListIsTheLastOneSentUnderItsNumber(t *testing.T) {
 	_, items, err := NewDecoder().Batch(batch(attach, `["catalog",0,[["a","z","k",1,"SERVING",1,null]]]`,
 		`["endpoints",3,"Complete",0,1]`, `["catalog",0,[["b","z","k",2,"DRAINING",1,6.5]]]`, `["endpoints",3,"Partial",0,2]`))
 	if err != nil || len(items) != 3 {
@@ -83,7 +83,7 @@
 }
 
 // Bad lines give one plain error that names what is wrong.
-func TestBadLines(t *testing.T) {
+func TestMalformedLineIsRefusedWithItsCause(t *testing.T) {
 	for line, want := range map[string]string{
 		"nonsense":                                                                "batch",
 		`{"in":[]}`:                                                               "no now",
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestReply(t *testing.T) {
+func TestActionsAreWrittenAsOneLine(t *testing.T) {
 	var r Reply
 	if got := string(r.Line()); got != "{\"cmds\":[]}\n" {
 		t.Fatalf("empty reply %q", got)
