--- a/internal/decimal/decimal.go
+++ b/internal/decimal/decimal.go
@@ -1,4 +1,4 @@
-// Package decimal reads figures that peers send as text.
+// Package decimal reads the decimal numbers that clients and engines send as text.
 package decimal
 
 import (
@@ -7,11 +7,16 @@
 	"strings"
 )
 
-// Parse reads a plain decimal number from 0 to most: no sign of a form that only Go reads, no infinity.
-func Parse(text string, most float64) (float64, error) {
-	x, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(x >= 0 && x <= most) || strings.Trim(text, "0123456789.eE+-") != "" {
-		return 0, fmt.Errorf("%.80q is no number from 0 to %g", text, most)
+// characters are those of a plain decimal number. Others, as in 0x1p-2, 1_000 or Inf, are read by Go only.
+const characters = "0123456789.eE+-"
+
+// Parse reads a plain decimal number from 0 to limit. Its error quotes the text, and has no prefix, as the caller names
+// what the number is.
+func Parse(text string, limit float64) (float64, error) {
+	number, err := strconv.ParseFloat(text, 64)
+	inRange := number >= 0 && number <= limit // false for NaN
+	if err != nil || !inRange || strings.Trim(text, characters) != "" {
+		return 0, fmt.Errorf("%.80q is no number from 0 to %g", text, limit)
 	}
-	return x, nil
+	return number, nil
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -11,9 +11,11 @@
 	"chutechute/internal/ring"
 )
 
+// Kinds of frames, as the protocol numbers them.
 const (
-	whole   = 1
-	changes = 2
+	heartbeatOnWire = 0
+	completeOnWire  = 1
+	changesOnWire   = 2
 )
 
 func record(id uint32, state, zone byte) []byte {
@@ -30,51 +32,65 @@
 	return append(append(binary.BigEndian.AppendUint64(b, number), kind), payload...)
 }
 
-// follow plays the journal service's side of one connection after another, each from the event after the last one known, and
-// gives the numbers taken and how many connections it took. A connection holds what comes after that by the service's list.
-func follow(t *testing.T, f *Follower, connection func(n int, last uint64) [][]byte) (taken []uint64, engines []string, conns int) {
-	for conns = 1; conns <= 10; conns++ {
+// followed is what a follower has taken.
+type followed struct {
+	numbers     []uint64
+	engines     []string
+	connections int
+}
+
+// connectionFrames returns the frames of the n-th connection, which begins with the last event known.
+type connectionFrames func(n int, last uint64) [][]byte
+
+// follow plays the discovery service over one connection after another, until one goes on without an error, or ten have
+// ended.
+func follow(t *testing.T, f *Follower, frames connectionFrames) (got followed) {
+	for got.connections = 1; got.connections <= 10; got.connections++ {
 		in := ring.New(MaxFrame, &ring.Budget{Most: 2 * MaxFrame})
-		failed := false
-		for _, b := range connection(conns, f.Last) {
+		for _, b := range frames(got.connections, f.Last) {
 			_, err := in.Write(b)
 			require.NoError(t, err)
 		}
-		for {
-			e, news, ok, err := f.Next(in)
-			if failed = err != nil; failed || !ok {
-				break
-			}
-			if news {
-				taken = append(taken, e.Number)
-				for _, en := range e.Engines {
-					engines = append(engines, en.Engine)
-				}
-			}
+		if err := got.takeAll(f, in); err == nil {
+			return got
+		}
+	}
+	return got
+}
+
+// takeAll has the follower take all frames of a connection, up to the first error.
+func (f *followed) takeAll(follower *Follower, in *ring.Buffer) error {
+	for {
+		event, isNew, ok, err := follower.Next(in)
+		if err != nil || !ok {
+			return err
+		}
+		if !isNew {
+			continue
 		}
-		if !failed {
-			return taken, engines, conns
+		f.numbers = append(f.numbers, event.Number)
+		for _, engine := range event.Engines {
+			f.engines = append(f.engines, engine.Engine)
 		}
 	}
-	return taken, engines, conns
 }
 
-func follower() *Follower {
+func newFollower() *Follower {
 	return &Follower{Names: Names{Zones: []string{"a"}, Kinds: []string{"k"}}, Last: 41}
 }
 
-// Events that come again, out of order or with one missing are each taken once, in order: a drain that was passed over for its
-// successor was never heard of.
+// Events that come again, out of order or with one missing are each taken once, in order: a drain that was skipped for
+// its successor was never known of.
 func TestFollowerTakesEachEventOnceInOrder(t *testing.T) {
-	event := func(n uint64) []byte { return frame(n, changes, record(uint32(n), 1, 0)) }
+	event := func(n uint64) []byte { return frame(n, changesOnWire, record(uint32(n), 1, 0)) }
 	for name, first := range map[string][][]byte{
-		"repeated":  {event(42), event(42), frame(42, 0), event(43), event(42), event(44)},
+		"repeated":  {event(42), event(42), frame(42, heartbeatOnWire), event(43), event(42), event(44)},
 		"reordered": {event(43), event(42), event(44)},
 		"missing":   {event(42), event(44)},
 		"late":      {event(40), event(41), event(42), event(43), event(44)},
 	} {
-		f := follower()
-		taken, _, conns := follow(t, f, func(n int, last uint64) (list [][]byte) {
+		f := newFollower()
+		got := follow(t, f, func(n int, last uint64) (list [][]byte) {
 			if n == 1 {
 				return first
 			}
@@ -83,62 +99,62 @@
 			}
 			return list
 		})
-		assert.Equal(t, []uint64{42, 43, 44}, taken, name)
-		assert.LessOrEqual(t, conns, 2, name)
+		assert.Equal(t, []uint64{42, 43, 44}, got.numbers, name)
+		assert.LessOrEqual(t, got.connections, 2, name)
 		assert.Zero(t, f.Malformed, name)
 	}
 }
 
-// What the service has just so, with a number left out or a record that can't be read, does not keep the front end from all that
-// comes after it.
+// What the service sends again in the same form, with a number left out or a record that can't be read, does not keep
+// the front end from all that comes after it.
 func TestFollowerTakesMalformedEventWhenItComesAgain(t *testing.T) {
-	for name, odd := range map[string][]byte{
-		"number left out":       frame(43, changes, record(7, 1, 0)),
-		"unknown zone":          frame(42, changes, record(7, 1, 0), record(8, 1, 9)),
-		"unknown state":         frame(42, changes, record(8, 7, 0), record(7, 1, 0)),
-		"half a record":         frame(42, changes, record(7, 1, 0), make([]byte, 5)),
+	for name, malformed := range map[string][]byte{
+		"number left out":       frame(43, changesOnWire, record(7, 1, 0)),
+		"unknown zone":          frame(42, changesOnWire, record(7, 1, 0), record(8, 1, 9)),
+		"unknown state":         frame(42, changesOnWire, record(8, 7, 0), record(7, 1, 0)),
+		"half a record":         frame(42, changesOnWire, record(7, 1, 0), make([]byte, 5)),
 		"unknown kind of event": frame(42, 9, record(8, 1, 0)),
 	} {
-		f := follower()
-		taken, engines, conns := follow(t, f, func(_ int, last uint64) (list [][]byte) {
+		f := newFollower()
+		got := follow(t, f, func(_ int, last uint64) (list [][]byte) {
 			if last < 42 {
-				list = append(list, odd)
+				list = append(list, malformed)
 			}
-			return append(list, frame(44, whole, record(9, 0, 0)))
+			return append(list, frame(44, completeOnWire, record(9, 0, 0)))
 		})
-		assert.Equal(t, uint64(44), taken[len(taken)-1], name)
-		assert.Len(t, taken, 2, name)
-		assert.Equal(t, 2, conns, name)
+		assert.Equal(t, uint64(44), got.numbers[len(got.numbers)-1], name)
+		assert.Len(t, got.numbers, 2, name)
+		assert.Equal(t, 2, got.connections, name)
 		assert.Equal(t, 1, f.Malformed, name)
 		if name != "unknown kind of event" {
-			assert.Equal(t, []string{"s-00000007", "s-00000009"}, engines, name)
+			assert.Equal(t, []string{"s-00000007", "s-00000009"}, got.engines, name)
 		}
 	}
-	f := follower() // and a stream that is none of ours ends each time
-	_, _, conns := follow(t, f, func(int, uint64) [][]byte { return [][]byte{{0xff, 0xff, 0xff, 0xff}} })
-	assert.Equal(t, 11, conns)
+	f := newFollower() // and a stream that holds no frames is ended each time
+	got := follow(t, f, func(int, uint64) [][]byte { return [][]byte{{0xff, 0xff, 0xff, 0xff}} })
+	assert.Equal(t, 11, got.connections)
 	assert.EqualValues(t, 41, f.Last)
 }
 
-// When the journal service goes, all front ends lose it in one moment. They dial it again apart from each other, ever less often
-// while it is away, and each has been heard well before what it has to tell counts as told.
+// When the discovery service fails, all front ends lose it at one moment. They dial it again apart from each other,
+// ever less often while it is away, and each is connected well before what the service sends counts as known.
 func TestBackoffSpreadsReconnectsOfAFleet(t *testing.T) {
-	const fronts, away = 300, 3 * monotime.Second
+	const frontEnds, outage = 300, 3 * monotime.Second
 	var dials []monotime.Micros
-	for seed := range uint64(fronts) {
-		r := NewBackoff(seed)
-		at := r.ReadTimeout() // it fell silent at 0 and is back after a while
+	for seed := range uint64(frontEnds) {
+		backoff := NewBackoff(seed)
+		at := backoff.ReadTimeout() // it fell silent at 0 and is back after the outage
 		for {
-			at += r.NextDelay()
+			at += backoff.NextDelay()
 			dials = append(dials, at)
-			if at >= away {
+			if at >= outage {
 				break
 			}
 		}
 		assert.Less(t, at, 6*monotime.Second)
-		assert.GreaterOrEqual(t, at, 2*monotime.Second, "an empty frame that is a second late is no silence")
-		r.Reset()
-		assert.Less(t, r.NextDelay(), monotime.Second/4, "and is dialled soon after a break once it has been heard")
+		assert.GreaterOrEqual(t, at, 2*monotime.Second, "a heartbeat that is a second late is no silence")
+		backoff.Reset()
+		assert.Less(t, backoff.NextDelay(), monotime.Second/4, "and is dialled soon once a frame has come")
 	}
 	busiest := 0
 	for _, from := range dials {
@@ -150,6 +166,6 @@
 		}
 		busiest = max(busiest, n)
 	}
-	assert.Less(t, busiest, fronts/4, "dials within 50 ms")
-	assert.Less(t, len(dials), 6*fronts)
+	assert.Less(t, busiest, frontEnds/4, "dials within 50 ms")
+	assert.Less(t, len(dials), 6*frontEnds)
 }
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -6,12 +6,12 @@
 	"chutechute/internal/ring"
 )
 
-// Whatever the journal service says, in whatever pieces: events with rising numbers, or the connection's end.
+// Whatever the discovery service sends, in whatever pieces: events with rising numbers, or the connection's end.
 func FuzzFollower(f *testing.F) {
-	f.Add(append(frame(41, 0), frame(42, changes, record(7, 1, 0))...), 5)
-	f.Add(frame(44, whole, record(7, 1, 9), record(8, 3, 0)), 100)
+	f.Add(append(frame(41, heartbeatOnWire), frame(42, changesOnWire, record(7, 1, 0))...), 5)
+	f.Add(frame(44, completeOnWire, record(7, 1, 9), record(8, 3, 0)), 100)
 	f.Fuzz(func(t *testing.T, data []byte, piece int) {
-		follower := follower()
+		follower := newFollower()
 		piece = max(1, piece)
 		for range 3 { // over three connections
 			in := ring.New(MaxFrame, &ring.Budget{Most: MaxFrame})
@@ -23,7 +23,7 @@
 				rest = rest[n:]
 				for {
 					last := follower.Last
-					e, news, ok, err := follower.Next(in)
+					event, isNew, ok, err := follower.Next(in)
 					if err != nil {
 						rest = nil
 						break
@@ -31,8 +31,8 @@
 					if !ok {
 						break
 					}
-					if news != (follower.Last > last) || news && e.Number != follower.Last {
-						t.Fatalf("event %d, last %d, then %d, news %v", e.Number, last, follower.Last, news)
+					if isNew != (follower.Last > last) || isNew && event.Number != follower.Last {
+						t.Fatalf("event %d, last %d, then %d, new %v", event.Number, last, follower.Last, isNew)
 					}
 				}
 			}
--- /dev/null
+++ b/internal/server/client_requests.go
@@ -0,0 +1,153 @@
+package server
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"strings"
+
+	"chutechute/gateway"
+	"chutechute/identity"
+	"chutechute/internal/decimal"
+	"chutechute/internal/monotime"
+	"chutechute/internal/thrift"
+)
+
+// Limits of a request, by the protocol.
+const (
+	maxInFlight           = 32 // requests of one connection
+	requestIDLength       = 16 // hexadecimal digits
+	maxIdempotencyKeySize = 64 // bytes
+	maxTTLMillis          = 3600 * 1000
+	maxWorkMillis         = 1e9
+	maxMemoryMB           = 1e9
+)
+
+const (
+	hexDigits    = "0123456789abcdefABCDEF"
+	alphanumeric = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
+)
+
+// dispatch handles a message by its method.
+func (c *clientConn) dispatch(message thrift.Message) {
+	switch message.Name {
+	case "health":
+		healthy := c.listener.server.lifecycle.Healthy()
+		c.respond(thrift.Answer(message.Name, message.Seq, nil, nil, healthy))
+	case "cancel":
+		if request := c.inFlight[message.Target]; request != nil {
+			delete(c.inFlight, message.Target)
+			c.listener.server.core.Cancel(request)
+		}
+	case "call":
+		c.submit(message)
+	}
+}
+
+// submit hands a call to the core.
+func (c *clientConn) submit(message thrift.Message) {
+	if c.inFlight[message.Seq] != nil { // two responses to one number could not be told apart
+		c.counters().Malformed++
+		c.closeAfterResponses()
+		return
+	}
+	if len(c.inFlight) >= maxInFlight {
+		c.respondUnusable(message, fmt.Errorf("more than %d open requests", len(c.inFlight)))
+		return
+	}
+	call, err := parseCall(message)
+	if err != nil {
+		c.respondUnusable(message, err)
+		return
+	}
+	call.Proof = c.callerProof(message.Fields["token"])
+	response := &responder{client: c, sequence: message.Seq}
+	request, err := c.listener.server.core.Submit(c.turnTime(), call, response)
+	var denied *identity.Denied
+	if errors.As(err, &denied) {
+		response.deny(denied)
+		return
+	}
+	if err != nil {
+		c.respondUnusable(message, err)
+		return
+	}
+	if !response.sent {
+		c.inFlight[message.Seq] = request
+	}
+}
+
+// respondUnusable responds to a call that can't be taken as it is.
+func (c *clientConn) respondUnusable(message thrift.Message, cause error) {
+	c.counters().Unusable++
+	slog.Debug("unusable client request", slog.Any("error", cause))
+	exception := thrift.Exception{
+		Seq:  message.Seq,
+		Name: message.Name,
+		Kind: thrift.ProtocolError,
+		Text: cause.Error(),
+	}
+	c.respond(exception.Reply())
+}
+
+// parseCall reads a call and checks what goes to engines in headers and paths. What is left out stays zero; what is
+// there has to be of the protocol's form. Its errors go to the client, so they begin with the faulty field.
+func parseCall(message thrift.Message) (*gateway.Call, error) {
+	fields := message.Fields
+	call := &gateway.Call{
+		ID:             fields["call"],
+		Class:          fields["op"],
+		Tenant:         fields["org"],
+		Key:            fields["row"],
+		IdempotencyKey: fields["dedupe"],
+		Statement:      message.Body,
+	}
+	if !isRequestID(call.ID) {
+		return nil, fmt.Errorf("call: %.80q is no id", call.ID)
+	}
+	if !isIdempotencyKey(call.IdempotencyKey) {
+		return nil, fmt.Errorf("dedupe: %.80q is no key", call.IdempotencyKey)
+	}
+	ttl, err := parseNumber(fields, "ttl", maxTTLMillis)
+	if err == nil && ttl <= 0 {
+		err = fmt.Errorf("ttl: %.80q is no span in milliseconds", fields["ttl"])
+	}
+	if err != nil {
+		return nil, err
+	}
+	work, err := parseNumber(fields, "work", maxWorkMillis)
+	if err != nil {
+		return nil, err
+	}
+	call.TTL, call.Cost = millisToMicros(ttl), millisToMicros(work)
+	call.MemoryMB, err = parseNumber(fields, "mb", maxMemoryMB)
+	return call, err
+}
+
+// millisToMicros converts a duration in milliseconds.
+func millisToMicros(millis float64) monotime.Micros {
+	return monotime.Micros(millis * float64(monotime.Millisecond))
+}
+
+// parseNumber reads the decimal number, from 0 to limit, of a field; one that is left out is 0.
+func parseNumber(fields map[string]string, name string, limit float64) (float64, error) {
+	text, ok := fields[name]
+	if !ok {
+		return 0, nil
+	}
+	number, err := decimal.Parse(text, limit)
+	if err != nil {
+		err = fmt.Errorf("%s: %w", name, err)
+	}
+	return number, err
+}
+
+// isRequestID says whether a text is an id of a request, as the protocol has them.
+func isRequestID(text string) bool {
+	return len(text) == requestIDLength && strings.Trim(text, hexDigits) == ""
+}
+
+// isIdempotencyKey says whether a text is an idempotency key, so that it can stand in a header as it is.
+func isIdempotencyKey(text string) bool {
+	return len(text) <= maxIdempotencyKeySize && strings.Trim(text, alphanumeric+"-_.") == ""
+}
--- /dev/null
+++ b/internal/server/counters.go
@@ -0,0 +1,33 @@
+package server
+
+// printCounters gathers the counters of all parts and prints them.
+func (s *Server) printCounters() {
+	s.countStatements()
+	s.countIdentity()
+	if s.peering != nil {
+		s.peering.ReportCounters(&s.host.Counters)
+	}
+	s.host.Counters.Print(s.counterOutput)
+}
+
+// countStatements takes over the counters of the statement reader.
+func (s *Server) countStatements() {
+	counts := s.core.StatementCounts()
+	counters := &s.host.Counters
+	counters.ShapeHits, counters.ShapeMisses, counters.Unparsed = counts.Hits, counts.Misses, counts.Failures
+	counters.Learned, counters.Shapes, counters.ShapeBytes = counts.Learned, counts.Shapes, counts.Bytes
+}
+
+// countIdentity takes over the counters of the check of callers, where it is on.
+func (s *Server) countIdentity() {
+	guard := s.core.Guard()
+	if guard == nil {
+		return
+	}
+	counts := guard.Counts()
+	counters := &s.host.Counters
+	counters.Identified, counters.SignatureChecks = counts.Allowed, counts.Checked
+	counters.BadProofs = counts.Missing + counts.Unsigned + counts.Negative + counts.Expired + counts.Unmapped
+	counters.Forbidden = counts.Forbidden + counts.Foreign
+	counters.OverCeiling = counts.Over + counts.Busy
+}
--- /dev/null
+++ b/internal/simwire/events.go
@@ -0,0 +1,198 @@
+package simwire
+
+import (
+	"encoding/base64"
+	"encoding/json"
+	"fmt"
+
+	"chutechute/internal/monotime"
+	"chutechute/internal/settings"
+	"chutechute/scheduler"
+)
+
+// updateKinds are the kinds of endpoint updates, by their names in the protocol.
+var updateKinds = map[string]scheduler.UpdateKind{
+	"Partial":   scheduler.UpdateChanges,
+	"Complete":  scheduler.UpdateComplete,
+	"Persisted": scheduler.UpdateCached,
+	"Error":     scheduler.UpdateFailed,
+}
+
+// results are the results of attempts, by their names in the protocol.
+var results = map[string]scheduler.Result{
+	"completed":    scheduler.Succeeded,
+	"errored":      scheduler.Errored,
+	"saturated":    scheduler.Rejected,
+	"overdue":      scheduler.TimedOut,
+	"refused_conn": scheduler.NoConnection,
+	"severed":      scheduler.Reset,
+	"recalled":     scheduler.Canceled,
+	"superseded":   scheduler.NotSent,
+}
+
+// engineStates are the states of engines, by their names in the protocol.
+var engineStates = map[string]scheduler.EngineState{
+	"SERVING":  scheduler.Serving,
+	"DRAINING": scheduler.Draining,
+	"DELETED":  scheduler.Removed,
+}
+
+// parseEvent reads one event for an instance. Where f.err is set the event is of no use.
+func (d *Decoder) parseEvent(f *fields, instanceSettings *settings.Settings) (scheduler.Event, error) {
+	switch f.name {
+	case "endpoints":
+		return d.parseEndpointUpdate(f)
+	case "new_request":
+		return parseRequest(f, instanceSettings)
+	case "flowing":
+		return scheduler.Started{ID: f.id(2), Attempt: int(f.integer(3))}, nil
+	case "response":
+		return parseOutcome(f), nil
+	case "client_gone":
+		return scheduler.ClientDisconnected{ID: f.id(2)}, nil
+	case "note":
+		return parseProgress(f), nil
+	case "echo":
+		return parseHealthCheckResult(f), nil
+	case "memo":
+		return parsePeerMessage(f)
+	case "timeout_fired":
+		return scheduler.Timer{Token: f.text(2)}, nil
+	}
+	return nil, fmt.Errorf("unknown message %q", f.name)
+}
+
+// What an attempt used is one number: milliseconds of work, and below them units of memory.
+const (
+	memoryUnitBits = 12
+	memoryUnitMask = 1<<memoryUnitBits - 1
+	memoryUnitMB   = 4
+)
+
+// parseOutcome reads the end of an attempt.
+func parseOutcome(f *fields) scheduler.Outcome {
+	used := int64(0)
+	if f.isPresent(8) {
+		used = int64(max(0, f.number(8)))
+	}
+	return scheduler.Outcome{
+		ID:           f.id(2),
+		Attempt:      int(f.integer(3)),
+		Engine:       f.text(4),
+		Result:       f.result(5),
+		Elapsed:      f.time(6),
+		Final:        f.boolean(7),
+		Load:         f.load(9),
+		WorkUsed:     monotime.Micros(used>>memoryUnitBits) * monotime.Millisecond,
+		MemoryUsedMB: float64(used&memoryUnitMask) * memoryUnitMB,
+	}
+}
+
+// parseProgress reads a report of an attempt's progress.
+func parseProgress(f *fields) scheduler.ProgressReport {
+	return scheduler.ProgressReport{
+		ID:      f.id(2),
+		Value:   f.number(3),
+		Kind:    scheduler.ProgressKind(f.integer(4)),
+		Attempt: int(f.integer(5)),
+		Engine:  f.text(6),
+	}
+}
+
+// parseHealthCheckResult reads the result of a health check.
+func parseHealthCheckResult(f *fields) scheduler.HealthCheckResult {
+	return scheduler.HealthCheckResult{Engine: f.text(2), Result: f.result(3), Elapsed: f.time(4), Load: f.load(5)}
+}
+
+// parsePeerMessage reads a message of another front end.
+func parsePeerMessage(f *fields) (scheduler.Event, error) {
+	body, err := base64.StdEncoding.DecodeString(f.text(3))
+	if err != nil {
+		return nil, fmt.Errorf("memo: body: %w", err)
+	}
+	return scheduler.PeerMessage{From: int(f.integer(2)), Body: body}, nil
+}
+
+// parseEndpointUpdate reads an update of the endpoint list, which names one of the lists that came before.
+func (d *Decoder) parseEndpointUpdate(f *fields) (scheduler.Event, error) {
+	kind, ok := updateKinds[f.text(2)]
+	if !ok {
+		return nil, fmt.Errorf("endpoints: unknown kind %q", f.text(2))
+	}
+	if kind == scheduler.UpdateFailed {
+		return scheduler.EndpointUpdate{Kind: kind}, nil
+	}
+	endpoints, ok := d.lists[int(f.integer(3))]
+	if !ok {
+		return nil, fmt.Errorf("endpoints: no list %d", f.integer(3))
+	}
+	return scheduler.EndpointUpdate{Kind: kind, Entries: endpoints}, nil
+}
+
+// estimateValidFlag is the bit of a request's flags that says that its estimate of work holds.
+const estimateValidFlag = 1
+
+// parseRequest reads a client's request.
+func parseRequest(f *fields, instanceSettings *settings.Settings) (scheduler.Event, error) {
+	request := scheduler.Request{
+		ID:       f.id(2),
+		Tenant:   -1,
+		Key:      f.optionalText(5),
+		Deadline: f.time(6),
+		MemoryMB: f.optionalNumber(8),
+		Group:    int(f.optionalNumber(9)),
+	}
+	class, ok := instanceSettings.ClassOf[f.text(3)]
+	if !ok && f.err == nil {
+		return nil, fmt.Errorf("new_request: unknown class %q", f.text(3))
+	}
+	request.Class = class
+	if tenant := f.optionalText(4); tenant != "" {
+		if request.Tenant, ok = instanceSettings.TenantOf[tenant]; !ok {
+			return nil, fmt.Errorf("new_request: unknown tenant %q", tenant)
+		}
+	}
+	if int(f.optionalNumber(10))&estimateValidFlag != 0 {
+		request.EstimatedWork = max(0, secondsToMicros(f.optionalNumber(7)))
+	}
+	return request, nil
+}
+
+// parseEndpoints reads the endpoint list that stands as one value of a message.
+func parseEndpoints(f *fields, index int) ([]scheduler.Endpoint, error) {
+	var records [][]json.RawMessage
+	f.read(index, &records)
+	if f.err != nil {
+		return nil, f.err
+	}
+	endpoints := make([]scheduler.Endpoint, 0, len(records))
+	for i, values := range records {
+		record := &fields{values: values, name: fmt.Sprintf("catalog: record %d", i)}
+		endpoint, err := parseEndpoint(record)
+		if err != nil {
+			return nil, err
+		}
+		endpoints = append(endpoints, endpoint)
+	}
+	return endpoints, nil
+}
+
+// parseEndpoint reads one record of an endpoint list.
+func parseEndpoint(record *fields) (scheduler.Endpoint, error) {
+	state, ok := engineStates[record.text(4)]
+	endpoint := scheduler.Endpoint{
+		Engine:  record.text(0),
+		Zone:    record.optionalText(1),
+		Kind:    record.optionalText(2),
+		Cell:    int(record.optionalNumber(3)),
+		State:   state,
+		Started: secondsToMicros(record.optionalNumber(6)),
+	}
+	if record.err != nil {
+		return endpoint, record.err
+	}
+	if !ok {
+		return endpoint, fmt.Errorf("%s: unknown state %q", record.name, record.text(4))
+	}
+	return endpoint, nil
+}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -11,8 +11,9 @@
 )
 
 const attach = `["attach",3,42,{"balancers":2,"rank":1,"unknown_key":{"x":1},` +
-	`"classes":[{"name":"c","on_time":0.5,"aim_stretch":2,"give_up":4,"worth":3,"repeat":"keyed","group":"cell","window":9,` +
-	`"by_arrival":true,"allowed_in":["z1"]}],"tenants":[{"name":"t","quota_per_s":10,"share":1}],` +
+	`"classes":[{"name":"c","on_time":0.5,"aim_stretch":2,"give_up":4,"worth":3,` +
+	`"repeat":"keyed","group":"cell","window":9,"by_arrival":true,"allowed_in":["z1"]}],` +
+	`"tenants":[{"name":"t","quota_per_s":10,"share":1}],` +
 	`"domain":{"class_threads":[2],"cpu_of_kind":[16],"ram_of_kind_mb":[2048]},"host_types":["k"],` +
 	`"limits":{"cancel":true,"max_attempts":4},"rules":{"min_extra":3,"extra_ratio":0.2,"look_back":10}}]`
 
@@ -25,31 +26,43 @@
 	if err != nil || now != 2_500_000 || len(items) != 1 || items[0].Start == nil {
 		t.Fatalf("%v %d %+v", err, now, items)
 	}
-	c := items[0].Start.Config
-	k := c.Classes[0]
-	if c.Gateways != 2 || c.Rank != 1 || items[0].Start.Seed != 42 || k.LatencyObjective != 500_000 || k.Effect != scheduler.IdempotentByKey ||
-		k.DedupeScope != scheduler.ScopeCell || !k.Ordered || k.Threads != 2 || c.Kinds[0].Cores != 16 || !c.Rules.RetryBudget ||
-		c.Rules.MinRetries != 3 || !reflect.DeepEqual(k.Zones, []string{"z1"}) || c.Tenants[0].Quota != 10 {
-		t.Fatalf("%+v", c)
+	config := items[0].Start.Config
+	class := config.Classes[0]
+	if config.Gateways != 2 || config.Rank != 1 || items[0].Start.Seed != 42 {
+		t.Fatalf("%+v", items[0].Start)
+	}
+	if class.LatencyObjective != 500_000 || class.Effect != scheduler.IdempotentByKey ||
+		class.DedupeScope != scheduler.ScopeCell || !class.Ordered || class.Threads != 2 ||
+		!reflect.DeepEqual(class.Zones, []string{"z1"}) {
+		t.Fatalf("%+v", class)
+	}
+	if config.Kinds[0].Cores != 16 || !config.Rules.RetryBudget || config.Rules.MinRetries != 3 ||
+		config.Tenants[0].Quota != 10 {
+		t.Fatalf("%+v", config)
 	}
 }
 
-// Every event that may come is read into the project's own terms; extra values are skipped.
+// Every event that may come is read into the scheduler's terms; extra values are skipped.
 func TestEventsAreReadIntoSchedulerTerms(t *testing.T) {
 	for message, want := range map[string]scheduler.Event{
-		`["new_request",3,7,"c","t","key",5.5,0.25,64,9,1,"extra"]`: scheduler.Request{ID: 7, Key: "key", Deadline: 5_500_000,
-			EstimatedWork: 250_000, MemoryMB: 64, Group: 9},
-		`["new_request",3,7,"c",null,null,5.5,0.25,null,null,0]`: scheduler.Request{ID: 7, Tenant: -1, Deadline: 5_500_000},
+		`["new_request",3,7,"c","t","key",5.5,0.25,64,9,1,"extra"]`: scheduler.Request{ID: 7, Key: "key",
+			Deadline: 5_500_000, EstimatedWork: 250_000, MemoryMB: 64, Group: 9},
+		`["new_request",3,7,"c",null,null,5.5,0.25,null,null,0]`: scheduler.Request{ID: 7, Tenant: -1,
+			Deadline: 5_500_000},
 		`["response",3,7,1,"e","severed",0.5,false,null,null]`: scheduler.Outcome{ID: 7, Attempt: 1, Engine: "e",
 			Result: scheduler.Reset, Elapsed: 500_000},
-		`["response",3,7,1,"e","completed",0.5,true,0,{"util":0.5,"x1":0.25}]`: scheduler.Outcome{ID: 7, Attempt: 1, Engine: "e",
-			Elapsed: 500_000, Final: true, Load: &scheduler.LoadReport{Util: 0.5, Queue: -1, Memory: -1, Disk: 0.25}},
+		`["response",3,7,1,"e","completed",0.5,true,0,{"util":0.5,"x1":0.25}]`: scheduler.Outcome{ID: 7, Attempt: 1,
+			Engine: "e", Elapsed: 500_000, Final: true,
+			Load: &scheduler.LoadReport{Util: 0.5, Queue: -1, Memory: -1, Disk: 0.25}},
 		`["flowing",3,7,0,"e",0.1]`: scheduler.Started{ID: 7},
 		`["client_gone",3,7]`:       scheduler.ClientDisconnected{ID: 7},
-		`["response",3,7,0,"e","completed",0.5,true,69728,null]`: scheduler.Outcome{ID: 7, Engine: "e", Result: scheduler.Succeeded, Elapsed: monotime.Second / 2,
-			Final: true, WorkUsed: 17 * monotime.Second / 1000, MemoryUsedMB: 384},
-		`["note",3,7,2,3,1,"e"]`:              scheduler.ProgressReport{ID: 7, Attempt: 1, Engine: "e", Kind: scheduler.ProgressWaiting, Value: 2},
-		`["echo",3,"e","overdue",0.25,null]`:  scheduler.HealthCheckResult{Engine: "e", Result: scheduler.TimedOut, Elapsed: 250_000},
+		`["response",3,7,0,"e","completed",0.5,true,69728,null]`: scheduler.Outcome{ID: 7, Engine: "e",
+			Result: scheduler.Succeeded, Elapsed: monotime.Second / 2, Final: true,
+			WorkUsed: 17 * monotime.Second / 1000, MemoryUsedMB: 384},
+		`["note",3,7,2,3,1,"e"]`: scheduler.ProgressReport{ID: 7, Attempt: 1, Engine: "e",
+			Kind: scheduler.ProgressWaiting, Value: 2},
+		`["echo",3,"e","overdue",0.25,null]`: scheduler.HealthCheckResult{Engine: "e", Result: scheduler.TimedOut,
+			Elapsed: 250_000},
 		`["memo",3,1,"aGk="]`:                 scheduler.PeerMessage{From: 1, Body: []byte("hi")},
 		`["timeout_fired",3,"tok"]`:           scheduler.Timer{Token: "tok"},
 		`["endpoints",3,"Error",null,null]`:   scheduler.EndpointUpdate{Kind: scheduler.UpdateFailed},
@@ -70,8 +83,10 @@
 
 // A list number that is reused within a batch stands for the list given last before each event.
 func TestEndpointListIsTheLastOneSentUnderItsNumber(t *testing.T) {
-	_, items, err := NewDecoder().Batch(batch(attach, `["catalog",0,[["a","z","k",1,"SERVING",1,null]]]`,
-		`["endpoints",3,"Complete",0,1]`, `["catalog",0,[["b","z","k",2,"DRAINING",1,6.5]]]`, `["endpoints",3,"Partial",0,2]`))
+	_, items, err := NewDecoder().Batch(batch(attach,
+		`["catalog",0,[["a","z","k",1,"SERVING",1,null]]]`,
+		`["endpoints",3,"Complete",0,1]`, `["catalog",0,[["b","z","k",2,"DRAINING",1,6.5]]]`,
+		`["endpoints",3,"Partial",0,2]`))
 	if err != nil || len(items) != 3 {
 		t.Fatal(err, items)
 	}
@@ -82,7 +97,7 @@
 	}
 }
 
-// Bad lines give one plain error that names what is wrong.
+// A malformed line gives one error, of one line, that names what is wrong.
 func TestMalformedLineIsRefusedWithItsCause(t *testing.T) {
 	for line, want := range map[string]string{
 		"nonsense":                                                                "batch",
@@ -112,12 +127,20 @@
 	if got := string(r.Line()); got != "{\"cmds\":[]}\n" {
 		t.Fatalf("empty reply %q", got)
 	}
-	r.Add(3, []scheduler.Action{scheduler.StartAttempt{ID: 1 << 51, Engine: "e", Timeout: 80_000}, scheduler.AttemptParameters{ID: 2, GrantMB: 64, Priority: 3},
-		scheduler.Cancel{ID: 2, Attempt: 1}, scheduler.Reject{ID: 3, After: 250_000}, scheduler.Fail{ID: 4}, scheduler.HealthCheck{Engine: "e"},
-		scheduler.Subscribe{}, scheduler.FetchList{}, scheduler.SetTimer{At: 1_500_000, Token: "t"},
-		scheduler.Log{Text: `a "b"`}})
-	want := `{"cmds":[["place",3,2251799813685248,"e",0.08],["allot",3,2,64,3],["stop_attempt",3,2,1],["push_back",3,3,0.25],` +
-		`["report_failure",3,4],["ask_load",3,"e"],["subscribe",3,true],["list_all",3],` +
+	r.Add(3, []scheduler.Action{
+		scheduler.StartAttempt{ID: 1 << 51, Engine: "e", Timeout: 80_000},
+		scheduler.AttemptParameters{ID: 2, GrantMB: 64, Priority: 3},
+		scheduler.Cancel{ID: 2, Attempt: 1},
+		scheduler.Reject{ID: 3, After: 250_000},
+		scheduler.Fail{ID: 4},
+		scheduler.HealthCheck{Engine: "e"},
+		scheduler.Subscribe{},
+		scheduler.FetchList{},
+		scheduler.SetTimer{At: 1_500_000, Token: "t"},
+		scheduler.Log{Text: `a "b"`},
+	})
+	want := `{"cmds":[["place",3,2251799813685248,"e",0.08],["allot",3,2,64,3],["stop_attempt",3,2,1],` +
+		`["push_back",3,3,0.25],["report_failure",3,4],["ask_load",3,"e"],["subscribe",3,true],["list_all",3],` +
 		`["remind",3,1.5,"t"],["remark",3,"a \"b\""]]}` + "\n"
 	if got := string(r.Line()); got != want {
 		t.Fatalf("got  %swant %s", got, want)
