--- a/internal/server/client_requests.go
+++ b/internal/server/client_requests.go
@@ -46,7 +46,7 @@
 
 // submit hands a call to the core.
 func (c *clientConn) submit(message thrift.Message) {
-	if c.inFlight[message.Seq] != nil { // two responses to one number could not be told apart
+	if c.inFlight[message.Seq] != nil { // two responses to one number could not be distinguished
 		c.counters().Malformed++
 		c.closeAfterResponses()
 		return
--- a/internal/server/discovery_watch.go
+++ b/internal/server/discovery_watch.go
@@ -25,7 +25,7 @@
 )
 
 // discoveryWatch is the connection to the discovery service (the journal service of the settings). It is opened again
-// whenever it breaks or falls silent, from the last event known: what the service sends counts as known soon after,
+// whenever it breaks or is unresponsive, from the last event known: what the service sends counts as known soon after,
 // received or not.
 type discoveryWatch struct {
 	eventloop.Stream
--- a/internal/server/engine_request.go
+++ b/internal/server/engine_request.go
@@ -17,7 +17,7 @@
 	query      *rest.Query
 	connection *engineConn // nil while it has none
 	startedAt  monotime.Micros
-	lastPolled monotime.Micros // when the engine was last asked for it, as far as the engine may know; 0: never
+	lastPolled monotime.Micros // when the engine got a call for it last, as far as it may know; 0: never
 
 	startSent        bool // some of the POST may have reached the engine
 	startUnconfirmed bool // the POST may not have been read yet, and may be later
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -38,7 +38,7 @@
 	return &Decoder{lists: map[int][]scheduler.Endpoint{}, settings: map[int]*settings.Settings{}}
 }
 
-var errNoTime = errors.New("batch: no now")
+var errNoTime = errors.New("simwire: batch: no now")
 
 // Batch reads one line: its time and its messages in their order. An error names the message and the value that
 // can't be read; then there are no items.
@@ -48,7 +48,7 @@
 		In  [][]json.RawMessage `json:"in"`
 	}
 	if err := json.Unmarshal(line, &batch); err != nil {
-		return 0, nil, fmt.Errorf("batch: %w", err)
+		return 0, nil, fmt.Errorf("simwire: batch: %w", err)
 	}
 	if batch.Now == nil {
 		return 0, nil, errNoTime
@@ -57,7 +57,7 @@
 	for i, values := range batch.In {
 		item, ok, err := d.parseMessage(values)
 		if err != nil {
-			return 0, nil, fmt.Errorf("message %d: %w", i, err)
+			return 0, nil, fmt.Errorf("simwire: message %d: %w", i, err)
 		}
 		if ok {
 			items = append(items, item)
