--- a/cmd/chutechute/clients_test.go
+++ b/cmd/chutechute/clients_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"chutechute/internal/standin"
 	"fmt"
 	"io"
 	"os"
@@ -13,6 +12,8 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/standin"
 )
 
 // streams_per_conn is about engines: a client may have 32 requests open whatever it says.
--- a/cmd/chutechute/engine_faults_test.go
+++ b/cmd/chutechute/engine_faults_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"chutechute/internal/standin"
 	"net"
 	"net/http"
 	"strings"
@@ -12,6 +11,8 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/standin"
 )
 
 // A time-out is not the end of an attempt: the next is sent only once the DELETE is known to have arrived.
--- a/cmd/chutechute/main_test.go
+++ b/cmd/chutechute/main_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"chutechute/internal/standin"
 	"fmt"
 	"net/http"
 	"strings"
@@ -12,6 +11,8 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/standin"
 )
 
 // What a client sent goes to the engine byte for byte, and all pages come back in order and unchanged.
--- a/cmd/chutechute/restart_test.go
+++ b/cmd/chutechute/restart_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"chutechute/internal/standin"
 	"io"
 	"maps"
 	"net"
@@ -15,6 +14,8 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/standin"
 )
 
 // SIGHUP takes over a new journal address at once, from the last event known, while all goes on: it ended the
--- a/fleet/budget/capacity_test.go
+++ b/fleet/budget/capacity_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chutechute/internal/measure"
+	"chutechute/internal/procstat"
 	"chutechute/internal/scale"
 )
 
@@ -21,7 +21,7 @@
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("measures: make scale-full")
 	}
-	result := measure.New("budgets", "One budget of a rate, in virtual time, 3 s after 8 s; one copy of the record "+
+	result := procstat.NewResult("budgets", "One budget of a rate, in virtual time, 3 s after 8 s; one copy of the record "+
 		"applies, the two others stand still. Processor time of the process within Apply, and of the rest of the "+
 		"world (front ends, Due, the queue) over front ends; two runs a size.")
 	for range 2 {
@@ -32,7 +32,7 @@
 				scale.Point{Axis: "front ends", X: float64(frontEnds), Figures: figures})
 		}
 	}
-	require.NoError(t, measure.Save(result))
+	require.NoError(t, procstat.SaveResult(result))
 }
 
 // measureCapacity measures a fleet with one active replica.
@@ -43,12 +43,12 @@
 	w.run(capacityWarmUp)
 	var inApply time.Duration
 	w.measureApply = func() func() {
-		began := measure.Own()
-		return func() { inApply += measure.Own() - began }
+		began := procstat.OwnProcessorTime()
+		return func() { inApply += procstat.OwnProcessorTime() - began }
 	}
-	before, began := w.cost(), measure.Own()
+	before, began := w.cost(), procstat.OwnProcessorTime()
 	w.run(capacityWarmUp + capacitySpan)
-	total := measure.Own() - began
+	total := procstat.OwnProcessorTime() - began
 	require.Empty(t, w.check())
 	const seconds = float64(capacitySpan) / float64(second)
 	committed := float64(len(w.log) - before.commits)
--- a/gateway/capacity_test.go
+++ b/gateway/capacity_test.go
@@ -10,9 +10,9 @@
 
 	"chutechute/gateway"
 	"chutechute/internal/counters"
-	"chutechute/internal/journal"
-	"chutechute/internal/measure"
+	"chutechute/internal/discovery"
 	"chutechute/internal/monotime"
+	"chutechute/internal/procstat"
 	"chutechute/internal/ring"
 	"chutechute/internal/scale"
 	"chutechute/internal/settings"
@@ -50,7 +50,7 @@
 type discoveredCore struct {
 	t        *testing.T
 	core     *gateway.Core
-	follower journal.Follower
+	follower discovery.Follower
 	in       *ring.Buffer
 	now      monotime.Micros
 }
@@ -65,8 +65,8 @@
 	return &discoveredCore{
 		t:        t,
 		core:     core,
-		follower: journal.Follower{Names: journal.Names{Zones: []string{"a"}, Kinds: []string{"k"}}},
-		in:       ring.New(journal.MaxFrame, &ring.Budget{Most: journal.MaxFrame}),
+		follower: discovery.Follower{Names: discovery.Names{Zones: []string{"a"}, Kinds: []string{"k"}}},
+		in:       ring.New(discovery.MaxFrame, &ring.Budget{Most: discovery.MaxFrame}),
 		now:      monotime.Second,
 	}
 }
@@ -105,21 +105,21 @@
 	list := standin.Frame(1, completeList, records...)
 	cost.listBytes = len(list)
 
-	heapBefore := measure.Heap()
-	start := measure.Own()
+	heapBefore := procstat.HeapInUse()
+	start := procstat.OwnProcessorTime()
 	core.apply(list)
-	cost.listTime = measure.Own() - start
-	cost.listHeap = measure.Heap() - heapBefore
+	cost.listTime = procstat.OwnProcessorTime() - start
+	cost.listHeap = procstat.HeapInUse() - heapBefore
 
 	changes := max(20, 400_000/engines)
-	start = measure.Own()
+	start = procstat.OwnProcessorTime()
 	for i := range changes { // each drains or returns one engine
 		state := byte(engineDraining - i%2)
 		frame := standin.Frame(uint64(2+i), listChanges, engineRecord(i/2%engines, state))
 		cost.changeBytes = len(frame)
 		core.apply(frame)
 	}
-	cost.changeTime = (measure.Own() - start) / time.Duration(changes)
+	cost.changeTime = (procstat.OwnProcessorTime() - start) / time.Duration(changes)
 	return cost
 }
 
@@ -131,7 +131,7 @@
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("measures: make scale-full")
 	}
-	result := measure.New("lists", "From the bytes of a journal frame through the core's step to the decisions; "+
+	result := procstat.NewResult("lists", "From the bytes of a journal frame through the core's step to the decisions; "+
 		"without the pool of connections; processor time of the process, the mean of many changes; two runs a size.")
 	for range 2 {
 		for _, engines := range []int{64, 256, 1024, 2048, 8192, 34000} {
@@ -150,5 +150,5 @@
 				}})
 		}
 	}
-	require.NoError(t, measure.Save(result))
+	require.NoError(t, procstat.SaveResult(result))
 }
--- a/identity/token/set.go
+++ b/identity/token/set.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"slices"
 
-	"chutechute/internal/monotime"
-
 	"github.com/go-jose/go-jose/v4"
+
+	"chutechute/internal/monotime"
 )
 
 // Set is a key set that is being kept: the private half, from which the public one is written.
--- a/identity/tokens.go
+++ b/identity/tokens.go
@@ -7,9 +7,9 @@
 	"fmt"
 	"slices"
 
-	"chutechute/internal/monotime"
-
 	"github.com/hashicorp/golang-lru/v2/simplelru"
+
+	"chutechute/internal/monotime"
 )
 
 // Key is a key that tokens are signed with. Its times are of the wall clock.
--- a/internal/scale/sockets/usage.go
+++ b/internal/scale/sockets/usage.go
@@ -8,9 +8,9 @@
 	"runtime/debug"
 	"strconv"
 
-	"chutechute/internal/monotime"
-
 	"golang.org/x/sys/unix"
+
+	"chutechute/internal/monotime"
 )
 
 // ownCPU is the processor time that this process has taken.
--- /dev/null
+++ b/internal/simwire/decode.go
@@ -0,0 +1,122 @@
+// Package simwire translates between the simulator's protocol, which is lines of JSON, and the scheduler's own
+// terms. It makes no decisions.
+package simwire
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+
+	"chutechute/internal/monotime"
+	"chutechute/internal/settings"
+	"chutechute/scheduler"
+)
+
+// Item is one message of a batch to one instance of the scheduler: a start, a stop or an event.
+type Item struct {
+	Instance int
+	Start    *Start
+	Stop     bool
+	Event    scheduler.Event
+}
+
+// Start is the first message to an instance.
+type Start struct {
+	Seed   uint64
+	Config scheduler.Config
+}
+
+// Decoder reads batches; it keeps the numbered endpoint lists and each instance's settings.
+type Decoder struct {
+	lists    map[int][]scheduler.Endpoint
+	settings map[int]*settings.Settings // by instance
+}
+
+// NewDecoder returns a decoder without lists and instances.
+func NewDecoder() *Decoder {
+	return &Decoder{lists: map[int][]scheduler.Endpoint{}, settings: map[int]*settings.Settings{}}
+}
+
+var errNoTime = errors.New("simwire: batch: no now")
+
+// Batch reads one line: its time and its messages in their order. An error names the message and the value that
+// can't be read; then there are no items.
+func (d *Decoder) Batch(line []byte) (monotime.Micros, []Item, error) {
+	var batch struct {
+		Now *float64            `json:"now"`
+		In  [][]json.RawMessage `json:"in"`
+	}
+	if err := json.Unmarshal(line, &batch); err != nil {
+		return 0, nil, fmt.Errorf("simwire: batch: %w", err)
+	}
+	if batch.Now == nil {
+		return 0, nil, errNoTime
+	}
+	items := make([]Item, 0, len(batch.In))
+	for i, values := range batch.In {
+		item, ok, err := d.parseMessage(values)
+		if err != nil {
+			return 0, nil, fmt.Errorf("simwire: message %d: %w", i, err)
+		}
+		if ok {
+			items = append(items, item)
+		}
+	}
+	return secondsToMicros(*batch.Now), items, nil
+}
+
+// secondsToMicros converts a time or a duration in seconds.
+func secondsToMicros(seconds float64) monotime.Micros {
+	return monotime.Micros(math.Round(seconds * float64(monotime.Second)))
+}
+
+// parseMessage reads one message. ok is false for an endpoint list, which is kept for later and gives no item.
+func (d *Decoder) parseMessage(values []json.RawMessage) (item Item, ok bool, err error) {
+	f := &fields{values: values, name: "message"}
+	f.name = f.text(0)
+	if f.err == nil && f.name == "catalog" {
+		list := f.integer(1)
+		endpoints, err := parseEndpoints(f, 2)
+		d.lists[int(list)] = endpoints
+		return Item{}, false, err
+	}
+	item.Instance = int(f.integer(1))
+	if f.err != nil {
+		return item, false, f.err
+	}
+	switch f.name {
+	case "attach":
+		start, instanceSettings, err := parseStart(f)
+		d.settings[item.Instance] = instanceSettings
+		item.Start = start
+		return item, true, err
+	case "down":
+		item.Stop = true
+		return item, true, nil
+	}
+	instanceSettings, ok := d.settings[item.Instance]
+	if !ok {
+		return item, false, fmt.Errorf("%s: instance %d was never attached", f.name, item.Instance)
+	}
+	item.Event, err = d.parseEvent(f, instanceSettings)
+	if err == nil {
+		err = f.err
+	}
+	return item, item.Event != nil, err
+}
+
+// parseStart reads the first message to an instance.
+func parseStart(f *fields) (*Start, *settings.Settings, error) {
+	var text json.RawMessage
+	seed := f.id(2)
+	f.read(3, &text)
+	if f.err != nil {
+		return nil, nil, f.err
+	}
+	parsed, err := settings.Parse(text)
+	if err != nil {
+		return nil, nil, fmt.Errorf("attach: %w", err)
+	}
+	return &Start{Seed: seed, Config: parsed.Config}, parsed, nil
+}
