--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -16,7 +16,7 @@
 func (c *byteCount) BytesRead(n int)    { c.read += n }
 func (c *byteCount) BytesWritten(n int) { c.written += n }
 
-// connectedStreams returns the two ends of a connection, registered with one loop.
+// connectedStreams returns the two ends of one connection, both registered with one loop.
 func connectedStreams(t *testing.T) (a, b *Stream) {
 	t.Helper()
 	loop, err := NewLoop()
@@ -25,35 +25,35 @@
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	budget := &ring.Budget{Most: 1 << 20}
-	var list []*Stream
+	var streams []*Stream
 	for _, fd := range fds {
 		s := NewStream(loop, fd, 1<<16, 1<<16, budget)
 		require.NoError(t, loop.Add(fd, unix.EPOLLIN, nil))
 		t.Cleanup(s.Close)
-		list = append(list, &s)
+		streams = append(streams, &s)
 	}
-	return list[0], list[1]
+	return streams[0], streams[1]
 }
 
-// Bytes are counted where a stream has a counter; without one nothing is.
+// A stream with a counter has its bytes counted; a stream without one has not.
 func TestStreamCountsBytesForItsCounterOnly(t *testing.T) {
 	a, b := connectedStreams(t)
-	count := &byteCount{}
-	b.Counter = count
+	counter := &byteCount{}
+	b.Counter = counter
 	_, err := a.Out.Write([]byte("hello"))
 	require.NoError(t, err)
 	require.NoError(t, a.Flush())
 	require.True(t, b.Fill())
-	assert.Equal(t, byteCount{read: 5}, *count)
+	assert.Equal(t, byteCount{read: 5}, *counter)
 	_, err = b.Out.Write([]byte("good day"))
 	require.NoError(t, err)
 	require.NoError(t, b.Flush())
 	require.True(t, a.Fill())
-	assert.Equal(t, byteCount{read: 5, written: 8}, *count)
+	assert.Equal(t, byteCount{read: 5, written: 8}, *counter)
 }
 
-// After the peer's end a stream has nothing more, and a closed one is closed once.
-func TestStreamEnds(t *testing.T) {
+// After the peer has closed the connection Fill reports the end of the stream, and closing twice is harmless.
+func TestStreamEndsWhenPeerCloses(t *testing.T) {
 	a, b := connectedStreams(t)
 	assert.True(t, b.PeerSilent())
 	a.Close()
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,8 @@
-// Package epoll is the front end's driver: one loop over epoll that reads and writes the sockets of
-// clients, engines and the journal, feeds the parsers, and runs the core. It decides nothing.
+// Package eventloop has a single-threaded event loop over epoll, and what is needed to run non-blocking connections on
+// it: sockets, buffered streams with optional TLS, a clock, and tasks that other goroutines hand to the loop. It knows
+// no protocol.
+//
+// All types but Tasks belong to the loop's goroutine.
 package eventloop
 
 import (
@@ -12,83 +15,98 @@
 
 // Intervals of the programs that run a loop.
 const (
-	// TickInterval is how often a program looks at all that time alone changes.
+	// TickInterval is the interval at which a program checks its timeouts and other time-driven state.
 	TickInterval = 25 * monotime.Millisecond
-	// MinTurnInterval is the least time between two turns. Each turn costs the scheduler a look at all queued requests, so a
-	// loop that steps for every packet runs out of processor time under load.
+	// MinTurnInterval is the minimum interval between two turns of a loop. Each turn costs the scheduler a pass over
+	// all queued requests, so a loop that takes a turn for every packet runs out of processor time under load.
 	MinTurnInterval = 1 * monotime.Millisecond
 )
 
-// Handler is what owns a descriptor.
-type Handler interface{ Ready(events uint32) }
+// maxEventsPerTurn is the number of readiness events that one turn of a loop handles.
+const maxEventsPerTurn = 256
 
-// Loop waits for descriptors. A descriptor's number may be used again within one batch of events, so
-// each registration has a generation of its own.
+// Handler is notified when its registered descriptor is ready.
+type Handler interface {
+	// Ready handles readiness events: a set of unix.EPOLLIN, EPOLLOUT, EPOLLHUP and so on.
+	Ready(events uint32)
+}
+
+// Loop waits for readiness of registered descriptors and dispatches it to their handlers. A descriptor's number may be
+// reused within one batch of events, so each registration has a generation of its own, by which stale events are
+// recognized.
 type Loop struct {
 	fd            int
 	registrations map[int32]registration
-	generation    int32
-	events        [256]unix.EpollEvent
+	generation    int32 // of the latest registration
+	events        [maxEventsPerTurn]unix.EpollEvent
 }
 
+// registration is a registered descriptor's handler.
 type registration struct {
 	generation int32
 	handler    Handler
 }
 
+// NewLoop returns a loop without registrations, or the error of creating its epoll instance.
 func NewLoop() (*Loop, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("epoll: create: %w", err)
+		return nil, fmt.Errorf("eventloop: create: %w", err)
 	}
 	return &Loop{fd: fd, registrations: map[int32]registration{}}, nil
 }
 
-func (l *Loop) Add(fd int, want uint32, h Handler) error {
+// Add registers a descriptor with its handler and its interest, a set of epoll events.
+func (l *Loop) Add(fd int, interest uint32, handler Handler) error {
 	l.generation++
-	l.registrations[int32(fd)] = registration{l.generation, h}
-	return unix.EpollCtl(l.fd, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Events: want, Fd: int32(fd), Pad: l.generation})
+	l.registrations[int32(fd)] = registration{l.generation, handler}
+	event := &unix.EpollEvent{Events: interest, Fd: int32(fd), Pad: l.generation}
+	return unix.EpollCtl(l.fd, unix.EPOLL_CTL_ADD, fd, event)
 }
 
-func (l *Loop) Modify(fd int, want uint32) {
-	// It can only fail for a descriptor that is not registered, and every owner closes through drop.
-	_ = unix.EpollCtl(l.fd, unix.EPOLL_CTL_MOD, fd, &unix.EpollEvent{Events: want, Fd: int32(fd), Pad: l.registrations[int32(fd)].generation})
+// Modify changes the interest of a registered descriptor.
+func (l *Loop) Modify(fd int, interest uint32) {
+	event := &unix.EpollEvent{Events: interest, Fd: int32(fd), Pad: l.registrations[int32(fd)].generation}
+	// It fails only for a descriptor that is not registered, and every owner closes through CloseDescriptor.
+	_ = unix.EpollCtl(l.fd, unix.EPOLL_CTL_MOD, fd, event)
 }
 
-// Detach takes a descriptor out of the set without closing it; add puts it back.
+// Detach removes a descriptor's registration without closing the descriptor; Add registers it again.
 func (l *Loop) Detach(fd int) {
 	delete(l.registrations, int32(fd))
-	// It can only fail for a descriptor that is not registered.
+	// It fails only for a descriptor that is not registered.
 	_ = unix.EpollCtl(l.fd, unix.EPOLL_CTL_DEL, fd, nil)
 }
 
-// CloseDescriptor closes a descriptor, which takes it out of the set too.
+// CloseDescriptor closes a descriptor, which ends its registration too.
 func (l *Loop) CloseDescriptor(fd int) {
 	delete(l.registrations, int32(fd))
 	unix.Close(fd)
 }
 
-// Wait waits for at most the span, which is rounded up so that the loop never spins; n descriptors are ready.
-func (l *Loop) Wait(span monotime.Micros) (n int, err error) {
-	timeout := int((max(0, span) + monotime.Millisecond - 1) / monotime.Millisecond)
-	n, err = unix.EpollWait(l.fd, l.events[:], timeout)
+// Wait waits until descriptors are ready, or for at most the timeout, and returns how many are ready. The timeout is
+// rounded up to whole milliseconds, so that the loop never spins. A signal ends the wait early, without an error.
+func (l *Loop) Wait(timeout monotime.Micros) (ready int, err error) {
+	timeoutMillis := int((max(0, timeout) + monotime.Millisecond - 1) / monotime.Millisecond)
+	ready, err = unix.EpollWait(l.fd, l.events[:], timeoutMillis)
 	if err == unix.EINTR {
 		return 0, nil
 	}
 	if err != nil {
-		return 0, fmt.Errorf("epoll: wait: %w", err)
+		return 0, fmt.Errorf("eventloop: wait: %w", err)
 	}
-	return n, nil
+	return ready, nil
 }
 
-// Dispatch hands out the n descriptors that are ready.
-func (l *Loop) Dispatch(n int) {
-	for _, ev := range l.events[:n] {
-		if s, ok := l.registrations[ev.Fd]; ok && s.generation == ev.Pad {
-			s.handler.Ready(ev.Events)
+// Dispatch calls the handlers of the descriptors that the last Wait found ready. Events of registrations that a handler
+// has ended in the meantime are skipped.
+func (l *Loop) Dispatch(ready int) {
+	for _, event := range l.events[:ready] {
+		if r, ok := l.registrations[event.Fd]; ok && r.generation == event.Pad {
+			r.handler.Ready(event.Events)
 		}
 	}
 }
 
-// Close closes the loop's own descriptor; those that are registered stay open.
+// Close closes the loop's own descriptor; registered descriptors stay open.
 func (l *Loop) Close() { unix.Close(l.fd) }
--- a/internal/eventloop/sockets.go
+++ b/internal/eventloop/sockets.go
@@ -7,7 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen opens a socket that listens at an address.
+// listenBacklog is the number of connections that may wait to be accepted.
+const listenBacklog = 1024
+
+// Listen opens a non-blocking socket that listens at an IPv4 address, and returns its descriptor.
 func Listen(addr netip.AddrPort) (int, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -26,13 +29,14 @@
 	return fd, nil
 }
 
-// Dial begins a connection; err is also set where it was refused at once.
+// Dial starts a non-blocking connection to an IPv4 address and returns its descriptor. Once that is writable,
+// DialResult tells whether the connection was established. An error is returned also where it fails at once.
 func Dial(addr netip.AddrPort) (int, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return -1, err
 	}
-	// Without it calls would only be slower.
+	// A failure is harmless: messages would only be slower.
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	if err := unix.Connect(fd, sockaddr(addr)); err != nil && err != unix.EINPROGRESS {
 		unix.Close(fd)
@@ -41,7 +45,7 @@
 	return fd, nil
 }
 
-// DialResult is how a begun connection came out.
+// DialResult returns the error with which a started connection failed, or nil where it is established.
 func DialResult(fd int) error {
 	errno, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && errno != 0 {
@@ -50,9 +54,6 @@
 	return err
 }
 
-func sockaddr(a netip.AddrPort) *unix.SockaddrInet4 {
-	return &unix.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().As4()}
+func sockaddr(addr netip.AddrPort) *unix.SockaddrInet4 {
+	return &unix.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().As4()}
 }
-
-// listenBacklog is how many connections may wait to be accepted.
-const listenBacklog = 1024
--- a/internal/eventloop/stream.go
+++ b/internal/eventloop/stream.go
@@ -9,28 +9,33 @@
 
 // ByteCounter counts the bytes that a stream reads from its socket and writes to it.
 type ByteCounter interface {
+	// BytesRead adds n bytes read from the socket.
 	BytesRead(n int)
+	// BytesWritten adds n bytes written to the socket.
 	BytesWritten(n int)
 }
 
-// Stream is a TCP connection with a ring buffer a direction.
+// Stream is a non-blocking connection with one ring buffer for each direction, and optionally with TLS.
 type Stream struct {
 	loop           *Loop
-	FD             int
-	In, Out        *ring.Buffer
-	Interest       uint32
-	AlwaysInterest uint32 // what is told whatever is read or written
+	FD             int          // the socket's descriptor
+	In, Out        *ring.Buffer // bytes received and not yet consumed; bytes to be written to the socket
+	Interest       uint32       // epoll events that the descriptor is registered for
+	AlwaysInterest uint32       // of these, the events that UpdateInterest never drops
 	Closed         bool
 	TLS            *tlsio.Conn // nil without TLS
-	Counter        ByteCounter // counts what is read and written; nil for nobody
-	HandshakeDone  bool        // its handshake is over
+	Counter        ByteCounter // nil where the bytes are not counted
+	HandshakeDone  bool        // the TLS handshake is complete
 }
 
-func NewStream(l *Loop, fd, maxIn, maxOut int, budget *ring.Budget) Stream {
-	return Stream{loop: l, FD: fd, In: ring.New(maxIn, budget), Out: ring.New(maxOut, budget)}
+// NewStream returns a stream over a connected or connecting descriptor, which its owner registers with the loop. The
+// buffers hold at most maxIn and maxOut bytes, and take their storage from the budget.
+func NewStream(loop *Loop, fd, maxIn, maxOut int, budget *ring.Budget) Stream {
+	return Stream{loop: loop, FD: fd, In: ring.New(maxIn, budget), Out: ring.New(maxOut, budget)}
 }
 
-// Fill reads what has come, as far as the ring has room; more is false at the stream's end or after an error.
+// Fill reads from the socket into In, as far as that has space. It returns false at the end of the stream, after an
+// error and on a closed stream.
 func (s *Stream) Fill() (more bool) {
 	for !s.Closed {
 		space := s.In.Space()
@@ -57,7 +62,7 @@
 	return false
 }
 
-// FreeBuffers lets go of storage that is not in use.
+// FreeBuffers releases the storage of buffers that are empty.
 func (s *Stream) FreeBuffers() {
 	if s.In.Len() == 0 {
 		s.In.Free()
@@ -67,14 +72,15 @@
 	}
 }
 
-// PeerSilent says whether the peer has neither sent anything more nor ended the connection.
+// PeerSilent reports whether the peer has neither sent anything unread nor closed the connection.
 func (s *Stream) PeerSilent() bool {
 	var b [1]byte
 	_, _, err := unix.Recvfrom(s.FD, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return err == unix.EAGAIN
 }
 
-// Flush writes what it can and asks to be called again for the rest.
+// Flush writes as much of Out as the socket accepts. The rest is due once the socket is writable again, for which
+// UpdateInterest registers. An error means that the connection is broken.
 func (s *Stream) Flush() error {
 	for s.Out.Len() > 0 {
 		n, err := unix.SendmsgN(s.FD, s.Out.Front(), nil, nil, unix.MSG_NOSIGNAL)
@@ -95,32 +101,35 @@
 	return nil
 }
 
-// UpdateInterest keeps the interest in a descriptor to what is needed.
-func (s *Stream) UpdateInterest(in bool) {
-	want := s.AlwaysInterest
-	if in {
-		want |= unix.EPOLLIN
+// UpdateInterest registers for what the stream needs now: reading where wantRead is set, writing while Out is not
+// empty, and AlwaysInterest.
+func (s *Stream) UpdateInterest(wantRead bool) {
+	interest := s.AlwaysInterest
+	if wantRead {
+		interest |= unix.EPOLLIN
 	}
 	if s.Out.Len() > 0 {
-		want |= unix.EPOLLOUT
+		interest |= unix.EPOLLOUT
 	}
-	if want != s.Interest && !s.Closed {
-		s.Interest = want
-		s.loop.Modify(s.FD, want)
+	if interest != s.Interest && !s.Closed {
+		s.Interest = interest
+		s.loop.Modify(s.FD, interest)
 	}
 }
 
-// HasHangup says whether the peer has ended the connection, as events tell.
+// HasHangup reports whether readiness events say that the peer has closed the connection, or that it is broken.
 func HasHangup(events uint32) bool { return events&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 }
 
+// Close closes the connection and releases its buffers. Closing a closed stream does nothing.
 func (s *Stream) Close() {
-	if !s.Closed {
-		s.Closed = true
-		s.loop.CloseDescriptor(s.FD)
-		s.In.Free()
-		s.Out.Free()
-		if s.TLS != nil {
-			s.TLS.Close()
-		}
+	if s.Closed {
+		return
+	}
+	s.Closed = true
+	s.loop.CloseDescriptor(s.FD)
+	s.In.Free()
+	s.Out.Free()
+	if s.TLS != nil {
+		s.TLS.Close()
 	}
 }
--- a/internal/eventloop/tasks.go
+++ b/internal/eventloop/tasks.go
@@ -2,26 +2,27 @@
 
 import "sync"
 
-// Tasks are what other goroutines hand to the loop, which runs them in its next turn.
+// Tasks is a queue of functions that other goroutines hand to a loop, which runs them in its next turn. The zero value
+// is an empty queue.
 type Tasks struct {
-	mu   sync.Mutex
-	list []func()
+	mutex  sync.Mutex
+	queued []func()
 }
 
-// Add hands work to the loop. It may be called from any goroutine.
-func (p *Tasks) Add(work func()) {
-	p.mu.Lock()
-	p.list = append(p.list, work)
-	p.mu.Unlock()
+// Add queues a task. It may be called from any goroutine.
+func (t *Tasks) Add(task func()) {
+	t.mutex.Lock()
+	t.queued = append(t.queued, task)
+	t.mutex.Unlock()
 }
 
-// Run runs what was handed over.
-func (p *Tasks) Run() {
-	p.mu.Lock()
-	list := p.list
-	p.list = nil
-	p.mu.Unlock()
-	for _, work := range list {
-		work()
+// Run runs the queued tasks, in their order. Tasks that these add are left for the next Run.
+func (t *Tasks) Run() {
+	t.mutex.Lock()
+	tasks := t.queued
+	t.queued = nil
+	t.mutex.Unlock()
+	for _, task := range tasks {
+		task()
 	}
 }
--- a/internal/eventloop/tls.go
+++ b/internal/eventloop/tls.go
@@ -8,10 +8,18 @@
 	"chutechute/internal/tlsio"
 )
 
-// Receive reads the records that have come and decrypts them into the ring; greet is called while the handshake goes on. More is
-// false at the stream's end.
-func (s *Stream) Receive(scratch []byte, greet func()) (more bool, err error) {
-	for n := 0; n < maxReadsPerTurn && !s.Closed; n++ {
+// maxReadsPerTurn bounds the reads, each of the scratch buffer's size, that one stream makes in one turn, so that a
+// fast sender does not hold up the other connections.
+const maxReadsPerTurn = 16
+
+// errHandshakePending is returned by Seal before the TLS handshake is complete.
+var errHandshakePending = errors.New("eventloop: a message before the handshake's end")
+
+// Receive reads TLS records from the socket, by way of the scratch buffer, and decrypts them into In. While the
+// handshake goes on it calls continueHandshake after each read. It returns false for more at the end of the stream and
+// after a read error, and an error where TLS fails.
+func (s *Stream) Receive(scratch []byte, continueHandshake func()) (more bool, err error) {
+	for reads := 0; reads < maxReadsPerTurn && !s.Closed; reads++ {
 		n, err := unix.Read(s.FD, scratch)
 		switch {
 		case err == unix.EAGAIN:
@@ -25,63 +33,61 @@
 			return true, err
 		}
 		if !s.HandshakeDone {
-			greet()
+			continueHandshake()
 		}
-		got, err := s.Decrypt()
+		decrypted, err := s.Decrypt()
 		if err != nil {
 			return true, err
 		}
-		if s.HandshakeDone && !got && len(s.In.Space()) == 0 || n < len(scratch) {
+		inputFull := s.HandshakeDone && !decrypted && len(s.In.Space()) == 0
+		socketDrained := n < len(scratch)
+		if inputFull || socketDrained {
 			return true, nil
 		}
 	}
 	return true, nil
 }
 
-// Decrypt moves what the peer has said into the ring; got says whether there was anything. What is to be said in return, an alert
-// or an answer to a change of keys, is added to what goes out.
-func (s *Stream) Decrypt() (got bool, err error) {
+// Decrypt decrypts fed records into In, as far as that has space, and reports whether there were any bytes. What TLS
+// itself has to send in response, an alert or a key update, is added to Out.
+func (s *Stream) Decrypt() (decrypted bool, err error) {
 	if !s.HandshakeDone || s.Closed {
 		return false, nil
 	}
 	for {
 		space := s.In.Space()
 		if len(space) == 0 {
-			return got, nil
+			return decrypted, nil
 		}
 		n, err := s.TLS.Read(space)
 		s.In.Commit(n)
-		got = got || n > 0
+		decrypted = decrypted || n > 0
 		if err == nil {
 			continue
 		}
 		if out := s.TLS.Output(); len(out) > 0 {
 			if _, err := s.Out.Write(out); err != nil {
-				return got, err
+				return decrypted, err
 			}
 		}
 		if errors.Is(err, tlsio.ErrAgain) || errors.Is(err, tlsio.ErrEnd) {
-			return got, nil
+			return decrypted, nil
 		}
-		return got, err
+		return decrypted, err
 	}
 }
 
-var errUnshaken = errors.New("epoll: a message before the handshake's end")
-
-// Seal is a message as it goes over the connection.
-func (s *Stream) Seal(b []byte) ([]byte, error) {
+// Seal returns a message in the form in which it goes over the connection: encrypted where the stream has TLS. It
+// returns an error before the TLS handshake is complete.
+func (s *Stream) Seal(message []byte) ([]byte, error) {
 	if s.TLS == nil {
-		return b, nil
+		return message, nil
 	}
-	if !s.HandshakeDone { // crypto/tls would wait for the handshake, and the loop with it
-		return nil, errUnshaken
+	if !s.HandshakeDone { // crypto/tls would block until the handshake is complete, and the loop with it
+		return nil, errHandshakePending
 	}
-	if err := s.TLS.Write(b); err != nil {
+	if err := s.TLS.Write(message); err != nil {
 		return nil, err
 	}
 	return s.TLS.Output(), nil
 }
-
-// maxReadsPerTurn is how many times the scratch buffer that one connection reads in one turn.
-const maxReadsPerTurn = 16
