--- /dev/null
+++ b/internal/peering/adminsocket.go
@@ -0,0 +1,153 @@
+package peering
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+
+	"golang.org/x/sys/unix"
+
+	"chutechute/internal/eventloop"
+	"chutechute/internal/monotime"
+	"chutechute/internal/ring"
+)
+
+const (
+	maxAdminConnections   = 8
+	maxAdminRequestBytes  = 4 << 10
+	maxAdminResponseBytes = 4 << 20
+	adminTimeout          = 3000 * monotime.Millisecond // from accepting a connection to the end of its response
+)
+
+// adminListener is the admin socket: a Unix socket that only its owner may use. Each connection carries one request, a
+// line of text, and one response, a line of JSON.
+type adminListener struct {
+	peering     *Peering
+	fd          int
+	connections map[*adminConnection]struct{}
+}
+
+func newAdminListener(p *Peering) (*adminListener, error) {
+	fd, err := listenUnix(p.cfg.Admin)
+	if err != nil {
+		return nil, fmt.Errorf("installation: fleet.admin: %w", err)
+	}
+	a := &adminListener{peering: p, fd: fd, connections: map[*adminConnection]struct{}{}}
+	return a, p.Host.Loop.Add(fd, unix.EPOLLIN, a)
+}
+
+// listenUnix listens at a Unix socket that only its owner may use, in place of one that an earlier process has left.
+func listenUnix(path string) (fd int, err error) {
+	if err := os.Remove(path); err != nil && !os.IsNotExist(err) {
+		return -1, err
+	}
+	fd, err = unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return -1, err
+	}
+	if err := unix.Bind(fd, &unix.SockaddrUnix{Name: path}); err != nil {
+		return -1, err
+	}
+	if err := os.Chmod(path, 0o600); err != nil {
+		return -1, err
+	}
+	return fd, unix.Listen(fd, maxAdminConnections)
+}
+
+// Ready accepts the connections that are pending. Those beyond the limit are closed.
+func (a *adminListener) Ready(uint32) {
+	for {
+		fd, _, err := unix.Accept4(a.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+		if err != nil {
+			return
+		}
+		if len(a.connections) >= maxAdminConnections {
+			unix.Close(fd)
+			continue
+		}
+		a.accept(fd)
+	}
+}
+
+func (a *adminListener) accept(fd int) {
+	host := a.peering.Host
+	c := &adminConnection{listener: a, acceptedAt: host.TurnTime}
+	c.budget.Most = maxAdminRequestBytes + maxAdminResponseBytes
+	c.Stream = eventloop.NewStream(host.Loop, fd, maxAdminRequestBytes, maxAdminResponseBytes, &c.budget)
+	c.Interest = unix.EPOLLIN
+	if err := host.Loop.Add(fd, c.Interest, c); err != nil {
+		c.Close()
+		return
+	}
+	a.connections[c] = struct{}{}
+}
+
+// tick closes connections that have taken too long.
+func (a *adminListener) tick() {
+	for c := range a.connections {
+		if a.peering.Host.TurnTime-c.acceptedAt >= adminTimeout {
+			c.terminate()
+		}
+	}
+}
+
+// close ends listening. Open connections are left to the end of the process.
+func (a *adminListener) close() {
+	a.peering.Host.Loop.CloseDescriptor(a.fd)
+	_ = os.Remove(a.peering.cfg.Admin) // the next start removes it too
+}
+
+// adminConnection is a connection to the admin socket.
+type adminConnection struct {
+	eventloop.Stream
+	listener   *adminListener
+	budget     ring.Budget
+	acceptedAt monotime.Micros
+	responded  bool
+}
+
+func (c *adminConnection) terminate() {
+	c.Close()
+	delete(c.listener.connections, c)
+}
+
+// Ready reads the request, and writes the response until that is complete.
+func (c *adminConnection) Ready(events uint32) {
+	if events&unix.EPOLLIN != 0 && !c.responded && !c.readRequest() {
+		return
+	}
+	if err := c.Flush(); err != nil || c.responded && c.Out.Len() == 0 {
+		c.terminate()
+		return
+	}
+	c.UpdateInterest(false)
+}
+
+// readRequest reads from the socket and, once the request is whole, responds to it. It returns false where it is
+// not whole yet or the connection has ended.
+func (c *adminConnection) readRequest() bool {
+	more := c.Fill()
+	line := c.In.Bytes()
+	if n := len(line); n == 0 || line[n-1] != '\n' {
+		if !more || n >= maxAdminRequestBytes {
+			c.terminate()
+		}
+		return false
+	}
+	if err := c.respond(string(line[:len(line)-1])); err != nil {
+		c.terminate()
+		return false
+	}
+	return true
+}
+
+// respond adds the response to a request to the output buffer.
+func (c *adminConnection) respond(request string) error {
+	c.responded = true
+	response, err := json.Marshal(c.listener.peering.handleRequest(request))
+	if err != nil {
+		return err
+	}
+	_, err = c.Out.Write(append(response, '\n'))
+	return err
+}
--- /dev/null
+++ b/internal/peering/attachedfrontend_test.go
@@ -0,0 +1,125 @@
+package peering
+
+import (
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"chutechute/fleet/membership"
+	"chutechute/internal/counters"
+)
+
+// Attached front ends are seen by all and see all. They have no listener, no disk and at most three links.
+func TestAttachedFrontEndsSeeAndAreSeen(t *testing.T) {
+	f := newTestFleet(t)
+	x := f.start("x1")
+	f.start("x2")
+	f.awaitAllSee(5)
+	assert.Nil(t, x.listener)
+	assert.Nil(t, x.store)
+	_, err := os.Stat(x.cfg.Folder)
+	assert.True(t, os.IsNotExist(err))
+	assert.LessOrEqual(t, len(x.outbound), 3)
+	assert.Empty(t, x.inbound)
+	f.runUntil("both links", func() bool { return len(x.outbound) == 2 && x.Descriptors() == 2 })
+
+	f.runUntil("its home is known to all", func() bool {
+		for _, p := range f.frontEnds {
+			e, _ := p.fleetNode.View().Lookup("x1")
+			if x.attachedNode.Home() == "" || e.Home != x.attachedNode.Home() {
+				return false
+			}
+		}
+		return true
+	})
+	s := x.status()
+	assert.Equal(t, "attached", s.Role)
+	assert.Len(t, s.Members, 4, "all but itself")
+	memberNames := []string{s.Members[0].Name, s.Members[1].Name, s.Members[2].Name, s.Members[3].Name}
+	assert.Equal(t, []string{"n1", "n2", "n3", "x2"}, memberNames)
+	require.NotNil(t, s.Attached)
+	assert.Equal(t, 5, s.Attached.ViewLen)
+	assert.Equal(t, x.attachedNode.Home(), s.Attached.Home)
+	home := f.frontEnds[s.Attached.Home].status()
+	assert.Positive(t, home.Attached.Links)
+	assert.Zero(t, home.Attached.ViewAge)
+	assert.Contains(t, home.Members, MemberStatus{
+		Name:        "x1",
+		State:       "alive",
+		Incarnation: s.Incarnation,
+		Link:        true,
+		Role:        "attached",
+		Home:        home.Name,
+	})
+	f.runUntil("their views are the same", func() bool {
+		return x.status().Attached.ViewDigest == f.frontEnds[home.Name].status().Attached.ViewDigest
+	})
+	assert.False(t, x.budgetPage("").On)
+	var attachedCounters, homeCounters counters.Set
+	x.ReportCounters(&attachedCounters)
+	f.frontEnds[home.Name].ReportCounters(&homeCounters)
+	assert.Positive(t, attachedCounters.ViewBeats)
+	assert.Positive(t, homeCounters.ViewBeats)
+	assert.Positive(t, homeCounters.ViewSnapshots)
+}
+
+// An attached front end whose home dies takes another home, and stays alive in the view of the others.
+func TestAttachedFrontEndReplacesItsDeadHome(t *testing.T) {
+	f := newTestFleet(t)
+	x := f.start("x1")
+	f.awaitAllSee(4)
+	home := f.frontEnds[x.attachedNode.Home()]
+	f.kill(home)
+	f.awaitAllSee(3)
+	assert.NotEqual(t, home.cfg.Name, x.attachedNode.Home())
+	_, linked := x.outbound[home.cfg.Name]
+	assert.False(t, linked && x.outbound[home.cfg.Name].established())
+	f.start(home.cfg.Name)
+	f.awaitAllSee(4)
+}
+
+// Each change of the view is reported once; where control members are left out, only those of attached front ends.
+func TestViewChangeLogReportsEachChangeOnce(t *testing.T) {
+	f := newTestFleet(t)
+	f.start("x1")
+	f.awaitAllSee(4)
+	var log viewChangeLog
+	view := f.frontEnds["n1"].fleetNode.View()
+	assert.Len(t, log.changes(view, false), 4)
+	assert.Empty(t, log.changes(view, false))
+	log = viewChangeLog{}
+	changes := log.changes(view, true)
+	require.Len(t, changes, 1)
+	assert.Equal(t, "x1", changes[0].Name)
+	f.kill(f.frontEnds["x1"])
+	f.runUntil("it is dead", func() bool { e, _ := view.Lookup("x1"); return e.State == membership.Dead })
+	changes = log.changes(view, true)
+	require.Len(t, changes, 1)
+	assert.Equal(t, membership.Dead, changes[0].State)
+}
+
+// A link that an attached front end's node does not want is closed, at both ends.
+func TestUnwantedLinksAreClosed(t *testing.T) {
+	f := newTestFleet(t)
+	x := f.start("x1")
+	f.runUntil("both links", func() bool { return seesAlive(x, 4) && len(x.outbound) == 2 })
+	for name, addr := range x.cfg.Others {
+		if x.outbound[name] == nil {
+			x.outbound[name] = newOutboundLink(x, name, addr)
+			x.outbound[name].dial()
+		}
+	}
+	require.Len(t, x.outbound, 3)
+	f.runUntil("the third is closed", func() bool {
+		linked := 0
+		for _, p := range f.frontEnds {
+			linked += p.attachedCount
+			for l := range p.inbound {
+				l.lastReceived = f.host.TurnTime // it is not closed as idle
+			}
+		}
+		return len(x.outbound) == 2 && linked == 2
+	})
+}
--- /dev/null
+++ b/internal/peering/attachedlinks.go
@@ -0,0 +1,135 @@
+package peering
+
+import (
+	"slices"
+
+	"golang.org/x/sys/unix"
+
+	"chutechute/fleet"
+	"chutechute/fleet/membership"
+	"chutechute/fleet/transport"
+	"chutechute/internal/monotime"
+)
+
+const (
+	// maxAttachedUrgentBytes bounds what is queued for one attached front end beside the view: responses about
+	// replicated records and to heartbeats.
+	maxAttachedUrgentBytes = 2 << 20
+	// maxAttachedQueuedBytes bounds what is queued for all attached front ends together. A link whose next message
+	// would exceed it drops its queue, but for a message of which a part was sent.
+	maxAttachedQueuedBytes = 32 << 20
+	// linksPerSpareLink is how many links there may be for each one more that is allowed, as old ones are noticed late.
+	linksPerSpareLink = 4
+	// attachedDescriptorShare is the divisor for the part of the program's descriptors that these links may take.
+	attachedDescriptorShare = 4
+	// attachedSendBufferBytes is the size of the system's send buffer of a link. By itself it grows to megabytes, which
+	// count towards no bound here.
+	attachedSendBufferBytes = 64 << 10
+	// pauseThreshold is the interval between two ticks above which this process itself was paused.
+	pauseThreshold = 600 * monotime.Millisecond
+)
+
+// maxAttachedLinks bounds the links of attached front ends: by how many of these there may be, and by a share of the
+// descriptors.
+func (p *Peering) maxAttachedLinks() int {
+	maxLinks := p.cfg.Attached.Config.MaxEntries
+	maxLinks += maxLinks / linksPerSpareLink
+	if p.MaxDescriptors > 0 {
+		maxLinks = min(maxLinks, p.MaxDescriptors/attachedDescriptorShare)
+	}
+	return maxLinks
+}
+
+// registerAttached makes an established link usable for messages to its attached front end.
+func (l *inboundLink) registerAttached() {
+	p := l.peering
+	l.attached = true
+	p.attachedCount++
+	p.Host.Counters.Attached++
+	// Without it only more is buffered in the system.
+	_ = unix.SetsockoptInt(l.FD, unix.SOL_SOCKET, unix.SO_SNDBUF, attachedSendBufferBytes)
+	l.queue = transport.Queue{MaxUrgentBytes: maxAttachedUrgentBytes, MaxBulkBytes: p.cfg.Attached.MostView}
+	p.attachedByIncarnation[l.link.Incarnation] = append(p.attachedByIncarnation[l.link.Incarnation], l)
+	logEstablished(l.link.From, l.link.Incarnation, membership.Attached)
+	p.controlNode.LinkOpened(p.Host.TurnTime, l.link)
+}
+
+// releaseAttached undoes registerAttached for a closed link; other links it leaves as they are.
+func (l *inboundLink) releaseAttached() {
+	if !l.attached {
+		return
+	}
+	p := l.peering
+	l.attached = false
+	p.attachedCount--
+	p.attachedQueuedBytes -= l.queue.Len()
+	l.queue.Clear()
+	incarnation := l.link.Incarnation
+	links := slices.DeleteFunc(p.attachedByIncarnation[incarnation], func(other *inboundLink) bool { return other == l })
+	if len(links) == 0 {
+		delete(p.attachedByIncarnation, incarnation)
+	} else {
+		p.attachedByIncarnation[incarnation] = links
+	}
+	p.controlNode.LinkClosed(p.Host.TurnTime, l.link)
+}
+
+// sendToAttached sends a message over the newest link with a process of an attached front end. Without a link the
+// message is dropped, as it might be lost on the way. A receiver that reads too slowly loses its whole queue, and
+// gets what it missed after its next heartbeat.
+func (p *Peering) sendToAttached(message fleet.Send) {
+	links := p.attachedByIncarnation[message.Incarnation]
+	if len(links) == 0 {
+		p.Host.Counters.PeerDropped++
+		return
+	}
+	l := links[len(links)-1]
+	queuedBefore := l.queue.Len()
+	exceedsTotal := p.attachedQueuedBytes+len(message.Body) > maxAttachedQueuedBytes
+	full := exceedsTotal || !l.queue.Push(message.Kind, message.Bulk, message.Body)
+	if full {
+		l.queue.DropUnstarted()
+		p.Host.Counters.PeerDropped++
+	}
+	p.attachedQueuedBytes += l.queue.Len() - queuedBefore
+	if full {
+		p.controlNode.QueueFull(p.Host.TurnTime, l.link.From, message.Incarnation)
+		return
+	}
+	l.flushQueue()
+}
+
+// flushQueue writes queued messages, as far as the link accepts them.
+func (l *inboundLink) flushQueue() {
+	if l.Closed {
+		return
+	}
+	dequeued, err := l.writeQueued()
+	l.peering.attachedQueuedBytes -= dequeued
+	if err != nil {
+		l.terminate()
+	}
+}
+
+// excusePause extends the timeouts of all links by a time in which this process itself was paused: what the others sent
+// in the meantime may not have been read yet.
+func (p *Peering) excusePause() {
+	now := p.Host.TurnTime
+	gap := now - p.lastTick
+	if p.acceptsAttached() && p.lastTick != 0 && gap > pauseThreshold {
+		for l := range p.inbound {
+			l.lastReceived += gap
+			l.lastProgress += gap
+		}
+	}
+	p.lastTick = now
+}
+
+// closeAttachedLink closes a link at the node's request: its process was replaced, or sent what it may not send.
+func (p *Peering) closeAttachedLink(link fleet.Link) {
+	for _, l := range slices.Clone(p.attachedByIncarnation[link.Incarnation]) {
+		if l.link.ChallengedAt == link.ChallengedAt {
+			l.terminate()
+		}
+	}
+}
--- /dev/null
+++ b/internal/peering/attachedlinks_test.go
@@ -0,0 +1,202 @@
+package peering
+
+import (
+	"crypto/rand"
+	"fmt"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"chutechute/fleet"
+	"chutechute/fleet/transport"
+)
+
+// A later incarnation of a name replaces the earlier one in all views, and the links of the earlier one are closed.
+func TestLaterIncarnationReplacesEarlierOne(t *testing.T) {
+	f := newTestFleet(t)
+	earlier := f.start("x1")
+	f.awaitAllSee(4)
+	delete(f.frontEnds, "x1") // it is paused
+	for _, p := range f.frontEnds {
+		for _, l := range p.attachedByIncarnation[earlier.self.Incarnation] {
+			l.postponeIdleTimeout()
+		}
+	}
+	later := f.start("x1")
+	f.runUntil("the later one is seen, and the earlier one's links are closed", func() bool {
+		for _, p := range f.frontEnds {
+			e, _ := p.fleetNode.View().Lookup("x1")
+			if e.Incarnation != later.self.Incarnation || len(p.attachedByIncarnation[earlier.self.Incarnation]) > 0 {
+				return false
+			}
+		}
+		return true
+	})
+	assert.True(t, f.frontEnds["n1"].controlNode.PresumedDead(earlier.self.Incarnation))
+	f.frontEnds["x1"] = earlier
+	f.kill(earlier)
+	f.frontEnds["x1"] = later
+}
+
+// postponeIdleTimeout keeps a link from being closed as idle.
+func (l *inboundLink) postponeIdleTimeout() { l.lastReceived += 3600 * second }
+
+// dialAs connects to a control member under an identity, and returns the connection with its side of the handshake.
+func (f *testFleet) dialAs(control *Peering, self *transport.Identity) (*net.TCPConn, *transport.Dialer) {
+	conn, err := net.DialTCP("tcp4", nil, net.TCPAddrFromAddrPort(control.cfg.Listen))
+	require.NoError(f.t, err)
+	f.t.Cleanup(func() { conn.Close() })
+	dialer := &transport.Dialer{Local: self, ExpectedName: control.cfg.Name, MaxInbound: control.cfg.MostBulk}
+	return conn, dialer
+}
+
+// readAvailable reads what comes within a millisecond, and replies to it; false at the end of the connection.
+func readAvailable(t *testing.T, conn *net.TCPConn, dialer *transport.Dialer) (open bool) {
+	var b [64 << 10]byte
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(time.Millisecond)))
+	n, err := conn.Read(b[:])
+	dialer.Feed(b[:n])
+	reply, processErr := dialer.Process()
+	require.NoError(t, processErr)
+	_, _ = conn.Write(reply)
+	return err == nil || os.IsTimeout(err)
+}
+
+// identity returns a new process's identity, in either role.
+func (f *testFleet) identity(name string, attached bool) *transport.Identity {
+	cfg := f.frontEnds["n1"].cfg
+	return &transport.Identity{
+		Site:           cfg.Site,
+		Name:           name,
+		Zone:           "a",
+		Incarnation:    randomID(),
+		MinVersion:     1,
+		MaxVersion:     1,
+		SettingsDigest: cfg.Digest,
+		Attached:       attached,
+	}
+}
+
+// A handshake whose name and role do not fit one another is rejected and counted, and leaves no trace in any view.
+func TestHandshakeRejectsNameThatDoesNotFitRole(t *testing.T) {
+	f := newTestFleet(t)
+	f.awaitAllSee(3)
+	n1 := f.frontEnds["n1"]
+	identities := []*transport.Identity{f.identity("n2", true), f.identity("x1", false), f.identity("x 1", true)}
+	for _, self := range identities {
+		before := f.host.Counters.PeerRejected
+		conn, d := f.dialAs(n1, self)
+		f.runUntil("it is rejected", func() bool { return !readAvailable(t, conn, d) })
+		assert.Equal(t, before+1, f.host.Counters.PeerRejected)
+		assert.False(t, d.Established())
+	}
+	assert.Equal(t, 3, n1.fleetNode.View().Len())
+	assert.Zero(t, n1.attachedCount)
+}
+
+// The links of attached front ends are bounded: those past the bound are rejected, and the control members' links stay.
+func TestAttachedLinksAreBounded(t *testing.T) {
+	f := newTestFleet(t, func(f *testFleet) { f.maxDescriptors = 16 })
+	f.awaitAllSee(3)
+	n1 := f.frontEnds["n1"]
+	require.Equal(t, 4, n1.maxAttachedLinks())
+	type link struct {
+		conn *net.TCPConn
+		d    *transport.Dialer
+	}
+	var links []link
+	for i := range 6 {
+		conn, d := f.dialAs(n1, f.identity(fmt.Sprintf("y%d", i), true))
+		links = append(links, link{conn, d})
+		f.runUntil("it is established, or rejected", func() bool { return !readAvailable(t, conn, d) || d.Established() })
+	}
+	f.turn()
+	assert.Equal(t, 4, n1.attachedCount)
+	assert.Equal(t, 2, f.host.Counters.AttachRefused)
+	anyEstablished := links[4].d.Established() || links[5].d.Established()
+	assert.False(t, anyEstablished, "they can go elsewhere without having been established")
+	links[0].conn.Close()
+	f.runUntil("capacity for another", func() bool { return n1.attachedCount == 3 })
+	assert.True(t, n1.outbound["n2"].established() && n1.outbound["n3"].established())
+	assert.Len(t, n1.attachedByIncarnation, 3)
+}
+
+// An attached front end that does not read has a bounded queue, and delays no other.
+func TestQueueOfSlowReaderIsBounded(t *testing.T) {
+	f := newTestFleet(t)
+	x := f.start("x1")
+	f.awaitAllSee(4)
+	n1 := f.frontEnds["n1"]
+	slow, d := f.dialAs(n1, f.identity("slow", true))
+	require.NoError(t, slow.SetReadBuffer(4<<10))
+	f.runUntil("it is established", func() bool {
+		readAvailable(t, slow, d)
+		return len(n1.attachedByIncarnation[d.Local.Incarnation]) > 0
+	})
+	body := make([]byte, 256<<10)
+	_, _ = rand.Read(body)
+	l := n1.attachedByIncarnation[d.Local.Incarnation][0]
+	l.postponeIdleTimeout()
+	refused := &n1.controlNode.MembershipServer().Counters.FullQueues
+	before, small := l.Out.Len()+l.queue.Len(), make([]byte, 1000)
+	const sent = 1000
+	for range sent {
+		n1.sendToAttached(bulkMessage("slow", d.Local.Incarnation, small))
+	}
+	queued := l.Out.Len() + l.queue.Len() - before
+	assert.Greater(t, queued, sent*len(small)-8*attachedSendBufferBytes, "the system buffers little of what is not read")
+	for range 64 {
+		before := *refused
+		n1.sendToAttached(bulkMessage("slow", d.Local.Incarnation, body))
+		require.LessOrEqual(t, n1.attachedQueuedBytes, maxAttachedQueuedBytes)
+		if *refused > before {
+			require.Less(t, l.queue.Len(), len(body), "the queue is dropped, but for a message that was begun")
+		}
+	}
+	assert.Positive(t, *refused)
+	assert.LessOrEqual(t, l.queue.Len(), maxAttachedUrgentBytes+n1.cfg.Attached.MostView)
+	assert.Equal(t, l.queue.Len(), n1.attachedQueuedBytes)
+	f.start("x2")
+	f.runUntil("others are served", func() bool { return seesAlive(x, 5) || seesAlive(x, 6) })
+	f.runUntil("its link is closed", func() bool { return len(n1.attachedByIncarnation[d.Local.Incarnation]) == 0 })
+	assert.Zero(t, n1.attachedQueuedBytes)
+}
+
+// bulkMessage returns a bulk message to a process of an attached front end.
+func bulkMessage(name string, incarnation uint64, body []byte) fleet.Send {
+	return fleet.Send{To: name, Incarnation: incarnation, Kind: transport.ViewUpdate, Bulk: true, Body: body}
+}
+
+// A control member that was paused itself does not close links as idle for that time.
+func TestPauseDoesNotMakeLinksIdle(t *testing.T) {
+	f := newTestFleet(t)
+	x := f.start("x1")
+	f.runUntil("both links", func() bool { return seesAlive(x, 4) && len(x.outbound) == 2 })
+	for _, p := range f.frontEnds {
+		for l := range p.inbound {
+			l.lastReceived -= 60 * second
+		}
+		p.lastTick -= 60 * second
+		before := p.attachedCount
+		p.Tick()
+		assert.Equal(t, before, p.attachedCount, p.cfg.Name)
+	}
+}
+
+// Links count as descriptors that clients and engines share where front ends may attach, and not elsewhere.
+func TestLinksCountAsDescriptors(t *testing.T) {
+	f := newTestFleet(t)
+	f.start("x1")
+	f.awaitAllSee(4)
+	p := f.frontEnds["n1"]
+	assert.Positive(t, len(p.inbound))
+	assert.Equal(t, len(p.inbound)+2, p.Descriptors())
+	off := *p.cfg
+	off.Attached = nil
+	assert.Zero(t, (&Peering{cfg: &off, inbound: p.inbound, outbound: p.outbound}).Descriptors())
+	assert.Zero(t, (*Peering)(nil).Descriptors())
+}
--- /dev/null
+++ b/internal/peering/counters.go
@@ -0,0 +1,46 @@
+package peering
+
+import (
+	"chutechute/fleet/membership"
+	"chutechute/internal/counters"
+)
+
+// Descriptors returns how many descriptors the links take of those that clients and engines share with them. It is zero
+// where no front end may attach: the few links among control members alone are not counted. A nil Peering has none.
+func (p *Peering) Descriptors() int {
+	if p == nil || p.cfg.Attached == nil {
+		return 0
+	}
+	return len(p.inbound) + len(p.outbound)
+}
+
+// ReportCounters sets the counters of idempotent requests and, where front ends may attach, those of the view.
+func (p *Peering) ReportCounters(count *counters.Set) {
+	count.Noted = p.fleetNode.Proposals()
+	count.Adopted = p.idempotencyClient.TakenOver
+	count.Shared = p.idempotencyClient.JoinedWaits
+	count.Conflicts = p.idempotencyClient.Conflicts
+	switch {
+	case p.attachedNode != nil:
+		reportViewCounters(count, &p.attachedNode.MembershipClient().Counters)
+	case p.acceptsAttached():
+		count.Forwarded = p.controlNode.Forwarded
+		count.ForwardedNobody = p.controlNode.Undeliverable
+		reportViewCounters(count, &p.controlNode.MembershipServer().Counters)
+	}
+}
+
+func reportViewCounters(count *counters.Set, view *membership.Counters) {
+	count.ViewBeats = view.Heartbeats
+	count.ViewChanges = view.Changes
+	count.ViewSnapshots = view.Snapshots
+	count.ViewBytes = view.SnapshotBytes + view.RepairBytes
+	count.ViewRepairs = view.DigestRepairs
+	count.ViewGaps = view.Gaps
+	count.ViewStale = view.StaleEpochs
+	count.ViewRefused = view.FullQueues
+	count.ViewDamped = view.Damped
+	count.ViewDoubts = view.SelfSuspicions
+	count.ViewHomes = view.HomeChanges
+	count.ViewMalformed = view.Malformed + view.UnknownHomes + view.NameMismatches + view.Oversized
+}
--- a/internal/peering/hollow_test.go
+++ b/internal/peering/hollow_test.go
@@ -15,20 +15,20 @@
 	"chutechute/internal/standin/site"
 )
 
-// hollowFleet is control members of one site over one loop.
+// hollowFleet has hollow control members of one site over one loop.
 type hollowFleet struct {
 	*Hollow
-	t      *testing.T
-	config map[string]*config.Peers
-	names  []string
-	of     map[string]uint64 // incarnations
+	t            *testing.T
+	config       map[string]*config.Peers
+	names        []string
+	incarnations map[string]uint64 // of the latest start, by name
 }
 
 func newHollowFleet(t *testing.T, size int) *hollowFleet {
 	h, err := NewHollow()
 	require.NoError(t, err)
 	t.Cleanup(h.Close)
-	f := &hollowFleet{Hollow: h, t: t, config: map[string]*config.Peers{}, of: map[string]uint64{}}
+	f := &hollowFleet{Hollow: h, t: t, config: map[string]*config.Peers{}, incarnations: map[string]uint64{}}
 	var members []site.Member
 	for i := range size {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -52,13 +52,13 @@
 
 func (f *hollowFleet) start(name string) {
 	f.t.Helper()
-	incarnation, err := f.Start(f.config[name], uint64(len(f.of)+1))
+	incarnation, err := f.Start(f.config[name], uint64(len(f.incarnations)+1))
 	require.NoError(f.t, err)
-	f.of[name] = incarnation
+	f.incarnations[name] = incarnation
 }
 
-// until runs the loop until something holds.
-func (f *hollowFleet) until(holds func() bool) {
+// runUntil runs the loop until a condition holds, and fails the test where that takes too long.
+func (f *hollowFleet) runUntil(holds func() bool) {
 	f.t.Helper()
 	for range 3000 {
 		if holds() {
@@ -66,101 +66,103 @@
 		}
 		require.NoError(f.t, f.Run(f.CurrentTime()+10*monotime.Millisecond))
 	}
-	require.Fail(f.t, "it does not come to hold in 30 s")
+	require.Fail(f.t, "the condition does not hold within 30 s of the loop's time")
 }
 
-// complete is how many see all.
-func (f *hollowFleet) complete() int {
+// countComplete returns how many see all as alive.
+func (f *hollowFleet) countComplete() int {
 	complete, _ := f.Complete(len(f.names))
 	return complete
 }
 
-func (f *hollowFleet) total() (t Traffic) {
+// totalTraffic returns the traffic of all front ends together.
+func (f *hollowFleet) totalTraffic() (total Traffic) {
 	for _, name := range f.names {
 		one, _ := f.Traffic(name)
-		t = t.Plus(one)
+		total = total.Plus(one)
 	}
-	return t
+	return total
 }
 
-// What is counted at the links adds up: each message is a frame, all bytes are payload or the frames' headers, and what one side
-// sends another takes.
+// The counts of traffic add up: each message is a frame, all bytes are payload or frame headers, and what one side
+// sends another receives.
 func TestHollowTrafficAddsUp(t *testing.T) {
 	const size = 4
 	f := newHollowFleet(t, size)
 	for _, name := range f.names {
 		f.start(name)
 	}
-	f.until(func() bool { return f.complete() == size })
+	f.runUntil(func() bool { return f.countComplete() == size })
 	for _, name := range f.names {
 		assert.Equal(t, 2*(size-1), f.Connections(name), name)
 	}
-	before := f.total()
-	f.until(func() bool { return f.total().Minus(before).HeartbeatsIn >= 10*size*(size-1) })
-	d := f.total().Minus(before)
-	assert.Equal(t, d.BytesOut, d.PayloadOut+d.MessagesOut*frameHeader)
-	assert.Equal(t, d.BytesIn, d.PayloadIn+d.MessagesIn*frameHeader)
-	assert.InDelta(t, d.MessagesOut, d.MessagesIn, 4*size*size, "but for what is on its way")
+	before := f.totalTraffic()
+	f.runUntil(func() bool { return f.totalTraffic().Minus(before).HeartbeatsIn >= 10*size*(size-1) })
+	d := f.totalTraffic().Minus(before)
+	assert.Equal(t, d.BytesOut, d.PayloadOut+d.MessagesOut*frameHeaderBytes)
+	assert.Equal(t, d.BytesIn, d.PayloadIn+d.MessagesIn*frameHeaderBytes)
+	assert.InDelta(t, d.MessagesOut, d.MessagesIn, 4*size*size, "but for messages on their way")
 	assert.Positive(t, d.HeartbeatSize)
 	assert.LessOrEqual(t, d.HeartbeatSize, d.PayloadIn)
 }
 
-// One that stands still neither takes nor sends, and goes on afterwards; one that is killed leaves no connection, and the rest see
-// both its end and its next start.
+// A paused front end neither receives nor sends, and goes on afterwards. A killed one leaves no connection, and the
+// others see both its end and its next start.
 func TestHollowPauseAndKill(t *testing.T) {
 	const size = 4
 	f := newHollowFleet(t, size)
 	for _, name := range f.names {
 		f.start(name)
 	}
-	f.until(func() bool { return f.complete() == size })
+	f.runUntil(func() bool { return f.countComplete() == size })
 	require.NoError(t, f.Pause("n2", f.CurrentTime()+1000*monotime.Millisecond))
-	still, _ := f.Traffic("n2")
+	before, _ := f.Traffic("n2")
 	require.NoError(t, f.Run(f.CurrentTime()+900*monotime.Millisecond))
 	after, _ := f.Traffic("n2")
-	assert.Equal(t, still, after)
-	f.until(func() bool { t, _ := f.Traffic("n2"); return t.HeartbeatsIn > after.HeartbeatsIn+2*size })
-	f.until(func() bool { return f.complete() == size })
+	assert.Equal(t, before, after)
+	f.runUntil(func() bool { t, _ := f.Traffic("n2"); return t.HeartbeatsIn > after.HeartbeatsIn+2*size })
+	f.runUntil(func() bool { return f.countComplete() == size })
 
 	seen := monotime.Micros(-1)
 	require.NoError(t, f.Kill("n4"))
-	f.Await(Change{Name: "n4", Incarnation: f.of["n4"], Gone: true}, func(at monotime.Micros) { seen = at })
-	assert.EqualValues(t, -1, seen, "an end shows by silence alone")
+	f.Await(Change{Name: "n4", Incarnation: f.incarnations["n4"], Gone: true}, func(at monotime.Micros) { seen = at })
+	assert.EqualValues(t, -1, seen, "an end is noticed by missing heartbeats only")
 	for _, name := range f.names[:3] {
 		assert.LessOrEqual(t, f.Connections(name), 2*(size-1))
 	}
-	f.until(func() bool { return seen > 0 })
+	f.runUntil(func() bool { return seen > 0 })
 	for _, name := range f.names[:3] {
 		assert.Equal(t, 2*(size-2), f.Connections(name), name)
 	}
-	assert.Zero(t, f.complete())
+	assert.Zero(t, f.countComplete())
 
 	f.start("n4")
 	seen = -1
-	f.Await(Change{Name: "n4", Incarnation: f.of["n4"]}, func(at monotime.Micros) { seen = at })
+	f.Await(Change{Name: "n4", Incarnation: f.incarnations["n4"]}, func(at monotime.Micros) { seen = at })
 	assert.EqualValues(t, -1, seen)
-	f.until(func() bool { return seen > 0 })
+	f.runUntil(func() bool { return seen > 0 })
 }
 
-// A change is waited for by who is there and runs, and no longer by who ends or stands still.
-func TestHollowAwaitsTheLiving(t *testing.T) {
+// A change is awaited of the front ends that run, and no longer of those that end or are paused.
+func TestHollowAwaitsRunningFrontEndsOnly(t *testing.T) {
 	f := newHollowFleet(t, 3)
 	for _, name := range f.names {
 		f.start(name)
 	}
-	f.until(func() bool { return f.complete() == 3 })
-	var ended []monotime.Micros
+	f.runUntil(func() bool { return f.countComplete() == 3 })
+	var seenAt []monotime.Micros
 	never := Change{Name: "n1", Incarnation: 1}
-	f.Await(never, func(at monotime.Micros) { ended = append(ended, at) })
+	f.Await(never, func(at monotime.Micros) { seenAt = append(seenAt, at) })
 	require.NoError(t, f.Pause("n2", f.CurrentTime()+60_000*monotime.Millisecond))
-	assert.Empty(t, ended)
+	assert.Empty(t, seenAt)
 	require.NoError(t, f.Kill("n3"))
-	assert.Equal(t, []monotime.Micros{0}, ended, "nobody has seen it")
-	f.Await(never, func(at monotime.Micros) { ended = append(ended, at) })
-	assert.Equal(t, []monotime.Micros{0, 0}, ended, "nobody is left to see it")
-	f.Await(Change{Name: "n3", Incarnation: f.of["n3"], Gone: true}, func(at monotime.Micros) { ended = append(ended, at) })
-	f.until(func() bool { return len(ended) == 3 })
-	assert.Positive(t, ended[2])
+	assert.Equal(t, []monotime.Micros{0}, seenAt, "nobody has seen it")
+	f.Await(never, func(at monotime.Micros) { seenAt = append(seenAt, at) })
+	assert.Equal(t, []monotime.Micros{0, 0}, seenAt, "nobody is left to see it")
+	killed := Change{Name: "n3", Incarnation: f.incarnations["n3"], Gone: true}
+	f.Await(killed, func(at monotime.Micros) { seenAt = append(seenAt, at) })
+	f.runUntil(func() bool { return len(seenAt) == 3 })
+	assert.Positive(t, seenAt[2])
 	assert.ErrorIs(t, f.Kill("n3"), ErrUnknownHollow)
 	assert.ErrorIs(t, f.Pause("n3", 1), ErrUnknownHollow)
 	_, err := f.Start(f.config["n1"], 9)
--- a/internal/peering/host.go
+++ b/internal/peering/host.go
@@ -9,42 +9,43 @@
 	"chutechute/internal/settings"
 )
 
-// Host is the loop of a program with its time and counters.
+// Host is a program's event loop with its time and its counters.
 type Host struct {
 	Loop     *eventloop.Loop
 	Clock    eventloop.Clock
-	TurnTime monotime.Micros // of this turn
+	TurnTime monotime.Micros // the time of the present turn
 	Counters counters.Set
 }
 
-func NewHost(l *eventloop.Loop) Host {
-	h := Host{Loop: l, Clock: eventloop.NewClock()}
+// NewHost returns a host over a loop, with the present time as that of its turn.
+func NewHost(loop *eventloop.Loop) Host {
+	h := Host{Loop: loop, Clock: eventloop.NewClock()}
 	h.TurnTime = h.Clock.Now()
 	return h
 }
 
-// Program is what the links to other front ends need of the program that they run in: a Server, or a Hollow without clients,
-// engines and decisions.
+// Program is what a Peering needs of the program that it runs in: of a server, or of a Hollow, which has no clients and
+// no engines.
 type Program struct {
 	Host           *Host
 	Seed           uint64
-	Post           func(func())       // runs something on the loop; from any goroutine
+	Post           func(func())       // runs a function on the loop; may be called from any goroutine
 	Core           *gateway.Core      // nil in a hollow front end
-	Settings       *settings.Settings // nil without a core
-	Draining       func() bool        // a planned end has begun
-	MaxDescriptors int                // descriptors that the program may have; 0: no bound
+	Settings       *settings.Settings // nil in a hollow front end
+	Draining       func() bool        // reports whether a planned end has begun
+	MaxDescriptors int                // descriptors that the program may have open; 0: no limit
 }
 
-// successor is what takes over loads of other front ends.
-func (p *Program) successor() idempotencyclient.Core {
+// takeoverCore returns what takes over requests of other front ends.
+func (p *Program) takeoverCore() idempotencyclient.Core {
 	if p.Core == nil {
-		return noSuccessor{}
+		return takeoverRefuser{}
 	}
 	return p.Core
 }
 
-// noSuccessor takes over no load.
-type noSuccessor struct{}
+// takeoverRefuser takes over no request.
+type takeoverRefuser struct{}
 
-// TakeOver refuses a load.
-func (noSuccessor) TakeOver(monotime.Micros, gateway.Takeover) *gateway.Registration { return nil }
+// TakeOver refuses a request: it returns no registration.
+func (takeoverRefuser) TakeOver(monotime.Micros, gateway.Takeover) *gateway.Registration { return nil }
--- a/internal/peering/golden_test.go
+++ b/internal/peering/status_test.go
@@ -12,25 +12,25 @@
 	"chutechute/internal/golden"
 )
 
-// fill gives each field of a value, however deep, another value than the zero one, in the order of the fields.
-func fill(v reflect.Value, n *int) {
+// fillFields sets each field of a value, however deep, to a value other than zero, in the order of the fields.
+func fillFields(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		fillFields(v.Elem(), n)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), n)
+			fillFields(v.Field(i), n)
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0), n)
+		fillFields(v.Index(0), n)
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(key, n)
-		fill(value, n)
+		fillFields(key, n)
+		fillFields(value, n)
 		v.SetMapIndex(key, value)
 	case reflect.String:
 		v.SetString(fmt.Sprint("text ", *n))
@@ -45,14 +45,15 @@
 	}
 }
 
-// What commands print of a running front end as JSON: its names and their order, with every field set and with none.
+// The JSON that commands print of a running front end keeps its names and their order, with every field set and
+// with none.
 func TestStatusPagesKeepTheirForm(t *testing.T) {
 	var lines []string
 	for _, page := range []any{&Status{}, &ReplicatedRecords{}, &budget.LeaseStatus{}, &budget.Status{}, &budget.Plan{}} {
 		empty, err := json.Marshal(page)
 		require.NoError(t, err)
 		n := 0
-		fill(reflect.ValueOf(page).Elem(), &n)
+		fillFields(reflect.ValueOf(page).Elem(), &n)
 		whole, err := json.Marshal(page)
 		require.NoError(t, err)
 		lines = append(lines, string(empty), string(whole))
--- a/internal/peering/traffic.go
+++ b/internal/peering/traffic.go
@@ -2,8 +2,8 @@
 
 import "chutechute/fleet/transport"
 
-// Traffic is what one front end has read and written on its links to others. Payload is what messages carry; the rest of the
-// bytes is framing: headers and hellos.
+// Traffic counts what one front end has read and written on its links since its start. Payload is the bodies of
+// messages; the rest of the bytes is framing: headers and handshakes.
 type Traffic struct {
 	MessagesIn  int `json:"messages_in"`
 	MessagesOut int `json:"messages_out"`
@@ -11,31 +11,28 @@
 	PayloadOut  int `json:"payload_out"`
 	BytesIn     int `json:"bytes_in"`
 	BytesOut    int `json:"bytes_out"`
-	// Heartbeats among control members, of the messages above.
+	// Heartbeats among control members, which are among the messages above.
 	HeartbeatsIn  int `json:"heartbeats_in"`
-	HeartbeatSize int `json:"heartbeat_size"` // payload of all of them together
+	HeartbeatSize int `json:"heartbeat_size"` // payload bytes of all of them together
 }
 
-// frameHeader is the length of a frame that carries nothing.
-var frameHeader = len(transport.AppendFrame(nil, transport.ControlHeartbeat, 0, false, nil))
+// frameHeaderBytes is the length of a frame with an empty body.
+var frameHeaderBytes = len(transport.AppendFrame(nil, transport.ControlHeartbeat, 0, false, nil))
 
-// BytesRead and BytesWritten count bytes at the socket.
-func (t *Traffic) BytesRead(n int) {
-	t.BytesIn += n
-}
+// BytesRead counts n bytes read from a socket.
+func (t *Traffic) BytesRead(n int) { t.BytesIn += n }
 
-func (t *Traffic) BytesWritten(n int) {
-	t.BytesOut += n
-}
+// BytesWritten counts n bytes written to a socket.
+func (t *Traffic) BytesWritten(n int) { t.BytesOut += n }
 
-// sent counts a frame that is handed to a socket. A message above transport.MaxFrameBody takes several.
-func (t *Traffic) sent(frame []byte) {
+// countSent counts a frame that is about to be written. A message above transport.MaxFrameBody takes several.
+func (t *Traffic) countSent(frame []byte) {
 	t.MessagesOut++
-	t.PayloadOut += len(frame) - frameHeader
+	t.PayloadOut += len(frame) - frameHeaderBytes
 }
 
-// took counts a message that came whole.
-func (t *Traffic) took(m transport.Message) {
+// countReceived counts a received message.
+func (t *Traffic) countReceived(m transport.Message) {
 	t.MessagesIn++
 	t.PayloadIn += len(m.Body)
 	if m.Kind == transport.ControlHeartbeat {
@@ -44,21 +41,28 @@
 	}
 }
 
-// Plus is both together.
-func (t Traffic) Plus(o Traffic) Traffic {
-	t.MessagesIn += o.MessagesIn
-	t.MessagesOut += o.MessagesOut
-	t.PayloadIn += o.PayloadIn
-	t.PayloadOut += o.PayloadOut
-	t.BytesIn += o.BytesIn
-	t.BytesOut += o.BytesOut
-	t.HeartbeatsIn += o.HeartbeatsIn
-	t.HeartbeatSize += o.HeartbeatSize
+// Plus returns the sum of two counts.
+func (t Traffic) Plus(other Traffic) Traffic {
+	t.MessagesIn += other.MessagesIn
+	t.MessagesOut += other.MessagesOut
+	t.PayloadIn += other.PayloadIn
+	t.PayloadOut += other.PayloadOut
+	t.BytesIn += other.BytesIn
+	t.BytesOut += other.BytesOut
+	t.HeartbeatsIn += other.HeartbeatsIn
+	t.HeartbeatSize += other.HeartbeatSize
 	return t
 }
 
-// Minus is what was counted since before.
-func (t Traffic) Minus(before Traffic) Traffic {
-	return t.Plus(Traffic{-before.MessagesIn, -before.MessagesOut, -before.PayloadIn, -before.PayloadOut, -before.BytesIn, -before.BytesOut,
-		-before.HeartbeatsIn, -before.HeartbeatSize})
+// Minus returns what was counted since an earlier count.
+func (t Traffic) Minus(earlier Traffic) Traffic {
+	t.MessagesIn -= earlier.MessagesIn
+	t.MessagesOut -= earlier.MessagesOut
+	t.PayloadIn -= earlier.PayloadIn
+	t.PayloadOut -= earlier.PayloadOut
+	t.BytesIn -= earlier.BytesIn
+	t.BytesOut -= earlier.BytesOut
+	t.HeartbeatsIn -= earlier.HeartbeatsIn
+	t.HeartbeatSize -= earlier.HeartbeatSize
+	return t
 }
