--- a/internal/peering/attachedfrontend.go
+++ b/internal/peering/attachedfrontend.go
@@ -35,7 +35,7 @@
 		}
 	}
 	if home := p.attachedNode.Home(); home != p.lastHome {
-		slog.Info("home changed", "previous_home", p.lastHome, "home", home)
+		slog.Info("home changed", slog.String("previous_home", p.lastHome), slog.String(keyHome, home))
 		p.lastHome = home
 	}
 }
--- a/internal/peering/controlmember.go
+++ b/internal/peering/controlmember.go
@@ -1,8 +1,6 @@
 package peering
 
 import (
-	"log/slog"
-
 	"chutechute/fleet"
 	"chutechute/fleet/budget"
 	"chutechute/fleet/heartbeat"
@@ -49,8 +47,7 @@
 }
 
 func logPeerChange(peer *heartbeat.Peer) {
-	slog.Info("front end state changed", "front_end", peer.Name, "role", membership.Control.String(),
-		"state", peer.State.String(), "incarnation", formatID(peer.Incarnation))
+	logStateChange(peer.Name, membership.Control, peer.State.String(), peer.Incarnation, "")
 }
 
 // recordChanged passes on that replicated records about a topic, for which this front end may wait, have changed.
--- a/internal/peering/lifecycle.go
+++ b/internal/peering/lifecycle.go
@@ -47,7 +47,7 @@
 func (p *Peering) Close() {
 	if p.storeWriter != nil {
 		if err := p.storeWriter.Close(); err != nil {
-			slog.Warn("closing the write-ahead log failed", "error", err)
+			slog.Warn("closing the write-ahead log failed", slog.Any(keyError, err))
 		}
 	}
 	if p.adminListener != nil {
--- a/internal/peering/link.go
+++ b/internal/peering/link.go
@@ -2,9 +2,7 @@
 
 import (
 	"errors"
-	"log/slog"
 
-	"chutechute/fleet/membership"
 	"chutechute/fleet/transport"
 	"chutechute/internal/eventloop"
 	"chutechute/internal/monotime"
@@ -86,13 +84,3 @@
 func (s *linkSender) stalled() bool {
 	return s.Out.Len() > 0 && s.peering.Host.TurnTime-s.lastProgress >= stallTimeout
 }
-
-// logEstablished logs a link that a front end, in its role, has established with this one or the other way round.
-func logEstablished(frontEnd string, incarnation uint64, role membership.Role) {
-	slog.Debug("link established", "front_end", frontEnd, "incarnation", formatID(incarnation), "role", role.String())
-}
-
-// logProtocolError logs why a link is closed: what came over it, a handshake or a message, is not acceptable.
-func logProtocolError(frontEnd string, err error) {
-	slog.Warn("link closed on a protocol error", "front_end", frontEnd, "error", err)
-}
--- a/internal/peering/outboundlink.go
+++ b/internal/peering/outboundlink.go
@@ -149,7 +149,7 @@
 		return
 	}
 	l.lastRefusal = err.Error()
-	slog.Warn("link not established", "front_end", l.name, "error", err)
+	slog.Warn("link not established", slog.String(keyFrontEnd, l.name), slog.Any(keyError, err))
 }
 
 // tick checks the link's timeouts.
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -20,14 +20,12 @@
 	"crypto/rand"
 	"encoding/binary"
 	"fmt"
-	"log/slog"
 
 	"chutechute/fleet"
 	"chutechute/fleet/budget"
 	"chutechute/fleet/budget/enforce"
 	"chutechute/fleet/idempotency"
 	"chutechute/fleet/idempotency/idempotencyclient"
-	"chutechute/fleet/membership"
 	"chutechute/fleet/replication"
 	"chutechute/fleet/replication/wal"
 	"chutechute/fleet/transport"
@@ -138,16 +136,6 @@
 	}
 }
 
-// logStart logs the front end's identity. Measurements over sockets read the incarnation from this line.
-func (p *Peering) logStart() {
-	identity := []any{"site", p.cfg.Site, "front_end", p.cfg.Name, "incarnation", formatID(p.self.Incarnation)}
-	if p.attachedNode != nil {
-		slog.Info("fleet", append(identity, "role", membership.Attached.String(), "zone", p.cfg.Zone)...)
-		return
-	}
-	slog.Info("fleet", append(identity, "role", membership.Control.String(), "copy", formatID(p.replicaID), "folder", p.cfg.Folder)...)
-}
-
 // SetNow sets the time for the messages of this turn of the loop.
 func (p *Peering) SetNow(now monotime.Micros) {
 	p.idempotencyClient.SetNow(now)
--- a/internal/peering/storage.go
+++ b/internal/peering/storage.go
@@ -29,12 +29,13 @@
 		return persisted, nil
 	}
 	if p.store.TruncatedBytes > 0 {
-		slog.Warn("incomplete write at the end of the write-ahead log truncated", "bytes", p.store.TruncatedBytes)
+		slog.Warn("incomplete write at the end of the write-ahead log truncated",
+			slog.Int64("bytes", p.store.TruncatedBytes))
 	}
 	if p.store.QuarantinedPath != "" {
 		p.Host.Counters.StoreErrors++
 		slog.Error("the record's file could not be trusted and was set aside; this is an empty disk now",
-			"file", p.store.QuarantinedPath)
+			slog.String("file", p.store.QuarantinedPath))
 	}
 	return persisted, nil
 }
@@ -71,5 +72,5 @@
 func (p *Peering) storageFailed(err error) {
 	p.storeErr = err
 	p.Host.Counters.StoreErrors++
-	slog.Error("the record's disk failed: this front end is no copy any more", "error", err)
+	slog.Error("the record's disk failed: this front end is no copy any more", slog.Any(keyError, err))
 }
--- a/internal/peering/viewchangelog.go
+++ b/internal/peering/viewchangelog.go
@@ -41,8 +41,7 @@
 		return
 	}
 	for _, e := range changes {
-		slog.Info("front end state changed", "front_end", e.Name, "role", e.Role.String(),
-			"state", e.State.String(), "incarnation", formatID(e.Incarnation), "home", e.Home)
+		logStateChange(e.Name, e.Role, e.State.String(), e.Incarnation, e.Home)
 	}
 }
 
@@ -51,9 +50,13 @@
 	for _, e := range changes {
 		counts[e.State]++
 	}
-	slog.Info("states of several front ends changed", "changes", len(changes), "alive", counts[membership.Alive],
-		"suspect", counts[membership.Suspect], "dead", counts[membership.Dead], "left", counts[membership.Left],
-		"first", changes[0].Name)
+	slog.Info("states of several front ends changed",
+		slog.Int("changes", len(changes)),
+		slog.Int("alive", counts[membership.Alive]),
+		slog.Int("suspect", counts[membership.Suspect]),
+		slog.Int("dead", counts[membership.Dead]),
+		slog.Int("left", counts[membership.Left]),
+		slog.String("first", changes[0].Name))
 }
 
 // changes returns the entries, in the order of their names, whose process or state has changed since the last call.
