--- a/internal/peering/attachedfrontend_test.go
+++ b/internal/peering/attachedfrontend_test.go
@@ -115,7 +115,7 @@
 	f.runUntil("the third is closed", func() bool {
 		linked := 0
 		for _, p := range f.frontEnds {
-			linked += p.attachedCount
+			linked += p.attachedLinks.count
 			for l := range p.inbound {
 				l.lastReceived = f.host.TurnTime // it is not closed as idle
 			}
--- a/internal/peering/attachedlinks.go
+++ b/internal/peering/attachedlinks.go
@@ -29,6 +29,40 @@
 	pauseThreshold = 600 * monotime.Millisecond
 )
 
+// attachedLinks has a control member's established links with attached front ends.
+type attachedLinks struct {
+	byIncarnation map[uint64][]*inboundLink // the newest link of each process last; nil where none may attach
+	count         int                       // of the links
+	queuedBytes   int                       // in the queues of all of them together
+}
+
+func (a *attachedLinks) add(l *inboundLink) {
+	incarnation := l.link.Incarnation
+	a.byIncarnation[incarnation] = append(a.byIncarnation[incarnation], l)
+	a.count++
+}
+
+// remove removes a link with what is queued on it.
+func (a *attachedLinks) remove(l *inboundLink) {
+	a.count--
+	a.queuedBytes -= l.queue.Len()
+	incarnation := l.link.Incarnation
+	isRemoved := func(other *inboundLink) bool { return other == l }
+	a.byIncarnation[incarnation] = slices.DeleteFunc(a.byIncarnation[incarnation], isRemoved)
+	if len(a.byIncarnation[incarnation]) == 0 {
+		delete(a.byIncarnation, incarnation)
+	}
+}
+
+// newest returns the newest link of a process; nil where it has none.
+func (a *attachedLinks) newest(incarnation uint64) *inboundLink {
+	links := a.byIncarnation[incarnation]
+	if len(links) == 0 {
+		return nil
+	}
+	return links[len(links)-1]
+}
+
 // maxAttachedLinks bounds the links of attached front ends: by how many of these there may be, and by a share of the
 // descriptors.
 func (p *Peering) maxAttachedLinks() int {
@@ -44,12 +78,11 @@
 func (l *inboundLink) registerAttached() {
 	p := l.peering
 	l.attached = true
-	p.attachedCount++
 	p.Host.Counters.Attached++
 	// Without it only more is buffered in the system.
 	_ = unix.SetsockoptInt(l.FD, unix.SOL_SOCKET, unix.SO_SNDBUF, attachedSendBufferBytes)
 	l.queue = transport.Queue{MaxUrgentBytes: maxAttachedUrgentBytes, MaxBulkBytes: p.cfg.Attached.MostView}
-	p.attachedByIncarnation[l.link.Incarnation] = append(p.attachedByIncarnation[l.link.Incarnation], l)
+	p.attachedLinks.add(l)
 	logEstablished(l.link.From, l.link.Incarnation, membership.Attached)
 	p.controlNode.LinkOpened(p.Host.TurnTime, l.link)
 }
@@ -61,16 +94,8 @@
 	}
 	p := l.peering
 	l.attached = false
-	p.attachedCount--
-	p.attachedQueuedBytes -= l.queue.Len()
+	p.attachedLinks.remove(l)
 	l.queue.Clear()
-	incarnation := l.link.Incarnation
-	links := slices.DeleteFunc(p.attachedByIncarnation[incarnation], func(other *inboundLink) bool { return other == l })
-	if len(links) == 0 {
-		delete(p.attachedByIncarnation, incarnation)
-	} else {
-		p.attachedByIncarnation[incarnation] = links
-	}
 	p.controlNode.LinkClosed(p.Host.TurnTime, l.link)
 }
 
@@ -78,20 +103,19 @@
 // message is dropped, as it might be lost on the way. A receiver that reads too slowly loses its whole queue, and
 // gets what it missed after its next heartbeat.
 func (p *Peering) sendToAttached(message fleet.Send) {
-	links := p.attachedByIncarnation[message.Incarnation]
-	if len(links) == 0 {
+	l := p.attachedLinks.newest(message.Incarnation)
+	if l == nil {
 		p.Host.Counters.PeerDropped++
 		return
 	}
-	l := links[len(links)-1]
 	queuedBefore := l.queue.Len()
-	exceedsTotal := p.attachedQueuedBytes+len(message.Body) > maxAttachedQueuedBytes
+	exceedsTotal := p.attachedLinks.queuedBytes+len(message.Body) > maxAttachedQueuedBytes
 	full := exceedsTotal || !l.queue.Push(message.Kind, message.Bulk, message.Body)
 	if full {
 		l.queue.DropUnstarted()
 		p.Host.Counters.PeerDropped++
 	}
-	p.attachedQueuedBytes += l.queue.Len() - queuedBefore
+	p.attachedLinks.queuedBytes += l.queue.Len() - queuedBefore
 	if full {
 		p.controlNode.QueueFull(p.Host.TurnTime, l.link.From, message.Incarnation)
 		return
@@ -105,7 +129,7 @@
 		return
 	}
 	dequeued, err := l.writeQueued()
-	l.peering.attachedQueuedBytes -= dequeued
+	l.peering.attachedLinks.queuedBytes -= dequeued
 	if err != nil {
 		l.terminate()
 	}
@@ -127,7 +151,7 @@
 
 // closeAttachedLink closes a link at the node's request: its process was replaced, or sent what it may not send.
 func (p *Peering) closeAttachedLink(link fleet.Link) {
-	for _, l := range slices.Clone(p.attachedByIncarnation[link.Incarnation]) {
+	for _, l := range slices.Clone(p.attachedLinks.byIncarnation[link.Incarnation]) {
 		if l.link.ChallengedAt == link.ChallengedAt {
 			l.terminate()
 		}
--- a/internal/peering/attachedlinks_test.go
+++ b/internal/peering/attachedlinks_test.go
@@ -22,7 +22,7 @@
 	f.awaitAllSee(4)
 	delete(f.frontEnds, "x1") // it is paused
 	for _, p := range f.frontEnds {
-		for _, l := range p.attachedByIncarnation[earlier.self.Incarnation] {
+		for _, l := range p.attachedLinks.byIncarnation[earlier.self.Incarnation] {
 			l.postponeIdleTimeout()
 		}
 	}
@@ -30,7 +30,7 @@
 	f.runUntil("the later one is seen, and the earlier one's links are closed", func() bool {
 		for _, p := range f.frontEnds {
 			e, _ := p.fleetNode.View().Lookup("x1")
-			if e.Incarnation != later.self.Incarnation || len(p.attachedByIncarnation[earlier.self.Incarnation]) > 0 {
+			if e.Incarnation != later.self.Incarnation || len(p.attachedLinks.byIncarnation[earlier.self.Incarnation]) > 0 {
 				return false
 			}
 		}
@@ -95,7 +95,7 @@
 		assert.False(t, d.Established())
 	}
 	assert.Equal(t, 3, n1.fleetNode.View().Len())
-	assert.Zero(t, n1.attachedCount)
+	assert.Zero(t, n1.attachedLinks.count)
 }
 
 // The links of attached front ends are bounded: those past the bound are rejected, and the control members' links stay.
@@ -115,14 +115,14 @@
 		f.runUntil("it is established, or rejected", func() bool { return !readAvailable(t, conn, d) || d.Established() })
 	}
 	f.turn()
-	assert.Equal(t, 4, n1.attachedCount)
+	assert.Equal(t, 4, n1.attachedLinks.count)
 	assert.Equal(t, 2, f.host.Counters.AttachRefused)
 	anyEstablished := links[4].d.Established() || links[5].d.Established()
 	assert.False(t, anyEstablished, "they can go elsewhere without having been established")
 	links[0].conn.Close()
-	f.runUntil("capacity for another", func() bool { return n1.attachedCount == 3 })
+	f.runUntil("capacity for another", func() bool { return n1.attachedLinks.count == 3 })
 	assert.True(t, n1.outbound["n2"].established() && n1.outbound["n3"].established())
-	assert.Len(t, n1.attachedByIncarnation, 3)
+	assert.Len(t, n1.attachedLinks.byIncarnation, 3)
 }
 
 // An attached front end that does not read has a bounded queue, and delays no other.
@@ -135,11 +135,11 @@
 	require.NoError(t, slow.SetReadBuffer(4<<10))
 	f.runUntil("it is established", func() bool {
 		readAvailable(t, slow, d)
-		return len(n1.attachedByIncarnation[d.Local.Incarnation]) > 0
+		return len(n1.attachedLinks.byIncarnation[d.Local.Incarnation]) > 0
 	})
 	body := make([]byte, 256<<10)
 	_, _ = rand.Read(body)
-	l := n1.attachedByIncarnation[d.Local.Incarnation][0]
+	l := n1.attachedLinks.byIncarnation[d.Local.Incarnation][0]
 	l.postponeIdleTimeout()
 	refused := &n1.controlNode.MembershipServer().Counters.FullQueues
 	before, small := l.Out.Len()+l.queue.Len(), make([]byte, 1000)
@@ -152,18 +152,18 @@
 	for range 64 {
 		before := *refused
 		n1.sendToAttached(bulkMessage("slow", d.Local.Incarnation, body))
-		require.LessOrEqual(t, n1.attachedQueuedBytes, maxAttachedQueuedBytes)
+		require.LessOrEqual(t, n1.attachedLinks.queuedBytes, maxAttachedQueuedBytes)
 		if *refused > before {
 			require.Less(t, l.queue.Len(), len(body), "the queue is dropped, but for a message that was begun")
 		}
 	}
 	assert.Positive(t, *refused)
 	assert.LessOrEqual(t, l.queue.Len(), maxAttachedUrgentBytes+n1.cfg.Attached.MostView)
-	assert.Equal(t, l.queue.Len(), n1.attachedQueuedBytes)
+	assert.Equal(t, l.queue.Len(), n1.attachedLinks.queuedBytes)
 	f.start("x2")
 	f.runUntil("others are served", func() bool { return seesAlive(x, 5) || seesAlive(x, 6) })
-	f.runUntil("its link is closed", func() bool { return len(n1.attachedByIncarnation[d.Local.Incarnation]) == 0 })
-	assert.Zero(t, n1.attachedQueuedBytes)
+	f.runUntil("its link is closed", func() bool { return len(n1.attachedLinks.byIncarnation[d.Local.Incarnation]) == 0 })
+	assert.Zero(t, n1.attachedLinks.queuedBytes)
 }
 
 // bulkMessage returns a bulk message to a process of an attached front end.
@@ -181,9 +181,9 @@
 			l.lastReceived -= 60 * second
 		}
 		p.lastTick -= 60 * second
-		before := p.attachedCount
+		before := p.attachedLinks.count
 		p.Tick()
-		assert.Equal(t, before, p.attachedCount, p.cfg.Name)
+		assert.Equal(t, before, p.attachedLinks.count, p.cfg.Name)
 	}
 }
 
--- a/internal/peering/controlmember.go
+++ b/internal/peering/controlmember.go
@@ -31,7 +31,7 @@
 		server := cfg.Attached.Config
 		server.Incarnation, server.Seed = incarnation, p.Seed
 		c.Membership = &server
-		p.attachedByIncarnation = map[uint64][]*inboundLink{}
+		p.attachedLinks.byIncarnation = map[uint64][]*inboundLink{}
 	}
 	p.controlNode = fleet.NewNode(c, p.recordChanged)
 	p.fleetNode = p.controlNode
--- a/internal/peering/hollow.go
+++ b/internal/peering/hollow.go
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Pause has a front end stand still until a time, as a stopped process does: it reads, sends and notices nothing. It
+// Pause pauses a front end until a time, as a stopped process is: it reads, sends and notices nothing. It
 // returns ErrUnknownHollow where none of that name runs here.
 func (h *Hollow) Pause(name string, until monotime.Micros) error {
 	f := h.frontEnd(name)
@@ -106,7 +106,7 @@
 	f.pausedUntil = 0
 	f.eachDescriptor(func(fd int, interest uint32, handler eventloop.Handler) {
 		if err := h.Loop.Add(fd, interest, handler); err != nil {
-			h.Loop.CloseDescriptor(fd) // the next write fails, and the link is made anew
+			h.Loop.CloseDescriptor(fd) // the next write fails, and the link is replaced
 		}
 	})
 }
--- a/internal/peering/inboundlink.go
+++ b/internal/peering/inboundlink.go
@@ -108,7 +108,7 @@
 	l.handshake.Feed(l.In.Bytes())
 	l.In.Discard(l.In.Len())
 	wasEstablished := l.handshake.Established()
-	l.handshake.AtCapacity = l.handshake.AcceptsAttached && p.attachedCount >= p.maxAttachedLinks()
+	l.handshake.AtCapacity = l.handshake.AcceptsAttached && p.attachedLinks.count >= p.maxAttachedLinks()
 	reply, messages, err := l.handshake.Process()
 	l.writeHandshake(reply)
 	if !wasEstablished && l.handshake.Established() && !l.Closed {
--- a/internal/peering/linklistener.go
+++ b/internal/peering/linklistener.go
@@ -97,5 +97,5 @@
 	if p.acceptsAttached() {
 		maxLinks += min(maxPendingHandshakes, p.maxAttachedLinks())
 	}
-	return len(p.inbound)-p.attachedCount < maxLinks
+	return len(p.inbound)-p.attachedLinks.count < maxLinks
 }
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -1,10 +1,9 @@
-// Package peering connects a front end with the other front ends of its fleet: it runs the fleet's stepped module,
-// package fleet, over sockets and a disk. A program gives it a turn of the event loop at a time and gets back when
-// to end.
+// Package peering connects a front end with the other front ends of its fleet: it runs a node of package fleet, which
+// does no I/O, over sockets and a disk.
 //
-// A front end has one of two roles. A control member listens for links, dials all other control members and stores
-// its replica of the records on disk. An attached front end listens to nobody; it dials the control members that
-// package fleet chooses.
+// A front end has one of two roles. A control member listens for links, dials all other control members and has a
+// replica of the records, on disk where a folder is configured. An attached front end listens to nobody; it dials the
+// control members that its node chooses.
 //
 // A link is one TCP connection. The front end that dialled it sends over its outbound link; the one that accepted
 // it receives from its inbound link, and sends over that to attached front ends only. Messages are lost with their
@@ -71,10 +70,7 @@
 	lastHome     string            // the home that was logged last
 	lastRefusals map[string]string // the error with which a handshake failed last, by control member
 
-	// A control member's links with attached front ends.
-	attachedByIncarnation map[uint64][]*inboundLink // the newest last; nil where none may attach
-	attachedCount         int                       // links in attachedByIncarnation
-	attachedQueuedBytes   int                       // bytes queued on them together
+	attachedLinks attachedLinks // of a control member
 
 	lastTick      monotime.Micros
 	viewChangeLog viewChangeLog
--- a/internal/peering/statuspage.go
+++ b/internal/peering/statuspage.go
@@ -118,7 +118,7 @@
 	}
 	for _, e := range server.View().Entries() {
 		if e.Role == membership.Attached {
-			linked := len(p.attachedByIncarnation[e.Incarnation]) > 0
+			linked := len(p.attachedLinks.byIncarnation[e.Incarnation]) > 0
 			s.Members = append(s.Members, newMemberStatus(e, linked))
 		}
 	}
