--- a/fleet/budget/capacity_test.go
+++ b/fleet/budget/capacity_test.go
@@ -23,8 +23,8 @@
 	}
 	result := procstat.NewResult("budgets",
 		"One budget of a rate, in virtual time, 3 s after 8 s; one copy of the record "+
-		"applies, the two others stand still. Processor time of the process within Apply, and of the rest of the "+
-		"world (front ends, Due, the queue) over front ends; two runs a size.")
+			"applies, the two others stand still. Processor time of the process within Apply, and of the rest of the "+
+			"world (front ends, Due, the queue) over front ends; two runs a size.")
 	for range 2 {
 		for _, frontEnds := range []int{10, 20, 40, 80, 160, 320, 640, 1280} {
 			figures := measureCapacity(t, frontEnds)
