--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -9,6 +9,7 @@
 	"maps"
 	"os"
 	"path"
+	"path/filepath"
 	"reflect"
 	"regexp"
 	"slices"
@@ -561,3 +562,51 @@
 		assert.Contains(t, found, fmt.Sprintf("line %d: ", at), name)
 	}
 }
+
+// namesOf says which `package.Name` and `package.Type.Member` of a page the code does not have. A page may have other code spans,
+// which are the words of settings, wires and output.
+func (c *codeBase) namesOf(page string) (faults []string) {
+	for i, line := range strings.Split(page, "\n") {
+		for _, span := range codeSpan.FindAllString(line, -1) {
+			text := strings.Trim(span, "`")
+			match := qualified.FindStringSubmatch(text)
+			if match == nil || len(c.byName[match[1]]) == 0 && c.names[match[1]] == nil {
+				continue
+			}
+			if !ast.IsExported(match[2]) && match[1] != path.Base(driver) { // a key, or a file's name
+				continue
+			}
+			if fault := c.name(match[1], match[2]); fault != "" {
+				faults = append(faults, fmt.Sprintf("line %d: %s", i+1, fault))
+			}
+		}
+	}
+	return faults
+}
+
+// earlier are packages and programs of earlier versions: no page but the changelog names them.
+var earlier = regexp.MustCompile("`(?:decide|member|attach|peer|ledger|ledger/store|ledger/loads|recordclient|budget/account|" +
+	"budget/enforce)(?:\\.[A-Z]\\w*)*`")
+
+// The pages on design and for operators name nothing that the code does not have.
+func TestNamesOnOtherPages(t *testing.T) {
+	code, err := readCode(os.DirFS(repository))
+	require.NoError(t, err)
+	for _, pattern := range []string{"design/*.md", "operators/*.md", "../CONTRIBUTING.md"} {
+		paths, err := filepath.Glob(pattern)
+		require.NoError(t, err)
+		require.NotEmpty(t, paths, pattern)
+		for _, name := range paths {
+			page, err := os.ReadFile(name)
+			require.NoError(t, err)
+			for _, fault := range code.namesOf(string(page)) {
+				t.Errorf("%s: %s", name, fault)
+			}
+			assert.Empty(t, earlier.FindAllString(string(page), -1), name)
+		}
+	}
+	page := "`gateway.Core.Submit`, `fleet.orphan_s`, `a.B`\n`gateway.Core.Take`, `epoll.pool.carry`\n`epoll.pool.carries`"
+	expected := []string{"line 2: no Core.Take in gateway", "line 3: no pool.carries in internal/epoll"}
+	assert.Equal(t, expected, code.namesOf(page))
+	assert.Regexp(t, earlier, "the package `decide`, whose `ledger.Kind` was renamed")
+}
