--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -472,8 +472,8 @@
 			"\n### 6a. Readings\n\n| package | what |\n| --- | --- |\n| `fleet/budget/account` |",
 			"internal/settings of layer 7 imports scheduler of layer 6"},
 		"a package apart":       {"| `internal/history` |", "| `internal/monotime` |", "imports internal/monotime, which stands apart"},
-		"a cell less":           {"| lines of `fleet/budget` | none |", "| lines of `fleet/budget` |", "4 cells, not 5"},
-		"an empty cell":         {"| lines of `fleet/budget` | none |", "| lines of `fleet/budget` | |", "no counter"},
+		"a cell less":           {"| none | `chutechute budget show` |", "| `chutechute budget show` |", "4 cells, not 5"},
+		"an empty cell":         {"| none | `chutechute budget show` |", "| | `chutechute budget show` |", "no counter"},
 		"a span over two lines": {"`scheduler.Outcome`", "`scheduler.\nOutcome`", "over the line's end"},
 	} {
 		require.Contains(t, page, change.old, name)
