--- a/cmd/chutechute/attached_settings_test.go
+++ b/cmd/chutechute/attached_settings_test.go
@@ -100,9 +100,9 @@
 	control, friend := f.Fronts[0], f.Fronts[1]
 	f.Leader(1)
 	f.AllSee([]*standin.Front{control, friend}, friend.Name, "alive")
-	control.AwaitLog(`the hello's proof does not hold`)
-	f.Fronts[3].AwaitLog(`its settings differ|ended the link`)
-	control.AwaitLog(`its settings differ`)
+	control.AwaitLog(`transport: authentication failed`)
+	f.Fronts[3].AwaitLog(`transport: settings differ|ended the link`)
+	control.AwaitLog(`transport: settings differ`)
 	for _, n := range f.Fronts[2:] {
 		assert.Empty(t, n.Standing().Attached.Home, n.Name)
 		assert.Equal(t, "answer", n.Lookup())
