--- /dev/null
+++ b/identity/authentication.go
@@ -0,0 +1,177 @@
+package identity
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"slices"
+
+	"chutechute/internal/monotime"
+)
+
+// signatureRetryAfter is the time after which a call may be sent again that was denied because the budget of signature
+// checks was exhausted, in microseconds.
+const signatureRetryAfter = 250 * monotime.Millisecond
+
+// Caller is the authenticated sender of a call.
+type Caller struct {
+	Name   string
+	Tenant string // whose calls the caller may send; empty: none
+}
+
+// Identify authenticates a call by its token, by the client certificate of its connection, or by both, which then must
+// stand for the same caller. The token is empty, and the certificate nil, where the call has none. The address is the
+// client's, as a number; now is of the monotonic clock and wall of the wall clock. The error is a *Denied.
+func (g *Guard) Identify(
+	token string, certificate *Certificate, address uint64, now, wall monotime.Micros,
+) (Caller, error) {
+	switch {
+	case token == "" && certificate == nil:
+		g.counts.Missing++
+		return Caller{}, &Denied{Reason: NoProof}
+	case certificate == nil:
+		return g.callerOfToken(token, address, now, wall)
+	}
+	byCertificate, err := g.callerOfCertificate(certificate, wall)
+	if err != nil || token == "" {
+		return byCertificate, err
+	}
+	byToken, err := g.callerOfToken(token, address, now, wall)
+	if err != nil {
+		return Caller{}, err
+	}
+	if byToken.Name != byCertificate.Name {
+		g.counts.Unmapped++
+		return Caller{}, &Denied{Reason: Disagreement, Caller: byCertificate.Name, Detail: "token of " + byToken.Name}
+	}
+	return byToken, nil
+}
+
+// callerOfCertificate returns the caller that a client certificate stands for at a time of the wall clock.
+func (g *Guard) callerOfCertificate(certificate *Certificate, wall monotime.Micros) (Caller, error) {
+	if certificate.Revoked || certificate.Expires > 0 && wall >= certificate.Expires {
+		g.counts.Expired++
+		return Caller{}, &Denied{Reason: Outdated, Detail: "certificate"}
+	}
+	rule := g.options.ruleForCertificate(certificate)
+	if rule == nil {
+		g.counts.Unmapped++
+		return Caller{}, &Denied{Reason: Unknown, Detail: "certificate"}
+	}
+	return rule.caller(), nil
+}
+
+// callerOfToken returns the caller that a token stands for.
+func (g *Guard) callerOfToken(text string, address uint64, now, wall monotime.Micros) (Caller, error) {
+	if maxBytes := g.options.Limits.TokenBytes; len(text) > maxBytes {
+		g.counts.Unsigned++
+		return Caller{}, &Denied{Reason: BadProof, Detail: fmt.Sprintf("longer than %d bytes", maxBytes)}
+	}
+	token, err := g.verifiedToken(text, address, now, wall)
+	if err != nil {
+		return Caller{}, err
+	}
+	// The cache does not spare a token the checks of what may have changed since its signature was checked.
+	if err := g.checkValidity(token, wall); err != nil {
+		return Caller{}, err
+	}
+	if !token.mapped {
+		rule := g.options.ruleForToken(&token.claims)
+		if rule == nil {
+			g.counts.Unmapped++
+			return Caller{}, &Denied{Reason: Unknown, Detail: fmt.Sprintf("subject %.80q", token.claims.Subject)}
+		}
+		token.caller = rule.caller()
+		token.mapped = true
+	}
+	return token.caller, nil
+}
+
+// verifiedToken returns a token from the cache or, once its signature was checked, puts it there.
+func (g *Guard) verifiedToken(text string, address uint64, now, wall monotime.Micros) (*verifiedToken, error) {
+	hash := sha256.Sum256([]byte(text))
+	if token, ok := g.cache.verified.Get(hash); ok {
+		g.counts.Cached++
+		return token, nil
+	}
+	if g.cache.hasFailure(hash, now) {
+		g.counts.Negative++
+		return nil, &Denied{Reason: BadProof}
+	}
+	budget, ok := g.signatures.take(address, now)
+	if !ok {
+		g.counts.Busy++
+		return nil, &Denied{Reason: Busy, After: signatureRetryAfter}
+	}
+	g.counts.Checked++
+	token, err := g.checkSignature(text, wall)
+	if err != nil {
+		g.counts.Unsigned++
+		g.cache.failedAt.Add(hash, now)
+		return nil, &Denied{Reason: BadProof, Detail: err.Error()}
+	}
+	budget.proven = true
+	g.cache.verified.Add(hash, token)
+	return token, nil
+}
+
+// checkSignature checks a token's signature with a key of the issuer that the token names: the one with the id that it
+// names or, where it names none, the only one that is valid.
+func (g *Guard) checkSignature(text string, wall monotime.Micros) (*verifiedToken, error) {
+	issuer, keyID, err := g.verifier.Peek(text)
+	if err != nil {
+		return nil, err
+	}
+	keys := g.validKeys(issuer, keyID, wall)
+	if len(keys) != 1 {
+		return nil, fmt.Errorf("%d keys of its id hold", len(keys))
+	}
+	key := keys[0]
+	claims, err := g.verifier.Verify(text, key)
+	if err != nil {
+		return nil, err
+	}
+	if claims.Issuer != issuer {
+		return nil, ErrSignature
+	}
+	return &verifiedToken{claims: claims, key: *key}, nil
+}
+
+// checkValidity denies a verified token that is not valid at a time of the wall clock.
+func (g *Guard) checkValidity(token *verifiedToken, wall monotime.Micros) error {
+	if detail := g.invalidity(token, wall); detail != "" {
+		g.counts.Expired++
+		return &Denied{Reason: Outdated, Detail: detail}
+	}
+	return nil
+}
+
+// invalidity returns why a verified token is not valid at a time of the wall clock; empty where it is.
+func (g *Guard) invalidity(token *verifiedToken, wall monotime.Micros) string {
+	claims, leeway := &token.claims, g.options.Leeway
+	issuer := g.issuer(claims.Issuer)
+	key := g.currentKey(claims.Issuer, &token.key)
+	switch {
+	case issuer == nil || key == nil || !key.validAt(wall, leeway):
+		return "its key no longer holds"
+	case claims.Expires == 0:
+		return "it does not expire"
+	case wall >= claims.Expires+leeway:
+		return "expired"
+	case claims.NotBefore > 0 && wall < claims.NotBefore-leeway:
+		return "not yet valid"
+	case !issuer.accepts(claims.Audiences):
+		return "for another audience"
+	case g.revocations.has(claims):
+		return "revoked"
+	}
+	return ""
+}
+
+// issuer returns the issuer of a name; nil if there is none.
+func (g *Guard) issuer(name string) *Issuer {
+	i := slices.IndexFunc(g.options.Issuers, func(issuer Issuer) bool { return issuer.Name == name })
+	if i < 0 {
+		return nil
+	}
+	return &g.options.Issuers[i]
+}
--- a/identity/callers.go
+++ b/identity/callers.go
@@ -2,107 +2,130 @@
 
 import (
 	"fmt"
-	"path"
+	"slices"
 	"strings"
 
 	"chutechute/internal/monotime"
 )
 
-// CallerRule maps proofs to a caller. The first rule that holds counts. A rule needs a condition for each kind of proof
-// that it is for; within one all must hold.
+// uriScheme is in patterns of URIs and not in those of DNS names.
+const uriScheme = "://"
+
+// CallerRule maps tokens, certificates or both to a caller. Of several that apply the first counts. A rule applies to a
+// kind of credential if it has conditions for that kind and all of them hold.
 type CallerRule struct {
 	Name   string
-	Tenant string // that the caller's calls are of; empty: none
+	Tenant string // whose calls the caller may send; empty: none
 
-	// Tokens of this issuer whose subject matches.
+	// Conditions for tokens.
 	Issuer  string
 	Subject string // pattern; * stands for anything but a slash
 
-	// Certificates: one of the patterns matches a URI or DNS name that the certificate stands for, or the subject's.
-	SANs      []string // such as spiffe://legon/desk/*, or *.desks.legon
-	DNSubject string   // pattern over the subject as RFC 2253 writes it
+	// Conditions for certificates.
+	SANs      []string // patterns of URIs or DNS names, of which one must match: spiffe://legon/desk/*, *.desks.legon
+	DNSubject string   // pattern of the subject as RFC 2253 writes it
 }
 
 func (r *CallerRule) check(issuers map[string]bool) error {
-	token, certificate := r.Issuer != "" || r.Subject != "", len(r.SANs) > 0 || r.DNSubject != ""
+	forTokens := r.Issuer != "" || r.Subject != ""
+	forCertificates := len(r.SANs) > 0 || r.DNSubject != ""
 	switch {
 	case r.Name == "":
 		return fmt.Errorf("name: missing")
-	case !token && !certificate:
+	case !forTokens && !forCertificates:
 		return fmt.Errorf("issuer, sans or dn: one is needed")
-	case token && !issuers[r.Issuer]:
+	case forTokens && !issuers[r.Issuer]:
 		return fmt.Errorf("issuer: unknown issuer %q", r.Issuer)
-	case token && r.Subject == "":
+	case forTokens && r.Subject == "":
 		return fmt.Errorf("subject: missing")
 	}
-	for key, pattern := range map[string]string{"subject": r.Subject, "dn": r.DNSubject} {
-		if _, err := path.Match(pattern, ""); err != nil {
-			return fmt.Errorf("%s: %q is no pattern", key, pattern)
-		}
+	if err := checkPattern("subject", r.Subject); err != nil {
+		return err
 	}
+	if err := checkPattern("dn", r.DNSubject); err != nil {
+		return err
+	}
+	return r.checkSANs()
+}
+
+func (r *CallerRule) checkSANs() error {
 	for i, pattern := range r.SANs {
-		if _, err := path.Match(pattern, ""); err != nil || pattern == "" {
-			return fmt.Errorf("sans[%d]: %q is no pattern", i, pattern)
+		key := fmt.Sprintf("sans[%d]", i)
+		if pattern == "" {
+			return fmt.Errorf("%s: %q is no pattern", key, pattern)
+		}
+		if err := checkPattern(key, pattern); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// Certificate is what a verified client certificate stands for.
+func (r *CallerRule) caller() Caller { return Caller{Name: r.Name, Tenant: r.Tenant} }
+
+// Certificate has the names of a client certificate that was verified during the handshake.
 type Certificate struct {
 	URIs, DNS []string
 	Subject   string          // as RFC 2253 writes it
-	Expires   monotime.Micros // of the wall clock; 0: not known
-	Revoked   bool            // by its authority, as of now
+	Expires   monotime.Micros // of the wall clock, in microseconds since 1970; 0: not known
+	Revoked   bool            // by its authority, as of this call
 }
 
-// ofToken is the rule for a token's subject; nil where none holds.
-func (o *Options) ofToken(c *Claims) *CallerRule {
+// ruleForToken returns the first rule that applies to a token's claims; nil if there is none.
+func (o *Options) ruleForToken(claims *Claims) *CallerRule {
 	for i := range o.Callers {
-		r := &o.Callers[i]
-		if r.Issuer != "" && r.Issuer == c.Issuer && matches(r.Subject, c.Subject) {
-			return r
+		rule := &o.Callers[i]
+		if rule.Issuer != "" && rule.Issuer == claims.Issuer && matches(rule.Subject, claims.Subject) {
+			return rule
 		}
 	}
 	return nil
 }
 
-// ofCertificate is the rule for a certificate; nil where none holds.
-func (o *Options) ofCertificate(c *Certificate) *CallerRule {
+// ruleForCertificate returns the first rule that applies to a certificate; nil if there is none.
+func (o *Options) ruleForCertificate(certificate *Certificate) *CallerRule {
 	for i := range o.Callers {
-		r := &o.Callers[i]
-		if r.DNSubject != "" && !matches(r.DNSubject, c.Subject) {
-			continue
-		}
-		if len(r.SANs) == 0 && r.DNSubject != "" || r.names(c) {
-			return r
+		rule := &o.Callers[i]
+		if rule.appliesTo(certificate) {
+			return rule
 		}
 	}
 	return nil
 }
 
-func (r *CallerRule) names(c *Certificate) bool {
+// appliesTo reports whether the rule has conditions for certificates and all of them hold.
+func (r *CallerRule) appliesTo(certificate *Certificate) bool {
+	if r.DNSubject != "" && !matches(r.DNSubject, certificate.Subject) {
+		return false
+	}
+	if len(r.SANs) == 0 {
+		return r.DNSubject != ""
+	}
+	return r.matchesSAN(certificate)
+}
+
+// matchesSAN reports whether one of the rule's patterns matches a URI or a DNS name of the certificate.
+func (r *CallerRule) matchesSAN(certificate *Certificate) bool {
 	for _, pattern := range r.SANs {
-		for _, uri := range c.URIs {
-			if strings.Contains(pattern, "://") && matches(pattern, uri) {
+		if strings.Contains(pattern, uriScheme) {
+			if slices.ContainsFunc(certificate.URIs, func(uri string) bool { return matches(pattern, uri) }) {
 				return true
 			}
+			continue
 		}
-		for _, name := range c.DNS {
-			// A wildcard stands for one label, and a certificate's own wildcard for no caller.
-			if !strings.Contains(pattern, "://") && !strings.Contains(name, "*") && labels(pattern) == labels(name) &&
-				matches(strings.ToLower(pattern), strings.ToLower(name)) {
-				return true
-			}
+		if slices.ContainsFunc(certificate.DNS, func(name string) bool { return matchesDNSName(pattern, name) }) {
+			return true
 		}
 	}
 	return false
 }
 
-func labels(name string) int { return strings.Count(name, ".") }
-
-// matches says whether a text matches a pattern that was checked. An empty text matches nothing.
-func matches(pattern, text string) bool {
-	ok, err := path.Match(pattern, text)
-	return ok && err == nil && text != ""
+// matchesDNSName reports whether a DNS name of a certificate matches a pattern, whatever their case. A * stands for
+// characters of a single label. A name that is itself a wildcard stands for no caller.
+func matchesDNSName(pattern, name string) bool {
+	return !strings.Contains(name, "*") &&
+		countDots(pattern) == countDots(name) &&
+		matches(strings.ToLower(pattern), strings.ToLower(name))
 }
+
+func countDots(name string) int { return strings.Count(name, ".") }
--- a/identity/ceilings.go
+++ b/identity/ceilings.go
@@ -2,22 +2,24 @@
 
 import (
 	"fmt"
-	"path"
 
 	"chutechute/internal/monotime"
 )
 
-// Ceiling bounds what one caller may have. Of several that match a caller the first counts.
+// openRetryAfter is the time after which a call may be sent again that was denied because too many of its caller's calls
+// were open, in microseconds.
+const openRetryAfter = 500 * monotime.Millisecond
+
+// Ceiling limits the calls of each caller that it is for. Of several for one caller the first counts.
 type Ceiling struct {
-	Callers []string // patterns of their names
-	Rate    float64  // calls a second; 0: no bound
-	Burst   float64  // calls that may come at once; one second's where 0
-	Open    int      // calls open at once; 0: no bound
+	Callers []string // patterns of callers' names
+	Rate    float64  // calls a second; 0: not limited
+	Burst   float64  // calls that may come at once; 0: those of one second
+	Open    int      // calls open at once; 0: not limited
 }
 
 func (c *Ceiling) check(callers map[string]bool) error {
-	right := Right{Callers: c.Callers}
-	if err := right.check(callers, nil); err != nil {
+	if err := checkCallerPatterns(c.Callers, callers); err != nil {
 		return err
 	}
 	if c.Rate < 0 || c.Burst < 0 || c.Open < 0 {
@@ -26,83 +28,84 @@
 	return nil
 }
 
-// use is what a caller has.
-type use struct {
-	ceiling *Ceiling
-	calls   bucket
+// burst returns the number of calls that may come at once.
+func (c *Ceiling) burst() float64 {
+	if c.Burst == 0 {
+		return max(1, c.Rate)
+	}
+	return c.Burst
+}
+
+// callerUsage is what the calls of a caller use of its ceiling.
+type callerUsage struct {
+	ceiling *Ceiling // nil: not limited
+	calls   tokenBucket
 	open    int
 }
 
-func (g *Guard) ceiling(caller string) *Ceiling {
+// ceilingOf returns the ceiling of a caller; nil if there is none.
+func (g *Guard) ceilingOf(caller string) *Ceiling {
 	for i := range g.options.Ceilings {
-		for _, pattern := range g.options.Ceilings[i].Callers {
-			if ok, _ := path.Match(pattern, caller); ok { // the patterns were checked
-				return &g.options.Ceilings[i]
-			}
+		ceiling := &g.options.Ceilings[i]
+		if matchesAny(ceiling.Callers, caller) {
+			return ceiling
 		}
 	}
 	return nil
 }
 
-// Enter counts a call of a caller in, unless that is above its ceiling: then the error is a *Denied that says when to
-// come back. Each call that was counted in is to Leave once it is answered.
-func (g *Guard) Enter(caller Caller, now monotime.Micros) error {
-	u := g.uses[caller.Name]
-	if u == nil {
-		u = &use{ceiling: g.ceiling(caller.Name)}
-		g.uses[caller.Name] = u
+// usageOf returns the usage of a caller, a new one if it has none.
+func (g *Guard) usageOf(caller string) *callerUsage {
+	usage := g.usage[caller]
+	if usage == nil {
+		usage = &callerUsage{ceiling: g.ceilingOf(caller)}
+		g.usage[caller] = usage
 	}
-	if c := u.ceiling; c != nil {
-		if c.Open > 0 && u.open >= c.Open {
-			g.count.Over++
-			return &Denied{Reason: TooMany, Caller: caller.Name, Detail: fmt.Sprintf("%d are open", u.open), After: monotime.Second / 2}
-		}
-		u.calls.rate, u.calls.burst = c.Rate, c.Burst
-		if c.Burst == 0 {
-			u.calls.burst = max(1, c.Rate)
-		}
-		if c.Rate > 0 && !u.calls.take(now) {
-			g.count.Over++
-			return &Denied{Reason: TooMany, Caller: caller.Name, Detail: fmt.Sprintf("more than %g a second", c.Rate),
-				After: u.calls.wait()}
-		}
-	}
-	u.open++
-	return nil
+	return usage
 }
 
-// Leave counts a call out.
-func (g *Guard) Leave(caller Caller) {
-	if u := g.uses[caller.Name]; u != nil && u.open > 0 {
-		if u.open--; u.open == 0 && (u.ceiling == nil || u.ceiling.Rate == 0) {
-			delete(g.uses, caller.Name)
-		}
+// Enter counts a call of an authorized caller as open until Leave, at the monotonic time now. Where the caller's ceiling
+// is reached the call is not counted, and the error is a *Denied with the time after which it may be sent again.
+func (g *Guard) Enter(caller Caller, now monotime.Micros) error {
+	usage := g.usageOf(caller.Name)
+	if denied := usage.checkCeiling(caller.Name, now); denied != nil {
+		g.counts.Over++
+		return denied
 	}
+	usage.open++
+	return nil
 }
 
-// bucket is a token bucket. The zero value is full at its first use.
-type bucket struct {
-	rate, burst float64 // a second; at most
-	tokens      float64
-	at          monotime.Micros
-	used        bool
-}
-
-// take takes a token if there is one.
-func (b *bucket) take(now monotime.Micros) bool {
-	if !b.used {
-		b.tokens, b.used, b.at = b.burst, true, now
+// checkCeiling takes a call of the ceiling's rate, or returns why the call is denied.
+func (u *callerUsage) checkCeiling(caller string, now monotime.Micros) *Denied {
+	ceiling := u.ceiling
+	if ceiling == nil {
+		return nil
 	}
-	b.tokens = min(b.burst, b.tokens+b.rate*float64(max(0, now-b.at))/float64(monotime.Second))
-	b.at = max(b.at, now)
-	if b.tokens < 1 {
-		return false
+	if ceiling.Open > 0 && u.open >= ceiling.Open {
+		detail := fmt.Sprintf("%d are open", u.open)
+		return &Denied{Reason: TooMany, Caller: caller, Detail: detail, After: openRetryAfter}
 	}
-	b.tokens--
-	return true
+	// The ceiling may have changed since the last call.
+	u.calls.rate = ceiling.Rate
+	u.calls.burst = ceiling.burst()
+	if ceiling.Rate > 0 && !u.calls.take(now) {
+		detail := fmt.Sprintf("more than %g a second", ceiling.Rate)
+		return &Denied{Reason: TooMany, Caller: caller, Detail: detail, After: u.calls.timeToNext()}
+	}
+	return nil
 }
 
-// wait is how long until there is a token.
-func (b *bucket) wait() monotime.Micros {
-	return monotime.Micros((1 - b.tokens) / max(b.rate, 1e-6) * float64(monotime.Second))
+// Leave ends the count of a call that Enter has counted as open.
+func (g *Guard) Leave(caller Caller) {
+	usage := g.usage[caller.Name]
+	if usage == nil || usage.open == 0 {
+		return
+	}
+	usage.open--
+	// Only the bucket of a limited rate has to outlive the calls.
+	rateLimited := usage.ceiling != nil && usage.ceiling.Rate != 0
+	if usage.open == 0 && !rateLimited {
+		delete(g.usage, caller.Name)
+	}
 }
--- a/identity/denied.go
+++ b/identity/denied.go
@@ -6,37 +6,47 @@
 	"chutechute/internal/monotime"
 )
 
-// Reason is why a call was turned away.
+// Reason tells why a call was denied. Its text stands in answers to clients.
 type Reason string
 
-// The reasons.
+// The reasons for which a call is denied.
 const (
-	NoProof      Reason = "no proof"     // neither token nor certificate
-	BadProof     Reason = "bad proof"    // not signed by a key that holds, or not to be read
-	Outdated     Reason = "outdated"     // expired, not yet valid, or revoked
-	Unknown      Reason = "unknown"      // proven, but no rule maps it to a caller
-	Disagreement Reason = "disagreement" // token and certificate stand for two callers
-	OtherTenant  Reason = "other tenant" // the call claims a tenant that is not its caller's
-	NoRight      Reason = "no right"     // for the class or the group
-	TooMany      Reason = "too many"     // above a ceiling; may come back
-	Busy         Reason = "busy"         // the budget for signatures is used up; may come back
+	// NoProof means that the call has neither a token nor a client certificate.
+	NoProof Reason = "no proof"
+	// BadProof means that the token can't be read or is not signed by a valid key.
+	BadProof Reason = "bad proof"
+	// Outdated means that the token or certificate is expired, not yet valid, for another audience or revoked.
+	Outdated Reason = "outdated"
+	// Unknown means that no rule maps the token or certificate to a caller.
+	Unknown Reason = "unknown"
+	// Disagreement means that token and certificate stand for two callers.
+	Disagreement Reason = "disagreement"
+	// OtherTenant means that the call claims another tenant than its caller's.
+	OtherTenant Reason = "other tenant"
+	// NoRight means that the caller has no right to the class or the group, or that a right denies them.
+	NoRight Reason = "no right"
+	// TooMany means that the caller's ceiling is reached. The call may be sent again later.
+	TooMany Reason = "too many"
+	// Busy means that the budget of signature checks is exhausted. The call may be sent again later.
+	Busy Reason = "busy"
 )
 
-// Denied is a call that was turned away before it was taken: it never ran.
+// Denied is the error of a call that was not admitted. The call never ran.
 type Denied struct {
 	Reason Reason
-	Caller string          // as far as known
-	Detail string          // never holds a proof
-	After  monotime.Micros // when to come back; 0 where that would change nothing
+	Caller string          // the caller's name, where it is known
+	Detail string          // for operators and clients; never a credential
+	After  monotime.Micros // after which the call may be sent again; 0 where it would be denied again
 }
 
+// Error returns the reason, the caller and the detail.
 func (d *Denied) Error() string {
-	s := "identity: " + string(d.Reason)
+	text := "identity: " + string(d.Reason)
 	if d.Caller != "" {
-		s += fmt.Sprintf(": %q", d.Caller)
+		text += fmt.Sprintf(": %q", d.Caller)
 	}
 	if d.Detail != "" {
-		s += ": " + d.Detail
+		text += ": " + d.Detail
 	}
-	return s + "; it never ran"
+	return text + "; it never ran"
 }
--- /dev/null
+++ b/identity/guard.go
@@ -0,0 +1,72 @@
+package identity
+
+import "chutechute/internal/monotime"
+
+// Guard authenticates and authorizes callers and limits their calls. It is not safe for concurrent use.
+type Guard struct {
+	options     Options
+	verifier    Verifier
+	keys        map[string][]Key // by issuer
+	revocations Revoked
+	cache       tokenCache
+	signatures  signatureBudget
+	usage       map[string]*callerUsage // by caller
+	audit       auditLimiter
+	counts      Counts
+}
+
+// Counts are the numbers of a Guard's decisions since it was made.
+type Counts struct {
+	Cached   int // tokens that were in the cache of verified ones
+	Checked  int // tokens whose signature was checked
+	Negative int // tokens that were in the cache of failed ones
+
+	Expired  int // calls denied for credentials that are expired, not yet valid or revoked
+	Unsigned int // calls denied for a token without a valid signature, or one that is too long
+	Unmapped int // calls denied because their credentials stand for no caller, or for two
+	Missing  int // calls denied for want of any credential
+
+	Busy      int // calls denied because the budget of signature checks was exhausted
+	Forbidden int // calls denied for want of a right
+	Foreign   int // calls denied because they claimed another tenant than their caller's
+	Over      int // calls denied by a ceiling
+	Allowed   int // calls that were authorized
+}
+
+// New returns a Guard for an installation with these classes of queries. The error names the key of an invalid option.
+func New(o Options, classes []string, v Verifier) (*Guard, error) {
+	g := &Guard{verifier: v, keys: map[string][]Key{}, usage: map[string]*callerUsage{}}
+	if err := g.Apply(o, classes); err != nil {
+		return nil, err
+	}
+	return g, nil
+}
+
+// Apply replaces the options. Changed rights hold from the next call on; open calls are finished. Verified tokens stay
+// in the cache unless a limit changes, and are mapped to callers again. The error names the key of an invalid option;
+// nothing has changed then.
+func (g *Guard) Apply(o Options, classes []string) error {
+	o.setDefaults()
+	if err := o.check(classes); err != nil {
+		return err
+	}
+	if g.options.Limits != o.Limits {
+		g.signatures = newSignatureBudget(o.Limits)
+		g.audit = newAuditLimiter(o.Limits.AuditPerSecond, g.audit.suppressed)
+		g.cache = newTokenCache(o.Limits.CacheTokens)
+	}
+	g.options = o
+	// The signatures stay verified: to check them all again in a surge would exhaust the budget.
+	g.cache.unmapCallers()
+	for name, usage := range g.usage {
+		usage.ceiling = g.ceilingOf(name)
+	}
+	return nil
+}
+
+// Counts returns the numbers of decisions so far.
+func (g *Guard) Counts() Counts { return g.counts }
+
+// Audit reports whether a denied call is to be logged at the monotonic time now, within Limits.AuditPerSecond, and how
+// many were not logged since the last one that was.
+func (g *Guard) Audit(now monotime.Micros) (silenced int, ok bool) { return g.audit.allow(now) }
--- a/identity/handshakes.go
+++ b/identity/handshakes.go
@@ -1,55 +1,58 @@
 package identity
 
-// Handshakes decides which connections may begin to shake hands. A handshake costs the core many times what a call does, so
-// those that compute are bounded in count, over all and for each address; who is not let in yet waits, first come first
-// served. One that waits for its peer is none of them.
+// Handshakes limits the TLS handshakes that compute at once, for all addresses together and for each, since a handshake
+// costs many times what a call does. Those above a limit are queued, first in, first out, except that an address at its
+// limit does not hold up the others. A handshake that waits for its peer is not counted.
 type Handshakes struct {
-	Most, Each int // that compute, over all and for each address
-	going      int
-	of         map[uint64]int
-	line       []waiting
+	Most, Each       int // maximum of handshakes that run at once, for all addresses and for each
+	running          int
+	runningByAddress map[uint64]int
+	queue            []queuedHandshake
 }
 
-type waiting struct {
-	addr  uint64
-	start func()
+// queuedHandshake is a handshake that has not been started.
+type queuedHandshake struct {
+	address uint64
+	start   func()
 }
 
-// NewHandshakes bounds handshakes: at most so many on their way, and half of them from one address.
+// NewHandshakes returns a Handshakes that lets at most that many run at once, and half of them, but at least one, from
+// one address.
 func NewHandshakes(most int) *Handshakes {
-	return &Handshakes{Most: most, Each: max(1, most/2), of: map[uint64]int{}}
+	return &Handshakes{Most: most, Each: max(1, most/2), runningByAddress: map[uint64]int{}}
 }
 
-// Ask begins a handshake now, or once others have ended. Start must not call back.
-func (h *Handshakes) Ask(addr uint64, start func()) {
-	h.line = append(h.line, waiting{addr, start})
-	h.next()
+// Ask calls start at once or, where a limit is reached, once others have ended. Start must not call methods of h.
+func (h *Handshakes) Ask(address uint64, start func()) {
+	h.queue = append(h.queue, queuedHandshake{address, start})
+	h.startQueued()
 }
 
-// Ended makes room for those that wait. It is called once for each that was started.
-func (h *Handshakes) Ended(addr uint64) {
-	h.going--
-	if h.of[addr]--; h.of[addr] <= 0 {
-		delete(h.of, addr)
+// Ended ends the count of a handshake that was started, and starts queued ones in its place. It is called once for each.
+func (h *Handshakes) Ended(address uint64) {
+	h.running--
+	h.runningByAddress[address]--
+	if h.runningByAddress[address] <= 0 {
+		delete(h.runningByAddress, address)
 	}
-	h.next()
+	h.startQueued()
 }
 
-// Waiting is how many wait.
-func (h *Handshakes) Waiting() int { return len(h.line) }
+// Waiting returns the number of queued handshakes.
+func (h *Handshakes) Waiting() int { return len(h.queue) }
 
-// next starts those that may go, first come first, passing over addresses that have their part.
-func (h *Handshakes) next() {
-	kept := h.line[:0]
-	for _, w := range h.line {
-		if h.going < h.Most && h.of[w.addr] < h.Each {
-			h.going++
-			h.of[w.addr]++
-			w.start()
-		} else {
-			kept = append(kept, w)
+// startQueued starts the queued handshakes that the limits allow, first in, first out.
+func (h *Handshakes) startQueued() {
+	remaining := h.queue[:0]
+	for _, handshake := range h.queue {
+		if h.running >= h.Most || h.runningByAddress[handshake.address] >= h.Each {
+			remaining = append(remaining, handshake)
+			continue
 		}
+		h.running++
+		h.runningByAddress[handshake.address]++
+		handshake.start()
 	}
-	clear(h.line[len(kept):])
-	h.line = kept
+	clear(h.queue[len(remaining):])
+	h.queue = remaining
 }
--- a/identity/rights.go
+++ b/identity/rights.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"path"
 	"slices"
 )
 
@@ -10,72 +9,73 @@
 // allows it and none denies it.
 type Right struct {
 	Deny    bool
-	Callers []string // patterns of their names
+	Callers []string // patterns of callers' names
 	Classes []string // empty: all
-	Groups  []Range  // of tables; empty: all. A query of no group, 0, needs a right for all or for 0
+	Groups  []Range  // of tables; empty: all. A query that reads no group is of group 0
 }
 
 // Range is a range of groups, both ends included.
 type Range struct{ From, To int }
 
+func (r Range) contains(group int) bool { return r.From <= group && group <= r.To }
+
 func (r *Right) check(callers map[string]bool, classes []string) error {
-	if len(r.Callers) == 0 {
-		return fmt.Errorf("callers: missing")
-	}
-	for i, pattern := range r.Callers {
-		held := false
-		for name := range callers {
-			ok, err := path.Match(pattern, name)
-			if err != nil {
-				return fmt.Errorf("callers[%d]: %q is no pattern", i, pattern)
-			}
-			held = held || ok
-		}
-		if !held {
-			return fmt.Errorf("callers[%d]: %q is no caller's name", i, pattern)
-		}
+	if err := checkCallerPatterns(r.Callers, callers); err != nil {
+		return err
 	}
 	for i, class := range r.Classes {
 		if !slices.Contains(classes, class) {
 			return fmt.Errorf("classes[%d]: unknown class %q", i, class)
 		}
 	}
-	for i, g := range r.Groups {
-		if g.From < 0 || g.To < g.From {
-			return fmt.Errorf("groups[%d]: %d to %d is no range", i, g.From, g.To)
+	for i, groups := range r.Groups {
+		if groups.From < 0 || groups.To < groups.From {
+			return fmt.Errorf("groups[%d]: %d to %d is no range", i, groups.From, groups.To)
 		}
 	}
 	return nil
 }
 
-// covers says whether the right speaks of such a call.
+// covers reports whether the right is for such a call, be it to allow or to deny it.
 func (r *Right) covers(caller, class string, group int) bool {
-	return slices.ContainsFunc(r.Callers, func(p string) bool { return matches(p, caller) }) &&
-		(len(r.Classes) == 0 || slices.Contains(r.Classes, class)) &&
-		(len(r.Groups) == 0 || slices.ContainsFunc(r.Groups, func(g Range) bool { return g.From <= group && group <= g.To }))
+	return matchesAny(r.Callers, caller) && r.coversClass(class) && r.coversGroup(group)
 }
 
-// Authorize says whether a caller may send a query of a class that reads a group, as a call of the tenant that it claims;
-// an empty claim takes the caller's own. It gives the tenant. An error is a *Denied.
+func (r *Right) coversClass(class string) bool {
+	return len(r.Classes) == 0 || slices.Contains(r.Classes, class)
+}
+
+func (r *Right) coversGroup(group int) bool {
+	return len(r.Groups) == 0 || slices.ContainsFunc(r.Groups, func(groups Range) bool { return groups.contains(group) })
+}
+
+// Authorize checks that a caller may send a query of a class that reads a group of tables, as a call of the tenant that
+// it claims, and returns the caller's tenant. An empty claim stands for the caller's own. The error is a *Denied.
 func (g *Guard) Authorize(caller Caller, tenant, class string, group int) (string, error) {
 	if tenant != "" && tenant != caller.Tenant {
-		g.count.Foreign++
+		g.counts.Foreign++
 		return "", &Denied{Reason: OtherTenant, Caller: caller.Name, Detail: fmt.Sprintf("org %.80q", tenant)}
 	}
-	allowed := false
-	for i := range g.options.Rights {
-		if r := &g.options.Rights[i]; r.covers(caller.Name, class, group) {
-			if r.Deny {
-				allowed = false
-				break
-			}
-			allowed = true
-		}
-	}
-	if !allowed {
-		g.count.Forbidden++
+	if !g.options.allows(caller.Name, class, group) {
+		g.counts.Forbidden++
 		return "", &Denied{Reason: NoRight, Caller: caller.Name, Detail: fmt.Sprintf("class %q, group %d", class, group)}
 	}
-	g.count.Allowed++
+	g.counts.Allowed++
 	return caller.Tenant, nil
 }
+
+// allows reports whether some right allows such a call and none denies it.
+func (o *Options) allows(caller, class string, group int) bool {
+	allowed := false
+	for i := range o.Rights {
+		right := &o.Rights[i]
+		if !right.covers(caller, class, group) {
+			continue
+		}
+		if right.Deny {
+			return false
+		}
+		allowed = true
+	}
+	return allowed
+}
