--- /dev/null
+++ b/identity/token/algorithms.go
@@ -0,0 +1,60 @@
+package token
+
+import (
+	"crypto"
+	"crypto/ecdsa"
+	"crypto/ed25519"
+	"crypto/elliptic"
+	"crypto/rand"
+	"crypto/rsa"
+	"fmt"
+
+	"github.com/go-jose/go-jose/v4"
+)
+
+// minRSABits is the minimum of an RSA key's length.
+const minRSABits = 2048
+
+// algorithmOf returns the only algorithm that a public key is used with; empty for a key that can't be used.
+func algorithmOf(public any) jose.SignatureAlgorithm {
+	switch key := public.(type) {
+	case ed25519.PublicKey:
+		return jose.EdDSA
+	case *ecdsa.PublicKey:
+		if key.Curve == elliptic.P256() {
+			return jose.ES256
+		}
+	case *rsa.PublicKey:
+		if key.N.BitLen() >= minRSABits {
+			return jose.RS256
+		}
+	}
+	return ""
+}
+
+// Private is a private key that signs tokens.
+type Private struct {
+	ID        string // as in the header "kid" of its tokens
+	Algorithm string // EdDSA, ES256 or RS256
+	Secret    crypto.Signer
+}
+
+// Generate returns a new private key for an algorithm: EdDSA, ES256 or RS256. For any other it returns an error.
+func Generate(id, algorithm string) (*Private, error) {
+	var secret crypto.Signer
+	var err error
+	switch jose.SignatureAlgorithm(algorithm) {
+	case jose.EdDSA:
+		_, secret, err = ed25519.GenerateKey(rand.Reader)
+	case jose.ES256:
+		secret, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	case jose.RS256:
+		secret, err = rsa.GenerateKey(rand.Reader, minRSABits)
+	default:
+		return nil, fmt.Errorf("algorithm %q is none of EdDSA, ES256 and RS256", algorithm)
+	}
+	if err != nil {
+		return nil, fmt.Errorf("token: %w", err)
+	}
+	return &Private{ID: id, Algorithm: algorithm, Secret: secret}, nil
+}
--- a/identity/token/token.go
+++ b/identity/token/token.go
@@ -1,5 +1,6 @@
-// Package token reads JSON Web Tokens (RFC 7519) and key sets (RFC 7517) for package identity, by go-jose. It holds the
-// rules on algorithms: EdDSA, ES256 and RS256 only, always that of the key and never one that the token names.
+// Package token reads and writes JSON Web Tokens (RFC 7519) and key sets (RFC 7517) for package identity, by go-jose. It
+// has the rules on algorithms: only EdDSA, ES256 and RS256 are accepted, and a signature is always checked by the
+// algorithm of the key and never by one that the token names.
 package token
 
 import (
@@ -16,86 +17,99 @@
 	"chutechute/internal/monotime"
 )
 
-// Algorithms are those that are taken.
-var Algorithms = []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256, jose.RS256}
-
-// mostHeader bounds a token's header, in bytes as it is sent.
-const mostHeader = 1024
+const (
+	// maxHeaderBytes is the maximum length of a token's header as it is sent.
+	maxHeaderBytes = 1024
+	// tokenParts is the number of parts of a token: header, claims and signature.
+	tokenParts = 3
+)
 
-// Verifier is the identity.Verifier of JSON Web Tokens.
+// Verifier implements identity.Verifier for JSON Web Tokens.
 type Verifier struct{}
 
-// header is what is read of a token's header before its signature is checked. A header may name keys of its own (jwk, jku,
-// x5c) and extensions (crit): the former are never used, and with the latter the token is refused.
+// header is what is read of a token's header before its signature is checked. A header may name keys of its own (jwk,
+// jku, x5c), which are never used, and extensions (crit), with which the token is denied.
 type header struct {
 	KeyID    string          `json:"kid"`
 	Critical json.RawMessage `json:"crit"`
 }
 
-// Peek reads the issuer and the key's id that a token names.
+// unverifiedClaims are what is read of a token's claims before its signature is checked.
+type unverifiedClaims struct {
+	Issuer string `json:"iss"`
+}
+
+// Peek returns the issuer and the key's id that a token names. It returns an error for a token that can't be read.
 func (Verifier) Peek(token string) (issuer, keyID string, err error) {
 	parts := strings.Split(token, ".")
-	if len(parts) != 3 || len(parts[0]) > mostHeader {
+	if len(parts) != tokenParts || len(parts[0]) > maxHeaderBytes {
 		return "", "", fmt.Errorf("not a token in three parts")
 	}
 	var h header
-	var claims struct {
-		Issuer string `json:"iss"`
-	}
-	if err := part(parts[0], &h); err != nil {
+	if err := decodePart(parts[0], &h); err != nil {
 		return "", "", fmt.Errorf("header: %w", err)
 	}
 	if h.Critical != nil {
 		return "", "", fmt.Errorf("header: crit is not understood")
 	}
-	if err := part(parts[1], &claims); err != nil {
+	var claims unverifiedClaims
+	if err := decodePart(parts[1], &claims); err != nil {
 		return "", "", fmt.Errorf("claims: %w", err)
 	}
 	return claims.Issuer, h.KeyID, nil
 }
 
-func part(text string, into any) error {
-	b, err := base64.RawURLEncoding.DecodeString(text)
+// decodePart decodes a part of a token into a struct. The part's text stays out of the error.
+func decodePart(part string, into any) error {
+	text, err := base64.RawURLEncoding.DecodeString(part)
 	if err != nil {
 		return fmt.Errorf("no base64url")
 	}
-	if err := json.Unmarshal(b, into); err != nil {
+	if err := json.Unmarshal(text, into); err != nil {
 		return fmt.Errorf("no JSON object of the right types")
 	}
 	return nil
 }
 
-// Verify checks a token's signature with a key, by the key's algorithm, and reads its claims.
+// Verify checks a token's signature with a key, by the key's algorithm, and returns its claims. The error is
+// identity.ErrSignature.
 func (Verifier) Verify(token string, key *identity.Key) (identity.Claims, error) {
 	signed, err := jwt.ParseSigned(token, []jose.SignatureAlgorithm{jose.SignatureAlgorithm(key.Algorithm)})
 	if err != nil {
 		return identity.Claims{}, identity.ErrSignature
 	}
-	var c jwt.Claims
-	if err := signed.Claims(key.Public, &c); err != nil {
+	var claims jwt.Claims
+	if err := signed.Claims(key.Public, &claims); err != nil {
 		return identity.Claims{}, identity.ErrSignature
 	}
-	return identity.Claims{Issuer: c.Issuer, Subject: c.Subject, ID: c.ID, Audiences: c.Audience,
-		NotBefore: micros(c.NotBefore), Expires: micros(c.Expiry)}, nil
+	return identity.Claims{
+		Issuer:    claims.Issuer,
+		Subject:   claims.Subject,
+		ID:        claims.ID,
+		Audiences: claims.Audience,
+		NotBefore: fromNumericDate(claims.NotBefore),
+		Expires:   fromNumericDate(claims.Expiry),
+	}, nil
 }
 
-// micros is a NumericDate; one left out is 0, and one before 1970 as good as 1970.
-func micros(d *jwt.NumericDate) monotime.Micros {
-	if d == nil {
-		return 0
-	}
-	return max(1, monotime.Micros(*d)*monotime.Second)
-}
-
-// Sign writes a token.
+// Sign returns a token with these claims, signed with a key. It returns an error if the key can't be used.
 func Sign(key *Private, c identity.Claims) (string, error) {
-	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.SignatureAlgorithm(key.Algorithm),
-		Key: jose.JSONWebKey{Key: key.Secret, KeyID: key.ID}}, (&jose.SignerOptions{}).WithType("JWT"))
+	signingKey := jose.SigningKey{
+		Algorithm: jose.SignatureAlgorithm(key.Algorithm),
+		Key:       jose.JSONWebKey{Key: key.Secret, KeyID: key.ID},
+	}
+	signer, err := jose.NewSigner(signingKey, (&jose.SignerOptions{}).WithType("JWT"))
 	if err != nil {
 		return "", fmt.Errorf("token: %w", err)
 	}
-	claims := jwt.Claims{Issuer: c.Issuer, Subject: c.Subject, ID: c.ID, Audience: c.Audiences}
-	claims.NotBefore, claims.Expiry = date(c.NotBefore), date(c.Expires)
+	claims := jwt.Claims{
+		Issuer:    c.Issuer,
+		Subject:   c.Subject,
+		ID:        c.ID,
+		Audience:  c.Audiences,
+		NotBefore: toNumericDate(c.NotBefore),
+		Expiry:    toNumericDate(c.Expires),
+	}
 	text, err := jwt.Signed(signer).Claims(claims).Serialize()
 	if err != nil {
 		return "", fmt.Errorf("token: %w", err)
@@ -103,8 +117,17 @@
 	return text, nil
 }
 
-// date is a time as a NumericDate; nothing for 0.
-func date(at monotime.Micros) *jwt.NumericDate {
+// fromNumericDate returns the time of a claim, in microseconds since 1970. It is 0 only where the token has no such
+// claim; times up to 1970 become 1.
+func fromNumericDate(date *jwt.NumericDate) monotime.Micros {
+	if date == nil {
+		return 0
+	}
+	return max(1, monotime.Micros(*date)*monotime.Second)
+}
+
+// toNumericDate returns the claim of a time in microseconds since 1970; none for 0.
+func toNumericDate(at monotime.Micros) *jwt.NumericDate {
 	if at == 0 {
 		return nil
 	}
