--- a/identity/ceilings.go
+++ b/identity/ceilings.go
@@ -6,8 +6,8 @@
 	"chutechute/internal/monotime"
 )
 
-// openRetryAfter is the time after which a call may be sent again that was denied because too many of its caller's calls
-// were open, in microseconds.
+// openRetryAfter is the time after which a call may be sent again that was denied because too many of its caller's
+// calls were open, in microseconds.
 const openRetryAfter = 500 * monotime.Millisecond
 
 // Ceiling limits the calls of each caller that it is for. Of several for one caller the first counts.
@@ -64,8 +64,9 @@
 	return usage
 }
 
-// Enter counts a call of an authorized caller as open until Leave, at the monotonic time now. Where the caller's ceiling
-// is reached the call is not counted, and the error is a *Denied with the time after which it may be sent again.
+// Enter counts a call of an authorized caller as open until Leave, at the monotonic time now. Where the caller's
+// ceiling is reached the call is not counted, and the error is a *Denied with the time after which it may be sent
+// again.
 func (g *Guard) Enter(caller Caller, now monotime.Micros) error {
 	usage := g.usageOf(caller.Name)
 	if denied := usage.checkCeiling(caller.Name, now); denied != nil {
--- a/identity/handshakes.go
+++ b/identity/handshakes.go
@@ -28,7 +28,8 @@
 	h.startQueued()
 }
 
-// Ended ends the count of a handshake that was started, and starts queued ones in its place. It is called once for each.
+// Ended ends the count of a handshake that was started, and starts queued ones in its place. It is called once for
+// each.
 func (h *Handshakes) Ended(address uint64) {
 	h.running--
 	h.runningByAddress[address]--
--- a/identity/handshakes_test.go
+++ b/identity/handshakes_test.go
@@ -8,28 +8,28 @@
 	"chutechute/identity"
 )
 
-// So many go at once, half of them from one address; the others wait in turn, and an address that has its part does not hold up
-// those behind it.
-func TestHandshakes(t *testing.T) {
-	h := identity.NewHandshakes(4)
+// Four handshakes run at once, two of them from one address. The others are queued, and an address that is at its limit
+// does not hold up those behind it.
+func TestHandshakesAreLimitedOverallAndPerAddress(t *testing.T) {
+	handshakes := identity.NewHandshakes(4)
 	var started []int
-	ask := func(n int, addr uint64) { h.Ask(addr, func() { started = append(started, n) }) }
+	request := func(n int, address uint64) { handshakes.Ask(address, func() { started = append(started, n) }) }
 	for n := range 5 {
-		ask(n, 1)
+		request(n, 1)
 	}
 	assert.Equal(t, []int{0, 1}, started)
-	ask(10, 2)
-	ask(11, 3)
-	ask(12, 4)
+	request(10, 2)
+	request(11, 3)
+	request(12, 4)
 	assert.Equal(t, []int{0, 1, 10, 11}, started)
-	assert.Equal(t, 4, h.Waiting())
-	h.Ended(2)
-	assert.Equal(t, []int{0, 1, 10, 11, 12}, started, "address 1 has its part")
-	h.Ended(1)
+	assert.Equal(t, 4, handshakes.Waiting())
+	handshakes.Ended(2)
+	assert.Equal(t, []int{0, 1, 10, 11, 12}, started, "address 1 is at its limit")
+	handshakes.Ended(1)
 	assert.Equal(t, []int{0, 1, 10, 11, 12, 2}, started)
-	for _, addr := range []uint64{1, 1, 3, 4} {
-		h.Ended(addr)
+	for _, address := range []uint64{1, 1, 3, 4} {
+		handshakes.Ended(address)
 	}
 	assert.Equal(t, []int{0, 1, 10, 11, 12, 2, 3, 4}, started)
-	assert.Zero(t, h.Waiting())
+	assert.Zero(t, handshakes.Waiting())
 }
--- a/identity/keys.go
+++ b/identity/keys.go
@@ -35,8 +35,8 @@
 	return ok && public.Equal(other.Public)
 }
 
-// SetKeys replaces the keys of an issuer. Verified tokens of keys that are removed or changed leave the cache, and so do
-// all failures.
+// SetKeys replaces the keys of an issuer. Verified tokens of keys that are removed or changed leave the cache, and
+// so do all failures.
 func (g *Guard) SetKeys(issuer string, keys []Key) {
 	g.keys[issuer] = keys
 	g.cache.keysChanged(issuer, keys)
@@ -52,8 +52,8 @@
 	return &keys[i]
 }
 
-// validKeys returns the issuer's keys that are valid at a time of the wall clock and have the id; an empty id stands for
-// any.
+// validKeys returns the issuer's keys that are valid at a time of the wall clock and have the id; an empty id
+// stands for any.
 func (g *Guard) validKeys(issuer, id string, wall monotime.Micros) (valid []*Key) {
 	keys := g.keys[issuer]
 	for i := range keys {
--- /dev/null
+++ b/identity/keys_test.go
@@ -0,0 +1,91 @@
+package identity_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"chutechute/identity"
+	"chutechute/internal/monotime"
+)
+
+// keysInSet is the number of newest keys that a rotation leaves in the set.
+const keysInSet = 6
+
+// rotation is an issuer's keys that are rotated, with a token signed by each.
+type rotation struct {
+	guard  *identity.Guard
+	issuer *testIssuer
+	keys   []identity.Key // all that there were, the newest last
+	tokens []string       // by index of their key
+}
+
+// addKey adds a key that is valid from a time of the wall clock on.
+func (r *rotation) addKey(from monotime.Micros) {
+	key := r.issuer.newKey(fmt.Sprint("k", len(r.keys)), "EdDSA")
+	key.From = from
+	r.keys = append(r.keys, key)
+	r.tokens = append(r.tokens, r.issuer.sign(key.ID, "desk-1", expiresAt(noon+10*hour)))
+}
+
+// apply puts the set of the newest keys into force.
+func (r *rotation) apply() {
+	newest := r.keys[max(0, len(r.keys)-keysInSet):]
+	r.guard.SetKeys("legon", slices.Clone(newest))
+}
+
+// isValid is the oracle: whether the key at an index is in the set and valid at a time of the wall clock.
+func (r *rotation) isValid(i int, wall monotime.Micros) bool {
+	until := r.keys[i].Until
+	return i >= len(r.keys)-keysInSet && (until == 0 || wall < until)
+}
+
+// Keys rotate every few seconds, for over an hour, while callers use tokens of old and new keys. A token is accepted
+// exactly while an oracle has its key valid, whether it is cached or not.
+func TestTokensAreValidExactlyWhileTheirKeysAre(t *testing.T) {
+	o := options()
+	o.Limits.ChecksPerSecond, o.Limits.ChecksPerAddress = 1e6, 1e6
+	guard, issuer := newGuard(t, o)
+	rng := rand.New(rand.NewPCG(3, 4))
+	wall := noon
+	keys := rotation{guard: guard, issuer: issuer}
+	keys.addKey(wall)
+	keys.apply()
+	accepted, denied := 0, 0
+	for step := range 4000 {
+		wall += second
+		if step%5 == 0 { // the new key is valid at once, the one before for 7 s more
+			keys.addKey(wall)
+			keys.keys[len(keys.keys)-2].Until = wall + 7*second
+			keys.apply()
+		}
+		count := len(keys.keys)
+		i := count - 1 - rng.IntN(min(count, 9))
+		want := keys.isValid(i, wall)
+		_, err := guard.Identify(keys.tokens[i], nil, uint64(step), wall, wall)
+		require.Equal(t, want, err == nil, "step %d, key %d of %d: %v", step, i, count, err)
+		if want {
+			accepted++
+		} else {
+			denied++
+		}
+	}
+	assert.Greater(t, accepted, 500)
+	assert.Greater(t, denied, 500)
+}
+
+// A token that comes shortly before its key is in force is accepted once the key is.
+func TestNewKeysClearCachedFailures(t *testing.T) {
+	guard, issuer := newGuard(t, options())
+	key := issuer.newKey("b", "EdDSA")
+	early := issuer.sign("b", "desk-1")
+	_, err := guard.Identify(early, nil, 1, 0, noon)
+	assert.Equal(t, identity.BadProof, reasonOf(err))
+	guard.SetKeys("legon", []identity.Key{key})
+	_, err = guard.Identify(early, nil, 1, 1, noon)
+	assert.NoError(t, err)
+}
--- a/identity/rights.go
+++ b/identity/rights.go
@@ -46,7 +46,10 @@
 }
 
 func (r *Right) coversGroup(group int) bool {
-	return len(r.Groups) == 0 || slices.ContainsFunc(r.Groups, func(groups Range) bool { return groups.contains(group) })
+	if len(r.Groups) == 0 {
+		return true
+	}
+	return slices.ContainsFunc(r.Groups, func(groups Range) bool { return groups.contains(group) })
 }
 
 // Authorize checks that a caller may send a query of a class that reads a group of tables, as a call of the tenant that
@@ -58,7 +61,8 @@
 	}
 	if !g.options.allows(caller.Name, class, group) {
 		g.counts.Forbidden++
-		return "", &Denied{Reason: NoRight, Caller: caller.Name, Detail: fmt.Sprintf("class %q, group %d", class, group)}
+		detail := fmt.Sprintf("class %q, group %d", class, group)
+		return "", &Denied{Reason: NoRight, Caller: caller.Name, Detail: detail}
 	}
 	g.counts.Allowed++
 	return caller.Tenant, nil
--- /dev/null
+++ b/identity/signaturebudget_test.go
@@ -0,0 +1,43 @@
+package identity_test
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"chutechute/identity/token"
+	"chutechute/internal/monotime"
+)
+
+// 10,000 distinct bad tokens a second, half of them from one address and half from many others, cost no more signature
+// checks than the budget has, and new tokens from a proven address are accepted.
+func TestFloodOfBadTokensStaysWithinTheSignatureBudget(t *testing.T) {
+	guard, issuer := newGuard(t, options())
+	unknownIssuer := &testIssuer{t, map[string]*token.Private{}}
+	unknownIssuer.newKey("a", "EdDSA")
+	bad := unknownIssuer.sign("a", "desk-1")
+	_, err := guard.Identify(issuer.sign("a", "desk-1"), nil, 7, 0, noon)
+	require.NoError(t, err)
+	now := monotime.Micros(0)
+	denied := 0
+	for n := range 30_000 { // three seconds
+		now += second / 10_000
+		address := uint64(1)
+		if n%2 == 1 {
+			address = uint64(100 + n%1000)
+		}
+		_, err := guard.Identify(fmt.Sprintf("%s%d", bad[:len(bad)-8], 10_000_000+n), nil, address, now, noon)
+		require.Error(t, err)
+		if n%1000 == 0 { // a proven address with a token that is not in the cache
+			token := issuer.sign("a", "desk-1", withID(fmt.Sprint(n)))
+			if _, err := guard.Identify(token, nil, 7, now, noon); err != nil {
+				denied++
+			}
+		}
+	}
+	assert.Zero(t, denied)
+	assert.Less(t, guard.Counts().Checked, 250*5+50)
+	assert.Greater(t, guard.Counts().Busy, 20_000)
+}
--- a/identity/token/privateset.go
+++ b/identity/token/privateset.go
@@ -10,8 +10,8 @@
 	"chutechute/internal/monotime"
 )
 
-// Set is a set of private keys that is maintained: keys are added, retired and pruned. The set of their public halves is
-// written from it.
+// Set is a set of private keys that is maintained: keys are added, retired and pruned. The set of their public
+// halves is written from it.
 type Set struct{ keys []setKey }
 
 // Listed is what of a key is no secret. Its times are Unix seconds, and 0 where the key has none.
@@ -22,8 +22,8 @@
 	Until     int64  `json:"exp,omitempty"`
 }
 
-// ReadSet reads a set of private keys; an empty text is an empty set. It returns an error for a set that has a public or
-// unusable key, or two keys of one id.
+// ReadSet reads a set of private keys; an empty text is an empty set. It returns an error for a set that has a
+// public or unusable key, or two keys of one id.
 func ReadSet(text []byte) (*Set, error) {
 	if len(text) == 0 {
 		return &Set{}, nil
@@ -61,9 +61,9 @@
 	return slices.IndexFunc(s.keys, func(key setKey) bool { return key.jwk.KeyID == id })
 }
 
-// Retire has a key expire at a time of the wall clock, in microseconds since 1970, unless it expires earlier. A key that
-// would expire before it is valid is removed at once. It returns an error if that is the only key, or if there is no key
-// of that id.
+// Retire has a key expire at a time of the wall clock, in microseconds since 1970, unless it expires earlier. A key
+// that would expire before it is valid is removed at once. It returns an error if that is the only key, or if there
+// is no key of that id.
 func (s *Set) Retire(id string, until monotime.Micros) error {
 	i := s.indexOf(id)
 	if i < 0 {
@@ -102,8 +102,8 @@
 	return list
 }
 
-// Signer returns the key to sign with at a time of the wall clock, in microseconds since 1970: of the valid ones the one
-// that became valid last. It returns an error if no key is valid.
+// Signer returns the key to sign with at a time of the wall clock, in microseconds since 1970: of the valid ones
+// the one that became valid last. It returns an error if no key is valid.
 func (s *Set) Signer(wall monotime.Micros) (*Private, error) {
 	var newest *setKey
 	for i := range s.keys {
--- a/identity/token/token.go
+++ b/identity/token/token.go
@@ -1,6 +1,6 @@
-// Package token reads and writes JSON Web Tokens (RFC 7519) and key sets (RFC 7517) for package identity, by go-jose. It
-// has the rules on algorithms: only EdDSA, ES256 and RS256 are accepted, and a signature is always checked by the
-// algorithm of the key and never by one that the token names.
+// Package token reads and writes JSON Web Tokens (RFC 7519) and key sets (RFC 7517) for package identity, by
+// go-jose. It has the rules on algorithms: only EdDSA, ES256 and RS256 are accepted, and a signature is always
+// checked by the algorithm of the key and never by one that the token names.
 package token
 
 import (
--- a/identity/tokencache.go
+++ b/identity/tokencache.go
@@ -25,9 +25,9 @@
 // tokenHash is the SHA-256 of a whole token, so that no token can hit the cache entry of another.
 type tokenHash = [sha256.Size]byte
 
-// tokenCache has the tokens that were verified and, apart from them, those that failed. A failure is cached by the whole
-// token, so that nobody can lock out the sender of another, and for a short time only, since a token may arrive shortly
-// before its key.
+// tokenCache has the tokens that were verified and, apart from them, those that failed. A failure is cached by the
+// whole token, so that nobody can lock out the sender of another, and for a short time only, since a token may
+// arrive shortly before its key.
 type tokenCache struct {
 	verified *lru[tokenHash, *verifiedToken]
 	failedAt *lru[tokenHash, monotime.Micros] // monotonic time
--- a/identity/verifier.go
+++ b/identity/verifier.go
@@ -9,8 +9,8 @@
 // ErrSignature is returned by a Verifier where a signature is not of the key, or a token can't be read.
 var ErrSignature = errors.New("not signed by the key")
 
-// Claims are what a token states. Its times are of the wall clock, in microseconds since 1970, and 0 where the token has
-// none.
+// Claims are what a token states. Its times are of the wall clock, in microseconds since 1970, and 0 where the
+// token has none.
 type Claims struct {
 	Issuer, Subject, ID string
 	Audiences           []string
