--- a/identity/denied.go
+++ b/identity/denied.go
@@ -15,7 +15,8 @@
 	NoProof Reason = "no proof"
 	// BadProof means that the token can't be read or is not signed by a valid key.
 	BadProof Reason = "bad proof"
-	// Outdated means that the token or certificate is expired, not yet valid, for another audience or revoked.
+	// Outdated means that the token or certificate is expired, not yet valid, for another audience or revoked, or that
+	// the token's key is no longer valid.
 	Outdated Reason = "outdated"
 	// Unknown means that no rule maps the token or certificate to a caller.
 	Unknown Reason = "unknown"
--- a/identity/guard.go
+++ b/identity/guard.go
@@ -1,7 +1,5 @@
 package identity
 
-import "chutechute/internal/monotime"
-
 // Guard authenticates and authorizes callers and limits their calls. It is not safe for concurrent use.
 type Guard struct {
 	options     Options
@@ -21,7 +19,7 @@
 	Checked  int // tokens whose signature was checked
 	Negative int // tokens that were in the cache of failed ones
 
-	Expired  int // calls denied for credentials that are expired, not yet valid or revoked
+	Expired  int // calls denied for the reason Outdated
 	Unsigned int // calls denied for a token without a valid signature, or one that is too long
 	Unmapped int // calls denied because their credentials stand for no caller, or for two
 	Missing  int // calls denied for want of any credential
@@ -66,7 +64,3 @@
 
 // Counts returns the numbers of decisions so far.
 func (g *Guard) Counts() Counts { return g.counts }
-
-// Audit reports whether a denied call is to be logged at the monotonic time now, within Limits.AuditPerSecond, and how
-// many were not logged since the last one that was.
-func (g *Guard) Audit(now monotime.Micros) (silenced int, ok bool) { return g.audit.allow(now) }
--- a/identity/options.go
+++ b/identity/options.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"chutechute/internal/monotime"
 )
@@ -49,14 +50,7 @@
 
 // accepts reports whether one of a token's audiences is one of the issuer's.
 func (i *Issuer) accepts(audiences []string) bool {
-	for _, audience := range audiences {
-		for _, accepted := range i.Audiences {
-			if audience == accepted {
-				return true
-			}
-		}
-	}
-	return false
+	return slices.ContainsFunc(audiences, func(audience string) bool { return slices.Contains(i.Audiences, audience) })
 }
 
 // setDefaults replaces values of 0 by their defaults.
@@ -70,6 +64,7 @@
 	setDefault(&o.Limits.AuditPerSecond, defaultAuditPerSecond)
 }
 
+// setDefault replaces a value of 0.
 func setDefault[T int | int64 | float64](value *T, otherwise T) {
 	if *value == 0 {
 		*value = otherwise
--- a/identity/token/jwks.go
+++ b/identity/token/jwks.go
@@ -20,8 +20,8 @@
 // useSignature is the member "use" of a JWK that is for signatures.
 const useSignature = "sig"
 
-// keySet is a key set (RFC 7517) in which the keys are not yet read, or already written.
-type keySet struct {
+// encodedSet is the JSON form of a key set (RFC 7517), with each key as it is encoded.
+type encodedSet struct {
 	Keys []json.RawMessage `json:"keys"`
 }
 
@@ -91,7 +91,7 @@
 	if len(text) > MostSet {
 		return nil, fmt.Errorf("longer than %d bytes", MostSet)
 	}
-	var set keySet
+	var set encodedSet
 	if err := json.Unmarshal(text, &set); err != nil {
 		return nil, fmt.Errorf("no key set: %w", err)
 	}
--- a/identity/token/privateset.go
+++ b/identity/token/privateset.go
@@ -123,7 +123,7 @@
 
 // Write returns the set as JSON, with the private keys or only with their public halves.
 func (s *Set) Write(private bool) ([]byte, error) {
-	var set keySet
+	var set encodedSet
 	for _, key := range s.keys {
 		text, err := key.marshal(private)
 		if err != nil {
--- a/identity/tokencache.go
+++ b/identity/tokencache.go
@@ -12,8 +12,10 @@
 // failureTTL is the time for which a token that failed its check stays in the cache, in microseconds.
 const failureTTL = 10 * monotime.Second
 
+// lru is a cache that evicts the least recently used entry once it is full.
 type lru[K comparable, V any] = simplelru.LRU[K, V]
 
+// newLRU returns a cache of at most size entries; size is at least 1.
 func newLRU[K comparable, V any](size int) *lru[K, V] {
 	cache, err := simplelru.NewLRU[K, V](size, nil)
 	if err != nil {
