--- a/exercise/membership/account.go
+++ b/exercise/membership/account.go
@@ -40,12 +40,12 @@
 // frameHeader is what transport.AppendFrame adds to what it carries.
 var frameHeader = len(transport.AppendFrame(nil, transport.ControlHeartbeat, 0, false, nil))
 
-// traffic is messages and their bytes.
-type traffic struct {
+// trafficCount is messages and their bytes.
+type trafficCount struct {
 	messages, bytes, framing int64
 }
 
-func (t *traffic) add(kind messageKind, size int) {
+func (t *trafficCount) add(kind messageKind, size int) {
 	if size == 0 {
 		return
 	}
@@ -59,44 +59,44 @@
 	t.framing += int64(frames * frameHeader)
 }
 
-func (t traffic) minus(o traffic) traffic {
-	return traffic{t.messages - o.messages, t.bytes - o.bytes, t.framing - o.framing}
+func (t trafficCount) minus(o trafficCount) trafficCount {
+	return trafficCount{t.messages - o.messages, t.bytes - o.bytes, t.framing - o.framing}
 }
 
-func (t traffic) plus(o traffic) traffic {
-	return traffic{t.messages + o.messages, t.bytes + o.bytes, t.framing + o.framing}
+func (t trafficCount) plus(o trafficCount) trafficCount {
+	return trafficCount{t.messages + o.messages, t.bytes + o.bytes, t.framing + o.framing}
 }
 
-// whole is all bytes on the link.
-func (t traffic) whole() int64 { return t.bytes + t.framing }
+// totalBytes is all bytes on the link.
+func (t trafficCount) totalBytes() int64 { return t.bytes + t.framing }
 
-// flow is what went in and out at one member, by kind.
-type flow struct {
-	ins, outs [messageKinds]traffic
+// memberTraffic is what went in and out at one member, by kind.
+type memberTraffic struct {
+	received, sent [messageKinds]trafficCount
 }
 
-func (f *flow) in(kind messageKind, size int)  { f.ins[kind].add(kind, size) }
-func (f *flow) out(kind messageKind, size int) { f.outs[kind].add(kind, size) }
+func (f *memberTraffic) countReceived(kind messageKind, size int) { f.received[kind].add(kind, size) }
+func (f *memberTraffic) countSent(kind messageKind, size int)     { f.sent[kind].add(kind, size) }
 
-func sum(list [messageKinds]traffic) (all traffic) {
+func sum(list [messageKinds]trafficCount) (all trafficCount) {
 	for _, t := range list {
 		all = all.plus(t)
 	}
 	return all
 }
 
-// bursts are the times at which a control member accepted a connection of an attached front end or sent a snapshot.
-type bursts struct {
+// burstTimes are the times at which a control member accepted a connection of an attached front end or sent a snapshot.
+type burstTimes struct {
 	accepts, snapshots []monotime.Micros
 }
 
 // handshake is the sizes of what opens a connection, frames and all.
 type handshake struct{ challenge, hello, welcome int }
 
-// hello is measured on package transport's own.
-var hello = measureHello()
+// handshakeSizes is measured on package transport's own.
+var handshakeSizes = measureHandshake()
 
-func measureHello() handshake {
+func measureHandshake() handshake {
 	identity := func(name string, incarnation uint64) *transport.Identity {
 		return &transport.Identity{Site: "site", Name: name, Zone: "a", Incarnation: incarnation, ReplicaID: incarnation,
 			MinVersion: transport.MinVersion, MaxVersion: transport.MaxVersion, SettingsDigest: make([]byte, 8)}
@@ -117,89 +117,91 @@
 	return handshake{len(challenge), len(said), len(welcome)}
 }
 
-// windowSeconds is the span over which the busiest case is averaged.
-const windowSeconds = 10
+// peakWindowSeconds is the span over which the busiest case is averaged.
+const peakWindowSeconds = 10
 
-// account measures a span of the run.
-type account struct {
-	s        *Sim
-	began    monotime.Micros
-	measured monotime.Micros
-	base     []flow  // by place, at the beginning
-	last     []int64 // bytes in and out of each attached front end, at the last second
-	seconds  [][windowSeconds]int64
-	turn     int
-	busiest  busiest
-	on       bool
-	faults   map[string]int // messages that were refused, by their error
-	marks    []mark
+// trafficAccount measures a span of the run.
+type trafficAccount struct {
+	sim            *simulation
+	startedAt      monotime.Micros
+	duration       monotime.Micros
+	baseline       []memberTraffic // by place, at the beginning
+	lastTotals     []int64         // bytes in and out of each attached front end, at the last second
+	window         [][peakWindowSeconds]int64
+	elapsedSeconds int
+	peak           peakWindow
+	active         bool
+	rejected       map[string]int // messages that were refused, by their error
+	marks          []trigger
 }
 
-// busiest is the ten seconds in which an attached front end had the most traffic.
-type busiest struct {
-	bytes int64
-	who   string
-	until monotime.Micros
+// peakWindow is the ten seconds in which an attached front end had the most traffic.
+type peakWindow struct {
+	bytes    int64
+	frontEnd string
+	until    monotime.Micros
 }
 
-func (a *account) fault(err error) {
-	if a.faults == nil {
-		a.faults = map[string]int{}
+func (a *trafficAccount) countRejected(err error) {
+	if a.rejected == nil {
+		a.rejected = map[string]int{}
 	}
-	a.faults[err.Error()]++
+	a.rejected[err.Error()]++
 }
 
 // begin starts to measure.
-func (a *account) begin(s *Sim) {
-	a.s, a.began, a.on = s, s.now, true
-	a.base = make([]flow, len(s.places))
-	a.last = make([]int64, len(s.attached))
-	a.seconds = make([][windowSeconds]int64, len(s.attached))
-	for i, p := range s.places {
-		a.base[i] = p.flow
+func (a *trafficAccount) begin(s *simulation) {
+	a.sim, a.startedAt, a.active = s, s.now, true
+	a.baseline = make([]memberTraffic, len(s.members))
+	a.lastTotals = make([]int64, len(s.attachedFrontEnds))
+	a.window = make([][peakWindowSeconds]int64, len(s.attachedFrontEnds))
+	for i, p := range s.members {
+		a.baseline[i] = p.traffic
 	}
-	for i, p := range s.attached {
-		a.last[i] = p.whole()
+	for i, p := range s.attachedFrontEnds {
+		a.lastTotals[i] = p.totalBytes()
 	}
-	s.after(second, a.second)
+	s.scheduleAfter(monotime.Second, a.countSecond)
 }
 
-// whole is all bytes in and out.
-func (p *place) whole() int64 { return sum(p.flow.ins).whole() + sum(p.flow.outs).whole() }
+// totalBytes is all bytes in and out.
+func (p *member) totalBytes() int64 {
+	return sum(p.traffic.received).totalBytes() + sum(p.traffic.sent).totalBytes()
+}
 
-// second ends a second of the windows.
-func (a *account) second() {
-	if !a.on {
+// countSecond ends a second of the windows.
+func (a *trafficAccount) countSecond() {
+	if !a.active {
 		return
 	}
-	a.turn++
-	for i, p := range a.s.attached {
-		whole := p.whole()
-		a.seconds[i][a.turn%windowSeconds] = whole - a.last[i]
-		a.last[i] = whole
+	a.elapsedSeconds++
+	for i, p := range a.sim.attachedFrontEnds {
+		whole := p.totalBytes()
+		a.window[i][a.elapsedSeconds%peakWindowSeconds] = whole - a.lastTotals[i]
+		a.lastTotals[i] = whole
 		total := int64(0)
-		for _, bytes := range a.seconds[i] {
+		for _, bytes := range a.window[i] {
 			total += bytes
 		}
-		if total > a.busiest.bytes {
-			a.busiest = busiest{total, p.name, a.s.now}
+		if total > a.peak.bytes {
+			a.peak = peakWindow{total, p.name, a.sim.now}
 		}
 	}
-	a.s.after(second, a.second)
+	a.sim.scheduleAfter(monotime.Second, a.countSecond)
 }
 
 // end stops to measure.
-func (a *account) end() {
-	a.on = false
-	a.measured = a.s.now - a.began
+func (a *trafficAccount) end() {
+	a.active = false
+	a.duration = a.sim.now - a.startedAt
 }
 
-// role sums up what the members of a role had in the measured span.
-func (a *account) role(list []*place) (f flow) {
+// trafficOf sums up what the members of a role had in the measured span.
+func (a *trafficAccount) trafficOf(list []*member) (f memberTraffic) {
 	for _, p := range list {
 		for k := range messageKinds {
-			f.ins[k] = f.ins[k].plus(p.flow.ins[k].minus(a.base[p.index].ins[k]))
-			f.outs[k] = f.outs[k].plus(p.flow.outs[k].minus(a.base[p.index].outs[k]))
+			f.received[k] = f.received[k].plus(p.traffic.received[k].minus(a.baseline[p.index].received[k]))
+			f.sent[k] = f.sent[k].plus(p.traffic.sent[k].minus(a.baseline[p.index].sent[k]))
 		}
 	}
 	return f
--- a/exercise/membership/burst.go
+++ b/exercise/membership/burst.go
@@ -30,53 +30,53 @@
 	return float64(l.Most) / l.Mean
 }
 
-// mark says that something happened whose burst is to be counted.
-type mark struct {
+// trigger says that something happened whose burst is to be counted.
+type trigger struct {
 	of string
 	at monotime.Micros
 }
 
-func (s *Sim) mark(of string) {
-	list := &s.account.marks
+func (s *simulation) markTrigger(of string) {
+	list := &s.traffic.marks
 	if last := len(*list) - 1; last >= 0 && (*list)[last].at == s.now { // it is one burst
 		(*list)[last].of += " and " + of
 		return
 	}
-	*list = append(*list, mark{of, s.now})
+	*list = append(*list, trigger{of, s.now})
 }
 
-// bursts counts what followed each mark, up to the next.
-func (s *Sim) bursts() (list []Burst) {
-	for i, m := range s.account.marks {
+// countBursts counts what followed each mark, up to the next.
+func (s *simulation) countBursts() (list []Burst) {
+	for i, m := range s.traffic.marks {
 		until := s.now
-		if i+1 < len(s.account.marks) {
-			until = s.account.marks[i+1].at
+		if i+1 < len(s.traffic.marks) {
+			until = s.traffic.marks[i+1].at
 		}
 		list = append(list, Burst{
 			Of:        m.of,
-			Accepts:   s.firstSecond(m.at, until, func(p *place) []monotime.Micros { return p.bursts.accepts }),
-			Snapshots: s.firstSecond(m.at, until, func(p *place) []monotime.Micros { return p.bursts.snapshots }),
+			Accepts:   s.countFirstSecond(m.at, until, func(p *member) []monotime.Micros { return p.burstTimes.accepts }),
+			Snapshots: s.countFirstSecond(m.at, until, func(p *member) []monotime.Micros { return p.burstTimes.snapshots }),
 		})
 	}
 	return list
 }
 
-// firstSecond counts, at each control member, the times within a second of the first of all.
-func (s *Sim) firstSecond(from, until monotime.Micros, times func(*place) []monotime.Micros) (l Load) {
+// countFirstSecond counts, at each control member, the times within a second of the first of all.
+func (s *simulation) countFirstSecond(from, until monotime.Micros, times func(*member) []monotime.Micros) (l Load) {
 	first := until
-	for _, p := range s.controls {
+	for _, p := range s.controlMembers {
 		list := times(p)
 		if place, _ := slices.BinarySearch(list, from); place < len(list) {
 			first = min(first, list[place])
 		}
 	}
-	for _, p := range s.controls {
+	for _, p := range s.controlMembers {
 		if p.ranAt(first) {
 			l.Running++
 		}
 		list := times(p)
 		begin, _ := slices.BinarySearch(list, first)
-		end, _ := slices.BinarySearch(list, min(first+second, until))
+		end, _ := slices.BinarySearch(list, min(first+monotime.Second, until))
 		l.Total += end - begin
 		l.Most = max(l.Most, end-begin)
 	}
@@ -85,8 +85,8 @@
 }
 
 // ranAt says whether a process ran at a time.
-func (p *place) ranAt(when monotime.Micros) bool {
-	place, exact := slices.BinarySearch(p.turns, when)
+func (p *member) ranAt(when monotime.Micros) bool {
+	place, exact := slices.BinarySearch(p.startsAndEnds, when)
 	if exact {
 		place++
 	}
--- a/exercise/membership/chaos.go
+++ b/exercise/membership/chaos.go
@@ -1,83 +1,85 @@
 package membership
 
+import "chutechute/internal/monotime"
+
 // Spans of chaos.
 const (
-	chaosEvery = 700 * ms    // between two faults, in the mean
-	chaosMost  = 12 * second // that a fault lasts
-	chaosDelay = 400 * ms    // the most that messages are late
-	chaosLoss  = 0.2         // the greatest share that is lost
-	chaosCalm  = 10 * second // at the end of the measured part nothing new happens
-	chaosStop  = 15_000 * ms // for which a member stands still
-	chaosDown  = 20 * second // until an ended process is followed by the next
-	chaosTurns = 2           // processes of one name that may follow one another at once
+	chaosInterval      = 700 * monotime.Millisecond    // between two faults, in the mean
+	chaosMaxDuration   = 12 * monotime.Second          // that a fault lasts
+	chaosMaxDelay      = 400 * monotime.Millisecond    // the most that messages are late
+	chaosMaxLossRate   = 0.2                           // the greatest share that is lost
+	chaosQuietEnd      = 10 * monotime.Second          // at the end of the measured part nothing new happens
+	chaosMaxPause      = 15_000 * monotime.Millisecond // for which a member stands still
+	chaosMaxDownTime   = 20 * monotime.Second          // until an ended process is followed by the next
+	chaosRapidRestarts = 2                             // processes of one name that may follow one another at once
 )
 
-// chaos has something drawn at random happen every so often, to anybody.
-func chaos(s *Sim) {
-	end := s.now + s.span() - chaosCalm
+// injectChaos has something drawn at random happen every so often, to anybody.
+func injectChaos(s *simulation) {
+	end := s.now + s.measuredDuration() - chaosQuietEnd
 	var next func()
 	next = func() {
 		if s.now >= end {
 			return
 		}
-		s.anything()
-		s.after(s.between(chaosEvery/2, chaosEvery*3/2), next)
+		s.injectRandomFault()
+		s.scheduleAfter(s.randomBetween(chaosInterval/2, chaosInterval*3/2), next)
 	}
-	s.after(chaosEvery, next)
+	s.scheduleAfter(chaosInterval, next)
 }
 
-// anything is one fault.
-func (s *Sim) anything() {
-	p := s.places[s.rng.IntN(len(s.places))]
+// injectRandomFault is one fault.
+func (s *simulation) injectRandomFault() {
+	p := s.members[s.rng.IntN(len(s.members))]
 	if s.rng.IntN(3) == 0 {
-		p = s.controls[s.rng.IntN(len(s.controls))]
+		p = s.controlMembers[s.rng.IntN(len(s.controlMembers))]
 	}
 	switch s.rng.IntN(9) {
 	case 0, 1:
-		p.end(s.rng.IntN(2) == 0)
-		s.after(s.between(0, chaosDown), p.start)
+		p.crash(s.rng.IntN(2) == 0)
+		s.scheduleAfter(s.randomBetween(0, chaosMaxDownTime), p.start)
 	case 2:
-		for range chaosTurns {
-			p.end(false)
+		for range chaosRapidRestarts {
+			p.crash(false)
 			p.start()
 		}
 	case 3:
 		p.pause()
-		s.after(s.between(0, chaosStop), p.resume)
+		s.scheduleAfter(s.randomBetween(0, chaosMaxPause), p.resume)
 	case 4:
-		s.briefly(&p.away)
+		s.setBriefly(&p.isolated)
 	case 5:
-		s.briefly(&s.controls[s.rng.IntN(len(s.controls))].deaf)
+		s.setBriefly(&s.controlMembers[s.rng.IntN(len(s.controlMembers))].isolatedFromAttached)
 	case 6:
-		s.apartBriefly()
+		s.partitionBriefly()
 	case 7:
-		s.network.delay, s.network.loss = s.between(0, chaosDelay), chaosLoss*s.rng.Float64()
+		s.network.maxExtraDelay, s.network.lossRate = s.randomBetween(0, chaosMaxDelay), chaosMaxLossRate*s.rng.Float64()
 		s.network.reorder = s.rng.IntN(2) == 0
-		s.after(s.between(0, chaosMost), func() { s.network.delay, s.network.loss, s.network.reorder = 0, 0, false })
+		s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { s.network.maxExtraDelay, s.network.lossRate, s.network.reorder = 0, 0, false })
 	case 8:
-		s.briefly(&p.stalled)
-		p.room = slowRoom
+		s.setBriefly(&p.readStalled)
+		p.queueLimit = stalledQueueLimit
 	}
 }
 
-// briefly sets something that severs, for a while.
-func (s *Sim) briefly(what *bool) {
+// setBriefly sets something that severs, for a while.
+func (s *simulation) setBriefly(what *bool) {
 	*what = true
-	s.network.severedNow()
-	s.after(s.between(0, chaosMost), func() { *what = false })
+	s.network.partitionChanged()
+	s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { *what = false })
 }
 
-// apartBriefly has two regions lose each other, or some all others.
-func (s *Sim) apartBriefly() {
+// partitionBriefly has two regions lose each other, or some all others.
+func (s *simulation) partitionBriefly() {
 	n := &s.network
-	region := s.rng.IntN(min(regions, s.shape.Zones))
+	region := s.rng.IntN(min(maxRegions, s.shape.Zones))
 	if s.rng.IntN(2) == 0 {
-		n.halves = func(p *place) bool { return p.region == region }
-		s.after(s.between(0, chaosMost), func() { n.halves = nil })
+		n.partitionSide = func(p *member) bool { return p.region == region }
+		s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { n.partitionSide = nil })
 	} else {
 		pair := [2]int{min(region, 1), max(region, 1)}
-		n.apart[pair] = pair[0] != pair[1]
-		s.after(s.between(0, chaosMost), func() { delete(n.apart, pair) })
+		n.partitionedRegions[pair] = pair[0] != pair[1]
+		s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { delete(n.partitionedRegions, pair) })
 	}
-	n.severedNow()
+	n.partitionChanged()
 }
--- a/exercise/membership/control.go
+++ b/exercise/membership/control.go
@@ -11,63 +11,65 @@
 
 // Spans among control members, as package config has them by default.
 const (
-	controlTick    = 50 * ms
-	controlBeat    = 100 * ms
-	controlSuspect = 600 * ms
-	controlDead    = 3 * second
+	controlTickInterval = 50 * monotime.Millisecond
+	heartbeatInterval   = 100 * monotime.Millisecond
+	suspectAfter        = 600 * monotime.Millisecond
+	deadAfter           = 3 * monotime.Second
 )
 
-// control is the process of a control member.
-type control struct {
-	q      *process
-	set    *heartbeat.Monitor
-	server *membership.Server
-	wires  []wire           // to the other control members, by place
-	list   []*link          // open ones
-	links  map[uint64]*link // the newest of each process
-	beatAt monotime.Micros  // by its clock
-	sent   int              // snapshots so far
+// controlProcess is the process of a control member.
+type controlProcess struct {
+	process           *process
+	monitor           *heartbeat.Monitor
+	server            *membership.Server
+	peerConnections   []peerConnection // to the other control members, by place
+	openLinks         []*link          // open ones
+	linkByIncarnation map[uint64]*link // the newest of each process
+	nextHeartbeat     monotime.Micros  // by its clock
+	countedSnapshots  int              // snapshots so far
 }
 
-func newControl(q *process) *control {
+func newControlProcess(q *process) *controlProcess {
 	zones := map[string]string{}
-	for _, c := range q.s.controls {
-		if c != q.p {
+	for _, c := range q.sim.controlMembers {
+		if c != q.member {
 			zones[c.name] = c.zoneName()
 		}
 	}
-	spans := heartbeat.Config{SuspectAfter: controlSuspect, DeadAfter: controlDead, PauseThreshold: controlSuspect / 2}
-	return &control{q: q, set: heartbeat.NewMonitor(spans, zones), server: membership.NewServer(q.config()), links: map[uint64]*link{},
-		wires: make([]wire, len(q.s.controls))}
+	spans := heartbeat.Config{SuspectAfter: suspectAfter, DeadAfter: deadAfter, PauseThreshold: suspectAfter / 2}
+	return &controlProcess{process: q, monitor: heartbeat.NewMonitor(spans, zones), server: membership.NewServer(q.membershipConfig()), linkByIncarnation: map[uint64]*link{},
+		peerConnections: make([]peerConnection, len(q.sim.controlMembers))}
 }
 
-// begin has time pass for the process, at a phase of its own.
-func (c *control) begin() { c.q.s.after(c.q.s.between(0, controlTick), c.ticks) }
+// startTicking has time pass for the process, at a phase of its own.
+func (c *controlProcess) startTicking() {
+	c.process.sim.scheduleAfter(c.process.sim.randomBetween(0, controlTickInterval), c.scheduledTick)
+}
 
-func (c *control) ticks() {
-	if !c.q.runs() {
+func (c *controlProcess) scheduledTick() {
+	if !c.process.running() {
 		return
 	}
-	if !c.q.paused {
-		c.q.does(c.tick)
+	if !c.process.paused {
+		c.process.execute(c.tick)
 	}
-	c.q.s.after(monotime.Micros(float64(controlTick)/c.q.rate), c.ticks)
+	c.process.sim.scheduleAfter(monotime.Micros(float64(controlTickInterval)/c.process.clockRate), c.scheduledTick)
 }
 
-func (c *control) tick() {
-	now := c.q.local()
-	c.set.Tick(now)
-	c.server.Tick(now, c.others())
-	if now >= c.beatAt {
-		c.beatAt = now + controlBeat - controlTick/2 // a tick is never just too early
-		c.beat()
+func (c *controlProcess) tick() {
+	now := c.process.localTime()
+	c.monitor.Tick(now)
+	c.server.Tick(now, c.peers())
+	if now >= c.nextHeartbeat {
+		c.nextHeartbeat = now + heartbeatInterval - controlTickInterval/2 // a tick is never just too early
+		c.sendHeartbeats()
 	}
-	c.pump()
+	c.sendPending()
 }
 
-// others is the other control members as package fleet/membership takes them.
-func (c *control) others() (list []membership.ControlMember) {
-	for _, m := range c.set.Peers() {
+// peers is the other control members as package fleet/membership takes them.
+func (c *controlProcess) peers() (list []membership.ControlMember) {
+	for _, m := range c.monitor.Peers() {
 		o := membership.ControlMember{Name: m.Name, Zone: m.Zone, Incarnation: m.Incarnation, ChallengedAt: m.ChallengedAt}
 		switch m.State {
 		case heartbeat.Alive:
@@ -86,174 +88,174 @@
 	return list
 }
 
-// beat sends a heartbeat to all other control members.
-func (c *control) beat() {
-	h := controlHeartbeat{incarnation: c.q.incarnation, reports: c.set.Reports(), versions: c.server.Versions(c.q.local())}
+// sendHeartbeats sends a heartbeat to all other control members.
+func (c *controlProcess) sendHeartbeats() {
+	h := controlHeartbeat{incarnation: c.process.incarnation, reports: c.monitor.Reports(), versions: c.server.Versions(c.process.localTime())}
 	body := h.encode()
 	read := func() *controlHeartbeat {
 		h, err := decodeHeartbeat(body)
-		c.q.s.fail(err)
+		c.process.sim.fail(err)
 		return &h
 	}
-	if c.q.s.meter == nil { // reading it once for all takes a third off a run's time
+	if c.process.sim.cpuMeter == nil { // reading it once for all takes a third off a run's time
 		shared := read()
 		read = func() *controlHeartbeat { return shared }
 	}
-	for _, o := range c.q.s.controls {
-		if o != c.q.p {
-			c.tell(o, kindMember, len(body), func(to *control, greeted monotime.Micros) { to.heard(c.q, greeted, read()) })
+	for _, o := range c.process.sim.controlMembers {
+		if o != c.process.member {
+			c.sendToControl(o, kindMember, len(body), func(to *controlProcess, greeted monotime.Micros) { to.receiveHeartbeat(c.process, greeted, read()) })
 		}
 	}
 }
 
-// heard takes a heartbeat.
-func (c *control) heard(from *process, greeted monotime.Micros, h *controlHeartbeat) {
-	now := c.q.local()
-	if !c.set.Observe(now, from.p.name, h.incarnation, greeted, h.leaving, h.reports) {
+// receiveHeartbeat takes a heartbeat.
+func (c *controlProcess) receiveHeartbeat(from *process, greeted monotime.Micros, h *controlHeartbeat) {
+	now := c.process.localTime()
+	if !c.monitor.Observe(now, from.member.name, h.incarnation, greeted, h.leaving, h.reports) {
 		return
 	}
-	if err := c.server.ReceiveVersions(now, from.p.name, h.incarnation, h.versions); err != nil {
-		c.q.s.account.fault(err)
+	if err := c.server.ReceiveVersions(now, from.member.name, h.incarnation, h.versions); err != nil {
+		c.process.sim.traffic.countRejected(err)
 	}
-	c.pump()
+	c.sendPending()
 }
 
-// pump sends what the server has to send, and closes what it wants closed.
-func (c *control) pump() {
+// sendPending sends what the server has to send, and closes what it wants closed.
+func (c *controlProcess) sendPending() {
 	for {
 		list, closing := c.server.Actions(), c.server.LinksToClose()
 		if len(list) == 0 && len(closing) == 0 {
 			break
 		}
 		for _, m := range list {
-			c.send(m)
+			c.sendMessage(m)
 		}
 		for _, l := range closing {
-			c.shut(l)
+			c.closeLink(l)
 		}
 	}
-	for sent := c.server.Counters.Snapshots; c.sent < sent; c.sent++ {
-		c.q.p.bursts.snapshots = append(c.q.p.bursts.snapshots, c.q.s.now)
+	for sent := c.server.Counters.Snapshots; c.countedSnapshots < sent; c.countedSnapshots++ {
+		c.process.member.burstTimes.snapshots = append(c.process.member.burstTimes.snapshots, c.process.sim.now)
 	}
 }
 
-func (c *control) send(m membership.Message) {
+func (c *controlProcess) sendMessage(m membership.Message) {
 	if m.Incarnation == 0 {
-		from := c.q
-		c.tell(c.q.s.byName[m.To], kindOf(m.Kind), len(m.Body), func(to *control, _ monotime.Micros) { to.received(from, m) })
+		from := c.process
+		c.sendToControl(c.process.sim.memberByName[m.To], kindOf(m.Kind), len(m.Body), func(to *controlProcess, _ monotime.Micros) { to.receiveFromControl(from, m) })
 		return
 	}
-	l := c.links[m.Incarnation]
+	l := c.linkByIncarnation[m.Incarnation]
 	if l == nil {
 		return
 	}
-	if !l.send(controlSide, kindOf(m.Kind), len(m.Body), func() { l.front.front.receive(l, m) }) {
-		c.server.QueueFull(c.q.local(), m.To, m.Incarnation)
+	if !l.send(controlSide, kindOf(m.Kind), len(m.Body), func() { l.frontEnd.frontEnd.receive(l, m) }) {
+		c.server.QueueFull(c.process.localTime(), m.To, m.Incarnation)
 	}
 }
 
-// received takes a message of another control member.
-func (c *control) received(from *process, m membership.Message) {
-	if err := c.server.ReceiveFromControl(c.q.local(), from.p.name, from.incarnation, m.Kind, m.Body); err != nil {
-		c.q.s.account.fault(err)
+// receiveFromControl takes a message of another control member.
+func (c *controlProcess) receiveFromControl(from *process, m membership.Message) {
+	if err := c.server.ReceiveFromControl(c.process.localTime(), from.member.name, from.incarnation, m.Kind, m.Body); err != nil {
+		c.process.sim.traffic.countRejected(err)
 	}
-	c.pump()
+	c.sendPending()
 }
 
-// receive takes a message of an attached front end.
-func (c *control) receive(l *link, m membership.Message) {
-	if err := c.server.Receive(c.q.local(), l.attached(), m.Kind, m.Body); err != nil {
-		if !errors.Is(err, membership.ErrSuperseded) || l.front.runs() { // what a process that has ended sent last is refused as it ought to be
-			c.q.s.account.fault(err)
+// receiveFromAttached takes a message of an attached front end.
+func (c *controlProcess) receiveFromAttached(l *link, m membership.Message) {
+	if err := c.server.Receive(c.process.localTime(), l.membershipLink(), m.Kind, m.Body); err != nil {
+		if !errors.Is(err, membership.ErrSuperseded) || l.frontEnd.running() { // what a process that has ended sent last is refused as it ought to be
+			c.process.sim.traffic.countRejected(err)
 		}
 		l.close(controlSide)
 	}
-	c.pump()
+	c.sendPending()
 }
 
-// shut closes a link that the server wants closed.
-func (c *control) shut(which membership.Link) {
-	for _, l := range slices.Clone(c.list) {
-		if l.front.incarnation == which.Incarnation && l.greeted == which.ChallengedAt {
+// closeLink closes a link that the server wants closed.
+func (c *controlProcess) closeLink(which membership.Link) {
+	for _, l := range slices.Clone(c.openLinks) {
+		if l.frontEnd.incarnation == which.Incarnation && l.challengedAt == which.ChallengedAt {
 			l.close(controlSide)
 		}
 	}
 }
 
-// linked follows a link's opening.
-func (c *control) linked(l *link) {
-	c.list = append(c.list, l)
-	c.links[l.front.incarnation] = l
-	c.server.LinkOpened(c.q.local(), l.attached())
-	c.pump()
+// linkOpened follows a link's opening.
+func (c *controlProcess) linkOpened(l *link) {
+	c.openLinks = append(c.openLinks, l)
+	c.linkByIncarnation[l.frontEnd.incarnation] = l
+	c.server.LinkOpened(c.process.localTime(), l.membershipLink())
+	c.sendPending()
 }
 
-// lost follows a link's end.
-func (c *control) lost(l *link) {
-	if place := slices.Index(c.list, l); place >= 0 {
-		c.list = slices.Delete(c.list, place, place+1)
+// linkClosed follows a link's end.
+func (c *controlProcess) linkClosed(l *link) {
+	if place := slices.Index(c.openLinks, l); place >= 0 {
+		c.openLinks = slices.Delete(c.openLinks, place, place+1)
 	}
-	if c.links[l.front.incarnation] == l {
-		delete(c.links, l.front.incarnation)
+	if c.linkByIncarnation[l.frontEnd.incarnation] == l {
+		delete(c.linkByIncarnation, l.frontEnd.incarnation)
 	}
-	c.server.LinkClosed(c.q.local(), l.attached())
-	c.pump()
+	c.server.LinkClosed(c.process.localTime(), l.membershipLink())
+	c.sendPending()
 }
 
-// ended follows the process's end.
-func (c *control) ended(machine bool) {
-	for _, l := range c.list {
+// processEnded follows the process's end.
+func (c *controlProcess) processEnded(machine bool) {
+	for _, l := range c.openLinks {
 		l.open[controlSide] = false
-		l.gone(controlSide, machine)
+		l.processEnded(controlSide, machine)
 	}
 }
 
-// wire is the connection on which a control member sends to another.
-type wire struct {
-	way     way
-	to      *process        // nil: not open
-	greeted monotime.Micros // when the other side challenged, by its clock
-	dialled monotime.Micros // the last dial; the next one waits
-	dialing bool
+// peerConnection is the connection on which a control member sends to another.
+type peerConnection struct {
+	stream       stream
+	remote       *process        // nil: not open
+	challengedAt monotime.Micros // when the other side challenged, by its clock
+	lastDial     monotime.Micros // the last dial; the next one waits
+	dialing      bool
 }
 
-// tell sends to another control member. Where the connection isn't open the message is lost, and a dial begins.
-func (c *control) tell(to *place, kind messageKind, size int, deliver func(to *control, greeted monotime.Micros)) {
-	s, w := c.q.s, &c.wires[to.index]
-	if w.to == nil || !w.to.runs() && !to.off {
-		w.to = nil
-		c.open(to, w)
+// sendToControl sends to another control member. Where the connection isn't open the message is lost, and a dial begins.
+func (c *controlProcess) sendToControl(to *member, kind messageKind, size int, deliver func(to *controlProcess, greeted monotime.Micros)) {
+	s, w := c.process.sim, &c.peerConnections[to.index]
+	if w.remote == nil || !w.remote.running() && !to.poweredOff {
+		w.remote = nil
+		c.dialControl(to, w)
 		return
 	}
-	other, greeted := w.to, w.greeted
-	s.transmit(&w.way, c.q.p, to, kind, size, func() {
-		if other.runs() {
-			to.flow.in(kind, size)
-			other.does(func() { deliver(other.control, greeted) })
+	other, greeted := w.remote, w.challengedAt
+	s.transmit(&w.stream, c.process.member, to, kind, size, func() {
+		if other.running() {
+			to.traffic.countReceived(kind, size)
+			other.execute(func() { deliver(other.control, greeted) })
 		}
 	})
 }
 
-// open dials another control member.
-func (c *control) open(to *place, w *wire) {
-	s := c.q.s
-	if w.dialing || w.dialled != 0 && s.now < w.dialled+linkRest/2 {
+// dialControl dials another control member.
+func (c *controlProcess) dialControl(to *member, w *peerConnection) {
+	s := c.process.sim
+	if w.dialing || w.lastDial != 0 && s.now < w.lastDial+maxRedialDelay/2 {
 		return
 	}
-	w.dialing, w.dialled = true, s.now
-	s.after(linkOpen, func() { w.dialing = false })
-	s.transmit(&w.way, c.q.p, to, kindHello, hello.hello, func() {
-		other := to.proc
+	w.dialing, w.lastDial = true, s.now
+	s.scheduleAfter(linkOpenTimeout, func() { w.dialing = false })
+	s.transmit(&w.stream, c.process.member, to, kindHello, handshakeSizes.hello, func() {
+		other := to.process
 		if other == nil {
 			w.dialing = false
 			return
 		}
-		to.flow.in(kindHello, hello.hello)
-		other.does(func() {
-			greeted := other.local()
-			s.transmit(&way{}, to, c.q.p, kindHello, hello.challenge+hello.welcome, func() {
-				c.q.p.flow.in(kindHello, hello.challenge+hello.welcome)
-				w.to, w.greeted, w.dialing = other, greeted, false
+		to.traffic.countReceived(kindHello, handshakeSizes.hello)
+		other.execute(func() {
+			greeted := other.localTime()
+			s.transmit(&stream{}, to, c.process.member, kindHello, handshakeSizes.challenge+handshakeSizes.welcome, func() {
+				c.process.member.traffic.countReceived(kindHello, handshakeSizes.challenge+handshakeSizes.welcome)
+				w.remote, w.challengedAt, w.dialing = other, greeted, false
 			})
 		})
 	})
--- a/exercise/membership/doc.go
+++ b/exercise/membership/doc.go
@@ -13,8 +13,4 @@
 
 import "chutechute/internal/monotime"
 
-const (
-	ms     monotime.Micros = 1000
-	second                 = 1000 * ms
-	minute                 = 60 * second
-)
+const minute = 60 * monotime.Second
--- a/exercise/membership/link.go
+++ b/exercise/membership/link.go
@@ -7,21 +7,21 @@
 
 // Spans and bounds of a link, as package epoll has them for links between front ends.
 const (
-	linkOpen    = 2000 * ms   // until a link has to be open, hello and all
-	linkSilent  = 10_000 * ms // a link on which nothing comes for so long is closed
-	linkStalled = 2000 * ms   // so is one that takes nothing for so long
-	linkRetry   = 50 * ms     // doubled with each failure, up to
-	linkRest    = 1000 * ms
-	// linkQueue is how many bytes may wait for an attached front end, beyond what its system takes while it stands still.
-	linkQueue  = 256 << 10
-	linkKernel = 128 << 10
+	linkOpenTimeout    = 2000 * monotime.Millisecond   // until a link has to be open, hello and all
+	linkSilenceTimeout = 10_000 * monotime.Millisecond // a link on which nothing comes for so long is closed
+	linkStallTimeout   = 2000 * monotime.Millisecond   // so is one that takes nothing for so long
+	minRedialDelay     = 50 * monotime.Millisecond     // doubled with each failure, up to
+	maxRedialDelay     = 1000 * monotime.Millisecond
+	// defaultQueueLimit is how many bytes may wait for an attached front end, beyond what its system takes while it stands still.
+	defaultQueueLimit = 256 << 10
+	kernelBufferSize  = 128 << 10
 )
 
 // side is one end of a link.
 type side int
 
 const (
-	frontSide side = iota
+	frontEndSide side = iota
 	controlSide
 )
 
@@ -29,126 +29,126 @@
 
 // link is a connection between an attached front end, which dials, and a control member. Messages go both ways.
 type link struct {
-	s       *Sim
-	front   *process
-	to      *place
-	control *process        // nil until it has accepted
-	greeted monotime.Micros // when it challenged, by its clock
-	open    [2]bool
-	failed  bool   // the dial has ended without a link
-	ways    [2]way // by the side that sends
+	sim          *simulation
+	frontEnd     *process
+	target       *member
+	control      *process        // nil until it has accepted
+	challengedAt monotime.Micros // when it challenged, by its clock
+	open         [2]bool
+	dialFailed   bool      // the dial has ended without a link
+	streams      [2]stream // by the side that sends
 }
 
-// attached is the link as package fleet/membership knows it.
-func (l *link) attached() membership.Link {
-	return membership.Link{From: l.front.p.name, Zone: l.front.p.zoneName(), Incarnation: l.front.incarnation, ChallengedAt: l.greeted}
+// membershipLink is the link as package fleet/membership knows it.
+func (l *link) membershipLink() membership.Link {
+	return membership.Link{From: l.frontEnd.member.name, Zone: l.frontEnd.member.zoneName(), Incarnation: l.frontEnd.incarnation, ChallengedAt: l.challengedAt}
 }
 
 func (l *link) process(at side) *process {
-	if at == frontSide {
-		return l.front
+	if at == frontEndSide {
+		return l.frontEnd
 	}
 	return l.control
 }
 
-func (l *link) place(at side) *place {
-	if at == frontSide {
-		return l.front.p
+func (l *link) member(at side) *member {
+	if at == frontEndSide {
+		return l.frontEnd.member
 	}
-	return l.to
+	return l.target
 }
 
-// hop has a message of the hello go to the other side; next is done there.
-func (l *link) hop(from side, size int, next func()) {
-	to := l.place(from.other())
-	l.s.transmit(&l.ways[from], l.place(from), to, kindHello, size, func() {
-		to.flow.in(kindHello, size)
+// sendHandshake has a message of the hello go to the other side; next is done there.
+func (l *link) sendHandshake(from side, size int, next func()) {
+	to := l.member(from.other())
+	l.sim.transmit(&l.streams[from], l.member(from), to, kindHello, size, func() {
+		to.traffic.countReceived(kindHello, size)
 		next()
 	})
 }
 
 // dial opens the link: challenge, hello, welcome.
 func (l *link) dial() {
-	l.s.after(linkOpen, func() { l.fail() })
-	l.hop(frontSide, 0, func() { // the connection itself carries nothing that is counted
+	l.sim.scheduleAfter(linkOpenTimeout, func() { l.abandonDial() })
+	l.sendHandshake(frontEndSide, 0, func() { // the connection itself carries nothing that is counted
 		switch {
-		case l.to.off:
-		case l.to.proc == nil:
-			l.s.after(l.s.network.latency(l.to, l.front.p), l.fail)
+		case l.target.poweredOff:
+		case l.target.process == nil:
+			l.sim.scheduleAfter(l.sim.network.latency(l.target, l.frontEnd.member), l.abandonDial)
 		default:
-			l.control = l.to.proc
-			l.control.does(l.accept)
+			l.control = l.target.process
+			l.control.execute(l.accept)
 		}
 	})
 }
 
 // accept is done by the control member.
 func (l *link) accept() {
-	if l.failed {
+	if l.dialFailed {
 		return
 	}
-	l.greeted = l.control.local()
-	l.to.bursts.accepts = append(l.to.bursts.accepts, l.s.now)
-	l.hop(controlSide, hello.challenge, func() {
-		l.front.does(func() {
-			l.hop(frontSide, hello.hello, func() { l.control.does(l.proven) })
+	l.challengedAt = l.control.localTime()
+	l.target.burstTimes.accepts = append(l.target.burstTimes.accepts, l.sim.now)
+	l.sendHandshake(controlSide, handshakeSizes.challenge, func() {
+		l.frontEnd.execute(func() {
+			l.sendHandshake(frontEndSide, handshakeSizes.hello, func() { l.control.execute(l.receiveHello) })
 		})
 	})
 }
 
-// proven is done by the control member once it has the hello.
-func (l *link) proven() {
-	if l.failed {
+// receiveHello is done by the control member once it has the hello.
+func (l *link) receiveHello() {
+	if l.dialFailed {
 		return
 	}
 	l.open[controlSide] = true
-	l.hop(controlSide, hello.welcome, func() { l.front.does(l.welcomed) })
-	l.control.control.linked(l)
+	l.sendHandshake(controlSide, handshakeSizes.welcome, func() { l.frontEnd.execute(l.receiveWelcome) })
+	l.control.control.linkOpened(l)
 }
 
-func (l *link) welcomed() {
-	if l.failed || l.open[frontSide] || !l.control.runs() && !l.to.off {
+func (l *link) receiveWelcome() {
+	if l.dialFailed || l.open[frontEndSide] || !l.control.running() && !l.target.poweredOff {
 		return
 	}
-	l.open[frontSide] = true
-	l.front.front.linked(l)
+	l.open[frontEndSide] = true
+	l.frontEnd.frontEnd.linkOpened(l)
 }
 
-// fail gives a dial up.
-func (l *link) fail() {
-	if l.failed || l.open[frontSide] {
+// abandonDial gives a dial up.
+func (l *link) abandonDial() {
+	if l.dialFailed || l.open[frontEndSide] {
 		return
 	}
-	l.failed = true
-	l.front.does(func() { l.front.front.lost(l) })
+	l.dialFailed = true
+	l.frontEnd.execute(func() { l.frontEnd.frontEnd.linkClosed(l) })
 	if l.open[controlSide] {
-		l.ended(frontSide)
+		l.notifyClosed(frontEndSide)
 	}
 }
 
 // send queues a message; false says that there was no room, and that what waited is gone.
 func (l *link) send(from side, kind messageKind, size int, deliver func()) bool {
 	to := l.process(from.other())
-	w := &l.ways[from]
-	if !to.runs() && !to.p.off && !l.s.network.severed(l.place(from), to.p) {
-		l.place(from).flow.out(kind, size)
-		l.s.after(2*l.s.network.latency(l.place(from), to.p), func() { l.close(from) }) // a reset
+	w := &l.streams[from]
+	if !to.running() && !to.member.poweredOff && !l.sim.network.partitioned(l.member(from), to.member) {
+		l.member(from).traffic.countSent(kind, size)
+		l.sim.scheduleAfter(2*l.sim.network.latency(l.member(from), to.member), func() { l.close(from) }) // a reset
 		return true
 	}
 	arrive := func() { l.arrive(from, kind, size, deliver) }
-	if len(w.waiting) == 0 && !l.blocked(to) && to.p.slow == 0 {
-		l.s.transmit(w, l.place(from), to.p, kind, size, arrive)
+	if len(w.queued) == 0 && !l.readBlocked(to) && to.member.readRate == 0 {
+		l.sim.transmit(w, l.member(from), to.member, kind, size, arrive)
 		return true
 	}
-	if len(w.waiting) > 0 && w.bytes+size > to.p.room {
-		w.waiting, w.bytes = nil, 0
+	if len(w.queued) > 0 && w.queuedBytes+size > to.member.queueLimit {
+		w.queued, w.queuedBytes = nil, 0
 		return false
 	}
-	if len(w.waiting) == 0 {
-		w.moved = l.s.now
-		l.stalledSoon(from)
+	if len(w.queued) == 0 {
+		w.lastProgress = l.sim.now
+		l.scheduleStallTimeout(from)
 	}
-	w.waiting, w.bytes = append(w.waiting, parcel{kind, size, arrive}), w.bytes+size
+	w.queued, w.queuedBytes = append(w.queued, queuedMessage{kind, size, arrive}), w.queuedBytes+size
 	l.drain(from)
 	return true
 }
@@ -156,41 +156,41 @@
 // arrive is a message's end at the other side's system.
 func (l *link) arrive(from side, kind messageKind, size int, deliver func()) {
 	to := l.process(from.other())
-	if !to.runs() {
+	if !to.running() {
 		return
 	}
-	to.p.flow.in(kind, size)
+	to.member.traffic.countReceived(kind, size)
 	if to.paused {
-		to.backlog += size
+		to.backlogBytes += size
 	}
-	to.does(func() {
+	to.execute(func() {
 		if l.open[from.other()] {
 			deliver()
 		}
 	})
 }
 
-// blocked says whether a process takes nothing: because it wants so, or as it stands still and has as much waiting for it as its
+// readBlocked says whether a process takes nothing: because it wants so, or as it stands still and has as much waiting for it as its
 // system takes.
-func (l *link) blocked(to *process) bool {
-	return to.p.stalled || to.paused && to.backlog >= linkKernel
+func (l *link) readBlocked(to *process) bool {
+	return to.member.readStalled || to.paused && to.backlogBytes >= kernelBufferSize
 }
 
 // drain sends what waits on one side as far as the other takes it.
 func (l *link) drain(from side) {
-	w := &l.ways[from]
-	if w.pacing || l.control == nil {
+	w := &l.streams[from]
+	if w.awaitingReader || l.control == nil {
 		return
 	}
 	to := l.process(from.other())
-	for len(w.waiting) > 0 && !l.blocked(to) {
-		next := w.waiting[0]
-		w.waiting, w.bytes, w.moved = w.waiting[1:], w.bytes-next.size, l.s.now
-		l.s.transmit(w, l.place(from), to.p, next.kind, next.size, next.arrive)
-		if to.p.slow > 0 {
-			w.pacing = true
-			l.s.after(monotime.Micros(next.size)*second/monotime.Micros(to.p.slow)+1, func() {
-				w.pacing = false
+	for len(w.queued) > 0 && !l.readBlocked(to) {
+		next := w.queued[0]
+		w.queued, w.queuedBytes, w.lastProgress = w.queued[1:], w.queuedBytes-next.size, l.sim.now
+		l.sim.transmit(w, l.member(from), to.member, next.kind, next.size, next.arrive)
+		if to.member.readRate > 0 {
+			w.awaitingReader = true
+			l.sim.scheduleAfter(monotime.Micros(next.size)*monotime.Second/monotime.Micros(to.member.readRate)+1, func() {
+				w.awaitingReader = false
 				l.drain(from)
 			})
 			return
@@ -198,18 +198,18 @@
 	}
 }
 
-// stalledSoon closes the link where nothing is taken for too long.
-func (l *link) stalledSoon(from side) {
-	w := &l.ways[from]
-	l.s.after(linkStalled, func() {
-		if len(w.waiting) == 0 || !l.open[from] {
+// scheduleStallTimeout closes the link where nothing is taken for too long.
+func (l *link) scheduleStallTimeout(from side) {
+	w := &l.streams[from]
+	l.sim.scheduleAfter(linkStallTimeout, func() {
+		if len(w.queued) == 0 || !l.open[from] {
 			return
 		}
-		if !w.pacing && l.s.now-w.moved >= linkStalled {
+		if !w.awaitingReader && l.sim.now-w.lastProgress >= linkStallTimeout {
 			l.close(from)
 			return
 		}
-		l.stalledSoon(from)
+		l.scheduleStallTimeout(from)
 	})
 }
 
@@ -220,38 +220,38 @@
 	}
 	l.open[at] = false
 	q := l.process(at)
-	q.does(func() { q.lost(l) })
-	l.ended(at)
+	q.execute(func() { q.linkClosed(l) })
+	l.notifyClosed(at)
 }
 
-// ended has the other side learn that this one has closed the link, or that its process has ended.
-func (l *link) ended(at side) {
+// notifyClosed has the other side learn that this one has closed the link, or that its process has ended.
+func (l *link) notifyClosed(at side) {
 	other := at.other()
-	if l.s.network.severed(l.place(at), l.place(other)) {
-		l.silentSoon(other)
+	if l.sim.network.partitioned(l.member(at), l.member(other)) {
+		l.scheduleSilenceTimeout(other)
 		return
 	}
-	l.s.after(l.s.network.latency(l.place(at), l.place(other)), func() { l.close(other) })
+	l.sim.scheduleAfter(l.sim.network.latency(l.member(at), l.member(other)), func() { l.close(other) })
 }
 
-// silentSoon closes the link at one side, unless the other can be heard again by then.
-func (l *link) silentSoon(at side) {
-	l.s.after(linkSilent, func() {
+// scheduleSilenceTimeout closes the link at one side, unless the other can be heard again by then.
+func (l *link) scheduleSilenceTimeout(at side) {
+	l.sim.scheduleAfter(linkSilenceTimeout, func() {
 		if !l.open[at] {
 			return
 		}
 		other := l.process(at.other())
-		if !l.open[at.other()] || !other.runs() || other.paused || l.s.network.severed(l.place(at), other.p) {
+		if !l.open[at.other()] || !other.running() || other.paused || l.sim.network.partitioned(l.member(at), other.member) {
 			l.close(at)
 		}
 	})
 }
 
-// lost tells the member's part that a link is closed.
-func (q *process) lost(l *link) {
+// linkClosed tells the member's part that a link is closed.
+func (q *process) linkClosed(l *link) {
 	if q.control != nil {
-		q.control.lost(l)
+		q.control.linkClosed(l)
 		return
 	}
-	q.front.lost(l)
+	q.frontEnd.linkClosed(l)
 }
--- a/exercise/membership/process.go
+++ b/exercise/membership/process.go
@@ -7,88 +7,88 @@
 
 // process is one run of a member's program.
 type process struct {
-	s           *Sim
-	p           *place
-	incarnation uint64
-	order       int // of the processes at its place, from 1
-	born        monotime.Micros
-	offset      monotime.Micros // of its clock
-	rate        float64
-	paused      bool
-	waiting     []func() // what comes while it stands still
-	backlog     int      // bytes that came while it stands still
-	seenDigest  uint64   // of the view when it was last compared
-	control     *control // nil at an attached front end
-	front       *front   // nil at a control member
+	sim            *simulation
+	member         *member
+	incarnation    uint64
+	generation     int // of the processes at its place, from 1
+	born           monotime.Micros
+	clockOffset    monotime.Micros // of its clock
+	clockRate      float64
+	paused         bool
+	deferred       []func()         // what comes while it stands still
+	backlogBytes   int              // bytes that came while it stands still
+	comparedDigest uint64           // of the view when it was last compared
+	control        *controlProcess  // nil at an attached front end
+	frontEnd       *frontEndProcess // nil at a control member
 }
 
 // start begins a process at a place that has none.
-func (p *place) start() {
-	if p.proc != nil {
+func (p *member) start() {
+	if p.process != nil {
 		return
 	}
-	s := p.s
-	p.off = false
-	p.births++
-	p.turns = append(p.turns, s.now)
-	q := &process{s: s, p: p, order: p.births, born: s.now, incarnation: s.rng.Uint64()>>2 | 1,
-		offset: s.between(0, mostOffset), rate: 1 + drift*(2*s.rng.Float64()-1)}
-	p.proc = q
-	s.truth.began(q)
+	s := p.sim
+	p.poweredOff = false
+	p.generation++
+	p.startsAndEnds = append(p.startsAndEnds, s.now)
+	q := &process{sim: s, member: p, generation: p.generation, born: s.now, incarnation: s.rng.Uint64()>>2 | 1,
+		clockOffset: s.randomBetween(0, maxClockOffset), clockRate: 1 + maxClockDrift*(2*s.rng.Float64()-1)}
+	p.process = q
+	s.groundTruth.recordStart(q)
 	if p.role == membership.Control {
-		q.control = newControl(q)
-		q.control.begin()
+		q.control = newControlProcess(q)
+		q.control.startTicking()
 	} else {
-		q.front = newFront(q)
-		q.does(q.front.step)
+		q.frontEnd = newFrontEndProcess(q)
+		q.execute(q.frontEnd.step)
 	}
 }
 
-// end ends the process at once and without a word. Where the machine goes with it, nobody is told that its connections ended.
-func (p *place) end(machine bool) {
-	q := p.proc
+// crash ends the process at once and without a word. Where the machine goes with it, nobody is told that its connections ended.
+func (p *member) crash(machine bool) {
+	q := p.process
 	if machine {
-		p.off = true
+		p.poweredOff = true
 	}
 	if q == nil {
 		return
 	}
-	p.proc = nil
-	p.turns = append(p.turns, p.s.now)
-	q.waiting = nil
-	p.s.truth.ended(q)
+	p.process = nil
+	p.startsAndEnds = append(p.startsAndEnds, p.sim.now)
+	q.deferred = nil
+	p.sim.groundTruth.recordEnd(q)
 	if q.control != nil {
-		q.control.ended(machine)
+		q.control.processEnded(machine)
 	} else {
-		q.front.ended(machine)
+		q.frontEnd.processEnded(machine)
 	}
 }
 
 // pause has the process stand still.
-func (p *place) pause() {
-	if !p.running() {
+func (p *member) pause() {
+	if !p.responsive() {
 		return
 	}
-	p.proc.paused = true
-	p.s.truth.left(p.index)
-	p.proc.eachLink(func(l *link) { l.silentSoon(p.proc.side().other()) })
+	p.process.paused = true
+	p.sim.groundTruth.stopWaitingFor(p.index)
+	p.process.eachLink(func(l *link) { l.scheduleSilenceTimeout(p.process.side().other()) })
 }
 
 // resume lets a process go on that stands still, with all that came meanwhile.
-func (p *place) resume() {
-	q := p.proc
+func (p *member) resume() {
+	q := p.process
 	if q == nil || !q.paused {
 		return
 	}
 	q.paused = false
-	p.resumed = p.s.now
-	waiting := q.waiting
-	q.waiting, q.backlog = nil, 0
-	if p.s.rng.IntN(2) == 0 { // its clock may be read before what has come is
-		q.does(q.tick)
+	p.resumedAt = p.sim.now
+	waiting := q.deferred
+	q.deferred, q.backlogBytes = nil, 0
+	if p.sim.rng.IntN(2) == 0 { // its clock may be read before what has come is
+		q.execute(q.tick)
 	}
 	for _, do := range waiting {
-		q.does(do)
+		q.execute(do)
 	}
 	q.eachLink(func(l *link) { l.drain(q.side().other()) })
 }
@@ -99,38 +99,40 @@
 		q.control.tick()
 		return
 	}
-	q.front.step()
+	q.frontEnd.step()
 }
 
-// local is the time by the process's clock.
-func (q *process) local() monotime.Micros { return q.offset + monotime.Micros(float64(q.s.now)*q.rate) }
+// localTime is the time by the process's clock.
+func (q *process) localTime() monotime.Micros {
+	return q.clockOffset + monotime.Micros(float64(q.sim.now)*q.clockRate)
+}
 
-// trueTime is when the process's clock shows a time, or a little later.
-func (q *process) trueTime(local monotime.Micros) monotime.Micros {
-	return monotime.Micros(float64(local-q.offset)/q.rate) + 1
+// simulationTime is when the process's clock shows a time, or a little later.
+func (q *process) simulationTime(local monotime.Micros) monotime.Micros {
+	return monotime.Micros(float64(local-q.clockOffset)/q.clockRate) + 1
 }
 
-// runs says whether this process is still the one at its place.
-func (q *process) runs() bool { return q.p.proc == q }
+// running says whether this process is still the one at its place.
+func (q *process) running() bool { return q.member.process == q }
 
-// does runs something in the process, at once or when it goes on; nothing where the process has ended.
-func (q *process) does(do func()) {
+// execute runs something in the process, at once or when it goes on; nothing where the process has ended.
+func (q *process) execute(do func()) {
 	switch {
-	case !q.runs():
+	case !q.running():
 	case q.paused:
-		q.waiting = append(q.waiting, do)
+		q.deferred = append(q.deferred, do)
 	default:
-		began := q.s.meter.begin()
+		began := q.sim.cpuMeter.begin()
 		do()
-		q.s.meter.end(began, q.p.role)
-		q.watch()
+		q.sim.cpuMeter.end(began, q.member.role)
+		q.compareView()
 	}
 }
 
-// watch compares the process's view with what it was.
-func (q *process) watch() {
-	if q.runs() {
-		q.s.truth.watch(q)
+// compareView compares the process's view with what it was.
+func (q *process) compareView() {
+	if q.running() {
+		q.sim.groundTruth.compareOnDigestChange(q)
 	}
 }
 
@@ -138,23 +140,23 @@
 	if q.control != nil {
 		return q.control.server.View()
 	}
-	return q.front.client.View()
+	return q.frontEnd.client.View()
 }
 
 func (q *process) side() side {
 	if q.control != nil {
 		return controlSide
 	}
-	return frontSide
+	return frontEndSide
 }
 
 // eachLink calls for each link between this process and an attached front end or a control member, in a fixed order.
 func (q *process) eachLink(call func(*link)) {
 	var list []*link
 	if q.control != nil {
-		list = append(list, q.control.list...)
+		list = append(list, q.control.openLinks...)
 	} else {
-		list = append(list, q.front.links...)
+		list = append(list, q.frontEnd.links...)
 	}
 	for _, l := range list {
 		call(l)
--- a/exercise/membership/run.go
+++ b/exercise/membership/run.go
@@ -48,14 +48,14 @@
 
 // Spans of a run.
 const (
-	warmStart   = 3 * second // over which a fleet starts that isn't started at once
-	settleMost  = 180 * second
-	settleStep  = second
-	warmRest    = 15 * second // between the views' agreeing and the measured part: the ten-second windows are clear of the start
-	mostInWords = 10
+	startupDuration           = 3 * monotime.Second // over which a fleet starts that isn't started at once
+	maxConvergenceTime        = 180 * monotime.Second
+	convergencePollInterval   = monotime.Second
+	quietPeriod               = 15 * monotime.Second // between the views' agreeing and the measured part: the ten-second windows are clear of the start
+	maxDescribedDisagreements = 10
 )
 
-var errUnsettled = errors.New("membership: views don't agree with the truth")
+var errNotConverged = errors.New("membership: views don't agree with the truth")
 
 // Run plays a fleet and gives its figures. What breaks a rule is an error; the result is given too.
 func Run(o Options) (*scale.Result, error) {
@@ -70,7 +70,7 @@
 func (o *Outcome) Err() error {
 	var list []error
 	if len(o.Disagree) > 0 {
-		list = append(list, fmt.Errorf("%w: %v", errUnsettled, o.Disagree))
+		list = append(list, fmt.Errorf("%w: %v", errNotConverged, o.Disagree))
 	}
 	if o.PastBack > 0 {
 		list = append(list, fmt.Errorf("membership: %d times a past process was seen again: %v", o.PastBack, o.Faults))
@@ -84,36 +84,36 @@
 // Play plays a fleet.
 func Play(o Options) (*Outcome, error) {
 	shape := scale.Shape{FrontEnds: o.FrontEnds, Controls: o.Controls, Zones: o.Zones, Seconds: o.Seconds, Seed: o.Seed}
-	scenario, err := o.scenario(&shape)
+	scenario, err := o.selectScenario(&shape)
 	if err != nil {
 		return nil, err
 	}
 	if o.Progress == nil {
 		o.Progress = func(string) {}
 	}
-	s := newSim(shape)
+	s := newSimulation(shape)
 	if o.Processor {
-		s.meter = newMeter()
+		s.cpuMeter = newCPUMeter()
 	}
-	if err := s.warm(scenario, o.Progress); err != nil {
+	if err := s.startFleet(scenario, o.Progress); err != nil {
 		return nil, err
 	}
 	o.Progress("measured part: " + scenario.About)
 	s.measure(scenario, o.Progress)
 	o.Progress("faults are over")
-	outcome := &Outcome{Steady: scenario.steady}
-	s.heal()
-	settled, err := s.settle()
+	outcome := &Outcome{Steady: scenario.forbidsFalseDeaths}
+	s.endFaults()
+	settled, err := s.awaitConvergence()
 	outcome.Settled = settled
-	if err != nil && !errors.Is(err, errUnsettled) {
+	if err != nil && !errors.Is(err, errNotConverged) {
 		return nil, err
 	}
-	s.report(o, scenario, outcome)
+	s.fillOutcome(o, scenario, outcome)
 	return outcome, nil
 }
 
-// scenario is what the options ask for; the shape is checked and gets the scenario's span.
-func (o *Options) scenario(shape *scale.Shape) (Scenario, error) {
+// selectScenario is what the options ask for; the shape is checked and gets the scenario's span.
+func (o *Options) selectScenario(shape *scale.Shape) (Scenario, error) {
 	name := o.Faults
 	if name == "" {
 		name = "rest"
@@ -131,60 +131,60 @@
 	if known {
 		return scenario, nil
 	}
-	return scripted(o.Faults, *shape)
+	return scriptScenario(o.Faults, *shape)
 }
 
-// warm starts a fleet and has its views settle, unless the scenario begins with the start.
-func (s *Sim) warm(scenario Scenario, progress func(string)) error {
-	if scenario.cold {
+// startFleet starts a fleet and has its views settle, unless the scenario begins with the start.
+func (s *simulation) startFleet(scenario Scenario, progress func(string)) error {
+	if scenario.coldStart {
 		return nil
 	}
 	progress("start")
-	s.startAll(warmStart)
-	if err := s.run(warmStart); err != nil {
+	s.startAll(startupDuration)
+	if err := s.advance(startupDuration); err != nil {
 		return err
 	}
-	if _, err := s.settle(); err != nil {
-		return fmt.Errorf("%w at the start: %v", err, s.truth.inWords())
+	if _, err := s.awaitConvergence(); err != nil {
+		return fmt.Errorf("%w at the start: %v", err, s.groundTruth.describeDisagreements())
 	}
-	return s.run(warmRest)
+	return s.advance(quietPeriod)
 }
 
 // measure plays the scenario.
-func (s *Sim) measure(scenario Scenario, progress func(string)) {
-	s.meter.reset()
-	s.account.begin(s)
-	s.truth.begin()
-	scenario.play(s)
-	span := s.span()
-	for done := monotime.Micros(0); done < span && s.failed == nil; {
+func (s *simulation) measure(scenario Scenario, progress func(string)) {
+	s.cpuMeter.reset()
+	s.traffic.begin(s)
+	s.groundTruth.startRecording()
+	scenario.inject(s)
+	span := s.measuredDuration()
+	for done := monotime.Micros(0); done < span && s.err == nil; {
 		part := min(minute, span-done)
-		_ = s.run(part) // failed has it too
+		_ = s.advance(part) // failed has it too
 		done += part
-		progress(fmt.Sprintf("%g of %g s", float64(done)/float64(second), s.shape.Seconds))
+		progress(fmt.Sprintf("%g of %g s", float64(done)/float64(monotime.Second), s.shape.Seconds))
 	}
-	s.account.end()
-	s.truth.recording = false
+	s.traffic.end()
+	s.groundTruth.recording = false
 }
 
-// settle waits until all views agree with the truth, and gives how long it took.
-func (s *Sim) settle() (monotime.Micros, error) {
+// awaitConvergence waits until all views agree with the truth, and gives how long it took.
+func (s *simulation) awaitConvergence() (monotime.Micros, error) {
 	began := s.now
-	for s.now-began < settleMost {
-		if err := s.run(settleStep); err != nil {
+	for s.now-began < maxConvergenceTime {
+		if err := s.advance(convergencePollInterval); err != nil {
 			return 0, err
 		}
-		if len(s.truth.compare(1)) == 0 {
+		if len(s.groundTruth.disagreements(1)) == 0 {
 			return s.now - began, nil
 		}
 	}
-	return s.now - began, errUnsettled
+	return s.now - began, errNotConverged
 }
 
-// inWords is what views have wrong now.
-func (t *truth) inWords() (list []string) {
-	for _, d := range t.compare(mostInWords) {
-		list = append(list, fmt.Sprintf("%s sees %s: %s", d.by, d.about, d.sees))
+// describeDisagreements is what views have wrong now.
+func (t *groundTruth) describeDisagreements() (list []string) {
+	for _, d := range t.disagreements(maxDescribedDisagreements) {
+		list = append(list, fmt.Sprintf("%s sees %s: %s", d.observer, d.subject, d.observed))
 	}
 	return list
 }
--- a/exercise/membership/script.go
+++ b/exercise/membership/script.go
@@ -7,8 +7,8 @@
 	"chutechute/internal/scale"
 )
 
-// scripted is the scenario of a script of faults.
-func scripted(script string, shape scale.Shape) (Scenario, error) {
+// scriptScenario is the scenario of a script of faults.
+func scriptScenario(script string, shape scale.Shape) (Scenario, error) {
 	faults, err := scale.ParseFaults(script)
 	if err != nil {
 		return Scenario{}, err
@@ -16,72 +16,72 @@
 	if err := scale.CheckFaults(faults, shape); err != nil {
 		return Scenario{}, err
 	}
-	return Scenario{Name: script, About: script, Seconds: shape.Seconds, play: func(s *Sim) {
+	return Scenario{Name: script, About: script, Seconds: shape.Seconds, inject: func(s *simulation) {
 		for i, f := range faults {
-			s.after(f.At.Microseconds(), func() { s.play(i+1, f) })
+			s.scheduleAfter(f.At.Microseconds(), func() { s.injectFault(i+1, f) })
 		}
 	}}, nil
 }
 
-// play begins one fault.
-func (s *Sim) play(number int, f scale.Fault) {
+// injectFault begins one fault.
+func (s *simulation) injectFault(number int, f scale.Fault) {
 	if f.Kind == scale.Heal {
-		s.network.heal()
+		s.network.healPartitions()
 		return
 	}
-	s.mark(fmt.Sprintf("fault %d, %s", number, f.Kind))
-	list := s.targets(f.Target)
+	s.markTrigger(fmt.Sprintf("fault %d, %s", number, f.Kind))
+	list := s.faultTargets(f.Target)
 	for i, p := range list {
 		span := f.Over.Microseconds() * monotime.Micros(i) / monotime.Micros(len(list))
-		s.after(span, func() { s.befall(p, f) })
+		s.scheduleAfter(span, func() { s.injectInto(p, f) })
 	}
 }
 
-// befall does to one member what the fault says.
-func (s *Sim) befall(p *place, f scale.Fault) {
+// injectInto does to one member what the fault says.
+func (s *simulation) injectInto(p *member, f scale.Fault) {
 	span := f.For.Microseconds()
 	switch f.Kind {
 	case scale.Kill:
-		p.end(false)
+		p.crash(false)
 		if span > 0 {
-			s.after(span, p.start)
+			s.scheduleAfter(span, p.start)
 		}
 	case scale.Restart:
-		p.end(false)
+		p.crash(false)
 		p.start()
 	case scale.Stop:
 		p.pause()
-		s.after(span, p.resume)
+		s.scheduleAfter(span, p.resume)
 	case scale.Cut:
-		p.away = true
-		s.network.severedNow()
+		p.isolated = true
+		s.network.partitionChanged()
 		if span > 0 {
-			s.after(span, func() { p.away = false })
+			s.scheduleAfter(span, func() { p.isolated = false })
 		}
 	case scale.Heal: // done for all at once
 	}
 }
 
-// targets is whom a fault befalls.
-func (s *Sim) targets(t scale.Target) (list []*place) {
+// faultTargets is whom a fault befalls.
+func (s *simulation) faultTargets(t scale.Target) (list []*member) {
 	switch t.Kind {
 	case scale.TargetControl:
-		return s.controls[t.Number-1 : t.Number]
+		return s.controlMembers[t.Number-1 : t.Number]
 	case scale.TargetAttached:
-		return s.attached[t.Number-1 : t.Number]
+		return s.attachedFrontEnds[t.Number-1 : t.Number]
 	case scale.TargetShare:
-		count := max(1, int(float64(len(s.places))*t.Percent/100))
-		for _, i := range s.rng.Perm(len(s.places))[:count] {
-			list = append(list, s.places[i])
+		count := max(1, int(float64(len(s.members))*t.Percent/100))
+		for _, i := range s.rng.Perm(len(s.members))[:count] {
+			list = append(list, s.members[i])
 		}
 	case scale.TargetZone:
-		for _, p := range s.places {
+		for _, p := range s.members {
 			if p.zoneName() == t.Zone {
 				list = append(list, p)
 			}
 		}
 	case scale.TargetAll:
-		return s.places
+		return s.members
 	case scale.TargetNone:
 	}
 	return list
--- a/exercise/membership/truth.go
+++ b/exercise/membership/truth.go
@@ -8,43 +8,45 @@
 	"chutechute/internal/monotime"
 )
 
-// sight is how one member sees another: the number of the other's process, from 1, and its state. 0: not in the view.
-type sight uint32
-
-func sightOf(order int, state membership.State) sight { return sight(order)<<2 | sight(state) }
-
-func (v sight) order() int              { return int(v >> 2) }
-func (v sight) state() membership.State { return membership.State(v & 3) }
-
-// mostWords bounds the findings of a kind that are kept in words.
-const mostWords = 20
-
-// truth knows what really happened, and compares what members see with it.
-type truth struct {
-	s         *Sim
-	orders    map[uint64]int // of each process at its place, by incarnation
-	seen      [][]sight      // by the place that sees and the place that is seen
-	highest   [][]uint16     // the latest process that was seen, likewise
-	met       [][]uint64     // the processes that were ever seen, as bits by their number
-	open      [][]*change    // changes that not all alive know yet, by the place that they are about
-	count     int            // of those
-	closed    []*change      // all alive know these
-	recording bool           // changes from now on are part of the figures
-
-	falseDeaths findings // of members that run and can be reached, in anybody's view
-	pastBack    findings // a process that this member had seen replaced was seen again
-	older       findings // one that it had never seen, though it had seen a later one
-	differing   map[transition][]*place
-	turns       map[[2]int]int // changes seen, by the two places, for those that are counted
+// observation is how one member sees another: the number of the other's process, from 1, and its state. 0: not in the view.
+type observation uint32
+
+func newObservation(order int, state membership.State) observation {
+	return observation(order)<<2 | observation(state)
+}
+
+func (v observation) generation() int         { return int(v >> 2) }
+func (v observation) state() membership.State { return membership.State(v & 3) }
+
+// maxDescribedFindings bounds the findings of a kind that are kept in words.
+const maxDescribedFindings = 20
+
+// groundTruth knows what really happened, and compares what members see with it.
+type groundTruth struct {
+	sim               *simulation
+	generations       map[uint64]int  // of each process at its place, by incarnation
+	observations      [][]observation // by the place that sees and the place that is seen
+	highestGeneration [][]uint16      // the latest process that was seen, likewise
+	seenGenerations   [][]uint64      // the processes that were ever seen, as bits by their number
+	openChanges       [][]*change     // changes that not all alive know yet, by the place that they are about
+	openCount         int             // of those
+	propagated        []*change       // all alive know these
+	recording         bool            // changes from now on are part of the figures
+
+	falseDeaths             findings // of members that run and can be reached, in anybody's view
+	resurrections           findings // a process that this member had seen replaced was seen again
+	outOfOrder              findings // one that it had never seen, though it had seen a later one
+	differencesByTransition map[digestTransition][]*member
+	observedFlaps           map[[2]int]int // changes seen, by the two places, for those that are counted
 }
 
-func newTruth(s *Sim) *truth {
-	t := &truth{s: s, orders: map[uint64]int{}, open: make([][]*change, len(s.places)), turns: map[[2]int]int{},
-		differing: map[transition][]*place{}}
-	for range s.places {
-		t.seen = append(t.seen, make([]sight, len(s.places)))
-		t.highest = append(t.highest, make([]uint16, len(s.places)))
-		t.met = append(t.met, make([]uint64, len(s.places)))
+func newGroundTruth(s *simulation) *groundTruth {
+	t := &groundTruth{sim: s, generations: map[uint64]int{}, openChanges: make([][]*change, len(s.members)), observedFlaps: map[[2]int]int{},
+		differencesByTransition: map[digestTransition][]*member{}}
+	for range s.members {
+		t.observations = append(t.observations, make([]observation, len(s.members)))
+		t.highestGeneration = append(t.highestGeneration, make([]uint16, len(s.members)))
+		t.seenGenerations = append(t.seenGenerations, make([]uint64, len(s.members)))
 	}
 	return t
 }
@@ -53,135 +55,137 @@
 type changeKind uint8
 
 const (
-	appeared changeKind = iota // a process is there
-	vanished                   // a process has ended
+	changeStarted changeKind = iota // a process is there
+	changeEnded                     // a process has ended
 )
 
-// begin forgets what was found so far, and has changes count from now on.
-func (t *truth) begin() {
+// startRecording forgets what was found so far, and has changes count from now on.
+func (t *groundTruth) startRecording() {
 	t.recording = true
-	t.closed = nil
+	t.propagated = nil
 }
 
 // change is something that all alive should come to know.
 type change struct {
-	kind    changeKind
-	place   *place
-	order   int
-	since   monotime.Micros // when it happened
-	noticed monotime.Micros // when the first control member saw it; 0: not yet
-	known   monotime.Micros // when the last one so far did
-	waiting []bool          // by place: who does not know yet
-	left    int
-	counts  bool // it is part of the figures
+	kind         changeKind
+	subject      *member
+	generation   int
+	happenedAt   monotime.Micros // when it happened
+	detectedAt   monotime.Micros // when the first control member saw it; 0: not yet
+	lastKnownAt  monotime.Micros // when the last one so far did
+	pending      []bool          // by place: who does not know yet
+	pendingCount int
+	measured     bool // it is part of the figures
 }
 
-// shows says whether somebody who sees that knows of the change. One that ended may be forgotten.
-func (c *change) shows(v sight) bool {
+// knownFrom says whether somebody who sees that knows of the change. One that ended may be forgotten.
+func (c *change) knownFrom(v observation) bool {
 	switch {
 	case v == 0:
-		return c.kind == vanished
-	case v.order() < c.order:
+		return c.kind == changeEnded
+	case v.generation() < c.generation:
 		return false
-	case v.order() > c.order:
+	case v.generation() > c.generation:
 		return true
 	}
-	return c.kind == appeared || v.state() == membership.Dead || v.state() == membership.Left
+	return c.kind == changeStarted || v.state() == membership.Dead || v.state() == membership.Left
 }
 
 // shownBy says whether that is the change itself, and not a later one.
-func (c *change) shownBy(v sight) bool { return v != 0 && c.shows(v) && v.order() == c.order }
-
-// began takes a process's start.
-func (t *truth) began(q *process) {
-	t.orders[q.incarnation] = q.order
-	clear(t.seen[q.p.index])
-	clear(t.highest[q.p.index])
-	clear(t.met[q.p.index])
-	q.seenDigest = 0
-	t.add(&change{kind: appeared, place: q.p, order: q.order, since: t.s.now})
+func (c *change) shownBy(v observation) bool {
+	return v != 0 && c.knownFrom(v) && v.generation() == c.generation
+}
+
+// recordStart takes a process's start.
+func (t *groundTruth) recordStart(q *process) {
+	t.generations[q.incarnation] = q.generation
+	clear(t.observations[q.member.index])
+	clear(t.highestGeneration[q.member.index])
+	clear(t.seenGenerations[q.member.index])
+	q.comparedDigest = 0
+	t.openChange(&change{kind: changeStarted, subject: q.member, generation: q.generation, happenedAt: t.sim.now})
 }
 
-// ended takes a process's end. Nobody needs to learn any more that it was there.
-func (t *truth) ended(q *process) {
-	t.left(q.p.index)
-	for _, c := range slices.Clone(t.open[q.p.index]) {
-		if c.kind == appeared {
-			t.drop(c)
+// recordEnd takes a process's end. Nobody needs to learn any more that it was there.
+func (t *groundTruth) recordEnd(q *process) {
+	t.stopWaitingFor(q.member.index)
+	for _, c := range slices.Clone(t.openChanges[q.member.index]) {
+		if c.kind == changeStarted {
+			t.removeChange(c)
 		}
 	}
-	t.add(&change{kind: vanished, place: q.p, order: q.order, since: t.s.now})
+	t.openChange(&change{kind: changeEnded, subject: q.member, generation: q.generation, happenedAt: t.sim.now})
 }
 
-func (t *truth) add(c *change) {
-	c.counts = t.recording
-	t.open[c.place.index] = append(t.open[c.place.index], c)
-	t.count++
+func (t *groundTruth) openChange(c *change) {
+	c.measured = t.recording
+	t.openChanges[c.subject.index] = append(t.openChanges[c.subject.index], c)
+	t.openCount++
 }
 
-// left takes a member out of those that are waited for.
-func (t *truth) left(index int) {
-	if t.count == 0 {
+// stopWaitingFor takes a member out of those that are waited for.
+func (t *groundTruth) stopWaitingFor(index int) {
+	if t.openCount == 0 {
 		return
 	}
-	for _, p := range t.s.places {
-		for _, c := range slices.Clone(t.open[p.index]) {
-			if c.waiting != nil {
-				t.learnt(c, index)
+	for _, p := range t.sim.members {
+		for _, c := range slices.Clone(t.openChanges[p.index]) {
+			if c.pending != nil {
+				t.markKnown(c, index)
 			}
 		}
 	}
 }
 
-// transition is two digests of a view, one after the other.
-type transition struct{ from, to uint64 }
+// digestTransition is two digests of a view, one after the other.
+type digestTransition struct{ from, to uint64 }
 
 // Bounds of what is remembered of transitions.
 const (
-	mostTransitions = 100_000
-	mostDiffering   = 256 // above it a whole walk is cheaper
+	maxRememberedTransitions = 100_000
+	maxRememberedDifferences = 256 // above it a whole walk is cheaper
 )
 
-// watch compares a process's view with what it was, where its digest has changed. Views of the same digest hold the same entries,
+// compareOnDigestChange compares a process's view with what it was, where its digest has changed. Views of the same digest hold the same entries,
 // so who differs between two digests is found once, and is the same for all members that go from one to the other.
-func (t *truth) watch(q *process) {
-	step := transition{q.seenDigest, q.view().Digest()}
+func (t *groundTruth) compareOnDigestChange(q *process) {
+	step := digestTransition{q.comparedDigest, q.view().Digest()}
 	if step.from == step.to {
 		return
 	}
-	q.seenDigest = step.to
-	differing, known := t.differing[step]
-	if known && len(differing) <= mostDiffering {
+	q.comparedDigest = step.to
+	differing, known := t.differencesByTransition[step]
+	if known && len(differing) <= maxRememberedDifferences {
 		for _, subject := range differing {
-			t.lookAt(q, subject)
+			t.compareEntry(q, subject)
 		}
 		return
 	}
-	if len(t.differing) >= mostTransitions {
-		clear(t.differing)
+	if len(t.differencesByTransition) >= maxRememberedTransitions {
+		clear(t.differencesByTransition)
 	}
-	t.differing[step] = t.look(q)
+	t.differencesByTransition[step] = t.compareView(q)
 }
 
-// lookAt compares how a process sees one other with how it did.
-func (t *truth) lookAt(q *process, subject *place) {
-	v := sight(0)
+// compareEntry compares how a process sees one other with how it did.
+func (t *groundTruth) compareEntry(q *process, subject *member) {
+	v := observation(0)
 	if e, ok := q.view().Lookup(subject.name); ok {
-		v = sightOf(t.order(subject, e.Incarnation), e.State)
+		v = newObservation(t.generation(subject, e.Incarnation), e.State)
 	}
-	if v != t.seen[q.p.index][subject.index] {
+	if v != t.observations[q.member.index][subject.index] {
 		t.observe(q, subject, v)
 	}
 }
 
-// look compares a process's view with what it was, and gives who differs. Both are by name, so that one walk finds all.
-func (t *truth) look(q *process) (differing []*place) {
+// compareView compares a process's view with what it was, and gives who differs. Both are by name, so that one walk finds all.
+func (t *groundTruth) compareView(q *process) (differing []*member) {
 	list := q.view().Entries()
-	seen := t.seen[q.p.index]
-	for _, subject := range t.s.sorted {
-		v := sight(0)
+	seen := t.observations[q.member.index]
+	for _, subject := range t.sim.sortedByName {
+		v := observation(0)
 		if len(list) > 0 && list[0].Name == subject.name {
-			v = sightOf(t.order(subject, list[0].Incarnation), list[0].State)
+			v = newObservation(t.generation(subject, list[0].Incarnation), list[0].State)
 			list = list[1:]
 		}
 		if v != seen[subject.index] {
@@ -190,161 +194,161 @@
 		}
 	}
 	if len(list) > 0 {
-		t.s.fail(fmt.Errorf("membership: %s sees %q, which there is not", q.p.name, list[0].Name))
+		t.sim.fail(fmt.Errorf("membership: %s sees %q, which there is not", q.member.name, list[0].Name))
 	}
 	return differing
 }
 
-// order is the number of a process at its place; mostly it is the last one.
-func (t *truth) order(subject *place, incarnation uint64) int {
-	if subject.proc != nil && subject.proc.incarnation == incarnation {
-		return subject.births
+// generation is the number of a process at its place; mostly it is the last one.
+func (t *groundTruth) generation(subject *member, incarnation uint64) int {
+	if subject.process != nil && subject.process.incarnation == incarnation {
+		return subject.generation
 	}
-	return t.orders[incarnation]
+	return t.generations[incarnation]
 }
 
 // observe takes that one member now sees another in another way.
-func (t *truth) observe(q *process, subject *place, v sight) {
-	at, about := q.p.index, subject.index
-	t.seen[at][about] = v
-	if _, counted := t.turns[[2]int{at, about}]; counted {
-		t.turns[[2]int{at, about}]++
+func (t *groundTruth) observe(q *process, subject *member, v observation) {
+	at, about := q.member.index, subject.index
+	t.observations[at][about] = v
+	if _, counted := t.observedFlaps[[2]int{at, about}]; counted {
+		t.observedFlaps[[2]int{at, about}]++
 	}
 	if v != 0 {
-		t.judge(q, subject, v)
+		t.check(q, subject, v)
 	}
-	for _, c := range slices.Clone(t.open[about]) {
-		t.inform(c, q, v)
+	for _, c := range slices.Clone(t.openChanges[about]) {
+		t.updateChange(c, q, v)
 	}
 }
 
-// judge finds what a member ought not to see.
-func (t *truth) judge(q *process, subject *place, v sight) {
-	t.past(q, subject, v)
-	if v.state() == membership.Dead && t.wronglyDead(q.p, subject, v.order()) {
-		t.falseDeaths.add(t.s, "%s sees %s dead, which runs", q.p.name, subject.name)
+// check finds what a member ought not to see.
+func (t *groundTruth) check(q *process, subject *member, v observation) {
+	t.checkGeneration(q, subject, v)
+	if v.state() == membership.Dead && t.falselyDead(q.member, subject, v.generation()) {
+		t.falseDeaths.add(t.sim, "%s sees %s dead, which runs", q.member.name, subject.name)
 	}
 }
 
-// past notes which processes a member sees, and finds those that it ought not to see any more but as dead.
-func (t *truth) past(q *process, subject *place, v sight) {
-	highest, met := &t.highest[q.p.index][subject.index], &t.met[q.p.index][subject.index]
-	bit := uint64(1) << (v.order() % 64)
-	if v.order() < int(*highest) && v.state() != membership.Dead {
-		found := &t.older
+// checkGeneration notes which processes a member sees, and finds those that it ought not to see any more but as dead.
+func (t *groundTruth) checkGeneration(q *process, subject *member, v observation) {
+	highest, met := &t.highestGeneration[q.member.index][subject.index], &t.seenGenerations[q.member.index][subject.index]
+	bit := uint64(1) << (v.generation() % 64)
+	if v.generation() < int(*highest) && v.state() != membership.Dead {
+		found := &t.outOfOrder
 		if *met&bit != 0 {
-			found = &t.pastBack
+			found = &t.resurrections
 		}
-		found.add(t.s, "%s sees process %d of %s %s after %d", q.p.name, v.order(), subject.name, v.state(), *highest)
+		found.add(t.sim, "%s sees process %d of %s %s after %d", q.member.name, v.generation(), subject.name, v.state(), *highest)
 	}
 	*met |= bit
-	*highest = max(*highest, uint16(v.order()))
+	*highest = max(*highest, uint16(v.generation()))
 }
 
-// staleAfterStop is for how long the word may still be about that a member is dead that stood still and goes on.
-const staleAfterStop = 2 * second
+// resumeGracePeriod is for how long the word may still be about that a member is dead that stood still and goes on.
+const resumeGracePeriod = 2 * monotime.Second
 
-// wronglyDead says whether a member runs, and is where the one who holds it for dead could have known.
-func (t *truth) wronglyDead(by, subject *place, order int) bool {
-	if subject.resumed != 0 && t.s.now-subject.resumed < staleAfterStop {
+// falselyDead says whether a member runs, and is where the one who holds it for dead could have known.
+func (t *groundTruth) falselyDead(by, subject *member, order int) bool {
+	if subject.resumedAt != 0 && t.sim.now-subject.resumedAt < resumeGracePeriod {
 		return false
 	}
-	return subject.running() && subject.births == order && t.s.network.sameSide(by, subject)
+	return subject.responsive() && subject.generation == order && t.sim.network.indirectlyReachable(by, subject)
 }
 
-// inform takes what one member sees of what a change is about.
-func (t *truth) inform(c *change, q *process, v sight) {
-	if c.waiting != nil {
-		if c.shows(v) {
-			t.learnt(c, q.p.index)
+// updateChange takes what one member sees of what a change is about.
+func (t *groundTruth) updateChange(c *change, q *process, v observation) {
+	if c.pending != nil {
+		if c.knownFrom(v) {
+			t.markKnown(c, q.member.index)
 		}
 		return
 	}
-	if q.control == nil || q.p == c.place || v == 0 || !c.shows(v) {
+	if q.control == nil || q.member == c.subject || v == 0 || !c.knownFrom(v) {
 		return
 	}
 	if !c.shownBy(v) { // a later one made it void before anybody saw it
-		t.drop(c)
+		t.removeChange(c)
 		return
 	}
-	t.notice(c, q)
+	t.detect(c, q)
 }
 
-// notice begins to wait for all that run now, could know, and read what they are sent.
-func (t *truth) notice(c *change, q *process) {
-	c.noticed, c.known = t.s.now, t.s.now
-	c.waiting = make([]bool, len(t.s.places))
-	for _, p := range t.s.places {
-		waits := p != c.place && p.running() && p.room == linkQueue && t.s.network.sameSide(p, q.p)
-		if waits && !c.shows(t.seen[p.index][c.place.index]) {
-			c.waiting[p.index] = true
-			c.left++
+// detect begins to wait for all that run now, could know, and read what they are sent.
+func (t *groundTruth) detect(c *change, q *process) {
+	c.detectedAt, c.lastKnownAt = t.sim.now, t.sim.now
+	c.pending = make([]bool, len(t.sim.members))
+	for _, p := range t.sim.members {
+		waits := p != c.subject && p.responsive() && p.queueLimit == defaultQueueLimit && t.sim.network.indirectlyReachable(p, q.member)
+		if waits && !c.knownFrom(t.observations[p.index][c.subject.index]) {
+			c.pending[p.index] = true
+			c.pendingCount++
 		}
 	}
-	if c.left == 0 {
-		t.close(c)
+	if c.pendingCount == 0 {
+		t.complete(c)
 	}
 }
 
-// learnt takes that a member knows, or is no more waited for.
-func (t *truth) learnt(c *change, index int) {
-	if !c.waiting[index] {
+// markKnown takes that a member knows, or is no more waited for.
+func (t *groundTruth) markKnown(c *change, index int) {
+	if !c.pending[index] {
 		return
 	}
-	c.waiting[index] = false
-	c.left--
-	if t.s.places[index].running() {
-		c.known = t.s.now
+	c.pending[index] = false
+	c.pendingCount--
+	if t.sim.members[index].responsive() {
+		c.lastKnownAt = t.sim.now
 	}
-	if c.left == 0 {
-		t.close(c)
+	if c.pendingCount == 0 {
+		t.complete(c)
 	}
 }
 
-func (t *truth) close(c *change) {
-	t.drop(c)
-	if c.counts {
-		t.closed = append(t.closed, c)
+func (t *groundTruth) complete(c *change) {
+	t.removeChange(c)
+	if c.measured {
+		t.propagated = append(t.propagated, c)
 	}
-	c.waiting = []bool{}
+	c.pending = []bool{}
 }
 
-func (t *truth) drop(c *change) {
-	list := t.open[c.place.index]
+func (t *groundTruth) removeChange(c *change) {
+	list := t.openChanges[c.subject.index]
 	if place := slices.Index(list, c); place >= 0 {
-		t.open[c.place.index] = slices.Delete(list, place, place+1)
-		t.count--
+		t.openChanges[c.subject.index] = slices.Delete(list, place, place+1)
+		t.openCount--
 	}
 }
 
 // findings are things of one kind that ought not to be.
 type findings struct {
-	count int
-	words []string // the first ones
+	count        int
+	descriptions []string // the first ones
 }
 
-func (f *findings) add(s *Sim, format string, args ...any) {
+func (f *findings) add(s *simulation, format string, args ...any) {
 	f.count++
-	if len(f.words) < mostWords {
-		f.words = append(f.words, fmt.Sprintf("%.3f s: ", float64(s.now)/float64(second))+fmt.Sprintf(format, args...))
+	if len(f.descriptions) < maxDescribedFindings {
+		f.descriptions = append(f.descriptions, fmt.Sprintf("%.3f s: ", float64(s.now)/float64(monotime.Second))+fmt.Sprintf(format, args...))
 	}
 }
 
 // disagreement is a member whose view differs from the truth.
 type disagreement struct {
-	by, about string
-	sees      string
+	observer, subject string
+	observed          string
 }
 
-// compare gives what views have wrong, at most so many.
-func (t *truth) compare(most int) (list []disagreement) {
-	for _, p := range t.s.places {
-		if !p.running() {
+// disagreements gives what views have wrong, at most so many.
+func (t *groundTruth) disagreements(most int) (list []disagreement) {
+	for _, p := range t.sim.members {
+		if !p.responsive() {
 			continue
 		}
-		t.look(p.proc) // what a view shows may change where its digest, which is over what was told, does not
-		for i, v := range t.seen[p.index] {
-			if subject := t.s.places[i]; !agrees(subject, v) {
+		t.compareView(p.process) // what a view shows may change where its digest, which is over what was told, does not
+		for i, v := range t.observations[p.index] {
+			if subject := t.sim.members[i]; !agrees(subject, v) {
 				list = append(list, disagreement{p.name, subject.name, v.String()})
 			}
 			if len(list) >= most {
@@ -356,19 +360,19 @@
 }
 
 // agrees says whether that is how a member is to be seen in the end. One that ended may be forgotten.
-func agrees(subject *place, v sight) bool {
+func agrees(subject *member, v observation) bool {
 	switch {
-	case subject.proc != nil:
-		return v != 0 && v.order() == subject.births && v.state() == membership.Alive
+	case subject.process != nil:
+		return v != 0 && v.generation() == subject.generation && v.state() == membership.Alive
 	case v == 0:
 		return true
 	}
-	return v.order() == subject.births && (v.state() == membership.Dead || v.state() == membership.Left)
+	return v.generation() == subject.generation && (v.state() == membership.Dead || v.state() == membership.Left)
 }
 
-func (v sight) String() string {
+func (v observation) String() string {
 	if v == 0 {
 		return "not at all"
 	}
-	return fmt.Sprintf("process %d %s", v.order(), v.state())
+	return fmt.Sprintf("process %d %s", v.generation(), v.state())
 }
