--- a/exercise/membership/burst.go
+++ b/exercise/membership/burst.go
@@ -6,23 +6,23 @@
 	"chutechute/internal/monotime"
 )
 
-// Burst is what control members had to take in the second after something happened: counted from the first accept, or the first
-// snapshot, that followed.
+// Burst is the load of control members in the second after a fault. The second begins with the first accepted
+// connection, or with the first snapshot, that followed the fault.
 type Burst struct {
-	Of        string
-	Accepts   Load
-	Snapshots Load
+	Of        string // the fault
+	Accepts   Load   // connections of attached front ends that were accepted
+	Snapshots Load   // snapshots that were sent
 }
 
-// Load is a count over the control members that run.
+// Load is a count over the running control members.
 type Load struct {
 	Total   int
 	Running int // control members that ran
 	Mean    float64
-	Most    int // at any one
+	Most    int // at any one control member
 }
 
-// Ratio is how much more than the mean the busiest one had; 0 where there was nothing.
+// Ratio returns Most divided by Mean; 0 if Total is 0.
 func (l Load) Ratio() float64 {
 	if l.Total == 0 {
 		return 0
@@ -30,65 +30,70 @@
 	return float64(l.Most) / l.Mean
 }
 
-// trigger says that something happened whose burst is to be counted.
+// burstTimes is when a control member accepted connections of attached front ends, and sent snapshots.
+type burstTimes struct {
+	accepts, snapshots []monotime.Micros
+}
+
+// trigger is a fault whose burst is counted.
 type trigger struct {
-	of string
-	at monotime.Micros
+	description string
+	at          monotime.Micros
 }
 
-func (s *simulation) markTrigger(of string) {
-	list := &s.traffic.marks
-	if last := len(*list) - 1; last >= 0 && (*list)[last].at == s.now { // it is one burst
-		(*list)[last].of += " and " + of
+// addTrigger adds a fault that happens now. Faults at one time have one burst.
+func (s *simulation) addTrigger(description string) {
+	last := len(s.triggers) - 1
+	if last >= 0 && s.triggers[last].at == s.now {
+		s.triggers[last].description += " and " + description
 		return
 	}
-	*list = append(*list, trigger{of, s.now})
+	s.triggers = append(s.triggers, trigger{description, s.now})
 }
 
-// countBursts counts what followed each mark, up to the next.
-func (s *simulation) countBursts() (list []Burst) {
-	for i, m := range s.traffic.marks {
+// bursts returns the burst of each trigger, which ends with the next one at the latest.
+func (s *simulation) bursts() (bursts []Burst) {
+	accepts := func(m *member) []monotime.Micros { return m.burstTimes.accepts }
+	snapshots := func(m *member) []monotime.Micros { return m.burstTimes.snapshots }
+	for i, t := range s.triggers {
 		until := s.now
-		if i+1 < len(s.traffic.marks) {
-			until = s.traffic.marks[i+1].at
+		if i+1 < len(s.triggers) {
+			until = s.triggers[i+1].at
 		}
-		list = append(list, Burst{
-			Of:        m.of,
-			Accepts:   s.countFirstSecond(m.at, until, func(p *member) []monotime.Micros { return p.burstTimes.accepts }),
-			Snapshots: s.countFirstSecond(m.at, until, func(p *member) []monotime.Micros { return p.burstTimes.snapshots }),
+		bursts = append(bursts, Burst{
+			Of:        t.description,
+			Accepts:   s.firstSecond(t.at, until, accepts),
+			Snapshots: s.firstSecond(t.at, until, snapshots),
 		})
 	}
-	return list
+	return bursts
 }
 
-// countFirstSecond counts, at each control member, the times within a second of the first of all.
-func (s *simulation) countFirstSecond(from, until monotime.Micros, times func(*member) []monotime.Micros) (l Load) {
-	first := until
-	for _, p := range s.controlMembers {
-		list := times(p)
-		if place, _ := slices.BinarySearch(list, from); place < len(list) {
-			first = min(first, list[place])
+// firstSecond counts the times of each control member that are within a second of the first of all.
+func (s *simulation) firstSecond(from, until monotime.Micros, times func(*member) []monotime.Micros) (load Load) {
+	first := s.firstTime(from, until, times)
+	for _, m := range s.controlMembers {
+		if m.ranAt(first) {
+			load.Running++
 		}
-	}
-	for _, p := range s.controlMembers {
-		if p.ranAt(first) {
-			l.Running++
-		}
-		list := times(p)
+		list := times(m)
 		begin, _ := slices.BinarySearch(list, first)
 		end, _ := slices.BinarySearch(list, min(first+monotime.Second, until))
-		l.Total += end - begin
-		l.Most = max(l.Most, end-begin)
+		load.Total += end - begin
+		load.Most = max(load.Most, end-begin)
 	}
-	l.Mean = float64(l.Total) / float64(max(1, l.Running))
-	return l
+	load.Mean = float64(load.Total) / float64(max(1, load.Running))
+	return load
 }
 
-// ranAt says whether a process ran at a time.
-func (p *member) ranAt(when monotime.Micros) bool {
-	place, exact := slices.BinarySearch(p.startsAndEnds, when)
-	if exact {
-		place++
+// firstTime returns the first time of any control member from one time on; until if there is none before.
+func (s *simulation) firstTime(from, until monotime.Micros, times func(*member) []monotime.Micros) monotime.Micros {
+	first := until
+	for _, m := range s.controlMembers {
+		list := times(m)
+		if index, _ := slices.BinarySearch(list, from); index < len(list) {
+			first = min(first, list[index])
+		}
 	}
-	return place%2 == 1
+	return first
 }
--- a/exercise/membership/chaos.go
+++ b/exercise/membership/chaos.go
@@ -2,19 +2,19 @@
 
 import "chutechute/internal/monotime"
 
-// Spans of chaos.
+// Parameters of random faults.
 const (
-	chaosInterval      = 700 * monotime.Millisecond    // between two faults, in the mean
-	chaosMaxDuration   = 12 * monotime.Second          // that a fault lasts
-	chaosMaxDelay      = 400 * monotime.Millisecond    // the most that messages are late
-	chaosMaxLossRate   = 0.2                           // the greatest share that is lost
-	chaosQuietEnd      = 10 * monotime.Second          // at the end of the measured part nothing new happens
-	chaosMaxPause      = 15_000 * monotime.Millisecond // for which a member stands still
-	chaosMaxDownTime   = 20 * monotime.Second          // until an ended process is followed by the next
-	chaosRapidRestarts = 2                             // processes of one name that may follow one another at once
+	chaosInterval      = 700 * monotime.Millisecond // between two faults, in the mean
+	chaosQuietEnd      = 10 * monotime.Second       // without new faults, at the end of the measured part
+	chaosMaxDuration   = 12 * monotime.Second       // of a fault
+	chaosMaxPause      = 15 * monotime.Second
+	chaosMaxDownTime   = 20 * monotime.Second // from a crash to the next start
+	chaosMaxDelay      = 400 * monotime.Millisecond
+	chaosMaxLossRate   = 0.2
+	chaosRapidRestarts = 2 // restarts without down time that follow each other
 )
 
-// injectChaos has something drawn at random happen every so often, to anybody.
+// injectChaos injects a random fault every so often, into any member.
 func injectChaos(s *simulation) {
 	end := s.now + s.measuredDuration() - chaosQuietEnd
 	var next func()
@@ -28,58 +28,78 @@
 	s.scheduleAfter(chaosInterval, next)
 }
 
-// injectRandomFault is one fault.
+// injectRandomFault injects one fault.
 func (s *simulation) injectRandomFault() {
-	p := s.members[s.rng.IntN(len(s.members))]
-	if s.rng.IntN(3) == 0 {
-		p = s.controlMembers[s.rng.IntN(len(s.controlMembers))]
+	m := s.members[s.random.IntN(len(s.members))]
+	if s.random.IntN(3) == 0 {
+		m = s.randomControlMember()
 	}
-	switch s.rng.IntN(9) {
+	switch s.random.IntN(9) {
 	case 0, 1:
-		p.crash(s.rng.IntN(2) == 0)
-		s.scheduleAfter(s.randomBetween(0, chaosMaxDownTime), p.start)
+		s.crashBriefly(m)
 	case 2:
 		for range chaosRapidRestarts {
-			p.crash(false)
-			p.start()
+			m.crash(processCrash)
+			m.start()
 		}
 	case 3:
-		p.pause()
-		s.scheduleAfter(s.randomBetween(0, chaosMaxPause), p.resume)
+		m.pause()
+		s.scheduleAfter(s.randomBetween(0, chaosMaxPause), m.resume)
 	case 4:
-		s.setBriefly(&p.isolated)
+		s.setFaultBriefly(&m.isolated)
 	case 5:
-		s.setBriefly(&s.controlMembers[s.rng.IntN(len(s.controlMembers))].isolatedFromAttached)
+		s.setFaultBriefly(&s.randomControlMember().isolatedFromAttached)
 	case 6:
 		s.partitionBriefly()
 	case 7:
-		s.network.maxExtraDelay, s.network.lossRate = s.randomBetween(0, chaosMaxDelay), chaosMaxLossRate*s.rng.Float64()
-		s.network.reorder = s.rng.IntN(2) == 0
-		s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { s.network.maxExtraDelay, s.network.lossRate, s.network.reorder = 0, 0, false })
+		s.degradeNetworkBriefly()
 	case 8:
-		s.setBriefly(&p.readStalled)
-		p.queueLimit = stalledQueueLimit
+		s.setFaultBriefly(&m.readStalled)
+		m.queueLimit = stalledQueueLimit
 	}
 }
 
-// setBriefly sets something that severs, for a while.
-func (s *simulation) setBriefly(what *bool) {
-	*what = true
-	s.network.partitionChanged()
-	s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { *what = false })
+func (s *simulation) randomControlMember() *member {
+	return s.controlMembers[s.random.IntN(len(s.controlMembers))]
 }
 
-// partitionBriefly has two regions lose each other, or some all others.
+// crashBriefly crashes a process or its machine, and starts the next process some time later.
+func (s *simulation) crashBriefly(m *member) {
+	scope := processCrash
+	if s.random.IntN(2) == 0 {
+		scope = machineCrash
+	}
+	m.crash(scope)
+	s.scheduleAfter(s.randomBetween(0, chaosMaxDownTime), m.start)
+}
+
+// setFaultBriefly sets a fault of a member for some time.
+func (s *simulation) setFaultBriefly(fault *bool) {
+	*fault = true
+	s.network.partitionStarted()
+	s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { *fault = false })
+}
+
+// partitionBriefly partitions a region from all others, or from one, for some time.
 func (s *simulation) partitionBriefly() {
 	n := &s.network
-	region := s.rng.IntN(min(maxRegions, s.shape.Zones))
-	if s.rng.IntN(2) == 0 {
-		n.partitionSide = func(p *member) bool { return p.region == region }
+	region := s.random.IntN(s.regionCount())
+	if s.random.IntN(2) == 0 {
+		n.partitionSide = func(m *member) bool { return m.region == region }
 		s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { n.partitionSide = nil })
 	} else {
-		pair := [2]int{min(region, 1), max(region, 1)}
-		n.partitionedRegions[pair] = pair[0] != pair[1]
+		pair := newUnorderedPair(region, 1)
+		n.partitionedRegions[pair] = pair.low != pair.high
 		s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { delete(n.partitionedRegions, pair) })
 	}
-	n.partitionChanged()
+	n.partitionStarted()
+}
+
+// degradeNetworkBriefly has the network lose, delay and perhaps reorder messages for some time.
+func (s *simulation) degradeNetworkBriefly() {
+	n := &s.network
+	n.maxExtraDelay = s.randomBetween(0, chaosMaxDelay)
+	n.lossRate = chaosMaxLossRate * s.random.Float64()
+	n.reorder = s.random.IntN(2) == 0
+	s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), n.endDegradation)
 }
--- a/exercise/membership/doc.go
+++ b/exercise/membership/doc.go
@@ -1,14 +1,18 @@
-// Package membership plays the membership of a whole fleet in one process and in virtual time: attached front ends
-// (membership.Client), control members (membership.Server, and among one another heartbeat.Monitor with heartbeats to all), unchanged, over a
-// network and clocks of its own that one seed drives. It counts what each role sends and receives, how long changes take to reach
-// the last member alive, and compares every view with the truth.
+// Package membership simulates the membership of a whole fleet in one process and in virtual time. The modules under
+// test are those of the program, unchanged: membership.Client in attached front ends, and membership.Server with
+// heartbeat.Monitor in control members. Network, clocks, processes and faults are simulated, driven by one seed.
 //
-// Nothing here waits or reads a clock; the same seed gives the same figures. The one exception is the processor time, which is
-// measured only where Options.Processor asks for it and is never part of what tests assert.
+// A run starts the fleet, waits until all views agree, injects the faults of a Scenario or a script during the measured
+// part, ends all faults, and waits for convergence again. It accounts for the traffic of each role, measures detection
+// times and propagation delays, and compares every view with the ground truth.
 //
-// What is simplified: a message is lost as a whole and never sent again by the transport, which is harsher than a stream that
-// repeats it; bytes of TCP, TLS and acknowledgements are not counted; heartbeats among control members lack the fields about the
-// record (about 40 bytes), and are read once for all receivers unless the processor time is measured.
+// Nothing waits or reads a clock, and the same seed gives the same figures. The one exception is processor time, which
+// is measured only if Options asks for it, and which no test asserts.
+//
+// Simplifications: a lost message is lost as a whole and never sent again by the transport, which is harsher than a
+// stream that retransmits; bytes of TCP, TLS and acknowledgements are not counted; heartbeats among control members lack
+// the fields of the replicated log (about 40 bytes), and are decoded once for all receivers unless processor time is
+// measured.
 package membership
 
 import "chutechute/internal/monotime"
--- /dev/null
+++ b/exercise/membership/figures.go
@@ -0,0 +1,62 @@
+package membership
+
+import (
+	"fmt"
+
+	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
+	"chutechute/internal/scale"
+)
+
+// namedFigures returns the figures that a result has no field for. The last word of a name is the figure's unit.
+// docs/capacity names many of them, so the names stay.
+func (s *simulation) namedFigures(out *Outcome) map[string]float64 {
+	figures := map[string]float64{
+		"front end in and out B/s":             out.Rest,
+		"front end busiest 10 s B/s":           out.Busiest,
+		"false deaths count":                   float64(out.FalseDeaths),
+		"past processes seen again count":      float64(out.PastBack),
+		"older processes seen late count":      float64(out.Older),
+		"views agree after the last fault ms":  float64(out.Settled / monotime.Millisecond),
+		"views still wrong at the end members": float64(len(out.Disagree)),
+	}
+	if detection := scale.SpreadOf(durations(out.Noticed), 0); detection != nil {
+		figures["deaths noticed count"] = float64(detection.Count)
+		figures["death noticed median ms"] = detection.MedianMS
+		figures["death noticed p99 ms"] = detection.P99MS
+		figures["death noticed most ms"] = detection.MostMS
+	}
+	for _, burst := range out.Bursts {
+		addLoad(figures, burst.Of+": accepts in the first second", burst.Accepts)
+		addLoad(figures, burst.Of+": snapshots in the first second", burst.Snapshots)
+	}
+	if out.Turns > 0 {
+		figures["changes seen of the one that flaps count"] = float64(out.Turns)
+	}
+	s.addKindRates(figures, membership.Attached)
+	s.addKindRates(figures, membership.Control)
+	return figures
+}
+
+func addLoad(figures map[string]float64, name string, load Load) {
+	figures[name+", all count"] = float64(load.Total)
+	figures[name+", mean count"] = load.Mean
+	figures[name+", most at one control member count"] = float64(load.Most)
+}
+
+// addKindRates adds the rate of each kind of message, in bytes a second and member.
+func (s *simulation) addKindRates(figures map[string]float64, role membership.Role) {
+	members := s.membersWithRole(role)
+	traffic := s.traffic.total(members)
+	memberSeconds := inSeconds(s.traffic.duration) * float64(len(members))
+	addRate := func(kind messageKind, direction string, count trafficCount) {
+		if count.messages > 0 {
+			name := fmt.Sprintf("%s: %s %s B/s", roleName(role), kind, direction)
+			figures[name] = float64(count.totalBytes()) / memberSeconds
+		}
+	}
+	for kind := range messageKinds {
+		addRate(kind, "in", traffic.received[kind])
+		addRate(kind, "out", traffic.sent[kind])
+	}
+}
--- a/exercise/membership/link.go
+++ b/exercise/membership/link.go
@@ -5,16 +5,19 @@
 	"chutechute/internal/monotime"
 )
 
-// Spans and bounds of a link, as package epoll has them for links between front ends.
+// Timeouts of a link, as package epoll has them for links between front ends.
 const (
-	linkOpenTimeout    = 2000 * monotime.Millisecond   // until a link has to be open, hello and all
-	linkSilenceTimeout = 10_000 * monotime.Millisecond // a link on which nothing comes for so long is closed
-	linkStallTimeout   = 2000 * monotime.Millisecond   // so is one that takes nothing for so long
-	minRedialDelay     = 50 * monotime.Millisecond     // doubled with each failure, up to
-	maxRedialDelay     = 1000 * monotime.Millisecond
-	// defaultQueueLimit is how many bytes may wait for an attached front end, beyond what its system takes while it stands still.
-	defaultQueueLimit = 256 << 10
-	kernelBufferSize  = 128 << 10
+	linkOpenTimeout    = 2 * monotime.Second       // for the whole handshake
+	linkSilenceTimeout = 10 * monotime.Second      // without anything received
+	linkStallTimeout   = 2 * monotime.Second       // without anything taken from the queue
+	minRedialDelay     = 50 * monotime.Millisecond // doubled with each failure
+	maxRedialDelay     = 1 * monotime.Second
+)
+
+// Limits of what waits for an attached front end, in bytes.
+const (
+	defaultQueueLimit = 256 << 10 // at the other end of a link
+	kernelBufferSize  = 128 << 10 // in its own system while it is paused
 )
 
 // side is one end of a link.
@@ -31,17 +34,22 @@
 type link struct {
 	sim          *simulation
 	frontEnd     *process
-	target       *member
-	control      *process        // nil until it has accepted
-	challengedAt monotime.Micros // when it challenged, by its clock
-	open         [2]bool
-	dialFailed   bool      // the dial has ended without a link
+	target       *member         // the control member
+	control      *process        // its process; nil until that has accepted
+	challengedAt monotime.Micros // by the control member's clock
+	dialFailed   bool
+	open         [2]bool   // by side: the ends learn of its opening and closing at different times
 	streams      [2]stream // by the side that sends
 }
 
 // membershipLink is the link as package fleet/membership knows it.
 func (l *link) membershipLink() membership.Link {
-	return membership.Link{From: l.frontEnd.member.name, Zone: l.frontEnd.member.zoneName(), Incarnation: l.frontEnd.incarnation, ChallengedAt: l.challengedAt}
+	return membership.Link{
+		From:         l.frontEnd.member.name,
+		Zone:         l.frontEnd.member.zoneName(),
+		Incarnation:  l.frontEnd.incarnation,
+		ChallengedAt: l.challengedAt,
+	}
 }
 
 func (l *link) process(at side) *process {
@@ -58,102 +66,42 @@
 	return l.target
 }
 
-// sendHandshake has a message of the hello go to the other side; next is done there.
-func (l *link) sendHandshake(from side, size int, next func()) {
-	to := l.member(from.other())
-	l.sim.transmit(&l.streams[from], l.member(from), to, kindHello, size, func() {
-		to.traffic.countReceived(kindHello, size)
-		next()
-	})
-}
-
-// dial opens the link: challenge, hello, welcome.
-func (l *link) dial() {
-	l.sim.scheduleAfter(linkOpenTimeout, func() { l.abandonDial() })
-	l.sendHandshake(frontEndSide, 0, func() { // the connection itself carries nothing that is counted
-		switch {
-		case l.target.poweredOff:
-		case l.target.process == nil:
-			l.sim.scheduleAfter(l.sim.network.latency(l.target, l.frontEnd.member), l.abandonDial)
-		default:
-			l.control = l.target.process
-			l.control.execute(l.accept)
-		}
-	})
-}
-
-// accept is done by the control member.
-func (l *link) accept() {
-	if l.dialFailed {
-		return
-	}
-	l.challengedAt = l.control.localTime()
-	l.target.burstTimes.accepts = append(l.target.burstTimes.accepts, l.sim.now)
-	l.sendHandshake(controlSide, handshakeSizes.challenge, func() {
-		l.frontEnd.execute(func() {
-			l.sendHandshake(frontEndSide, handshakeSizes.hello, func() { l.control.execute(l.receiveHello) })
-		})
-	})
-}
-
-// receiveHello is done by the control member once it has the hello.
-func (l *link) receiveHello() {
-	if l.dialFailed {
-		return
-	}
-	l.open[controlSide] = true
-	l.sendHandshake(controlSide, handshakeSizes.welcome, func() { l.frontEnd.execute(l.receiveWelcome) })
-	l.control.control.linkOpened(l)
-}
-
-func (l *link) receiveWelcome() {
-	if l.dialFailed || l.open[frontEndSide] || !l.control.running() && !l.target.poweredOff {
-		return
-	}
-	l.open[frontEndSide] = true
-	l.frontEnd.frontEnd.linkOpened(l)
-}
-
-// abandonDial gives a dial up.
-func (l *link) abandonDial() {
-	if l.dialFailed || l.open[frontEndSide] {
-		return
-	}
-	l.dialFailed = true
-	l.frontEnd.execute(func() { l.frontEnd.frontEnd.linkClosed(l) })
-	if l.open[controlSide] {
-		l.notifyClosed(frontEndSide)
-	}
-}
-
-// send queues a message; false says that there was no room, and that what waited is gone.
+// send sends a message or queues it. It returns false if there was no room in the queue, whose content is dropped then.
 func (l *link) send(from side, kind messageKind, size int, deliver func()) bool {
 	to := l.process(from.other())
 	w := &l.streams[from]
 	if !to.running() && !to.member.poweredOff && !l.sim.network.partitioned(l.member(from), to.member) {
-		l.member(from).traffic.countSent(kind, size)
-		l.sim.scheduleAfter(2*l.sim.network.latency(l.member(from), to.member), func() { l.close(from) }) // a reset
+		l.sendAndGetReset(from, kind, size)
 		return true
 	}
-	arrive := func() { l.arrive(from, kind, size, deliver) }
-	if len(w.queued) == 0 && !l.readBlocked(to) && to.member.readRate == 0 {
-		l.sim.transmit(w, l.member(from), to.member, kind, size, arrive)
+	message := queuedMessage{kind, size, func() { l.arrive(from, kind, size, deliver) }}
+	queueEmpty := len(w.queued) == 0
+	if queueEmpty && !readBlocked(to) && to.member.readRate == 0 {
+		l.sim.transmit(w, l.member(from), to.member, kind, size, message.arrive)
 		return true
 	}
-	if len(w.queued) > 0 && w.queuedBytes+size > to.member.queueLimit {
-		w.queued, w.queuedBytes = nil, 0
+	if !queueEmpty && w.queuedBytes+size > to.member.queueLimit {
+		w.dropQueue()
 		return false
 	}
-	if len(w.queued) == 0 {
+	if queueEmpty {
 		w.lastProgress = l.sim.now
 		l.scheduleStallTimeout(from)
 	}
-	w.queued, w.queuedBytes = append(w.queued, queuedMessage{kind, size, arrive}), w.queuedBytes+size
+	w.enqueue(message)
 	l.drain(from)
 	return true
 }
 
-// arrive is a message's end at the other side's system.
+// sendAndGetReset sends to a process that has ended, whose system resets the connection.
+func (l *link) sendAndGetReset(from side, kind messageKind, size int) {
+	sender := l.member(from)
+	sender.traffic.countSent(kind, size)
+	roundTrip := 2 * l.sim.network.latency(sender, l.member(from.other()))
+	l.sim.scheduleAfter(roundTrip, func() { l.close(from) })
+}
+
+// arrive runs when a message arrives at the system of its receiver.
 func (l *link) arrive(from side, kind messageKind, size int, deliver func()) {
 	to := l.process(from.other())
 	if !to.running() {
@@ -170,88 +118,36 @@
 	})
 }
 
-// readBlocked says whether a process takes nothing: because it wants so, or as it stands still and has as much waiting for it as its
-// system takes.
-func (l *link) readBlocked(to *process) bool {
+// readBlocked reports whether a process takes nothing: its reading is stalled, or it is paused and its system's buffer
+// is full.
+func readBlocked(to *process) bool {
 	return to.member.readStalled || to.paused && to.backlogBytes >= kernelBufferSize
 }
 
-// drain sends what waits on one side as far as the other takes it.
+// drain sends what is queued at one end, as far as the other end reads.
 func (l *link) drain(from side) {
 	w := &l.streams[from]
 	if w.awaitingReader || l.control == nil {
 		return
 	}
 	to := l.process(from.other())
-	for len(w.queued) > 0 && !l.readBlocked(to) {
-		next := w.queued[0]
-		w.queued, w.queuedBytes, w.lastProgress = w.queued[1:], w.queuedBytes-next.size, l.sim.now
+	for len(w.queued) > 0 && !readBlocked(to) {
+		next := w.dequeue(l.sim.now)
 		l.sim.transmit(w, l.member(from), to.member, next.kind, next.size, next.arrive)
 		if to.member.readRate > 0 {
-			w.awaitingReader = true
-			l.sim.scheduleAfter(monotime.Micros(next.size)*monotime.Second/monotime.Micros(to.member.readRate)+1, func() {
-				w.awaitingReader = false
-				l.drain(from)
-			})
+			l.awaitReader(from, to.member, next.size)
 			return
 		}
 	}
 }
 
-// scheduleStallTimeout closes the link where nothing is taken for too long.
-func (l *link) scheduleStallTimeout(from side) {
+// awaitReader has the queue wait until a slow reader has read so many bytes.
+func (l *link) awaitReader(from side, reader *member, size int) {
 	w := &l.streams[from]
-	l.sim.scheduleAfter(linkStallTimeout, func() {
-		if len(w.queued) == 0 || !l.open[from] {
-			return
-		}
-		if !w.awaitingReader && l.sim.now-w.lastProgress >= linkStallTimeout {
-			l.close(from)
-			return
-		}
-		l.scheduleStallTimeout(from)
+	w.awaitingReader = true
+	readTime := monotime.Micros(size)*monotime.Second/monotime.Micros(reader.readRate) + 1
+	l.sim.scheduleAfter(readTime, func() {
+		w.awaitingReader = false
+		l.drain(from)
 	})
 }
-
-// close ends the link at one side, which tells the other.
-func (l *link) close(at side) {
-	if !l.open[at] {
-		return
-	}
-	l.open[at] = false
-	q := l.process(at)
-	q.execute(func() { q.linkClosed(l) })
-	l.notifyClosed(at)
-}
-
-// notifyClosed has the other side learn that this one has closed the link, or that its process has ended.
-func (l *link) notifyClosed(at side) {
-	other := at.other()
-	if l.sim.network.partitioned(l.member(at), l.member(other)) {
-		l.scheduleSilenceTimeout(other)
-		return
-	}
-	l.sim.scheduleAfter(l.sim.network.latency(l.member(at), l.member(other)), func() { l.close(other) })
-}
-
-// scheduleSilenceTimeout closes the link at one side, unless the other can be heard again by then.
-func (l *link) scheduleSilenceTimeout(at side) {
-	l.sim.scheduleAfter(linkSilenceTimeout, func() {
-		if !l.open[at] {
-			return
-		}
-		other := l.process(at.other())
-		if !l.open[at.other()] || !other.running() || other.paused || l.sim.network.partitioned(l.member(at), other.member) {
-			l.close(at)
-		}
-	})
-}
-
-// linkClosed tells the member's part that a link is closed.
-func (q *process) linkClosed(l *link) {
-	if q.control != nil {
-		q.control.linkClosed(l)
-		return
-	}
-	q.frontEnd.linkClosed(l)
-}
--- a/exercise/membership/parts_test.go
+++ b/exercise/membership/parts_test.go
@@ -44,12 +44,12 @@
 // A heartbeat reads as it was written.
 func TestControlHeartbeatRoundTrip(t *testing.T) {
 	s := newSimulation(smallShape())
-	h := controlHeartbeat{incarnation: 7, leaving: true, versions: []byte("v")}
+	h := controlHeartbeat{incarnation: 7, leaving: true, tableVersions: []byte("v")}
 	set := startProcess(s, s.controlMembers[0]).control.monitor
 	require.True(t, set.Observe(5*monotime.Second, "control-02", 9, 0, false, nil))
 	set.Tick(6 * monotime.Second)
 	h.reports = set.Reports()
-	got, err := decodeHeartbeat(h.encode())
+	got, err := decodeControlHeartbeat(h.encode())
 	require.NoError(t, err)
 	assert.Equal(t, h, got)
 }
@@ -63,7 +63,7 @@
 func TestGroundTruthFindsWrongViews(t *testing.T) {
 	s := newSimulation(smallShape())
 	truth := s.groundTruth
-	truth.startRecording()
+	truth.startMeasuring()
 	for _, p := range s.members[:5] {
 		p.start()
 	}
@@ -83,7 +83,7 @@
 
 	sees(1, 4, 1, membership.Dead)
 	assert.Equal(t, 1, truth.falseDeaths.count)
-	s.network.partitionedRegions[[2]int{0, 1}] = true
+	s.network.partitionedRegions[newUnorderedPair(0, 1)] = true
 	sees(1, 4, 1, membership.Dead)
 	assert.Equal(t, 2, truth.falseDeaths.count, "others still hear it")
 	s.members[4].isolated = true
@@ -91,13 +91,13 @@
 	assert.Equal(t, 2, truth.falseDeaths.count, "nobody can hear it")
 
 	s.members[4].isolated = false
-	s.members[4].crash(false)
+	s.members[4].crash(processCrash)
 	s.members[4].start()
 	sees(0, 4, 2, membership.Alive)
 	assert.Zero(t, truth.resurrections.count)
 	sees(0, 4, 1, membership.Alive)
 	assert.Equal(t, 1, truth.resurrections.count)
-	s.members[4].crash(false)
+	s.members[4].crash(processCrash)
 	s.members[4].start()
 	sees(2, 4, 3, membership.Alive)
 	sees(2, 4, 2, membership.Alive)
@@ -112,10 +112,10 @@
 // A death that nobody saw before the next process was seen is no change to wait for.
 func TestUnobservedDeathIsSupersededByRestart(t *testing.T) {
 	s := newSimulation(smallShape())
-	s.groundTruth.startRecording()
+	s.groundTruth.startMeasuring()
 	s.members[0].start()
 	s.members[1].start()
-	s.members[1].crash(false)
+	s.members[1].crash(processCrash)
 	s.members[1].start()
 	s.groundTruth.observe(s.members[0].process, s.members[1], newObservation(2, membership.Alive))
 	require.Len(t, s.groundTruth.propagated, 1)
@@ -127,7 +127,7 @@
 // What ends while it is waited for is not waited for any more, and its end is not when the change was known.
 func TestPropagationDelayIgnoresEndedProcesses(t *testing.T) {
 	s := newSimulation(smallShape())
-	s.groundTruth.startRecording()
+	s.groundTruth.startMeasuring()
 	for _, p := range s.members[:4] {
 		p.start()
 	}
@@ -136,7 +136,7 @@
 	s.now = 20 * monotime.Millisecond
 	s.groundTruth.observe(s.members[2].process, s.members[1], newObservation(1, membership.Alive))
 	s.now = 30 * monotime.Millisecond
-	s.members[3].crash(false)
+	s.members[3].crash(processCrash)
 	require.Len(t, s.groundTruth.propagated, 1)
 	assert.Equal(t, 10*monotime.Millisecond, s.groundTruth.propagated[0].lastKnownAt-s.groundTruth.propagated[0].detectedAt)
 }
@@ -151,8 +151,8 @@
 	s.controlMembers[0].burstTimes.accepts = []monotime.Micros{monotime.Second, 5 * monotime.Second, 6 * monotime.Second, 7 * monotime.Second}
 	s.controlMembers[1].burstTimes.accepts = []monotime.Micros{5500 * monotime.Millisecond, 5600 * monotime.Millisecond, 5700 * monotime.Millisecond}
 	s.now = 10 * monotime.Second
-	s.traffic.marks = []trigger{{"lost", 4 * monotime.Second}}
-	list := s.countBursts()
+	s.triggers = []trigger{{"lost", 4 * monotime.Second}}
+	list := s.bursts()
 	require.Len(t, list, 1)
 	assert.Equal(t, Load{Total: 4, Running: 2, Mean: 2, Most: 3}, list[0].Accepts)
 	assert.InDelta(t, 1.5, list[0].Accepts.Ratio(), 1e-9)
@@ -167,7 +167,7 @@
 	f.countReceived(kindHello, handshakeSizes.hello)
 	assert.Equal(t, trafficCount{2, 100 + 65<<10, 30}, f.received[kindView])
 	assert.Equal(t, trafficCount{1, 0, int64(handshakeSizes.hello)}, f.received[kindHello])
-	assert.Equal(t, 10, frameHeader)
+	assert.Equal(t, 10, frameHeaderSize)
 	assert.Greater(t, handshakeSizes.hello, 100)
 }
 
@@ -227,12 +227,12 @@
 
 // A process's end is seen at once at the other side of its links, a machine's after a silence.
 func TestLinkCloseAfterProcessOrMachineCrash(t *testing.T) {
-	for _, machine := range []bool{false, true} {
+	for _, scope := range []crashScope{processCrash, machineCrash} {
 		s := newSimulation(smallShape())
 		l := newOpenLink(s)
-		s.controlMembers[0].crash(machine)
+		s.controlMembers[0].crash(scope)
 		require.NoError(t, s.advance(monotime.Second))
-		assert.Equal(t, machine, l.open[frontEndSide])
+		assert.Equal(t, scope == machineCrash, l.open[frontEndSide])
 		require.NoError(t, s.advance(linkSilenceTimeout))
 		assert.False(t, l.open[frontEndSide])
 	}
@@ -242,8 +242,10 @@
 func TestPartitionsAffectOnlyTheirMembers(t *testing.T) {
 	s := newSimulation(scale.Shape{FrontEnds: 60, Controls: 20, Zones: 10, Seed: 1})
 	n := &s.network
-	inRegion := func(region int) *member { return s.attachedIn(func(p *member) bool { return p.region == region })[0] }
-	n.partitionedRegions[[2]int{0, 1}] = true
+	inRegion := func(region int) *member {
+		return filterMembers(s.attachedFrontEnds, func(m *member) bool { return m.region == region })[0]
+	}
+	n.partitionedRegions[newUnorderedPair(0, 1)] = true
 	assert.True(t, n.partitioned(inRegion(1), inRegion(0)))
 	assert.False(t, n.partitioned(inRegion(1), inRegion(2)))
 	assert.True(t, n.indirectlyReachable(inRegion(1), inRegion(0)), "by way of others")
@@ -253,7 +255,7 @@
 	n.partitionSide = func(p *member) bool { return p.region < 2 }
 	assert.True(t, n.partitioned(inRegion(1), inRegion(5)))
 	assert.False(t, n.indirectlyReachable(inRegion(1), inRegion(5)))
-	n.partitionedMembers[[2]int{s.controlMembers[5].index, s.attachedFrontEnds[7].index}] = true
+	n.partitionedMembers[newUnorderedPair(s.controlMembers[5].index, s.attachedFrontEnds[7].index)] = true
 	assert.True(t, n.partitioned(s.attachedFrontEnds[7], s.controlMembers[5]))
 	n.healPartitions()
 	for _, p := range s.members {
@@ -285,7 +287,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 100 {
 		s := newSimulation(smallShape())
-		s.rng = rng
+		s.random = rng
 		q := startProcess(s, s.attachedFrontEnds[0])
 		s.now = rng.Int64N(3600 * monotime.Second)
 		again := q.simulationTime(q.localTime())
--- a/exercise/membership/process.go
+++ b/exercise/membership/process.go
@@ -5,160 +5,127 @@
 	"chutechute/internal/monotime"
 )
 
+// Bounds of what the clocks of members differ by.
+const (
+	maxClockDrift  = 0.001                  // as a share of the time that passes
+	maxClockOffset = 1000 * monotime.Second // at the start of the run
+)
+
 // process is one run of a member's program.
 type process struct {
-	sim            *simulation
-	member         *member
-	incarnation    uint64
-	generation     int // of the processes at its place, from 1
-	born           monotime.Micros
-	clockOffset    monotime.Micros // of its clock
-	clockRate      float64
-	paused         bool
-	deferred       []func()         // what comes while it stands still
-	backlogBytes   int              // bytes that came while it stands still
-	comparedDigest uint64           // of the view when it was last compared
-	control        *controlProcess  // nil at an attached front end
-	frontEnd       *frontEndProcess // nil at a control member
-}
+	sim          *simulation
+	member       *member
+	incarnation  uint64
+	generation   int // of the processes of its member, from 1
+	clockOffset  monotime.Micros
+	clockRate    float64
+	paused       bool
+	deferred     []func() // what happened to it while it was paused
+	backlogBytes int      // that arrived while it was paused
+	// comparedDigest is the digest of the view when it was last compared with the ground truth.
+	comparedDigest uint64
 
-// start begins a process at a place that has none.
-func (p *member) start() {
-	if p.process != nil {
-		return
-	}
-	s := p.sim
-	p.poweredOff = false
-	p.generation++
-	p.startsAndEnds = append(p.startsAndEnds, s.now)
-	q := &process{sim: s, member: p, generation: p.generation, born: s.now, incarnation: s.rng.Uint64()>>2 | 1,
-		clockOffset: s.randomBetween(0, maxClockOffset), clockRate: 1 + maxClockDrift*(2*s.rng.Float64()-1)}
-	p.process = q
-	s.groundTruth.recordStart(q)
-	if p.role == membership.Control {
-		q.control = newControlProcess(q)
-		q.control.startTicking()
-	} else {
-		q.frontEnd = newFrontEndProcess(q)
-		q.execute(q.frontEnd.step)
-	}
+	role     processRole      // the one of the next two that is set
+	control  *controlProcess  // nil in an attached front end
+	frontEnd *frontEndProcess // nil in a control member
 }
 
-// crash ends the process at once and without a word. Where the machine goes with it, nobody is told that its connections ended.
-func (p *member) crash(machine bool) {
-	q := p.process
-	if machine {
-		p.poweredOff = true
-	}
-	if q == nil {
-		return
-	}
-	p.process = nil
-	p.startsAndEnds = append(p.startsAndEnds, p.sim.now)
-	q.deferred = nil
-	p.sim.groundTruth.recordEnd(q)
-	if q.control != nil {
-		q.control.processEnded(machine)
-	} else {
-		q.frontEnd.processEnded(machine)
-	}
+// processRole is the part of a process that depends on the role of its member.
+type processRole interface {
+	// start begins the work of a process that has just started.
+	start()
+	// tick lets time pass.
+	tick()
+	// view returns the view of the fleet.
+	view() *membership.View
+	// side returns the end of a link that a process of this role has.
+	side() side
+	// allLinks returns the links to processes of the other role.
+	allLinks() []*link
+	// linkClosed follows the end of a link, or a dial that failed.
+	linkClosed(l *link)
+	// crashed follows the end of the process.
+	crashed(scope crashScope)
 }
 
-// pause has the process stand still.
-func (p *member) pause() {
-	if !p.responsive() {
-		return
-	}
-	p.process.paused = true
-	p.sim.groundTruth.stopWaitingFor(p.index)
-	p.process.eachLink(func(l *link) { l.scheduleSilenceTimeout(p.process.side().other()) })
+func newProcess(m *member) *process {
+	s := m.sim
+	p := &process{sim: s, member: m, generation: m.generation}
+	p.incarnation = s.random.Uint64()>>2 | 1
+	p.clockOffset = s.randomBetween(0, maxClockOffset)
+	p.clockRate = 1 + maxClockDrift*(2*s.random.Float64()-1)
+	return p
 }
 
-// resume lets a process go on that stands still, with all that came meanwhile.
-func (p *member) resume() {
-	q := p.process
-	if q == nil || !q.paused {
-		return
-	}
-	q.paused = false
-	p.resumedAt = p.sim.now
-	waiting := q.deferred
-	q.deferred, q.backlogBytes = nil, 0
-	if p.sim.rng.IntN(2) == 0 { // its clock may be read before what has come is
-		q.execute(q.tick)
-	}
-	for _, do := range waiting {
-		q.execute(do)
+// start gives the process its role and begins its work.
+func (p *process) start() {
+	if p.member.role == membership.Control {
+		p.control = newControlProcess(p)
+		p.role = p.control
+	} else {
+		p.frontEnd = newFrontEndProcess(p)
+		p.role = p.frontEnd
 	}
-	q.eachLink(func(l *link) { l.drain(q.side().other()) })
+	p.role.start()
 }
 
-// tick lets time pass for the process's part.
-func (q *process) tick() {
-	if q.control != nil {
-		q.control.tick()
-		return
-	}
-	q.frontEnd.step()
+// membershipConfig returns the configuration of a membership.Server or membership.Client.
+func (p *process) membershipConfig() membership.Config {
+	config := membership.Config{
+		Name:        p.member.name,
+		Zone:        p.member.zoneName(),
+		Incarnation: p.incarnation,
+		Seed:        p.sim.random.Uint64(),
+	}
+	for _, m := range p.sim.controlMembers {
+		control := membership.ControlMember{Name: m.name, Zone: m.zoneName()}
+		config.ControlMembers = append(config.ControlMembers, control)
+	}
+	return config
 }
 
 // localTime is the time by the process's clock.
-func (q *process) localTime() monotime.Micros {
-	return q.clockOffset + monotime.Micros(float64(q.sim.now)*q.clockRate)
+func (p *process) localTime() monotime.Micros {
+	return p.clockOffset + monotime.Micros(float64(p.sim.now)*p.clockRate)
 }
 
-// simulationTime is when the process's clock shows a time, or a little later.
-func (q *process) simulationTime(local monotime.Micros) monotime.Micros {
-	return monotime.Micros(float64(local-q.clockOffset)/q.clockRate) + 1
+// simulationTime returns the virtual time at which the process's clock shows a time, or a little later.
+func (p *process) simulationTime(local monotime.Micros) monotime.Micros {
+	return monotime.Micros(float64(local-p.clockOffset)/p.clockRate) + 1
 }
 
-// running says whether this process is still the one at its place.
-func (q *process) running() bool { return q.member.process == q }
+// running reports whether this is still the process of its member. A paused process runs.
+func (p *process) running() bool { return p.member.process == p }
 
-// execute runs something in the process, at once or when it goes on; nothing where the process has ended.
-func (q *process) execute(do func()) {
+// execute runs a step of the process: now, or when it is resumed if it is paused, or never if it has ended.
+func (p *process) execute(step func()) {
 	switch {
-	case !q.running():
-	case q.paused:
-		q.deferred = append(q.deferred, do)
+	case !p.running():
+	case p.paused:
+		p.deferred = append(p.deferred, step)
 	default:
-		began := q.sim.cpuMeter.begin()
-		do()
-		q.sim.cpuMeter.end(began, q.member.role)
-		q.compareView()
+		startedAt := p.sim.cpuMeter.begin()
+		step()
+		p.sim.cpuMeter.end(startedAt, p.member.role)
+		if p.running() {
+			p.sim.groundTruth.compareOnDigestChange(p)
+		}
 	}
 }
 
-// compareView compares the process's view with what it was.
-func (q *process) compareView() {
-	if q.running() {
-		q.sim.groundTruth.compareOnDigestChange(q)
-	}
-}
+func (p *process) view() *membership.View { return p.role.view() }
 
-func (q *process) view() *membership.View {
-	if q.control != nil {
-		return q.control.server.View()
-	}
-	return q.frontEnd.client.View()
-}
+func (p *process) side() side { return p.role.side() }
 
-func (q *process) side() side {
-	if q.control != nil {
-		return controlSide
-	}
-	return frontEndSide
-}
-
-// eachLink calls for each link between this process and an attached front end or a control member, in a fixed order.
-func (q *process) eachLink(call func(*link)) {
-	var list []*link
-	if q.control != nil {
-		list = append(list, q.control.openLinks...)
-	} else {
-		list = append(list, q.frontEnd.links...)
-	}
+// eachLink calls for each link of the process, in a fixed order. The calls may close links.
+func (p *process) eachLink(call func(*link)) {
+	list := append([]*link(nil), p.role.allLinks()...)
 	for _, l := range list {
 		call(l)
 	}
 }
+
+// drainLinks sends what is queued for the process, as far as it reads.
+func (p *process) drainLinks() {
+	p.eachLink(func(l *link) { l.drain(p.side().other()) })
+}
--- a/exercise/membership/script.go
+++ b/exercise/membership/script.go
@@ -7,7 +7,7 @@
 	"chutechute/internal/scale"
 )
 
-// scriptScenario is the scenario of a script of faults.
+// scriptScenario returns the scenario of a script of faults. Its error is a scale.ScriptError.
 func scriptScenario(script string, shape scale.Shape) (Scenario, error) {
 	faults, err := scale.ParseFaults(script)
 	if err != nil {
@@ -16,73 +16,85 @@
 	if err := scale.CheckFaults(faults, shape); err != nil {
 		return Scenario{}, err
 	}
-	return Scenario{Name: script, About: script, Seconds: shape.Seconds, inject: func(s *simulation) {
-		for i, f := range faults {
-			s.scheduleAfter(f.At.Microseconds(), func() { s.injectFault(i+1, f) })
+	inject := func(s *simulation) {
+		for i, fault := range faults {
+			s.scheduleAfter(fault.At.Microseconds(), func() { s.injectFault(i+1, fault) })
 		}
-	}}, nil
+	}
+	return Scenario{Name: script, About: script, Seconds: shape.Seconds, inject: inject}, nil
 }
 
-// injectFault begins one fault.
-func (s *simulation) injectFault(number int, f scale.Fault) {
-	if f.Kind == scale.Heal {
+// injectFault injects a fault of a script into all its targets. number is its position in the script, from 1.
+func (s *simulation) injectFault(number int, fault scale.Fault) {
+	if fault.Kind == scale.Heal {
 		s.network.healPartitions()
 		return
 	}
-	s.markTrigger(fmt.Sprintf("fault %d, %s", number, f.Kind))
-	list := s.faultTargets(f.Target)
-	for i, p := range list {
-		span := f.Over.Microseconds() * monotime.Micros(i) / monotime.Micros(len(list))
-		s.scheduleAfter(span, func() { s.injectInto(p, f) })
+	s.addTrigger(fmt.Sprintf("fault %d, %s", number, fault.Kind))
+	targets := s.faultTargets(fault.Target)
+	for i, m := range targets {
+		delay := fault.Over.Microseconds() * monotime.Micros(i) / monotime.Micros(len(targets))
+		s.scheduleAfter(delay, func() { s.injectFaultInto(m, fault) })
 	}
 }
 
-// injectInto does to one member what the fault says.
-func (s *simulation) injectInto(p *member, f scale.Fault) {
-	span := f.For.Microseconds()
-	switch f.Kind {
+// injectFaultInto injects a fault of a script into one member.
+func (s *simulation) injectFaultInto(m *member, fault scale.Fault) {
+	duration := fault.For.Microseconds() // 0 if nothing but a heal ends the fault
+	switch fault.Kind {
 	case scale.Kill:
-		p.crash(false)
-		if span > 0 {
-			s.scheduleAfter(span, p.start)
+		m.crash(processCrash)
+		if duration > 0 {
+			s.scheduleAfter(duration, m.start)
 		}
 	case scale.Restart:
-		p.crash(false)
-		p.start()
+		m.crash(processCrash)
+		m.start()
 	case scale.Stop:
-		p.pause()
-		s.scheduleAfter(span, p.resume)
+		m.pause()
+		s.scheduleAfter(duration, m.resume)
 	case scale.Cut:
-		p.isolated = true
-		s.network.partitionChanged()
-		if span > 0 {
-			s.scheduleAfter(span, func() { p.isolated = false })
+		m.isolated = true
+		s.network.partitionStarted()
+		if duration > 0 {
+			s.scheduleAfter(duration, func() { m.isolated = false })
 		}
-	case scale.Heal: // done for all at once
+	case scale.Heal: // injectFault has done it for all members
 	}
 }
 
-// faultTargets is whom a fault befalls.
-func (s *simulation) faultTargets(t scale.Target) (list []*member) {
-	switch t.Kind {
+// faultTargets returns the members that a fault is injected into.
+func (s *simulation) faultTargets(target scale.Target) []*member {
+	switch target.Kind {
 	case scale.TargetControl:
-		return s.controlMembers[t.Number-1 : t.Number]
+		return s.controlMembers[target.Number-1 : target.Number]
 	case scale.TargetAttached:
-		return s.attachedFrontEnds[t.Number-1 : t.Number]
+		return s.attachedFrontEnds[target.Number-1 : target.Number]
 	case scale.TargetShare:
-		count := max(1, int(float64(len(s.members))*t.Percent/100))
-		for _, i := range s.rng.Perm(len(s.members))[:count] {
-			list = append(list, s.members[i])
-		}
+		count := max(1, int(float64(len(s.members))*target.Percent/100))
+		return s.drawMembers(s.members, count)
 	case scale.TargetZone:
-		for _, p := range s.members {
-			if p.zoneName() == t.Zone {
-				list = append(list, p)
-			}
-		}
+		return filterMembers(s.members, func(m *member) bool { return m.zoneName() == target.Zone })
 	case scale.TargetAll:
 		return s.members
 	case scale.TargetNone:
 	}
-	return list
+	return nil
+}
+
+// drawMembers draws so many of some members, or all if there are fewer.
+func (s *simulation) drawMembers(from []*member, count int) (drawn []*member) {
+	for _, i := range s.random.Perm(len(from))[:min(count, len(from))] {
+		drawn = append(drawn, from[i])
+	}
+	return drawn
+}
+
+func filterMembers(members []*member, matches func(*member) bool) (matching []*member) {
+	for _, m := range members {
+		if matches(m) {
+			matching = append(matching, m)
+		}
+	}
+	return matching
 }
