--- a/exercise/membership/controlheartbeat.go
+++ b/exercise/membership/controlheartbeat.go
@@ -8,7 +8,8 @@
 	"chutechute/internal/monotime"
 )
 
-// controlHeartbeat is the heartbeat of control members: that of package fleet, without the fields of the replicated log.
+// controlHeartbeat is the heartbeat of control members: that of package fleet, without the fields of the replicated
+// log.
 type controlHeartbeat struct {
 	incarnation   uint64
 	leaving       bool
--- a/exercise/membership/eventqueue.go
+++ b/exercise/membership/eventqueue.go
@@ -66,9 +66,9 @@
 // earliestChild returns the index of the earliest child of a node, -1 if it has none.
 //
 // BUG: the bound of the loop moves with the earliest child, where it should be first+childrenPerNode. So nodes that
-// follow the children are compared too, and one of them may be returned. After that an event may come out of order, and
-// virtual time goes back: by 10 ms once in scenario "chaos" with 65 front ends and seed 3. The bound stays until results
-// are measured anew, as runs of such seeds differ without it.
+// follow the children are compared too, and one of them may be returned. After that an event may come out of order,
+// and virtual time goes back: by 10 ms once in scenario "chaos" with 65 front ends and seed 3. The bound stays
+// until results are measured anew, as runs of such seeds differ without it.
 func (q eventQueue) earliestChild(parent int) int {
 	first := parent*childrenPerNode + 1
 	if first >= len(q) {
--- /dev/null
+++ b/exercise/membership/groundtruth_test.go
@@ -0,0 +1,94 @@
+package membership
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"chutechute/fleet/membership"
+	"chutechute/internal/monotime"
+)
+
+// False deaths, processes that are observed after later ones, and propagation delays are found.
+func TestGroundTruthFindsWrongViews(t *testing.T) {
+	s := newSimulation(smallShape())
+	truth := s.groundTruth
+	truth.startMeasuring()
+	for _, m := range s.members[:5] {
+		m.start()
+	}
+	observe := func(observer, subject int, generation int, state membership.State) {
+		truth.observe(s.members[observer].process, s.members[subject], newObservation(generation, state))
+	}
+	observe(0, 4, 1, membership.Alive)
+	s.now = 100 * monotime.Millisecond
+	observe(1, 4, 1, membership.Alive)
+	assert.Empty(t, truth.propagated, "a control member and an attached front end don't know yet")
+	s.now = 250 * monotime.Millisecond
+	observe(2, 4, 1, membership.Suspect)
+	observe(3, 4, 1, membership.Alive)
+	require.Len(t, truth.propagated, 1)
+	assert.Equal(t, 250*monotime.Millisecond, truth.propagated[0].lastKnownAt-truth.propagated[0].detectedAt)
+	assert.Zero(t, truth.falseDeaths.count)
+
+	observe(1, 4, 1, membership.Dead)
+	assert.Equal(t, 1, truth.falseDeaths.count)
+	s.network.partitionedRegions[newUnorderedPair(0, 1)] = true
+	observe(1, 4, 1, membership.Dead)
+	assert.Equal(t, 2, truth.falseDeaths.count, "others still receive from it")
+	s.members[4].isolated = true
+	observe(1, 4, 1, membership.Dead)
+	assert.Equal(t, 2, truth.falseDeaths.count, "nobody receives from it")
+
+	s.members[4].isolated = false
+	s.members[4].crash(processCrash)
+	s.members[4].start()
+	observe(0, 4, 2, membership.Alive)
+	assert.Zero(t, truth.resurrections.count)
+	observe(0, 4, 1, membership.Alive)
+	assert.Equal(t, 1, truth.resurrections.count)
+	s.members[4].crash(processCrash)
+	s.members[4].start()
+	observe(2, 4, 3, membership.Alive)
+	observe(2, 4, 2, membership.Alive)
+	assert.Equal(t, 1, truth.resurrections.count)
+	assert.Equal(t, 1, truth.outOfOrder.count, "it had never seen the second")
+	observe(0, 4, 3, membership.Alive)
+	assert.True(t, agrees(s.members[4], truth.observations[0][4]))
+	assert.False(t, agrees(s.members[4], truth.observations[1][4]), "it sees the first process")
+	assert.Contains(t, truth.describeDisagreements(), "control-01 sees control-02: not at all")
+}
+
+// A death that nobody observed before the next process is no change to wait for.
+func TestUnobservedDeathIsSupersededByRestart(t *testing.T) {
+	s := newSimulation(smallShape())
+	s.groundTruth.startMeasuring()
+	s.members[0].start()
+	s.members[1].start()
+	s.members[1].crash(processCrash)
+	s.members[1].start()
+	s.groundTruth.observe(s.members[0].process, s.members[1], newObservation(2, membership.Alive))
+	require.Len(t, s.groundTruth.propagated, 1)
+	assert.Equal(t, changeStarted, s.groundTruth.propagated[0].kind)
+	assert.Equal(t, 2, s.groundTruth.propagated[0].generation)
+	assert.Zero(t, s.groundTruth.unreached())
+}
+
+// A change does not wait for a process that has ended, and its end does not count as knowledge of the change.
+func TestPropagationDelayIgnoresEndedProcesses(t *testing.T) {
+	s := newSimulation(smallShape())
+	s.groundTruth.startMeasuring()
+	for _, m := range s.members[:4] {
+		m.start()
+	}
+	s.now = 10 * monotime.Millisecond
+	s.groundTruth.observe(s.members[0].process, s.members[1], newObservation(1, membership.Alive))
+	s.now = 20 * monotime.Millisecond
+	s.groundTruth.observe(s.members[2].process, s.members[1], newObservation(1, membership.Alive))
+	s.now = 30 * monotime.Millisecond
+	s.members[3].crash(processCrash)
+	require.Len(t, s.groundTruth.propagated, 1)
+	c := s.groundTruth.propagated[0]
+	assert.Equal(t, 10*monotime.Millisecond, c.lastKnownAt-c.detectedAt)
+}
--- a/exercise/membership/partition.go
+++ b/exercise/membership/partition.go
@@ -30,8 +30,8 @@
 	return n.partitionSide == nil || n.partitionSide(a) == n.partitionSide(b)
 }
 
-// partitionStarted follows the start of a partition: either end closes a link across it after linkSilenceTimeout, unless
-// the partition has ended by then.
+// partitionStarted follows the start of a partition: either end closes a link across it after linkSilenceTimeout,
+// unless the partition has ended by then.
 func (n *network) partitionStarted() {
 	for _, m := range n.sim.attachedFrontEnds {
 		if m.process == nil {
--- a/exercise/membership/viewcomparison.go
+++ b/exercise/membership/viewcomparison.go
@@ -14,9 +14,9 @@
 	maxRememberedDifferences = 256 // of a transition; beyond, comparing whole views is cheaper
 )
 
-// compareOnDigestChange compares a process's view with what was observed before, if its digest has changed. Views with
-// the same digest have the same entries, so the members that differ between two digests are found once for all processes
-// that go from the one to the other.
+// compareOnDigestChange compares a process's view with what was observed before, if its digest has changed. Views
+// with the same digest have the same entries, so the members that differ between two digests are found once for all
+// processes that go from the one to the other.
 func (t *groundTruth) compareOnDigestChange(p *process) {
 	transition := digestTransition{p.comparedDigest, p.view().Digest()}
 	if transition.from == transition.to {
