--- a/exercise/membership/controlheartbeat.go
+++ b/exercise/membership/controlheartbeat.go
@@ -24,7 +24,7 @@
 	f.Copied(11, &h.tableVersions)
 }
 
-// reportsField is a repeated field of reports. As in package fleet it takes the place of fieldcodec.Messages, which
+// reportsField is a repeated field of reports. As in package fleet it replaces fieldcodec.Messages, which
 // would allocate a fieldcodec.Fields for each report.
 func reportsField(f *fieldcodec.Fields, number protowire.Number, reports *[]heartbeat.Report) {
 	if f.Decoding(number) {
--- a/exercise/membership/eventqueue.go
+++ b/exercise/membership/eventqueue.go
@@ -49,7 +49,7 @@
 	return first
 }
 
-// siftDown puts an event in the place of the root, and moves it down to where the heap is in order.
+// siftDown replaces the root by an event, and moves it down to where the heap is in order.
 func (q eventQueue) siftDown(e event) {
 	index := 0
 	for {
--- a/exercise/membership/groundtruth_test.go
+++ b/exercise/membership/groundtruth_test.go
@@ -13,51 +13,52 @@
 // False deaths, processes that are observed after later ones, and propagation delays are found.
 func TestGroundTruthFindsWrongViews(t *testing.T) {
 	s := newSimulation(smallShape())
-	truth := s.groundTruth
-	truth.startMeasuring()
+	groundTruth := s.groundTruth
+	groundTruth.startMeasuring()
 	for _, m := range s.members[:5] {
 		m.start()
 	}
 	observe := func(observer, subject int, generation int, state membership.State) {
-		truth.observe(s.members[observer].process, s.members[subject], newObservation(generation, state))
+		groundTruth.observe(s.members[observer].process, s.members[subject], newObservation(generation, state))
 	}
 	observe(0, 4, 1, membership.Alive)
 	s.now = 100 * monotime.Millisecond
 	observe(1, 4, 1, membership.Alive)
-	assert.Empty(t, truth.propagated, "a control member and an attached front end don't know yet")
+	assert.Empty(t, groundTruth.propagated, "a control member and an attached front end don't know yet")
 	s.now = 250 * monotime.Millisecond
 	observe(2, 4, 1, membership.Suspect)
 	observe(3, 4, 1, membership.Alive)
-	require.Len(t, truth.propagated, 1)
-	assert.Equal(t, 250*monotime.Millisecond, truth.propagated[0].lastKnownAt-truth.propagated[0].detectedAt)
-	assert.Zero(t, truth.falseDeaths.count)
+	require.Len(t, groundTruth.propagated, 1)
+	c := groundTruth.propagated[0]
+	assert.Equal(t, 250*monotime.Millisecond, c.lastKnownAt-c.detectedAt)
+	assert.Zero(t, groundTruth.falseDeaths.count)
 
 	observe(1, 4, 1, membership.Dead)
-	assert.Equal(t, 1, truth.falseDeaths.count)
+	assert.Equal(t, 1, groundTruth.falseDeaths.count)
 	s.network.partitionedRegions[newUnorderedPair(0, 1)] = true
 	observe(1, 4, 1, membership.Dead)
-	assert.Equal(t, 2, truth.falseDeaths.count, "others still receive from it")
+	assert.Equal(t, 2, groundTruth.falseDeaths.count, "others still receive from it")
 	s.members[4].isolated = true
 	observe(1, 4, 1, membership.Dead)
-	assert.Equal(t, 2, truth.falseDeaths.count, "nobody receives from it")
+	assert.Equal(t, 2, groundTruth.falseDeaths.count, "nobody receives from it")
 
 	s.members[4].isolated = false
 	s.members[4].crash(processCrash)
 	s.members[4].start()
 	observe(0, 4, 2, membership.Alive)
-	assert.Zero(t, truth.resurrections.count)
+	assert.Zero(t, groundTruth.resurrections.count)
 	observe(0, 4, 1, membership.Alive)
-	assert.Equal(t, 1, truth.resurrections.count)
+	assert.Equal(t, 1, groundTruth.resurrections.count)
 	s.members[4].crash(processCrash)
 	s.members[4].start()
 	observe(2, 4, 3, membership.Alive)
 	observe(2, 4, 2, membership.Alive)
-	assert.Equal(t, 1, truth.resurrections.count)
-	assert.Equal(t, 1, truth.outOfOrder.count, "it had never seen the second")
+	assert.Equal(t, 1, groundTruth.resurrections.count)
+	assert.Equal(t, 1, groundTruth.outOfOrder.count, "it had never seen the second")
 	observe(0, 4, 3, membership.Alive)
-	assert.True(t, agrees(s.members[4], truth.observations[0][4]))
-	assert.False(t, agrees(s.members[4], truth.observations[1][4]), "it sees the first process")
-	assert.Contains(t, truth.describeDisagreements(), "control-01 sees control-02: not at all")
+	assert.True(t, agrees(s.members[4], groundTruth.observations[0][4]))
+	assert.False(t, agrees(s.members[4], groundTruth.observations[1][4]), "it sees the first process")
+	assert.Contains(t, groundTruth.describeDisagreements(), "control-01 sees control-02: not at all")
 }
 
 // A death that nobody observed before the next process is no change to wait for.
--- a/exercise/membership/link.go
+++ b/exercise/membership/link.go
@@ -9,7 +9,7 @@
 const (
 	linkOpenTimeout    = 2 * monotime.Second       // for the whole handshake
 	linkSilenceTimeout = 10 * monotime.Second      // without anything received
-	linkStallTimeout   = 2 * monotime.Second       // without anything taken from the queue
+	linkStallTimeout   = 2 * monotime.Second       // without progress of a queue
 	minRedialDelay     = 50 * monotime.Millisecond // doubled with each failure
 	maxRedialDelay     = 1 * monotime.Second
 )
@@ -118,8 +118,8 @@
 	})
 }
 
-// readBlocked reports whether a process takes nothing: its reading is stalled, or it is paused and its system's buffer
-// is full.
+// readBlocked reports whether a process receives nothing: its reading is stalled, or it is paused and its system's
+// buffer is full.
 func readBlocked(to *process) bool {
 	return to.member.readStalled || to.paused && to.backlogBytes >= kernelBufferSize
 }
--- a/exercise/membership/link_test.go
+++ b/exercise/membership/link_test.go
@@ -38,8 +38,8 @@
 	assert.Equal(t, 2, delivered, "the one under way, and the one after the queue was dropped")
 }
 
-// What is sent to a paused process waits in its system up to a limit, then at the sender. A link that takes nothing for
-// linkStallTimeout is closed.
+// What is sent to a paused process waits in its system up to a limit, then at the sender. A link whose
+// queue makes no progress for linkStallTimeout is closed.
 func TestPausedReaderQueuesThenClosesLink(t *testing.T) {
 	s := newSimulation(smallShape())
 	l := newOpenLink(s)
--- a/exercise/membership/network.go
+++ b/exercise/membership/network.go
@@ -8,7 +8,7 @@
 	latencyWithinRegion      = 700 * monotime.Micros(1)
 	minLatencyBetweenRegions = 5 * monotime.Millisecond
 	latencyPerRegion         = 10 * monotime.Millisecond // that lies between
-	minJitter                = 50 * monotime.Micros(1)   // what jitter is at least bounded by
+	minJitter                = 50 * monotime.Micros(1)   // the lowest bound of the jitter
 	jitterDivisor            = 10                        // of the latency
 )
 
@@ -16,7 +16,7 @@
 type network struct {
 	sim           *simulation
 	lossRate      float64         // the share of messages that are lost
-	maxExtraDelay monotime.Micros // the most that a message is delayed beyond its latency
+	maxExtraDelay monotime.Micros // the upper bound of the delay beyond the latency
 	reorder       bool            // messages of one stream may arrive out of order
 
 	partitionedRegions map[unorderedPair]bool // regions without a connection to each other
--- a/exercise/membership/peerconnection.go
+++ b/exercise/membership/peerconnection.go
@@ -2,7 +2,7 @@
 
 import "chutechute/internal/monotime"
 
-// peerRedialDelay is the least time between two dials from one control member to another.
+// peerRedialDelay is the minimum time between two dials from one control member to another.
 const peerRedialDelay = maxRedialDelay / 2
 
 // peerConnection is the connection on which a control member sends to another.
--- a/exercise/membership/report.go
+++ b/exercise/membership/report.go
@@ -58,11 +58,11 @@
 }
 
 // maxObservedFlaps is the most changes of the flapping member that any control member observed.
-func (t *groundTruth) maxObservedFlaps() (most int) {
+func (t *groundTruth) maxObservedFlaps() (highest int) {
 	for _, count := range t.observedFlaps {
-		most = max(most, count)
+		highest = max(highest, count)
 	}
-	return most
+	return highest
 }
 
 // fullQueues is how many queues to attached front ends were full, at the control members that run.
--- a/exercise/membership/run.go
+++ b/exercise/membership/run.go
@@ -18,7 +18,7 @@
 	Faults    string  // a scenario's name, or a script as scale.ParseFaults reads it; empty for no faults
 	Processor bool    // measure processor time, which no seed determines
 	// Progress is called with what begins, or how far the measured part is. It may be nil.
-	Progress func(word string)
+	Progress func(progress string)
 }
 
 // Durations of the parts of a run.
--- a/exercise/membership/scenarios_test.go
+++ b/exercise/membership/scenarios_test.go
@@ -135,7 +135,8 @@
 
 // A script of faults is accepted as over sockets, and each of its faults is injected. Its errors are typed.
 func TestScriptOfFaultsIsInjected(t *testing.T) {
-	const script = "1s kill control 1 for 8s; 2s restart 10% over 2s; 3s stop attached 3 for 10s; 14s cut zone b; 24s heal"
+	const script = "1s kill control 1 for 8s; 2s restart 10% over 2s; " +
+		"3s stop attached 3 for 10s; 14s cut zone b; 24s heal"
 	o, err := membership.Play(smallFleet(script, 30, 3))
 	require.NoError(t, err)
 	require.NoError(t, o.Err())
