--- a/exercise/membership/doc.go
+++ b/exercise/membership/doc.go
@@ -15,7 +15,3 @@
 // lack the fields of the replicated log (about 40 bytes), and are decoded once for all receivers unless processor
 // time is measured.
 package membership
-
-import "chutechute/internal/monotime"
-
-const minute = 60 * monotime.Second
--- a/exercise/membership/simulation.go
+++ b/exercise/membership/simulation.go
@@ -13,6 +13,8 @@
 	"chutechute/internal/scale"
 )
 
+const minute = 60 * monotime.Second
+
 // Limits of a run, in events. A run that exceeds one of them is a message storm.
 const (
 	maxEvents                = 2_000_000_000
