--- a/exercise/membership/chaos.go
+++ b/exercise/membership/chaos.go
@@ -1,83 +1,105 @@
 package membership
 
-// Spans of chaos.
+import "chutechute/internal/monotime"
+
+// Parameters of random faults.
 const (
-	chaosEvery = 700 * ms    // between two faults, in the mean
-	chaosMost  = 12 * second // that a fault lasts
-	chaosDelay = 400 * ms    // the most that messages are late
-	chaosLoss  = 0.2         // the greatest share that is lost
-	chaosCalm  = 10 * second // at the end of the measured part nothing new happens
-	chaosStop  = 15_000 * ms // for which a member stands still
-	chaosDown  = 20 * second // until an ended process is followed by the next
-	chaosTurns = 2           // processes of one name that may follow one another at once
+	chaosInterval      = 700 * monotime.Millisecond // between two faults, in the mean
+	chaosQuietEnd      = 10 * monotime.Second       // without new faults, at the end of the measured part
+	chaosMaxDuration   = 12 * monotime.Second       // of a fault
+	chaosMaxPause      = 15 * monotime.Second
+	chaosMaxDownTime   = 20 * monotime.Second // from a crash to the next start
+	chaosMaxDelay      = 400 * monotime.Millisecond
+	chaosMaxLossRate   = 0.2
+	chaosRapidRestarts = 2 // restarts without down time that follow each other
 )
 
-// chaos has something drawn at random happen every so often, to anybody.
-func chaos(s *Sim) {
-	end := s.now + s.span() - chaosCalm
+// injectChaos injects a random fault every so often, into any member.
+func injectChaos(s *simulation) {
+	end := s.now + s.measuredDuration() - chaosQuietEnd
 	var next func()
 	next = func() {
 		if s.now >= end {
 			return
 		}
-		s.anything()
-		s.after(s.between(chaosEvery/2, chaosEvery*3/2), next)
+		s.injectRandomFault()
+		s.scheduleAfter(s.randomBetween(chaosInterval/2, chaosInterval*3/2), next)
 	}
-	s.after(chaosEvery, next)
+	s.scheduleAfter(chaosInterval, next)
 }
 
-// anything is one fault.
-func (s *Sim) anything() {
-	p := s.places[s.rng.IntN(len(s.places))]
-	if s.rng.IntN(3) == 0 {
-		p = s.controls[s.rng.IntN(len(s.controls))]
+// injectRandomFault injects one fault.
+func (s *simulation) injectRandomFault() {
+	m := s.members[s.random.IntN(len(s.members))]
+	if s.random.IntN(3) == 0 {
+		m = s.randomControlMember()
 	}
-	switch s.rng.IntN(9) {
+	switch s.random.IntN(9) {
 	case 0, 1:
-		p.end(s.rng.IntN(2) == 0)
-		s.after(s.between(0, chaosDown), p.start)
+		s.crashBriefly(m)
 	case 2:
-		for range chaosTurns {
-			p.end(false)
-			p.start()
+		for range chaosRapidRestarts {
+			m.crash(processCrash)
+			m.start()
 		}
 	case 3:
-		p.pause()
-		s.after(s.between(0, chaosStop), p.resume)
+		m.pause()
+		s.scheduleAfter(s.randomBetween(0, chaosMaxPause), m.resume)
 	case 4:
-		s.briefly(&p.away)
+		s.setFaultBriefly(&m.isolated)
 	case 5:
-		s.briefly(&s.controls[s.rng.IntN(len(s.controls))].deaf)
+		s.setFaultBriefly(&s.randomControlMember().isolatedFromAttached)
 	case 6:
-		s.apartBriefly()
+		s.partitionBriefly()
 	case 7:
-		s.network.delay, s.network.loss = s.between(0, chaosDelay), chaosLoss*s.rng.Float64()
-		s.network.reorder = s.rng.IntN(2) == 0
-		s.after(s.between(0, chaosMost), func() { s.network.delay, s.network.loss, s.network.reorder = 0, 0, false })
+		s.degradeNetworkBriefly()
 	case 8:
-		s.briefly(&p.stalled)
-		p.room = slowRoom
+		s.setFaultBriefly(&m.readStalled)
+		m.queueLimit = stalledQueueLimit
 	}
 }
 
-// briefly sets something that severs, for a while.
-func (s *Sim) briefly(what *bool) {
-	*what = true
-	s.network.severedNow()
-	s.after(s.between(0, chaosMost), func() { *what = false })
+func (s *simulation) randomControlMember() *member {
+	return s.controlMembers[s.random.IntN(len(s.controlMembers))]
 }
 
-// apartBriefly has two regions lose each other, or some all others.
-func (s *Sim) apartBriefly() {
+// crashBriefly crashes a process or its machine, and starts the next process some time later.
+func (s *simulation) crashBriefly(m *member) {
+	scope := processCrash
+	if s.random.IntN(2) == 0 {
+		scope = machineCrash
+	}
+	m.crash(scope)
+	s.scheduleAfter(s.randomBetween(0, chaosMaxDownTime), m.start)
+}
+
+// setFaultBriefly sets a fault of a member for some time.
+func (s *simulation) setFaultBriefly(fault *bool) {
+	*fault = true
+	s.network.partitionStarted()
+	s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { *fault = false })
+}
+
+// partitionBriefly partitions a region from all others, or from one, for some time.
+func (s *simulation) partitionBriefly() {
 	n := &s.network
-	region := s.rng.IntN(min(regions, s.shape.Zones))
-	if s.rng.IntN(2) == 0 {
-		n.halves = func(p *place) bool { return p.region == region }
-		s.after(s.between(0, chaosMost), func() { n.halves = nil })
+	region := s.random.IntN(s.regionCount())
+	if s.random.IntN(2) == 0 {
+		n.partitionSide = func(m *member) bool { return m.region == region }
+		s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { n.partitionSide = nil })
 	} else {
-		pair := [2]int{min(region, 1), max(region, 1)}
-		n.apart[pair] = pair[0] != pair[1]
-		s.after(s.between(0, chaosMost), func() { delete(n.apart, pair) })
+		pair := newUnorderedPair(region, 1)
+		n.partitionedRegions[pair] = pair.low != pair.high
+		s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { delete(n.partitionedRegions, pair) })
 	}
-	n.severedNow()
+	n.partitionStarted()
+}
+
+// degradeNetworkBriefly has the network lose, delay and perhaps reorder messages for some time.
+func (s *simulation) degradeNetworkBriefly() {
+	n := &s.network
+	n.maxExtraDelay = s.randomBetween(0, chaosMaxDelay)
+	n.lossRate = chaosMaxLossRate * s.random.Float64()
+	n.reorder = s.random.IntN(2) == 0
+	s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), n.endDegradation)
 }
--- a/exercise/membership/network.go
+++ b/exercise/membership/network.go
@@ -1,141 +1,68 @@
 package membership
 
-import (
-	"chutechute/fleet/membership"
-	"chutechute/internal/monotime"
-)
+import "chutechute/internal/monotime"
 
-// Latencies one way, while nothing is wrong. Regions lie on a ring.
+// Latencies one way, without faults. Regions lie on a ring.
 const (
-	withinZone    = 150 * monotime.Micros(1)
-	withinRegion  = 700 * monotime.Micros(1)
-	betweenLeast  = 5 * ms
-	betweenStep   = 10 * ms
-	jitterLeast   = 50 * monotime.Micros(1)
-	jitterDivisor = 10 // of the latency
+	latencyWithinZone        = 150 * monotime.Micros(1)
+	latencyWithinRegion      = 700 * monotime.Micros(1)
+	minLatencyBetweenRegions = 5 * monotime.Millisecond
+	latencyPerRegion         = 10 * monotime.Millisecond // that lies between
+	minJitter                = 50 * monotime.Micros(1)   // the lowest bound of the jitter
+	jitterDivisor            = 10                        // of the latency
 )
 
-// network is what lies between the members.
+// network is what connects the members, with its faults.
 type network struct {
-	s       *Sim
-	loss    float64           // the share of messages that never arrive
-	delay   monotime.Micros   // the most by which each is late
-	reorder bool              // messages of one connection may overtake each other
-	apart   map[[2]int]bool   // regions that can't reach one another, the lower first
-	ways    map[[2]int]bool   // members that can't reach one another, by place, the lower first
-	halves  func(*place) bool // nil, or which of two sides that can't reach one another
-	cuts    int               // how often something was cut, for those who keep what follows from it
-}
-
-// latency draws how long a message takes.
-func (n *network) latency(from, to *place) monotime.Micros {
-	base := withinZone
-	switch {
-	case from.zone == to.zone:
-	case from.region == to.region:
-		base = withinRegion
-	default:
-		base = betweenLeast + betweenStep*monotime.Micros(n.ring(from.region, to.region))
-	}
-	span := base + n.s.between(0, base/jitterDivisor+jitterLeast)
-	if n.delay > 0 {
-		span += n.s.between(0, n.delay)
-	}
-	return span
-}
+	sim           *simulation
+	lossRate      float64         // the share of messages that are lost
+	maxExtraDelay monotime.Micros // the upper bound of the delay beyond the latency
+	reorder       bool            // messages of one stream may arrive out of order
 
-// ring is how many regions lie between two, the shorter way.
-func (n *network) ring(a, b int) int {
-	all := min(regions, n.s.shape.Zones)
-	apart := max(a-b, b-a)
-	return min(apart, all-apart)
+	partitionedRegions map[unorderedPair]bool // regions without a connection to each other
+	partitionedMembers map[unorderedPair]bool // members without one, by index
+	partitionSide      func(*member) bool     // on which of two disconnected sides a member is; nil if there are none
 }
 
-// lost draws whether a message is.
-func (n *network) lost() bool { return n.loss > 0 && n.s.rng.Float64() < n.loss }
-
-// severed says whether nothing gets from one member to another.
-func (n *network) severed(from, to *place) bool {
-	switch {
-	case from == to:
-		return false
-	case from.away || to.away:
-		return true
-	case from.deaf && to.role == membership.Attached, to.deaf && from.role == membership.Attached:
-		return true
-	case n.halves != nil && n.halves(from) != n.halves(to):
-		return true
-	}
-	if len(n.ways) > 0 && n.ways[[2]int{min(from.index, to.index), max(from.index, to.index)}] {
-		return true
-	}
-	return len(n.apart) > 0 && n.apart[[2]int{min(from.region, to.region), max(from.region, to.region)}]
-}
+// unorderedPair is two indexes, the lower one first.
+type unorderedPair struct{ low, high int }
 
-// sameSide says whether something that one member sees may reach the other by way of any third.
-func (n *network) sameSide(a, b *place) bool {
-	if a == b {
-		return true
-	}
-	return !a.away && !b.away && (n.halves == nil || n.halves(a) == n.halves(b))
-}
+func newUnorderedPair(a, b int) unorderedPair { return unorderedPair{min(a, b), max(a, b)} }
 
-// severedNow follows a cut: connections over it end on either side once that has been silent for long.
-func (n *network) severedNow() {
-	n.cuts++
-	for _, p := range n.s.places {
-		if p.proc == nil || p.role != membership.Attached {
-			continue
-		}
-		p.proc.eachLink(func(l *link) {
-			if l.control != nil && n.severed(l.front.p, l.control.p) {
-				l.silentSoon(frontSide)
-				l.silentSoon(controlSide)
-			}
-		})
+// latency draws how long a message takes.
+func (n *network) latency(from, to *member) monotime.Micros {
+	base := n.baseLatency(from, to)
+	latency := base + n.sim.randomBetween(0, base/jitterDivisor+minJitter)
+	if n.maxExtraDelay > 0 {
+		latency += n.sim.randomBetween(0, n.maxExtraDelay)
 	}
+	return latency
 }
 
-// heal ends all cuts.
-func (n *network) heal() {
-	clear(n.apart)
-	clear(n.ways)
-	n.halves = nil
-	for _, p := range n.s.places {
-		p.away, p.deaf = false, false
+// baseLatency is the latency without jitter and faults.
+func (n *network) baseLatency(from, to *member) monotime.Micros {
+	switch {
+	case from.zone == to.zone:
+		return latencyWithinZone
+	case from.region == to.region:
+		return latencyWithinRegion
 	}
+	distance := n.regionDistance(from.region, to.region)
+	return minLatencyBetweenRegions + latencyPerRegion*monotime.Micros(distance)
 }
 
-// way is one direction of a connection.
-type way struct {
-	last    monotime.Micros // when the latest message arrives
-	waiting []parcel
-	bytes   int  // that wait
-	pacing  bool // a slow reader is being waited for
-	moved   monotime.Micros
+// regionDistance is the distance of two regions on the ring.
+func (n *network) regionDistance(a, b int) int {
+	distance := max(a-b, b-a)
+	return min(distance, n.sim.regionCount()-distance)
 }
 
-// parcel is a message that waits for a slow reader.
-type parcel struct {
-	kind   messageKind
-	size   int
-	arrive func()
-}
+// dropsMessage draws whether a message is lost.
+func (n *network) dropsMessage() bool { return n.lossRate > 0 && n.sim.random.Float64() < n.lossRate }
 
-// transmit has a message leave one member for another; arrive is called where it gets there.
-func (s *Sim) transmit(w *way, from, to *place, kind messageKind, size int, arrive func()) {
-	from.flow.out(kind, size)
-	if s.network.severed(from, to) || s.network.lost() {
-		return
-	}
-	when := s.now + s.network.latency(from, to)
-	if !s.network.reorder {
-		when = max(when, w.last)
-		w.last = when
-	}
-	s.at(when, func() {
-		if !s.network.severed(from, to) {
-			arrive()
-		}
-	})
+// endDegradation ends loss, extra delay and reordering.
+func (n *network) endDegradation() {
+	n.lossRate = 0
+	n.maxExtraDelay = 0
+	n.reorder = false
 }
--- a/exercise/membership/process.go
+++ b/exercise/membership/process.go
@@ -5,158 +5,127 @@
 	"chutechute/internal/monotime"
 )
 
+// Bounds of what the clocks of members differ by.
+const (
+	maxClockDrift  = 0.001                  // as a share of the time that passes
+	maxClockOffset = 1000 * monotime.Second // at the start of the run
+)
+
 // process is one run of a member's program.
 type process struct {
-	s           *Sim
-	p           *place
-	incarnation uint64
-	order       int // of the processes at its place, from 1
-	born        monotime.Micros
-	offset      monotime.Micros // of its clock
-	rate        float64
-	paused      bool
-	waiting     []func() // what comes while it stands still
-	backlog     int      // bytes that came while it stands still
-	seenDigest  uint64   // of the view when it was last compared
-	control     *control // nil at an attached front end
-	front       *front   // nil at a control member
-}
+	sim          *simulation
+	member       *member
+	incarnation  uint64
+	generation   int // of the processes of its member, from 1
+	clockOffset  monotime.Micros
+	clockRate    float64
+	paused       bool
+	deferred     []func() // what happened to it while it was paused
+	backlogBytes int      // that arrived while it was paused
+	// comparedDigest is the digest of the view when it was last compared with the ground truth.
+	comparedDigest uint64
 
-// start begins a process at a place that has none.
-func (p *place) start() {
-	if p.proc != nil {
-		return
-	}
-	s := p.s
-	p.off = false
-	p.births++
-	p.turns = append(p.turns, s.now)
-	q := &process{s: s, p: p, order: p.births, born: s.now, incarnation: s.rng.Uint64()>>2 | 1,
-		offset: s.between(0, mostOffset), rate: 1 + drift*(2*s.rng.Float64()-1)}
-	p.proc = q
-	s.truth.began(q)
-	if p.role == membership.Control {
-		q.control = newControl(q)
-		q.control.begin()
-	} else {
-		q.front = newFront(q)
-		q.does(q.front.step)
-	}
+	role     processRole      // the one of the next two that is set
+	control  *controlProcess  // nil in an attached front end
+	frontEnd *frontEndProcess // nil in a control member
 }
 
-// end ends the process at once and without a word. Where the machine goes with it, nobody is told that its connections ended.
-func (p *place) end(machine bool) {
-	q := p.proc
-	if machine {
-		p.off = true
-	}
-	if q == nil {
-		return
-	}
-	p.proc = nil
-	p.turns = append(p.turns, p.s.now)
-	q.waiting = nil
-	p.s.truth.ended(q)
-	if q.control != nil {
-		q.control.ended(machine)
-	} else {
-		q.front.ended(machine)
-	}
+// processRole is the part of a process that depends on the role of its member.
+type processRole interface {
+	// start begins the work of a process that has just started.
+	start()
+	// tick lets time pass.
+	tick()
+	// view returns the view of the fleet.
+	view() *membership.View
+	// side returns the end of a link that a process of this role has.
+	side() side
+	// allLinks returns the links to processes of the other role.
+	allLinks() []*link
+	// linkClosed follows the end of a link, or a dial that failed.
+	linkClosed(l *link)
+	// crashed follows the end of the process.
+	crashed(scope crashScope)
 }
 
-// pause has the process stand still.
-func (p *place) pause() {
-	if !p.running() {
-		return
-	}
-	p.proc.paused = true
-	p.s.truth.left(p.index)
-	p.proc.eachLink(func(l *link) { l.silentSoon(p.proc.side().other()) })
+func newProcess(m *member) *process {
+	s := m.sim
+	p := &process{sim: s, member: m, generation: m.generation}
+	p.incarnation = s.random.Uint64()>>2 | 1
+	p.clockOffset = s.randomBetween(0, maxClockOffset)
+	p.clockRate = 1 + maxClockDrift*(2*s.random.Float64()-1)
+	return p
 }
 
-// resume lets a process go on that stands still, with all that came meanwhile.
-func (p *place) resume() {
-	q := p.proc
-	if q == nil || !q.paused {
-		return
-	}
-	q.paused = false
-	p.resumed = p.s.now
-	waiting := q.waiting
-	q.waiting, q.backlog = nil, 0
-	if p.s.rng.IntN(2) == 0 { // its clock may be read before what has come is
-		q.does(q.tick)
-	}
-	for _, do := range waiting {
-		q.does(do)
+// start gives the process its role and begins its work.
+func (p *process) start() {
+	if p.member.role == membership.Control {
+		p.control = newControlProcess(p)
+		p.role = p.control
+	} else {
+		p.frontEnd = newFrontEndProcess(p)
+		p.role = p.frontEnd
 	}
-	q.eachLink(func(l *link) { l.drain(q.side().other()) })
+	p.role.start()
 }
 
-// tick lets time pass for the process's part.
-func (q *process) tick() {
-	if q.control != nil {
-		q.control.tick()
-		return
-	}
-	q.front.step()
+// membershipConfig returns the configuration of a membership.Server or membership.Client.
+func (p *process) membershipConfig() membership.Config {
+	config := membership.Config{
+		Name:        p.member.name,
+		Zone:        p.member.zoneName(),
+		Incarnation: p.incarnation,
+		Seed:        p.sim.random.Uint64(),
+	}
+	for _, m := range p.sim.controlMembers {
+		control := membership.ControlMember{Name: m.name, Zone: m.zoneName()}
+		config.ControlMembers = append(config.ControlMembers, control)
+	}
+	return config
 }
 
-// local is the time by the process's clock.
-func (q *process) local() monotime.Micros { return q.offset + monotime.Micros(float64(q.s.now)*q.rate) }
+// localTime is the time by the process's clock.
+func (p *process) localTime() monotime.Micros {
+	return p.clockOffset + monotime.Micros(float64(p.sim.now)*p.clockRate)
+}
 
-// trueTime is when the process's clock shows a time, or a little later.
-func (q *process) trueTime(local monotime.Micros) monotime.Micros {
-	return monotime.Micros(float64(local-q.offset)/q.rate) + 1
+// simulationTime returns the virtual time at which the process's clock shows a time, or a little later.
+func (p *process) simulationTime(local monotime.Micros) monotime.Micros {
+	return monotime.Micros(float64(local-p.clockOffset)/p.clockRate) + 1
 }
 
-// runs says whether this process is still the one at its place.
-func (q *process) runs() bool { return q.p.proc == q }
+// running reports whether this is still the process of its member. A paused process runs.
+func (p *process) running() bool { return p.member.process == p }
 
-// does runs something in the process, at once or when it goes on; nothing where the process has ended.
-func (q *process) does(do func()) {
+// execute runs a step of the process: now, or when it is resumed if it is paused, or never if it has ended.
+func (p *process) execute(step func()) {
 	switch {
-	case !q.runs():
-	case q.paused:
-		q.waiting = append(q.waiting, do)
+	case !p.running():
+	case p.paused:
+		p.deferred = append(p.deferred, step)
 	default:
-		began := q.s.meter.begin()
-		do()
-		q.s.meter.end(began, q.p.role)
-		q.watch()
+		startedAt := p.sim.cpuMeter.begin()
+		step()
+		p.sim.cpuMeter.end(startedAt, p.member.role)
+		if p.running() {
+			p.sim.groundTruth.compareOnDigestChange(p)
+		}
 	}
 }
 
-// watch compares the process's view with what it was.
-func (q *process) watch() {
-	if q.runs() {
-		q.s.truth.watch(q)
-	}
-}
+func (p *process) view() *membership.View { return p.role.view() }
 
-func (q *process) view() *membership.View {
-	if q.control != nil {
-		return q.control.server.View()
-	}
-	return q.front.client.View()
-}
+func (p *process) side() side { return p.role.side() }
 
-func (q *process) side() side {
-	if q.control != nil {
-		return controlSide
-	}
-	return frontSide
-}
-
-// eachLink calls for each link between this process and an attached front end or a control member, in a fixed order.
-func (q *process) eachLink(call func(*link)) {
-	var list []*link
-	if q.control != nil {
-		list = append(list, q.control.list...)
-	} else {
-		list = append(list, q.front.links...)
-	}
+// eachLink calls for each link of the process, in a fixed order. The calls may close links.
+func (p *process) eachLink(call func(*link)) {
+	list := append([]*link(nil), p.role.allLinks()...)
 	for _, l := range list {
 		call(l)
 	}
 }
+
+// drainLinks sends what is queued for the process, as far as it reads.
+func (p *process) drainLinks() {
+	p.eachLink(func(l *link) { l.drain(p.side().other()) })
+}
--- a/exercise/membership/report.go
+++ b/exercise/membership/report.go
@@ -11,186 +11,151 @@
 	"chutechute/internal/scale"
 )
 
-// report fills in what a run showed.
-func (s *Sim) report(o Options, scenario Scenario, out *Outcome) {
-	t := s.truth
-	out.FalseDeaths, out.PastBack, out.Older = t.falseDeaths.count, t.pastBack.count, t.older.count
-	out.Faults = slices.Concat(t.pastBack.words, t.falseDeaths.words, t.older.words)
-	out.Disagree = t.inWords()
+// outcome returns what the run has shown. The findings are taken first: describing the disagreements compares all views
+// once more, which may add findings.
+func (s *simulation) outcome(o Options, scenario Scenario, convergenceTime monotime.Micros) *Outcome {
+	out := &Outcome{Steady: scenario.forbidsFalseDeaths, Settled: convergenceTime}
+	s.groundTruth.addFindings(out)
+	out.Disagree = s.groundTruth.describeDisagreements()
+	out.Noticed, out.Spreads = s.groundTruth.delays()
+	out.Turns = s.groundTruth.maxObservedFlaps()
 	out.Bursts = s.bursts()
-	out.Rejected = s.account.faults
-	out.BusiestWho = s.account.busiest.who
-	out.Busiest = float64(s.account.busiest.bytes) / windowSeconds
-	out.Noticed, out.Spreads = t.spans()
-	for _, turns := range t.turns {
-		out.Turns = max(out.Turns, turns)
-	}
-	for _, c := range s.controls {
-		if c.proc != nil {
-			out.Refused += c.proc.control.server.Counters.FullQueues
-		}
-	}
-	r := &scale.Result{Name: scenario.Name, Mode: scale.ModeVirtual, FrontEnds: s.shape.Total(), Controls: s.shape.Controls,
-		Zones: s.shape.Zones, Seconds: s.shape.Seconds, Seed: s.shape.Seed, Faults: o.Faults}
-	out.Result = r
-	for _, role := range []membership.Role{membership.Attached, membership.Control} {
-		r.Roles = append(r.Roles, s.roleFigures(role))
-	}
-	front := r.Roles[0]
-	out.Rest = front.BytesIn + front.BytesOut + front.FramingIn + front.FramingOut
-	r.Spread = scale.SpreadOf(durations(out.Spreads), t.unreached())
-	r.Points = append(r.Points, scale.Point{Axis: "front ends", X: float64(s.shape.Total()), Figures: s.figures(out)})
-	r.Notes = s.notes(out)
+	out.Refused = s.fullQueues()
+	out.Rejected = s.rejected
+	out.Busiest = float64(s.traffic.peak.bytes) / peakWindowSeconds
+	out.BusiestWho = s.traffic.peak.frontEnd
+	s.addResult(o, scenario, out)
+	return out
 }
 
-// members is the places of a role.
-func (s *Sim) members(role membership.Role) []*place {
-	if role == membership.Control {
-		return s.controls
-	}
-	return s.attached
+// addFindings adds the errors of views that were found during the run.
+func (t *groundTruth) addFindings(out *Outcome) {
+	out.FalseDeaths = t.falseDeaths.count
+	out.PastBack = t.resurrections.count
+	out.Older = t.outOfOrder.count
+	out.Faults = slices.Concat(t.resurrections.descriptions, t.falseDeaths.descriptions, t.outOfOrder.descriptions)
 }
 
-func (s *Sim) roleFigures(role membership.Role) scale.RoleFigures {
-	list := s.members(role)
-	f := s.account.role(list)
-	ins, outs := sum(f.ins), sum(f.outs)
-	seconds := float64(s.account.measured) / float64(second)
-	each := func(v int64) float64 { return float64(v) / seconds / float64(len(list)) }
-	figures := scale.RoleFigures{Role: roleName(role), Members: len(list),
-		MessagesIn: each(ins.messages), MessagesOut: each(outs.messages),
-		BytesIn: each(ins.bytes), BytesOut: each(outs.bytes),
-		FramingIn: each(ins.framing), FramingOut: each(outs.framing),
-		Connections: s.connections(list)}
-	if s.meter != nil {
-		figures.CPUMicros = float64(s.meter.of(role).Microseconds()) / seconds / float64(len(list))
+// addResult adds the Result to an outcome that has all else, and the mean rate.
+func (s *simulation) addResult(o Options, scenario Scenario, out *Outcome) {
+	attached := s.roleFigures(membership.Attached)
+	control := s.roleFigures(membership.Control)
+	out.Rest = attached.BytesIn + attached.BytesOut + attached.FramingIn + attached.FramingOut
+	out.Result = &scale.Result{
+		Name:      scenario.Name,
+		Mode:      scale.ModeVirtual,
+		FrontEnds: s.shape.Total(),
+		Controls:  s.shape.Controls,
+		Zones:     s.shape.Zones,
+		Seconds:   s.shape.Seconds,
+		Seed:      s.shape.Seed,
+		Faults:    o.Faults,
+		Roles:     []scale.RoleFigures{attached, control},
+		Spread:    scale.SpreadOf(durations(out.Spreads), s.groundTruth.unreached()),
+		Points:    []scale.Point{{Axis: "front ends", X: float64(s.shape.Total()), Figures: s.namedFigures(out)}},
+		Notes:     s.notes(out),
 	}
-	return figures
 }
 
-// connections is how many a member has at the end: among control members one each way.
-func (s *Sim) connections(list []*place) float64 {
-	count := 0
-	for _, p := range list {
-		if p.proc == nil {
-			continue
-		}
-		p.proc.eachLink(func(l *link) {
-			if l.open[p.proc.side()] {
-				count++
-			}
-		})
-		if p.role == membership.Control {
-			count += 2 * (len(s.controls) - 1)
-		}
+// maxObservedFlaps is the most changes of the flapping member that any control member observed.
+func (t *groundTruth) maxObservedFlaps() (highest int) {
+	for _, count := range t.observedFlaps {
+		highest = max(highest, count)
 	}
-	return float64(count) / float64(len(list))
+	return highest
 }
 
-// spans are how long deaths took to be noticed, and changes to be known.
-func (t *truth) spans() (noticed, spreads []monotime.Micros) {
-	for _, c := range t.closed {
-		spreads = append(spreads, c.known-c.noticed)
-		if c.kind == vanished {
-			noticed = append(noticed, c.noticed-c.since)
-		}
-	}
-	slices.Sort(noticed)
-	slices.Sort(spreads)
-	return noticed, spreads
-}
-
-// unreached is how many noticed changes somebody alive still doesn't know.
-func (t *truth) unreached() (count int) {
-	for _, list := range t.open {
-		for _, c := range list {
-			if c.counts && c.waiting != nil {
-				count++
-			}
+// fullQueues is how many queues to attached front ends were full, at the control members that run.
+func (s *simulation) fullQueues() (count int) {
+	for _, m := range s.controlMembers {
+		if m.process != nil {
+			count += m.process.control.server.Counters.FullQueues
 		}
 	}
 	return count
 }
 
-func durations(list []monotime.Micros) (spans []time.Duration) {
-	for _, span := range list {
-		spans = append(spans, time.Duration(span)*time.Microsecond)
+// roleName is a role's name in results.
+func roleName(role membership.Role) string {
+	if role == membership.Control {
+		return scale.RoleControl
 	}
-	return spans
+	return scale.RoleFrontEnd
 }
 
-// figures are those that a result has no field for; the last word of a name is its unit.
-func (s *Sim) figures(out *Outcome) map[string]float64 {
-	f := map[string]float64{
-		"front end in and out B/s":             out.Rest,
-		"front end busiest 10 s B/s":           out.Busiest,
-		"false deaths count":                   float64(out.FalseDeaths),
-		"past processes seen again count":      float64(out.PastBack),
-		"older processes seen late count":      float64(out.Older),
-		"views agree after the last fault ms":  float64(out.Settled / ms),
-		"views still wrong at the end members": float64(len(out.Disagree)),
-	}
-	if noticed := scale.SpreadOf(durations(out.Noticed), 0); noticed != nil {
-		f["deaths noticed count"] = float64(noticed.Count)
-		f["death noticed median ms"] = noticed.MedianMS
-		f["death noticed p99 ms"] = noticed.P99MS
-		f["death noticed most ms"] = noticed.MostMS
-	}
-	for _, b := range out.Bursts {
-		addLoad(f, b.Of+": accepts in the first second", b.Accepts)
-		addLoad(f, b.Of+": snapshots in the first second", b.Snapshots)
-	}
-	if out.Turns > 0 {
-		f["changes seen of the one that flaps count"] = float64(out.Turns)
+func (s *simulation) roleFigures(role membership.Role) scale.RoleFigures {
+	members := s.membersWithRole(role)
+	traffic := s.traffic.total(members)
+	received, sent := sumKinds(traffic.received), sumKinds(traffic.sent)
+	mean := func(total int64) float64 { return s.traffic.perSecondAndMember(float64(total), len(members)) }
+	figures := scale.RoleFigures{
+		Role:        roleName(role),
+		Members:     len(members),
+		MessagesIn:  mean(received.messages),
+		MessagesOut: mean(sent.messages),
+		BytesIn:     mean(received.bytes),
+		BytesOut:    mean(sent.bytes),
+		FramingIn:   mean(received.framing),
+		FramingOut:  mean(sent.framing),
+		Connections: s.meanConnections(members),
+	}
+	if s.cpuMeter != nil {
+		figures.CPUMicros = mean(s.cpuMeter.cpuTime(role).Microseconds())
 	}
-	for _, role := range []membership.Role{membership.Attached, membership.Control} {
-		s.addKinds(f, role)
-	}
-	return f
-}
-
-func addLoad(f map[string]float64, name string, l Load) {
-	f[name+", all count"] = float64(l.Total)
-	f[name+", mean count"] = l.Mean
-	f[name+", most at one control member count"] = float64(l.Most)
+	return figures
 }
 
-// addKinds adds the bytes of each kind of message.
-func (s *Sim) addKinds(f map[string]float64, role membership.Role) {
-	list := s.members(role)
-	flow := s.account.role(list)
-	each := float64(s.account.measured) / float64(second) * float64(len(list))
-	for k := range messageKinds {
-		for _, way := range []struct {
-			name string
-			t    traffic
-		}{{"in", flow.ins[k]}, {"out", flow.outs[k]}} {
-			if way.t.messages > 0 {
-				f[fmt.Sprintf("%s: %s %s B/s", roleName(role), k, way.name)] = float64(way.t.whole()) / each
+// meanConnections is how many open connections a member has at the end. Control members have two with each other.
+func (s *simulation) meanConnections(members []*member) float64 {
+	count := 0
+	for _, m := range members {
+		if m.process == nil {
+			continue
+		}
+		m.process.eachLink(func(l *link) {
+			if l.open[m.process.side()] {
+				count++
 			}
+		})
+		if m.role == membership.Control {
+			count += 2 * (len(s.controlMembers) - 1)
 		}
 	}
+	return float64(count) / float64(len(members))
 }
 
-// notes say what the figures leave out.
-func (s *Sim) notes(out *Outcome) []string {
-	list := []string{
+func durations(list []monotime.Micros) (durations []time.Duration) {
+	for _, duration := range list {
+		durations = append(durations, time.Duration(duration)*time.Microsecond)
+	}
+	return durations
+}
+
+// notes says what the figures leave out, and describes what was wrong.
+func (s *simulation) notes(out *Outcome) []string {
+	notes := []string{
 		"bytes of TCP, TLS and acknowledgements are not counted",
 		"heartbeats among control members lack the fields about the record, about 40 bytes",
 	}
-	if s.meter != nil {
-		list = append(list, "processor: this process's time, divided by the time that steps of each role took; links cost nothing")
-		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		list = append(list, fmt.Sprintf("live heap of the whole run over all members of both roles: %d bytes each",
-			int(m.HeapAlloc)/len(s.places)))
+	if s.cpuMeter != nil {
+		notes = append(notes,
+			"processor: this process's time, divided by the time that steps of each role took; links cost nothing",
+			s.heapNote())
 	}
-	for _, word := range out.Faults {
-		list = append(list, "fault: "+word)
+	for _, description := range out.Faults {
+		notes = append(notes, "fault: "+description)
 	}
-	for _, word := range out.Disagree {
-		list = append(list, "wrong at the end: "+word)
+	for _, description := range out.Disagree {
+		notes = append(notes, "wrong at the end: "+description)
 	}
-	return list
+	return notes
+}
+
+// heapNote tells the live heap, which is collected first.
+func (s *simulation) heapNote() string {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return fmt.Sprintf("live heap of the whole run over all members of both roles: %d bytes each",
+		int(stats.HeapAlloc)/len(s.members))
 }
