--- /dev/null
+++ b/internal/standin/attachedstub.go
@@ -0,0 +1,153 @@
+package standin
+
+import (
+	"fmt"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chutechute/fleet/transport"
+	"chutechute/internal/proto"
+)
+
+// Guest is a stub of an attached front end without a process: it authenticates itself to one control member, sends
+// heartbeats, and discards what it receives. Many of them make many changes of the view.
+type Guest struct {
+	name    string
+	conn    net.Conn
+	workers sync.WaitGroup
+	stop    chan struct{}
+}
+
+const (
+	stubHeartbeatInterval = 500 * time.Millisecond
+	stubDialTimeout       = time.Second
+	stubReadBufferSize    = 4096 // bytes
+)
+
+// Numbers of the fields of a hello, of the identity in it, and of an attached front end's heartbeat.
+const (
+	helloIdentityField          = 1
+	identitySettingsDigestField = 8
+
+	heartbeatNameField     = 1
+	heartbeatSentTimeField = 2 // microseconds of the sender's clock
+)
+
+// Agreed ends the connections of a path, waits for the hello on the next one, and returns the digest of the settings in
+// it, which the stub of an attached front end has to send. The test fails where no hello passes in time.
+func (f *Fleet) Agreed(way *Relay) (digest []byte) {
+	f.T.Helper()
+	hellos := make(chan []byte, 1)
+	way.Tap(func(frame []byte) {
+		if frameKind(frame) == transport.Hello {
+			select {
+			case hellos <- append([]byte(nil), frame[frameBodyOffset:]...):
+			default:
+			}
+		}
+	})
+	defer way.Tap(f.observe)
+	way.Reset()
+	var hello []byte
+	select {
+	case hello = <-hellos:
+	case <-time.After(Patience):
+		require.Fail(f.T, "no hello")
+	}
+	digest = bytesField(bytesField(hello, helloIdentityField), identitySettingsDigestField)
+	require.NotEmpty(f.T, digest)
+	return digest
+}
+
+// bytesField returns the value of a message's field of bytes; nil where it has none.
+func bytesField(message []byte, number int) (value []byte) {
+	_ = proto.Each(message, func(field proto.Field) error {
+		if int(field.Number) == number {
+			value = field.Copy()
+		}
+		return nil
+	})
+	return value
+}
+
+// Guest attaches the stub of a front end to a control member, under a name and an incarnation. The digest is that of
+// Agreed. The test fails where the control member refuses the handshake. The stub is closed with the test.
+func (f *Fleet) Guest(to *Front, name string, incarnation uint64, digest []byte) *Guest {
+	f.T.Helper()
+	conn, err := net.DialTimeout("tcp4", to.Peer, stubDialTimeout)
+	require.NoError(f.T, err)
+	g := &Guest{name: name, conn: conn, stop: make(chan struct{})}
+	require.NoError(f.T, g.handshake(to.Name, &transport.Identity{Site: f.Site, Name: name, Zone: to.Zone,
+		Incarnation: incarnation, MinVersion: transport.MinVersion, MaxVersion: transport.MaxVersion,
+		SettingsDigest: digest, Attached: true}))
+	g.workers.Go(g.discardReceived)
+	g.workers.Go(g.sendHeartbeats)
+	f.T.Cleanup(g.Close)
+	return g
+}
+
+// handshake authenticates the stub to the control member of a name.
+func (g *Guest) handshake(controlMember string, self *transport.Identity) error {
+	_ = g.conn.SetDeadline(time.Now().Add(Patience))
+	defer func() { _ = g.conn.SetDeadline(time.Time{}) }()
+	dialer := &transport.Dialer{Local: self, ExpectedName: controlMember}
+	buffer := make([]byte, stubReadBufferSize)
+	for !dialer.Established() {
+		n, err := g.conn.Read(buffer)
+		if err != nil {
+			return fmt.Errorf("%s: %w", g.name, err)
+		}
+		dialer.Feed(buffer[:n])
+		reply, err := dialer.Process()
+		if err != nil {
+			return fmt.Errorf("%s: %w", g.name, err)
+		}
+		if _, err := g.conn.Write(reply); err != nil {
+			return fmt.Errorf("%s: %w", g.name, err)
+		}
+	}
+	return nil
+}
+
+// sendHeartbeats sends heartbeats that request no view, until the stub is closed or its connection ends.
+func (g *Guest) sendHeartbeats() {
+	began := time.Now()
+	for {
+		heartbeat := proto.String(nil, heartbeatNameField, g.name)
+		heartbeat = proto.Uint(heartbeat, heartbeatSentTimeField, uint64(time.Since(began).Microseconds()))
+		frame := transport.AppendFrame(nil, transport.AttachedHeartbeat, 0, false, heartbeat)
+		if _, err := g.conn.Write(frame); err != nil {
+			return
+		}
+		select {
+		case <-g.stop:
+			return
+		case <-time.After(stubHeartbeatInterval):
+		}
+	}
+}
+
+// discardReceived reads and discards all that the control member sends, until the connection ends.
+func (g *Guest) discardReceived() {
+	buffer := make([]byte, stubReadBufferSize)
+	for {
+		if _, err := g.conn.Read(buffer); err != nil {
+			return
+		}
+	}
+}
+
+// Close closes the stub's connection without a goodbye, and waits until its goroutines have ended.
+func (g *Guest) Close() {
+	select {
+	case <-g.stop:
+		return
+	default:
+	}
+	close(g.stop)
+	g.conn.Close()
+	g.workers.Wait()
+}
--- /dev/null
+++ b/internal/standin/blockablelistener.go
@@ -0,0 +1,144 @@
+package standin
+
+import (
+	"net"
+	"os"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// Door is a TCP listener that can be blocked: while it is, its backlog is full, so that connection attempts hang until
+// it is opened again, or forever. It accepts in a goroutine of its own, so that it can be blocked before its server
+// calls Accept.
+type Door struct {
+	net.Listener
+	accepted     chan net.Conn // for Accept
+	closed       chan struct{} // closed with the listener
+	closeOnce    sync.Once     // guards closing of closed
+	acceptEnded  chan struct{} // closed once no connection is accepted any more; acceptErr is set before
+	acceptErr    error
+	mu           sync.Mutex
+	unblocked    chan struct{} // closed when the listener is opened; nil while it is open
+	firstBlocked chan struct{} // closed when the accept loop waits, with one connection, for unblocked
+	fillers      []net.Conn    // connections that fill the backlog
+}
+
+// backlogDialTimeout is how long a connection that fills the backlog may take: one that takes longer found it full.
+const backlogDialTimeout = 100 * time.Millisecond
+
+// newBlockableListener listens on loopback with the shortest backlog that the system has.
+func newBlockableListener() (*Door, error) {
+	listener, err := listenWithoutBacklog()
+	if err != nil {
+		return nil, err
+	}
+	d := &Door{
+		Listener:    listener,
+		accepted:    make(chan net.Conn),
+		closed:      make(chan struct{}),
+		acceptEnded: make(chan struct{}),
+	}
+	go d.acceptLoop()
+	return d, nil
+}
+
+// listenWithoutBacklog listens on loopback with a backlog of 0, which package net can't ask for.
+func listenWithoutBacklog() (net.Listener, error) {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return nil, err
+	}
+	file := os.NewFile(uintptr(fd), "listener")
+	defer file.Close() // FileListener has a copy of the descriptor
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		return nil, err
+	}
+	if err := syscall.Listen(fd, 0); err != nil {
+		return nil, err
+	}
+	return net.FileListener(file)
+}
+
+// acceptLoop accepts one connection after the other, and hands each to Accept once the listener is open.
+func (d *Door) acceptLoop() {
+	defer close(d.acceptEnded)
+	for {
+		var conn net.Conn
+		if conn, d.acceptErr = d.Listener.Accept(); d.acceptErr != nil {
+			return
+		}
+		d.waitUnblocked()
+		select {
+		case d.accepted <- conn:
+		case <-d.closed:
+			conn.Close()
+		}
+	}
+}
+
+// waitUnblocked waits until the listener is open.
+func (d *Door) waitUnblocked() {
+	d.mu.Lock()
+	unblocked, firstBlocked := d.unblocked, d.firstBlocked
+	d.mu.Unlock()
+	if unblocked != nil {
+		close(firstBlocked)
+		<-unblocked
+	}
+}
+
+// Accept returns the next connection, once the listener is open.
+func (d *Door) Accept() (net.Conn, error) {
+	select {
+	case conn := <-d.accepted:
+		return conn, nil
+	case <-d.acceptEnded:
+		return nil, d.acceptErr
+	}
+}
+
+// Shut blocks the listener: it returns once the backlog is full. What the listener accepts leaves the backlog, so that
+// it stays full only once the accept loop has accepted one connection and waits.
+func (d *Door) Shut() {
+	firstBlocked := make(chan struct{})
+	d.mu.Lock()
+	d.unblocked, d.firstBlocked = make(chan struct{}), firstBlocked
+	d.mu.Unlock()
+	first, err := net.Dial("tcp4", d.Addr().String())
+	if err != nil {
+		panic(err) // the backlog is still empty
+	}
+	<-firstBlocked
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.fillers = append(d.fillers, first)
+	for {
+		conn, err := net.DialTimeout("tcp4", d.Addr().String(), backlogDialTimeout)
+		if err != nil {
+			return
+		}
+		d.fillers = append(d.fillers, conn)
+	}
+}
+
+// Open unblocks the listener and closes the connections that filled its backlog.
+func (d *Door) Open() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.unblocked != nil {
+		close(d.unblocked)
+		d.unblocked = nil
+	}
+	for _, conn := range d.fillers {
+		conn.Close()
+	}
+	d.fillers = nil
+}
+
+// Close unblocks and closes the listener.
+func (d *Door) Close() error {
+	d.Open()
+	d.closeOnce.Do(func() { close(d.closed) })
+	return d.Listener.Close()
+}
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -14,14 +14,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Client is a Thrift client of the front end, written apart from the program's own codec.
+// Client is a client of a front end: framed Thrift in the binary protocol, written apart from the program's own codec.
+// It is not safe for concurrent use.
 type Client struct {
 	T    *testing.T
 	Conn net.Conn
-	Seq  int32
+	Seq  int32 // sequence number of the last message sent
 }
 
-// Client connects another client.
+// Client connects a new client to the front end. Its connection is closed with the test, and has Patience for all
+// of its reads and writes together.
 func (r *Rig) Client() *Client {
 	conn, err := net.Dial("tcp4", r.Addr)
 	require.NoError(r.T, err)
@@ -30,9 +32,7 @@
 	return &Client{T: r.T, Conn: conn}
 }
 
-func text(s string) []byte { return append(binary.BigEndian.AppendUint32(nil, uint32(len(s))), s...) }
-
-// Secure connects another client by TLS, and gives the error where the front end does not have it.
+// Secure connects a new client by TLS. It returns the error of the handshake where there is one.
 func (r *Rig) Secure(config *tls.Config) (*Client, error) {
 	conn, err := tls.DialWithDialer(&net.Dialer{Timeout: Patience}, "tcp4", r.Addr, config)
 	if err != nil {
@@ -42,91 +42,134 @@
 	return &Client{T: r.T, Conn: conn}, conn.SetDeadline(time.Now().Add(Patience))
 }
 
-// Send sends a message of a kind and gives its sequence number; the arguments are whole fields.
+// Types of messages, and of fields, in Thrift's binary protocol.
+const (
+	callMessage  = 1
+	replyMessage = 2
+
+	stringField = 11
+	mapField    = 13
+	fieldsEnd   = 0
+)
+
+// thriftVersion is the first bytes of each message; the message's type follows.
+var thriftVersion = []byte{0x80, 1, 0}
+
+// appendText appends the binary form of a string: its length and its bytes.
+func appendText(b []byte, text string) []byte {
+	return append(binary.BigEndian.AppendUint32(b, uint32(len(text))), text...)
+}
+
+// Send sends a message of a Thrift type, and returns its sequence number. The arguments are whole encoded fields.
 func (c *Client) Send(kind byte, name string, args ...[]byte) int32 {
 	require.NoError(c.T, c.TrySend(kind, name, args...))
 	return c.Seq
 }
 
-// TrySend sends a message to a front end that may be gone.
+// TrySend sends a message as Send, and returns the error of writing.
 func (c *Client) TrySend(kind byte, name string, args ...[]byte) error {
 	c.Seq++
-	m := append([]byte{0x80, 1, 0, kind}, text(name)...)
-	m = binary.BigEndian.AppendUint32(m, uint32(c.Seq))
-	m = append(append(m, bytes.Join(args, nil)...), 0)
-	_, err := c.Conn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(m))), m...))
+	message := append(bytes.Clone(thriftVersion), kind)
+	message = appendText(message, name)
+	message = binary.BigEndian.AppendUint32(message, uint32(c.Seq))
+	message = append(message, bytes.Join(args, nil)...)
+	message = append(message, fieldsEnd)
+	frame := binary.BigEndian.AppendUint32(nil, uint32(len(message)))
+	_, err := c.Conn.Write(append(frame, message...))
 	return err
 }
 
-// Ask sends a request: fields as name, value, name, value.
+// Ask sends a request, and returns its sequence number. The fields of its map are name, value, name, value and so on.
 func (c *Client) Ask(statement string, fields ...string) int32 {
 	require.NoError(c.T, c.TryAsk(statement, fields...))
 	return c.Seq
 }
 
-// TryAsk sends a request to a front end that may be gone.
+// TryAsk sends a request as Ask, and returns the error of writing.
 func (c *Client) TryAsk(statement string, fields ...string) error {
-	m := []byte{13, 0, 1, 11, 11, 0, 0, 0, byte(len(fields) / 2)}
-	for _, f := range fields {
-		m = append(m, text(f)...)
+	info := []byte{mapField, 0, 1, stringField, stringField, 0, 0, 0, byte(len(fields) / 2)}
+	for _, text := range fields {
+		info = appendText(info, text)
 	}
-	return c.TrySend(1, "call", m, append([]byte{11, 0, 2}, text(statement)...))
+	return c.TrySend(callMessage, "call", info, appendText([]byte{stringField, 0, 2}, statement))
 }
 
-// ID is a request's id.
+// ID returns the request id of a number: 16 hexadecimal digits.
 func ID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// Lookup asks for a lookup with the usual fields.
+// Lookup sends a look-up with the usual fields and the id of a number, and returns its sequence number. The ttl, the
+// client's timeout, is in milliseconds.
 func (c *Client) Lookup(n int, ttl string) int32 {
-	return c.Ask("SELECT * FROM s_1.t", "call", ID(n), "op", "lookup", "ttl", ttl, "org", "t", "work", "1000.0", "mb", "8")
+	return c.Ask("SELECT * FROM s_1.t",
+		"call", ID(n), "op", "lookup", "ttl", ttl, "org", "t", "work", "1000.0", "mb", "8")
 }
 
-// Load asks for a load with a key.
+// Load sends a load with the id and idempotency key of a number, and returns its sequence number. All of them have the
+// same order key. The ttl, the client's timeout, is in milliseconds.
 func (c *Client) Load(n int, ttl string) int32 {
-	return c.Ask("INSERT INTO s_1.t", "call", ID(n), "op", "load", "ttl", ttl, "dedupe", fmt.Sprint(n), "row", "k", "work", "10.0")
+	return c.Ask("INSERT INTO s_1.t",
+		"call", ID(n), "op", "load", "ttl", ttl, "dedupe", fmt.Sprint(n), "row", "k", "work", "10.0")
 }
 
-// Reply is one message from the front end: what it is, and the text in it.
+// Reply is one message from the front end.
 type Reply struct {
-	Seq  int32
+	Seq  int32  // sequence number of the request that it responds to
 	What string // answer, shed, fault or exception
-	Raw  string
+	Raw  string // all after the sequence number
+}
+
+// Healthy calls the front end's health method, and reports whether it responds that it is healthy.
+func (c *Client) Healthy() bool {
+	c.Send(callMessage, "health")
+	return strings.HasSuffix(c.Read().Raw, "\x02\x00\x03\x01\x00\x00")
 }
 
-// Read reads the next message from the front end.
+// replyKinds is what Reply has for each id of the field that a reply's result begins with.
+var replyKinds = []string{"answer", "shed", "fault"}
+
+const exceptionReply = "exception"
+
+// Read reads the next message from the front end. The test fails where none can be read.
 func (c *Client) Read() Reply {
 	c.T.Helper()
-	p, err := c.TryRead()
+	reply, err := c.TryRead()
 	require.NoError(c.T, err)
-	return p
+	return reply
 }
 
-// TryRead reads the next message from a front end that may be gone.
+// TryRead reads the next message as Read, and returns the error of reading.
 func (c *Client) TryRead() (Reply, error) {
 	var size uint32
 	if err := binary.Read(c.Conn, binary.BigEndian, &size); err != nil {
 		return Reply{}, err
 	}
-	b := make([]byte, size)
-	if _, err := io.ReadFull(c.Conn, b); err != nil {
+	message := make([]byte, size)
+	if _, err := io.ReadFull(c.Conn, message); err != nil {
 		return Reply{}, err
 	}
-	n := 8 + int(binary.BigEndian.Uint32(b[4:]))
-	p := Reply{Seq: int32(binary.BigEndian.Uint32(b[n:])), Raw: string(b[n+4:]), What: "exception"}
-	if b[3] == 2 {
-		p.What = []string{"answer", "shed", "fault"}[b[n+6]]
-	}
-	return p, nil
+	return decodeReply(message), nil
 }
 
-// Body is the rows of an answer.
-func (p Reply) Body() string {
-	n := binary.BigEndian.Uint32([]byte(p.Raw[6:]))
-	return p.Raw[10 : 10+n]
+// decodeReply decodes a message: version and type (4 bytes), name (with 4 bytes of length), sequence number (4) and, in
+// a reply, a result whose first field has its id in the second and third byte.
+func decodeReply(message []byte) Reply {
+	const typeOffset, nameLengthOffset, nameOffset = 3, 4, 8
+	seqOffset := nameOffset + int(binary.BigEndian.Uint32(message[nameLengthOffset:]))
+	rawOffset := seqOffset + 4
+	reply := Reply{
+		Seq:  int32(binary.BigEndian.Uint32(message[seqOffset:])),
+		What: exceptionReply,
+		Raw:  string(message[rawOffset:]),
+	}
+	if message[typeOffset] == replyMessage {
+		reply.What = replyKinds[message[rawOffset+2]]
+	}
+	return reply
 }
 
-// Healthy asks for the front end's health.
-func (c *Client) Healthy() bool {
-	c.Send(1, "health")
-	return strings.HasSuffix(c.Read().Raw, "\x02\x00\x03\x01\x00\x00")
+// Body returns the rows of an answer.
+func (p Reply) Body() string {
+	const lengthOffset, rowsOffset = 6, 10
+	length := binary.BigEndian.Uint32([]byte(p.Raw[lengthOffset:]))
+	return p.Raw[rowsOffset : rowsOffset+length]
 }
--- /dev/null
+++ b/internal/standin/discovery.go
@@ -0,0 +1,54 @@
+package standin
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"net"
+
+	"github.com/stretchr/testify/require"
+)
+
+// discoveryFrameHeader is the length, in bytes, of a discovery frame's sequence number and kind.
+const discoveryFrameHeader = 9
+
+// Frame returns a frame of the discovery service ("journal" on the wire): its length, sequence number and kind, and the
+// records after them.
+func Frame(number uint64, kind byte, records ...[]byte) []byte {
+	payload := bytes.Join(records, nil)
+	frame := binary.BigEndian.AppendUint32(nil, uint32(discoveryFrameHeader+len(payload)))
+	frame = binary.BigEndian.AppendUint64(frame, number)
+	return append(append(frame, kind), payload...)
+}
+
+// Record returns the discovery record of the engine with the given state. The engine's name has the form s-%x.
+func (e *Engine) Record(state byte) []byte {
+	var number uint32
+	fmt.Sscanf(e.Name, "s-%x", &number)
+	record := append(binary.BigEndian.AppendUint32(nil, number), e.Addr.IP.To4()...)
+	record = append(binary.BigEndian.AppendUint16(record, uint16(e.Addr.Port)), state, 0, 0, 0, 0, 0, 0, 3, 232)
+	return append(record, make([]byte, 8)...)
+}
+
+// ListenJournal closes the listener of the stub discovery service and listens at addr in its place. It returns the
+// error of listening.
+func (r *Rig) ListenJournal(addr string) (err error) {
+	r.Journal.Close()
+	if r.Journal, err = net.Listen("tcp4", addr); err == nil {
+		r.T.Cleanup(func() { r.Journal.Close() })
+	}
+	return err
+}
+
+// Accept accepts the next connection of the front end to the stub discovery service. It returns the connection and the
+// sequence number after which the front end asks for events. The test fails where no connection can be accepted or its
+// number can't be read.
+func (r *Rig) Accept() (net.Conn, uint64) {
+	conn, err := r.Journal.Accept()
+	require.NoError(r.T, err)
+	r.T.Cleanup(func() { conn.Close() })
+	var last uint64
+	require.NoError(r.T, binary.Read(bufio.NewReader(conn), binary.BigEndian, &last))
+	return conn, last
+}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,107 +1,95 @@
 package standin
 
 import (
+	"crypto/tls"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"strconv"
-	"strings"
 	"time"
+
+	"github.com/stretchr/testify/require"
 )
 
-// Call is one call that an engine got.
+// Call is one HTTP request that a stub engine received.
 type Call struct {
 	Engine, Method, Path string
 	Header               http.Header
 	Body                 string
-	At                   time.Time
+	At                   time.Time       // when it was read whole
 	Gone                 <-chan struct{} // closed once its connection has ended, or it is answered
 }
 
-// Engine plays an engine on a loopback socket; its answers are the test's.
+// Engine is a stub engine, an HTTP server on loopback whose handler is the test's.
 type Engine struct {
 	Name   string
 	Addr   *net.TCPAddr
 	Server *httptest.Server
 }
 
-// Answer is what an engine does with a call.
-type Answer func(r *Rig, w http.ResponseWriter, c Call)
-
-// Row is a result's row, and all of most results here.
-const Row = "x\ty\tz\n"
-
-// Serve answers with a result of one page.
-func Serve(w http.ResponseWriter, page string) {
-	w.Header().Set("X-Batches", "1")
-	w.Header().Set("Content-Length", strconv.Itoa(len(page))) // engines send no chunks
-	fmt.Fprint(w, page)
+// newEngine returns the stub engine of a number that isn't started yet. It records its requests and gives them to
+// handle.
+func (r *Rig) newEngine(number int, handle Answer) *Engine {
+	engine := &Engine{Name: fmt.Sprintf("s-%08x", number)}
+	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		body, _ := io.ReadAll(request.Body)
+		call := Call{Engine: engine.Name, Method: request.Method, Path: request.URL.Path, Header: request.Header,
+			Body: string(body), At: time.Now(), Gone: request.Context().Done()}
+		r.Mu.Lock()
+		r.Calls = append(r.Calls, call)
+		r.Mu.Unlock()
+		handle(r, w, call)
+	}))
+	server.Config.ConnState = func(conn net.Conn, state http.ConnState) {
+		if r.Conns != nil {
+			r.Conns(conn, state)
+		}
+	}
+	engine.Server = server
+	engine.Addr = server.Listener.Addr().(*net.TCPAddr)
+	r.T.Cleanup(func() { closeServer(server) })
+	return engine
 }
 
-// Raw answers with bytes of the test's own, and ends the connection or keeps it open.
-func Raw(w http.ResponseWriter, answer string, end bool) {
-	conn, _, err := http.NewResponseController(w).Hijack()
-	if err != nil {
-		panic(err)
-	}
-	_, _ = io.WriteString(conn, answer)
-	if end {
-		conn.Close()
+// start starts the engine, with TLS where config is not nil.
+func (e *Engine) start(config *tls.Config) {
+	if config == nil {
+		e.Server.Start()
+		return
 	}
+	e.Server.TLS = config
+	e.Server.StartTLS()
 }
 
-// Twice answers with bytes of the test's own, and with others a while later; the connection stays open.
-func Twice(w http.ResponseWriter, answer string, later time.Duration, more string) {
-	conn, _, err := http.NewResponseController(w).Hijack()
-	if err != nil {
-		panic(err)
-	}
-	_, _ = io.WriteString(conn, answer)
-	time.AfterFunc(later, func() { _, _ = io.WriteString(conn, more) })
+// closeServer ends all connections of a server, and the server.
+func closeServer(server *httptest.Server) {
+	server.CloseClientConnections()
+	server.Close()
 }
 
-// Store is an engine that keeps each query running until it has been asked so many times, then serves rows.
-func Store(asks int, rows ...string) Answer {
-	asked := map[string]int{}
-	return func(r *Rig, w http.ResponseWriter, c Call) {
-		name := c.Header.Get("Request-Id")
-		page := 0
-		if c.Method != "POST" {
-			part := strings.Split(c.Path, "/")
-			name = part[3]
-			if c.Method == "DELETE" {
-				w.WriteHeader(204)
-				return
-			}
-			fmt.Sscan(part[4], &page)
-		}
-		r.Mu.Lock()
-		asked[name]++
-		n := asked[name]
-		r.Mu.Unlock()
-		if page == 0 && n <= asks {
-			time.Sleep(50 * time.Millisecond)
-			w.WriteHeader(202)
-			return
-		}
-		if page > 0 {
-			w.Header().Set("X-Batch", fmt.Sprint(page))
-		} else {
-			w.Header().Set("X-Batches", fmt.Sprint(len(rows)))
-		}
-		w.Header().Set("Content-Length", fmt.Sprint(len(rows[page]))) // longer ones would come in chunks, which no engine sends
-		io.WriteString(w, rows[page])
+// Again starts another server, with the same handler, at the address of an engine whose listener was closed. It returns
+// the error of listening.
+func (r *Rig) Again(e *Engine) error {
+	listener, err := net.Listen("tcp4", e.Addr.String())
+	if err != nil {
+		return err
 	}
+	server := httptest.NewUnstartedServer(e.Server.Config.Handler)
+	server.Listener.Close()
+	server.Listener = listener
+	server.Start()
+	r.T.Cleanup(func() { closeServer(server) })
+	return nil
 }
 
-// Held serves at once, but for the start of one request, which waits until released.
-func Held(id string, released <-chan bool) Answer {
-	return func(_ *Rig, w http.ResponseWriter, c Call) {
-		if c.Method == "POST" && c.Header.Get("Request-Id") == id {
-			<-released
-		}
-		Serve(w, Row)
-	}
+// Shuttable has a stub engine listen behind a listener that can be blocked, in place of its own, and returns it. It
+// is called before the engine starts.
+func (r *Rig) Shuttable(e *Engine) *Door {
+	listener, err := newBlockableListener()
+	require.NoError(r.T, err)
+	e.Server.Listener.Close()
+	e.Server.Listener = listener
+	e.Addr = listener.Addr().(*net.TCPAddr)
+	return listener
 }
--- /dev/null
+++ b/internal/standin/faultproxy_test.go
@@ -0,0 +1,202 @@
+package standin
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestMain(m *testing.M) { os.Exit(Seeded(m)) }
+
+// The kinds of frames of these tests.
+const (
+	handshakeKind = 2
+	otherKind     = 4
+)
+
+// frame returns a frame, of which the proxy looks only at the length and the kind.
+func frame(kind byte, body string) []byte {
+	return append([]byte{0, 0, 0, byte(1 + len(body)), kind}, body...)
+}
+
+// proxiedConn is one connection through a proxy, with what has been received at both ends.
+type proxiedConn struct {
+	proxy            *Relay
+	dialer           net.Conn
+	target           net.Conn
+	receivedByDialer *LockedBuffer
+	receivedByTarget *LockedBuffer
+}
+
+// newProxy starts a proxy and the listener that is its target.
+func newProxy(t *testing.T) (*Relay, net.Listener) {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	proxy, err := NewRelay(listener.Addr().String(), NewRandom(1))
+	require.NoError(t, err)
+	t.Cleanup(proxy.Close)
+	return proxy, listener
+}
+
+// dial opens a connection through a proxy.
+func dial(t *testing.T, proxy *Relay, listener net.Listener) *proxiedConn {
+	t.Helper()
+	dialer, err := net.Dial("tcp4", proxy.Addr)
+	require.NoError(t, err)
+	target, err := listener.Accept()
+	require.NoError(t, err)
+	return &proxiedConn{proxy: proxy, dialer: dialer, target: target,
+		receivedByDialer: collect(t, dialer), receivedByTarget: collect(t, target)}
+}
+
+// newProxiedConn opens a connection through a proxy of its own.
+func newProxiedConn(t *testing.T) *proxiedConn {
+	t.Helper()
+	proxy, listener := newProxy(t)
+	return dial(t, proxy, listener)
+}
+
+// collect reads all that is received on a connection into a buffer.
+func collect(t *testing.T, conn net.Conn) *LockedBuffer {
+	received := &LockedBuffer{}
+	var reader sync.WaitGroup
+	reader.Go(func() { _, _ = io.Copy(received, conn) })
+	t.Cleanup(func() { conn.Close(); reader.Wait() })
+	return received
+}
+
+// write writes frames to a connection.
+func write(t *testing.T, conn net.Conn, frames ...[]byte) {
+	t.Helper()
+	_, err := conn.Write(bytes.Join(frames, nil))
+	require.NoError(t, err)
+}
+
+// eventually waits until a condition holds.
+func eventually(t *testing.T, condition func() bool, description ...any) {
+	t.Helper()
+	require.Eventually(t, condition, Patience, fastPollInterval, description...)
+}
+
+// requireReceived waits until exactly the frames have been received.
+func requireReceived(t *testing.T, received *LockedBuffer, frames ...[]byte) {
+	t.Helper()
+	expected := string(bytes.Join(frames, nil))
+	eventually(t, func() bool { return received.String() == expected }, "%q", expected)
+}
+
+// direction is one direction of a connection: who has the faults, who sends, and what was received.
+type direction struct {
+	name     string
+	faults   *Flow
+	sender   net.Conn
+	received *LockedBuffer
+}
+
+// directions returns both directions of a connection.
+func (c *proxiedConn) directions() [2]direction {
+	return [2]direction{
+		{"dialer to target", c.proxy.Flow, c.dialer, c.receivedByTarget},
+		{"target to dialer", c.proxy.Back, c.target, c.receivedByDialer},
+	}
+}
+
+// A stall delays and a loss drops only what passes in the direction that it was set on; the other goes on.
+func TestFaultAffectsOnlyItsDirection(t *testing.T) {
+	one, two := frame(otherKind, "one"), frame(otherKind, "two")
+	for i := range 2 {
+		conn := newProxiedConn(t)
+		faulty, sound := conn.directions()[i], conn.directions()[1-i]
+		t.Run(faulty.name, func(t *testing.T) {
+			faulty.faults.Stall(true)
+			write(t, faulty.sender, one)
+			write(t, sound.sender, two)
+			requireReceived(t, sound.received, two)
+			assert.Empty(t, faulty.received.String())
+			faulty.faults.Stall(false)
+			requireReceived(t, faulty.received, one)
+
+			faulty.faults.Lose(true)
+			write(t, faulty.sender, two)
+			eventually(t, func() bool { _, _, dropped := faulty.faults.Passed(); return dropped == 1 })
+			faulty.faults.Lose(false)
+			write(t, faulty.sender, one)
+			requireReceived(t, faulty.received, one, one)
+		})
+	}
+}
+
+// Duplication forwards some frames twice, but none of the handshake.
+func TestDuplicationSparesHandshakeFrames(t *testing.T) {
+	for i := range 2 {
+		conn := newProxiedConn(t)
+		duplicating := conn.directions()[i]
+		t.Run(duplicating.name, func(t *testing.T) {
+			handshake, other := frame(handshakeKind, "h"), frame(otherKind, "o")
+			duplicating.faults.Twice(true)
+			const sent = 100
+			write(t, duplicating.sender, bytes.Repeat(append(bytes.Clone(handshake), other...), sent))
+			write(t, duplicating.sender, frame(otherKind, "end"))
+			eventually(t, func() bool { return strings.HasSuffix(duplicating.received.String(), "end") })
+			received := []byte(duplicating.received.String())
+			assert.Equal(t, sent, bytes.Count(received, handshake))
+			assert.Greater(t, bytes.Count(received, other), sent)
+		})
+	}
+}
+
+// What a process had sent is held back beyond its end, and arrives after what a later process sent.
+func TestHeldFramesArriveAfterThoseOfLaterConnection(t *testing.T) {
+	proxy, listener := newProxy(t)
+	old := dial(t, proxy, listener)
+	release := proxy.Hold()
+	write(t, old.dialer, frame(otherKind, "old"))
+	require.NoError(t, old.dialer.Close())
+	later := dial(t, proxy, listener)
+	write(t, later.dialer, frame(otherKind, "later"))
+	requireReceived(t, later.receivedByTarget, frame(otherKind, "later"))
+	assert.Empty(t, old.receivedByTarget.String())
+	write(t, old.target, frame(otherKind, "to nobody"))
+	release()
+	requireReceived(t, old.receivedByTarget, frame(otherKind, "old"))
+}
+
+// Holding new connections ends the old one, and delays what the dialer of a new one sends, but not what it is sent.
+func TestHoldNewDelaysOnlyDialerOfNewConnection(t *testing.T) {
+	proxy, listener := newProxy(t)
+	before := dial(t, proxy, listener)
+	release := proxy.HoldNew()
+	_, err := before.dialer.Read(make([]byte, 1))
+	assert.Error(t, err, "it is ended")
+	after := dial(t, proxy, listener)
+	write(t, after.dialer, frame(handshakeKind, "hello"))
+	write(t, after.target, frame(handshakeKind, "challenge"))
+	requireReceived(t, after.receivedByDialer, frame(handshakeKind, "challenge"))
+	eventually(t, func() bool { return proxy.Waiting() == 1 })
+	assert.Empty(t, after.receivedByTarget.String())
+	release()
+	requireReceived(t, after.receivedByTarget, frame(handshakeKind, "hello"))
+}
+
+// A cut ends both connections at once, and new ones are refused.
+func TestCutClosesBothConnectionsAndRefusesNewOnes(t *testing.T) {
+	conn := newProxiedConn(t)
+	conn.proxy.Cut(true)
+	for _, end := range []net.Conn{conn.dialer, conn.target} {
+		eventually(t, func() bool { _, err := end.Write([]byte{0}); return err != nil })
+	}
+	refused, err := net.Dial("tcp4", conn.proxy.Addr)
+	require.NoError(t, err)
+	defer refused.Close()
+	_, err = refused.Read(make([]byte, 1))
+	assert.Error(t, err)
+}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -17,231 +16,193 @@
 	"chutechute/internal/standin/site"
 )
 
-// Fleet is several front ends as processes, each on a loopback address of its own, with a relay for every way from one to
-// another, and the engines that they share. Clients and engines note what they see.
+// Fleet is a fleet of front ends, each a process on a loopback address of its own, with a proxy on each path from
+// one to another, and the engines that they share. What clients and engines see is recorded in a history.
 type Fleet struct {
-	T       *testing.T
-	Program string
-	Site    string // of its own, so that no process of another fleet is taken for one of this
-	Fronts  []*Front
-	Workers []*Worker
-	Record  *history.Record
-	Random  *Random
-	Seed    uint64
-	Dir     string
-	Lasting bool           // the record is kept in folders
-	Section map[string]any // what the fleet's section sets besides
-	tap     func(frame []byte)
-	relays  map[[2]int]*Relay
-	journal *site.Journal
-	calls   atomic.Int64
-	script  *strings.Builder
-	began   time.Time
+	T         *testing.T
+	Program   string // path of the executable
+	Site      string // the site's name; each fleet has its own, so that processes of two fleets never form one
+	Fronts    []*Front
+	Workers   []*Worker       // the engines
+	Record    *history.Record // what clients and engines saw
+	Random    *Random
+	Seed      uint64         // of Random
+	Dir       string         // of all files
+	Lasting   bool           // control members store the replicated record
+	Section   map[string]any // what else the fleet's section of the installation file has
+	observe   func(frame []byte)
+	proxies   map[path]*Relay
+	discovery *site.Journal
+	calls     atomic.Int64 // request ids given out
+	script    *strings.Builder
+	began     time.Time
 }
 
-var fleets, nets atomic.Int64
+// path is the direction of connections from one front end, that dials, to another; both by their index.
+type path struct{ from, to int }
 
-// Loopback is the first three bytes of addresses that only this process's tests take.
-func Loopback() string {
-	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d", 16+(pid>>8)%200, pid&255)
-}
-
-// address gives a loopback address of its own with ports that are free on it: no others use it, so none can take them.
-func address(n int) string { return fmt.Sprintf("%s.%d", Loopback(), n) }
-
-// nextAddress is the next of them.
-func nextAddress() string { return address(int(nets.Add(1))%250 + 1) }
-
-func port(t *testing.T, ip string) string { return ports(t, ip, 1)[0] }
+const (
+	fleetSeed    = 20261201
+	fleetEngines = 2
+	fleetZones   = 3
+)
 
-// ports are free ones of an address, each another: all are held until the last is chosen.
-func ports(t *testing.T, ip string, count int) (list []string) {
-	for range count {
-		l, err := net.Listen("tcp4", ip+":0")
-		require.NoError(t, err)
-		defer l.Close()
-		list = append(list, l.Addr().String())
-	}
-	return list
-}
+var fleetsMade atomic.Int64
 
-// NewFleet prepares a fleet; change may set it up further before its front ends start.
+// NewFleet starts a fleet with so many control members, n1, n2 and so on in the zones a, b and c in turn, and two
+// engines, and waits until all front ends serve. Each function of change may change the fleet before anything of it is
+// started. The test fails where a process doesn't serve in time. All is stopped with the test, which prints the script,
+// statuses and logs if it failed.
 func NewFleet(t *testing.T, program string, fronts int, change ...func(*Fleet)) *Fleet {
-	f := &Fleet{T: t, Program: program, Site: fmt.Sprintf("test-%d-%d", os.Getpid(), fleets.Add(1)), Seed: 20261201,
-		Dir: t.TempDir(), relays: map[[2]int]*Relay{},
-		Section: map[string]any{}, script: &strings.Builder{}, began: time.Now()}
+	f := &Fleet{
+		T:       t,
+		Program: program,
+		Site:    fmt.Sprintf("test-%d-%d", os.Getpid(), fleetsMade.Add(1)),
+		Seed:    fleetSeed,
+		Dir:     t.TempDir(),
+		Section: map[string]any{},
+		proxies: map[path]*Relay{},
+		script:  &strings.Builder{},
+		began:   time.Now(),
+	}
 	f.Record = &history.Record{Now: func() int64 { return time.Since(f.began).Microseconds() }}
 	var err error
-	f.journal, err = site.NewJournal()
+	f.discovery, err = site.NewJournal()
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = f.journal.Close() })
-	for i := range fronts {
-		ip := nextAddress()
-		name := fmt.Sprintf("n%d", i+1)
-		addresses := ports(t, ip, 2)
-		f.Fronts = append(f.Fronts, &Front{F: f, N: i, Name: name, Zone: string(rune('a' + i%3)), Listen: addresses[0], Peer: addresses[1],
-			Folder: filepath.Join(f.Dir, "disk-"+name), Admin: filepath.Join(f.Dir, name+".sock")})
+	t.Cleanup(func() { _ = f.discovery.Close() })
+	for range fronts {
+		f.addControlMember()
 	}
-	for _, c := range change {
-		c(f)
+	for _, option := range change {
+		option(f)
 	}
 	f.Random = NewRandom(f.Seed)
+	f.startEngines()
+	f.startProxies()
+	t.Cleanup(f.stop) // before the first starts, so that one that doesn't serve is stopped too
+	for _, frontEnd := range f.Fronts {
+		frontEnd.Start()
+	}
+	return f
+}
+
+// addControlMember adds a front end that the settings list.
+func (f *Fleet) addControlMember() {
+	index := len(f.Fronts)
+	name := fmt.Sprintf("n%d", index+1)
+	addresses := freeAddresses(f.T, nextAddress(), 2)
+	f.Fronts = append(f.Fronts, &Front{F: f, N: index, Name: name, Zone: string(rune('a' + index%fleetZones)),
+		Listen: addresses[0], Peer: addresses[1], Folder: f.storageDir(name), Admin: f.adminSocket(name)})
+}
+
+// storageDir returns the folder that the front end of a name stores in.
+func (f *Fleet) storageDir(name string) string { return filepath.Join(f.Dir, "disk-"+name) }
+
+// adminSocket returns the path of a front end's operators' socket.
+func (f *Fleet) adminSocket(name string) string { return filepath.Join(f.Dir, name+".sock") }
+
+// startEngines starts the engines.
+func (f *Fleet) startEngines() {
 	seen := &Seen{keys: map[string]time.Time{}}
-	for i := range 2 {
-		w := NewWorker(fmt.Sprintf("s-%08x", i+1), f.Record, seen)
-		t.Cleanup(w.Close)
-		f.Workers = append(f.Workers, w)
+	for i := range fleetEngines {
+		engine := NewWorker(fmt.Sprintf("s-%08x", i+1), f.Record, seen)
+		f.T.Cleanup(engine.Close)
+		f.Workers = append(f.Workers, engine)
 	}
-	for i := range f.Fronts {
-		for j := range f.Fronts {
-			if i != j && !f.Fronts[j].Attached { // nobody dials an attached one
-				r, err := NewRelay(f.Fronts[j].Peer, f.Random)
-				require.NoError(t, err)
-				t.Cleanup(r.Close)
-				r.Tap(f.tap)
-				r.Back.Tap(f.tap)
-				f.relays[[2]int{i, j}] = r
+}
+
+// startProxies starts the proxies from each front end to all control members. There are none to attached front ends,
+// which nobody dials.
+func (f *Fleet) startProxies() {
+	for _, from := range f.Fronts {
+		for _, to := range f.Controls() {
+			if from != to {
+				proxy := f.startProxy(from, to)
+				proxy.Tap(f.observe)
+				proxy.Back.Tap(f.observe)
 			}
 		}
 	}
-	t.Cleanup(f.end) // before the first starts: one that does not serve leaves none behind
-	for _, n := range f.Fronts {
-		n.Start()
-	}
-	return f
 }
 
-// end ends all processes, and of a test that failed shows what they said.
-func (f *Fleet) end() {
+// startProxy starts the proxy from one front end to another.
+func (f *Fleet) startProxy(from, to *Front) *Relay {
+	proxy, err := NewRelay(to.Peer, f.Random)
+	require.NoError(f.T, err)
+	f.T.Cleanup(proxy.Close)
+	f.proxies[path{from.N, to.N}] = proxy
+	return proxy
+}
+
+// stop kills all processes. Of a test that failed it prints the script, and the status and log of each front end.
+func (f *Fleet) stop() {
 	t := f.T
 	if t.Failed() || testing.Verbose() {
 		t.Logf("seed %d, script:\n%s", f.Seed, f.script)
 	}
 	if t.Failed() {
-		for _, n := range f.Fronts {
-			s, _ := json.Marshal(n.Status())
-			t.Logf("status of %s: %s", n.Name, s)
+		for _, frontEnd := range f.Fronts {
+			status, _ := json.Marshal(frontEnd.Status())
+			t.Logf("status of %s: %s", frontEnd.Name, status)
 		}
 	}
-	for _, n := range f.Fronts {
-		n.stop()
+	for _, frontEnd := range f.Fronts {
+		frontEnd.killIfRunning()
 	}
 	if t.Failed() {
-		for _, n := range f.Fronts {
-			t.Logf("log of %s:\n%s", n.Name, n.Log)
+		for _, frontEnd := range f.Fronts {
+			t.Logf("log of %s:\n%s", frontEnd.Name, frontEnd.Log)
 		}
 	}
 }
 
-// Did adds a line to the script of faults, which a failing test prints.
+// Did adds a line to the script, the list of what a test did to the fleet and when, in seconds from its start. A test
+// that fails prints it.
 func (f *Fleet) Did(format string, args ...any) {
 	fmt.Fprintf(f.script, "%8.3f s  %s\n", time.Since(f.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// Way is the relay from one front end to another.
-func (f *Fleet) Way(from, to *Front) *Relay { return f.relays[[2]int{from.N, to.N}] }
-
-// Between is the relays from one front end to another and back; to an attached one there is none, as nobody dials it.
-func (f *Fleet) Between(a, b *Front) (list []*Relay) {
-	for _, way := range []*Relay{f.Way(a, b), f.Way(b, a)} {
-		if way != nil {
-			list = append(list, way)
-		}
-	}
-	return list
+// Tapped is an option of NewFleet: see is called with each frame between front ends, in either direction. It is called
+// by several goroutines at once, and must neither keep nor change the frame.
+func Tapped(see func(frame []byte)) func(*Fleet) {
+	return func(f *Fleet) { f.observe = see }
 }
 
-// Part cuts all ways between two sides, or heals them.
-func (f *Fleet) Part(cut bool, a, b []*Front) {
-	for _, x := range a {
-		for _, y := range b {
-			f.Did("cut %s-%s: %v", x.Name, y.Name, cut)
-			for _, way := range f.Between(x, y) {
-				way.Cut(cut)
-			}
-		}
-	}
-}
+// Controls returns the control members: the front ends that the settings list.
+func (f *Fleet) Controls() []*Front { return f.withAttached(false) }
 
-// Mute cuts the ways from a front end to all others, or heals them.
-func (f *Fleet) Mute(n *Front, cut bool) {
-	f.Did("cut %s to all others: %v", n.Name, cut)
-	for _, o := range f.Controls() {
-		if o != n {
-			f.Way(n, o).Cut(cut)
-		}
-	}
-}
+// AttachedOnes returns the attached front ends, which the settings don't list.
+func (f *Fleet) AttachedOnes() []*Front { return f.withAttached(true) }
 
-// Deafen cuts the ways from all others to a front end, or heals them.
-func (f *Fleet) Deafen(n *Front, cut bool) {
-	f.Did("cut all others to %s: %v", n.Name, cut)
-	for _, o := range f.Fronts {
-		if way := f.Way(o, n); way != nil {
-			way.Cut(cut)
+// withAttached returns the front ends that are attached, or those that are not.
+func (f *Fleet) withAttached(attached bool) (list []*Front) {
+	for _, frontEnd := range f.Fronts {
+		if frontEnd.Attached == attached {
+			list = append(list, frontEnd)
 		}
 	}
+	return list
 }
 
-// Leader waits until some front end leads with that many copies, all of them on the disks of processes that run now, and
-// gives it.
-func (f *Fleet) Leader(copies int) *Front {
-	f.T.Helper()
-	var leader *Front
-	require.Eventually(f.T, func() bool {
-		leader = nil
-		disks := map[any]bool{}
-		var voters []any
-		for _, n := range f.Fronts {
-			s := n.Status()
-			if !n.alive || s == nil {
-				continue
-			}
-			disks[s["copy"]] = true
-			if s["role"] != "leader" {
-				continue
-			}
-			leader, voters = n, nil
-			for _, c := range s["copies"].([]any) {
-				if v := c.(map[string]any); v["votes"] == true {
-					voters = append(voters, v["copy"])
-				}
-			}
+// Named returns the first front end of a name; nil where there is none.
+func (f *Fleet) Named(name string) *Front {
+	for _, frontEnd := range f.Fronts {
+		if frontEnd.Name == name {
+			return frontEnd
 		}
-		for _, v := range voters {
-			if !disks[v] {
-				return false
-			}
-		}
-		return leader != nil && len(voters) == copies
-	}, Patience, 20*time.Millisecond)
-	return leader
+	}
+	return nil
 }
 
-// Check fails the test for each rule that what clients and engines saw breaks.
+// Check checks the history of what clients and engines saw. Each violation fails the test, with the events around it.
 func (f *Fleet) Check() {
 	f.T.Helper()
+	const eventsAround = 20
 	events := f.Record.Events()
-	for _, b := range history.Check(events) {
-		f.T.Errorf("%s", b)
-		for _, e := range history.Around(events, b, 20) {
-			f.T.Logf("  %s", e)
+	for _, violation := range history.Check(events) {
+		f.T.Errorf("%s", violation)
+		for _, event := range history.Around(events, violation, eventsAround) {
+			f.T.Logf("  %s", event)
 		}
 	}
 }
-
-// Until waits until the record shows an event, and gives it.
-func (f *Fleet) Until(match func(history.Event) bool) (found history.Event) {
-	f.T.Helper()
-	require.Eventually(f.T, func() bool {
-		for _, e := range f.Record.Events() {
-			if match(e) {
-				found = e
-				return true
-			}
-		}
-		return false
-	}, Patience, time.Millisecond)
-	return found
-}
--- /dev/null
+++ b/internal/standin/fleetwait.go
@@ -0,0 +1,131 @@
+package standin
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/history"
+)
+
+// Await polls a condition of the fleet until it holds, and adds that to the script. The test fails, with a description
+// of the condition, where it doesn't hold in time.
+func (f *Fleet) Await(what string, so func() bool) {
+	f.T.Helper()
+	require.Eventually(f.T, so, Patience, statusPollInterval, "%s", what)
+	f.Did("seen: %s", what)
+}
+
+// AllSee waits until each of the front ends sees the one of a name in one of the states. The test fails where they
+// don't in time.
+func (f *Fleet) AllSee(by []*Front, name string, states ...string) {
+	f.T.Helper()
+	f.Await(fmt.Sprintf("%s is seen as %v by all", name, states), func() bool {
+		return !slices.ContainsFunc(by, func(n *Front) bool { return n.Name != name && !n.Sees(name, states...) })
+	})
+}
+
+// Settled waits until the fleet has converged: each front end that runs sees all others that run as alive, each
+// attached one has a home and a confirmed view, and all views are equal. The script tells what was missing
+// meanwhile. The test fails where the fleet doesn't converge in time.
+func (f *Fleet) Settled() {
+	f.T.Helper()
+	last := ""
+	f.Await("all see all", func() bool {
+		obstacle := f.convergenceObstacle()
+		if obstacle != last {
+			last = obstacle
+			f.Did("not yet: %s", obstacle)
+		}
+		return obstacle == ""
+	})
+}
+
+// convergenceObstacle returns why a fleet has not converged; empty where it has.
+func (f *Fleet) convergenceObstacle() string {
+	digest, previous := "", ""
+	for _, frontEnd := range f.Fronts {
+		if !frontEnd.running {
+			continue
+		}
+		status := frontEnd.Standing()
+		if obstacle := frontEnd.convergenceObstacle(status); obstacle != "" {
+			return obstacle
+		}
+		if previous != "" && status.Attached.ViewDigest != digest {
+			return fmt.Sprintf("%s and %s have different views", previous, frontEnd.Name)
+		}
+		digest, previous = status.Attached.ViewDigest, frontEnd.Name
+	}
+	return ""
+}
+
+// convergenceObstacle returns why a front end with a status (nil: none) has not converged with the others; empty where
+// it has.
+func (n *Front) convergenceObstacle(status *Standing) string {
+	switch {
+	case status == nil:
+		return n.Name + " does not answer"
+	case n.Attached && status.Attached.Home == "":
+		return n.Name + " has no home"
+	case n.Attached && status.Attached.ViewAgeMS < 0:
+		return n.Name + " has no view"
+	}
+	for _, other := range n.F.Fronts {
+		state := status.Of(other.Name).State
+		if other.running && other.Name != n.Name && state != aliveState {
+			return fmt.Sprintf("%s sees %s as %q", n.Name, other.Name, state)
+		}
+	}
+	return ""
+}
+
+// Leader waits until a front end leads a replica group with so many voters, all of which are the replicas of processes
+// that run now, and returns it. The test fails where none does in time.
+func (f *Fleet) Leader(copies int) *Front {
+	f.T.Helper()
+	var leader *Front
+	require.Eventually(f.T, func() bool {
+		leader = f.leader(copies)
+		return leader != nil
+	}, Patience, statusPollInterval)
+	return leader
+}
+
+// leader returns the front end that Leader waits for, as of now; nil where there is none.
+func (f *Fleet) leader(voterCount int) (leader *Front) {
+	runningReplicas := map[string]bool{}
+	var voters []string
+	for _, frontEnd := range f.Fronts {
+		var status replicationStatus
+		if !frontEnd.running || !frontEnd.adminRequest(statusRequest, &status) {
+			continue
+		}
+		runningReplicas[status.Replica] = true
+		if status.Role == leaderRole {
+			leader, voters = frontEnd, status.voters()
+		}
+	}
+	stopped := func(voter string) bool { return !runningReplicas[voter] }
+	if len(voters) != voterCount || slices.ContainsFunc(voters, stopped) {
+		return nil
+	}
+	return leader
+}
+
+// Until waits until the history has an event that matches, and returns the first. The test fails where it has none in
+// time.
+func (f *Fleet) Until(match func(history.Event) bool) (found history.Event) {
+	f.T.Helper()
+	require.Eventually(f.T, func() bool {
+		events := f.Record.Events()
+		i := slices.IndexFunc(events, match)
+		if i < 0 {
+			return false
+		}
+		found = events[i]
+		return true
+	}, Patience, fastPollInterval)
+	return found
+}
--- a/internal/standin/random.go
+++ b/internal/standin/random.go
@@ -2,16 +2,17 @@
 
 import "sync"
 
-// Random is a sequence of numbers from a seed. It may be drawn from by several goroutines.
+// Random is a generator of pseudo-random numbers (xorshift64*) whose sequence depends on the seed alone. It is safe for
+// concurrent use.
 type Random struct {
 	mu    sync.Mutex
 	state uint64
 }
 
-// NewRandom begins a sequence.
+// NewRandom returns a generator with the given seed.
 func NewRandom(seed uint64) *Random { return &Random{state: seed*0x9e3779b97f4a7c15 | 1} }
 
-// Uint64 is the next number.
+// Uint64 returns the next number of the sequence.
 func (r *Random) Uint64() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -21,5 +22,5 @@
 	return r.state * 0x2545f4914f6cdd1d
 }
 
-// N is a number below n.
+// N returns the next number of the sequence, reduced to [0, n). The limit n is above zero.
 func (r *Random) N(n int) int { return int(r.Uint64() >> 33 % uint64(n)) }
--- /dev/null
+++ b/internal/standin/recordingengine.go
@@ -0,0 +1,255 @@
+package standin
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"regexp"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"chutechute/internal/history"
+)
+
+const (
+	abandonTimeout      = 2 * time.Second // after which an engine ends a query that nobody polls
+	abandonPollInterval = 20 * time.Millisecond
+	deduplicationWindow = 25 * time.Second // in which an engine rejects the repeat of an idempotency key
+	longPollTimeout     = 250 * time.Millisecond
+)
+
+// Worker is an engine that does what engines promise, and records it in the history: each query runs for as long as its
+// statement says ("ms=300"), until it is deleted, or until it was not polled for 2 s. Its result names the call, the
+// idempotency key and the engine, and is repeated up to the size that the statement says ("kb=64"). All engines of a
+// fleet share one table of idempotency keys.
+type Worker struct {
+	Name         string
+	Addr         *net.TCPAddr
+	record       *history.Record
+	deduplicator *Seen
+	server       *httptest.Server
+
+	// Fails has each query fail as it starts.
+	Fails atomic.Bool
+
+	mu        sync.Mutex
+	queries   map[string]*query      // by call
+	pollTimes map[string][]time.Time // by call
+}
+
+// Seen is the idempotency keys that the engines of a fleet have run, and when.
+type Seen struct {
+	mu   sync.Mutex
+	keys map[string]time.Time
+}
+
+// admit notes the start of a key, and reports whether it is not a repeat within the window.
+func (s *Seen) admit(key string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	last, known := s.keys[key]
+	if known && time.Since(last) < deduplicationWindow {
+		return false
+	}
+	s.keys[key] = time.Now()
+	return true
+}
+
+type queryState int
+
+const (
+	queryRunning queryState = iota
+	querySucceeded
+	queryFailed
+)
+
+// query is one query of a recording engine. What changes of it is guarded by the engine's lock.
+type query struct {
+	call, idempotencyKey string
+	result               string
+	lastPolled           time.Time
+	pollers              int // requests that wait for its end
+	state                queryState
+	ended                chan struct{} // closed when it is no longer running
+}
+
+// NewWorker starts an engine that records into record and shares seen with the other engines of its fleet.
+func NewWorker(name string, record *history.Record, seen *Seen) *Worker {
+	w := &Worker{Name: name, record: record, deduplicator: seen,
+		queries: map[string]*query{}, pollTimes: map[string][]time.Time{}}
+	w.server = httptest.NewServer(http.HandlerFunc(w.serve))
+	w.Addr = w.server.Listener.Addr().(*net.TCPAddr)
+	return w
+}
+
+// Close ends all connections of the engine and its server.
+func (w *Worker) Close() { closeServer(w.server) }
+
+// AskedAfter returns the time of the first poll of a call's query after since; ok is false where there is none.
+func (w *Worker) AskedAfter(call string, since time.Time) (at time.Time, ok bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, at := range w.pollTimes[call] {
+		if at.After(since) {
+			return at, true
+		}
+	}
+	return at, false
+}
+
+// serve handles one request: POST starts a query, GET polls it, and DELETE ends it. Other paths are of health checks.
+func (w *Worker) serve(out http.ResponseWriter, request *http.Request) {
+	body, err := io.ReadAll(request.Body)
+	if err != nil {
+		return // the request never came whole
+	}
+	if request.Method == http.MethodPost {
+		w.start(out, request, string(body))
+		return
+	}
+	parts := strings.Split(request.URL.Path, "/")
+	if len(parts) < 4 {
+		out.WriteHeader(http.StatusOK)
+		return
+	}
+	q := w.lookUp(parts[3], request.Method)
+	switch {
+	case request.Method == http.MethodDelete:
+		if q != nil {
+			w.end(q, history.Deleted, queryFailed)
+		}
+		out.WriteHeader(http.StatusNoContent)
+	case q == nil:
+		out.WriteHeader(http.StatusInternalServerError)
+	default:
+		w.respond(out, q)
+	}
+}
+
+// lookUp returns the query of a call, nil where it is unknown, and notes the time of a poll.
+func (w *Worker) lookUp(call, method string) *query {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if method == http.MethodGet {
+		w.pollTimes[call] = append(w.pollTimes[call], time.Now())
+	}
+	return w.queries[call]
+}
+
+// start starts the query of a statement, unless it repeats an idempotency key, and responds.
+func (w *Worker) start(out http.ResponseWriter, request *http.Request, statement string) {
+	call, key := request.Header.Get("Request-Id"), request.Header.Get("Once-Key")
+	if key != "" && !w.deduplicator.admit(key) {
+		w.record.Add(history.Event{What: history.Repeat, Engine: w.Name, Call: call, Once: key})
+		out.WriteHeader(http.StatusInternalServerError)
+		return
+	}
+	q := &query{call: call, idempotencyKey: key, result: w.result(call, key, statement), lastPolled: time.Now(),
+		ended: make(chan struct{})}
+	w.mu.Lock()
+	w.queries[call] = q
+	w.record.Add(history.Event{What: history.Began, Engine: w.Name, Call: call, Once: key, Body: statement})
+	w.mu.Unlock()
+	if w.Fails.Load() {
+		w.end(q, history.Ended, queryFailed)
+	}
+	runTime := time.Duration(statementNumber(statement, statementRunTime)) * time.Millisecond
+	go w.run(q, runTime)
+	w.respond(out, q)
+}
+
+// What a statement says of its query, as comments.
+var (
+	statementRunTime    = regexp.MustCompile(`ms=(\d+)`)
+	statementResultSize = regexp.MustCompile(`kb=(\d+)`)
+)
+
+// statementNumber returns the number in a statement that the pattern's group matches; 0 where it doesn't match.
+func statementNumber(statement string, pattern *regexp.Regexp) int {
+	match := pattern.FindStringSubmatch(statement)
+	if match == nil {
+		return 0
+	}
+	number, _ := strconv.Atoi(match[1])
+	return number
+}
+
+// result returns the result of a query: a row that is repeated up to the size that the statement says.
+func (w *Worker) result(call, key, statement string) string {
+	row := fmt.Sprintf("%s\t%s\t%s\n", call, key, w.Name)
+	size := statementNumber(statement, statementResultSize) * 1024
+	return row + strings.Repeat(row, size/len(row))
+}
+
+// run ends a query when its run time is over, or when it is abandoned.
+func (w *Worker) run(q *query, runTime time.Duration) {
+	finished := time.After(runTime)
+	ticker := time.NewTicker(abandonPollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-q.ended:
+			return
+		case <-finished:
+			w.end(q, history.Ended, querySucceeded)
+			return
+		case <-ticker.C:
+			if w.abandoned(q) {
+				w.end(q, history.Unasked, queryFailed)
+				return
+			}
+		}
+	}
+}
+
+// abandoned reports whether nobody has polled a query for abandonTimeout.
+func (w *Worker) abandoned(q *query) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return q.pollers == 0 && time.Since(q.lastPolled) >= abandonTimeout
+}
+
+// end ends a query that is running, and records how.
+func (w *Worker) end(q *query, how string, state queryState) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if q.state != queryRunning {
+		return
+	}
+	q.state = state
+	close(q.ended)
+	w.record.Add(history.Event{What: how, Engine: w.Name, Call: q.call, Once: q.idempotencyKey})
+}
+
+// respond waits for a query's end for longPollTimeout, and responds with its state.
+func (w *Worker) respond(out http.ResponseWriter, q *query) {
+	switch w.waitEnd(q) {
+	case queryRunning:
+		out.WriteHeader(http.StatusAccepted)
+	case querySucceeded:
+		Serve(out, q.result)
+	case queryFailed:
+		out.WriteHeader(http.StatusInternalServerError)
+	}
+}
+
+// waitEnd waits for a query's end for longPollTimeout, and returns its state.
+func (w *Worker) waitEnd(q *query) queryState {
+	w.mu.Lock()
+	q.pollers++
+	w.mu.Unlock()
+	select {
+	case <-q.ended:
+	case <-time.After(longPollTimeout):
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	q.pollers--
+	q.lastPolled = time.Now()
+	return q.state
+}
--- a/internal/standin/seed.go
+++ b/internal/standin/seed.go
@@ -5,12 +5,15 @@
 	"testing"
 )
 
-// Seeded runs a package's tests with its properties drawn from one seed, unless the command line names another: the same verdict
-// every time.
+// propertySeed is the seed of property tests for which the command line names none.
+const propertySeed = "20261201"
+
+// Seeded runs a package's tests and returns the exit code. Property tests draw from a fixed seed unless the command
+// line names one by -rapid.seed, so that each run gives the same verdict.
 func Seeded(m *testing.M) int {
 	flag.Parse()
-	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == f.DefValue {
-		if err := f.Value.Set("20261201"); err != nil {
+	if seed := flag.Lookup("rapid.seed"); seed != nil && seed.Value.String() == seed.DefValue {
+		if err := seed.Value.Set(propertySeed); err != nil {
 			panic(err)
 		}
 	}
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -2,5 +2,5 @@
 
 import "chutechute/internal/standin/site"
 
-// Settings are those of a small site: look-ups, and loads with a key.
+// Settings is the settings document, in JSON, of a small site with two classes: look-ups, and loads with a key.
 const Settings = site.Settings
