--- a/internal/standin/attachedstub.go
+++ b/internal/standin/attachedstub.go
@@ -36,12 +36,12 @@
 	heartbeatSentTimeField = 2 // microseconds of the sender's clock
 )
 
-// Agreed ends the connections of a path, waits for the hello on the next one, and returns the digest of the settings in
-// it, which the stub of an attached front end has to send. The test fails where no hello passes in time.
-func (f *Fleet) Agreed(way *Relay) (digest []byte) {
+// Agreed ends the connections of a path, waits for the hello on the next one, and returns the digest of the settings
+// in it, which the stub of an attached front end has to send. The test fails where no hello passes in time.
+func (f *Fleet) Agreed(proxy *Relay) (digest []byte) {
 	f.T.Helper()
 	hellos := make(chan []byte, 1)
-	way.Tap(func(frame []byte) {
+	proxy.Tap(func(frame []byte) {
 		if frameKind(frame) == transport.Hello {
 			select {
 			case hellos <- append([]byte(nil), frame[frameBodyOffset:]...):
@@ -49,8 +49,8 @@
 			}
 		}
 	})
-	defer way.Tap(f.observe)
-	way.Reset()
+	defer proxy.Tap(f.observe)
+	proxy.Reset()
 	var hello []byte
 	select {
 	case hello = <-hellos:
@@ -73,57 +73,66 @@
 	return value
 }
 
-// Guest attaches the stub of a front end to a control member, under a name and an incarnation. The digest is that of
-// Agreed. The test fails where the control member refuses the handshake. The stub is closed with the test.
-func (f *Fleet) Guest(to *Front, name string, incarnation uint64, digest []byte) *Guest {
+// Guest attaches the stub of a front end to a control member, under a name and an incarnation. The digest of the
+// settings has to be that of the control member's. The test fails where the control member refuses the handshake.
+// The stub is closed with the test.
+func (f *Fleet) Guest(controlMember *Front, name string, incarnation uint64, digest []byte) *Guest {
 	f.T.Helper()
-	conn, err := net.DialTimeout("tcp4", to.Peer, stubDialTimeout)
+	conn, err := net.DialTimeout("tcp4", controlMember.Peer, stubDialTimeout)
 	require.NoError(f.T, err)
-	g := &Guest{name: name, conn: conn, stop: make(chan struct{})}
-	require.NoError(f.T, g.handshake(to.Name, &transport.Identity{Site: f.Site, Name: name, Zone: to.Zone,
-		Incarnation: incarnation, MinVersion: transport.MinVersion, MaxVersion: transport.MaxVersion,
-		SettingsDigest: digest, Attached: true}))
-	g.workers.Go(g.discardReceived)
-	g.workers.Go(g.sendHeartbeats)
-	f.T.Cleanup(g.Close)
-	return g
+	s := &Guest{name: name, conn: conn, stop: make(chan struct{})}
+	identity := &transport.Identity{
+		Site:           f.Site,
+		Name:           name,
+		Zone:           controlMember.Zone,
+		Incarnation:    incarnation,
+		MinVersion:     transport.MinVersion,
+		MaxVersion:     transport.MaxVersion,
+		SettingsDigest: digest,
+		Attached:       true,
+	}
+	require.NoError(f.T, s.handshake(controlMember.Name, identity))
+	s.workers.Go(s.discardReceived)
+	s.workers.Go(s.sendHeartbeats)
+	f.T.Cleanup(s.Close)
+	return s
 }
 
 // handshake authenticates the stub to the control member of a name.
-func (g *Guest) handshake(controlMember string, self *transport.Identity) error {
-	_ = g.conn.SetDeadline(time.Now().Add(Patience))
-	defer func() { _ = g.conn.SetDeadline(time.Time{}) }()
+func (s *Guest) handshake(controlMember string, self *transport.Identity) error {
+	_ = s.conn.SetDeadline(time.Now().Add(Patience))
+	defer func() { _ = s.conn.SetDeadline(time.Time{}) }()
 	dialer := &transport.Dialer{Local: self, ExpectedName: controlMember}
 	buffer := make([]byte, stubReadBufferSize)
 	for !dialer.Established() {
-		n, err := g.conn.Read(buffer)
+		n, err := s.conn.Read(buffer)
 		if err != nil {
-			return fmt.Errorf("%s: %w", g.name, err)
+			return fmt.Errorf("%s: %w", s.name, err)
 		}
 		dialer.Feed(buffer[:n])
 		reply, err := dialer.Process()
 		if err != nil {
-			return fmt.Errorf("%s: %w", g.name, err)
+			return fmt.Errorf("%s: %w", s.name, err)
 		}
-		if _, err := g.conn.Write(reply); err != nil {
-			return fmt.Errorf("%s: %w", g.name, err)
+		if _, err := s.conn.Write(reply); err != nil {
+			return fmt.Errorf("%s: %w", s.name, err)
 		}
 	}
 	return nil
 }
 
 // sendHeartbeats sends heartbeats that request no view, until the stub is closed or its connection ends.
-func (g *Guest) sendHeartbeats() {
+func (s *Guest) sendHeartbeats() {
 	began := time.Now()
 	for {
-		heartbeat := proto.String(nil, heartbeatNameField, g.name)
+		heartbeat := proto.String(nil, heartbeatNameField, s.name)
 		heartbeat = proto.Uint(heartbeat, heartbeatSentTimeField, uint64(time.Since(began).Microseconds()))
 		frame := transport.AppendFrame(nil, transport.AttachedHeartbeat, 0, false, heartbeat)
-		if _, err := g.conn.Write(frame); err != nil {
+		if _, err := s.conn.Write(frame); err != nil {
 			return
 		}
 		select {
-		case <-g.stop:
+		case <-s.stop:
 			return
 		case <-time.After(stubHeartbeatInterval):
 		}
@@ -131,23 +140,23 @@
 }
 
 // discardReceived reads and discards all that the control member sends, until the connection ends.
-func (g *Guest) discardReceived() {
+func (s *Guest) discardReceived() {
 	buffer := make([]byte, stubReadBufferSize)
 	for {
-		if _, err := g.conn.Read(buffer); err != nil {
+		if _, err := s.conn.Read(buffer); err != nil {
 			return
 		}
 	}
 }
 
 // Close closes the stub's connection without a goodbye, and waits until its goroutines have ended.
-func (g *Guest) Close() {
+func (s *Guest) Close() {
 	select {
-	case <-g.stop:
+	case <-s.stop:
 		return
 	default:
 	}
-	close(g.stop)
-	g.conn.Close()
-	g.workers.Wait()
+	close(s.stop)
+	s.conn.Close()
+	s.workers.Wait()
 }
--- a/internal/standin/blockablelistener.go
+++ b/internal/standin/blockablelistener.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Door is a TCP listener that can be blocked: while it is, its backlog is full, so that connection attempts hang until
-// it is opened again, or forever. It accepts in a goroutine of its own, so that it can be blocked before its server
-// calls Accept.
+// Door is a TCP listener that can be blocked: while it is, its backlog is full, so that connection attempts hang
+// until it is opened again, or forever. It accepts in a goroutine of its own, so that it can be blocked before its
+// server calls Accept.
 type Door struct {
 	net.Listener
-	accepted     chan net.Conn // for Accept
+	accepted     chan net.Conn // what Accept returns
 	closed       chan struct{} // closed with the listener
 	closeOnce    sync.Once     // guards closing of closed
 	acceptEnded  chan struct{} // closed once no connection is accepted any more; acceptErr is set before
@@ -33,14 +33,14 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{
+	l := &Door{
 		Listener:    listener,
 		accepted:    make(chan net.Conn),
 		closed:      make(chan struct{}),
 		acceptEnded: make(chan struct{}),
 	}
-	go d.acceptLoop()
-	return d, nil
+	go l.acceptLoop()
+	return l, nil
 }
 
 // listenWithoutBacklog listens on loopback with a backlog of 0, which package net can't ask for.
@@ -61,27 +61,27 @@
 }
 
 // acceptLoop accepts one connection after the other, and hands each to Accept once the listener is open.
-func (d *Door) acceptLoop() {
-	defer close(d.acceptEnded)
+func (l *Door) acceptLoop() {
+	defer close(l.acceptEnded)
 	for {
 		var conn net.Conn
-		if conn, d.acceptErr = d.Listener.Accept(); d.acceptErr != nil {
+		if conn, l.acceptErr = l.Listener.Accept(); l.acceptErr != nil {
 			return
 		}
-		d.waitUnblocked()
+		l.waitUnblocked()
 		select {
-		case d.accepted <- conn:
-		case <-d.closed:
+		case l.accepted <- conn:
+		case <-l.closed:
 			conn.Close()
 		}
 	}
 }
 
 // waitUnblocked waits until the listener is open.
-func (d *Door) waitUnblocked() {
-	d.mu.Lock()
-	unblocked, firstBlocked := d.unblocked, d.firstBlocked
-	d.mu.Unlock()
+func (l *Door) waitUnblocked() {
+	l.mu.Lock()
+	unblocked, firstBlocked := l.unblocked, l.firstBlocked
+	l.mu.Unlock()
 	if unblocked != nil {
 		close(firstBlocked)
 		<-unblocked
@@ -89,56 +89,56 @@
 }
 
 // Accept returns the next connection, once the listener is open.
-func (d *Door) Accept() (net.Conn, error) {
+func (l *Door) Accept() (net.Conn, error) {
 	select {
-	case conn := <-d.accepted:
+	case conn := <-l.accepted:
 		return conn, nil
-	case <-d.acceptEnded:
-		return nil, d.acceptErr
+	case <-l.acceptEnded:
+		return nil, l.acceptErr
 	}
 }
 
-// Shut blocks the listener: it returns once the backlog is full. What the listener accepts leaves the backlog, so that
-// it stays full only once the accept loop has accepted one connection and waits.
-func (d *Door) Shut() {
+// Shut blocks the listener: it returns once the backlog is full. What the listener accepts leaves the backlog, so
+// that it stays full only once the accept loop has accepted one connection and waits.
+func (l *Door) Shut() {
 	firstBlocked := make(chan struct{})
-	d.mu.Lock()
-	d.unblocked, d.firstBlocked = make(chan struct{}), firstBlocked
-	d.mu.Unlock()
-	first, err := net.Dial("tcp4", d.Addr().String())
+	l.mu.Lock()
+	l.unblocked, l.firstBlocked = make(chan struct{}), firstBlocked
+	l.mu.Unlock()
+	first, err := net.Dial("tcp4", l.Addr().String())
 	if err != nil {
 		panic(err) // the backlog is still empty
 	}
 	<-firstBlocked
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.fillers = append(d.fillers, first)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.fillers = append(l.fillers, first)
 	for {
-		conn, err := net.DialTimeout("tcp4", d.Addr().String(), backlogDialTimeout)
+		conn, err := net.DialTimeout("tcp4", l.Addr().String(), backlogDialTimeout)
 		if err != nil {
 			return
 		}
-		d.fillers = append(d.fillers, conn)
+		l.fillers = append(l.fillers, conn)
 	}
 }
 
 // Open unblocks the listener and closes the connections that filled its backlog.
-func (d *Door) Open() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.unblocked != nil {
-		close(d.unblocked)
-		d.unblocked = nil
+func (l *Door) Open() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.unblocked != nil {
+		close(l.unblocked)
+		l.unblocked = nil
 	}
-	for _, conn := range d.fillers {
+	for _, conn := range l.fillers {
 		conn.Close()
 	}
-	d.fillers = nil
+	l.fillers = nil
 }
 
 // Close unblocks and closes the listener.
-func (d *Door) Close() error {
-	d.Open()
-	d.closeOnce.Do(func() { close(d.closed) })
-	return d.Listener.Close()
+func (l *Door) Close() error {
+	l.Open()
+	l.closeOnce.Do(func() { close(l.closed) })
+	return l.Listener.Close()
 }
--- a/internal/standin/build.go
+++ b/internal/standin/build.go
@@ -18,13 +18,13 @@
 	programName    = "chutechute"
 )
 
-// deployBuildCommand matches the build command of the deploy file; its group is the command without the output folder
-// and the packages.
+// deployBuildCommand matches the build command of the deploy file; its group is the command without the output
+// folder and the packages.
 var deployBuildCommand = regexp.MustCompile(`(?m)^build = "mkdir -p bin && (.*) -o bin/ \./cmd/\.\.\."$`)
 
 // Build builds the program and the other commands, with the build command of the deploy file, into a new folder. It
-// returns the program's path and a function that removes the folder. It has to be called from the program's own folder,
-// cmd/chutechute.
+// returns the program's path and a function that removes the folder. It has to be called from the program's own
+// folder, cmd/chutechute.
 func Build() (program string, remove func(), err error) {
 	deploy, err := os.ReadFile(filepath.Join(repositoryRoot, "deploy", "balancer.toml"))
 	if err != nil {
@@ -49,8 +49,8 @@
 }
 
 // Variant builds the program with one source file replaced by the given text, for faults that can't be injected from
-// outside, and returns the program's path. The file is relative to the repository's root. Variant has to be called from
-// the program's own folder, as Build; the test fails where the variant doesn't build.
+// outside, and returns the program's path. The file is relative to the repository's root. Variant has to be called
+// from the program's own folder, as Build; the test fails where the variant doesn't build.
 func Variant(t *testing.T, file, text string) (program string) {
 	dir := t.TempDir()
 	root, err := filepath.Abs(repositoryRoot)
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -12,34 +12,36 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/history"
 )
 
-// Client is a client of a front end: framed Thrift in the binary protocol, written apart from the program's own codec.
-// It is not safe for concurrent use.
+// Client is a client of a front end: framed Thrift in the binary protocol, written apart from the program's own
+// codec. It is not safe for concurrent use.
 type Client struct {
 	T    *testing.T
 	Conn net.Conn
 	Seq  int32 // sequence number of the last message sent
 }
 
-// Client connects a new client to the front end. Its connection is closed with the test, and has Patience for all
+// Client connects a new client to the front end. Its connection is closed with the test, and has one timeout for all
 // of its reads and writes together.
-func (r *Rig) Client() *Client {
-	conn, err := net.Dial("tcp4", r.Addr)
-	require.NoError(r.T, err)
-	r.T.Cleanup(func() { conn.Close() })
-	require.NoError(r.T, conn.SetDeadline(time.Now().Add(Patience)))
-	return &Client{T: r.T, Conn: conn}
+func (h *Rig) Client() *Client {
+	conn, err := net.Dial("tcp4", h.Addr)
+	require.NoError(h.T, err)
+	h.T.Cleanup(func() { conn.Close() })
+	require.NoError(h.T, conn.SetDeadline(time.Now().Add(Patience)))
+	return &Client{T: h.T, Conn: conn}
 }
 
 // Secure connects a new client by TLS. It returns the error of the handshake where there is one.
-func (r *Rig) Secure(config *tls.Config) (*Client, error) {
-	conn, err := tls.DialWithDialer(&net.Dialer{Timeout: Patience}, "tcp4", r.Addr, config)
+func (h *Rig) Secure(config *tls.Config) (*Client, error) {
+	conn, err := tls.DialWithDialer(&net.Dialer{Timeout: Patience}, "tcp4", h.Addr, config)
 	if err != nil {
 		return nil, err
 	}
-	r.T.Cleanup(func() { conn.Close() })
-	return &Client{T: r.T, Conn: conn}, conn.SetDeadline(time.Now().Add(Patience))
+	h.T.Cleanup(func() { conn.Close() })
+	return &Client{T: h.T, Conn: conn}, conn.SetDeadline(time.Now().Add(Patience))
 }
 
 // Types of messages, and of fields, in Thrift's binary protocol.
@@ -66,7 +68,7 @@
 	return c.Seq
 }
 
-// TrySend sends a message as Send, and returns the error of writing.
+// TrySend sends a message of a Thrift type, and returns the error of writing.
 func (c *Client) TrySend(kind byte, name string, args ...[]byte) error {
 	c.Seq++
 	message := append(bytes.Clone(thriftVersion), kind)
@@ -85,7 +87,7 @@
 	return c.Seq
 }
 
-// TryAsk sends a request as Ask, and returns the error of writing.
+// TryAsk sends a request with the fields of its map, and returns the error of writing.
 func (c *Client) TryAsk(statement string, fields ...string) error {
 	info := []byte{mapField, 0, 1, stringField, stringField, 0, 0, 0, byte(len(fields) / 2)}
 	for _, text := range fields {
@@ -104,8 +106,8 @@
 		"call", ID(n), "op", "lookup", "ttl", ttl, "org", "t", "work", "1000.0", "mb", "8")
 }
 
-// Load sends a load with the id and idempotency key of a number, and returns its sequence number. All of them have the
-// same order key. The ttl, the client's timeout, is in milliseconds.
+// Load sends a load with the id and idempotency key of a number, and returns its sequence number. All of them have
+// the same order key. The ttl, the client's timeout, is in milliseconds.
 func (c *Client) Load(n int, ttl string) int32 {
 	return c.Ask("INSERT INTO s_1.t",
 		"call", ID(n), "op", "load", "ttl", ttl, "dedupe", fmt.Sprint(n), "row", "k", "work", "10.0")
@@ -124,8 +126,8 @@
 	return strings.HasSuffix(c.Read().Raw, "\x02\x00\x03\x01\x00\x00")
 }
 
-// replyKinds is what Reply has for each id of the field that a reply's result begins with.
-var replyKinds = []string{"answer", "shed", "fault"}
+// replyKinds is the kind of reply for each id of the field that a reply's result begins with.
+var replyKinds = []string{history.Answer, history.Shed, history.Fault}
 
 const exceptionReply = "exception"
 
@@ -137,7 +139,7 @@
 	return reply
 }
 
-// TryRead reads the next message as Read, and returns the error of reading.
+// TryRead reads the next message from the front end. It returns the error of reading.
 func (c *Client) TryRead() (Reply, error) {
 	var size uint32
 	if err := binary.Read(c.Conn, binary.BigEndian, &size); err != nil {
@@ -150,8 +152,8 @@
 	return decodeReply(message), nil
 }
 
-// decodeReply decodes a message: version and type (4 bytes), name (with 4 bytes of length), sequence number (4) and, in
-// a reply, a result whose first field has its id in the second and third byte.
+// decodeReply decodes a message: version and type (4 bytes), name (with 4 bytes of length), sequence number (4) and,
+// in a reply, a result whose first field has its id in the second and third byte.
 func decodeReply(message []byte) Reply {
 	const typeOffset, nameLengthOffset, nameOffset = 3, 4, 8
 	seqOffset := nameOffset + int(binary.BigEndian.Uint32(message[nameLengthOffset:]))
--- a/internal/standin/direction.go
+++ b/internal/standin/direction.go
@@ -48,67 +48,67 @@
 func newDirection(random *Random) *Flow { return &Flow{random: random, resumed: make(chan struct{})} }
 
 // Stall stops all traffic in this direction, or resumes it. Connections stay open, and nothing is lost.
-func (f *Flow) Stall(stall bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.stalled && !stall {
-		close(f.resumed)
-		f.resumed = make(chan struct{})
+func (d *Flow) Stall(stall bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.stalled && !stall {
+		close(d.resumed)
+		d.resumed = make(chan struct{})
 	}
-	f.stalled = stall
+	d.stalled = stall
 }
 
 // Lose drops all frames that arrive, or forwards them again. Connections stay open.
-func (f *Flow) Lose(lose bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.dropping = lose
+func (d *Flow) Lose(drop bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.dropping = drop
 }
 
-// Slow sets the delay of each frame, a random jitter below the given one that is added to it, and the rate in bytes a
-// second. 0 is no delay, no jitter or no limit. A low rate is what a slow reader looks like.
-func (f *Flow) Slow(delay, jitter time.Duration, rate int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.delay, f.jitter, f.bytesPerSecond = delay, jitter, rate
+// Slow sets the delay of each frame, a random jitter below the given one that is added to it, and the rate in bytes
+// a second. 0 is no delay, no jitter or no limit. A low rate is what a slow reader looks like.
+func (d *Flow) Slow(delay, jitter time.Duration, bytesPerSecond int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.delay, d.jitter, d.bytesPerSecond = delay, jitter, bytesPerSecond
 }
 
 // Twice has a random third of all frames after the handshake forwarded twice, or no more.
-func (f *Flow) Twice(twice bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.duplicating = twice
+func (d *Flow) Twice(duplicate bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.duplicating = duplicate
 }
 
-// Passed returns how many frames and bytes were forwarded, and how many frames were dropped. A duplicated frame counts
-// once, with the bytes of both.
-func (f *Flow) Passed() (frames, bytes, lost int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.forwarded, f.forwardedBytes, f.dropped
+// Passed returns how many frames and bytes were forwarded, and how many frames were dropped. A duplicated frame
+// counts once, with the bytes of both.
+func (d *Flow) Passed() (frames, bytes, dropped int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.forwarded, d.forwardedBytes, d.dropped
 }
 
 // Waiting returns how many frames have arrived and are neither forwarded nor dropped yet.
-func (f *Flow) Waiting() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.received - f.forwarded - f.dropped
+func (d *Flow) Waiting() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.received - d.forwarded - d.dropped
 }
 
-// Tap has see called with each frame that arrives, header included; nil ends that. See must neither keep nor change the
-// frame.
-func (f *Flow) Tap(see func(frame []byte)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.observe = see
+// Tap has observe called with each frame that arrives, header included; nil ends that. It must neither keep nor
+// change the frame.
+func (d *Flow) Tap(observe func(frame []byte)) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.observe = observe
 }
 
 // waitResumed waits while this direction is stalled.
-func (f *Flow) waitResumed() {
+func (d *Flow) waitResumed() {
 	for {
-		f.mu.Lock()
-		stalled, resumed := f.stalled, f.resumed
-		f.mu.Unlock()
+		d.mu.Lock()
+		stalled, resumed := d.stalled, d.resumed
+		d.mu.Unlock()
 		if !stalled {
 			return
 		}
@@ -124,39 +124,39 @@
 
 // applyFaults applies the faults that are set now to a frame. It returns what is to be written, and for how long
 // nothing more is to be read; ok is false where the frame is dropped.
-func (f *Flow) applyFaults(frame []byte) (write delayedWrite, pause time.Duration, ok bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.received++
-	if f.observe != nil {
-		f.observe(frame)
+func (d *Flow) applyFaults(frame []byte) (write delayedWrite, pause time.Duration, ok bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.received++
+	if d.observe != nil {
+		d.observe(frame)
 	}
-	if f.dropping {
-		f.dropped++
+	if d.dropping {
+		d.dropped++
 		return delayedWrite{}, 0, false
 	}
-	write = delayedWrite{bytes: frame, due: time.Now().Add(f.delay)}
-	if f.jitter > 0 {
-		write.due = write.due.Add(time.Duration(f.random.Uint64() % uint64(f.jitter)))
+	write = delayedWrite{bytes: frame, due: time.Now().Add(d.delay)}
+	if d.jitter > 0 {
+		write.due = write.due.Add(time.Duration(d.random.Uint64() % uint64(d.jitter)))
 	}
-	if f.duplicating && frameKind(frame) > lastHandshakeKind && f.random.Uint64()%duplicationRatio == 0 {
+	if d.duplicating && frameKind(frame) > lastHandshakeKind && d.random.Uint64()%duplicationRatio == 0 {
 		write.bytes = append(append([]byte(nil), frame...), frame...)
 	}
-	if f.bytesPerSecond > 0 {
-		pause = time.Duration(len(frame)) * time.Second / time.Duration(f.bytesPerSecond)
+	if d.bytesPerSecond > 0 {
+		pause = time.Duration(len(frame)) * time.Second / time.Duration(d.bytesPerSecond)
 	}
 	return write, pause, true
 }
 
-// forward forwards frames from one connection to the other. It returns once the first has ended and all that came of it
-// is written or thrown away. While heldUntil returns a channel, frames are read but not written until it is closed, so
-// that none is lost with its sender.
-func (f *Flow) forward(from, to net.Conn, heldUntil func() <-chan struct{}) {
+// forward forwards frames from one connection to the other. It returns once the first has ended and all that came of
+// it is written or thrown away. While heldUntil returns a channel, frames are read but not written until it is
+// closed, so that none is lost with its sender.
+func (d *Flow) forward(from, to net.Conn, heldUntil func() <-chan struct{}) {
 	queue := make(chan delayedWrite, maxQueuedFrames)
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		f.writeQueue(to, queue, heldUntil)
+		d.writeQueue(to, queue, heldUntil)
 	}()
 	var unparsed []byte
 	buffer := make([]byte, readBufferSize)
@@ -165,16 +165,16 @@
 		if err != nil {
 			break
 		}
-		unparsed = f.queueFrames(append(unparsed, buffer[:n]...), queue)
-		f.waitResumed()
+		unparsed = d.queueFrames(append(unparsed, buffer[:n]...), queue)
+		d.waitResumed()
 	}
 	close(queue)
 	<-written
 }
 
-// queueFrames takes the whole frames off the front of what was read, queues what is to be written of them, and returns
-// the rest.
-func (f *Flow) queueFrames(unparsed []byte, queue chan<- delayedWrite) []byte {
+// queueFrames takes the whole frames off the front of what was read, queues what is to be written of them, and
+// returns the rest.
+func (d *Flow) queueFrames(unparsed []byte, queue chan<- delayedWrite) []byte {
 	for len(unparsed) >= frameLengthSize {
 		size := frameLengthSize + int(binary.BigEndian.Uint32(unparsed))
 		if len(unparsed) < size {
@@ -182,7 +182,7 @@
 		}
 		frame := append([]byte(nil), unparsed[:size]...)
 		unparsed = unparsed[size:]
-		write, pause, ok := f.applyFaults(frame)
+		write, pause, ok := d.applyFaults(frame)
 		if ok {
 			queue <- write
 		}
@@ -193,11 +193,11 @@
 
 // writeQueue writes what is queued, each when it is due. Once the connection takes nothing more the rest is thrown
 // away.
-func (f *Flow) writeQueue(to net.Conn, queue <-chan delayedWrite, heldUntil func() <-chan struct{}) {
+func (d *Flow) writeQueue(to net.Conn, queue <-chan delayedWrite, heldUntil func() <-chan struct{}) {
 	failed := false
 	for write := range queue {
 		time.Sleep(time.Until(write.due))
-		f.waitResumed()
+		d.waitResumed()
 		if released := heldUntil(); released != nil {
 			<-released
 		}
@@ -205,18 +205,18 @@
 			_, err := to.Write(write.bytes)
 			failed = err != nil
 		}
-		f.countWrite(len(write.bytes), failed)
+		d.countWrite(len(write.bytes), failed)
 	}
 }
 
 // countWrite counts a frame that was forwarded, or that is lost as its receiver has ended.
-func (f *Flow) countWrite(size int, lost bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (d *Flow) countWrite(size int, lost bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	if lost {
-		f.dropped++
+		d.dropped++
 		return
 	}
-	f.forwarded++
-	f.forwardedBytes += size
+	d.forwarded++
+	d.forwardedBytes += size
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -13,8 +13,8 @@
 // discoveryFrameHeader is the length, in bytes, of a discovery frame's sequence number and kind.
 const discoveryFrameHeader = 9
 
-// Frame returns a frame of the discovery service ("journal" on the wire): its length, sequence number and kind, and the
-// records after them.
+// Frame returns a frame of the discovery service ("journal" on the wire): its length, sequence number and kind, and
+// the records after them.
 func Frame(number uint64, kind byte, records ...[]byte) []byte {
 	payload := bytes.Join(records, nil)
 	frame := binary.BigEndian.AppendUint32(nil, uint32(discoveryFrameHeader+len(payload)))
@@ -33,22 +33,22 @@
 
 // ListenJournal closes the listener of the stub discovery service and listens at addr in its place. It returns the
 // error of listening.
-func (r *Rig) ListenJournal(addr string) (err error) {
-	r.Journal.Close()
-	if r.Journal, err = net.Listen("tcp4", addr); err == nil {
-		r.T.Cleanup(func() { r.Journal.Close() })
+func (h *Rig) ListenJournal(addr string) (err error) {
+	h.Journal.Close()
+	if h.Journal, err = net.Listen("tcp4", addr); err == nil {
+		h.T.Cleanup(func() { h.Journal.Close() })
 	}
 	return err
 }
 
-// Accept accepts the next connection of the front end to the stub discovery service. It returns the connection and the
-// sequence number after which the front end asks for events. The test fails where no connection can be accepted or its
-// number can't be read.
-func (r *Rig) Accept() (net.Conn, uint64) {
-	conn, err := r.Journal.Accept()
-	require.NoError(r.T, err)
-	r.T.Cleanup(func() { conn.Close() })
+// Accept accepts the next connection of the front end to the stub discovery service. It returns the connection and
+// the sequence number after which the front end asks for events. The test fails where no connection can be accepted
+// or its number can't be read.
+func (h *Rig) Accept() (net.Conn, uint64) {
+	conn, err := h.Journal.Accept()
+	require.NoError(h.T, err)
+	h.T.Cleanup(func() { conn.Close() })
 	var last uint64
-	require.NoError(r.T, binary.Read(bufio.NewReader(conn), binary.BigEndian, &last))
+	require.NoError(h.T, binary.Read(bufio.NewReader(conn), binary.BigEndian, &last))
 	return conn, last
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -30,25 +30,32 @@
 
 // newEngine returns the stub engine of a number that isn't started yet. It records its requests and gives them to
 // handle.
-func (r *Rig) newEngine(number int, handle Answer) *Engine {
+func (h *Rig) newEngine(number int, handle Answer) *Engine {
 	engine := &Engine{Name: fmt.Sprintf("s-%08x", number)}
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
-		call := Call{Engine: engine.Name, Method: request.Method, Path: request.URL.Path, Header: request.Header,
-			Body: string(body), At: time.Now(), Gone: request.Context().Done()}
-		r.Mu.Lock()
-		r.Calls = append(r.Calls, call)
-		r.Mu.Unlock()
-		handle(r, w, call)
+		call := Call{
+			Engine: engine.Name,
+			Method: request.Method,
+			Path:   request.URL.Path,
+			Header: request.Header,
+			Body:   string(body),
+			At:     time.Now(),
+			Gone:   request.Context().Done(),
+		}
+		h.Mu.Lock()
+		h.Calls = append(h.Calls, call)
+		h.Mu.Unlock()
+		handle(h, w, call)
 	}))
 	server.Config.ConnState = func(conn net.Conn, state http.ConnState) {
-		if r.Conns != nil {
-			r.Conns(conn, state)
+		if h.Conns != nil {
+			h.Conns(conn, state)
 		}
 	}
 	engine.Server = server
 	engine.Addr = server.Listener.Addr().(*net.TCPAddr)
-	r.T.Cleanup(func() { closeServer(server) })
+	h.T.Cleanup(func() { closeServer(server) })
 	return engine
 }
 
@@ -68,9 +75,9 @@
 	server.Close()
 }
 
-// Again starts another server, with the same handler, at the address of an engine whose listener was closed. It returns
-// the error of listening.
-func (r *Rig) Again(e *Engine) error {
+// Again starts another server, with the same handler, at the address of an engine whose listener was closed. It
+// returns the error of listening.
+func (h *Rig) Again(e *Engine) error {
 	listener, err := net.Listen("tcp4", e.Addr.String())
 	if err != nil {
 		return err
@@ -79,15 +86,15 @@
 	server.Listener.Close()
 	server.Listener = listener
 	server.Start()
-	r.T.Cleanup(func() { closeServer(server) })
+	h.T.Cleanup(func() { closeServer(server) })
 	return nil
 }
 
 // Shuttable has a stub engine listen behind a listener that can be blocked, in place of its own, and returns it. It
 // is called before the engine starts.
-func (r *Rig) Shuttable(e *Engine) *Door {
+func (h *Rig) Shuttable(e *Engine) *Door {
 	listener, err := newBlockableListener()
-	require.NoError(r.T, err)
+	require.NoError(h.T, err)
 	e.Server.Listener.Close()
 	e.Server.Listener = listener
 	e.Addr = listener.Addr().(*net.TCPAddr)
--- a/internal/standin/engineresponses.go
+++ b/internal/standin/engineresponses.go
@@ -11,7 +11,7 @@
 )
 
 // Answer handles one request to a stub engine. It is called by several goroutines at once.
-type Answer func(r *Rig, w http.ResponseWriter, c Call)
+type Answer func(h *Rig, w http.ResponseWriter, request Call)
 
 // Row is one row of a result, and the whole result in most tests.
 const Row = "x\ty\tz\n"
@@ -23,21 +23,21 @@
 	fmt.Fprint(w, page)
 }
 
-// Raw responds with bytes of the test's own, head included, and closes the connection where end is set.
-func Raw(w http.ResponseWriter, answer string, end bool) {
+// Raw responds with bytes of the test's own, head included, and closes the connection where closeConn is set.
+func Raw(w http.ResponseWriter, response string, closeConn bool) {
 	conn := hijack(w)
-	_, _ = io.WriteString(conn, answer)
-	if end {
+	_, _ = io.WriteString(conn, response)
+	if closeConn {
 		conn.Close()
 	}
 }
 
-// Twice responds with bytes of the test's own, head included, and writes more of them after the delay later. The
-// connection stays open.
-func Twice(w http.ResponseWriter, answer string, later time.Duration, more string) {
+// Twice responds with bytes of the test's own, head included, and writes more of them after a delay. The connection
+// stays open.
+func Twice(w http.ResponseWriter, response string, delay time.Duration, more string) {
 	conn := hijack(w)
-	_, _ = io.WriteString(conn, answer)
-	time.AfterFunc(later, func() { _, _ = io.WriteString(conn, more) })
+	_, _ = io.WriteString(conn, response)
+	time.AfterFunc(delay, func() { _, _ = io.WriteString(conn, more) })
 }
 
 // hijack takes the connection over from the HTTP server. Connections here are HTTP/1.1, which can always be taken over.
@@ -49,29 +49,29 @@
 	return conn
 }
 
-// runningResponseDelay is how long the engine of Store takes to respond that a query is still running.
+// runningResponseDelay is how long an engine takes to respond that a query is still running.
 const runningResponseDelay = 50 * time.Millisecond
 
-// Store returns a handler under which each query is running for so many requests (its start and polls), and has ended
-// with one page for each of the rows after them. DELETE succeeds and changes nothing.
-func Store(asks int, rows ...string) Answer {
+// Store returns a handler under which each query is running for so many responses (to its start and polls), and has
+// ended with one page for each of the rows after them. DELETE succeeds and changes nothing.
+func Store(runningResponses int, rows ...string) Answer {
 	requests := map[string]int{} // of each query; guarded by the harness's lock
-	return func(r *Rig, w http.ResponseWriter, c Call) {
-		if c.Method == http.MethodDelete {
+	return func(h *Rig, w http.ResponseWriter, request Call) {
+		if request.Method == http.MethodDelete {
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		query, page := c.Header.Get("Request-Id"), 0
-		if c.Method != http.MethodPost {
-			parts := strings.Split(c.Path, "/")
+		query, page := request.Header.Get("Request-Id"), 0
+		if request.Method != http.MethodPost {
+			parts := strings.Split(request.Path, "/")
 			query = parts[3]
 			fmt.Sscan(parts[4], &page)
 		}
-		r.Mu.Lock()
+		h.Mu.Lock()
 		requests[query]++
 		count := requests[query]
-		r.Mu.Unlock()
-		if page == 0 && count <= asks {
+		h.Mu.Unlock()
+		if page == 0 && count <= runningResponses {
 			time.Sleep(runningResponseDelay)
 			w.WriteHeader(http.StatusAccepted)
 			return
@@ -86,11 +86,11 @@
 	}
 }
 
-// Held returns a handler that responds at once with Row; only the start of the request with the given id waits until
-// released has a value or is closed.
+// Held returns a handler that responds at once with one row; only the start of the request with the given id waits
+// until released has a value or is closed.
 func Held(id string, released <-chan bool) Answer {
-	return func(_ *Rig, w http.ResponseWriter, c Call) {
-		if c.Method == http.MethodPost && c.Header.Get("Request-Id") == id {
+	return func(h *Rig, w http.ResponseWriter, request Call) {
+		if request.Method == http.MethodPost && request.Header.Get("Request-Id") == id {
 			<-released
 		}
 		Serve(w, Row)
--- a/internal/standin/faultproxy.go
+++ b/internal/standin/faultproxy.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Relay is a fault-injecting TCP proxy on the path from one front end to another. All connections that the first dials
-// to the second pass through it, in both directions. The embedded direction has the faults of what the dialer sends. A
-// proxy is safe for concurrent use.
+// Relay is a fault-injecting TCP proxy on the path from one front end to another. All connections that the first
+// dials to the second pass through it, in both directions. The embedded direction has the faults of what the dialer
+// sends. A proxy is safe for concurrent use.
 type Relay struct {
 	*Flow // from the dialer to the target
-	// Back is the direction from the target to the dialer: the handshake's answer, and the view where the dialer is an
-	// attached front end.
+	// Back is the direction from the target to the dialer: the handshake's answer, and the view where the dialer is
+	// an attached front end.
 	Back   *Flow
 	Addr   string // host:port that the dialer dials
 	target string // host:port that the proxy dials
@@ -30,8 +30,8 @@
 
 const (
 	proxyDialTimeout = time.Second
-	// smallBufferSize is the size, in bytes, of the kernel's buffer for one socket of a proxy with small buffers: what
-	// is not read soon stays with its sender.
+	// smallBufferSize is the size, in bytes, of the kernel's buffer for one socket of a proxy with small buffers:
+	// what is not read soon stays with its sender.
 	smallBufferSize = 4 << 10
 )
 
@@ -64,163 +64,170 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Flow: newDirection(random), Back: newDirection(random), Addr: listener.Addr().String(), target: target,
-		listener: listener, conns: map[net.Conn]bool{}, sessions: map[*proxySession]bool{}}
-	go r.acceptLoop()
-	return r, nil
+	p := &Relay{
+		Flow:     newDirection(random),
+		Back:     newDirection(random),
+		Addr:     listener.Addr().String(),
+		target:   target,
+		listener: listener,
+		conns:    map[net.Conn]bool{},
+		sessions: map[*proxySession]bool{},
+	}
+	go p.acceptLoop()
+	return p, nil
 }
 
 // acceptLoop accepts connections until the listener is closed.
-func (r *Relay) acceptLoop() {
+func (p *Relay) acceptLoop() {
 	for {
-		conn, err := r.listener.Accept()
+		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !r.admit(conn) {
+		if !p.admit(conn) {
 			conn.Close()
 			continue
 		}
-		go r.serve(conn)
+		go p.serve(conn)
 	}
 }
 
 // admit counts a new connection of the dialer, and reports whether it is not refused.
-func (r *Relay) admit(conn net.Conn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.connectionAttempts++
-	if r.cut {
+func (p *Relay) admit(conn net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.connectionAttempts++
+	if p.cut {
 		return false
 	}
-	r.conns[conn] = true
+	p.conns[conn] = true
 	return true
 }
 
 // serve connects to the target and forwards both directions until one of the connections has ended.
-func (r *Relay) serve(dialer net.Conn) {
-	defer r.closeConn(dialer)
-	r.waitResumed() // while the path is stalled new connections are not established either
-	session := r.addSession()
-	defer r.removeSession(session)
-	target, err := net.DialTimeout("tcp4", r.target, proxyDialTimeout)
+func (p *Relay) serve(dialer net.Conn) {
+	defer p.closeConn(dialer)
+	p.waitResumed() // while the path is stalled new connections are not established either
+	session := p.addSession()
+	defer p.removeSession(session)
+	target, err := net.DialTimeout("tcp4", p.target, proxyDialTimeout)
 	if err != nil {
 		return
 	}
-	defer r.closeConn(target)
-	if !r.addTarget(dialer, target) {
+	defer p.closeConn(target)
+	if !p.addTarget(dialer, target) {
 		return
 	}
 	go func() {
-		r.Back.forward(target, dialer, neverHeld)
-		r.closeConn(dialer) // the target has ended the session
-		r.closeConn(target)
+		p.Back.forward(target, dialer, neverHeld)
+		p.closeConn(dialer) // the target has ended the session
+		p.closeConn(target)
 	}()
-	r.forward(dialer, target, session.held)
+	p.forward(dialer, target, session.held)
 }
 
 // addTarget registers the connection to the target, and reports whether the path was not cut meanwhile.
-func (r *Relay) addTarget(dialer, target net.Conn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.conns[target] = true
-	if r.smallBuffers {
+func (p *Relay) addTarget(dialer, target net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns[target] = true
+	if p.smallBuffers {
 		_ = target.(*net.TCPConn).SetReadBuffer(smallBufferSize)
 		_ = dialer.(*net.TCPConn).SetWriteBuffer(smallBufferSize)
 	}
-	return !r.cut
+	return !p.cut
 }
 
-func (r *Relay) closeConn(conn net.Conn) {
-	r.mu.Lock()
-	delete(r.conns, conn)
-	r.mu.Unlock()
+func (p *Relay) closeConn(conn net.Conn) {
+	p.mu.Lock()
+	delete(p.conns, conn)
+	p.mu.Unlock()
 	conn.Close()
 }
 
-func (r *Relay) addSession() *proxySession {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	session := &proxySession{heldUntil: r.newHeldUntil}
-	r.sessions[session] = true
+func (p *Relay) addSession() *proxySession {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	session := &proxySession{heldUntil: p.newHeldUntil}
+	p.sessions[session] = true
 	return session
 }
 
-func (r *Relay) removeSession(session *proxySession) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.sessions, session)
+func (p *Relay) removeSession(session *proxySession) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.sessions, session)
 }
 
-// Hold holds back what the dialer sends on the connections that are open now, also beyond the end of its process, until
-// release is called. Later connections are not held, so that what arrives after the release is late.
-func (r *Relay) Hold() (release func()) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// Hold holds back what the dialer sends on the connections that are open now, also beyond the end of its process,
+// until release is called. Later connections are not held, so that what arrives after the release is late.
+func (p *Relay) Hold() (release func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	until := make(chan struct{})
-	for session := range r.sessions {
+	for session := range p.sessions {
 		session.hold(until)
 	}
 	return sync.OnceFunc(func() { close(until) })
 }
 
-// HoldNew ends all connections once, and holds back what the dialer sends on later ones, the handshake included, until
-// release is called.
-func (r *Relay) HoldNew() (release func()) {
+// HoldNew ends all connections once, and holds back what the dialer sends on later ones, the handshake included,
+// until release is called.
+func (p *Relay) HoldNew() (release func()) {
 	until := make(chan struct{})
-	r.Cut(true)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.cut, r.newHeldUntil = false, until
+	p.Cut(true)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cut, p.newHeldUntil = false, until
 	return sync.OnceFunc(func() { close(until) })
 }
 
 // Narrow gives new connections small kernel buffers on the way back, so that a dialer that reads slowly blocks its
 // sender.
-func (r *Relay) Narrow() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.smallBuffers = true
+func (p *Relay) Narrow() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.smallBuffers = true
 }
 
 // Dialled returns how many connections the dialer has opened, refused ones included.
-func (r *Relay) Dialled() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.connectionAttempts
+func (p *Relay) Dialled() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.connectionAttempts
 }
 
 // Cut ends all connections and refuses new ones, or admits them again.
-func (r *Relay) Cut(cut bool) {
-	r.mu.Lock()
-	r.cut = cut
+func (p *Relay) Cut(cut bool) {
+	p.mu.Lock()
+	p.cut = cut
 	var closing []net.Conn
 	if cut {
-		for conn := range r.conns {
+		for conn := range p.conns {
 			closing = append(closing, conn)
 		}
 	}
-	r.mu.Unlock()
+	p.mu.Unlock()
 	for _, conn := range closing {
 		conn.Close()
 	}
 }
 
 // Reset ends all connections once.
-func (r *Relay) Reset() {
-	r.Cut(true)
-	r.Cut(false)
+func (p *Relay) Reset() {
+	p.Cut(true)
+	p.Cut(false)
 }
 
 // StallBoth stops all traffic in both directions, or resumes it. Connections stay open.
-func (r *Relay) StallBoth(stall bool) {
-	r.Stall(stall)
-	r.Back.Stall(stall)
+func (p *Relay) StallBoth(stall bool) {
+	p.Stall(stall)
+	p.Back.Stall(stall)
 }
 
 // Close stops the proxy and ends all its connections.
-func (r *Relay) Close() {
-	r.listener.Close()
-	r.Cut(true)
-	r.StallBoth(false)
+func (p *Relay) Close() {
+	p.listener.Close()
+	p.Cut(true)
+	p.StallBoth(false)
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -26,7 +26,7 @@
 	Workers   []*Worker       // the engines
 	Record    *history.Record // what clients and engines saw
 	Random    *Random
-	Seed      uint64         // of Random
+	Seed      uint64         // of the random numbers
 	Dir       string         // of all files
 	Lasting   bool           // control members store the replicated record
 	Section   map[string]any // what else the fleet's section of the installation file has
@@ -50,10 +50,10 @@
 var fleetsMade atomic.Int64
 
 // NewFleet starts a fleet with so many control members, n1, n2 and so on in the zones a, b and c in turn, and two
-// engines, and waits until all front ends serve. Each function of change may change the fleet before anything of it is
-// started. The test fails where a process doesn't serve in time. All is stopped with the test, which prints the script,
-// statuses and logs if it failed.
-func NewFleet(t *testing.T, program string, fronts int, change ...func(*Fleet)) *Fleet {
+// engines, and waits until all front ends serve. Each of the options may change the fleet before anything of it is
+// started. The test fails where a process doesn't serve in time. All is stopped with the test, which prints the
+// script, statuses and logs if it failed.
+func NewFleet(t *testing.T, program string, controlMembers int, options ...func(*Fleet)) *Fleet {
 	f := &Fleet{
 		T:       t,
 		Program: program,
@@ -70,10 +70,10 @@
 	f.discovery, err = site.NewJournal()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = f.discovery.Close() })
-	for range fronts {
+	for range controlMembers {
 		f.addControlMember()
 	}
-	for _, option := range change {
+	for _, option := range options {
 		option(f)
 	}
 	f.Random = NewRandom(f.Seed)
@@ -91,8 +91,16 @@
 	index := len(f.Fronts)
 	name := fmt.Sprintf("n%d", index+1)
 	addresses := freeAddresses(f.T, nextAddress(), 2)
-	f.Fronts = append(f.Fronts, &Front{F: f, N: index, Name: name, Zone: string(rune('a' + index%fleetZones)),
-		Listen: addresses[0], Peer: addresses[1], Folder: f.storageDir(name), Admin: f.adminSocket(name)})
+	f.Fronts = append(f.Fronts, &Front{
+		F:      f,
+		N:      index,
+		Name:   name,
+		Zone:   string(rune('a' + index%fleetZones)),
+		Listen: addresses[0],
+		Peer:   addresses[1],
+		Folder: f.storageDir(name),
+		Admin:  f.adminSocket(name),
+	})
 }
 
 // storageDir returns the folder that the front end of a name stores in.
@@ -156,16 +164,16 @@
 	}
 }
 
-// Did adds a line to the script, the list of what a test did to the fleet and when, in seconds from its start. A test
-// that fails prints it.
+// Did adds a line to the script, the list of what a test did to the fleet and when, in seconds from its start. A
+// test that fails prints it.
 func (f *Fleet) Did(format string, args ...any) {
 	fmt.Fprintf(f.script, "%8.3f s  %s\n", time.Since(f.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// Tapped is an option of NewFleet: see is called with each frame between front ends, in either direction. It is called
-// by several goroutines at once, and must neither keep nor change the frame.
-func Tapped(see func(frame []byte)) func(*Fleet) {
-	return func(f *Fleet) { f.observe = see }
+// Tapped is an option of NewFleet: observe is called with each frame between front ends, in either direction. It is
+// called by several goroutines at once, and must neither keep nor change the frame.
+func Tapped(observe func(frame []byte)) func(*Fleet) {
+	return func(f *Fleet) { f.observe = observe }
 }
 
 // Controls returns the control members: the front ends that the settings list.
--- a/internal/standin/fleetwait.go
+++ b/internal/standin/fleetwait.go
@@ -9,20 +9,21 @@
 	"chutechute/internal/history"
 )
 
-// Await polls a condition of the fleet until it holds, and adds that to the script. The test fails, with a description
-// of the condition, where it doesn't hold in time.
-func (f *Fleet) Await(what string, so func() bool) {
+// Await polls a condition of the fleet until it holds, and adds that to the script. The test fails, with a
+// description of the condition, where it doesn't hold in time.
+func (f *Fleet) Await(description string, condition func() bool) {
 	f.T.Helper()
-	require.Eventually(f.T, so, Patience, statusPollInterval, "%s", what)
-	f.Did("seen: %s", what)
+	require.Eventually(f.T, condition, Patience, statusPollInterval, "%s", description)
+	f.Did("seen: %s", description)
 }
 
 // AllSee waits until each of the front ends sees the one of a name in one of the states. The test fails where they
 // don't in time.
-func (f *Fleet) AllSee(by []*Front, name string, states ...string) {
+func (f *Fleet) AllSee(observers []*Front, name string, states ...string) {
 	f.T.Helper()
+	differs := func(observer *Front) bool { return observer.Name != name && !observer.Sees(name, states...) }
 	f.Await(fmt.Sprintf("%s is seen as %v by all", name, states), func() bool {
-		return !slices.ContainsFunc(by, func(n *Front) bool { return n.Name != name && !n.Sees(name, states...) })
+		return !slices.ContainsFunc(observers, differs)
 	})
 }
 
@@ -61,8 +62,8 @@
 	return ""
 }
 
-// convergenceObstacle returns why a front end with a status (nil: none) has not converged with the others; empty where
-// it has.
+// convergenceObstacle returns why a front end with a status (nil: none) has not converged with the others; empty
+// where it has.
 func (n *Front) convergenceObstacle(status *Standing) string {
 	switch {
 	case status == nil:
@@ -81,19 +82,19 @@
 	return ""
 }
 
-// Leader waits until a front end leads a replica group with so many voters, all of which are the replicas of processes
-// that run now, and returns it. The test fails where none does in time.
-func (f *Fleet) Leader(copies int) *Front {
+// Leader waits until a front end leads a replica group with so many voters, all of which are the replicas of
+// processes that run now, and returns it. The test fails where none does in time.
+func (f *Fleet) Leader(voterCount int) *Front {
 	f.T.Helper()
 	var leader *Front
 	require.Eventually(f.T, func() bool {
-		leader = f.leader(copies)
+		leader = f.leader(voterCount)
 		return leader != nil
 	}, Patience, statusPollInterval)
 	return leader
 }
 
-// leader returns the front end that Leader waits for, as of now; nil where there is none.
+// leader returns the front end that leads with so many voters, as of now; nil where there is none.
 func (f *Fleet) leader(voterCount int) (leader *Front) {
 	runningReplicas := map[string]bool{}
 	var voters []string
@@ -114,8 +115,8 @@
 	return leader
 }
 
-// Until waits until the history has an event that matches, and returns the first. The test fails where it has none in
-// time.
+// Until waits until the history has an event that matches, and returns the first. The test fails where it has none
+// in time.
 func (f *Fleet) Until(match func(history.Event) bool) (found history.Event) {
 	f.T.Helper()
 	require.Eventually(f.T, func() bool {
--- a/internal/standin/frontend.go
+++ b/internal/standin/frontend.go
@@ -20,7 +20,7 @@
 // Front is one front end of a fleet, and its process.
 type Front struct {
 	F      *Fleet
-	N      int // index in the fleet's Fronts
+	N      int // index in the fleet's list
 	Name   string
 	Zone   string
 	Listen string        // host:port for clients
@@ -32,7 +32,7 @@
 	Starts int           // how many processes were started
 	// Attached is set on a front end that the settings do not list as a control member.
 	Attached bool
-	Section  map[string]any // overrides the fleet's Section for this front end
+	Section  map[string]any // overrides, for this front end, what the fleet has
 	running  bool           // the process was started and not ended by the harness since
 }
 
@@ -57,8 +57,8 @@
 	return config, installation
 }
 
-// fleetSection returns the fleet's section of the installation file. The addresses of other control members are those
-// of the proxies to them.
+// fleetSection returns the fleet's section of the installation file. The addresses of other control members are
+// those of the proxies to them.
 func (n *Front) fleetSection() map[string]any {
 	var members []site.Member
 	for _, other := range n.F.Controls() {
@@ -104,15 +104,15 @@
 
 func (n *Front) signal(s syscall.Signal) { require.NoError(n.F.T, n.Cmd.Process.Signal(s)) }
 
-// Reload writes the front end's files again, with what Section has now, and has the process read them (SIGHUP).
+// Reload writes the front end's files again, with what its section has now, and has the process read them (SIGHUP).
 func (n *Front) Reload() {
 	n.F.Did("reload %s", n.Name)
 	n.writeFiles()
 	n.signal(syscall.SIGHUP)
 }
 
-// Leave terminates the process gracefully (SIGTERM), and waits until it has ended. The test fails where it reports an
-// error, or doesn't end in time.
+// Leave terminates the process gracefully (SIGTERM), and waits until it has ended. The test fails where it reports
+// an error, or doesn't end in time.
 func (n *Front) Leave() {
 	n.F.Did("terminate %s", n.Name)
 	n.signal(syscall.SIGTERM)
@@ -139,11 +139,11 @@
 	_ = n.Cmd.Wait()
 }
 
-// Kill kills the process (SIGKILL); empty also removes what it has stored.
-func (n *Front) Kill(empty bool) {
-	n.F.Did("kill %s, disk emptied: %v", n.Name, empty)
+// Kill kills the process (SIGKILL); removeStorage also removes what it has stored.
+func (n *Front) Kill(removeStorage bool) {
+	n.F.Did("kill %s, disk emptied: %v", n.Name, removeStorage)
 	n.killIfRunning()
-	if empty {
+	if removeStorage {
 		require.NoError(n.F.T, os.RemoveAll(n.Folder))
 	}
 }
--- a/internal/standin/frontendstatus.go
+++ b/internal/standin/frontendstatus.go
@@ -97,9 +97,9 @@
 func (n *Front) Status() map[string]any { return n.Question(statusRequest) }
 
 // Question sends a request to the operators' socket and returns the response; nil where there is none.
-func (n *Front) Question(question string) map[string]any {
+func (n *Front) Question(request string) map[string]any {
 	var response map[string]any
-	if !n.adminRequest(question, &response) {
+	if !n.adminRequest(request, &response) {
 		return nil
 	}
 	return response
@@ -120,8 +120,8 @@
 	return json.NewDecoder(conn).Decode(into) == nil
 }
 
-// Counter returns one of the counters that a front end has of attached front ends; 0 where it doesn't respond. The test
-// fails where it has no counter of the name.
+// Counter returns one of the counters that a front end has of attached front ends; 0 where it doesn't respond. The
+// test fails where it has no counter of the name.
 func (n *Front) Counter(name string) int64 {
 	s := n.Standing()
 	if s == nil {
@@ -138,8 +138,8 @@
 	return s != nil && slices.Contains(states, s.Of(name).State)
 }
 
-// Home waits until an attached front end has its view from a control member, and returns that. The test fails where it
-// has none in time.
+// Home waits until an attached front end has its view from a control member, and returns that. The test fails where
+// it has none in time.
 func (n *Front) Home() *Front {
 	n.F.T.Helper()
 	var home *Front
--- a/internal/standin/harness.go
+++ b/internal/standin/harness.go
@@ -31,7 +31,7 @@
 	Log     *LockedBuffer // what the process has written to standard error
 	Exited  chan error    // has the process's exit once it has ended
 	Journal net.Listener  // of the stub discovery service
-	Mu      sync.Mutex    // guards Calls, and what handlers share
+	Mu      sync.Mutex    // guards the requests, and what handlers share
 	Calls   []Call        // all requests that the engines received
 	Engines []*Engine
 	// Settings is the settings document that the process is started with.
@@ -48,117 +48,124 @@
 // listenLogField matches the address in the line that the process logs when it serves.
 var listenLogField = regexp.MustCompile(`listen=(\S+)`)
 
-// Start starts the program with so many stub engines, which all respond by handler do, and waits until the front end
-// serves. Each function of change may change the harness before engines and process start. The test fails where the
+// Start starts the program with so many stub engines, which all respond by the handler, and waits until the front
+// end serves. Each of the options may change the harness before engines and process start. The test fails where the
 // process doesn't serve in time.
-func Start(t *testing.T, program string, engines int, do Answer, change ...func(*Rig)) *Rig {
-	r := &Rig{T: t, Program: program, Log: &LockedBuffer{}, Exited: make(chan error, 1),
-		Sockets: site.DefaultSockets, MemoryMB: site.MemoryMB}
-	require.NoError(t, json.Unmarshal([]byte(Settings), &r.Settings))
+func Start(t *testing.T, program string, engines int, handler Answer, options ...func(*Rig)) *Rig {
+	h := &Rig{
+		T:        t,
+		Program:  program,
+		Log:      &LockedBuffer{},
+		Exited:   make(chan error, 1),
+		Sockets:  site.DefaultSockets,
+		MemoryMB: site.MemoryMB,
+	}
+	require.NoError(t, json.Unmarshal([]byte(Settings), &h.Settings))
 	for i := range engines {
-		r.Engines = append(r.Engines, r.newEngine(i+1, do))
+		h.Engines = append(h.Engines, h.newEngine(i+1, handler))
 	}
 	var err error
-	r.Journal, err = net.Listen("tcp4", "127.0.0.1:0")
+	h.Journal, err = net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { r.Journal.Close() })
-	for _, f := range change {
-		f(r)
+	t.Cleanup(func() { h.Journal.Close() })
+	for _, option := range options {
+		option(h)
 	}
-	r.startEngines()
-	r.Run(r.nodeConfig())
-	r.waitServing()
-	return r
+	h.startEngines()
+	h.Run(h.nodeConfig())
+	h.waitServing()
+	return h
 }
 
 // startEngines starts all stub engines.
-func (r *Rig) startEngines() {
-	for _, engine := range r.Engines {
+func (h *Rig) startEngines() {
+	for _, engine := range h.Engines {
 		var config *tls.Config
-		if r.EngineTLS != nil {
-			config = r.EngineTLS(engine)
+		if h.EngineTLS != nil {
+			config = h.EngineTLS(engine)
 		}
 		engine.start(config)
 	}
 }
 
 // nodeConfig returns the configuration that the process is started with. It lists all engines.
-func (r *Rig) nodeConfig() map[string]any {
+func (h *Rig) nodeConfig() map[string]any {
 	var engines []site.Engine
-	for _, engine := range r.Engines {
+	for _, engine := range h.Engines {
 		engines = append(engines, site.Engine{Name: engine.Name, Address: engine.Addr.String()})
 	}
 	return map[string]any{
 		"name":     "n0",
 		"listen":   "127.0.0.1:0",
 		"seed":     "8c1f30d27a5be964",
-		"limits":   map[string]any{"cores": 1, "memory_mb": r.MemoryMB, "sockets": r.Sockets},
-		"journal":  r.Journal.Addr().String(),
-		"settings": r.Settings,
+		"limits":   map[string]any{"cores": 1, "memory_mb": h.MemoryMB, "sockets": h.Sockets},
+		"journal":  h.Journal.Addr().String(),
+		"settings": h.Settings,
 		"known":    site.KnownEndpoints(engines),
 	}
 }
 
-// waitServing waits until the process logs its address, and sets Addr and Ready.
-func (r *Rig) waitServing() {
+// waitServing waits until the process logs its address, and sets the address and the time that this took.
+func (h *Rig) waitServing() {
 	began := time.Now()
-	require.Eventually(r.T, func() bool {
-		if match := listenLogField.FindStringSubmatch(r.Log.String()); match != nil {
-			r.Addr = match[1]
+	require.Eventually(h.T, func() bool {
+		if match := listenLogField.FindStringSubmatch(h.Log.String()); match != nil {
+			h.Addr = match[1]
 		}
-		return r.Addr != ""
-	}, Patience, fastPollInterval, "%s", r.Log)
-	r.Ready = time.Since(began)
+		return h.Addr != ""
+	}, Patience, fastPollInterval, "%s", h.Log)
+	h.Ready = time.Since(began)
 }
 
-// Run writes the configuration and starts the process. The process is killed with the test, which prints its log if it
-// failed.
-func (r *Rig) Run(config map[string]any) {
-	r.Config, r.Path = config, filepath.Join(r.T.TempDir(), "config.json")
-	r.Write()
-	r.Cmd = exec.Command(r.Program, r.Args...)
-	r.Cmd.Env = append([]string{"NODE_CONFIG=" + r.Path}, r.Env...)
-	r.Cmd.Stderr = r.Log
-	require.NoError(r.T, r.Cmd.Start())
-	go func() { r.Exited <- r.Cmd.Wait() }()
-	r.T.Cleanup(func() {
-		_ = r.Cmd.Process.Kill()
-		if r.T.Failed() {
-			r.T.Log(r.Log)
+// Run writes the configuration and starts the process. The process is killed with the test, which prints its log if
+// it failed.
+func (h *Rig) Run(config map[string]any) {
+	h.Config, h.Path = config, filepath.Join(h.T.TempDir(), "config.json")
+	h.Write()
+	h.Cmd = exec.Command(h.Program, h.Args...)
+	h.Cmd.Env = append([]string{"NODE_CONFIG=" + h.Path}, h.Env...)
+	h.Cmd.Stderr = h.Log
+	require.NoError(h.T, h.Cmd.Start())
+	go func() { h.Exited <- h.Cmd.Wait() }()
+	h.T.Cleanup(func() {
+		_ = h.Cmd.Process.Kill()
+		if h.T.Failed() {
+			h.T.Log(h.Log)
 		}
 	})
 }
 
-// Write replaces the configuration's file, at once, by what Config has now.
-func (r *Rig) Write() {
-	text, err := json.Marshal(r.Config)
-	require.NoError(r.T, err)
-	require.NoError(r.T, os.WriteFile(r.Path+".new", text, 0o600))
-	require.NoError(r.T, os.Rename(r.Path+".new", r.Path))
+// Write replaces the configuration's file, at once, by what the harness has now.
+func (h *Rig) Write() {
+	text, err := json.Marshal(h.Config)
+	require.NoError(h.T, err)
+	require.NoError(h.T, os.WriteFile(h.Path+".new", text, 0o600))
+	require.NoError(h.T, os.Rename(h.Path+".new", h.Path))
 }
 
 // Got returns the requests that the engines have received with the method and a path of the given beginning.
-func (r *Rig) Got(method, path string) (list []Call) {
-	r.Mu.Lock()
-	defer r.Mu.Unlock()
-	for _, call := range r.Calls {
-		if call.Method == method && strings.HasPrefix(call.Path, path) {
-			list = append(list, call)
+func (h *Rig) Got(method, pathPrefix string) (matching []Call) {
+	h.Mu.Lock()
+	defer h.Mu.Unlock()
+	for _, call := range h.Calls {
+		if call.Method == method && strings.HasPrefix(call.Path, pathPrefix) {
+			matching = append(matching, call)
 		}
 	}
-	return list
+	return matching
 }
 
-// Await waits until the engines have received at least n such requests, and returns them. The test fails where they
-// don't come in time.
-func (r *Rig) Await(n int, method, path string) []Call {
-	r.T.Helper()
-	require.Eventually(r.T, func() bool { return len(r.Got(method, path)) >= n }, Patience, fastPollInterval)
-	return r.Got(method, path)
+// Await waits until the engines have received at least count such requests, and returns them. The test fails where
+// they don't come in time.
+func (h *Rig) Await(count int, method, pathPrefix string) []Call {
+	h.T.Helper()
+	require.Eventually(h.T, func() bool { return len(h.Got(method, pathPrefix)) >= count }, Patience, fastPollInterval)
+	return h.Got(method, pathPrefix)
 }
 
 // AwaitLog waits until the process's log contains a text. The test fails where it doesn't in time.
-func (r *Rig) AwaitLog(text string) {
-	r.T.Helper()
-	require.Eventually(r.T, func() bool { return strings.Contains(r.Log.String(), text) }, Patience, fastPollInterval)
+func (h *Rig) AwaitLog(text string) {
+	h.T.Helper()
+	logged := func() bool { return strings.Contains(h.Log.String(), text) }
+	require.Eventually(h.T, logged, Patience, fastPollInterval)
 }
--- a/internal/standin/partition.go
+++ b/internal/standin/partition.go
@@ -4,10 +4,10 @@
 func (f *Fleet) Way(from, to *Front) *Relay { return f.proxies[path{from.N, to.N}] }
 
 // Ways returns the proxies from a front end to all control members but itself.
-func (f *Fleet) Ways(n *Front) (list []*Relay) {
+func (f *Fleet) Ways(from *Front) (list []*Relay) {
 	for _, controlMember := range f.Controls() {
-		if controlMember != n {
-			list = append(list, f.Way(n, controlMember))
+		if controlMember != from {
+			list = append(list, f.Way(from, controlMember))
 		}
 	}
 	return list
@@ -24,11 +24,11 @@
 }
 
 // Part cuts all paths between two sides of a partition, in both directions, or heals them.
-func (f *Fleet) Part(cut bool, a, b []*Front) {
-	for _, x := range a {
-		for _, y := range b {
-			f.Did("cut %s-%s: %v", x.Name, y.Name, cut)
-			for _, proxy := range f.Between(x, y) {
+func (f *Fleet) Part(cut bool, left, right []*Front) {
+	for _, from := range left {
+		for _, to := range right {
+			f.Did("cut %s-%s: %v", from.Name, to.Name, cut)
+			for _, proxy := range f.Between(from, to) {
 				proxy.Cut(cut)
 			}
 		}
@@ -36,18 +36,18 @@
 }
 
 // Mute cuts the paths from a front end to all control members, or heals them. Connections that others dial to it stay.
-func (f *Fleet) Mute(n *Front, cut bool) {
-	f.Did("cut %s to all others: %v", n.Name, cut)
-	for _, proxy := range f.Ways(n) {
+func (f *Fleet) Mute(frontEnd *Front, cut bool) {
+	f.Did("cut %s to all others: %v", frontEnd.Name, cut)
+	for _, proxy := range f.Ways(frontEnd) {
 		proxy.Cut(cut)
 	}
 }
 
 // Deafen cuts the paths from all front ends to one, or heals them. Connections that it dials itself stay.
-func (f *Fleet) Deafen(n *Front, cut bool) {
-	f.Did("cut all others to %s: %v", n.Name, cut)
+func (f *Fleet) Deafen(frontEnd *Front, cut bool) {
+	f.Did("cut all others to %s: %v", frontEnd.Name, cut)
 	for _, other := range f.Fronts {
-		if proxy := f.Way(other, n); proxy != nil {
+		if proxy := f.Way(other, frontEnd); proxy != nil {
 			proxy.Cut(cut)
 		}
 	}
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -14,22 +14,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// descriptorsSettleTime is for how long a process has to hold the same descriptors to count as started: until then it
-// opens some only to start.
+// descriptorsSettleTime is for how long a process has to hold the same descriptors to count as started: until then
+// it opens some only to start.
 const descriptorsSettleTime = 50 * time.Millisecond
 
 // Signal sends the process a signal.
-func (r *Rig) Signal(s syscall.Signal) { require.NoError(r.T, r.Cmd.Process.Signal(s)) }
+func (h *Rig) Signal(s syscall.Signal) { require.NoError(h.T, h.Cmd.Process.Signal(s)) }
 
 // Counter returns the present value of one of the front end's counters. It has the process log all of them
 // (SIGUSR1); the test fails where the counter doesn't appear in time.
-func (r *Rig) Counter(name string) (n int) {
-	r.T.Helper()
+func (h *Rig) Counter(name string) (n int) {
+	h.T.Helper()
 	line := regexp.MustCompile("(?m)^" + regexp.QuoteMeta(name) + " +([0-9]+)$")
-	before := len(r.Log.String())
-	r.Signal(syscall.SIGUSR1)
-	require.Eventually(r.T, func() bool {
-		match := line.FindStringSubmatch(r.Log.String()[before:])
+	before := len(h.Log.String())
+	h.Signal(syscall.SIGUSR1)
+	require.Eventually(h.T, func() bool {
+		match := line.FindStringSubmatch(h.Log.String()[before:])
 		if match != nil {
 			n, _ = strconv.Atoi(match[1])
 		}
@@ -39,32 +39,32 @@
 }
 
 // Descriptors returns how many file descriptors the process has open.
-func (r *Rig) Descriptors() int { return len(r.openDescriptors()) }
+func (h *Rig) Descriptors() int { return len(h.openDescriptors()) }
 
 // openDescriptors returns the numbers of the process's open file descriptors.
-func (r *Rig) openDescriptors() (numbers []string) {
-	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.Cmd.Process.Pid))
-	require.NoError(r.T, err)
+func (h *Rig) openDescriptors() (numbers []string) {
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.Cmd.Process.Pid))
+	require.NoError(h.T, err)
 	for _, entry := range entries {
 		numbers = append(numbers, entry.Name())
 	}
 	return numbers
 }
 
-// HoldDescriptors limits the process's open file descriptors to those that it has open and so many more. It waits first
-// until what was opened only to start is closed, which is when they stay the same for a while.
-func (r *Rig) HoldDescriptors(free int) {
-	limit := descriptorLimit(r.settledDescriptors(), free)
-	err := unix.Prlimit(r.Cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: limit}, nil)
-	require.NoError(r.T, err)
+// HoldDescriptors limits the process's open file descriptors to those that it has open and so many more. It waits
+// first until what was opened only to start is closed, which is when they stay the same for a while.
+func (h *Rig) HoldDescriptors(free int) {
+	limit := descriptorLimit(h.settledDescriptors(), free)
+	err := unix.Prlimit(h.Cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: limit}, nil)
+	require.NoError(h.T, err)
 }
 
 // settledDescriptors waits until the process's open file descriptors stay the same, and returns their numbers.
-func (r *Rig) settledDescriptors() []string {
-	open, since := r.openDescriptors(), time.Now()
+func (h *Rig) settledDescriptors() []string {
+	open, since := h.openDescriptors(), time.Now()
 	for time.Since(since) < descriptorsSettleTime {
 		time.Sleep(fastPollInterval)
-		if now := r.openDescriptors(); !slices.Equal(now, open) {
+		if now := h.openDescriptors(); !slices.Equal(now, open) {
 			open, since = now, time.Now()
 		}
 	}
@@ -82,10 +82,10 @@
 	return limit
 }
 
-// State returns the process's state as proc(5) has it: 'T' where it is stopped. The error is that of reading it, as for
-// a process that has ended.
-func (r *Rig) State() (byte, error) {
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.Cmd.Process.Pid))
+// State returns the process's state as proc(5) has it: 'T' where it is stopped. The error is that of reading it, as
+// for a process that has ended.
+func (h *Rig) State() (byte, error) {
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", h.Cmd.Process.Pid))
 	if err != nil {
 		return 0, err
 	}
@@ -93,11 +93,11 @@
 }
 
 // PeakMB returns the peak of the process's resident memory, in MiB.
-func (r *Rig) PeakMB() int {
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.Cmd.Process.Pid))
-	require.NoError(r.T, err)
+func (h *Rig) PeakMB() int {
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", h.Cmd.Process.Pid))
+	require.NoError(h.T, err)
 	kb := 0
 	_, err = fmt.Sscanf(string(status[bytes.Index(status, []byte("VmHWM:")):]), "VmHWM: %d kB", &kb)
-	require.NoError(r.T, err)
+	require.NoError(h.T, err)
 	return kb / 1024
 }
--- a/internal/standin/random.go
+++ b/internal/standin/random.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Random is a generator of pseudo-random numbers (xorshift64*) whose sequence depends on the seed alone. It is safe for
-// concurrent use.
+// Random is a generator of pseudo-random numbers (xorshift64*) whose sequence depends on the seed alone. It is safe
+// for concurrent use.
 type Random struct {
 	mu    sync.Mutex
 	state uint64
--- a/internal/standin/recordingengine.go
+++ b/internal/standin/recordingengine.go
@@ -23,10 +23,10 @@
 	longPollTimeout     = 250 * time.Millisecond
 )
 
-// Worker is an engine that does what engines promise, and records it in the history: each query runs for as long as its
-// statement says ("ms=300"), until it is deleted, or until it was not polled for 2 s. Its result names the call, the
-// idempotency key and the engine, and is repeated up to the size that the statement says ("kb=64"). All engines of a
-// fleet share one table of idempotency keys.
+// Worker is an engine that does what engines promise, and records it in the history: each query runs for as long as
+// its statement says ("ms=300"), until it is deleted, or until it was not polled for 2 s. Its result names the call,
+// the idempotency key and the engine, and is repeated up to the size that the statement says ("kb=64"). All engines
+// of a fleet share one table of idempotency keys.
 type Worker struct {
 	Name         string
 	Addr         *net.TCPAddr
@@ -78,23 +78,24 @@
 	ended                chan struct{} // closed when it is no longer running
 }
 
-// NewWorker starts an engine that records into record and shares seen with the other engines of its fleet.
+// NewWorker starts an engine that records into a history, and shares a table of idempotency keys with the other
+// engines of its fleet.
 func NewWorker(name string, record *history.Record, seen *Seen) *Worker {
-	w := &Worker{Name: name, record: record, deduplicator: seen,
+	e := &Worker{Name: name, record: record, deduplicator: seen,
 		queries: map[string]*query{}, pollTimes: map[string][]time.Time{}}
-	w.server = httptest.NewServer(http.HandlerFunc(w.serve))
-	w.Addr = w.server.Listener.Addr().(*net.TCPAddr)
-	return w
+	e.server = httptest.NewServer(http.HandlerFunc(e.serve))
+	e.Addr = e.server.Listener.Addr().(*net.TCPAddr)
+	return e
 }
 
 // Close ends all connections of the engine and its server.
-func (w *Worker) Close() { closeServer(w.server) }
+func (e *Worker) Close() { closeServer(e.server) }
 
 // AskedAfter returns the time of the first poll of a call's query after since; ok is false where there is none.
-func (w *Worker) AskedAfter(call string, since time.Time) (at time.Time, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, at := range w.pollTimes[call] {
+func (e *Worker) AskedAfter(call string, since time.Time) (at time.Time, ok bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, at := range e.pollTimes[call] {
 		if at.After(since) {
 			return at, true
 		}
@@ -103,13 +104,13 @@
 }
 
 // serve handles one request: POST starts a query, GET polls it, and DELETE ends it. Other paths are of health checks.
-func (w *Worker) serve(out http.ResponseWriter, request *http.Request) {
+func (e *Worker) serve(out http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return // the request never came whole
 	}
 	if request.Method == http.MethodPost {
-		w.start(out, request, string(body))
+		e.start(out, request, string(body))
 		return
 	}
 	parts := strings.Split(request.URL.Path, "/")
@@ -117,50 +118,50 @@
 		out.WriteHeader(http.StatusOK)
 		return
 	}
-	q := w.lookUp(parts[3], request.Method)
+	q := e.lookUp(parts[3], request.Method)
 	switch {
 	case request.Method == http.MethodDelete:
 		if q != nil {
-			w.end(q, history.Deleted, queryFailed)
+			e.end(q, history.Deleted, queryFailed)
 		}
 		out.WriteHeader(http.StatusNoContent)
 	case q == nil:
 		out.WriteHeader(http.StatusInternalServerError)
 	default:
-		w.respond(out, q)
+		e.respond(out, q)
 	}
 }
 
 // lookUp returns the query of a call, nil where it is unknown, and notes the time of a poll.
-func (w *Worker) lookUp(call, method string) *query {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (e *Worker) lookUp(call, method string) *query {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	if method == http.MethodGet {
-		w.pollTimes[call] = append(w.pollTimes[call], time.Now())
+		e.pollTimes[call] = append(e.pollTimes[call], time.Now())
 	}
-	return w.queries[call]
+	return e.queries[call]
 }
 
 // start starts the query of a statement, unless it repeats an idempotency key, and responds.
-func (w *Worker) start(out http.ResponseWriter, request *http.Request, statement string) {
+func (e *Worker) start(out http.ResponseWriter, request *http.Request, statement string) {
 	call, key := request.Header.Get("Request-Id"), request.Header.Get("Once-Key")
-	if key != "" && !w.deduplicator.admit(key) {
-		w.record.Add(history.Event{What: history.Repeat, Engine: w.Name, Call: call, Once: key})
+	if key != "" && !e.deduplicator.admit(key) {
+		e.record.Add(history.Event{What: history.Repeat, Engine: e.Name, Call: call, Once: key})
 		out.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	q := &query{call: call, idempotencyKey: key, result: w.result(call, key, statement), lastPolled: time.Now(),
+	q := &query{call: call, idempotencyKey: key, result: e.result(call, key, statement), lastPolled: time.Now(),
 		ended: make(chan struct{})}
-	w.mu.Lock()
-	w.queries[call] = q
-	w.record.Add(history.Event{What: history.Began, Engine: w.Name, Call: call, Once: key, Body: statement})
-	w.mu.Unlock()
-	if w.Fails.Load() {
-		w.end(q, history.Ended, queryFailed)
+	e.mu.Lock()
+	e.queries[call] = q
+	e.record.Add(history.Event{What: history.Began, Engine: e.Name, Call: call, Once: key, Body: statement})
+	e.mu.Unlock()
+	if e.Fails.Load() {
+		e.end(q, history.Ended, queryFailed)
 	}
 	runTime := time.Duration(statementNumber(statement, statementRunTime)) * time.Millisecond
-	go w.run(q, runTime)
-	w.respond(out, q)
+	go e.run(q, runTime)
+	e.respond(out, q)
 }
 
 // What a statement says of its query, as comments.
@@ -180,14 +181,14 @@
 }
 
 // result returns the result of a query: a row that is repeated up to the size that the statement says.
-func (w *Worker) result(call, key, statement string) string {
-	row := fmt.Sprintf("%s\t%s\t%s\n", call, key, w.Name)
+func (e *Worker) result(call, key, statement string) string {
+	row := fmt.Sprintf("%s\t%s\t%s\n", call, key, e.Name)
 	size := statementNumber(statement, statementResultSize) * 1024
 	return row + strings.Repeat(row, size/len(row))
 }
 
 // run ends a query when its run time is over, or when it is abandoned.
-func (w *Worker) run(q *query, runTime time.Duration) {
+func (e *Worker) run(q *query, runTime time.Duration) {
 	finished := time.After(runTime)
 	ticker := time.NewTicker(abandonPollInterval)
 	defer ticker.Stop()
@@ -196,11 +197,11 @@
 		case <-q.ended:
 			return
 		case <-finished:
-			w.end(q, history.Ended, querySucceeded)
+			e.end(q, history.Ended, querySucceeded)
 			return
 		case <-ticker.C:
-			if w.abandoned(q) {
-				w.end(q, history.Unasked, queryFailed)
+			if e.abandoned(q) {
+				e.end(q, history.Unasked, queryFailed)
 				return
 			}
 		}
@@ -208,27 +209,27 @@
 }
 
 // abandoned reports whether nobody has polled a query for abandonTimeout.
-func (w *Worker) abandoned(q *query) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (e *Worker) abandoned(q *query) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	return q.pollers == 0 && time.Since(q.lastPolled) >= abandonTimeout
 }
 
 // end ends a query that is running, and records how.
-func (w *Worker) end(q *query, how string, state queryState) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (e *Worker) end(q *query, how string, state queryState) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	if q.state != queryRunning {
 		return
 	}
 	q.state = state
 	close(q.ended)
-	w.record.Add(history.Event{What: how, Engine: w.Name, Call: q.call, Once: q.idempotencyKey})
+	e.record.Add(history.Event{What: how, Engine: e.Name, Call: q.call, Once: q.idempotencyKey})
 }
 
 // respond waits for a query's end for longPollTimeout, and responds with its state.
-func (w *Worker) respond(out http.ResponseWriter, q *query) {
-	switch w.waitEnd(q) {
+func (e *Worker) respond(out http.ResponseWriter, q *query) {
+	switch e.waitEnd(q) {
 	case queryRunning:
 		out.WriteHeader(http.StatusAccepted)
 	case querySucceeded:
@@ -239,16 +240,16 @@
 }
 
 // waitEnd waits for a query's end for longPollTimeout, and returns its state.
-func (w *Worker) waitEnd(q *query) queryState {
-	w.mu.Lock()
+func (e *Worker) waitEnd(q *query) queryState {
+	e.mu.Lock()
 	q.pollers++
-	w.mu.Unlock()
+	e.mu.Unlock()
 	select {
 	case <-q.ended:
 	case <-time.After(longPollTimeout):
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	q.pollers--
 	q.lastPolled = time.Now()
 	return q.state
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -29,15 +29,15 @@
 	Seed      string // of its random numbers, hexadecimal
 	Journal   string // host:port of the discovery service
 	FrontEnds int    // number of front ends of the site
-	Sockets   int    // limit of open sockets; 0: DefaultSockets
+	Sockets   int    // limit of open sockets; 0: the default
 	Engines   []Engine
 	Fleet     map[string]any // the fleet's section of the installation file
 }
 
 // The configured limits of a front end, besides one core.
 const (
-	// MemoryMB is the limit of memory, in MiB. The replicated record takes a share of it, on which all front ends have
-	// to agree.
+	// MemoryMB is the limit of memory, in MiB. The replicated record takes a share of it, on which all front ends
+	// have to agree.
 	MemoryMB = 192
 	// DefaultSockets is the limit of open sockets where none is given.
 	DefaultSockets = 1024
--- a/internal/standin/statewatch.go
+++ b/internal/standin/statewatch.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Watch polls how some front ends see the watched ones until stop is called. Stop returns a text for each time that a
-// watched one was seen in one of the states, which are those that it should not be seen in.
-func (f *Fleet) Watch(by []*Front, watched []*Front, states ...string) (stop func() (seen []string)) {
+// Watch polls how some front ends see the watched ones until stop is called. Stop returns a text for each time that
+// a watched one was seen in one of the states, which are those that it should not be seen in.
+func (f *Fleet) Watch(observers, watched []*Front, states ...string) (stop func() (seen []string)) {
 	stopped := make(chan struct{})
 	var poller sync.WaitGroup
 	var violations []string
@@ -20,7 +20,7 @@
 				return
 			case <-time.After(statusPollInterval):
 			}
-			violations = append(violations, stateViolations(by, watched, states)...)
+			violations = append(violations, stateViolations(observers, watched, states)...)
 		}
 	})
 	return func() []string {
@@ -31,8 +31,8 @@
 }
 
 // stateViolations returns a text for each watched front end that another sees in one of the states now.
-func stateViolations(by, watched []*Front, states []string) (violations []string) {
-	for _, observer := range by {
+func stateViolations(observers, watched []*Front, states []string) (violations []string) {
+	for _, observer := range observers {
 		status := observer.Standing()
 		if status == nil {
 			continue
--- a/internal/standin/workload.go
+++ b/internal/standin/workload.go
@@ -27,38 +27,40 @@
 
 // Load sends a load to a front end and returns the response. Its kind is answer, shed or fault, or lost where the
 // connection ended or no response came in time. Request and response are recorded in the history.
-func (f *Fleet) Load(n *Front, try Try) Reply {
+func (f *Fleet) Load(frontEnd *Front, attempt Try) Reply {
 	call := f.NewCall()
-	f.Record.Add(history.Event{What: history.Asked, Front: n.Name, Call: call,
-		Once: try.Once, Key: try.Key, Body: try.Statement})
-	fields := []string{"call", call, "op", "load", "ttl", milliseconds(try.TTL), "dedupe", try.Once, "work", "10.0"}
-	if try.Key != "" {
-		fields = append(fields, "row", try.Key)
+	f.Record.Add(history.Event{What: history.Asked, Front: frontEnd.Name, Call: call,
+		Once: attempt.Once, Key: attempt.Key, Body: attempt.Statement})
+	fields := []string{"call", call, "op", "load", "ttl", milliseconds(attempt.TTL),
+		"dedupe", attempt.Once, "work", "10.0"}
+	if attempt.Key != "" {
+		fields = append(fields, "row", attempt.Key)
 	}
-	reply := n.request(try.Statement, fields, try.TTL)
+	reply := frontEnd.request(attempt.Statement, fields, attempt.TTL)
 	body := ""
 	if reply.What == history.Answer {
 		body = reply.Body()
 	}
-	f.Record.Add(history.Event{What: history.Answered, Front: n.Name, Call: call,
-		Once: try.Once, Key: try.Key, Detail: reply.What, Body: body})
+	f.Record.Add(history.Event{What: history.Answered, Front: frontEnd.Name, Call: call,
+		Once: attempt.Once, Key: attempt.Key, Detail: reply.What, Body: body})
 	return reply
 }
 
-// The look-up that Lookup sends.
+// The look-up of which only the kind of response is of interest.
 const (
 	lookupRunTimeMS = 5
 	lookupTimeout   = 4 * time.Second
 )
 
-// Lookup sends a short look-up without a tenant to the front end and returns the kind of the response, as Load has it.
+// Lookup sends a short look-up without a tenant to the front end and returns the kind of the response: answer, shed,
+// fault or lost.
 func (n *Front) Lookup() string { return n.Query("", lookupRunTimeMS, lookupTimeout).What }
 
-// Query sends a look-up of a tenant ("" for none) to the front end, which runs for ms milliseconds and whose client's
-// timeout is ttl. It returns and records the response as Load does.
-func (n *Front) Query(tenant string, ms int, ttl time.Duration) Reply {
+// Query sends a look-up of a tenant ("" for none) to the front end, which runs for runTimeMS milliseconds and whose
+// client's timeout is ttl. It returns the response, which is lost where none came, and records both in the history.
+func (n *Front) Query(tenant string, runTimeMS int, ttl time.Duration) Reply {
 	call := n.F.NewCall()
-	statement := fmt.Sprintf("SELECT * FROM s_1.t -- ms=%d tenant=%s", ms, tenant)
+	statement := fmt.Sprintf("SELECT * FROM s_1.t -- ms=%d tenant=%s", runTimeMS, tenant)
 	n.F.Record.Add(history.Event{What: history.Asked, Front: n.Name, Call: call, Body: statement})
 	fields := []string{"call", call, "op", "lookup", "ttl", milliseconds(ttl), "work", "10.0"}
 	if tenant != "" {
@@ -96,17 +98,18 @@
 	return client.TryRead()
 }
 
-// offeredTimeout is the client's timeout of the look-ups that Offer sends.
+// offeredTimeout is the client's timeout of the look-ups of a workload generator.
 const offeredTimeout = 2 * time.Second
 
 // Offer starts an open-loop workload generator: it sends the front end a tenant's look-ups, perSecond of them, each
-// with a run time of ms milliseconds, until stop is closed. The generator belongs to the wait group all, which is
-// done once the last response has come. Offer returns a counter of the requests that were answered.
+// with a run time of runTimeMS milliseconds, until stop is closed. The generator belongs to the wait group
+// generators, which is done once the last response has come. The counter that is returned is of the requests that
+// were answered.
 func (n *Front) Offer(
-	all *sync.WaitGroup, stop <-chan struct{}, tenant string, perSecond float64, ms int,
+	generators *sync.WaitGroup, stop <-chan struct{}, tenant string, perSecond float64, runTimeMS int,
 ) *atomic.Int64 {
 	answered := &atomic.Int64{}
-	all.Go(func() {
+	generators.Go(func() {
 		var requests sync.WaitGroup
 		defer requests.Wait()
 		began := time.Now()
@@ -118,7 +121,7 @@
 			case <-time.After(time.Until(due)):
 			}
 			requests.Go(func() {
-				if n.Query(tenant, ms, offeredTimeout).What == history.Answer {
+				if n.Query(tenant, runTimeMS, offeredTimeout).What == history.Answer {
 					answered.Add(1)
 				}
 			})
