--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -12,7 +12,7 @@
 //
 // Functions that have a *testing.T, or belong to something that was made with one, fail the test at once where a call
 // of the system fails, where the program can't be started, or where a condition isn't reached within the timeout of
-// each wait. Functions whose names begin with Try return the error instead. All that is started is stopped with the
+// each wait. Functions that return an error leave the verdict to the test. All that is started is stopped with the
 // test.
 package standin
 
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -111,9 +111,9 @@
 
 // startEngines starts the engines.
 func (f *Fleet) startEngines() {
-	seen := &Seen{keys: map[string]time.Time{}}
+	deduplicator := &Seen{keys: map[string]time.Time{}}
 	for i := range fleetEngines {
-		engine := NewWorker(fmt.Sprintf("s-%08x", i+1), f.Record, seen)
+		engine := NewWorker(fmt.Sprintf("s-%08x", i+1), f.Record, deduplicator)
 		f.T.Cleanup(engine.Close)
 		f.Workers = append(f.Workers, engine)
 	}
--- a/internal/standin/fleetwait.go
+++ b/internal/standin/fleetwait.go
@@ -82,6 +82,22 @@
 	return ""
 }
 
+// Home waits until an attached front end has its view from a control member, and returns that. The test fails where
+// it has none in time.
+func (n *Front) Home() *Front {
+	n.F.T.Helper()
+	var home *Front
+	n.F.Await(n.Name+" has a home", func() bool {
+		s := n.Standing()
+		if s == nil {
+			return false
+		}
+		home = n.F.Named(s.Attached.Home)
+		return home != nil
+	})
+	return home
+}
+
 // Leader waits until a front end leads a replica group with so many voters, all of which are the replicas of
 // processes that run now, and returns it. The test fails where none does in time.
 func (f *Fleet) Leader(voterCount int) *Front {
--- a/internal/standin/frontendstatus.go
+++ b/internal/standin/frontendstatus.go
@@ -137,19 +137,3 @@
 	s := n.Standing()
 	return s != nil && slices.Contains(states, s.Of(name).State)
 }
-
-// Home waits until an attached front end has its view from a control member, and returns that. The test fails where
-// it has none in time.
-func (n *Front) Home() *Front {
-	n.F.T.Helper()
-	var home *Front
-	n.F.Await(n.Name+" has a home", func() bool {
-		s := n.Standing()
-		if s == nil {
-			return false
-		}
-		home = n.F.Named(s.Attached.Home)
-		return home != nil
-	})
-	return home
-}
--- a/internal/standin/harness.go
+++ b/internal/standin/harness.go
@@ -159,7 +159,8 @@
 // they don't come in time.
 func (h *Rig) Await(count int, method, pathPrefix string) []Call {
 	h.T.Helper()
-	require.Eventually(h.T, func() bool { return len(h.Got(method, pathPrefix)) >= count }, Patience, fastPollInterval)
+	received := func() bool { return len(h.Got(method, pathPrefix)) >= count }
+	require.Eventually(h.T, received, Patience, fastPollInterval)
 	return h.Got(method, pathPrefix)
 }
 
--- a/internal/standin/recordingengine.go
+++ b/internal/standin/recordingengine.go
@@ -80,8 +80,8 @@
 
 // NewWorker starts an engine that records into a history, and shares a table of idempotency keys with the other
 // engines of its fleet.
-func NewWorker(name string, record *history.Record, seen *Seen) *Worker {
-	e := &Worker{Name: name, record: record, deduplicator: seen,
+func NewWorker(name string, record *history.Record, deduplicator *Seen) *Worker {
+	e := &Worker{Name: name, record: record, deduplicator: deduplicator,
 		queries: map[string]*query{}, pollTimes: map[string][]time.Time{}}
 	e.server = httptest.NewServer(http.HandlerFunc(e.serve))
 	e.Addr = e.server.Listener.Addr().(*net.TCPAddr)
