--- /dev/null
+++ b/internal/standin/direction.go
@@ -0,0 +1,222 @@
+package standin
+
+import (
+	"encoding/binary"
+	"net"
+	"sync"
+	"time"
+
+	"chutechute/fleet/transport"
+)
+
+// A frame between front ends is its length (4 bytes), its kind (1), flags (1), an offset (4) and the body.
+const (
+	frameLengthSize  = 4
+	frameKindOffset  = 4
+	frameBodyOffset  = 10
+	maxQueuedFrames  = 4096      // that wait to be written in one direction of a connection
+	readBufferSize   = 32 << 10  // bytes
+	duplicationRatio = uint64(3) // one frame in so many is duplicated
+)
+
+// lastHandshakeKind is the last of the kinds of the handshake, whose frames come once on a connection.
+const lastHandshakeKind = transport.Welcome
+
+// frameKind returns the kind of a whole frame.
+func frameKind(frame []byte) transport.Kind { return transport.Kind(frame[frameKindOffset]) }
+
+// Flow is one direction of all connections of a proxy, with the faults injected into it. Frames pass whole, each
+// with the faults that are set when it arrives. It is safe for concurrent use.
+type Flow struct {
+	random *Random
+
+	mu             sync.Mutex
+	stalled        bool
+	resumed        chan struct{} // closed when a stall ends
+	dropping       bool
+	duplicating    bool
+	delay          time.Duration
+	jitter         time.Duration
+	bytesPerSecond int // 0: no limit
+	received       int // frames
+	forwarded      int // frames
+	forwardedBytes int
+	dropped        int // frames
+	observe        func(frame []byte)
+}
+
+func newDirection(random *Random) *Flow { return &Flow{random: random, resumed: make(chan struct{})} }
+
+// Stall stops all traffic in this direction, or resumes it. Connections stay open, and nothing is lost.
+func (d *Flow) Stall(stall bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.stalled && !stall {
+		close(d.resumed)
+		d.resumed = make(chan struct{})
+	}
+	d.stalled = stall
+}
+
+// Lose drops all frames that arrive, or forwards them again. Connections stay open.
+func (d *Flow) Lose(drop bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.dropping = drop
+}
+
+// Slow sets the delay of each frame, a random jitter below the given one that is added to it, and the rate in bytes
+// a second. 0 is no delay, no jitter or no limit. A low rate is what a slow reader looks like.
+func (d *Flow) Slow(delay, jitter time.Duration, bytesPerSecond int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.delay, d.jitter, d.bytesPerSecond = delay, jitter, bytesPerSecond
+}
+
+// Twice has a random third of all frames after the handshake forwarded twice, or no more.
+func (d *Flow) Twice(duplicate bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.duplicating = duplicate
+}
+
+// Passed returns how many frames and bytes were forwarded, and how many frames were dropped. A duplicated frame
+// counts once, with the bytes of both.
+func (d *Flow) Passed() (frames, bytes, dropped int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.forwarded, d.forwardedBytes, d.dropped
+}
+
+// Waiting returns how many frames have arrived and are neither forwarded nor dropped yet.
+func (d *Flow) Waiting() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.received - d.forwarded - d.dropped
+}
+
+// Tap has observe called with each frame that arrives, header included; nil ends that. It must neither keep nor
+// change the frame.
+func (d *Flow) Tap(observe func(frame []byte)) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.observe = observe
+}
+
+// waitResumed waits while this direction is stalled.
+func (d *Flow) waitResumed() {
+	for {
+		d.mu.Lock()
+		stalled, resumed := d.stalled, d.resumed
+		d.mu.Unlock()
+		if !stalled {
+			return
+		}
+		<-resumed
+	}
+}
+
+// delayedWrite is bytes that are to be written once their time has come.
+type delayedWrite struct {
+	bytes []byte
+	due   time.Time
+}
+
+// applyFaults applies the faults that are set now to a frame. It returns what is to be written, and for how long
+// nothing more is to be read; ok is false where the frame is dropped.
+func (d *Flow) applyFaults(frame []byte) (write delayedWrite, pause time.Duration, ok bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.received++
+	if d.observe != nil {
+		d.observe(frame)
+	}
+	if d.dropping {
+		d.dropped++
+		return delayedWrite{}, 0, false
+	}
+	write = delayedWrite{bytes: frame, due: time.Now().Add(d.delay)}
+	if d.jitter > 0 {
+		write.due = write.due.Add(time.Duration(d.random.Uint64() % uint64(d.jitter)))
+	}
+	if d.duplicating && frameKind(frame) > lastHandshakeKind && d.random.Uint64()%duplicationRatio == 0 {
+		write.bytes = append(append([]byte(nil), frame...), frame...)
+	}
+	if d.bytesPerSecond > 0 {
+		pause = time.Duration(len(frame)) * time.Second / time.Duration(d.bytesPerSecond)
+	}
+	return write, pause, true
+}
+
+// forward forwards frames from one connection to the other. It returns once the first has ended and all that came of
+// it is written or thrown away. While heldUntil returns a channel, frames are read but not written until it is
+// closed, so that none is lost with its sender.
+func (d *Flow) forward(from, to net.Conn, heldUntil func() <-chan struct{}) {
+	queue := make(chan delayedWrite, maxQueuedFrames)
+	written := make(chan struct{})
+	go func() {
+		defer close(written)
+		d.writeQueue(to, queue, heldUntil)
+	}()
+	var unparsed []byte
+	buffer := make([]byte, readBufferSize)
+	for {
+		n, err := from.Read(buffer)
+		if err != nil {
+			break
+		}
+		unparsed = d.queueFrames(append(unparsed, buffer[:n]...), queue)
+		d.waitResumed()
+	}
+	close(queue)
+	<-written
+}
+
+// queueFrames takes the whole frames off the front of what was read, queues what is to be written of them, and
+// returns the rest.
+func (d *Flow) queueFrames(unparsed []byte, queue chan<- delayedWrite) []byte {
+	for len(unparsed) >= frameLengthSize {
+		size := frameLengthSize + int(binary.BigEndian.Uint32(unparsed))
+		if len(unparsed) < size {
+			break
+		}
+		frame := append([]byte(nil), unparsed[:size]...)
+		unparsed = unparsed[size:]
+		write, pause, ok := d.applyFaults(frame)
+		if ok {
+			queue <- write
+		}
+		time.Sleep(pause)
+	}
+	return unparsed
+}
+
+// writeQueue writes what is queued, each when it is due. Once the connection takes nothing more the rest is thrown
+// away.
+func (d *Flow) writeQueue(to net.Conn, queue <-chan delayedWrite, heldUntil func() <-chan struct{}) {
+	failed := false
+	for write := range queue {
+		time.Sleep(time.Until(write.due))
+		d.waitResumed()
+		if released := heldUntil(); released != nil {
+			<-released
+		}
+		if !failed {
+			_, err := to.Write(write.bytes)
+			failed = err != nil
+		}
+		d.countWrite(len(write.bytes), failed)
+	}
+}
+
+// countWrite counts a frame that was forwarded, or that is lost as its receiver has ended.
+func (d *Flow) countWrite(size int, lost bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if lost {
+		d.dropped++
+		return
+	}
+	d.forwarded++
+	d.forwardedBytes += size
+}
