--- a/internal/standin/attachedstub.go
+++ b/internal/standin/attachedstub.go
@@ -1,7 +1,9 @@
 package standin
 
 import (
+	"bytes"
 	"fmt"
+	"math"
 	"net"
 	"sync"
 	"time"
@@ -9,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"chutechute/fleet/transport"
-	"chutechute/internal/proto"
+	"chutechute/internal/fieldcodec"
 )
 
 // Guest is a stub of an attached front end without a process: it authenticates itself to one control member, sends
@@ -64,12 +66,12 @@
 
 // bytesField returns the value of a message's field of bytes; nil where it has none.
 func bytesField(message []byte, number int) (value []byte) {
-	_ = proto.Each(message, func(field proto.Field) error {
-		if int(field.Number) == number {
-			value = field.Copy()
+	fields := fieldcodec.Decode(message)
+	for fields.Next() {
+		if int(fields.Number()) == number {
+			value = bytes.Clone(fields.Data())
 		}
-		return nil
-	})
+	}
 	return value
 }
 
@@ -125,9 +127,11 @@
 func (s *Guest) sendHeartbeats() {
 	began := time.Now()
 	for {
-		heartbeat := proto.String(nil, heartbeatNameField, s.name)
-		heartbeat = proto.Uint(heartbeat, heartbeatSentTimeField, uint64(time.Since(began).Microseconds()))
-		frame := transport.AppendFrame(nil, transport.AttachedHeartbeat, 0, false, heartbeat)
+		sentTime := time.Since(began).Microseconds()
+		heartbeat := fieldcodec.Encode(nil)
+		heartbeat.String(heartbeatNameField, &s.name)
+		fieldcodec.IntUpTo(&heartbeat, heartbeatSentTimeField, &sentTime, math.MaxInt64)
+		frame := transport.AppendFrame(nil, transport.AttachedHeartbeat, 0, false, heartbeat.Bytes())
 		if _, err := s.conn.Write(frame); err != nil {
 			return
 		}
