--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -45,7 +45,7 @@
 func TestParseNamesTheFaultyKey(t *testing.T) {
 	for object, want := range map[string]string{
 		`5`:                                 "json: cannot unmarshal number into Go value of type settings.object",
-		`{"classes": [{"on_time": "x"}]}`:   "json: cannot unmarshal string into Go struct field object.classes.on_time of type float64",
+		`{"classes": [{"on_time": "x"}]}`:   "json: cannot unmarshal string into Go struct field .classes.on_time of type float64",
 		`{"classes": [{"name": "r"}]}`:      `class "r": unknown repeat ""`,
 		`{"classes": [{"repeat": "ever"}]}`: `class "": unknown repeat "ever"`,
 		`{"classes": [{"name": "r", "repeat": "safe", "group": "town"}]}`: `class "r": unknown group "town"`,
