--- a/internal/config/attached.go
+++ b/internal/config/attached.go
@@ -1,128 +1,155 @@
 package config
 
 import (
-	"fmt"
-	"time"
+	"cmp"
 
 	"chutechute/fleet/membership"
 	"chutechute/fleet/transport"
-	"chutechute/internal/monotime"
 )
 
-// Attached allows front ends that are not among the members: each attaches itself to two of them. All of a site have it alike.
+// Attached is the section "fleet.attached". It allows front ends that are not among the members: each of them attaches
+// itself to two members. All front ends of a site have to have the same section.
 type Attached struct {
 	Enabled     bool    `json:"enabled"`
-	HeartbeatMS float64 `json:"heartbeat_ms"` // between two heartbeats of an attached front end
-	SuspectMS   float64 `json:"suspect_ms"`   // of silence
-	DeadMS      float64 `json:"dead_ms"`      // of silence
-	Most        int     `json:"most"`         // front ends of both roles that there may ever be at a time
+	HeartbeatMS float64 `json:"heartbeat_ms"` // between heartbeats on a link; from 250 to 10,000, default 1000
+	SuspectMS   float64 `json:"suspect_ms"`   // without a heartbeat; at least two heartbeats, default 2500
+	DeadMS      float64 `json:"dead_ms"`      // without a heartbeat; at most 120,000, default 4000
+	Most        int     `json:"most"`         // front ends, with the members; at most 16,384, default 8192
 }
 
-// Attachment is the section in force for one front end.
+// Attachment is what is in force of the section "fleet.attached" at one front end.
 type Attachment struct {
 	Here   bool              // this front end is an attached one, and no member
-	Config membership.Config // but for the incarnation and the seed, which are the process's
-	// MostView is the most bytes that the whole view takes in a message.
+	Config membership.Config // but for the incarnation and the seed, which the process chooses
+	// MostView is the largest size, in bytes, of the whole membership view in a message.
 	MostView int
 }
 
-// Bounds and defaults of the section. Times are in milliseconds.
+// Limits and defaults of the section.
 const (
-	defaultAttachedBeat    = 1000
-	defaultAttachedSuspect = 2500
-	defaultAttachedDead    = 4000
-	// leastAttachedBeat bounds what two heartbeats and their answers cost an attached front end: 4 times 0.4 KB/s.
-	leastAttachedBeat = 250
-	mostAttachedBeat  = 10_000
-	mostAttachedDead  = 120_000
-	// mostAttached bounds the view, which each front end holds whole: some 200 bytes an entry, 3 MB.
-	mostAttached = 16_384
-	// mostEntry is the most bytes that an entry of the view takes in a message: three texts of transport.MaxNameLength, and numbers.
-	mostEntry = 256
+	defaultAttachedHeartbeatMS = 1000
+	defaultAttachedSuspectMS   = 2500
+	defaultAttachedDeadMS      = 4000
+	// minAttachedHeartbeatMS limits the traffic of heartbeats and their answers to 4 times 0.4 KB/s for each attached
+	// front end.
+	minAttachedHeartbeatMS = 250
+	maxAttachedHeartbeatMS = 10_000
+	maxAttachedDeadMS      = 120_000
+	// maxFrontEnds limits the membership view, which each front end has whole in memory: some 200 bytes an entry, 3 MB.
+	maxFrontEnds = 16_384
+	// maxViewEntryBytes is the largest size of an entry of the view in a message: three texts of at most
+	// transport.MaxNameLength, and numbers.
+	maxViewEntryBytes = 256
 )
 
-// on says whether front ends may attach.
-func (a *Attached) on() bool { return a != nil && a.Enabled }
+// attachedSection makes the errors of the section.
+var attachedSection = section{file: installationFile, path: fleetSection.path + ".attached"}
 
-// filled is the section with its defaults.
-func (a Attached) filled() Attached {
-	fill := func(value *float64, otherwise float64) {
-		if *value == 0 {
-			*value = otherwise
-		}
-	}
-	fill(&a.HeartbeatMS, defaultAttachedBeat)
-	fill(&a.SuspectMS, defaultAttachedSuspect)
-	fill(&a.DeadMS, defaultAttachedDead)
-	if a.Most == 0 {
-		a.Most = membership.DefaultMaxEntries
+// enabled returns whether front ends may attach.
+func (a *Attached) enabled() bool { return a != nil && a.Enabled }
+
+// withDefaults returns a copy of the section with defaults filled in.
+func (a Attached) withDefaults() *Attached {
+	a.HeartbeatMS = cmp.Or(a.HeartbeatMS, defaultAttachedHeartbeatMS)
+	a.SuspectMS = cmp.Or(a.SuspectMS, defaultAttachedSuspectMS)
+	a.DeadMS = cmp.Or(a.DeadMS, defaultAttachedDeadMS)
+	a.Most = cmp.Or(a.Most, membership.DefaultMaxEntries)
+	return &a
+}
+
+// agreedSection returns the section as all front ends of a site have to have it; nil if no front ends may attach.
+func (a *Attached) agreedSection() *Attached {
+	if !a.enabled() {
+		return nil
 	}
-	return a
+	return a.withDefaults()
 }
 
-// check names the faulty key of a section that has its defaults.
-func (a *Attached) check(members int) (key string, err error) {
-	switch {
-	case a.HeartbeatMS < leastAttachedBeat || a.HeartbeatMS > mostAttachedBeat:
-		return "heartbeat_ms", fmt.Errorf("%g is not from %d to %d", a.HeartbeatMS, leastAttachedBeat, mostAttachedBeat)
+// check returns an error if a value of the section, which has its defaults, is out of range.
+func (a *Attached) check(members int) error {
+	fault := attachedSection.keyError
+	switch minDeadMS := a.SuspectMS + a.HeartbeatMS; {
+	case a.HeartbeatMS < minAttachedHeartbeatMS || a.HeartbeatMS > maxAttachedHeartbeatMS:
+		return fault("heartbeat_ms", "%g is not from %d to %d",
+			a.HeartbeatMS, minAttachedHeartbeatMS, maxAttachedHeartbeatMS)
 	case a.SuspectMS < 2*a.HeartbeatMS:
-		return "suspect_ms", fmt.Errorf("%g is below two heartbeats, %g", a.SuspectMS, 2*a.HeartbeatMS)
-	case a.DeadMS < a.SuspectMS+a.HeartbeatMS || a.DeadMS > mostAttachedDead:
-		return "dead_ms", fmt.Errorf("%g is not from suspect_ms and a heartbeat, %g, to %d", a.DeadMS, a.SuspectMS+a.HeartbeatMS, mostAttachedDead)
-	case a.Most <= members || a.Most > mostAttached:
-		return "most", fmt.Errorf("%d is not from one above the %d members to %d: each front end holds the view of all", a.Most, members, mostAttached)
+		return fault("suspect_ms", "%g is below two heartbeats, %g", a.SuspectMS, 2*a.HeartbeatMS)
+	case a.DeadMS < minDeadMS || a.DeadMS > maxAttachedDeadMS:
+		return fault("dead_ms", "%g is not from suspect_ms and a heartbeat, %g, to %d",
+			a.DeadMS, minDeadMS, maxAttachedDeadMS)
+	case a.Most <= members || a.Most > maxFrontEnds:
+		return fault("most", "%d is not from one above the %d members to %d: each front end holds the view of all",
+			a.Most, members, maxFrontEnds)
 	}
-	return "", nil
+	return nil
 }
 
-// attachment is the section's word for the named front end; nil where no front ends may attach. An error names the key.
-func (f *Fleet) attachment(name, zone string, listed bool) (*Attachment, error) {
-	fault := func(key, form string, args ...any) (*Attachment, error) {
-		return nil, fmt.Errorf("installation: fleet.%s: %s", key, fmt.Sprintf(form, args...))
-	}
-	if !f.Attached.on() {
+// attachment returns what the section "fleet.attached" gives for the named front end; nil if no front ends may attach.
+func (f *Fleet) attachment(name string, self *ownMembership) (*Attachment, error) {
+	if !f.Attached.enabled() {
 		if f.Zone != "" {
-			return fault("zone", "stands without fleet.attached: a member's zone stands with it in fleet.members")
+			return nil, fleetSection.keyError("zone",
+				"stands without fleet.attached: a member's zone stands with it in fleet.members")
 		}
 		return nil, nil
 	}
-	set := f.Attached.filled()
-	if key, err := set.check(len(f.Members)); err != nil {
-		return fault("attached."+key, "%v", err)
+	attached := f.Attached.withDefaults()
+	if err := attached.check(len(f.Members)); err != nil {
+		return nil, err
+	}
+	if err := f.checkBesideAttached(name, self); err != nil {
+		return nil, err
 	}
+	members, err := f.controlMembers()
+	if err != nil {
+		return nil, err
+	}
+	return &Attachment{
+		Here: !self.isMember,
+		Config: membership.Config{
+			Name:              name,
+			Zone:              self.zone,
+			ControlMembers:    members,
+			HeartbeatInterval: fromMilliseconds(attached.HeartbeatMS),
+			SuspectAfter:      fromMilliseconds(attached.SuspectMS),
+			DeadAfter:         fromMilliseconds(attached.DeadMS),
+			MaxEntries:        attached.Most,
+		},
+		MostView: attached.Most * maxViewEntryBytes,
+	}, nil
+}
+
+// checkBesideAttached returns an error if keys of the fleet's section do not go together with attached front ends.
+func (f *Fleet) checkBesideAttached(name string, self *ownMembership) error {
+	fault := fleetSection.keyError
 	switch {
 	case f.Budgets != nil:
-		return fault("budgets", "attached front ends would spend beside them: not both of fleet.budgets and fleet.attached")
-	case listed && f.Zone != "" && f.Zone != zone:
-		return fault("zone", "%q is not what stands with this front end in fleet.members, %q", f.Zone, zone)
+		return fault("budgets",
+			"attached front ends would spend beside them: not both of fleet.budgets and fleet.attached")
+	case self.isMember && f.Zone != "" && f.Zone != self.zone:
+		return fault("zone", "%q is not what stands with this front end in fleet.members, %q", f.Zone, self.zone)
 	case len(f.Zone) > transport.MaxNameLength:
 		return fault("zone", "%d bytes are above %d", len(f.Zone), transport.MaxNameLength)
-	case !listed && !transport.ValidName(name):
-		return fault("attached", "the name %q is not 1 to %d letters, digits, dots, hyphens and underscores", name, transport.MaxNameLength)
-	case !listed && f.OrphanS != 0:
-		return fault("orphan_s", "stands at an attached front end, which takes over no loads: it belongs to the members' files")
+	case !self.isMember && !transport.ValidName(name):
+		return fault("attached", "the name %q is not 1 to %d letters, digits, dots, hyphens and underscores",
+			name, transport.MaxNameLength)
+	case !self.isMember && f.OrphanS != 0:
+		return fault("orphan_s",
+			"stands at an attached front end, which takes over no loads: it belongs to the members' files")
 	case len(f.Members) == 0:
 		return fault("members", "missing: there are none to attach to")
 	}
-	micros := func(ms float64) monotime.Micros {
-		return monotime.Micros(ms * float64(time.Millisecond/time.Microsecond))
-	}
-	cfg := membership.Config{Name: name, Zone: zone, HeartbeatInterval: micros(set.HeartbeatMS), SuspectAfter: micros(set.SuspectMS),
-		DeadAfter: micros(set.DeadMS), MaxEntries: set.Most}
-	for i, m := range f.Members {
-		if len(m.Name) > transport.MaxNameLength || len(m.Zone) > transport.MaxNameLength {
-			return fault(fmt.Sprintf("members[%d]", i), "a name or a zone above %d bytes, the most with fleet.attached", transport.MaxNameLength)
-		}
-		cfg.ControlMembers = append(cfg.ControlMembers, membership.ControlMember{Name: m.Name, Zone: m.Zone})
-	}
-	return &Attachment{Here: !listed, Config: cfg, MostView: set.Most * mostEntry}, nil
+	return nil
 }
 
-// agreedAttached is the section as all front ends of a site have to have it; nil where no front ends may attach.
-func (f *Fleet) agreedAttached() *Attached {
-	if !f.Attached.on() {
-		return nil
+// controlMembers returns the members as package membership takes them.
+func (f *Fleet) controlMembers() (members []membership.ControlMember, err error) {
+	for i, member := range f.Members {
+		if len(member.Name) > transport.MaxNameLength || len(member.Zone) > transport.MaxNameLength {
+			return nil, fleetSection.element("members", i).valueError(
+				"a name or a zone above %d bytes, the most with fleet.attached", transport.MaxNameLength)
+		}
+		members = append(members, membership.ControlMember{Name: member.Name, Zone: member.Zone})
 	}
-	set := f.Attached.filled()
-	return &set
+	return members, nil
 }
--- a/internal/config/attached_test.go
+++ b/internal/config/attached_test.go
@@ -65,7 +65,7 @@
 // The bound of the members says why it is one.
 func TestTooManyMembersSaysWhy(t *testing.T) {
 	f := Fleet{Enabled: true, Site: "x"}
-	for i := range mostMembers + 1 {
+	for i := range maxMembers + 1 {
 		f.Members = append(f.Members, FleetMember{Name: fmt.Sprintf("n%d", i), Address: "127.0.0.1:1"})
 	}
 	_, err := f.Options("n0", &settings.Settings{}, 192)
--- /dev/null
+++ b/internal/config/budget.go
@@ -0,0 +1,261 @@
+package config
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"strings"
+
+	"chutechute/fleet/budget"
+	"chutechute/fleet/budget/account"
+	"chutechute/fleet/budget/enforce"
+	"chutechute/internal/monotime"
+	"chutechute/internal/settings"
+)
+
+// Budget is one element of "fleet.budgets.list". It has one of three kinds: a rate with a burst, a concurrency limit
+// ("places"), or a total within a sliding window. Amounts are from 0 to 1e9, in units of Scope.Unit.
+type Budget struct {
+	Name     string  `json:"name"`      // at most 64 bytes
+	Rate     float64 `json:"rate"`      // per second
+	Burst    float64 `json:"burst"`     // of a rate: at once, after a rest
+	Places   int     `json:"places"`    // at a time
+	Total    float64 `json:"total"`     // within any window
+	WindowMS float64 `json:"window_ms"` // with a total only; from 100 to 3,600,000
+	LifeS    float64 `json:"life_s"`    // of places: the longest attempt; default and least: the longest give_up
+	//lint:ignore SA5008 the tag is read by mapstructure, which knows squash, and not by encoding/json
+	enforce.Scope `json:",squash"`
+	Reserve       *float64           `json:"reserve"`   // share divided evenly, without a lease; default 0.02
+	Newcomers     *float64           `json:"newcomers"` // share for front ends without an allocation; default 0.005
+	Floor         float64            `json:"floor"`     // share that each front end with demand gets first
+	Weights       map[string]float64 `json:"weights"`   // of members by name; from 0.001 to 1000, default 1
+	Without       string             `json:"without"`   // what front ends have without a lease: "reserve" or "none"
+}
+
+// Defaults and limits of a budget.
+const (
+	maxBudgetNameBytes = 64
+	maxBudgetAmount    = 1e9
+
+	defaultReserve         = 0.02
+	defaultNewcomerReserve = 0.005
+	minWeight              = 0.001
+	maxWeight              = 1000
+	minWindowMS            = 100
+	maxWindowMS            = 3_600_000
+
+	// wholeShare is the share of a budget that is all of it, in the thousandths in which budget.Spec counts shares.
+	wholeShare = 1000
+	// minWorkPart is the smallest allocation of work that is of use, in thousandths of a millisecond: the work of a
+	// query may be estimated as low as that.
+	minWorkPart = 1
+)
+
+// The values of "without".
+const (
+	withoutReserve = "reserve"
+	withoutNone    = "none"
+)
+
+// The values of "over" and "unit" that have a meaning here; package enforce has all of them.
+const (
+	overflowRefuse = "refuse"
+	overflowWait   = "wait"
+	overflowLast   = "last"
+	unitThreads    = "threads"
+	unitWork       = "work"
+)
+
+// thousandths converts an amount or a share to the form of budget.Spec.
+func thousandths(value float64) int64 { return int64(math.Round(value * account.Unit)) }
+
+// spec checks the budget, which is one element of the section, and returns it as package budget takes it. The default
+// of "over" stays in the budget, so that it is shown with it.
+func (b *Budget) spec(element section, site *budgetSite) (budget.Spec, error) {
+	if err := b.checkAmounts(element); err != nil {
+		return budget.Spec{}, err
+	}
+	classes := classLimitsOf(site.settings, b.Class)
+	spec := budget.Spec{
+		Name:            b.Name,
+		MinPart:         b.minPart(classes.threads),
+		Reserve:         b.reserve(),
+		NewcomerReserve: shareOrDefault(b.Newcomers, defaultNewcomerReserve),
+		Floor:           thousandths(b.Floor),
+	}
+	b.setKind(&spec, classes.clientTimeout)
+	b.OnExceeded = cmp.Or(b.OnExceeded, b.defaultOverflow(spec.Kind))
+	spec.Scope = b.Scope.Encode()
+	var err error
+	if spec.Weights, err = b.weights(element, site.members); err != nil {
+		return spec, err
+	}
+	if err := b.checkKind(element, &spec, classes.clientTimeout); err != nil {
+		return spec, err
+	}
+	if err := b.checkDivision(element, &spec, site.maxFrontEnds); err != nil {
+		return spec, err
+	}
+	if _, err := b.Scope.Rule(&spec, site.settings); err != nil {
+		return spec, element.addKey(err)
+	}
+	return spec, nil
+}
+
+// checkAmounts returns an error if a number is out of the range of all of them.
+func (b *Budget) checkAmounts(element section) error {
+	for _, amount := range []struct {
+		key   string
+		value float64
+	}{
+		{"rate", b.Rate},
+		{"burst", b.Burst},
+		{"places", float64(b.Places)},
+		{"total", b.Total},
+		{"window_ms", b.WindowMS},
+		{"life_s", b.LifeS},
+	} {
+		if amount.value < 0 || amount.value > maxBudgetAmount || math.IsNaN(amount.value) {
+			return element.keyError(amount.key, "%g is not from 0 to 1e9", amount.value)
+		}
+	}
+	return nil
+}
+
+// classLimits are the largest values of the classes that a budget applies to.
+type classLimits struct {
+	threads       int             // of a query; at least 1
+	clientTimeout monotime.Micros // of a query
+}
+
+// classLimitsOf returns the limits of the named class, or of all classes if the name is empty.
+func classLimitsOf(site *settings.Settings, className string) classLimits {
+	limits := classLimits{threads: 1}
+	for i := range site.Classes {
+		class := &site.Classes[i]
+		if className != "" && className != class.Name {
+			continue
+		}
+		limits.threads = max(limits.threads, class.Threads)
+		limits.clientTimeout = max(limits.clientTimeout, class.ClientTimeout)
+	}
+	return limits
+}
+
+// minPart returns the smallest allocation that is of use: what one query takes.
+func (b *Budget) minPart(maxThreads int) int64 {
+	switch b.Unit {
+	case unitThreads:
+		return int64(maxThreads) * account.Unit
+	case unitWork:
+		return minWorkPart
+	}
+	return account.Unit
+}
+
+// shareOrDefault returns a share in thousandths.
+func shareOrDefault(share *float64, defaultShare float64) int64 {
+	if share == nil {
+		return thousandths(defaultShare)
+	}
+	return thousandths(*share)
+}
+
+// reserve returns the share that front ends have without a lease.
+func (b *Budget) reserve() int64 {
+	if b.Without == withoutNone {
+		return 0
+	}
+	return shareOrDefault(b.Reserve, defaultReserve)
+}
+
+// kinds returns how many kinds the budget has; it should be one.
+func (b *Budget) kinds() (count int) {
+	for _, amount := range []float64{b.Rate, float64(b.Places), b.Total} {
+		if amount > 0 {
+			count++
+		}
+	}
+	return count
+}
+
+// setKind sets the kind of the budget, its total and its duration.
+func (b *Budget) setKind(spec *budget.Spec, clientTimeout monotime.Micros) {
+	switch {
+	case b.Total > 0:
+		spec.Kind = account.Window
+		spec.Total = budget.Amount{Capacity: thousandths(b.Total)}
+		spec.Window = fromMilliseconds(b.WindowMS)
+	case b.Places > 0:
+		spec.Kind = account.Concurrency
+		spec.Total = budget.Amount{Capacity: thousandths(float64(b.Places))}
+		spec.MaxAttemptDuration = cmp.Or(fromSeconds(b.LifeS), clientTimeout)
+	case b.Rate > 0:
+		spec.Kind = account.Rate
+		spec.Total = budget.Amount{Capacity: thousandths(b.Burst), Rate: thousandths(b.Rate)}
+	}
+}
+
+// defaultOverflow returns the default of "over". Clients' queries above a rate are refused; anything else waits.
+func (b *Budget) defaultOverflow(kind account.Kind) string {
+	if kind == account.Rate && !b.Retries && !b.HealthChecks {
+		return overflowRefuse
+	}
+	return overflowWait
+}
+
+// weights returns the weights of members, ordered by name.
+func (b *Budget) weights(element section, members []FleetMember) (weights []budget.Weight, err error) {
+	for name, weight := range b.Weights {
+		if !slices.ContainsFunc(members, func(member FleetMember) bool { return member.Name == name }) {
+			return nil, element.keyError("weights", "%q is no member", name)
+		}
+		if weight < minWeight || weight > maxWeight {
+			return nil, element.keyError("weights", "%g is not from %g to %d", weight, minWeight, maxWeight)
+		}
+		weights = append(weights, budget.Weight{Name: name, Parts: thousandths(weight)})
+	}
+	slices.SortFunc(weights, func(a, b budget.Weight) int { return strings.Compare(a.Name, b.Name) })
+	return weights, nil
+}
+
+// checkKind returns an error if the budget has not exactly one kind, or keys that do not go with it.
+func (b *Budget) checkKind(element section, spec *budget.Spec, clientTimeout monotime.Micros) error {
+	kinds := b.kinds()
+	switch {
+	case b.Name == "" || len(b.Name) > maxBudgetNameBytes:
+		return element.keyError("name", "missing, or above %d bytes", maxBudgetNameBytes)
+	case kinds != 1:
+		return element.keyError("rate", "one of rate, places and total is to be set, and %d are", kinds)
+	case spec.Kind == account.Window && (b.WindowMS < minWindowMS || b.WindowMS > maxWindowMS):
+		return element.keyError("window_ms", "%g is not from %d to %d", b.WindowMS, minWindowMS, maxWindowMS)
+	case spec.Kind != account.Window && b.WindowMS != 0:
+		return element.keyError("window_ms", "stands without total")
+	case spec.Kind == account.Concurrency && spec.MaxAttemptDuration < clientTimeout:
+		return element.keyError("life_s", "%g s are below the longest give_up, %g s",
+			inSeconds(spec.MaxAttemptDuration), inSeconds(clientTimeout))
+	}
+	return nil
+}
+
+// checkDivision returns an error if the budget cannot be divided among maxFrontEnds front ends.
+func (b *Budget) checkDivision(element section, spec *budget.Spec, maxFrontEnds int) error {
+	reserved := spec.Reserve + spec.NewcomerReserve
+	floors := spec.Floor * int64(maxFrontEnds)
+	divided := spec.Total.Capacity * (wholeShare - reserved) / wholeShare
+	switch {
+	case spec.Kind == account.Rate && divided < int64(maxFrontEnds)*spec.MinPart:
+		return element.keyError("burst",
+			"%g: the part of it that is divided, %g, leaves less than one query's for each of %d front ends",
+			b.Burst, float64(divided)/account.Unit, maxFrontEnds)
+	case b.OnExceeded == overflowLast && spec.Kind != account.Rate:
+		return element.keyError("over", "\"last\" stands without rate")
+	case b.Without != "" && b.Without != withoutNone && b.Without != withoutReserve:
+		return element.keyError("without", "%q is neither \"reserve\" nor \"none\"", b.Without)
+	case spec.Reserve < 0 || spec.NewcomerReserve < 0 || spec.Floor < 0 || reserved+floors > wholeShare:
+		return element.keyError("reserve",
+			"reserve, newcomers and floor for each of %d front ends are more than the whole, or less than nothing",
+			maxFrontEnds)
+	}
+	return nil
+}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -2,232 +2,172 @@
 
 import (
 	"bytes"
-	"crypto/sha256"
-	"encoding/json"
-	"fmt"
-	"net/netip"
+	"cmp"
 	"os"
-	"slices"
 	"strings"
-	"time"
 
-	"chutechute/fleet"
 	"chutechute/fleet/budget"
-	"chutechute/fleet/heartbeat"
-	"chutechute/fleet/idempotency"
-	"chutechute/fleet/idempotency/idempotencyclient"
-	"chutechute/fleet/replication"
-	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
-	"chutechute/scheduler"
 )
 
-// Fleet sets how front ends work together. All of one site have the same section; each finds itself by its name, or attaches
-// itself to the members where that is allowed.
+// Fleet is the section "fleet": how the front ends of a site work together. All front ends of a site have the same
+// section, but for the keys that say otherwise. Each front end finds itself among the members by its name. A front end
+// that is not among them attaches itself to some of them, if "attached" allows that.
 type Fleet struct {
 	Enabled    bool          `json:"enabled"`
-	Site       string        `json:"site"`
-	Members    []FleetMember `json:"members"`
-	SecretFile string        `json:"secret_file"` // what proves one front end to another
-	Folder     string        `json:"folder"`      // of the record, with {name} for the name; without one it is kept in memory only
-	Admin      string        `json:"admin"`       // path of the operators' socket, with {name} for the name
-	Copies     int           `json:"copies"`
-	LedgerMB   float64       `json:"ledger_mb"`
-	KeepS      float64       `json:"keep_s"`
-	OrphanS    float64       `json:"orphan_s"`
-	TickMS     float64       `json:"tick_ms"`
-	BeatMS     float64       `json:"beat_ms"`
-	SuspectMS  float64       `json:"suspect_ms"`
-	DeadMS     float64       `json:"dead_ms"`
-	ReplaceS   float64       `json:"replace_s"`
-	Budgets    *Budgets      `json:"budgets,omitempty"`
+	Site       string        `json:"site"`              // the name of the fleet
+	Members    []FleetMember `json:"members"`           // the control members; at most 80
+	SecretFile string        `json:"secret_file"`       // path of a secret of 16 bytes or more; empty: no authentication
+	Folder     string        `json:"folder"`            // of the replicated log, with {name}; empty: in memory only
+	Admin      string        `json:"admin"`             // path of the operators' socket, with {name}; empty: none
+	Copies     int           `json:"copies"`            // replicas of the log: odd, at most 7; default 3
+	LedgerMB   float64       `json:"ledger_mb"`         // for idempotent requests; default 16, at most memory_mb / 8
+	KeepS      float64       `json:"keep_s"`            // retention of outcomes; default: as required by classes, and 10 s
+	OrphanS    float64       `json:"orphan_s"`          // until unstarted requests of a dead owner expire; default 3
+	TickMS     float64       `json:"tick_ms"`           // unit of the elections' timeouts; default 50, at most 1000
+	BeatMS     float64       `json:"beat_ms"`           // between heartbeats of members; default 100
+	SuspectMS  float64       `json:"suspect_ms"`        // without a heartbeat, until suspected; default 600
+	DeadMS     float64       `json:"dead_ms"`           // without a heartbeat, until presumed dead; default 3000
+	ReplaceS   float64       `json:"replace_s"`         // without a heartbeat, until a replica is replaced; default 10
+	Budgets    *Budgets      `json:"budgets,omitempty"` // not with Attached
 	Attached   *Attached     `json:"attached,omitempty"`
-	Zone       string        `json:"zone,omitempty"` // of a front end that is not among the members
+	Zone       string        `json:"zone,omitempty"` // of a front end that is not among the members; its own key
 }
 
-// FleetMember is one front end of the site.
+// FleetMember is one control member of the fleet.
 type FleetMember struct {
 	Name    string `json:"name"`
-	Address string `json:"address"` // where it listens for the others
+	Address string `json:"address"` // where it listens for other front ends: IPv4 on loopback, with a port
 	Zone    string `json:"zone"`
 }
 
-// Peers is the section in force for one front end.
-type Peers struct {
-	Site         string
-	Name         string
-	Zone         string
-	Listen       netip.AddrPort
-	Others       map[string]netip.AddrPort
-	Secret       []byte
-	Folder       string
-	Admin        string
-	Digest       []byte // of what all have to agree on
-	Node         fleet.Config
-	Loads        idempotency.Options
-	RecordClient idempotencyclient.Config
-	Budgets      *budget.Set // nil where none are set
-	MostBulk     int         // bytes of one message
-	Attached     *Attachment // nil where no front ends may attach
-}
-
-// Bounds and defaults of the section.
+// Limits and defaults of the section.
 const (
-	mostMembers    = 80
-	mostTickMS     = 1000
-	defaultLedger  = 16 // MB
-	defaultTick    = 50 * time.Millisecond
-	defaultBeat    = 100 * time.Millisecond
-	defaultSuspect = 600 * time.Millisecond
-	defaultDead    = 3 * time.Second
-	defaultReplace = 10 * time.Second
-	defaultOrphan  = 3 * time.Second
-	keepBeyond     = 10 * monotime.Second
+	// maxMembers limits the members, as each sends heartbeats to all others.
+	maxMembers     = 80
+	minSecretBytes = 16
+
+	defaultReplicas = 3
+	maxReplicas     = 7
+
+	defaultLedgerMB = 16
+	minLedgerMB     = 1
 )
 
-// Options is the section's word for the named front end, checked as a whole; nil where it is off. An error names the key.
-func (f *Fleet) Options(name string, s *settings.Settings, memoryMB int) (*Peers, error) {
+// nameVariable stands for the front end's name in the paths of the section.
+const nameVariable = "{name}"
+
+// fleetSection makes the errors of the section.
+var fleetSection = section{file: installationFile, path: "fleet"}
+
+// resolvedFleet is the section for one front end: checked, and with defaults.
+type resolvedFleet struct {
+	section    *Fleet
+	name       string
+	self       ownMembership
+	links      memberLinks
+	attachment *Attachment // nil if no front ends may attach
+	replicas   int
+	secret     []byte // nil without one
+	ledgerMB   float64
+	durations  fleetDurations
+	budgets    *budget.Set // nil if none are set
+	digest     []byte
+}
+
+// Options checks the section for the named front end, which has memoryMB of memory, and returns what is in force there;
+// nil if the section is off. It reads the secret file. An error of a key is a *KeyError.
+func (f *Fleet) Options(name string, site *settings.Settings, memoryMB int) (*Peers, error) {
 	if !f.Enabled {
 		return nil, nil
 	}
-	fault := func(key, form string, args ...any) (*Peers, error) {
-		return nil, fmt.Errorf("installation: fleet.%s: %s", key, fmt.Sprintf(form, args...))
+	resolved, err := f.resolve(name, site, memoryMB)
+	if err != nil {
+		return nil, err
 	}
-	p := &Peers{Site: f.Site, Name: name, Folder: strings.ReplaceAll(f.Folder, "{name}", name),
-		Admin: strings.ReplaceAll(f.Admin, "{name}", name), Others: map[string]netip.AddrPort{}}
-	zones := map[string]string{}
+	return resolved.peers(), nil
+}
+
+// resolve checks the section for the named front end and fills in defaults. The first faulty key is the one reported.
+func (f *Fleet) resolve(name string, site *settings.Settings, memoryMB int) (*resolvedFleet, error) {
+	resolved := &resolvedFleet{section: f, name: name}
+	var err error
 	if f.Site == "" {
-		return fault("site", "missing")
-	}
-	if len(f.Members) > mostMembers {
-		return fault("members", "%d are above %d: each sends heartbeats to all others, which grow with the square; further front ends attach "+
-			"themselves to these, see fleet.attached", len(f.Members), mostMembers)
+		return nil, fleetSection.keyError("site", "missing")
 	}
-	seen := map[string]bool{}
-	for i, m := range f.Members {
-		key := fmt.Sprintf("members[%d]", i)
-		addr, err := netip.ParseAddrPort(m.Address)
-		switch {
-		case m.Name == "":
-			return fault(key+".name", "missing")
-		case seen[m.Name]:
-			return fault(key+".name", "%q stands twice", m.Name)
-		case err != nil || !addr.Addr().Is4() || addr.Port() == 0:
-			return fault(key+".address", "%q is no IPv4 address with a port", m.Address)
-		case !addr.Addr().IsLoopback():
-			return fault(key+".address", "%s is not on loopback: links between machines have no TLS yet", m.Address)
-		}
-		seen[m.Name] = true
-		if m.Name == name {
-			p.Listen, p.Zone = addr, m.Zone
-			continue
-		}
-		p.Others[m.Name], zones[m.Name] = addr, m.Zone
-	}
-	listed := seen[name]
-	switch {
-	case !listed && !f.Attached.on():
-		return fault("members", "this front end, %q, is not among them", name)
-	case !listed:
-		p.Zone, p.Folder = f.Zone, "" // it keeps no record
-	}
-	var err error
-	if p.Attached, err = f.attachment(name, p.Zone, listed); err != nil {
+	if resolved.self, resolved.links, err = f.findMembers(name); err != nil {
 		return nil, err
 	}
-	copies := f.Copies
-	if copies == 0 {
-		copies = min(3, len(f.Members)-1+len(f.Members)%2)
-	}
-	if copies < 1 || copies%2 == 0 || copies > 7 || copies > len(f.Members) {
-		return fault("copies", "%d is not odd, or not from 1 to the %d members (7 at most)", f.Copies, len(f.Members))
-	}
-	if f.SecretFile != "" {
-		secret, err := os.ReadFile(f.SecretFile)
-		if err == nil && len(bytes.TrimSpace(secret)) < 16 {
-			err = fmt.Errorf("%s holds fewer than 16 bytes", f.SecretFile)
-		}
-		if err != nil {
-			return fault("secret_file", "%v", err)
-		}
-		p.Secret = bytes.TrimSpace(secret)
-	}
-	mb := f.LedgerMB
-	if mb == 0 {
-		mb = min(defaultLedger, float64(memoryMB)/shares)
-	}
-	if mb < 1 || listed && mb > float64(memoryMB)/shares {
-		return fault("ledger_mb", "%g is not from 1 to an eighth of memory_mb, %g", mb, float64(memoryMB)/shares)
+	if resolved.attachment, err = f.attachment(name, &resolved.self); err != nil {
+		return nil, err
 	}
-	span := func(key string, value, unit float64, otherwise time.Duration) monotime.Micros {
-		v := monotime.Micros(value * unit)
-		if value == 0 {
-			v = otherwise.Microseconds()
-		}
-		if (value < 0 || v < 1000) && err == nil {
-			_, err = fault(key, "%g is no span", value)
-		}
-		return v
+	if resolved.replicas, err = f.replicas(); err != nil {
+		return nil, err
 	}
-	const ms, second = 1000, 1e6
-	tick := span("tick_ms", f.TickMS, ms, defaultTick)
-	beat := span("beat_ms", f.BeatMS, ms, defaultBeat)
-	suspect := span("suspect_ms", f.SuspectMS, ms, defaultSuspect)
-	dead := span("dead_ms", f.DeadMS, ms, defaultDead)
-	replace := span("replace_s", f.ReplaceS, second, defaultReplace)
-	orphan := span("orphan_s", f.OrphanS, second, defaultOrphan)
-	least := monotime.Micros(0) // that an outcome has to be kept: a client may repeat until it gives up, and engines drop repeats for a window
-	for _, c := range s.Classes {
-		if c.Effect == scheduler.IdempotentByKey {
-			least = max(least, c.DedupeWindow+c.ClientTimeout)
-		}
+	if resolved.secret, err = f.readSecret(); err != nil {
+		return nil, err
 	}
-	keep := span("keep_s", f.KeepS, second, time.Duration(least+keepBeyond)*time.Microsecond)
-	switch {
-	case err != nil:
+	if resolved.ledgerMB, err = f.ledgerSize(memoryMB, resolved.self.isMember); err != nil {
 		return nil, err
-	case tick > mostTickMS*ms:
-		return fault("tick_ms", "%g is above %d", f.TickMS, mostTickMS)
-	case suspect < 2*beat:
-		return fault("suspect_ms", "%d ms are below two heartbeats", suspect/ms)
-	case dead < 2*suspect:
-		return fault("dead_ms", "%d ms are below twice suspect_ms", dead/ms)
-	case replace < dead:
-		return fault("replace_s", "%g s are below dead_ms", float64(replace)/second)
-	case keep < least:
-		return fault("keep_s", "%g is below %g: a keyed class's window and give_up", float64(keep)/second, float64(least)/second)
 	}
-	if p.Budgets, err = f.Budgets.set(f.Members, tick, s); err != nil {
+	if resolved.durations, err = f.resolveDurations(site); err != nil {
 		return nil, err
 	}
-	agreed := *f
-	agreed.Budgets = nil // of these the highest version counts
-	agreed.Zone, agreed.Attached = "", f.agreedAttached()
-	if agreed.Attached != nil {
-		agreed.OrphanS = 0 // the members' alone
+	if resolved.budgets, err = f.Budgets.resolve(f.Members, resolved.durations.tick, site); err != nil {
+		return nil, err
 	}
-	agreed.Members = nil // in any order, and each may be reached by addresses of its own
-	for _, m := range f.Members {
-		agreed.Members = append(agreed.Members, FleetMember{Name: m.Name, Zone: m.Zone})
+	resolved.digest, err = resolved.computeDigest()
+	return resolved, err
+}
+
+// replicas returns the number of replicas of the log. The default is 3, or with fewer members the largest odd number
+// of them.
+func (f *Fleet) replicas() (int, error) {
+	members := len(f.Members)
+	largestOdd := members - 1 + members%2
+	replicas := cmp.Or(f.Copies, min(defaultReplicas, largestOdd))
+	if replicas < 1 || replicas%2 == 0 || replicas > maxReplicas || replicas > members {
+		return 0, fleetSection.keyError("copies", "%d is not odd, or not from 1 to the %d members (%d at most)",
+			f.Copies, members, maxReplicas)
+	}
+	return replicas, nil
+}
+
+// readSecret returns the secret by which front ends authenticate one another, without white space around it; nil if
+// there is none.
+func (f *Fleet) readSecret() ([]byte, error) {
+	if f.SecretFile == "" {
+		return nil, nil
 	}
-	slices.SortFunc(agreed.Members, func(a, b FleetMember) int { return strings.Compare(a.Name, b.Name) })
-	agreed.Folder, agreed.Admin, agreed.SecretFile, agreed.Copies, agreed.LedgerMB, agreed.KeepS = "", "", "", copies, mb, float64(keep)
-	text, err := json.Marshal(agreed)
+	text, err := os.ReadFile(f.SecretFile)
 	if err != nil {
-		return fault("members", "%v", err)
+		return nil, fleetSection.keyError("secret_file", "%w", err)
 	}
-	sum := sha256.Sum256(text)
-	p.Digest = sum[:8]
-	p.MostBulk = int(mb*2)<<20 + 1<<20
-	if p.Attached != nil {
-		p.MostBulk = max(p.MostBulk, p.Attached.MostView)
+	secret := bytes.TrimSpace(text)
+	if len(secret) < minSecretBytes {
+		return nil, fleetSection.keyError("secret_file", "%s holds fewer than %d bytes", f.SecretFile, minSecretBytes)
 	}
-	p.Loads = idempotency.Options{MaxBytes: int(mb * (1 << 20)), Retention: keep, OrphanTimeout: orphan}
-	p.Node = fleet.Config{Name: name, Zone: p.Zone, Zones: zones, HeartbeatInterval: beat, RetryInterval: 4 * tick,
-		Heartbeat:   heartbeat.Config{SuspectAfter: suspect, DeadAfter: dead, PauseThreshold: suspect / 2},
-		Replication: replication.Config{Replicas: copies, TickInterval: tick, ReplaceAfter: replace, SnapshotLogBytes: 4 << 20}}
-	p.RecordClient = idempotencyclient.Config{PollInterval: 8 * tick, CommitTimeout: keep, CapacityRetryAfter: monotime.Second / 2}
-	return p, nil
+	return secret, nil
+}
+
+// ledgerSize returns the memory for idempotent requests, in MB. A front end that is no member stores none, so that its
+// own memory does not limit the number, which all front ends have to agree on.
+func (f *Fleet) ledgerSize(memoryMB int, isMember bool) (float64, error) {
+	maxMB := float64(memoryMB) / memoryShares
+	size := cmp.Or(f.LedgerMB, min(defaultLedgerMB, maxMB))
+	if size < minLedgerMB || isMember && size > maxMB {
+		return 0, fleetSection.keyError("ledger_mb", "%g is not from %d to an eighth of memory_mb, %g",
+			size, minLedgerMB, maxMB)
+	}
+	return size, nil
+}
+
+// resolvePaths makes the section's relative paths relative to the installation file's folder.
+func (f *Fleet) resolvePaths(folder string) {
+	resolvePaths(folder, &f.Folder, &f.Admin, &f.SecretFile)
 }
 
-func (f *Fleet) rooted(dir string) { root(dir, []*string{&f.Folder, &f.Admin, &f.SecretFile}) }
+// withName returns a path with the front end's name in place of {name}.
+func withName(path, name string) string {
+	return strings.ReplaceAll(path, nameVariable, name)
+}
--- a/internal/config/identity.go
+++ b/internal/config/identity.go
@@ -1,167 +1,223 @@
 package config
 
 import (
+	"cmp"
 	"fmt"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"time"
 
 	"chutechute/identity"
 	"chutechute/identity/token"
-	"chutechute/internal/monotime"
 	"chutechute/internal/settings"
 )
 
-// Identity sets who may call, and what they may do.
+// Identity is the section "identity": who may call, and what each caller may do.
 type Identity struct {
 	Enabled  bool           `json:"enabled"`
 	Issuers  []Issuer       `json:"issuers"`
-	LeewayS  float64        `json:"leeway_s"`
-	Revoked  string         `json:"revoked"` // path of the list of what is revoked
-	WatchS   float64        `json:"watch_s"` // between looks at the files
+	LeewayS  float64        `json:"leeway_s"` // that clocks may differ by; default 30, at most 300
+	Revoked  string         `json:"revoked"`  // path of the revocation list
+	WatchS   float64        `json:"watch_s"`  // between checks of files for changes; default 1, at most 60
 	Callers  []CallerRule   `json:"callers"`
 	Rights   []Right        `json:"rights"`
 	Ceilings []Ceiling      `json:"ceilings"`
 	Limits   IdentityLimits `json:"limits"`
 }
 
-// Issuer is who signs tokens, with the path of its public keys.
+// Issuer is an issuer of tokens.
 type Issuer struct {
 	Name      string   `json:"name"`
-	Audiences []string `json:"audiences"`
-	Keys      string   `json:"keys"`
+	Audiences []string `json:"audiences"` // a token has to be for one of them
+	Keys      string   `json:"keys"`      // path of the issuer's public keys
 }
 
-// CallerRule maps a proof to a caller.
+// CallerRule maps a token or a client certificate to a caller.
 type CallerRule struct {
 	Name    string   `json:"name"`
-	Tenant  string   `json:"tenant"`
-	Issuer  string   `json:"issuer"`
-	Subject string   `json:"subject"`
-	SANs    []string `json:"sans"`
-	DN      string   `json:"dn"`
+	Tenant  string   `json:"tenant"`  // of the site's settings, or empty
+	Issuer  string   `json:"issuer"`  // of tokens
+	Subject string   `json:"subject"` // of tokens
+	SANs    []string `json:"sans"`    // subject alternative names of certificates
+	DN      string   `json:"dn"`      // the subject's distinguished name in certificates
 }
 
-// Right allows or denies; groups are numbers and ranges, as "3" and "10-19".
+// Right allows callers to use classes on table groups, or denies it.
 type Right struct {
-	Effect  string   `json:"effect"` // allow or deny
+	Effect  string   `json:"effect"` // "allow" or "deny"
 	Callers []string `json:"callers"`
 	Classes []string `json:"classes"`
-	Groups  []string `json:"groups"`
+	Groups  []string `json:"groups"` // numbers and ranges of table groups, as in "3" and "10-19"
 }
 
-// Ceiling bounds what a caller may have.
+// Ceiling limits the requests of callers. Zero means no limit, and for Burst the requests of one second.
 type Ceiling struct {
 	Callers []string `json:"callers"`
-	Rate    float64  `json:"rate"`
-	Burst   float64  `json:"burst"`
-	Open    int      `json:"open"`
+	Rate    float64  `json:"rate"`  // requests per second
+	Burst   float64  `json:"burst"` // requests at once
+	Open    int      `json:"open"`  // requests at a time
 }
 
-// IdentityLimits bound what identifying callers may cost.
+// IdentityLimits limits what it costs to identify callers. Zero means the default of package identity.
 type IdentityLimits struct {
-	TokenBytes       int     `json:"token_bytes"`
-	CacheTokens      int     `json:"cache_tokens"`
-	ChecksPerSecond  float64 `json:"checks_per_s"`
-	ChecksPerAddress float64 `json:"checks_per_address_per_s"`
-	Addresses        int     `json:"addresses"`
-	AuditPerSecond   float64 `json:"audit_per_s"`
+	TokenBytes       int     `json:"token_bytes"`              // of one token
+	CacheTokens      int     `json:"cache_tokens"`             // verified tokens in the cache
+	ChecksPerSecond  float64 `json:"checks_per_s"`             // of signatures, in all
+	ChecksPerAddress float64 `json:"checks_per_address_per_s"` // of signatures, for one client address
+	Addresses        int     `json:"addresses"`                // client addresses that are distinguished
+	AuditPerSecond   float64 `json:"audit_per_s"`              // log lines on refusals
 }
 
+// Default and limit of the section, in seconds.
 const (
-	defaultWatch = 1.0 // seconds
-	mostWatch    = 60
+	defaultWatchS = 1.0
+	maxWatchS     = 60
 )
 
-// Options is the file's word on identity in that of package identity, checked against the site's settings; nil where it is
-// off.
-func (i *Identity) Options(s *settings.Settings) (*identity.Options, error) {
+// The values of a right's "effect".
+const (
+	effectAllow = "allow"
+	effectDeny  = "deny"
+)
+
+// identitySection makes the errors of the section.
+var identitySection = section{file: installationFile, path: "identity"}
+
+// Options checks the section against the site's settings and returns it as options of package identity; nil if it is
+// off. An error of a key is a *KeyError.
+func (i *Identity) Options(site *settings.Settings) (*identity.Options, error) {
 	if !i.Enabled {
 		return nil, nil
 	}
-	fault := func(key, form string, args ...any) (*identity.Options, error) {
-		return nil, fmt.Errorf("installation: identity.%s: %s", key, fmt.Sprintf(form, args...))
+	if i.WatchS < 0 || i.WatchS > maxWatchS {
+		return nil, identitySection.keyError("watch_s", "%g is not from 0 to %d", i.WatchS, maxWatchS)
 	}
-	l := i.Limits
-	o := &identity.Options{Leeway: monotime.Micros(i.LeewayS * float64(monotime.Second)), Limits: identity.Limits{
-		TokenBytes: l.TokenBytes, CacheTokens: l.CacheTokens, ChecksPerSecond: l.ChecksPerSecond,
-		ChecksPerAddress: l.ChecksPerAddress, Addresses: l.Addresses, AuditPerSecond: l.AuditPerSecond}}
-	if i.WatchS < 0 || i.WatchS > mostWatch {
-		return fault("watch_s", "%g is not from 0 to %d", i.WatchS, mostWatch)
+	options := &identity.Options{
+		Leeway:   fromSeconds(i.LeewayS),
+		Ceilings: i.ceilings(),
+		Limits:   i.Limits.convert(),
 	}
-	for n, one := range i.Issuers {
-		if one.Keys == "" {
-			return fault(fmt.Sprintf("issuers[%d].keys", n), "missing")
-		}
-		o.Issuers = append(o.Issuers, identity.Issuer{Name: one.Name, Audiences: one.Audiences})
+	var err error
+	if options.Issuers, err = i.issuers(); err != nil {
+		return nil, err
+	}
+	if options.Callers, err = i.callers(site); err != nil {
+		return nil, err
+	}
+	if options.Rights, err = i.rights(); err != nil {
+		return nil, err
 	}
-	for n, c := range i.Callers {
-		if _, known := s.TenantOf[c.Tenant]; c.Tenant != "" && !known {
-			return fault(fmt.Sprintf("callers[%d].tenant", n), "unknown tenant %q", c.Tenant)
+	if _, err := identity.New(*options, site.ClassNames(), token.Verifier{}); err != nil {
+		return nil, identitySection.addKey(err)
+	}
+	return options, nil
+}
+
+// issuers returns the issuers. Their keys are files, which are read elsewhere.
+func (i *Identity) issuers() (issuers []identity.Issuer, err error) {
+	for n, issuer := range i.Issuers {
+		if issuer.Keys == "" {
+			return nil, identitySection.element("issuers", n).keyError("keys", "missing")
 		}
-		o.Callers = append(o.Callers, identity.CallerRule{Name: c.Name, Tenant: c.Tenant, Issuer: c.Issuer, Subject: c.Subject,
-			SANs: c.SANs, DNSubject: c.DN})
+		issuers = append(issuers, identity.Issuer{Name: issuer.Name, Audiences: issuer.Audiences})
 	}
-	for n, r := range i.Rights {
-		if r.Effect != "allow" && r.Effect != "deny" {
-			return fault(fmt.Sprintf("rights[%d].effect", n), "%q is neither \"allow\" nor \"deny\"", r.Effect)
+	return issuers, nil
+}
+
+// callers returns the rules for callers.
+func (i *Identity) callers(site *settings.Settings) (rules []identity.CallerRule, err error) {
+	for n, rule := range i.Callers {
+		if _, known := site.TenantOf[rule.Tenant]; rule.Tenant != "" && !known {
+			return nil, identitySection.element("callers", n).keyError("tenant", "unknown tenant %q", rule.Tenant)
 		}
-		right := identity.Right{Deny: r.Effect == "deny", Callers: r.Callers, Classes: r.Classes}
-		for m, text := range r.Groups {
-			g, err := groups(text)
-			if err != nil {
-				return fault(fmt.Sprintf("rights[%d].groups[%d]", n, m), "%v", err)
-			}
-			right.Groups = append(right.Groups, g)
+		rules = append(rules, identity.CallerRule{
+			Name:      rule.Name,
+			Tenant:    rule.Tenant,
+			Issuer:    rule.Issuer,
+			Subject:   rule.Subject,
+			SANs:      rule.SANs,
+			DNSubject: rule.DN,
+		})
+	}
+	return rules, nil
+}
+
+// rights returns the rights, in their order.
+func (i *Identity) rights() (rights []identity.Right, err error) {
+	for n := range i.Rights {
+		right, err := i.Rights[n].convert(identitySection.element("rights", n))
+		if err != nil {
+			return nil, err
 		}
-		o.Rights = append(o.Rights, right)
+		rights = append(rights, right)
 	}
-	for _, c := range i.Ceilings {
-		o.Ceilings = append(o.Ceilings, identity.Ceiling{Callers: c.Callers, Rate: c.Rate, Burst: c.Burst, Open: c.Open})
+	return rights, nil
+}
+
+// convert returns the right, which is one element of the section, as package identity takes it.
+func (r *Right) convert(element section) (identity.Right, error) {
+	if r.Effect != effectAllow && r.Effect != effectDeny {
+		return identity.Right{}, element.keyError("effect", "%q is neither \"allow\" nor \"deny\"", r.Effect)
 	}
-	if _, err := identity.New(*o, s.ClassNames(), token.Verifier{}); err != nil {
-		return nil, fmt.Errorf("installation: identity.%w", err)
+	right := identity.Right{Deny: r.Effect == effectDeny, Callers: r.Callers, Classes: r.Classes}
+	for n, text := range r.Groups {
+		groups, err := parseGroups(text)
+		if err != nil {
+			return identity.Right{}, element.keyError(fmt.Sprintf("groups[%d]", n), "%w", err)
+		}
+		right.Groups = append(right.Groups, groups)
 	}
-	return o, nil
+	return right, nil
 }
 
-// groups reads "3" or "10-19".
-func groups(text string) (identity.Range, error) {
-	low, high, ranged := strings.Cut(text, "-")
-	if !ranged {
+// parseGroups reads table groups: a number or a range, as in "3" and "10-19".
+func parseGroups(text string) (identity.Range, error) {
+	low, high, isRange := strings.Cut(text, "-")
+	if !isRange {
 		high = low
 	}
-	from, err := strconv.ParseUint(low, 10, 31)
-	to, err2 := strconv.ParseUint(high, 10, 31)
-	if err != nil || err2 != nil {
+	from, fromErr := strconv.ParseUint(low, 10, 31)
+	to, toErr := strconv.ParseUint(high, 10, 31)
+	if fromErr != nil || toErr != nil {
 		return identity.Range{}, fmt.Errorf("%q is neither a number nor a range", text)
 	}
 	return identity.Range{From: int(from), To: int(to)}, nil
 }
 
-// Every is how often the files are looked at.
-func (i *Identity) Every() time.Duration {
-	if i.WatchS == 0 {
-		return time.Duration(defaultWatch * float64(time.Second))
+// ceilings returns the ceilings; package identity checks them.
+func (i *Identity) ceilings() (ceilings []identity.Ceiling) {
+	for _, ceiling := range i.Ceilings {
+		ceilings = append(ceilings, identity.Ceiling{
+			Callers: ceiling.Callers,
+			Rate:    ceiling.Rate,
+			Burst:   ceiling.Burst,
+			Open:    ceiling.Open,
+		})
 	}
-	return time.Duration(i.WatchS * float64(time.Second))
+	return ceilings
 }
 
-// rooted puts the section's paths under the installation file's folder.
-func (i *Identity) rooted(dir string) {
-	paths := []*string{&i.Revoked}
-	for n := range i.Issuers {
-		paths = append(paths, &i.Issuers[n].Keys)
+// convert returns the limits as package identity takes them.
+func (l *IdentityLimits) convert() identity.Limits {
+	return identity.Limits{
+		TokenBytes:       l.TokenBytes,
+		CacheTokens:      l.CacheTokens,
+		ChecksPerSecond:  l.ChecksPerSecond,
+		ChecksPerAddress: l.ChecksPerAddress,
+		Addresses:        l.Addresses,
+		AuditPerSecond:   l.AuditPerSecond,
 	}
-	root(dir, paths)
 }
 
-// root puts paths that are not whole under a folder.
-func root(dir string, paths []*string) {
-	for _, p := range paths {
-		if *p != "" && !filepath.IsAbs(*p) {
-			*p = filepath.Join(dir, *p)
-		}
+// Every returns the interval at which files are checked for changes: key files, certificates and revocation lists.
+func (i *Identity) Every() time.Duration {
+	return time.Duration(cmp.Or(i.WatchS, defaultWatchS) * float64(time.Second))
+}
+
+// resolvePaths makes the section's relative paths relative to the installation file's folder.
+func (i *Identity) resolvePaths(folder string) {
+	resolvePaths(folder, &i.Revoked)
+	for n := range i.Issuers {
+		resolvePaths(folder, &i.Issuers[n].Keys)
 	}
 }
--- /dev/null
+++ b/internal/config/paths.go
@@ -0,0 +1,20 @@
+package config
+
+import "path/filepath"
+
+// resolvePaths makes relative paths relative to a folder, in place. Empty paths stay empty.
+func resolvePaths(folder string, paths ...*string) {
+	for _, path := range paths {
+		if *path != "" && !filepath.IsAbs(*path) {
+			*path = filepath.Join(folder, *path)
+		}
+	}
+}
+
+// pointers returns a pointer to each text of a list.
+func pointers(list []string) (elements []*string) {
+	for i := range list {
+		elements = append(elements, &list[i])
+	}
+	return elements
+}
--- /dev/null
+++ b/internal/config/peers.go
@@ -0,0 +1,111 @@
+package config
+
+import (
+	"net/netip"
+
+	"chutechute/fleet"
+	"chutechute/fleet/budget"
+	"chutechute/fleet/heartbeat"
+	"chutechute/fleet/idempotency"
+	"chutechute/fleet/idempotency/idempotencyclient"
+	"chutechute/fleet/replication"
+	"chutechute/internal/monotime"
+)
+
+// Peers is what is in force of the section "fleet" at one front end.
+type Peers struct {
+	Site         string
+	Name         string                    // of this front end
+	Zone         string                    // of this front end
+	Listen       netip.AddrPort            // for other front ends; invalid if this one is no member
+	Others       map[string]netip.AddrPort // addresses of the members by name, without this front end
+	Secret       []byte                    // by which front ends authenticate one another; nil: they do not
+	Folder       string                    // of the replicated log; empty: in memory only
+	Admin        string                    // path of the operators' socket; empty: none
+	Digest       []byte                    // of the keys that all front ends have to agree on
+	Node         fleet.Config
+	Loads        idempotency.Options      // of the registry of idempotent requests
+	RecordClient idempotencyclient.Config // but for the incarnation, which the process chooses
+	Budgets      *budget.Set              // nil if none are set
+	MostBulk     int                      // the largest message, in bytes
+	Attached     *Attachment              // nil if no front ends may attach
+}
+
+// Values that follow from the section's keys.
+const (
+	// retryTicks is the interval, in ticks, at which unanswered proposals are sent again.
+	retryTicks = 4
+	// pollTicks is the interval, in ticks, at which the owner of an idempotent request is polled.
+	pollTicks = 8
+	// snapshotLogBytes is the size of the log from which a snapshot replaces it.
+	snapshotLogBytes = 4 << 20
+	// capacityRetryAfter is when a client may retry a request that was rejected for lack of memory.
+	capacityRetryAfter = 500 * monotime.Millisecond
+	// bytesPerMB converts the sizes of the settings.
+	bytesPerMB = 1 << 20
+)
+
+// peers converts the resolved section.
+func (r *resolvedFleet) peers() *Peers {
+	peers := &Peers{
+		Site:     r.section.Site,
+		Name:     r.name,
+		Zone:     r.self.zone,
+		Listen:   r.self.listen,
+		Others:   r.links.addresses,
+		Secret:   r.secret,
+		Admin:    withName(r.section.Admin, r.name),
+		Digest:   r.digest,
+		Node:     r.nodeConfig(),
+		Budgets:  r.budgets,
+		MostBulk: r.maxMessageBytes(),
+		Attached: r.attachment,
+	}
+	if r.self.isMember {
+		peers.Folder = withName(r.section.Folder, r.name)
+	}
+	peers.Loads = idempotency.Options{
+		MaxBytes:      int(r.ledgerMB * bytesPerMB),
+		Retention:     r.durations.retention,
+		OrphanTimeout: r.durations.orphan,
+	}
+	peers.RecordClient = idempotencyclient.Config{
+		PollInterval:       pollTicks * r.durations.tick,
+		CommitTimeout:      r.durations.retention,
+		CapacityRetryAfter: capacityRetryAfter,
+	}
+	return peers
+}
+
+// nodeConfig returns the configuration of heartbeats and of the replicated log.
+func (r *resolvedFleet) nodeConfig() fleet.Config {
+	d := &r.durations
+	return fleet.Config{
+		Name:              r.name,
+		Zone:              r.self.zone,
+		Zones:             r.links.zones,
+		HeartbeatInterval: d.heartbeat,
+		RetryInterval:     retryTicks * d.tick,
+		Heartbeat: heartbeat.Config{
+			SuspectAfter:   d.suspectAfter,
+			DeadAfter:      d.deadAfter,
+			PauseThreshold: d.suspectAfter / 2,
+		},
+		Replication: replication.Config{
+			Replicas:         r.replicas,
+			TickInterval:     d.tick,
+			ReplaceAfter:     d.replaceAfter,
+			SnapshotLogBytes: snapshotLogBytes,
+		},
+	}
+}
+
+// maxMessageBytes returns the largest message between front ends: a snapshot of the idempotent requests, which takes up
+// to twice their size and 1 MB, or the whole membership view.
+func (r *resolvedFleet) maxMessageBytes() int {
+	snapshot := int(r.ledgerMB*2)*bytesPerMB + bytesPerMB
+	if r.attachment == nil {
+		return snapshot
+	}
+	return max(snapshot, r.attachment.MostView)
+}
--- a/internal/config/pinned_test.go
+++ b/internal/config/pinned_test.go
@@ -235,7 +235,7 @@
 			lines = append(lines, oneLine(resultLine(section, nil, err)))
 			continue
 		}
-		options, err := file.Statement.options(Classes(site), testMemoryMB)
+		options, err := file.Statement.optionsWithin(Classes(site), testMemoryMB)
 		var value any
 		if options != nil {
 			value = *options
@@ -382,8 +382,8 @@
 	golden.Lines(t, "testdata/node.golden", lines)
 }
 
-// installationFile writes an installation into a folder of the test.
-func installationFile(t *testing.T, text string) string {
+// writeInstallation writes an installation into a folder of the test.
+func writeInstallation(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "installation.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -391,7 +391,7 @@
 }
 
 func TestPathsAreRelativeToTheInstallationFile(t *testing.T) {
-	path := installationFile(t, `{"identity": {"revoked": "r", "issuers": [{"keys": "k"}]},
+	path := writeInstallation(t, `{"identity": {"revoked": "r", "issuers": [{"keys": "k"}]},
 		"tls": {"certificates": [{"certificate": "c", "key": "/k"}], "client_cas": ["ca"], "crls": ["crl"],
 			"engines": {"cas": ["eca"], "certificate": {"certificate": "ec", "key": "ek"}}},
 		"fleet": {"folder": "f", "admin": "/a", "secret_file": "s"}}`)
@@ -447,19 +447,19 @@
 		`{"tls": {"enabled": true}}`:                        "installation: tls.certificates: missing",
 		`{"tls": {"engines": {"enabled": true}}}`:           "installation: tls.engines.cas: missing",
 	} {
-		_, err := Load(getenv, installationFile(t, installation))
+		_, err := Load(getenv, writeInstallation(t, installation))
 		assert.EqualError(t, err, want)
 	}
 }
 
 func TestReloadKeepsWhatTakesEffectAtAStartOnly(t *testing.T) {
 	getenv := writeNodeConfig(t)
-	first, err := Load(getenv, installationFile(t, `{}`))
+	first, err := Load(getenv, writeInstallation(t, `{}`))
 	require.NoError(t, err)
 	assert.Equal(t, "n2", first.Name)
 	assert.Equal(t, &TLS{}, first.TLS())
 	assert.Equal(t, &Identity{}, first.Identity())
-	next, err := Load(getenv, installationFile(t, `{"statement": {"enabled": true}, "tls": {"warn_days": 5}}`))
+	next, err := Load(getenv, writeInstallation(t, `{"statement": {"enabled": true}, "tls": {"warn_days": 5}}`))
 	require.NoError(t, err)
 	next.Name, next.Seed, next.Listen, next.MemoryMB, next.Sockets = "n3", 5, next.Journal, 100, 200
 	next.settings = nil
--- /dev/null
+++ b/internal/config/statement.go
@@ -0,0 +1,145 @@
+package config
+
+import (
+	"strings"
+
+	"chutechute/statement"
+	"chutechute/statement/classify"
+	"chutechute/statement/estimate"
+)
+
+// Statement is the section "statement": how bare statements, which come without a class, are read.
+type Statement struct {
+	Enabled       bool             `json:"enabled"`
+	Unparsed      string           `json:"unparsed"`       // "fail" (default) or "once"
+	UnparsedClass string           `json:"unparsed_class"` // required with "once"
+	CacheMB       float64          `json:"cache_mb"`       // at least 0.0625, at most an eighth of memory_mb
+	MaxBytes      int              `json:"max_bytes"`      // of a statement; at most 262144
+	MaxDepth      int              `json:"max_depth"`      // of nesting; at most 1000
+	Effects       []string         `json:"effects"`        // names of functions whose call changes something
+	Tables        map[string]Table `json:"tables"`         // by name, in any case
+	Rules         []Rule           `json:"rules"`          // the first that matches gives the class
+}
+
+// Table is the size of a table. Zero means unknown.
+type Table struct {
+	Rows float64 `json:"rows"`
+	MB   float64 `json:"mb"`
+}
+
+// Rule gives a class to the statements that match its verbs and tables.
+type Rule struct {
+	Class   string   `json:"class"`
+	Verbs   []string `json:"verbs"`
+	Tables  []string `json:"tables"` // patterns of names
+	CostMS  float64  `json:"cost_ms"`
+	Threads int      `json:"threads"`
+}
+
+// Limits of the section.
+const (
+	minCacheMB         = 0.0625
+	defaultCacheShares = 32 // the default of cache_mb is memory_mb divided by this
+	maxStatementBytes  = 256 << 10
+	maxStatementDepth  = 1000
+)
+
+// The values of "unparsed".
+const (
+	unparsedFail = "fail"
+	unparsedOnce = "once"
+)
+
+// statementSection makes the errors of the section.
+var statementSection = section{file: installationFile, path: "statement"}
+
+// optionsWithin returns the options of package statement for a front end with memoryMB of memory, which limits the
+// cache and sets its default. It returns nil if the section is off.
+func (s *Statement) optionsWithin(classes []statement.Class, memoryMB int) (*statement.Options, error) {
+	if !s.Enabled {
+		return nil, nil
+	}
+	options, err := s.Options(classes)
+	if err != nil {
+		return nil, err
+	}
+	maxCacheMB := float64(memoryMB) / memoryShares
+	if s.CacheMB > maxCacheMB {
+		return nil, statementSection.keyError("cache_mb", "%g is above an eighth of memory_mb, %g", s.CacheMB, maxCacheMB)
+	}
+	if s.CacheMB == 0 {
+		options.CacheBytes = memoryMB << 20 / defaultCacheShares
+	}
+	return options, nil
+}
+
+// Options checks the section and returns it as options of package statement, whether it is on or off. The rules may
+// name the given classes only. An error of a key is a *KeyError.
+func (s *Statement) Options(classes []statement.Class) (*statement.Options, error) {
+	if err := s.check(); err != nil {
+		return nil, err
+	}
+	options := &statement.Options{
+		CacheBytes:    int(s.CacheMB * (1 << 20)),
+		MaxBytes:      s.MaxBytes,
+		MaxDepth:      s.MaxDepth,
+		Classes:       classes,
+		Rules:         s.classifierRules(),
+		Tables:        s.tableSizes(),
+		Effects:       s.Effects,
+		UnparsedClass: s.UnparsedClass,
+	}
+	if s.Unparsed == unparsedOnce {
+		options.Unparsed = statement.Once
+	}
+	if _, err := statement.New(*options); err != nil { // checks the rules against the classes
+		return nil, statementSection.addKey(err)
+	}
+	return options, nil
+}
+
+// check returns an error if a value cannot be used, whatever the classes are.
+func (s *Statement) check() error {
+	fault := statementSection.keyError
+	switch {
+	case s.CacheMB < 0 || s.CacheMB > 0 && s.CacheMB < minCacheMB:
+		return fault("cache_mb", "%g is below %g", s.CacheMB, minCacheMB)
+	case s.MaxBytes < 0 || s.MaxBytes > maxStatementBytes:
+		return fault("max_bytes", "%d is not from 0 to %d", s.MaxBytes, maxStatementBytes)
+	case s.MaxDepth < 0 || s.MaxDepth > maxStatementDepth:
+		return fault("max_depth", "%d is not from 0 to %d", s.MaxDepth, maxStatementDepth)
+	case s.Unparsed == unparsedOnce && s.UnparsedClass == "":
+		return fault("unparsed_class", "missing, with unparsed = \"once\"")
+	case s.Unparsed != "" && s.Unparsed != unparsedFail && s.Unparsed != unparsedOnce:
+		return fault("unparsed", "%q is neither \"fail\" nor \"once\"", s.Unparsed)
+	}
+	for name, table := range s.Tables {
+		if table.Rows < 0 || table.MB < 0 {
+			return fault("tables."+name, "rows and mb may not be negative")
+		}
+	}
+	return nil
+}
+
+// tableSizes returns the sizes of tables by name in lower case.
+func (s *Statement) tableSizes() map[string]estimate.Sizes {
+	sizes := map[string]estimate.Sizes{}
+	for name, table := range s.Tables {
+		sizes[strings.ToLower(name)] = estimate.Sizes{Rows: table.Rows, MB: table.MB}
+	}
+	return sizes
+}
+
+// classifierRules returns the rules as the classifier takes them.
+func (s *Statement) classifierRules() (rules []classify.Rule) {
+	for _, rule := range s.Rules {
+		rules = append(rules, classify.Rule{
+			Class:   rule.Class,
+			Verbs:   rule.Verbs,
+			Tables:  rule.Tables,
+			CostMS:  rule.CostMS,
+			Threads: rule.Threads,
+		})
+	}
+	return rules
+}
