--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -62,3 +62,10 @@
 	assert.Equal(t, map[string]int{"read": 0, "load": 1, "call": 2}, s.ClassOf)
 	assert.Equal(t, map[string]int{"t": 0}, s.TenantOf)
 }
+
+func TestErrorsOfClassesAreClassErrors(t *testing.T) {
+	_, err := Parse([]byte(`{"classes": [{"name": "r", "repeat": "safe", "group": "town"}]}`))
+	var classError *ClassError
+	require.ErrorAs(t, err, &classError)
+	assert.Equal(t, ClassError{Class: "r", Key: "group", Value: "town"}, *classError)
+}
