--- a/internal/config/attached_test.go
+++ b/internal/config/attached_test.go
@@ -15,20 +15,16 @@
 	"chutechute/internal/standin"
 )
 
-// fleetOf is a section of three members with further keys, as the named front end has it.
+// fleetOf returns what a section of three members with further keys gives at the named front end.
 func fleetOf(t *testing.T, name, further string) (*Peers, error) {
 	t.Helper()
-	s, err := settings.Parse([]byte(standin.Settings))
-	require.NoError(t, err)
-	file, err := ParseInstallation([]byte(`{"fleet": {"enabled": true, "site": "x", "members": [{"name": "n1", "address": "127.0.0.1:1",
-		"zone": "a"}, {"name": "n2", "address": "127.0.0.1:2"}, {"name": "n3", "address": "127.0.0.1:3"}]` + further + `}}`))
+	file, err := ParseInstallation([]byte(`{"fleet": {"enabled": true, "site": "x", ` + threeMembers + further + `}}`))
 	if err != nil {
 		return nil, err
 	}
-	return file.Fleet.Options(name, s, 192)
+	return file.Fleet.Options(name, parsedSettings(t, standin.Settings), testMemoryMB)
 }
 
-// Each setting that attached front ends can't go by is refused with the key that is at fault.
 func TestAttachedNameTheFaultyKey(t *testing.T) {
 	const on = `, "attached": {"enabled": true}`
 	for _, c := range []struct{ name, further, want string }{
@@ -62,8 +58,7 @@
 	}
 }
 
-// The bound of the members says why it is one.
-func TestTooManyMembersSaysWhy(t *testing.T) {
+func TestErrorOfTooManyMembersSaysWhyThereIsALimit(t *testing.T) {
 	f := Fleet{Enabled: true, Site: "x"}
 	for i := range maxMembers + 1 {
 		f.Members = append(f.Members, FleetMember{Name: fmt.Sprintf("n%d", i), Address: "127.0.0.1:1"})
@@ -74,39 +69,41 @@
 	assert.ErrorContains(t, err, "fleet.attached")
 }
 
-// A front end that is not among the members is attached, keeps no record, and agrees with the members on the section.
-func TestAttachedFrontEnd(t *testing.T) {
+// An attached front end stores no log, and has the digest of the members.
+func TestFrontEndThatIsNoMemberAttachesItself(t *testing.T) {
 	const on = `, "folder": "/disk", "admin": "/{name}.sock", "attached": {"enabled": true, "dead_ms": 5000}`
-	a, err := fleetOf(t, "x1", on+`, "zone": "b"`)
+	attached, err := fleetOf(t, "x1", on+`, "zone": "b"`)
 	require.NoError(t, err)
-	m, err := fleetOf(t, "n1", on+`, "orphan_s": 7`)
+	member, err := fleetOf(t, "n1", on+`, "orphan_s": 7`)
 	require.NoError(t, err)
-	assert.Equal(t, a.Digest, m.Digest, "the zone and orphan_s are each front end's own")
-	assert.Len(t, a.Others, 3)
-	assert.Empty(t, a.Folder)
-	assert.Equal(t, "/x1.sock", a.Admin)
-	require.True(t, a.Attached.Here)
-	require.False(t, m.Attached.Here)
-	cfg := a.Attached.Config
+	assert.Equal(t, attached.Digest, member.Digest, "the zone and orphan_s may differ among front ends")
+	assert.Len(t, attached.Others, 3)
+	assert.Empty(t, attached.Folder)
+	assert.Equal(t, "/x1.sock", attached.Admin)
+	require.True(t, attached.Attached.Here)
+	require.False(t, member.Attached.Here)
+	cfg := attached.Attached.Config
 	assert.Equal(t, []string{"x1", "b"}, []string{cfg.Name, cfg.Zone})
-	assert.Equal(t, []monotime.Micros{1_000_000, 2_500_000, 5_000_000}, []monotime.Micros{cfg.HeartbeatInterval, cfg.SuspectAfter, cfg.DeadAfter})
+	assert.Equal(t, []monotime.Micros{1_000_000, 2_500_000, 5_000_000},
+		[]monotime.Micros{cfg.HeartbeatInterval, cfg.SuspectAfter, cfg.DeadAfter})
 	assert.Equal(t, membership.DefaultMaxEntries, cfg.MaxEntries)
 	assert.Equal(t, []membership.ControlMember{{Name: "n1", Zone: "a"}, {Name: "n2"}, {Name: "n3"}}, cfg.ControlMembers)
-	assert.Equal(t, "a", m.Attached.Config.Zone)
+	assert.Equal(t, "a", member.Attached.Config.Zone)
 
 	small, err := fleetOf(t, "x1", on+`, "ledger_mb": 30`)
-	require.NoError(t, err, "a bound of the record is none of a front end that keeps none")
+	require.NoError(t, err, "the limit of the log does not hold for a front end that stores none")
 	assert.NotNil(t, small)
 
-	explicit, err := fleetOf(t, "n1", `, "attached": {"enabled": true, "heartbeat_ms": 1000, "suspect_ms": 2500, "dead_ms": 5000, "most": 8192}`)
+	explicit, err := fleetOf(t, "n1", `, "attached": {"enabled": true, "heartbeat_ms": 1000, "suspect_ms": 2500,
+		"dead_ms": 5000, "most": 8192}`)
 	require.NoError(t, err)
-	assert.Equal(t, m.Digest, explicit.Digest, "defaults are agreed on as what they stand for")
+	assert.Equal(t, member.Digest, explicit.Digest, "the digest has defaults filled in")
 	other, err := fleetOf(t, "n1", `, "attached": {"enabled": true}`)
 	require.NoError(t, err)
-	assert.NotEqual(t, m.Digest, other.Digest)
+	assert.NotEqual(t, member.Digest, other.Digest)
 }
 
-// Where no front ends may attach, the members agree on what they agreed on before there was such a section, byte for byte.
+// If no front ends may attach, members agree with those whose program does not know the section yet.
 func TestDigestWithoutAttachedIsAsBefore(t *testing.T) {
 	for further, want := range map[string]string{
 		``: "05f242dad7f1ae55",
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -35,8 +35,10 @@
 func TestBudgetErrorsAreKeyErrors(t *testing.T) {
 	for list, key := range map[string]string{
 		`{"version": 0}`: "fleet.budgets.version",
-		`{"version": 1, "list": [{"name": "a"}]}`:                                          "fleet.budgets.list[0].rate",
-		`{"version": 1, "list": [{"name": "a", "rate": 5, "burst": 9, "unit": "cups"}]}`:   "fleet.budgets.list[0].unit",
+		`{"version": 1,
+			"list": [{"name": "a"}]}`: "fleet.budgets.list[0].rate",
+		`{"version": 1, "list": [{"name": "a", "rate": 5, "burst": 9,
+			"unit": "cups"}]}`: "fleet.budgets.list[0].unit",
 		`{"version": 1, "list": [{"name": "a", "places": 5}, {"name": "a", "places": 5}]}`: "fleet.budgets.list",
 	} {
 		_, err := budgetsOf(t, list)
@@ -48,11 +50,12 @@
 }
 
 func TestNodeErrorsAreKeyErrors(t *testing.T) {
+	const whole = `"listen": "10.0.0.4:1", "journal": "10.0.0.5:2", "seed": "1"`
 	for text, key := range map[string]string{
-		`{"listen": "x"}`: "listen",
-		`{"listen": "10.0.0.4:1", "journal": "10.0.0.5:2", "seed": "1"}`:                                             "settings",
-		`{"listen": "10.0.0.4:1", "journal": "10.0.0.5:2", "seed": "1", "settings": {}}`:                             "settings.balancers",
-		`{"listen": "10.0.0.4:1", "journal": "10.0.0.5:2", "seed": "1", "settings": {"classes": [{"repeat": "x"}]}}`: "settings",
+		`{"listen": "x"}`:                 "listen",
+		`{` + whole + `}`:                 "settings",
+		`{` + whole + `, "settings": {}}`: "settings.balancers",
+		`{` + whole + `, "settings": {"classes": [{"repeat": "x"}]}}`: "settings",
 	} {
 		_, err := Parse([]byte(text), "", "")
 		var keyError *KeyError
@@ -64,7 +67,8 @@
 }
 
 func TestKeyErrorsWrapTheirCause(t *testing.T) {
-	f := Fleet{Enabled: true, Site: "x", Members: []FleetMember{{Name: "n1", Address: "127.0.0.1:1"}}, SecretFile: "/does/not/exist"}
+	f := fleetOfOne()
+	f.SecretFile = "/does/not/exist"
 	_, err := f.Options("n1", &settings.Settings{}, testMemoryMB)
 	require.ErrorIs(t, err, fs.ErrNotExist)
 
--- a/internal/config/evaluate.go
+++ b/internal/config/evaluate.go
@@ -18,9 +18,9 @@
 	maxEvaluation = 10 * time.Second
 )
 
-// evaluate returns the JSON that a file evaluates to: a file whose name ends in .json is returned as it is, any other is
-// evaluated as Jsonnet. Another program does that, so that the front end does not contain the Jsonnet library, which
-// takes memory.
+// evaluate returns the JSON that a file evaluates to: a file whose name ends in .json is returned as it is, any
+// other is evaluated as Jsonnet. Another program does that, so that the front end does not contain the Jsonnet
+// library, which takes memory.
 func evaluate(path string) ([]byte, error) {
 	if filepath.Ext(path) == ".json" {
 		return os.ReadFile(path)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,12 +13,13 @@
 // wholeObject sets every key that is read.
 const wholeObject = `{"balancers": 3, "rank": 2, "zone": "a", "discovery": "ask", "over_share_worth": 0.5,
 	"classes": [
-		{"name": "read", "on_time": 1, "aim_stretch": 1.5, "give_up": 5, "worth": 2, "late_value": 0.25, "repeat": "safe",
-			"by_arrival": true, "allowed_in": ["a"], "host_types_only": ["large"], "stream": true},
+		{"name": "read", "on_time": 1, "aim_stretch": 1.5, "give_up": 5, "worth": 2, "late_value": 0.25,
+			"repeat": "safe", "by_arrival": true, "allowed_in": ["a"], "host_types_only": ["large"], "stream": true},
 		{"name": "load", "on_time": 10, "give_up": 60, "repeat": "keyed", "group": "zone", "window": 30},
 		{"name": "call", "repeat": "unsafe", "group": "cell"}],
-	"domain": {"class_threads": [1, 4], "cpu_of_kind": [8], "ram_of_kind_mb": [1024], "grants": true, "lanes_count": true,
-		"most_grant": 0.75, "note_period": 0.5, "tells_cost": true, "writes_tables": [false, true], "yields_to_loads": [true]},
+	"domain": {"class_threads": [1, 4], "cpu_of_kind": [8], "ram_of_kind_mb": [1024], "grants": true,
+		"lanes_count": true, "most_grant": 0.75, "note_period": 0.5, "tells_cost": true, "writes_tables": [false, true],
+		"yields_to_loads": [true]},
 	"host_types": ["large", "small"], "failure_domains": ["a", "b"],
 	"limits": {"cancel": true, "probes": true, "may_duplicate": true, "retry_after": true, "max_attempts": 4,
 		"max_retry_after": 2.5, "conn_idle": 10, "dial_timeout": 1, "max_open": 100},
@@ -44,10 +45,11 @@
 
 func TestParseNamesTheFaultyKey(t *testing.T) {
 	for object, want := range map[string]string{
-		`5`:                                 "json: cannot unmarshal number into Go value of type settings.object",
-		`{"classes": [{"on_time": "x"}]}`:   "json: cannot unmarshal string into Go struct field .classes.on_time of type float64",
-		`{"classes": [{"name": "r"}]}`:      `class "r": unknown repeat ""`,
-		`{"classes": [{"repeat": "ever"}]}`: `class "": unknown repeat "ever"`,
+		`5`: "json: cannot unmarshal number into Go value of type settings.object",
+		`{"classes": [{"on_time": "x"}]}`: "json: cannot unmarshal string into Go struct field " +
+			".classes.on_time of type float64",
+		`{"classes": [{"name": "r"}]}`:                                    `class "r": unknown repeat ""`,
+		`{"classes": [{"repeat": "ever"}]}`:                               `class "": unknown repeat "ever"`,
 		`{"classes": [{"name": "r", "repeat": "safe", "group": "town"}]}`: `class "r": unknown group "town"`,
 	} {
 		_, err := Parse([]byte(object))
