--- a/internal/config/identity.go
+++ b/internal/config/identity.go
@@ -32,40 +32,43 @@
 	Keys      string   `json:"keys"`      // path of the issuer's public keys
 }
 
-// CallerRule maps a token or a client certificate to a caller.
+// CallerRule maps a token or a client certificate to a caller. The first rule that matches counts. In its patterns, an
+// asterisk stands for anything but a slash, and in a DNS name for one label.
 type CallerRule struct {
 	Name    string   `json:"name"`
 	Tenant  string   `json:"tenant"`  // of the site's settings, or empty
 	Issuer  string   `json:"issuer"`  // of tokens
-	Subject string   `json:"subject"` // of tokens
-	SANs    []string `json:"sans"`    // subject alternative names of certificates
-	DN      string   `json:"dn"`      // the subject's distinguished name in certificates
+	Subject string   `json:"subject"` // pattern; of tokens
+	SANs    []string `json:"sans"`    // patterns; of certificates' subject alternative names
+	DN      string   `json:"dn"`      // pattern; of certificates' distinguished names
 }
 
-// Right allows callers to use classes on table groups, or denies it.
+// Right allows callers to use classes on table groups, or denies it. A call is allowed if some right allows it and none
+// denies it.
 type Right struct {
-	Effect  string   `json:"effect"` // "allow" or "deny"
-	Callers []string `json:"callers"`
-	Classes []string `json:"classes"`
-	Groups  []string `json:"groups"` // numbers and ranges of table groups, as in "3" and "10-19"
+	Effect  string   `json:"effect"`  // "allow" or "deny"
+	Callers []string `json:"callers"` // patterns of names
+	Classes []string `json:"classes"` // empty: all
+	Groups  []string `json:"groups"`  // numbers and ranges of table groups, as in "3" and "10-19"; empty: all
 }
 
-// Ceiling limits the requests of callers. Zero means no limit, and for Burst the requests of one second.
+// Ceiling limits the requests of callers; the first one that matches a caller counts. Zero means no limit, and for
+// Burst the requests of one second.
 type Ceiling struct {
-	Callers []string `json:"callers"`
-	Rate    float64  `json:"rate"`  // requests per second
-	Burst   float64  `json:"burst"` // requests at once
-	Open    int      `json:"open"`  // requests at a time
+	Callers []string `json:"callers"` // patterns of names
+	Rate    float64  `json:"rate"`    // requests per second
+	Burst   float64  `json:"burst"`   // requests at once
+	Open    int      `json:"open"`    // requests at a time
 }
 
-// IdentityLimits limits what it costs to identify callers. Zero means the default of package identity.
+// IdentityLimits limits what it costs to identify callers. Zero means the default.
 type IdentityLimits struct {
-	TokenBytes       int     `json:"token_bytes"`              // of one token
-	CacheTokens      int     `json:"cache_tokens"`             // verified tokens in the cache
-	ChecksPerSecond  float64 `json:"checks_per_s"`             // of signatures, in all
-	ChecksPerAddress float64 `json:"checks_per_address_per_s"` // of signatures, for one client address
-	Addresses        int     `json:"addresses"`                // client addresses that are distinguished
-	AuditPerSecond   float64 `json:"audit_per_s"`              // log lines on refusals
+	TokenBytes       int     `json:"token_bytes"`              // of one token; default 4096
+	CacheTokens      int     `json:"cache_tokens"`             // verified tokens in the cache; default 4096
+	ChecksPerSecond  float64 `json:"checks_per_s"`             // of signatures, in all; default 500
+	ChecksPerAddress float64 `json:"checks_per_address_per_s"` // of signatures, of one client address; default 50
+	Addresses        int     `json:"addresses"`                // client addresses that are distinguished; default 4096
+	AuditPerSecond   float64 `json:"audit_per_s"`              // log lines on refusals; default 10
 }
 
 // Default and limit of the section, in seconds.
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -33,13 +33,13 @@
 
 // Values that follow from the section's keys.
 const (
-	// retryTicks is the interval, in ticks, at which unanswered proposals are sent again.
+	// retryTicks is the unit, in ticks, of the delays after which an unanswered proposal is sent again.
 	retryTicks = 4
-	// pollTicks is the interval, in ticks, at which the owner of an idempotent request is polled.
+	// pollTicks is the interval, in ticks, of polls for an idempotent request that another front end owns.
 	pollTicks = 8
-	// snapshotLogBytes is the size of the log from which a snapshot replaces it.
+	// snapshotLogBytes is what is applied from the log between two snapshots.
 	snapshotLogBytes = 4 << 20
-	// capacityRetryAfter is when a client may retry a request that was rejected for lack of memory.
+	// capacityRetryAfter is when a client may retry a request that the registry rejected.
 	capacityRetryAfter = 500 * monotime.Millisecond
 	// bytesPerMB converts the sizes of the settings.
 	bytesPerMB = 1 << 20
@@ -100,8 +100,8 @@
 	}
 }
 
-// maxMessageBytes returns the largest message between front ends: a snapshot of the idempotent requests, which takes up
-// to twice their size and 1 MB, or the whole membership view.
+// maxMessageBytes returns the limit of the size of a message between front ends. The largest ones are a snapshot of the
+// idempotent requests, for which twice their memory and 1 MB is allowed, and the whole membership view.
 func (r *resolvedFleet) maxMessageBytes() int {
 	snapshot := int(r.ledgerMB*2)*bytesPerMB + bytesPerMB
 	if r.attachment == nil {
--- a/internal/config/statement.go
+++ b/internal/config/statement.go
@@ -13,27 +13,27 @@
 	Enabled       bool             `json:"enabled"`
 	Unparsed      string           `json:"unparsed"`       // "fail" (default) or "once"
 	UnparsedClass string           `json:"unparsed_class"` // required with "once"
-	CacheMB       float64          `json:"cache_mb"`       // at least 0.0625, at most an eighth of memory_mb
-	MaxBytes      int              `json:"max_bytes"`      // of a statement; at most 262144
-	MaxDepth      int              `json:"max_depth"`      // of nesting; at most 1000
+	CacheMB       float64          `json:"cache_mb"`       // from 0.0625 to memory_mb / 8, default memory_mb / 32
+	MaxBytes      int              `json:"max_bytes"`      // of a parsed statement; at most 262,144, default 65,536
+	MaxDepth      int              `json:"max_depth"`      // of a parsed statement; at most 1000, default 100
 	Effects       []string         `json:"effects"`        // names of functions whose call changes something
-	Tables        map[string]Table `json:"tables"`         // by name, in any case
+	Tables        map[string]Table `json:"tables"`         // by name; upper and lower case are the same
 	Rules         []Rule           `json:"rules"`          // the first that matches gives the class
 }
 
-// Table is the size of a table. Zero means unknown.
+// Table is the size of a table, from which costs are estimated until some were measured.
 type Table struct {
 	Rows float64 `json:"rows"`
 	MB   float64 `json:"mb"`
 }
 
-// Rule gives a class to the statements that match its verbs and tables.
+// Rule gives a class to the statements that match all of its conditions. A condition that is left out always matches.
 type Rule struct {
 	Class   string   `json:"class"`
-	Verbs   []string `json:"verbs"`
-	Tables  []string `json:"tables"` // patterns of names
-	CostMS  float64  `json:"cost_ms"`
-	Threads int      `json:"threads"`
+	Verbs   []string `json:"verbs"`   // one of them
+	Tables  []string `json:"tables"`  // patterns, one of which matches the name of a table in the statement
+	CostMS  float64  `json:"cost_ms"` // the upper bound of the work, divided by Threads, is at most this
+	Threads int      `json:"threads"` // default: those of the class
 }
 
 // Limits of the section.
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -18,7 +18,7 @@
 	CRLs         []string         `json:"crls"`         // paths of certificate revocation lists
 	StaleCRL     string           `json:"stale_crl"`    // if a list has expired: "refuse" (default) or "accept"
 	MinVersion   string           `json:"min_version"`  // "1.2" or "1.3" (default)
-	ALPN         []string         `json:"alpn"`         // names of protocols
+	ALPN         []string         `json:"alpn"`         // protocols to agree on
 	Handshakes   TLSHandshakes    `json:"handshakes"`
 	WarnDays     float64          `json:"warn_days"` // ahead of an expiry; default 14
 	Engines      TLSEngines       `json:"engines"`
@@ -40,7 +40,7 @@
 
 // TLSHandshakes limits handshakes.
 type TLSHandshakes struct {
-	Pending int     `json:"pending"` // handshakes in progress at a time, others wait; default 32
+	Pending int     `json:"pending"` // handshakes that compute at a time, others wait; default 32
 	Share   float64 `json:"share"`   // of the core that handshakes may take, from 0 to 1; default 0.25
 }
 
