--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,7 +30,7 @@
 	Sockets  int            // file descriptors that the front end may have; at least 64, default 1024
 	Settings *settings.Settings
 	Known    []discovery.Event // of the journal service up to LastPos
-	LastPos  uint64          // the position of the last known event
+	LastPos  uint64            // the position of the last known event
 
 	// Installation is the path of the installation file; empty without one.
 	Installation string
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -35,9 +35,9 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  float64 `json:"sockets"`
 	} `json:"limits"`
-	Journal  string          `json:"journal"`
-	Known    discovery.CachedEvents   `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Journal  string                 `json:"journal"`
+	Known    discovery.CachedEvents `json:"known"`
+	Settings json.RawMessage        `json:"settings"`
 }
 
 // Parse reads the JSON of a node's configuration. The name and the listen address, if not empty, override those of the
