--- /dev/null
+++ b/internal/history/idempotency.go
@@ -0,0 +1,209 @@
+package history
+
+import (
+	"maps"
+	"slices"
+	"strings"
+)
+
+// minOutcomeRetention is for how long, at least, an outcome can be found under its idempotency key, in microseconds.
+const minOutcomeRetention = 50_000_000
+
+// KeyConcurrency is the rule of the violation by two requests of one key that run at the same time.
+const KeyConcurrency = "two requests of a key at once"
+
+// observations is what the checks of idempotent requests read.
+type observations struct {
+	events     []Event // of requests with an idempotency key
+	executions []Run
+	requests   map[string]Event // what clients sent, by call
+}
+
+// Check returns all violations of the guarantees for idempotent requests. Events without an idempotency key are not
+// looked at.
+func Check(events []Event) (violations []Breach) {
+	events = slices.DeleteFunc(slices.Clone(events), func(e Event) bool { return e.Once == "" })
+	observed := observations{events: events, executions: Runs(events), requests: map[string]Event{}}
+	for _, event := range events {
+		if event.What == Asked {
+			observed.requests[event.Call] = event
+		}
+	}
+	for _, check := range []func(observations) []Breach{
+		checkNoConcurrentAttempts, checkNoAttemptAfterOutcome, checkSingleOutcome, checkOutcomeRetained,
+		checkRejectedNeverRan, checkOrderOfKeys,
+	} {
+		violations = append(violations, check(observed)...)
+	}
+	return violations
+}
+
+// checkNoConcurrentAttempts finds two attempts of one request that ran at the same time.
+func checkNoConcurrentAttempts(o observations) (violations []Breach) {
+	previous := map[string]Run{}
+	for _, execution := range o.executions {
+		idempotencyKey := execution.Began.Once
+		before, ok := previous[idempotencyKey]
+		if ok && before.endTime() > execution.Began.At {
+			violations = append(violations, Breach{
+				Rule:   "two attempts of a request at once",
+				Events: []Event{before.Began, execution.Began, before.Over},
+			})
+		}
+		previous[idempotencyKey] = execution
+	}
+	return violations
+}
+
+// checkNoAttemptAfterOutcome finds attempts that started after a client had got the rows.
+func checkNoAttemptAfterOutcome(o observations) (violations []Breach) {
+	firstResponses := firstSuccessfulResponses(o.events)
+	for _, execution := range o.executions {
+		response, ok := firstResponses[execution.Began.Once]
+		if ok && execution.Began.At > response.At {
+			violations = append(violations, Breach{
+				Rule:   "an attempt after a client got the outcome",
+				Events: []Event{response, execution.Began},
+			})
+		}
+	}
+	return violations
+}
+
+// firstSuccessfulResponses returns the first response with rows to each request, by idempotency key.
+func firstSuccessfulResponses(events []Event) map[string]Event {
+	first := map[string]Event{}
+	for _, event := range events {
+		if event.What != Answered || event.Detail != Answer {
+			continue
+		}
+		if _, known := first[event.Once]; !known {
+			first[event.Once] = event
+		}
+	}
+	return first
+}
+
+// checkSingleOutcome finds clients that got other rows than another client of the same request, or rows that no
+// execution had produced before.
+func checkSingleOutcome(o observations) (violations []Breach) {
+	finished := map[string][]Event{}
+	for _, execution := range o.executions {
+		if execution.Over.What == Ended {
+			idempotencyKey := execution.Began.Once
+			finished[idempotencyKey] = append(finished[idempotencyKey], execution.Over)
+		}
+	}
+	first := map[string]Event{}
+	for _, event := range o.events {
+		if event.What != Answered || event.Detail != Answer {
+			continue
+		}
+		before, known := first[event.Once]
+		if known && before.Body != event.Body {
+			violations = append(violations, Breach{"two outcomes of a request", []Event{before, event}})
+		}
+		if known {
+			continue
+		}
+		first[event.Once] = event
+		if !hasSource(event, finished[event.Once]) {
+			violations = append(violations, Breach{"rows that no engine produced", []Event{event}})
+		}
+	}
+	return violations
+}
+
+// hasSource reports whether one of the finished executions produced the rows of a response. The rows begin with the
+// call of the execution that produced them.
+func hasSource(response Event, finished []Event) bool {
+	return slices.ContainsFunc(finished, func(end Event) bool {
+		return end.At <= response.At && strings.HasPrefix(response.Body, end.Call)
+	})
+}
+
+// checkOutcomeRetained finds clients that were told that a request failed although its rows had been delivered before
+// they sent it. They should get the same rows, or be rejected for the time being.
+func checkOutcomeRetained(o observations) (violations []Breach) {
+	delivered := map[string]Event{}
+	for _, event := range o.events {
+		if event.What != Answered {
+			continue
+		}
+		response, known := delivered[event.Once]
+		request := o.requests[event.Call]
+		switch {
+		case event.Detail == Answer && !known:
+			delivered[event.Once] = event
+		case event.Detail == Fault && known && request.At > response.At && event.At < response.At+minOutcomeRetention:
+			violations = append(violations, Breach{"a delivered outcome was lost", []Event{response, request, event}})
+		}
+	}
+	return violations
+}
+
+// checkRejectedNeverRan finds rejected calls that an engine executed.
+func checkRejectedNeverRan(o observations) (violations []Breach) {
+	rejections := map[string]Event{}
+	for _, event := range o.events {
+		if event.What == Answered && event.Detail == Shed {
+			rejections[event.Call] = event
+		}
+	}
+	for _, execution := range o.executions {
+		if rejection, ok := rejections[execution.Began.Call]; ok {
+			violations = append(violations, Breach{"a rejected call ran", []Event{rejection, execution.Began}})
+		}
+	}
+	return violations
+}
+
+// checkOrderOfKeys finds requests of one key that ran at the same time, through whichever front ends they came, and
+// requests of one key that did not run in the order in which one front end received them.
+func checkOrderOfKeys(o observations) (violations []Breach) {
+	firstCalls := o.firstCalls()
+	byKey := map[string][]Run{}
+	for _, execution := range o.executions {
+		if request, ok := o.requests[execution.Began.Call]; ok && request.Key != "" {
+			byKey[request.Key] = append(byKey[request.Key], execution)
+		}
+	}
+	for _, key := range slices.Sorted(maps.Keys(byKey)) {
+		executions := byKey[key]
+		for i, earlier := range executions {
+			for _, later := range executions[i+1:] {
+				violations = append(violations, o.checkPairOfKey(earlier, later, firstCalls)...)
+			}
+		}
+	}
+	return violations
+}
+
+// checkPairOfKey checks two executions of one key, the earlier of which started first. The order is checked for first
+// calls only, as a repeated call has the position of its request.
+func (o observations) checkPairOfKey(earlier, later Run, firstCalls map[string]Event) (violations []Breach) {
+	if earlier.endTime() > later.Began.At && earlier.Began.Once != later.Began.Once {
+		violations = append(violations, Breach{KeyConcurrency, []Event{earlier.Began, later.Began, earlier.Over}})
+	}
+	a, b := o.requests[earlier.Began.Call], o.requests[later.Began.Call]
+	areFirst := firstCalls[a.Once] == a && firstCalls[b.Once] == b
+	if a.Front == b.Front && b.At < a.At && a.Once != b.Once && areFirst {
+		violations = append(violations, Breach{
+			Rule:   "requests of a key out of the order in which one front end received them",
+			Events: []Event{b, a, earlier.Began, later.Began},
+		})
+	}
+	return violations
+}
+
+// firstCalls returns the first call of each request, by idempotency key.
+func (o observations) firstCalls() map[string]Event {
+	first := map[string]Event{}
+	for _, call := range o.requests {
+		known, ok := first[call.Once]
+		if !ok || call.At < known.At || call.At == known.At && call.Call < known.Call {
+			first[call.Once] = call
+		}
+	}
+	return first
+}
--- /dev/null
+++ b/internal/history/rate.go
@@ -0,0 +1,104 @@
+package history
+
+import (
+	"cmp"
+	"container/heap"
+	"fmt"
+	"slices"
+)
+
+// roundingError is the error that sums of units may have.
+const roundingError = 1e-9
+
+const microsPerSecond = 1e6
+
+// tokenBucket is a token bucket at a point in time.
+type tokenBucket struct {
+	rate   float64 // tokens a second
+	burst  float64 // the most tokens that it holds
+	tokens float64
+	at     int64 // microseconds
+}
+
+// advance moves the bucket to a later time.
+func (b *tokenBucket) advance(to int64) {
+	b.tokens = min(b.burst, b.tokens+b.rate*float64(to-b.at)/microsPerSecond)
+	b.at = to
+}
+
+// holds reports whether there are enough tokens.
+func (b *tokenBucket) holds(units float64) bool { return b.tokens >= units-roundingError }
+
+// fullEnoughAt returns when there will be enough tokens.
+func (b *tokenBucket) fullEnoughAt(units float64) int64 {
+	return b.at + int64((units-b.tokens)/b.rate*microsPerSecond) + 1
+}
+
+// CheckRate finds consumptions for which a token bucket would not have had the tokens in time: one that fills at a rate
+// in units a second and holds a burst of units at most.
+//
+// It serves consumptions in the order of their deadlines, each as soon as there are tokens for it. If any order is in
+// time, this one is.
+func CheckRate(consumptions []Spending, rate, burst float64) (violations []Breach) {
+	upcoming := slices.Clone(consumptions)
+	slices.SortStableFunc(upcoming, func(a, b Spending) int { return cmp.Compare(a.From, b.From) })
+	bucket := tokenBucket{rate: rate, burst: burst, tokens: burst}
+	var waiting byDeadline
+	for len(upcoming) > 0 || len(waiting) > 0 {
+		if len(waiting) == 0 {
+			bucket.advance(max(bucket.at, upcoming[0].From))
+		}
+		for len(upcoming) > 0 && upcoming[0].From <= bucket.at {
+			heap.Push(&waiting, upcoming[0])
+			upcoming = upcoming[1:]
+		}
+		next := waiting[0]
+		if !bucket.holds(next.Units) {
+			wakeup := bucket.fullEnoughAt(next.Units)
+			if len(upcoming) > 0 {
+				wakeup = min(wakeup, upcoming[0].From)
+			}
+			bucket.advance(max(wakeup, bucket.at+1))
+			continue
+		}
+		heap.Pop(&waiting)
+		bucket.tokens -= next.Units
+		deadline := next.Event.At
+		if bucket.at > deadline+1 {
+			violations = append(violations, rateViolation(next, bucket))
+			bucket.tokens, bucket.at = burst, deadline // later ones are judged on their own
+		}
+	}
+	return violations
+}
+
+func rateViolation(consumption Spending, bucket tokenBucket) Breach {
+	early := float64(bucket.at-consumption.Event.At) / 1000
+	return Breach{
+		Rule: fmt.Sprintf("more than %g a second with a burst of %g: %.0f ms too early",
+			bucket.rate, bucket.burst, early),
+		Events: []Event{consumption.Event},
+	}
+}
+
+// CheckWindow finds windows, in microseconds, in which more than a total was consumed, whenever within its bounds each
+// unit was consumed.
+func CheckWindow(consumptions []Spending, total float64, window int64) (violations []Breach) {
+	for i, first := range consumptions {
+		sum, earliest := 0.0, first.From
+		for _, consumption := range consumptions[i:] {
+			earliest = min(earliest, consumption.From)
+			if consumption.Event.At-earliest >= window { // they may lie a window apart
+				break
+			}
+			sum += consumption.Units
+		}
+		if sum > total+roundingError {
+			violations = append(violations, Breach{
+				Rule:   fmt.Sprintf("%g within a window where the total is %g", sum, total),
+				Events: []Event{first.Event},
+			})
+		}
+	}
+	return violations
+}
