--- a/exercise/client.go
+++ b/exercise/client.go
@@ -8,129 +8,148 @@
 	"chutechute/internal/monotime"
 )
 
-// Try is one load as a client sends it, again and again if it has to.
-type Try struct {
-	Once, Key, Statement string
-	TTL                  monotime.Micros
-	Tries                int // left
-}
+const (
+	// requestDelay is how long a client's request takes to any front end. It is always the same, so that requests
+	// arrive in the order in which they were sent.
+	requestDelay = 500 // µs
+	// minResponseDelay and maxResponseDelay are how long a response takes to the client.
+	minResponseDelay = 100 // µs
+	maxResponseDelay = 2 * ms
+	// clientTimeoutMargin is how long a client waits beyond the request's TTL.
+	clientTimeoutMargin = 100 * ms
+	// connectionCheckInterval is how soon a client notices that the process has ended to which it is connected.
+	connectionCheckInterval = 5 * ms
+	// estimatedCost is the cost that clients report for all requests.
+	estimatedCost = 10 * ms
+	// requestClass is the class of all requests.
+	requestClass = "load"
+)
+
+// statementFormat is the statement of a request that runs for a number of milliseconds on an engine.
+const statementFormat = "INSERT INTO s_1.t -- ms=%d"
 
-// wait is one try that a client waits for.
-type wait struct {
-	s    *Sim
-	call string
-	try  Try
-	f    *Front
-	done bool
-	told func(how string)
+// request is an idempotent request, which its client may send several times.
+type request struct {
+	idempotencyKey string
+	key            string // requests of one key run one at a time, in order; empty: none
+	statement      string
+	ttl            monotime.Micros
+	callsLeft      int // how often the client sends it at most, from now on
 }
 
-func (w *wait) tell(how string, body []byte) {
-	w.s.after(0, func() { w.s.at("kept", w.f) })
-	// The answer crosses the network.
-	w.s.after(w.s.between(100, 2*ms), func() { w.end(how, string(body)) })
+// call is a request that was sent once, whose client waits for the response.
+type call struct {
+	simulation *Simulation
+	id         string
+	request    request
+	frontEnd   *FrontEnd
+	process    *process         // to which the client is connected, nil if none ran
+	submitted  *gateway.Request // nil before the request has arrived
+	ended      bool
+	onEnd      func(outcome string)
 }
 
-func (w *wait) end(how, body string) {
-	if w.done {
+// send sends a request to a front end. onEnd is called with the outcome, one of package history.
+func (s *Simulation) send(f *FrontEnd, request request, onEnd func(outcome string)) {
+	s.callCount++
+	c := &call{
+		simulation: s,
+		id:         fmt.Sprintf("%016x", s.callCount),
+		request:    request,
+		frontEnd:   f,
+		process:    f.process,
+		onEnd:      onEnd,
+	}
+	c.record(history.Event{What: history.Asked, Body: request.statement})
+	if c.process == nil {
+		c.respond(history.Lost, nil)
 		return
 	}
-	w.done = true
-	defer w.s.at("told", w.f)
-	w.s.Record.Add(history.Event{What: history.Answered, Front: w.f.Name, Call: w.call, Once: w.try.Once, Key: w.try.Key, Detail: how,
-		Body: body})
-	w.told(how)
+	s.after(requestDelay, func() { c.process.run(c.submit) })
+	s.after(request.ttl+clientTimeoutMargin, c.timeOut)
+	s.after(connectionCheckInterval, c.checkConnection)
+}
+
+// record adds an event of the call to the history.
+func (c *call) record(event history.Event) {
+	event.Front = c.frontEnd.name
+	event.Call = c.id
+	event.Once = c.request.idempotencyKey
+	event.Key = c.request.key
+	c.simulation.History.Add(event)
 }
 
-// Respond and the others are the front end's answer.
-func (w *wait) Respond(rows []byte) { w.tell(history.Answer, append([]byte(nil), rows...)) }
+// submit hands the request to the front end's core.
+func (c *call) submit() {
+	if c.ended {
+		return // the client has closed its connection
+	}
+	var err error
+	c.submitted, err = c.process.core.Submit(c.process.now(), &gateway.Call{
+		ID:             c.id,
+		Class:          requestClass,
+		Key:            c.request.key,
+		IdempotencyKey: c.request.idempotencyKey,
+		TTL:            c.request.ttl,
+		Cost:           estimatedCost,
+		Statement:      []byte(c.request.statement),
+	}, c)
+	if err != nil {
+		c.simulation.fail(err)
+	}
+	c.process.runLoop()
+	c.simulation.reach(requestSubmitted, c.frontEnd)
+}
+
+// Respond delivers the rows of the result.
+func (c *call) Respond(rows []byte) { c.respond(history.Answer, rows) }
+
+// Reject delivers that nothing of the request has run or will run.
+func (c *call) Reject(monotime.Micros) { c.respond(history.Shed, nil) }
 
-// Reject turns the try away.
-func (w *wait) Reject(monotime.Micros) { w.tell(history.Shed, nil) }
+// Fail delivers that the request has no result and may have run.
+func (c *call) Fail() { c.respond(history.Fault, nil) }
 
-// Fail promises nothing.
-func (w *wait) Fail() { w.tell(history.Fault, nil) }
+// respond sends the final response over the network.
+func (c *call) respond(outcome string, rows []byte) {
+	s := c.simulation
+	body := string(rows)
+	s.after(0, func() { s.reach(responseSent, c.frontEnd) })
+	s.after(s.random.between(minResponseDelay, maxResponseDelay), func() { c.end(outcome, body) })
+}
 
-// Load sends a try to a front end; told hears how it ended.
-func (s *Sim) Load(f *Front, try Try, told func(how string)) {
-	s.calls++
-	w := &wait{s: s, call: fmt.Sprintf("%016x", s.calls), try: try, f: f, told: told}
-	s.Record.Add(history.Event{What: history.Asked, Front: f.Name, Call: w.call, Once: try.Once, Key: try.Key, Body: try.Statement})
-	p := f.proc
-	if p == nil {
-		w.tell(history.Lost, nil)
+// end ends the call on the client's side, unless it has ended.
+func (c *call) end(outcome, body string) {
+	if c.ended {
 		return
 	}
-	var r *gateway.Request
-	// Arrivals keep their order: a client's bytes take the same time to one front end.
-	s.after(500, func() {
-		p.does(func() {
-			if w.done {
-				return // the client has closed its connection
-			}
-			var err error
-			r, err = p.core.Submit(p.f.local(), &gateway.Call{ID: w.call, Class: "load", Key: try.Key, IdempotencyKey: try.Once, TTL: try.TTL,
-				Cost: 10 * ms, Statement: []byte(try.Statement)}, w)
-			if err != nil {
-				s.fail(err)
-			}
-			p.turn()
-			s.at("taken", f)
-		})
-	})
-	s.after(try.TTL+100*ms, func() { // it waits no longer
-		if !w.done {
-			w.end(history.Lost, "")
-			p.does(func() {
-				if r != nil {
-					p.core.Cancel(r)
-					p.turn()
-				}
-			})
-		}
-	})
-	var look func()
-	look = func() { // a process that ends resets its connections
-		if w.done {
-			return
-		}
-		if f.proc != p {
-			w.end(history.Lost, "")
-			return
-		}
-		s.after(5*ms, look)
-	}
-	s.after(5*ms, look)
+	c.ended = true
+	c.record(history.Event{What: history.Answered, Detail: outcome, Body: body})
+	c.onEnd(outcome)
+	c.simulation.reach(responseReceived, c.frontEnd)
 }
 
-// Insist sends a load, and again through any front end until it is served or has no tries left.
-func (s *Sim) Insist(f *Front, try Try) {
-	s.Load(f, try, func(how string) {
-		if how == history.Answer && !s.chance(4) || try.Tries <= 1 {
-			return
-		}
-		try.Tries--
-		next := s.Fronts[s.rng.IntN(len(s.Fronts))]
-		s.after(s.between(0, second), func() { s.Insist(next, try) })
-		if s.chance(6) { // an impatient one asks two
-			again := s.Fronts[s.rng.IntN(len(s.Fronts))]
-			once := try
-			once.Tries = 1
-			s.after(s.between(0, 20*ms), func() { s.Insist(again, once) })
+// timeOut closes the client's connection, by which the front end cancels the request.
+func (c *call) timeOut() {
+	if c.ended {
+		return
+	}
+	c.end(history.Lost, "")
+	c.process.run(func() {
+		if c.submitted != nil {
+			c.process.core.Cancel(c.submitted)
+			c.process.runLoop()
 		}
 	})
 }
 
-// NewLoad is a load that nobody has sent yet, on one of so many keys.
-func (s *Sim) NewLoad(keys int) Try {
-	s.loads++
-	t := Try{Once: fmt.Sprintf("once-%d", s.loads), Statement: fmt.Sprintf("INSERT INTO s_1.t -- ms=%d", s.between(5, 800)),
-		TTL: s.between(second, 12*second), Tries: 2 + s.rng.IntN(4)}
-	if s.chance(10) {
-		t.Statement = fmt.Sprintf("INSERT INTO s_1.t -- ms=%d", s.between(1000, 6000))
-	}
-	if keys > 0 && !s.chance(4) {
-		t.Key = fmt.Sprintf("key-%d", s.rng.IntN(keys))
+// checkConnection ends the call if the process has ended, as that closes its connections.
+func (c *call) checkConnection() {
+	switch {
+	case c.ended:
+	case !c.process.isAlive():
+		c.end(history.Lost, "")
+	default:
+		c.simulation.after(connectionCheckInterval, c.checkConnection)
 	}
-	return t
 }
--- a/exercise/engine.go
+++ b/exercise/engine.go
@@ -3,234 +3,175 @@
 import (
 	"fmt"
 
-	"chutechute/gateway"
 	"chutechute/internal/history"
 	"chutechute/internal/monotime"
-	"chutechute/scheduler"
 )
 
 const (
-	unasked = 2 * second
-	window  = 25 * second
-	poll    = 250 * ms
+	// abandonTimeout is how long an engine executes what no front end polls for.
+	abandonTimeout = 2 * second
+	// duplicateWindow is for how long an engine drops further starts of an idempotency key.
+	duplicateWindow = 25 * second
+	// enginePollInterval is the interval at which a front end polls an engine for an execution.
+	enginePollInterval = 250 * ms
+	// minPollDelay is how soon, at least, the pending poll reports the end of an execution.
+	minPollDelay = 100 // µs
+	// maxEndDelay is the longest time from the end of an execution to the crash point after it.
+	maxEndDelay = 5 * ms
+	// failedExecutionOneIn is the average number of executions for each one that fails.
+	failedExecutionOneIn = 12
 )
 
-// engine runs what it is sent until it ends, is deleted, or nobody has asked for it for 2 s. It drops repeats of a key.
+// The delays of messages between front ends and engines.
+const (
+	minEngineDelay         = 200 // µs
+	maxEngineRequestDelay  = 3 * ms
+	maxEngineResponseDelay = 2 * ms
+)
+
+// engine executes what it is sent until that ends by itself, is canceled, or was not polled for a while. It drops
+// duplicates of an idempotency key.
 type engine struct {
-	s    *Sim
-	name string
-	runs map[string]*run
+	simulation *Simulation
+	name       string
+	executions map[string]*execution // by request ID
 }
 
-type run struct {
-	jobs  []*job // of those who ask after it, the first began it
-	asked monotime.Micros
-	over  bool
-	good  bool
-	rows  string
+func newEngine(s *Simulation, index int) *engine {
+	return &engine{
+		simulation: s,
+		name:       fmt.Sprintf("s-%08x", index+1),
+		executions: map[string]*execution{},
+	}
 }
 
-// job is an attempt on its way through its calls.
-type job struct {
-	p       *process
-	a       *gateway.Attempt
-	e       *engine
-	begun   monotime.Micros
-	written bool
-	arrived bool
-	dropped bool
-	done    bool
+// executionState is the state of an execution.
+type executionState int
+
+const (
+	running executionState = iota
+	succeeded
+	failed // by itself, or because it was canceled or abandoned
+)
+
+// execution is a request that an engine executes or has executed.
+type execution struct {
+	attempts   []*attempt // that poll for it; the first one started it
+	lastPolled monotime.Micros
+	state      executionState
+	rows       string
 }
 
-// pool is a process's side of its engines.
-type pool struct{ p *process }
-
-// Start sends an attempt to its engine, once a connection is up.
-func (o pool) Start(a *gateway.Attempt) {
-	p := o.p
-	s := p.f.s
-	var e *engine
-	for _, other := range s.engines {
-		if other.name == a.Engine {
-			e = other
-		}
-	}
-	j := &job{p: p, a: a, e: e, begun: s.now}
-	p.jobs[a] = j
-	if a.AlreadyRunning {
-		j.written = true
-		s.after(s.between(200, 3*ms), func() { p.does(j.takeOver) })
-		return
-	}
-	s.after(0, func() { s.at("granted", p.f) })
-	dial := s.between(0, 2*ms)
-	if s.chance(20) {
-		dial = s.between(0, 200*ms)
-	}
-	s.after(dial, func() { p.does(j.write) })
+// engineRequestDelay draws how long a message takes to an engine.
+func (s *Simulation) engineRequestDelay() monotime.Micros {
+	return s.random.between(minEngineDelay, maxEngineRequestDelay)
 }
 
-// write is the last moment before the start goes out.
-func (j *job) write() {
-	if j.done {
-		return
-	}
-	if !j.p.f.s.o.Variant.NoUntil && j.a.StartBy != 0 && j.p.f.local() >= j.a.StartBy {
-		j.end(scheduler.NotSent, nil)
-		return
-	}
-	j.written = true
-	s := j.p.f.s
-	s.after(s.between(200, 3*ms), j.arrive)
+// engineResponseDelay draws how long a message from an engine takes.
+func (s *Simulation) engineResponseDelay() monotime.Micros {
+	return s.random.between(minEngineDelay, maxEngineResponseDelay)
 }
 
-// arrive is the start's arrival, whatever has become of who sent it.
-func (j *job) arrive() {
-	s, e := j.p.f.s, j.e
-	j.arrived = true
-	s.after(s.between(0, ms), func() { s.at("begun", j.p.f) })
-	once := j.a.IdempotencyKey
-	if last, known := s.seen[once]; known && s.now-last < window && !s.o.Variant.NoWindow {
-		s.Record.Add(history.Event{What: history.Repeat, Engine: e.name, Call: j.a.ID, Once: once})
-		s.after(s.between(200, 2*ms), func() { j.p.does(func() { j.end(scheduler.Errored, nil) }) })
-		return
-	}
-	s.seen[once] = s.now
-	r := &run{jobs: []*job{j}, asked: s.now, rows: fmt.Sprintf("%s\t%s\t%s\n", j.a.ID, once, e.name)}
-	e.runs[j.a.ID] = r
-	s.Record.Add(history.Event{What: history.Began, Engine: e.name, Call: j.a.ID, Once: once, Key: j.a.Key})
-	var span monotime.Micros
-	fmt.Sscanf(string(j.a.Statement), "INSERT INTO s_1.t -- ms=%d", &span)
-	good := !s.chance(12)
-	s.after(span*ms, func() {
-		if !r.over {
-			e.over(r, history.Ended, good)
-		}
-	})
-	if j.dropped {
-		s.after(s.between(200, 2*ms), func() { j.p.does(j.deletes) })
-	}
-	e.ask(r, j)
-	e.watch(r)
+// isDuplicate reports whether an idempotency key was executed a short while ago, on any engine.
+func (s *Simulation) isDuplicate(idempotencyKey string) bool {
+	last, known := s.lastExecuted[idempotencyKey]
+	return known && s.now-last < duplicateWindow && !s.options.Mutation.NoDuplicateDetection
 }
 
-// takeOver asks after what another front end has started: it is known, or may come yet, or never will.
-func (j *job) takeOver() {
-	s := j.p.f.s
-	if j.done {
-		return
-	}
-	if r := j.e.runs[j.a.ID]; r != nil {
-		j.arrived = true
-		r.jobs = append(r.jobs, j)
-		if j.e.ask(r, j); j.dropped {
-			j.deletes()
-		}
+// receiveStart starts the execution of an attempt, unless it is a duplicate. What has become of the process that
+// sent it does not matter.
+func (e *engine) receiveStart(a *attempt) {
+	s := e.simulation
+	a.state = attemptReceived
+	s.after(s.random.between(0, ms), func() { s.reach(executionStarted, a.process.frontEnd) })
+	if s.isDuplicate(a.IdempotencyKey) {
+		s.History.Add(history.Event{What: history.Repeat, Engine: e.name, Call: a.ID, Once: a.IdempotencyKey})
+		s.after(s.engineResponseDelay(), func() { a.process.run(a.fail) })
 		return
 	}
-	if s.now-j.begun >= unasked+poll || s.o.Variant.HastySuccessor {
-		j.dropped = true
-		j.deletes()
-		return
+	exec := e.execute(a)
+	if a.canceled {
+		s.after(s.engineResponseDelay(), func() { a.process.run(a.sendCancellation) })
 	}
-	s.after(poll, func() { j.p.does(j.takeOver) })
+	e.poll(exec, a)
+	e.checkAbandoned(exec)
 }
 
-// asks says whether a front end asks after its query now.
-func (j *job) asks() bool { return j.p.f.proc == j.p && !j.p.paused && !j.done }
-
-// ask is one question after a query: it keeps the query alive as long as its front end asks.
-func (e *engine) ask(r *run, j *job) {
-	s := e.s
-	if j.asks() {
-		r.asked = s.now
-		if r.over {
-			s.after(s.between(200, 2*ms), func() { j.p.does(func() { j.answer(r) }) })
-			return
+// execute starts an execution and schedules its end. The statement tells how long it runs.
+func (e *engine) execute(a *attempt) *execution {
+	s := e.simulation
+	s.lastExecuted[a.IdempotencyKey] = s.now
+	exec := &execution{
+		attempts:   []*attempt{a},
+		lastPolled: s.now,
+		rows:       fmt.Sprintf("%s\t%s\t%s\n", a.ID, a.IdempotencyKey, e.name),
+	}
+	e.executions[a.ID] = exec
+	e.record(history.Began, a)
+	var duration monotime.Micros // in milliseconds
+	fmt.Sscanf(string(a.Statement), statementFormat, &duration)
+	result := succeeded
+	if s.random.oneIn(failedExecutionOneIn) {
+		result = failed
+	}
+	s.after(duration*ms, func() {
+		if exec.state == running {
+			e.end(exec, history.Ended, result)
 		}
-	}
-	if j.p.f.proc != j.p || j.done {
-		return
-	}
-	s.after(poll, func() { e.ask(r, j) })
+	})
+	return exec
 }
 
-// watch ends a query that nobody has asked for.
-func (e *engine) watch(r *run) {
-	switch {
-	case r.over:
-	case e.s.now-r.asked >= unasked:
-		e.over(r, history.Unasked, false)
-	default:
-		e.s.after(poll, func() { e.watch(r) })
-	}
+// record adds an event of an execution to the history, with what the attempt that started it says.
+func (e *engine) record(what string, a *attempt) {
+	e.simulation.History.Add(history.Event{
+		What: what, Engine: e.name, Call: a.ID, Once: a.IdempotencyKey, Key: a.Key,
+	})
 }
 
-func (e *engine) over(r *run, how string, good bool) {
-	r.over, r.good = true, good
-	first := r.jobs[0]
-	e.s.Record.Add(history.Event{What: how, Engine: e.name, Call: first.a.ID, Once: first.a.IdempotencyKey, Key: first.a.Key})
-	e.s.after(e.s.between(0, 5*ms), func() { e.s.at("over", first.p.f) })
-	if how != history.Ended {
+// poll has an attempt's process poll for an execution now, and again at intervals as long as the process is alive and
+// the attempt has not ended. A paused process does not poll, and continues when it resumes.
+func (e *engine) poll(exec *execution, a *attempt) {
+	s := e.simulation
+	if !a.process.isAlive() || a.state == attemptEnded {
 		return
 	}
-	for _, j := range r.jobs { // a question is out, if anybody asks
-		e.s.after(e.s.between(100, poll), func() {
-			if j.p.f.proc == j.p && !j.done {
-				j.p.does(func() { j.answer(r) })
-			}
-		})
-	}
-}
-
-// answer brings a query's end to its front end.
-func (j *job) answer(r *run) {
-	if r.good {
-		j.end(scheduler.Succeeded, []byte(r.rows))
-	} else {
-		j.end(scheduler.Errored, nil)
+	if !a.process.paused {
+		exec.lastPolled = s.now
+		if exec.state != running {
+			s.after(s.engineResponseDelay(), func() { a.process.run(func() { a.reportEnd(exec) }) })
+			return
+		}
 	}
+	s.after(enginePollInterval, func() { e.poll(exec, a) })
 }
 
-// GiveUp ends an attempt early.
-// Renice does nothing: these engines heed no priorities.
-func (o pool) SetPriority(*gateway.Attempt) {}
-
-func (o pool) Cancel(a *gateway.Attempt) {
-	j := o.p.jobs[a]
+// checkAbandoned ends an execution that no front end has polled for, and checks again at intervals.
+func (e *engine) checkAbandoned(exec *execution) {
 	switch {
-	case j == nil || j.dropped:
-	case !j.written:
-		j.end(scheduler.NotSent, nil)
+	case exec.state != running:
+	case e.simulation.now-exec.lastPolled >= abandonTimeout:
+		e.end(exec, history.Unasked, failed)
 	default:
-		j.dropped = true
-		if j.arrived { // a DELETE waits until the start was answered
-			j.deletes()
-		}
+		e.simulation.after(enginePollInterval, func() { e.checkAbandoned(exec) })
 	}
 }
 
-func (j *job) deletes() {
-	s := j.p.f.s
-	s.after(s.between(200, 3*ms), func() {
-		if r := j.e.runs[j.a.ID]; r != nil && !r.over {
-			j.e.over(r, history.Deleted, false)
-		}
-		s.after(s.between(200, 2*ms), func() { j.p.does(func() { j.end(scheduler.Canceled, nil) }) })
-	})
-}
-
-// HealthCheck is answered at once: engines are idle enough.
-func (o pool) HealthCheck(name string) {
-	o.p.core.HealthCheckEnded(name, scheduler.Succeeded, ms, nil)
-}
-
-func (j *job) end(result scheduler.Result, rows []byte) {
-	if j.done {
+// end ends an execution. Front ends that poll for it learn at once that it has ended by itself.
+func (e *engine) end(exec *execution, what string, state executionState) {
+	s := e.simulation
+	exec.state = state
+	first := exec.attempts[0]
+	e.record(what, first)
+	s.after(s.random.between(0, maxEndDelay), func() { s.reach(executionEnded, first.process.frontEnd) })
+	if what != history.Ended {
 		return
 	}
-	j.done = true
-	delete(j.p.jobs, j.a)
-	j.p.core.AttemptEnded(j.p.f.local(), j.a, result, rows, nil)
-	j.p.f.s.after(0, func() { j.p.does(j.p.turn) })
+	for _, a := range exec.attempts {
+		s.after(s.random.between(minPollDelay, enginePollInterval), func() {
+			if a.process.isAlive() && a.state != attemptEnded {
+				a.process.run(func() { a.reportEnd(exec) })
+			}
+		})
+	}
 }
--- a/exercise/faults.go
+++ b/exercise/faults.go
@@ -1,132 +1,159 @@
 package exercise
 
-import "chutechute/internal/monotime"
+import (
+	"fmt"
 
-// Traffic has clients send loads at random, so many a second, for a span.
-func (s *Sim) Traffic(perSecond float64, keys int, span monotime.Micros) {
-	until := s.now + span
-	var next func()
-	next = func() {
+	"chutechute/internal/monotime"
+)
+
+// randomFaults are the faults that InjectFaults draws from, with equal probability. Each is given two front ends
+// drawn at random, which may be the same.
+var randomFaults = [...]func(s *Simulation, a, b *FrontEnd){
+	(*Simulation).crashOne,
+	(*Simulation).crashOne,
+	(*Simulation).pauseOne,
+	(*Simulation).pauseOne,
+	(*Simulation).partitionOneWay,
+	(*Simulation).partitionOneWay,
+	(*Simulation).partitionBothWays,
+	(*Simulation).partitionInTwo,
+	(*Simulation).slowNetwork,
+	(*Simulation).toggleDuplicates,
+	(*Simulation).toggleLongDelays,
+	(*Simulation).pauseLeader,
+	(*Simulation).crashAll,
+}
+
+// InjectFaults injects a fault at intervals of about the given length for a duration of true time, and ends all faults
+// then. No more disks are emptied than the replicated log can bear: one at a time, and the next one only once all
+// replicas have caught up again.
+func (s *Simulation) InjectFaults(interval, duration monotime.Micros) {
+	until := s.now + duration
+	var inject func()
+	inject = func() {
 		if s.now >= until {
+			s.Heal()
 			return
 		}
-		s.Insist(s.Fronts[s.rng.IntN(len(s.Fronts))], s.NewLoad(keys))
-		s.after(monotime.Micros(s.rng.ExpFloat64()*float64(second)/perSecond), next)
+		s.injectRandomFault()
+		s.after(s.random.between(interval/2, interval*3/2), inject)
 	}
-	s.after(0, next)
+	s.after(interval, inject)
 }
 
-// Chaos has something fail every so often for a span, and heals all in the end. No more disks are lost than the record bears:
-// one at a time, and the next only once all copies are there again.
-func (s *Sim) Chaos(every, span monotime.Micros) {
-	until := s.now + span
-	var next func()
-	next = func() {
-		if s.now >= until {
-			s.Heal()
+func (s *Simulation) injectRandomFault() {
+	a, b := s.randomFrontEnd(), s.randomFrontEnd()
+	inject := randomFaults[s.random.IntN(len(randomFaults))]
+	inject(s, a, b)
+}
+
+// Heal ends all faults. None is injected any more.
+func (s *Simulation) Heal() {
+	s.logFault("heal")
+	s.healed = true
+	s.network.heal()
+	for _, f := range s.FrontEnds {
+		f.resume()
+		f.start()
+	}
+}
+
+// crashOne crashes a front end and starts it again, with an empty disk where that does no harm.
+func (s *Simulation) crashOne(f, _ *FrontEnd) {
+	if f.process == nil {
+		return
+	}
+	emptyDisk := !s.options.DurableDisks || s.random.oneIn(2)
+	if emptyDisk && !s.allReplicasCaughtUp() {
+		if !s.options.DurableDisks {
 			return
 		}
-		s.fault()
-		s.after(s.between(every/2, every*3/2), next)
+		emptyDisk = false
+	}
+	f.crash(emptyDisk)
+	s.after(s.random.between(minRestartDelay, maxRestartDelay), f.start)
+}
+
+// crashAll crashes all front ends at the same time, which only durable disks outlive.
+func (s *Simulation) crashAll(_, _ *FrontEnd) {
+	if !s.options.DurableDisks {
+		return
 	}
-	s.after(every, next)
-}
-
-// Heal ends all faults.
-func (s *Sim) Heal() {
-	s.did("heal")
-	s.calm = true
-	clear(s.cuts)
-	s.delays, s.twice, s.late = 2*ms, false, false
-	for _, f := range s.Fronts {
-		f.Resume()
-		f.Start()
+	for _, f := range s.FrontEnds {
+		f.crash(false)
+		s.after(s.random.between(minRestartDelay, second), f.start)
 	}
 }
 
-func (s *Sim) fault() {
-	f := s.Fronts[s.rng.IntN(len(s.Fronts))]
-	o := s.Fronts[s.rng.IntN(len(s.Fronts))]
-	switch s.rng.IntN(13) {
-	case 0, 1:
-		if f.proc == nil {
+func (s *Simulation) pauseOne(f, _ *FrontEnd) {
+	f.pause()
+	s.after(s.random.between(50*ms, 10*second), f.resume)
+}
+
+// pauseLeader pauses the first front end that takes itself for the leader.
+func (s *Simulation) pauseLeader(_, _ *FrontEnd) {
+	for _, f := range s.FrontEnds {
+		if f.isRunning() && f.process.node.Replica().IsLeader() {
+			f.pause()
+			s.after(s.random.between(second, 6*second), f.resume)
 			return
 		}
-		empty := !s.o.Lasting || s.chance(2)
-		if empty && !s.Whole() {
-			if !s.o.Lasting {
-				return
-			}
-			empty = false
-		}
-		f.Kill(empty)
-		s.after(s.between(50*ms, 4*second), f.Start)
-	case 2, 3:
-		f.Pause()
-		s.after(s.between(50*ms, 10*second), f.Resume)
-	case 4, 5:
-		s.cut(f, o, s.between(100*ms, 8*second))
-	case 6:
-		s.cut(f, o, s.between(100*ms, 8*second))
-		s.cut(o, f, s.between(100*ms, 8*second))
-	case 7: // one side and the rest
-		span := s.between(500*ms, 10*second)
-		side := map[int]bool{}
-		for _, x := range s.Fronts {
-			side[x.n] = s.chance(2)
-		}
-		for _, x := range s.Fronts {
-			for _, y := range s.Fronts {
-				if side[x.n] != side[y.n] {
-					s.cut(x, y, span)
-				}
-			}
-		}
-	case 8:
-		s.delays = s.between(2*ms, 400*ms)
-		s.did("messages take up to %d ms", s.delays/ms)
-		s.after(s.between(0, 4*second), func() { s.delays = 2 * ms })
-	case 9:
-		s.twice = !s.twice
-		s.did("messages come twice: %v", s.twice)
-	case 10:
-		s.late = !s.late
-		s.did("messages come late: %v", s.late)
-	case 12: // all at one instant; only disks outlive that
-		if s.o.Lasting {
-			for _, x := range s.Fronts {
-				x.Kill(false)
-				s.after(s.between(50*ms, second), x.Start)
-			}
-		}
-	case 11: // the leader
-		for _, x := range s.Fronts {
-			if x.Up() && x.proc.node.Replica().IsLeader() {
-				x.Pause()
-				s.after(s.between(second, 6*second), x.Resume)
-				return
+	}
+}
+
+func (s *Simulation) partitionOneWay(from, to *FrontEnd) {
+	s.partition(from, to, s.random.between(100*ms, 8*second))
+}
+
+func (s *Simulation) partitionBothWays(a, b *FrontEnd) {
+	s.partition(a, b, s.random.between(100*ms, 8*second))
+	s.partition(b, a, s.random.between(100*ms, 8*second))
+}
+
+// partitionInTwo partitions the front ends into two sides.
+func (s *Simulation) partitionInTwo(_, _ *FrontEnd) {
+	duration := s.random.between(500*ms, 10*second)
+	onFirstSide := map[*FrontEnd]bool{}
+	for _, f := range s.FrontEnds {
+		onFirstSide[f] = s.random.oneIn(2)
+	}
+	for _, from := range s.FrontEnds {
+		for _, to := range s.FrontEnds {
+			if onFirstSide[from] != onFirstSide[to] {
+				s.partition(from, to, duration)
 			}
 		}
 	}
 }
 
-// cut severs one way for a span.
-func (s *Sim) cut(from, to *Front, span monotime.Micros) {
+// partition drops what one front end sends to another for a duration.
+func (s *Simulation) partition(from, to *FrontEnd, duration monotime.Micros) {
 	if from == to {
 		return
 	}
-	way := [2]int{from.n, to.n}
-	s.did("cut %s to %s", from.Name, to.Name)
-	s.cuts[way] = true
-	s.after(span, func() { delete(s.cuts, way) })
+	way := direction{from: from.index, to: to.index}
+	s.logFault("partition from %s to %s", from.name, to.name)
+	s.network.partitioned[way] = true
+	s.after(duration, func() { delete(s.network.partitioned, way) })
 }
 
-// Open is how many loads front ends hold, and how many questions of theirs have no answer.
-func (s *Sim) Open() (held int) {
-	for _, f := range s.Fronts {
-		if f.proc != nil {
-			held += f.proc.records.Len()
-		}
-	}
-	return held
+func (s *Simulation) slowNetwork(_, _ *FrontEnd) {
+	s.network.maxDelay = s.random.between(defaultMaxMessageDelay, 400*ms)
+	s.logFault("messages take up to %d ms", s.network.maxDelay/ms)
+	s.after(s.random.between(0, 4*second), func() { s.network.maxDelay = defaultMaxMessageDelay })
+}
+
+func (s *Simulation) toggleDuplicates(_, _ *FrontEnd) {
+	s.network.duplicates = !s.network.duplicates
+	s.logFault("duplicates of messages: %v", s.network.duplicates)
+}
+
+func (s *Simulation) toggleLongDelays(_, _ *FrontEnd) {
+	s.network.longDelays = !s.network.longDelays
+	s.logFault("long delays of messages: %v", s.network.longDelays)
+}
+
+// logFault adds a line to the fault log.
+func (s *Simulation) logFault(format string, args ...any) {
+	s.FaultLog = append(s.FaultLog, fmt.Sprintf("%10.6f %s", seconds(s.now), fmt.Sprintf(format, args...)))
 }
--- /dev/null
+++ b/exercise/mutations_test.go
@@ -0,0 +1,191 @@
+package exercise_test
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"chutechute/exercise"
+	"chutechute/fleet/idempotency"
+	"chutechute/fleet/replication"
+	"chutechute/gateway"
+	"chutechute/internal/history"
+	"chutechute/internal/monotime"
+)
+
+// changeResponse changes the registry's response to a command of a front end's process.
+type changeResponse func(from replication.Incarnation, command *idempotency.Command, response *idempotency.Response)
+
+// changedResponses is a registry that keeps a correct state and gives wrong responses.
+type changedResponses struct {
+	replication.StateMachine
+	change changeResponse
+}
+
+func (r changedResponses) Apply(
+	context replication.ApplyContext, from replication.Incarnation, encodedCommand []byte,
+) []byte {
+	encoded := r.StateMachine.Apply(context, from, encodedCommand)
+	command, commandErr := idempotency.DecodeCommand(encodedCommand)
+	response, responseErr := idempotency.DecodeResponse(encoded)
+	if commandErr != nil || responseErr != nil || len(encoded) == 0 {
+		return encoded
+	}
+	r.change(from, command, &response)
+	return response.Encode()
+}
+
+func withChangedResponses(change changeResponse) *exercise.Mutation {
+	return &exercise.Mutation{WrapStateMachine: func(registry replication.StateMachine) replication.StateMachine {
+		return changedResponses{registry, change}
+	}}
+}
+
+// authorizeOutOfOrder authorizes attempts of requests that wait for another one of their key.
+func authorizeOutOfOrder(
+	_ replication.Incarnation, command *idempotency.Command, response *idempotency.Response,
+) {
+	if command.Op == idempotency.Register {
+		response.FirstOfKey = true
+	}
+	if command.Op == idempotency.AuthorizeAttempt && response.Status == idempotency.Blocked {
+		response.Status = idempotency.OK
+	}
+}
+
+// authorizeFormerOwner authorizes an attempt of a request that another process owns by now.
+func authorizeFormerOwner(
+	from replication.Incarnation, command *idempotency.Command, response *idempotency.Response,
+) {
+	startedByOther := response.Phase == idempotency.Started && response.Owner != uint64(from)
+	if command.Op == idempotency.AuthorizeAttempt && startedByOther {
+		response.Status = idempotency.OK
+	}
+}
+
+// transferStarted has a process own a request that another one has started, as if it were not started.
+func transferStarted(
+	from replication.Incarnation, command *idempotency.Command, response *idempotency.Response,
+) {
+	startedByOther := response.Phase == idempotency.Started && response.Owner != uint64(from)
+	if !startedByOther || command.Op != idempotency.Register && command.Op != idempotency.AuthorizeAttempt {
+		return
+	}
+	response.Phase = idempotency.Waiting
+	response.Owner = uint64(from)
+	response.Status = idempotency.OK
+	response.FirstOfKey = true
+	response.OwnerRequestID = command.RequestID
+}
+
+// withoutDuplicateDetection adds to a mutation that engines drop no duplicates.
+func withoutDuplicateDetection(mutation *exercise.Mutation) *exercise.Mutation {
+	mutation.NoDuplicateDetection = true
+	return mutation
+}
+
+// earlyExpiry is a registry that has requests expire long before their time.
+type earlyExpiry struct{ replication.StateMachine }
+
+func (r earlyExpiry) DueCommands(now monotime.Micros, detector replication.FailureDetector) [][]byte {
+	return r.StateMachine.DueCommands(now+60*second, detector)
+}
+
+func withEarlyExpiry() *exercise.Mutation {
+	return &exercise.Mutation{WrapStateMachine: func(registry replication.StateMachine) replication.StateMachine {
+		return earlyExpiry{registry}
+	}}
+}
+
+// authorizeLocally is an idempotency store that authorizes all attempts without a committed command.
+type authorizeLocally struct{ gateway.IdempotencyStore }
+
+func (s authorizeLocally) Authorize(
+	now monotime.Micros, _ *gateway.Registration, _ int, _ string, granted func(monotime.Micros, bool),
+) {
+	granted(now, true)
+}
+
+func withLocalAuthorization() *exercise.Mutation {
+	return &exercise.Mutation{WrapIdempotencyStore: func(store gateway.IdempotencyStore) gateway.IdempotencyStore {
+		return authorizeLocally{store}
+	}}
+}
+
+// respondBeforeCommit is an idempotency store that delivers an outcome before it is committed.
+type respondBeforeCommit struct{ gateway.IdempotencyStore }
+
+func (s respondBeforeCommit) Commit(now monotime.Micros, reg *gateway.Registration, rows []byte) {
+	s.IdempotencyStore.Commit(now, reg, rows)
+	reg.Finish(now, true, rows)
+}
+
+func withResponseBeforeCommit() *exercise.Mutation {
+	return &exercise.Mutation{WrapIdempotencyStore: func(store gateway.IdempotencyStore) gateway.IdempotencyStore {
+		return respondBeforeCommit{store}
+	}}
+}
+
+// No guarantee rests on the engines' detection of duplicates: without it, the histories violate none either.
+func TestNoGuaranteeRestsOnDuplicateDetection(t *testing.T) {
+	for seed := uint64(1); seed <= 8; seed++ {
+		_, violations := simulate(t, seed, &exercise.Mutation{NoDuplicateDetection: true})
+		assert.Empty(t, violations, "seed %d", seed)
+	}
+}
+
+// maxMutationSeeds is the number of seeds with which a mutation has to be detected.
+const maxMutationSeeds = 40
+
+// Each mutation violates a guarantee within a few histories, and the checks detect it. Where a rule is named, they
+// detect a violation of that one.
+func TestChecksDetectMutations(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		mutation *exercise.Mutation
+		rule     string
+	}{
+		{"starts without a committed authorization", withLocalAuthorization(), ""},
+		{"delivers rows before they are committed", withResponseBeforeCommit(), ""},
+		{"authorizes a start out of order", withChangedResponses(authorizeOutOfOrder), history.KeyConcurrency},
+		{
+			"lets the former owner of a transferred request start again",
+			withoutDuplicateDetection(withChangedResponses(authorizeFormerOwner)), "",
+		},
+		{
+			"transfers a started request to who starts it again",
+			withoutDuplicateDetection(withChangedResponses(transferStarted)), "",
+		},
+		{"ignores how long an authorization is valid", &exercise.Mutation{IgnoreStartBy: true}, ""},
+		{
+			"fails at once what the engine does not know of a lost owner",
+			&exercise.Mutation{TakeOverWithoutWaiting: true}, "",
+		},
+		{"lets the first request of a key expire too early", withEarlyExpiry(), ""},
+		{"votes under the replica ID of a lost disk", &exercise.Mutation{ReuseReplicaID: true}, ""},
+		{"acknowledges a write before it is on the disk", &exercise.Mutation{AcknowledgeBeforeSync: true}, ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			rule, seed := firstDetection(t, test.mutation, test.rule)
+			if assert.NotZero(t, seed, "nothing was detected") {
+				t.Logf("detected with seed %d: %s", seed, rule)
+			}
+		})
+	}
+}
+
+// firstDetection returns the first violation of a rule, or of any if none is given, and its seed; 0 if there is none.
+func firstDetection(t *testing.T, mutation *exercise.Mutation, rule string) (detected string, seed uint64) {
+	for seed := uint64(1); seed <= maxMutationSeeds; seed++ {
+		var violations []history.Breach
+		t.Run("", func(t *testing.T) { // a subtest, as the randomness is set for a whole test
+			_, violations = simulate(t, seed, mutation)
+		})
+		for _, violation := range violations {
+			if rule == "" || violation.Rule == rule {
+				return violation.Rule, seed
+			}
+		}
+	}
+	return "", 0
+}
--- /dev/null
+++ b/exercise/replicas.go
@@ -0,0 +1,59 @@
+package exercise
+
+import "chutechute/fleet/replication"
+
+// maxCatchUpEntries is how many log entries a replica may be behind its leader and still count as caught up.
+const maxCatchUpEntries = 16
+
+// allReplicasCaughtUp reports whether the replicated log has a leader with all its replicas, and all of them run
+// and have caught up. Then one more disk may be lost.
+func (s *Simulation) allReplicasCaughtUp() bool {
+	for _, f := range s.FrontEnds {
+		if f.leadsAllReplicas() {
+			return f.votersCaughtUp()
+		}
+	}
+	return false
+}
+
+// leadsAllReplicas reports whether the front end runs and takes itself for the leader of as many voters as configured,
+// with no learner.
+func (f *FrontEnd) leadsAllReplicas() bool {
+	if !f.isRunning() || !f.process.node.Replica().IsLeader() {
+		return false
+	}
+	voters, learners := f.process.node.Replica().Members()
+	return len(voters) == f.simulation.options.Replicas && len(learners) == 0
+}
+
+// votersCaughtUp reports whether all voters of this leader run and have caught up with it.
+func (f *FrontEnd) votersCaughtUp() bool {
+	leader := f.process.node.Replica()
+	if leader.Reconfiguring() {
+		return false // the majorities of before and after count
+	}
+	voters, _ := leader.Members()
+	for _, voter := range voters {
+		replica := f.simulation.runningReplica(voter.ID)
+		if replica == nil || !hasCaughtUp(replica, leader) {
+			return false
+		}
+	}
+	return true
+}
+
+// runningReplica returns the replica of an ID, nil if its front end does not run.
+func (s *Simulation) runningReplica(id uint64) *replication.Replica {
+	for _, f := range s.FrontEnds {
+		if f.disk != nil && f.disk.replicaID == id && f.isRunning() {
+			return f.process.node.Replica()
+		}
+	}
+	return nil
+}
+
+func hasCaughtUp(replica, leader *replication.Replica) bool {
+	applied, _ := replica.LastApplied()
+	appliedByLeader, _ := leader.LastApplied()
+	return applied+maxCatchUpEntries >= appliedByLeader && replica.Term() == leader.Term()
+}
