--- a/exercise/client.go
+++ b/exercise/client.go
@@ -28,10 +28,10 @@
 // statementFormat is the statement of a request that runs for a number of milliseconds on an engine.
 const statementFormat = "INSERT INTO s_1.t -- ms=%d"
 
-// request is an idempotent request, which its client may send several times.
-type request struct {
+// clientRequest is an idempotent request, which its client may send several times.
+type clientRequest struct {
 	idempotencyKey string
-	key            string // requests of one key run one at a time, in order; empty: none
+	orderKey       string // requests with the same one run one at a time, in order; empty: none
 	statement      string
 	ttl            monotime.Micros
 	callsLeft      int // how often the client sends it at most, from now on
@@ -41,7 +41,7 @@
 type call struct {
 	simulation *Simulation
 	id         string
-	request    request
+	request    clientRequest
 	frontEnd   *FrontEnd
 	process    *process         // to which the client is connected, nil if none ran
 	submitted  *gateway.Request // nil before the request has arrived
@@ -50,7 +50,7 @@
 }
 
 // send sends a request to a front end. onEnd is called with the outcome, one of package history.
-func (s *Simulation) send(f *FrontEnd, request request, onEnd func(outcome string)) {
+func (s *Simulation) send(f *FrontEnd, request clientRequest, onEnd func(outcome string)) {
 	s.callCount++
 	c := &call{
 		simulation: s,
@@ -75,7 +75,7 @@
 	event.Front = c.frontEnd.name
 	event.Call = c.id
 	event.Once = c.request.idempotencyKey
-	event.Key = c.request.key
+	event.Key = c.request.orderKey
 	c.simulation.History.Add(event)
 }
 
@@ -88,7 +88,7 @@
 	c.submitted, err = c.process.core.Submit(c.process.now(), &gateway.Call{
 		ID:             c.id,
 		Class:          requestClass,
-		Key:            c.request.key,
+		Key:            c.request.orderKey,
 		IdempotencyKey: c.request.idempotencyKey,
 		TTL:            c.request.ttl,
 		Cost:           estimatedCost,
--- a/exercise/engine.go
+++ b/exercise/engine.go
@@ -34,7 +34,7 @@
 type engine struct {
 	simulation *Simulation
 	name       string
-	executions map[string]*execution // by request ID
+	executions map[string]*execution // by call ID
 }
 
 func newEngine(s *Simulation, index int) *engine {
--- a/exercise/histories_test.go
+++ b/exercise/histories_test.go
@@ -64,7 +64,7 @@
 }
 
 // budgetViolations returns the violations of the limits of requestBudgets.
-func budgetViolations(events []history.Event) []history.Breach {
+func budgetViolations(events []history.Event) []history.Violation {
 	oneUnit := func(history.Event) float64 { return 1 }
 	violations, _ := history.CheckPlaces(events, maxConcurrency, oneUnit)
 	consumptions := history.Spendings(events, maxConsumptionLead, oneUnit)
@@ -97,7 +97,7 @@
 // found its state inconsistent or messages made a storm, is one of them.
 func simulate(
 	t *testing.T, seed uint64, mutation *exercise.Mutation,
-) (*exercise.Simulation, []history.Breach) {
+) (*exercise.Simulation, []history.Violation) {
 	cryptotest.SetGlobalRandom(t, seed)
 	options := optionsOf(seed, mutation)
 	s, err := exercise.New(options)
@@ -116,13 +116,13 @@
 		violations = append(violations, budgetViolations(events)...)
 	}
 	if err != nil {
-		violations = append(violations, history.Breach{Rule: err.Error()})
+		violations = append(violations, history.Violation{Anomaly: err.Error()})
 	}
 	return s, violations
 }
 
 // describe returns the faults, the states of the front ends, and the first violations with the events related to them.
-func describe(s *exercise.Simulation, violations []history.Breach) string {
+func describe(s *exercise.Simulation, violations []history.Violation) string {
 	const maxViolations, maxEvents = 3, 40
 	var text strings.Builder
 	for _, fault := range s.FaultLog {
--- a/exercise/mutations_test.go
+++ b/exercise/mutations_test.go
@@ -143,11 +143,11 @@
 	for _, test := range []struct {
 		name     string
 		mutation *exercise.Mutation
-		rule     string
+		anomaly  string // empty: any
 	}{
 		{"starts without a committed authorization", withLocalAuthorization(), ""},
 		{"delivers rows before they are committed", withResponseBeforeCommit(), ""},
-		{"authorizes a start out of order", withChangedResponses(authorizeOutOfOrder), history.KeyConcurrency},
+		{"authorizes a start out of order", withChangedResponses(authorizeOutOfOrder), history.ConcurrentRequestsOfKey},
 		{
 			"lets the former owner of a transferred request start again",
 			withoutDuplicateDetection(withChangedResponses(authorizeFormerOwner)), "",
@@ -166,24 +166,25 @@
 		{"acknowledges a write before it is on the disk", &exercise.Mutation{AcknowledgeBeforeSync: true}, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			rule, seed := firstDetection(t, test.mutation, test.rule)
+			detected, seed := firstDetection(t, test.mutation, test.anomaly)
 			if assert.NotZero(t, seed, "nothing was detected") {
-				t.Logf("detected with seed %d: %s", seed, rule)
+				t.Logf("detected with seed %d: %s", seed, detected)
 			}
 		})
 	}
 }
 
-// firstDetection returns the first violation of a rule, or of any if none is given, and its seed; 0 if there is none.
-func firstDetection(t *testing.T, mutation *exercise.Mutation, rule string) (detected string, seed uint64) {
+// firstDetection returns an anomaly, or the first one of any kind if none is given, and the first seed with which it is
+// detected; 0 if it is not.
+func firstDetection(t *testing.T, mutation *exercise.Mutation, anomaly string) (detected string, seed uint64) {
 	for seed := uint64(1); seed <= maxMutationSeeds; seed++ {
-		var violations []history.Breach
+		var violations []history.Violation
 		t.Run("", func(t *testing.T) { // a subtest, as the randomness is set for a whole test
 			_, violations = simulate(t, seed, mutation)
 		})
 		for _, violation := range violations {
-			if rule == "" || violation.Rule == rule {
-				return violation.Rule, seed
+			if anomaly == "" || violation.Anomaly == anomaly {
+				return violation.Anomaly, seed
 			}
 		}
 	}
--- a/internal/history/concurrency.go
+++ b/internal/history/concurrency.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// change is a change of the units in use, at the start or the end of an execution.
-type change struct {
+// usageChange is a change of the units in use, at the start or the end of an execution.
+type usageChange struct {
 	at    int64
 	units float64 // negative at the end of an execution
 	event Event
@@ -16,33 +16,33 @@
 // CheckPlaces finds starts at which more units ran on all engines together than the capacity. units returns how much a
 // start takes until the execution ends, 0 if it does not count. maxInUse is the most units that ran at the same time.
 func CheckPlaces(events []Event, capacity float64, units func(start Event) float64) (
-	violations []Breach, maxInUse float64,
+	violations []Violation, maxInUse float64,
 ) {
 	inUse := 0.0
-	for _, change := range changes(events, units) {
+	for _, change := range usageChanges(events, units) {
 		inUse += change.units
 		maxInUse = max(maxInUse, inUse)
 		if change.units > 0 && inUse > capacity {
-			violations = append(violations, Breach{
-				Rule:   fmt.Sprintf("%g in use at a time where the capacity is %g", inUse, capacity),
-				Events: []Event{change.event},
+			violations = append(violations, Violation{
+				Anomaly: fmt.Sprintf("%g in use at a time where the capacity is %g", inUse, capacity),
+				Events:  []Event{change.event},
 			})
 		}
 	}
 	return violations, maxInUse
 }
 
-// changes returns the changes of the units in use, in order of time. At the same time, ends come before starts, unless
-// they differ by less than one unit: those keep the order of the executions.
-func changes(events []Event, units func(start Event) float64) (list []change) {
+// usageChanges returns the changes of the units in use, in order of time. At the same time, ends come before
+// starts, unless they differ by less than one unit: those keep the order of the executions.
+func usageChanges(events []Event, units func(start Event) float64) (list []usageChange) {
 	for _, execution := range Runs(events) {
-		if n := units(execution.Began); n > 0 {
+		if n := units(execution.Start); n > 0 {
 			list = append(list,
-				change{execution.Began.At, n, execution.Began},
-				change{execution.endTime(), -n, execution.Over})
+				usageChange{execution.Start.At, n, execution.Start},
+				usageChange{execution.endTime(), -n, execution.End})
 		}
 	}
-	slices.SortStableFunc(list, func(a, b change) int {
+	slices.SortStableFunc(list, func(a, b usageChange) int {
 		if a.at != b.at {
 			return cmp.Compare(a.at, b.at)
 		}
--- a/internal/history/execution.go
+++ b/internal/history/execution.go
@@ -2,22 +2,22 @@
 
 import "math"
 
-// Run is one execution of a request on an engine.
-type Run struct {
-	Began Event
-	Over  Event // the zero Event if it has not ended
+// Execution is the run of one attempt on an engine.
+type Execution struct {
+	Start Event
+	End   Event // the zero Event if it has not ended
 }
 
 // endTime returns when the execution ended, or a time after all events if it has not.
-func (r Run) endTime() int64 {
-	if r.Over.What == "" {
+func (e Execution) endTime() int64 {
+	if e.End.What == "" {
 		return math.MaxInt64
 	}
-	return r.Over.At
+	return e.End.At
 }
 
 // Runs returns the executions on all engines, in the order in which they started.
-func Runs(events []Event) (executions []Run) {
+func Runs(events []Event) (executions []Execution) {
 	type executionID struct{ engine, call string }
 	running := map[executionID]int{} // indexes into executions
 	for _, event := range events {
@@ -25,10 +25,10 @@
 		switch event.What {
 		case Began:
 			running[id] = len(executions)
-			executions = append(executions, Run{Began: event})
+			executions = append(executions, Execution{Start: event})
 		case Ended, Deleted, Unasked:
 			if i, ok := running[id]; ok {
-				executions[i].Over = event
+				executions[i].End = event
 				delete(running, id)
 			}
 		}
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -11,10 +11,10 @@
 	"sync"
 )
 
-// The kinds of events, in Event.What.
+// The kinds of events.
 const (
 	Asked    = "asked"    // a client has sent a whole request
-	Answered = "answered" // a client's request ended, with the outcome in Event.Detail
+	Answered = "answered" // a client's request ended, with one of the outcomes
 	Began    = "began"    // an engine started an execution
 	Repeat   = "repeat"   // an engine dropped a start, as it executed the same idempotency key a short while ago
 	Ended    = "ended"    // an execution finished by itself
@@ -22,7 +22,7 @@
 	Unasked  = "unasked"  // an execution ended because no front end polled for it
 )
 
-// The outcomes of a client's request, in Event.Detail.
+// The outcomes of a client's request.
 const (
 	Answer = "answer" // it succeeded, with the rows in Event.Body
 	Shed   = "shed"   // it was rejected: nothing of it has run or will run
@@ -33,13 +33,13 @@
 // Event is one thing that a client or an engine observed. Fields that do not apply are empty.
 type Event struct {
 	At     int64  // microseconds of true time
-	What   string // the kind
+	What   string // one of the kinds
 	Front  string // the front end to which the client sent the request
 	Engine string // the engine that observed the event
 	Call   string // the ID of the client's request
 	Once   string // the idempotency key
-	Key    string // requests of one key run one at a time, in order
-	Detail string // the outcome of a request that ended
+	Key    string // the order key: requests with the same one run one at a time, in order
+	Detail string // one of the outcomes, where a client's request ended
 	Body   string // the statement of a request, or the rows of its response
 }
 
--- a/internal/history/idempotency.go
+++ b/internal/history/idempotency.go
@@ -9,19 +9,19 @@
 // minOutcomeRetention is for how long, at least, an outcome can be found under its idempotency key, in microseconds.
 const minOutcomeRetention = 50_000_000
 
-// KeyConcurrency is the rule of the violation by two requests of one key that run at the same time.
-const KeyConcurrency = "two requests of a key at once"
+// ConcurrentRequestsOfKey is the anomaly of two requests of one key that run at the same time.
+const ConcurrentRequestsOfKey = "two requests of a key at once"
 
 // observations is what the checks of idempotent requests read.
 type observations struct {
 	events     []Event // of requests with an idempotency key
-	executions []Run
+	executions []Execution
 	requests   map[string]Event // what clients sent, by call
 }
 
 // Check returns all violations of the guarantees for idempotent requests. Events without an idempotency key are not
 // looked at.
-func Check(events []Event) (violations []Breach) {
+func Check(events []Event) (violations []Violation) {
 	events = slices.DeleteFunc(slices.Clone(events), func(e Event) bool { return e.Once == "" })
 	observed := observations{events: events, executions: Runs(events), requests: map[string]Event{}}
 	for _, event := range events {
@@ -29,7 +29,7 @@
 			observed.requests[event.Call] = event
 		}
 	}
-	for _, check := range []func(observations) []Breach{
+	for _, check := range []func(observations) []Violation{
 		checkNoConcurrentAttempts, checkNoAttemptAfterOutcome, checkSingleOutcome, checkOutcomeRetained,
 		checkRejectedNeverRan, checkOrderOfKeys,
 	} {
@@ -39,15 +39,15 @@
 }
 
 // checkNoConcurrentAttempts finds two attempts of one request that ran at the same time.
-func checkNoConcurrentAttempts(o observations) (violations []Breach) {
-	previous := map[string]Run{}
+func checkNoConcurrentAttempts(o observations) (violations []Violation) {
+	previous := map[string]Execution{}
 	for _, execution := range o.executions {
-		idempotencyKey := execution.Began.Once
+		idempotencyKey := execution.Start.Once
 		before, ok := previous[idempotencyKey]
-		if ok && before.endTime() > execution.Began.At {
-			violations = append(violations, Breach{
-				Rule:   "two attempts of a request at once",
-				Events: []Event{before.Began, execution.Began, before.Over},
+		if ok && before.endTime() > execution.Start.At {
+			violations = append(violations, Violation{
+				Anomaly: "two attempts of a request at once",
+				Events:  []Event{before.Start, execution.Start, before.End},
 			})
 		}
 		previous[idempotencyKey] = execution
@@ -56,14 +56,14 @@
 }
 
 // checkNoAttemptAfterOutcome finds attempts that started after a client had got the rows.
-func checkNoAttemptAfterOutcome(o observations) (violations []Breach) {
+func checkNoAttemptAfterOutcome(o observations) (violations []Violation) {
 	firstResponses := firstSuccessfulResponses(o.events)
 	for _, execution := range o.executions {
-		response, ok := firstResponses[execution.Began.Once]
-		if ok && execution.Began.At > response.At {
-			violations = append(violations, Breach{
-				Rule:   "an attempt after a client got the outcome",
-				Events: []Event{response, execution.Began},
+		response, ok := firstResponses[execution.Start.Once]
+		if ok && execution.Start.At > response.At {
+			violations = append(violations, Violation{
+				Anomaly: "an attempt after a client got the outcome",
+				Events:  []Event{response, execution.Start},
 			})
 		}
 	}
@@ -86,12 +86,12 @@
 
 // checkSingleOutcome finds clients that got other rows than another client of the same request, or rows that no
 // execution had produced before.
-func checkSingleOutcome(o observations) (violations []Breach) {
+func checkSingleOutcome(o observations) (violations []Violation) {
 	finished := map[string][]Event{}
 	for _, execution := range o.executions {
-		if execution.Over.What == Ended {
-			idempotencyKey := execution.Began.Once
-			finished[idempotencyKey] = append(finished[idempotencyKey], execution.Over)
+		if execution.End.What == Ended {
+			idempotencyKey := execution.Start.Once
+			finished[idempotencyKey] = append(finished[idempotencyKey], execution.End)
 		}
 	}
 	first := map[string]Event{}
@@ -101,14 +101,14 @@
 		}
 		before, known := first[event.Once]
 		if known && before.Body != event.Body {
-			violations = append(violations, Breach{"two outcomes of a request", []Event{before, event}})
+			violations = append(violations, Violation{"two outcomes of a request", []Event{before, event}})
 		}
 		if known {
 			continue
 		}
 		first[event.Once] = event
 		if !hasSource(event, finished[event.Once]) {
-			violations = append(violations, Breach{"rows that no engine produced", []Event{event}})
+			violations = append(violations, Violation{"rows that no engine produced", []Event{event}})
 		}
 	}
 	return violations
@@ -124,7 +124,7 @@
 
 // checkOutcomeRetained finds clients that were told that a request failed although its rows had been delivered before
 // they sent it. They should get the same rows, or be rejected for the time being.
-func checkOutcomeRetained(o observations) (violations []Breach) {
+func checkOutcomeRetained(o observations) (violations []Violation) {
 	delivered := map[string]Event{}
 	for _, event := range o.events {
 		if event.What != Answered {
@@ -136,14 +136,17 @@
 		case event.Detail == Answer && !known:
 			delivered[event.Once] = event
 		case event.Detail == Fault && known && request.At > response.At && event.At < response.At+minOutcomeRetention:
-			violations = append(violations, Breach{"a delivered outcome was lost", []Event{response, request, event}})
+			violations = append(violations, Violation{
+				Anomaly: "a delivered outcome was lost",
+				Events:  []Event{response, request, event},
+			})
 		}
 	}
 	return violations
 }
 
 // checkRejectedNeverRan finds rejected calls that an engine executed.
-func checkRejectedNeverRan(o observations) (violations []Breach) {
+func checkRejectedNeverRan(o observations) (violations []Violation) {
 	rejections := map[string]Event{}
 	for _, event := range o.events {
 		if event.What == Answered && event.Detail == Shed {
@@ -151,8 +154,8 @@
 		}
 	}
 	for _, execution := range o.executions {
-		if rejection, ok := rejections[execution.Began.Call]; ok {
-			violations = append(violations, Breach{"a rejected call ran", []Event{rejection, execution.Began}})
+		if rejection, ok := rejections[execution.Start.Call]; ok {
+			violations = append(violations, Violation{"a rejected call ran", []Event{rejection, execution.Start}})
 		}
 	}
 	return violations
@@ -160,11 +163,11 @@
 
 // checkOrderOfKeys finds requests of one key that ran at the same time, through whichever front ends they came, and
 // requests of one key that did not run in the order in which one front end received them.
-func checkOrderOfKeys(o observations) (violations []Breach) {
+func checkOrderOfKeys(o observations) (violations []Violation) {
 	firstCalls := o.firstCalls()
-	byKey := map[string][]Run{}
+	byKey := map[string][]Execution{}
 	for _, execution := range o.executions {
-		if request, ok := o.requests[execution.Began.Call]; ok && request.Key != "" {
+		if request, ok := o.requests[execution.Start.Call]; ok && request.Key != "" {
 			byKey[request.Key] = append(byKey[request.Key], execution)
 		}
 	}
@@ -181,16 +184,19 @@
 
 // checkPairOfKey checks two executions of one key, the earlier of which started first. The order is checked for first
 // calls only, as a repeated call has the position of its request.
-func (o observations) checkPairOfKey(earlier, later Run, firstCalls map[string]Event) (violations []Breach) {
-	if earlier.endTime() > later.Began.At && earlier.Began.Once != later.Began.Once {
-		violations = append(violations, Breach{KeyConcurrency, []Event{earlier.Began, later.Began, earlier.Over}})
+func (o observations) checkPairOfKey(earlier, later Execution, firstCalls map[string]Event) (violations []Violation) {
+	if earlier.endTime() > later.Start.At && earlier.Start.Once != later.Start.Once {
+		violations = append(violations, Violation{
+			Anomaly: ConcurrentRequestsOfKey,
+			Events:  []Event{earlier.Start, later.Start, earlier.End},
+		})
 	}
-	a, b := o.requests[earlier.Began.Call], o.requests[later.Began.Call]
+	a, b := o.requests[earlier.Start.Call], o.requests[later.Start.Call]
 	areFirst := firstCalls[a.Once] == a && firstCalls[b.Once] == b
 	if a.Front == b.Front && b.At < a.At && a.Once != b.Once && areFirst {
-		violations = append(violations, Breach{
-			Rule:   "requests of a key out of the order in which one front end received them",
-			Events: []Event{b, a, earlier.Began, later.Began},
+		violations = append(violations, Violation{
+			Anomaly: "requests of a key out of the order in which one front end received them",
+			Events:  []Event{b, a, earlier.Start, later.Start},
 		})
 	}
 	return violations
--- a/internal/history/rate.go
+++ b/internal/history/rate.go
@@ -39,7 +39,7 @@
 //
 // It serves consumptions in the order of their deadlines, each as soon as there are tokens for it. If any order is in
 // time, this one is.
-func CheckRate(consumptions []Spending, rate, burst float64) (violations []Breach) {
+func CheckRate(consumptions []Spending, rate, burst float64) (violations []Violation) {
 	upcoming := slices.Clone(consumptions)
 	slices.SortStableFunc(upcoming, func(a, b Spending) int { return cmp.Compare(a.From, b.From) })
 	bucket := tokenBucket{rate: rate, burst: burst, tokens: burst}
@@ -72,33 +72,11 @@
 	return violations
 }
 
-func rateViolation(consumption Spending, bucket tokenBucket) Breach {
+func rateViolation(consumption Spending, bucket tokenBucket) Violation {
 	early := float64(bucket.at-consumption.Event.At) / 1000
-	return Breach{
-		Rule: fmt.Sprintf("more than %g a second with a burst of %g: %.0f ms too early",
+	return Violation{
+		Anomaly: fmt.Sprintf("more than %g a second with a burst of %g: %.0f ms too early",
 			bucket.rate, bucket.burst, early),
 		Events: []Event{consumption.Event},
 	}
 }
-
-// CheckWindow finds windows, in microseconds, in which more than a total was consumed, whenever within its bounds each
-// unit was consumed.
-func CheckWindow(consumptions []Spending, total float64, window int64) (violations []Breach) {
-	for i, first := range consumptions {
-		sum, earliest := 0.0, first.From
-		for _, consumption := range consumptions[i:] {
-			earliest = min(earliest, consumption.From)
-			if consumption.Event.At-earliest >= window { // they may lie a window apart
-				break
-			}
-			sum += consumption.Units
-		}
-		if sum > total+roundingError {
-			violations = append(violations, Breach{
-				Rule:   fmt.Sprintf("%g within a window where the total is %g", sum, total),
-				Events: []Event{first.Event},
-			})
-		}
-	}
-	return violations
-}
--- a/internal/history/violation.go
+++ b/internal/history/violation.go
@@ -5,34 +5,34 @@
 	"strings"
 )
 
-// Breach is a violation of a guarantee, with the events that show it.
-type Breach struct {
-	Rule   string // what went wrong
-	Events []Event
+// Violation is a violation of a guarantee, with the events that show it.
+type Violation struct {
+	Anomaly string // what went wrong, in words
+	Events  []Event
 }
 
-// String formats the violation: the rule, and one event a line.
-func (b Breach) String() string {
+// String formats the violation: the anomaly, and one event a line.
+func (v Violation) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s:", b.Rule)
-	for _, event := range b.Events {
+	fmt.Fprintf(&text, "%s:", v.Anomaly)
+	for _, event := range v.Events {
 		fmt.Fprintf(&text, "\n  %s", event)
 	}
 	return text.String()
 }
 
-// Around returns the last n events, at most, that have an idempotency key or a key in common with a violation.
-func Around(events []Event, b Breach, n int) (related []Event) {
+// Around returns the last n events, at most, that have an idempotency key or an order key in common with a violation.
+func Around(events []Event, violation Violation, n int) (related []Event) {
 	idempotencyKeys := map[string]bool{}
-	keys := map[string]bool{}
-	for _, event := range b.Events {
+	orderKeys := map[string]bool{}
+	for _, event := range violation.Events {
 		idempotencyKeys[event.Once] = true
 		if event.Key != "" {
-			keys[event.Key] = true
+			orderKeys[event.Key] = true
 		}
 	}
 	for _, event := range events {
-		if idempotencyKeys[event.Once] || keys[event.Key] {
+		if idempotencyKeys[event.Once] || orderKeys[event.Key] {
 			related = append(related, event)
 		}
 	}
