--- /dev/null
+++ b/internal/history/execution.go
@@ -0,0 +1,37 @@
+package history
+
+import "math"
+
+// Execution is the run of one attempt on an engine.
+type Execution struct {
+	Start Event
+	End   Event // the zero Event if it has not ended
+}
+
+// endTime returns when the execution ended, or a time after all events if it has not.
+func (e Execution) endTime() int64 {
+	if e.End.What == "" {
+		return math.MaxInt64
+	}
+	return e.End.At
+}
+
+// Runs returns the executions on all engines, in the order in which they started.
+func Runs(events []Event) (executions []Execution) {
+	type executionID struct{ engine, call string }
+	running := map[executionID]int{} // indexes into executions
+	for _, event := range events {
+		id := executionID{event.Engine, event.Call}
+		switch event.What {
+		case Began:
+			running[id] = len(executions)
+			executions = append(executions, Execution{Start: event})
+		case Ended, Deleted, Unasked:
+			if i, ok := running[id]; ok {
+				executions[i].End = event
+				delete(running, id)
+			}
+		}
+	}
+	return executions
+}
