--- a/cmd/chutechute-keys/keys.go
+++ b/cmd/chutechute-keys/keys.go
@@ -40,7 +40,7 @@
 }
 
 // add makes a key and adds it to a set. Without an id it takes the time.
-func add(s *token.Set, id, algorithm string, from monotime.Micros) error {
+func add(s *token.KeySet, id, algorithm string, from monotime.Micros) error {
 	if id == "" {
 		id = time.Now().UTC().Format("20060102T150405.000000")
 	}
@@ -58,7 +58,7 @@
 		Short: "Add a key that holds from now on",
 		Args:  cobra.NoArgs,
 		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
-			return f.change(cmd.OutOrStdout(), func(s *token.Set) error { return add(s, id, algorithm, wall()) })
+			return f.change(cmd.OutOrStdout(), func(s *token.KeySet) error { return add(s, id, algorithm, wall()) })
 		}),
 	}
 	cmd.Flags().StringVar(&id, "id", "", "the key's id; the time where it is left out")
@@ -79,7 +79,7 @@
 			if overlap < 0 || ahead < 0 || overlap <= ahead {
 				return errors.New("--overlap has to be longer than --ahead")
 			}
-			return f.change(cmd.OutOrStdout(), func(s *token.Set) error {
+			return f.change(cmd.OutOrStdout(), func(s *token.KeySet) error {
 				now := wall()
 				s.Prune(now)
 				before := s.List()
@@ -123,7 +123,7 @@
 		Short: "Set the end of a key",
 		Args:  cobra.ExactArgs(1),
 		RunE: cli.Does(func(cmd *cobra.Command, args []string) error {
-			return f.change(cmd.OutOrStdout(), func(s *token.Set) error { return s.Retire(args[0], wall()+in.Microseconds()) })
+			return f.change(cmd.OutOrStdout(), func(s *token.KeySet) error { return s.Retire(args[0], wall()+in.Microseconds()) })
 		}),
 	}
 	cmd.Flags().DurationVar(&in, "in", 0, "after which it no longer holds")
@@ -167,8 +167,8 @@
 }
 
 // change changes the set and prints what it holds then.
-func (f *keyFlags) change(out io.Writer, do func(*token.Set) error) error {
-	return keyfiles.Change(f.private, f.public, func(s *token.Set) error {
+func (f *keyFlags) change(out io.Writer, do func(*token.KeySet) error) error {
+	return keyfiles.Change(f.private, f.public, func(s *token.KeySet) error {
 		if err := do(s); err != nil {
 			return err
 		}
@@ -176,7 +176,7 @@
 	})
 }
 
-func (f *keyFlags) print(out io.Writer, s *token.Set) error {
+func (f *keyFlags) print(out io.Writer, s *token.KeySet) error {
 	list := s.List()
 	if f.asJSON {
 		return json.NewEncoder(out).Encode(list)
--- a/cmd/chutechute-scale/run.go
+++ b/cmd/chutechute-scale/run.go
@@ -91,7 +91,7 @@
 	work := f.runSockets
 	if f.virtual {
 		work = f.runVirtual
-		if _, named := membership.Named(f.faults); (named || f.faults == "") && !cmd.Flags().Changed("seconds") {
+		if _, named := membership.ScenarioByName(f.faults); (named || f.faults == "") && !cmd.Flags().Changed("seconds") {
 			f.shape.Seconds = 0 // as the scenario has it
 		}
 	}
@@ -142,7 +142,7 @@
 		return nil, &scale.FlagError{Flag: "front-ends", Value: f.shape.FrontEnds, Reason: "leaves none that is attached, with --virtual"}
 	}
 	result, err := membership.Run(membership.Options{FrontEnds: f.shape.FrontEnds, Controls: f.shape.Controls, Zones: f.shape.Zones,
-		Seconds: f.shape.Seconds, Seed: f.shape.Seed, Faults: f.faults, Processor: f.processor,
+		Seconds: f.shape.Seconds, Seed: f.shape.Seed, Faults: f.faults, MeasureCPU: f.processor,
 		Progress: func(word string) { progress("%s", word) }})
 	if result == nil {
 		return nil, err
--- a/cmd/chutechute/attached_load_test.go
+++ b/cmd/chutechute/attached_load_test.go
@@ -12,18 +12,18 @@
 )
 
 // loadsOnRecord is how many loads the copy of the record at a front end holds; -1 where it does not answer.
-func loadsOnRecord(n *standin.Front) float64 {
-	if s := n.Status(); s != nil {
+func loadsOnRecord(n *standin.FrontEnd) float64 {
+	if s := n.RawStatus(); s != nil {
 		return s["loads"].(float64)
 	}
 	return -1
 }
 
 // told checks that a load's outcome is found through all front ends of a fleet, the same bytes.
-func told(t *testing.T, f *standin.Fleet, try standin.Try, body string) {
+func told(t *testing.T, f *standin.Fleet, try standin.LoadAttempt, body string) {
 	t.Helper()
-	for _, n := range f.Fronts {
-		assert.Equal(t, body, insist(t, f, n, try).Body(), "%s through %s", try.Once, n.Name)
+	for _, n := range f.FrontEnds {
+		assert.Equal(t, body, insist(t, f, n, try).Rows(), "%s through %s", try.IdempotencyKey, n.Name)
 	}
 }
 
@@ -32,19 +32,19 @@
 // end, and the same key with another statement is refused.
 func TestKeyedLoadThroughAnAttachedFrontEnd(t *testing.T) {
 	t.Parallel()
-	f := standin.NewFleet(t, program, 3, lasting, standin.Attached("a", "b", "c"))
-	f.Leader(3)
-	f.Settled()
-	for i, n := range f.AttachedOnes() {
+	f := standin.NewFleet(t, program, 3, lasting, standin.WithAttachedFrontEnds("a", "b", "c"))
+	f.WaitForLeader(3)
+	f.WaitUntilConverged()
+	for i, n := range f.AttachedFrontEnds() {
 		try := load(fmt.Sprintf("once-%d", i), "k", 30)
-		told(t, f, try, insist(t, f, n, try).Body())
+		told(t, f, try, insist(t, f, n, try).Rows())
 	}
 	var all sync.WaitGroup
-	bodies := make([]string, len(f.Fronts))
-	for i, n := range f.Fronts {
+	bodies := make([]string, len(f.FrontEnds))
+	for i, n := range f.FrontEnds {
 		all.Go(func() {
-			if p := f.Load(n, load("at-once", "k", 300)); p.What == history.Answer {
-				bodies[i] = p.Body()
+			if p := f.SendLoad(n, load("at-once", "k", 300)); p.Kind == history.Succeeded {
+				bodies[i] = p.Rows()
 			}
 		})
 	}
@@ -53,27 +53,27 @@
 		assert.NotEmpty(t, b)
 		assert.Equal(t, bodies[0], b)
 	}
-	assert.Len(t, history.Runs(f.Record.Events()), 1+len(f.AttachedOnes()))
-	n := f.AttachedOnes()[1]
-	assert.Equal(t, history.Shed, f.Load(n, load("at-once", "k", 301)).What)
-	n.AwaitLog(`reused with another statement.*idempotency_key=at-once`)
-	f.Check()
+	assert.Len(t, history.Executions(f.History.Events()), 1+len(f.AttachedFrontEnds()))
+	n := f.AttachedFrontEnds()[1]
+	assert.Equal(t, history.Rejected, f.SendLoad(n, load("at-once", "k", 301)).Kind)
+	n.WaitForLog(`reused with another statement.*idempotency_key=at-once`)
+	f.CheckHistory()
 }
 
 // crossing is where what an attached front end asks its home, or is answered, is held up while the home is killed.
 type crossing struct {
 	name   string
-	stall  func(way *standin.Relay, stall bool)
-	caught func(f *standin.Fleet, way *standin.Relay, before float64) bool
+	stall  func(way *standin.FaultProxy, stall bool)
+	caught func(f *standin.Fleet, way *standin.FaultProxy, before float64) bool
 }
 
 func crossings() []crossing {
 	return []crossing{
-		{"the question was not heard", func(way *standin.Relay, stall bool) { way.Stall(stall) },
-			func(_ *standin.Fleet, way *standin.Relay, _ float64) bool { return way.Waiting() > 0 }},
-		{"the answer was not heard", func(way *standin.Relay, stall bool) { way.Back.Stall(stall) },
-			func(f *standin.Fleet, way *standin.Relay, before float64) bool {
-				return way.Back.Waiting() > 0 && loadsOnRecord(f.Leader(3)) > before
+		{"the question was not heard", func(way *standin.FaultProxy, stall bool) { way.SetStalled(stall) },
+			func(_ *standin.Fleet, way *standin.FaultProxy, _ float64) bool { return way.PendingFrames() > 0 }},
+		{"the answer was not heard", func(way *standin.FaultProxy, stall bool) { way.ToDialer.SetStalled(stall) },
+			func(f *standin.Fleet, way *standin.FaultProxy, before float64) bool {
+				return way.ToDialer.PendingFrames() > 0 && loadsOnRecord(f.WaitForLeader(3)) > before
 			}},
 	}
 }
@@ -83,45 +83,47 @@
 // runs. What must show: each load is served and runs once, and its outcome is the same bytes through any front end.
 func TestControlMemberLostInMidLoad(t *testing.T) {
 	t.Parallel()
-	f := standin.NewFleet(t, program, 3, lasting, standin.Attached("a", "b", "c"))
+	f := standin.NewFleet(t, program, 3, lasting, standin.WithAttachedFrontEnds("a", "b", "c"))
 	for i, c := range crossings() {
-		leader := f.Leader(3)
-		f.Settled()
+		leader := f.WaitForLeader(3)
+		f.WaitUntilConverged()
 		n, home := followerOf(f, leader)
-		f.Did("crossing: %s; %s asks through %s", c.name, n.Name, home.Name)
-		way, before := f.Way(n, home), loadsOnRecord(leader)
+		f.LogStep("crossing: %s; %s asks through %s", c.name, n.Name, home.Name)
+		way, before := f.Proxy(n, home), loadsOnRecord(leader)
 		c.stall(way, true)
 		try := load(fmt.Sprintf("crossing-%d", i), "k", 30)
 		var first sync.WaitGroup
-		first.Go(func() { f.Load(n, try) })
-		f.Await(c.name, func() bool { return c.caught(f, way, before) })
+		first.Go(func() { f.SendLoad(n, try) })
+		f.WaitFor(c.name, func() bool { return c.caught(f, way, before) })
 		home.Kill(false)
 		c.stall(way, false)
 		first.Wait()
 		home.Start()
-		f.Leader(3)
-		told(t, f, try, insist(t, f, n, try).Body())
+		f.WaitForLeader(3)
+		told(t, f, try, insist(t, f, n, try).Rows())
 	}
-	leader := f.Leader(3)
-	f.Settled()
+	leader := f.WaitForLeader(3)
+	f.WaitUntilConverged()
 	n, _ := followerOf(f, leader)
 	try := load("leader", "k", 1500)
 	var first sync.WaitGroup
-	first.Go(func() { f.Load(n, try) })
-	f.Until(func(e history.Event) bool { return e.What == history.Began && e.Once == try.Once })
+	first.Go(func() { f.SendLoad(n, try) })
+	f.WaitForEvent(func(e history.Event) bool {
+		return e.Kind == history.ExecutionStarted && e.IdempotencyKey == try.IdempotencyKey
+	})
 	leader.Kill(false)
 	first.Wait()
 	leader.Start()
-	f.Leader(3)
-	told(t, f, try, insist(t, f, n, try).Body())
-	assert.Len(t, history.Runs(f.Record.Events()), 1+len(crossings()))
-	f.Check()
+	f.WaitForLeader(3)
+	told(t, f, try, insist(t, f, n, try).Rows())
+	assert.Len(t, history.Executions(f.History.Events()), 1+len(crossings()))
+	f.CheckHistory()
 }
 
 // followerOf is an attached front end, whose home is not the leader if there is such a one, and its home.
-func followerOf(f *standin.Fleet, leader *standin.Front) (n, home *standin.Front) {
-	for _, n = range f.AttachedOnes() {
-		if home = n.Home(); home != leader {
+func followerOf(f *standin.Fleet, leader *standin.FrontEnd) (n, home *standin.FrontEnd) {
+	for _, n = range f.AttachedFrontEnds() {
+		if home = n.WaitForHome(); home != leader {
 			break
 		}
 	}
--- a/cmd/chutechute/attached_lost_test.go
+++ b/cmd/chutechute/attached_lost_test.go
@@ -16,54 +16,54 @@
 // held for dead at any time.
 func TestControlMemberLostThenItsZonesSecond(t *testing.T) {
 	t.Parallel()
-	copies := func(f *standin.Fleet) { f.Section["copies"] = 5 }
-	f := standin.NewFleet(t, program, 5, lasting, copies, standin.Attached("a", "a", "a", "a"))
-	f.Leader(5)
-	f.Settled()
-	lost := []*standin.Front{f.Fronts[0], f.Fronts[3]}
+	copies := func(f *standin.Fleet) { f.FleetSettings["copies"] = 5 }
+	f := standin.NewFleet(t, program, 5, lasting, copies, standin.WithAttachedFrontEnds("a", "a", "a", "a"))
+	f.WaitForLeader(5)
+	f.WaitUntilConverged()
+	lost := []*standin.FrontEnd{f.FrontEnds[0], f.FrontEnds[3]}
 	for _, c := range lost {
 		assert.Equal(t, "a", c.Zone)
 	}
-	for _, n := range f.AttachedOnes() {
-		assert.Equal(t, "a", n.Home().Zone, "the view comes from the own zone while a control member is there")
+	for _, n := range f.AttachedFrontEnds() {
+		assert.Equal(t, "a", n.WaitForHome().Zone, "the view comes from the own zone while a control member is there")
 	}
-	alive := map[*standin.Front]bool{}
-	for _, n := range f.Fronts {
+	alive := map[*standin.FrontEnd]bool{}
+	for _, n := range f.FrontEnds {
 		alive[n] = true
 	}
 	for _, c := range lost {
 		alive[c] = false
-		var rest []*standin.Front
-		for _, n := range f.Fronts {
+		var rest []*standin.FrontEnd
+		for _, n := range f.FrontEnds {
 			if alive[n] {
 				rest = append(rest, n)
 			}
 		}
-		stop := f.Watch(rest, rest, "dead", "left")
+		stop := f.WatchStates(rest, rest, "dead", "left")
 		c.Kill(true)
-		f.AllSee(rest, c.Name, "dead")
-		f.Settled()
-		f.Await("each has links to two that run", func() bool {
-			return !slices.ContainsFunc(f.AttachedOnes(), func(n *standin.Front) bool { return linksTo(n, alive) != 2 })
+		f.WaitUntilAllSee(rest, c.Name, "dead")
+		f.WaitUntilConverged()
+		f.WaitFor("each has links to two that run", func() bool {
+			return !slices.ContainsFunc(f.AttachedFrontEnds(), func(n *standin.FrontEnd) bool { return linksTo(n, alive) != 2 })
 		})
-		for _, n := range f.AttachedOnes() {
-			assert.True(t, alive[n.Home()], "%s follows %s", n.Name, n.Home().Name)
-			assert.Equal(t, history.Answer, n.Lookup())
+		for _, n := range f.AttachedFrontEnds() {
+			assert.True(t, alive[n.WaitForHome()], "%s follows %s", n.Name, n.WaitForHome().Name)
+			assert.Equal(t, history.Succeeded, n.SendLookup())
 			insist(t, f, n, load("once-"+c.Name+"-"+n.Name, n.Name, 10))
 		}
 		assert.Empty(t, stop())
 	}
-	f.Check()
+	f.CheckHistory()
 }
 
 // linksTo is how many control members that run an attached front end has links to.
-func linksTo(n *standin.Front, alive map[*standin.Front]bool) (links int) {
-	s := n.Standing()
+func linksTo(n *standin.FrontEnd, alive map[*standin.FrontEnd]bool) (links int) {
+	s := n.Status()
 	if s == nil {
 		return 0
 	}
-	for _, c := range n.F.Controls() {
-		if alive[c] && s.Of(c.Name).Link {
+	for _, c := range n.Fleet.ControlMembers() {
+		if alive[c] && s.Member(c.Name).Connected {
 			links++
 		}
 	}
@@ -77,54 +77,54 @@
 // processes.
 func TestControlCutOffFromItsAttachedOnly(t *testing.T) {
 	t.Parallel()
-	f := standin.NewFleet(t, program, 3, standin.Attached("a", "a", "a", "a", "a", "a"))
-	f.Leader(3)
-	f.Settled()
-	home, attached := f.Fronts[0], f.AttachedOnes()
+	f := standin.NewFleet(t, program, 3, standin.WithAttachedFrontEnds("a", "a", "a", "a", "a", "a"))
+	f.WaitForLeader(3)
+	f.WaitUntilConverged()
+	home, attached := f.FrontEnds[0], f.AttachedFrontEnds()
 	before := map[string]string{}
 	for _, n := range attached {
-		assert.Equal(t, home, n.Home())
-		before[n.Name] = n.Standing().Incarnation
+		assert.Equal(t, home, n.WaitForHome())
+		before[n.Name] = n.Status().Incarnation
 	}
-	stop := f.Watch(f.Fronts, attached, "dead", "left")
-	f.Part(true, attached, f.Fronts[:1])
-	f.Await("they are linked to both others, and follow one", func() bool {
+	stop := f.WatchStates(f.FrontEnds, attached, "dead", "left")
+	f.SetPartition(true, attached, f.FrontEnds[:1])
+	f.WaitFor("they are linked to both others, and follow one", func() bool {
 		for _, n := range attached {
-			if s := n.Standing(); s == nil || s.Attached.Home == "" || s.Attached.Home == home.Name {
+			if s := n.Status(); s == nil || s.Attached.Home == "" || s.Attached.Home == home.Name {
 				return false
 			}
 		}
-		for _, c := range f.Controls()[1:] {
-			if s := c.Standing(); s == nil || s.Attached.Links != len(attached) {
+		for _, c := range f.ControlMembers()[1:] {
+			if s := c.Status(); s == nil || s.Attached.ConnectedFrontEnds != len(attached) {
 				return false
 			}
 		}
 		return true
 	})
-	f.Await("the doubt of the one that is cut off", func() bool { return home.Counter("Doubts") > 0 })
-	f.Settled()
+	f.WaitFor("the doubt of the one that is cut off", func() bool { return home.Counter("Doubts") > 0 })
+	f.WaitUntilConverged()
 
-	f.Did("all ways of the attached ones stand still")
-	ways(f, attached, func(way *standin.Relay) { way.StallBoth(true) })
-	f.Await("the doubt of the others", func() bool {
-		return !slices.ContainsFunc(f.Controls(), func(n *standin.Front) bool { return n.Counter("Doubts") == 0 })
+	f.LogStep("all ways of the attached ones stand still")
+	ways(f, attached, func(way *standin.FaultProxy) { way.SetBothStalled(true) })
+	f.WaitFor("the doubt of the others", func() bool {
+		return !slices.ContainsFunc(f.ControlMembers(), func(n *standin.FrontEnd) bool { return n.Counter("Doubts") == 0 })
 	})
 	for _, n := range attached {
-		f.AllSee(f.Controls(), n.Name, "suspect")
+		f.WaitUntilAllSee(f.ControlMembers(), n.Name, "suspect")
 	}
-	f.Did("they go on")
-	ways(f, attached, func(way *standin.Relay) { way.StallBoth(false) })
-	f.Settled()
+	f.LogStep("they go on")
+	ways(f, attached, func(way *standin.FaultProxy) { way.SetBothStalled(false) })
+	f.WaitUntilConverged()
 	for _, n := range attached {
-		assert.Equal(t, before[n.Name], n.Standing().Incarnation)
+		assert.Equal(t, before[n.Name], n.Status().Incarnation)
 	}
 	assert.Empty(t, stop())
 }
 
 // ways does something to all ways from front ends to the control members.
-func ways(f *standin.Fleet, from []*standin.Front, do func(way *standin.Relay)) {
+func ways(f *standin.Fleet, from []*standin.FrontEnd, do func(way *standin.FaultProxy)) {
 	for _, n := range from {
-		for _, way := range f.Ways(n) {
+		for _, way := range f.Proxies(n) {
 			do(way)
 		}
 	}
--- a/cmd/chutechute/attached_off_test.go
+++ b/cmd/chutechute/attached_off_test.go
@@ -76,21 +76,21 @@
 	for _, section := range []map[string]any{{}, {"attached": map[string]any{"enabled": false, "most": 100}}} {
 		c := newCensus()
 		seen = append(seen, c)
-		with := func(f *standin.Fleet) { maps.Copy(f.Section, section) }
-		fleets = append(fleets, standin.NewFleet(t, program, 3, with, standin.Tapped(c.see)))
+		with := func(f *standin.Fleet) { maps.Copy(f.FleetSettings, section) }
+		fleets = append(fleets, standin.NewFleet(t, program, 3, with, standin.WithFrameObserver(c.see)))
 	}
 	for _, f := range fleets {
-		f.Leader(3)
+		f.WaitForLeader(3)
 	}
 	require.EventuallyWithT(t, func(t *assert.CollectT) {
-		without, _ := holds(t, fleets[0].Fronts[0].Cmd.Process.Pid)
-		with, _ := holds(t, fleets[1].Fronts[0].Cmd.Process.Pid)
+		without, _ := holds(t, fleets[0].FrontEnds[0].Cmd.Process.Pid)
+		with, _ := holds(t, fleets[1].FrontEnds[0].Cmd.Process.Pid)
 		assert.Equal(t, without, with)
-	}, standin.Patience, 50*time.Millisecond)
+	}, standin.WaitTimeout, 50*time.Millisecond)
 	for i, f := range fleets {
-		for k, n := range f.Fronts {
+		for k, n := range f.FrontEnds {
 			insist(t, f, n, load(fmt.Sprintf("once-%d", k), "k", 10))
-			s := n.Status()
+			s := n.RawStatus()
 			assert.NotContains(t, s, "attached")
 			for _, m := range s["members"].([]any) {
 				keys := slices.Collect(maps.Keys(m.(map[string]any)))
@@ -98,17 +98,17 @@
 			}
 		}
 		seen[i].check(t)
-		f.Check()
+		f.CheckHistory()
 	}
-	without, with := goroutines(t, fleets[0].Fronts[0]), goroutines(t, fleets[1].Fronts[0])
+	without, with := goroutines(t, fleets[0].FrontEnds[0]), goroutines(t, fleets[1].FrontEnds[0])
 	assert.NotEmpty(t, without)
 	assert.Equal(t, without, with)
 }
 
 // goroutines ends a front end and gives what its goroutines were begun by, with how many each.
-func goroutines(t *testing.T, n *standin.Front) map[string]int {
+func goroutines(t *testing.T, n *standin.FrontEnd) map[string]int {
 	t.Helper()
-	n.Quit()
+	n.QuitWithStacks()
 	list := map[string]int{}
 	for _, m := range regexp.MustCompile(`(?m)^created by (\S+)`).FindAllStringSubmatch(n.Log.String(), -1) {
 		list[m[1]]++
--- a/cmd/chutechute/attached_slow_test.go
+++ b/cmd/chutechute/attached_slow_test.go
@@ -21,7 +21,7 @@
 )
 
 // residentMB is the memory that a front end's process holds.
-func residentMB(t *testing.T, n *standin.Front) (mb int) {
+func residentMB(t *testing.T, n *standin.FrontEnd) (mb int) {
 	t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", n.Cmd.Process.Pid))
 	require.NoError(t, err)
@@ -31,8 +31,8 @@
 }
 
 // seesGuests says whether a front end sees all guests, the restless ones with the process of a round.
-func seesGuests(n *standin.Front, round int) bool {
-	s := n.Standing()
+func seesGuests(n *standin.FrontEnd, round int) bool {
+	s := n.Status()
 	if s == nil {
 		return false
 	}
@@ -41,7 +41,7 @@
 		if i < restless {
 			of = round
 		}
-		m := s.Of(guestName(i))
+		m := s.Member(guestName(i))
 		if m.State != "alive" || m.Incarnation != fmt.Sprintf("%016x", guestIncarnation(i, of)) {
 			return false
 		}
@@ -54,10 +54,10 @@
 func guestIncarnation(i, round int) uint64 { return uint64(1+round)<<32 | uint64(1+i) }
 
 // come has a number of guests come to a control member, each with the process of a round.
-func come(f *standin.Fleet, home *standin.Front, many, round int, digest []byte) (list []*standin.Guest) {
-	f.Did("%d guests come to %s, round %d", many, home.Name, round)
+func come(f *standin.Fleet, home *standin.FrontEnd, many, round int, digest []byte) (list []*standin.AttachedStub) {
+	f.LogStep("%d guests come to %s, round %d", many, home.Name, round)
 	for i := range many {
-		list = append(list, f.Guest(home, guestName(i), guestIncarnation(i, round), digest))
+		list = append(list, f.AttachStub(home, guestName(i), guestIncarnation(i, round), digest))
 	}
 	return list
 }
@@ -69,34 +69,34 @@
 // differs, not with the whole view.
 func TestSlowReader(t *testing.T) {
 	t.Parallel()
-	f := standin.NewFleet(t, program, 3, standin.Attached("a", "a", "b"))
-	f.Leader(3)
-	f.Settled()
-	slow, sound := f.AttachedOnes()[0], append(f.Controls(), f.AttachedOnes()[1:]...)
-	home := slow.Home()
-	digest := f.Agreed(f.Way(slow, home))
+	f := standin.NewFleet(t, program, 3, standin.WithAttachedFrontEnds("a", "a", "b"))
+	f.WaitForLeader(3)
+	f.WaitUntilConverged()
+	slow, sound := f.AttachedFrontEnds()[0], append(f.ControlMembers(), f.AttachedFrontEnds()[1:]...)
+	home := slow.WaitForHome()
+	digest := f.CaptureSettingsDigest(f.Proxy(slow, home))
 	list := come(f, home, guests, 0, digest)
-	f.Await("all see the guests", func() bool {
-		for _, n := range f.Fronts {
+	f.WaitFor("all see the guests", func() bool {
+		for _, n := range f.FrontEnds {
 			if !seesGuests(n, 0) {
 				return false
 			}
 		}
 		return true
 	})
-	ways(f, []*standin.Front{slow}, (*standin.Relay).Narrow)
-	ways(f, []*standin.Front{slow}, (*standin.Relay).Reset)
-	f.Settled()
+	ways(f, []*standin.FrontEnd{slow}, (*standin.FaultProxy).UseSmallBuffers)
+	ways(f, []*standin.FrontEnd{slow}, (*standin.FaultProxy).CloseConnections)
+	f.WaitUntilConverged()
 
-	before, memory := slow.Standing().Attached, residentMB(t, home)
-	ways(f, []*standin.Front{slow}, func(way *standin.Relay) { way.Back.Stall(true) })
-	f.Did("%s is sent nothing", slow.Name)
+	before, memory := slow.Status().Attached, residentMB(t, home)
+	ways(f, []*standin.FrontEnd{slow}, func(way *standin.FaultProxy) { way.ToDialer.SetStalled(true) })
+	f.LogStep("%s is sent nothing", slow.Name)
 	for round := 1; round < rounds; round++ {
 		for _, g := range list[:restless] {
 			g.Close()
 		}
 		list = come(f, home, restless, round, digest)
-		f.Await(fmt.Sprintf("the others see round %d", round), func() bool {
+		f.WaitFor(fmt.Sprintf("the others see round %d", round), func() bool {
 			for _, n := range sound {
 				if !seesGuests(n, round) {
 					return false
@@ -107,24 +107,24 @@
 	}
 	assert.LessOrEqual(t, residentMB(t, home)-memory, mostGrowth, "MB more at the home of a reader that stands still")
 	assert.False(t, seesGuests(slow, rounds-1))
-	f.Await("it has given up its links", func() bool { return slow.Counter("Losses") >= before.Counters["Losses"]+2 })
-	assert.True(t, slow.Sees(home.Name, "alive"), "its view goes on as it was")
+	f.WaitFor("it has given up its links", func() bool { return slow.Counter("Losses") >= before.Counters["Losses"]+2 })
+	assert.True(t, slow.SeesInState(home.Name, "alive"), "its view goes on as it was")
 
 	sent := bytesBack(f, slow)
-	ways(f, []*standin.Front{slow}, func(way *standin.Relay) { way.Back.Stall(false) })
-	f.Did("%s is sent what there is", slow.Name)
-	f.Await("it sees the last round", func() bool { return seesGuests(slow, rounds-1) })
-	f.Settled()
-	after := slow.Standing().Attached.Counters
+	ways(f, []*standin.FrontEnd{slow}, func(way *standin.FaultProxy) { way.ToDialer.SetStalled(false) })
+	f.LogStep("%s is sent what there is", slow.Name)
+	f.WaitFor("it sees the last round", func() bool { return seesGuests(slow, rounds-1) })
+	f.WaitUntilConverged()
+	after := slow.Status().Attached.Counters
 	assert.Equal(t, before.Counters["Snapshots"], after["Snapshots"], "of the whole view")
 	assert.Greater(t, after["DigestRepairs"]+after["CatchUps"], before.Counters["DigestRepairs"]+before.Counters["CatchUps"])
 	assert.LessOrEqual(t, bytesBack(f, slow)-sent, int(mostCatchUp))
 }
 
 // bytesBack is how many bytes an attached front end has been sent.
-func bytesBack(f *standin.Fleet, n *standin.Front) (bytes int) {
-	for _, way := range f.Ways(n) {
-		_, b, _ := way.Back.Passed()
+func bytesBack(f *standin.Fleet, n *standin.FrontEnd) (bytes int) {
+	for _, way := range f.Proxies(n) {
+		_, b, _ := way.ToDialer.FrameCounts()
 		bytes += b
 	}
 	return bytes
--- a/cmd/chutechute/attached_stopped_test.go
+++ b/cmd/chutechute/attached_stopped_test.go
@@ -22,44 +22,46 @@
 // allows.
 func TestAttachedStoppedAndGoesOn(t *testing.T) {
 	t.Parallel()
-	f := standin.NewFleet(t, program, 3, lasting, standin.Attached("a", "b", "c"))
-	f.Leader(3)
-	f.Settled()
-	n, others := f.AttachedOnes()[0], append(f.Controls(), f.AttachedOnes()[1:]...)
-	before := n.Standing()
+	f := standin.NewFleet(t, program, 3, lasting, standin.WithAttachedFrontEnds("a", "b", "c"))
+	f.WaitForLeader(3)
+	f.WaitUntilConverged()
+	n, others := f.AttachedFrontEnds()[0], append(f.ControlMembers(), f.AttachedFrontEnds()[1:]...)
+	before := n.Status()
 	running, waiting := load("running", "k", 4000), load("waiting", "k", 20)
 	var all sync.WaitGroup
-	all.Go(func() { f.Load(n, running) })
-	f.Until(func(e history.Event) bool { return e.What == history.Began && e.Once == running.Once })
-	all.Go(func() { f.Load(n, waiting) })
-	f.Await("it holds both loads", func() bool { return n.Status()["held"] == 2.0 })
+	all.Go(func() { f.SendLoad(n, running) })
+	f.WaitForEvent(func(e history.Event) bool {
+		return e.Kind == history.ExecutionStarted && e.IdempotencyKey == running.IdempotencyKey
+	})
+	all.Go(func() { f.SendLoad(n, waiting) })
+	f.WaitFor("it holds both loads", func() bool { return n.RawStatus()["held"] == 2.0 })
 	stopped := time.Now()
-	n.Stop()
-	f.AllSee(others, n.Name, "dead")
-	all.Go(func() { f.Load(others[0], running) })
-	all.Go(func() { f.Load(others[4], waiting) })
+	n.Pause()
+	f.WaitUntilAllSee(others, n.Name, "dead")
+	all.Go(func() { f.SendLoad(others[0], running) })
+	all.Go(func() { f.SendLoad(others[4], waiting) })
 	time.Sleep(time.Until(stopped.Add(stoppedFor)))
-	ways(f, []*standin.Front{n}, func(way *standin.Relay) { way.StallBoth(true) })
-	n.Continue()
-	f.Await("it answers again", func() bool { return n.Standing() != nil })
-	age := n.Standing().Attached.ViewAgeMS
+	ways(f, []*standin.FrontEnd{n}, func(way *standin.FaultProxy) { way.SetBothStalled(true) })
+	n.Resume()
+	f.WaitFor("it answers again", func() bool { return n.Status() != nil })
+	age := n.Status().Attached.ViewAgeMS
 	assert.GreaterOrEqual(t, age, float64(stoppedFor.Milliseconds()), "nobody has confirmed its view yet")
-	ways(f, []*standin.Front{n}, func(way *standin.Relay) { way.StallBoth(false) })
-	f.Did("the ways of %s go on", n.Name)
-	f.Await("its view is confirmed", func() bool {
-		s := n.Standing()
+	ways(f, []*standin.FrontEnd{n}, func(way *standin.FaultProxy) { way.SetBothStalled(false) })
+	f.LogStep("the ways of %s go on", n.Name)
+	f.WaitFor("its view is confirmed", func() bool {
+		s := n.Status()
 		return s != nil && s.Attached.ViewAgeMS < float64(stoppedFor.Milliseconds())
 	})
-	f.Settled()
-	assert.Equal(t, before.Incarnation, n.Standing().Incarnation)
+	f.WaitUntilConverged()
+	assert.Equal(t, before.Incarnation, n.Status().Incarnation)
 	for _, o := range others {
-		assert.Equal(t, before.Incarnation, o.Standing().Of(n.Name).Incarnation)
+		assert.Equal(t, before.Incarnation, o.Status().Member(n.Name).Incarnation)
 	}
 	all.Wait()
-	f.Load(n, running)
+	f.SendLoad(n, running)
 	insist(t, f, n, waiting)
 	insist(t, f, n, load("after", "k", 20))
-	f.Check()
+	f.CheckHistory()
 }
 
 // lateRounds bounds how often late messages are tried: a hello that comes a second after its challenge is not read at all.
@@ -71,66 +73,66 @@
 // earlier one's hello is counted as late.
 func TestRestartUnderTheSameNameWithLateMessages(t *testing.T) {
 	t.Parallel()
-	f := standin.NewFleet(t, program, 3, standin.Attached("a", "b"))
-	f.Leader(3)
-	f.Settled()
-	n := f.AttachedOnes()[0]
-	others := append(f.Controls(), f.AttachedOnes()[1])
+	f := standin.NewFleet(t, program, 3, standin.WithAttachedFrontEnds("a", "b"))
+	f.WaitForLeader(3)
+	f.WaitUntilConverged()
+	n := f.AttachedFrontEnds()[0]
+	others := append(f.ControlMembers(), f.AttachedFrontEnds()[1])
 	for _, known := range []bool{true, false} {
 		late := false
 		for round := 0; round < lateRounds && !late; round++ {
-			home, old := n.Home(), n
+			home, old := n.WaitForHome(), n
 			if !known {
 				n.Kill(false)
-				old = f.Twin(n)
-				ways(f, []*standin.Front{old}, func(way *standin.Relay) { way.Stall(way != f.Way(old, home)) })
+				old = f.AddDuplicate(n)
+				ways(f, []*standin.FrontEnd{old}, func(way *standin.FaultProxy) { way.SetStalled(way != f.Proxy(old, home)) })
 			}
 			n, late = replaceWithLateHello(f, old, home, others)
 		}
 		assert.True(t, late, "a late hello was read, of a process that was known: %v", known)
 	}
-	home := f.Way(n, n.Home())
-	passed, _, _ := home.Passed()
-	f.Await("the later one's heartbeats go on", func() bool { now, _, _ := home.Passed(); return now >= passed+2 })
+	home := f.Proxy(n, n.WaitForHome())
+	passed, _, _ := home.FrameCounts()
+	f.WaitFor("the later one's heartbeats go on", func() bool { now, _, _ := home.FrameCounts(); return now >= passed+2 })
 	assert.True(t, seenByAll(n, others), "the later process stays")
 }
 
 // replaceWithLateHello has a process of a front end's name follow it, gives it, and says whether a hello of the earlier one was read
 // after that. The earlier one is started, if it was not, when what it says to its home is held back.
-func replaceWithLateHello(f *standin.Fleet, old, home *standin.Front, others []*standin.Front) (later *standin.Front, late bool) {
+func replaceWithLateHello(f *standin.Fleet, old, home *standin.FrontEnd, others []*standin.FrontEnd) (later *standin.FrontEnd, late bool) {
 	before := home.Counter("LateOfReplaced")
-	later = f.Twin(old)
-	ways(f, []*standin.Front{later}, func(way *standin.Relay) { way.Stall(true) })
+	later = f.AddDuplicate(old)
+	ways(f, []*standin.FrontEnd{later}, func(way *standin.FaultProxy) { way.SetStalled(true) })
 	later.Start()
-	dialled := f.Way(later, home).Dialled()
-	f.Await("the later process dials its home", func() bool { return f.Way(later, home).Dialled() > dialled })
-	release := f.Way(old, home).HoldNew()
+	dialled := f.Proxy(later, home).ConnectionAttempts()
+	f.WaitFor("the later process dials its home", func() bool { return f.Proxy(later, home).ConnectionAttempts() > dialled })
+	release := f.Proxy(old, home).HoldNew()
 	defer release()
-	f.Did("what %s sends to %s on new links is held back", old.Name, home.Name)
-	if old.Starts == 0 {
+	f.LogStep("what %s sends to %s on new links is held back", old.Name, home.Name)
+	if old.StartCount == 0 {
 		old.Start()
 	}
-	f.Await("its hello is on the way", func() bool { return f.Way(old, home).Waiting() > 0 })
+	f.WaitFor("its hello is on the way", func() bool { return f.Proxy(old, home).PendingFrames() > 0 })
 	old.Kill(false)
-	f.Way(later, home).Stall(false)
-	f.Await("the home sees the later process", func() bool { return seenByAll(later, []*standin.Front{home}) })
+	f.Proxy(later, home).SetStalled(false)
+	f.WaitFor("the home sees the later process", func() bool { return seenByAll(later, []*standin.FrontEnd{home}) })
 	release()
-	f.Did("the earlier process's hello comes")
-	f.Await("it is on", func() bool { return f.Way(old, home).Waiting() == 0 })
-	ways(f, []*standin.Front{later}, func(way *standin.Relay) { way.Stall(false) })
-	f.Await("all see the later process", func() bool { return seenByAll(later, others) })
+	f.LogStep("the earlier process's hello comes")
+	f.WaitFor("it is on", func() bool { return f.Proxy(old, home).PendingFrames() == 0 })
+	ways(f, []*standin.FrontEnd{later}, func(way *standin.FaultProxy) { way.SetStalled(false) })
+	f.WaitFor("all see the later process", func() bool { return seenByAll(later, others) })
 	return later, home.Counter("LateOfReplaced") > before
 }
 
 // seenByAll says whether an attached process has a view, and all see just it alive under its name.
-func seenByAll(n *standin.Front, by []*standin.Front) bool {
-	s := n.Standing()
+func seenByAll(n *standin.FrontEnd, by []*standin.FrontEnd) bool {
+	s := n.Status()
 	if s == nil || s.Attached.ViewAgeMS < 0 {
 		return false
 	}
-	return !slices.ContainsFunc(by, func(o *standin.Front) bool {
-		seen := o.Standing()
-		m := seen.Of(n.Name)
+	return !slices.ContainsFunc(by, func(o *standin.FrontEnd) bool {
+		seen := o.Status()
+		m := seen.Member(n.Name)
 		return m.State != "alive" || m.Incarnation != s.Incarnation
 	})
 }
--- a/cmd/chutechute/budget.go
+++ b/cmd/chutechute/budget.go
@@ -42,7 +42,7 @@
 			return table(cmd, func(line func(...any)) {
 				line("BUDGET", "KIND", "WHOLE", "DIVIDED", "EACH WITHOUT A LEASE", "KEPT FOR NEWCOMERS", "A LOST ONE'S IS FREE AFTER")
 				for _, p := range plans {
-					line(p.Name, p.Kind, p.Total, p.Divided, p.Static, p.Newcomers, p.Lost)
+					line(p.Name, p.Kind, p.Total, p.Divided, p.Static, p.NewcomerReserve, p.MaxRecoveryTime)
 				}
 			})
 		}),
@@ -51,7 +51,7 @@
 }
 
 func readBudgets(text []byte) (b peering.BudgetPage, err error) {
-	if err = json.Unmarshal(text, &b); err == nil && !b.On {
+	if err = json.Unmarshal(text, &b); err == nil && !b.Enabled {
 		err = errors.New("this front end has no budgets set: installation: fleet.budgets")
 	}
 	return b, err
@@ -64,20 +64,20 @@
 	}
 	return table(cmd, func(line func(...any)) {
 		line("front end", b.Name)
-		line("version", fmt.Sprintf("%d in force, %d in this front end's file", b.Version, b.Holder.OwnVersion))
-		line("lease", fmt.Sprintf("%d ms left; %d reports, %d changes, %d lapsed", b.Holder.LeaseRemainingUS/1000, b.Holder.Reports, b.Holder.ChangedGrants, b.Holder.ExpiredLeases))
-		if b.Holder.Differs {
+		line("version", fmt.Sprintf("%d in force, %d in this front end's file", b.Version, b.LeaseHolder.ConfiguredVersion))
+		line("lease", fmt.Sprintf("%d ms left; %d reports, %d changes, %d lapsed", b.LeaseHolder.LeaseRemainingUS/1000, b.LeaseHolder.Reports, b.LeaseHolder.ChangedGrants, b.LeaseHolder.ExpiredLeases))
+		if b.LeaseHolder.SettingsConflict {
 			line("SETTINGS DIFFER", "this file has the version in force and says something else: the record's hold")
 		}
-		for name, why := range b.Unknown {
+		for name, why := range b.Inapplicable {
 			line("NOT APPLIED", name+": "+why)
 		}
 		line("")
 		line("HERE", "SUBJECT", "WANTS", "IN USE", "LEASED", "STATIC", "SPENT", "TURNED AWAY")
-		for _, s := range b.Here {
-			line(s.Budget, s.Subject, s.Want, s.InUse, s.Lease, s.Static, s.Spent, s.Denied)
+		for _, s := range b.Local {
+			line(s.Budget, s.Subject, s.Demand, s.InUse, s.Lease, s.Static, s.Spent, s.Denied)
 		}
-		if !b.Copy {
+		if !b.HasReplica {
 			return
 		}
 		line("")
@@ -89,17 +89,17 @@
 				state = "held back until what an earlier record granted is over"
 			case !p.InForce:
 				state = "lowered: more is still held than the whole"
-			case p.SinceMS > 0:
-				state = fmt.Sprintf("in force for %d s", p.SinceMS/1000)
+			case p.InForceMS > 0:
+				state = fmt.Sprintf("in force for %d s", p.InForceMS/1000)
 			}
 			line(p.Name, "", "", "", "", "", "", p.Total, "", state)
 			for _, s := range p.Subjects {
 				for _, h := range s.Holders {
 					lapsed := ""
-					if h.Lapsed {
+					if h.Expired {
 						lapsed = "lease over, may run"
 					}
-					line("", s.Subject, h.Name, h.Want, h.Granted, h.Counted, h.InUse, "", s.Free, lapsed)
+					line("", s.Subject, h.Name, h.Demand, h.Granted, h.Outstanding, h.InUse, "", s.Free, lapsed)
 				}
 			}
 		}
@@ -112,33 +112,33 @@
 		return err
 	}
 	out := cmd.OutOrStdout()
-	if len(b.Denied) == 0 && len(b.Here) == 0 {
+	if len(b.Denials) == 0 && len(b.Local) == 0 {
 		_, err := fmt.Fprintln(out, "No budget of that name, and no call of that id was turned away here of late (the last 256 are kept).")
 		return err
 	}
-	for i, d := range b.Denied {
+	for i, d := range b.Denials {
 		if i == 10 {
-			fmt.Fprintf(out, "and %d more\n", len(b.Denied)-i)
+			fmt.Fprintf(out, "and %d more\n", len(b.Denials)-i)
 			break
 		}
-		fmt.Fprintf(out, "%s was turned away %d ms ago for want of room in %q, and told to come back after %d ms\n", d.Call, d.AgeMS, d.Budget, d.AfterMS)
+		fmt.Fprintf(out, "%s was turned away %d ms ago for want of room in %q, and told to come back after %d ms\n", d.RequestID, d.AgeMS, d.Budget, d.RetryAfterMS)
 	}
-	for _, s := range b.Here {
+	for _, s := range b.Local {
 		what := s.Budget
 		if s.Subject != "" {
 			what += " of " + s.Subject
 		}
 		fmt.Fprintf(out, "%s: clients ask here for %.4g beyond the static part; this front end has %.4g by a lease with %d ms left and %.4g without; "+
-			"%d were turned away\n", what, s.Want, s.Lease, s.LeftMS, s.Static, s.Denied)
+			"%d were turned away\n", what, s.Demand, s.Lease, s.LeaseRemainingMS, s.Static, s.Denied)
 	}
 	for _, p := range b.Budgets {
 		for _, s := range p.Subjects {
 			held := 0.0
 			for _, h := range s.Holders {
-				held += h.Counted
+				held += h.Outstanding
 			}
 			fmt.Fprintf(out, "%s %s on record: whole %.4g, held by %d front ends %.4g, static parts %.4g, free %.4g\n", p.Name, s.Subject, p.Total,
-				len(s.Holders), held, p.Reserve, s.Free)
+				len(s.Holders), held, p.StaticReserve, s.Free)
 		}
 	}
 	return nil
--- a/cmd/chutechute/budgets_test.go
+++ b/cmd/chutechute/budgets_test.go
@@ -18,7 +18,7 @@
 // budgets sets a fleet's.
 func budgets(version int, list ...map[string]any) func(*standin.Fleet) {
 	return func(f *standin.Fleet) {
-		f.Section["budgets"] = map[string]any{"version": version, "lease_ms": 1000, "list": list}
+		f.FleetSettings["budgets"] = map[string]any{"version": version, "lease_ms": 1000, "list": list}
 	}
 }
 
@@ -48,9 +48,9 @@
 func press(t *testing.T, f *standin.Fleet) *pressure { return &pressure{t: t, f: f} }
 
 // offer has clients ask a front end for so many a second; the caller may end it.
-func (p *pressure) offer(n *standin.Front, perSecond float64, ms int) (stop func()) {
+func (p *pressure) offer(n *standin.FrontEnd, perSecond float64, ms int) (stop func()) {
 	c := make(chan struct{})
-	n.Offer(&p.all, c, "t", perSecond, ms)
+	n.GenerateLookups(&p.all, c, "t", perSecond, ms)
 	p.stop = append(p.stop, c)
 	i := len(p.stop) - 1
 	return func() { close(c); p.stop[i] = nil }
@@ -67,18 +67,18 @@
 
 // during lets a span pass and gives its bounds.
 func (p *pressure) during(span time.Duration) (from, to int64) {
-	from = p.f.Record.Now()
+	from = p.f.History.Now()
 	time.Sleep(span)
-	return from, p.f.Record.Now()
+	return from, p.f.History.Now()
 }
 
 // check fails the test where engines saw more than a rate allows.
 func (p *pressure) check(rate, burst float64) {
 	p.t.Helper()
-	events := p.f.Record.Events()
-	for _, b := range history.CheckRate(history.Spendings(events, within, ofTenant), rate, burst) {
+	events := p.f.History.Events()
+	for _, b := range history.CheckRate(history.Consumptions(events, within, ofTenant), rate, burst) {
 		p.t.Errorf("%s", b)
-		for _, e := range history.Around(events, b, 20) {
+		for _, e := range history.RelatedEvents(events, b, 20) {
 			p.t.Logf("  %s", e)
 		}
 	}
@@ -87,7 +87,7 @@
 // share is the part of a rate that engines saw in a span.
 func (p *pressure) share(rate float64, from, to int64) float64 {
 	n := 0.0
-	for _, s := range history.Spendings(p.f.Record.Events(), within, ofTenant) {
+	for _, s := range history.Consumptions(p.f.History.Events(), within, ofTenant) {
 		if s.Event.At >= from && s.Event.At < to {
 			n++
 		}
@@ -98,16 +98,16 @@
 }
 
 // open waits until the whole is given out: a new record holds it back for a while.
-func (p *pressure) open(n *standin.Front) {
-	p.f.Leader(3)
+func (p *pressure) open(n *standin.FrontEnd) {
+	p.f.WaitForLeader(3)
 	require.Eventually(p.t, func() bool {
-		s := n.Question("budgets")
+		s := n.RawAdminResponse("budgets")
 		if s == nil {
 			return false
 		}
 		b, _ := s["budgets"].([]any)
 		return len(b) > 0 && b[0].(map[string]any)["open"] == true
-	}, standin.Patience, 20*time.Millisecond)
+	}, standin.WaitTimeout, 20*time.Millisecond)
 }
 
 // A tenant asks three front ends for more than the fleet gives it. One machine is lost with its disk, and comes back: engines
@@ -116,16 +116,16 @@
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3, lasting, budgets(1, quota(60, 12)))
 	p := press(t, f)
-	p.open(f.Leader(3))
-	for i, n := range f.Fronts {
+	p.open(f.WaitForLeader(3))
+	for i, n := range f.FrontEnds {
 		p.offer(n, []float64{90, 40, 10}[i], 5)
 	}
 	time.Sleep(time.Second)
 	from, to := p.during(3 * time.Second)
-	f.Fronts[0].Kill(true)
+	f.FrontEnds[0].Kill(true)
 	time.Sleep(2500 * time.Millisecond)
 	from2, to2 := p.during(2 * time.Second)
-	f.Fronts[0].Start()
+	f.FrontEnds[0].Start()
 	time.Sleep(2 * time.Second)
 	p.end()
 	p.check(60, 12)
@@ -139,14 +139,14 @@
 	t.Parallel()
 	f := standin.NewFleet(t, program, 5, budgets(1, map[string]any{"name": "quota", "tenant": "t", "rate": 100, "burst": 50, "reserve": 0.2}))
 	p := press(t, f)
-	leader := f.Leader(3)
+	leader := f.WaitForLeader(3)
 	p.open(leader)
-	var minority, majority []*standin.Front // two without the leader, which has a copy with it on its side or is the side
+	var minority, majority []*standin.FrontEnd // two without the leader, which has a copy with it on its side or is the side
 	copies := map[any]bool{}
-	for _, c := range leader.Status()["copies"].([]any) {
+	for _, c := range leader.RawStatus()["copies"].([]any) {
 		copies[c.(map[string]any)["name"]] = true
 	}
-	for _, n := range f.Fronts {
+	for _, n := range f.FrontEnds {
 		if n != leader && len(minority) < 2 && (!copies[n.Name] || len(minority) == 0) {
 			minority = append(minority, n)
 		} else {
@@ -165,10 +165,10 @@
 		p.offer(n, []float64{60, 60, 10, 10, 10}[i], 5)
 	}
 	time.Sleep(time.Second)
-	f.Part(true, minority, majority)
+	f.SetPartition(true, minority, majority)
 	time.Sleep(2500 * time.Millisecond)
 	from3, to3 := p.during(cutFor())
-	f.Part(false, minority, majority)
+	f.SetPartition(false, minority, majority)
 	time.Sleep(2 * time.Second)
 	from4, to4 := p.during(2 * time.Second)
 	p.end()
@@ -193,28 +193,28 @@
 	t.Parallel()
 	f := standin.NewFleet(t, program, 9, budgets(1, quota(90, 45)))
 	p := press(t, f)
-	p.open(f.Leader(3))
-	for _, n := range f.Fronts[3:] {
-		n.Leave()
+	p.open(f.WaitForLeader(3))
+	for _, n := range f.FrontEnds[3:] {
+		n.Terminate()
 	}
-	for _, n := range f.Fronts[:3] {
+	for _, n := range f.FrontEnds[:3] {
 		p.offer(n, 45, 5)
 	}
 	time.Sleep(time.Second)
-	for _, n := range f.Fronts[3:] {
+	for _, n := range f.FrontEnds[3:] {
 		n.Start()
 		p.offer(n, 20, 5)
 		time.Sleep(200 * time.Millisecond)
 	}
 	from, to := p.during(2 * time.Second)
 	var all sync.WaitGroup
-	for _, n := range f.Fronts[3:6] {
-		all.Go(n.Leave)
+	for _, n := range f.FrontEnds[3:6] {
+		all.Go(n.Terminate)
 	}
 	all.Wait()
 	time.Sleep(time.Second)
 	from2, to2 := p.during(1500 * time.Millisecond)
-	for _, n := range f.Fronts[6:] {
+	for _, n := range f.FrontEnds[6:] {
 		n.Kill(true)
 	}
 	time.Sleep(2 * time.Second)
@@ -231,15 +231,15 @@
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3, lasting, budgets(1, quota(60, 24)))
 	p := press(t, f)
-	p.open(f.Leader(3))
-	for _, n := range f.Fronts {
+	p.open(f.WaitForLeader(3))
+	for _, n := range f.FrontEnds {
 		p.offer(n, 40, 5)
 	}
 	moving := make(chan struct{})
 	p.all.Go(func() {
 		for i := 0; ; i++ {
 			c := make(chan struct{})
-			f.Fronts[i%3].Offer(&p.all, c, "t", 60, 5)
+			f.FrontEnds[i%3].GenerateLookups(&p.all, c, "t", 60, 5)
 			select {
 			case <-moving:
 				close(c)
@@ -250,19 +250,19 @@
 		}
 	})
 	time.Sleep(time.Second)
-	leader := f.Leader(3)
+	leader := f.WaitForLeader(3)
 	leader.Kill(true)
 	time.Sleep(2 * time.Second)
 	leader.Start()
-	leader = f.Leader(3)
-	leader.Stop()
+	leader = f.WaitForLeader(3)
+	leader.Pause()
 	time.Sleep(5 * time.Second)
-	leader.Continue()
-	leader = f.Leader(3)
-	f.Mute(leader, true)
+	leader.Resume()
+	leader = f.WaitForLeader(3)
+	f.SetOutboundPartition(leader, true)
 	time.Sleep(2 * time.Second)
-	f.Mute(leader, false)
-	f.Leader(3)
+	f.SetOutboundPartition(leader, false)
+	f.WaitForLeader(3)
 	time.Sleep(2 * time.Second)
 	from, to := p.during(2 * time.Second)
 	close(moving)
@@ -277,15 +277,15 @@
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3, lasting, budgets(1, quota(60, 30)))
 	p := press(t, f)
-	leader := f.Leader(3)
+	leader := f.WaitForLeader(3)
 	p.open(leader)
-	holder := f.Fronts[(leader.N+1)%3]
+	holder := f.FrontEnds[(leader.Index+1)%3]
 	p.offer(holder, 100, 5)
 	p.offer(leader, 50, 5)
 	time.Sleep(2 * time.Second)
-	holder.Stop()
+	holder.Pause()
 	time.Sleep(10 * time.Second)
-	holder.Continue()
+	holder.Resume()
 	time.Sleep(2 * time.Second)
 	p.end()
 	p.check(60, 30)
@@ -297,32 +297,32 @@
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3, lasting, budgets(1, quota(100, 40)))
 	p := press(t, f)
-	leader := f.Leader(3)
+	leader := f.WaitForLeader(3)
 	p.open(leader)
-	for _, n := range f.Fronts {
+	for _, n := range f.FrontEnds {
 		p.offer(n, 60, 5)
 	}
 	time.Sleep(time.Second)
-	other := f.Fronts[(leader.N+1)%3]
-	rest := []*standin.Front{leader, f.Fronts[(leader.N+2)%3]}
-	f.Part(true, []*standin.Front{other}, rest)
+	other := f.FrontEnds[(leader.Index+1)%3]
+	rest := []*standin.FrontEnd{leader, f.FrontEnds[(leader.Index+2)%3]}
+	f.SetPartition(true, []*standin.FrontEnd{other}, rest)
 	budgets(2, quota(10, 4))(f)
 	for _, n := range rest {
 		n.Reload()
 	}
 	require.Eventually(t, func() bool {
-		b := leader.Question("budgets")
+		b := leader.RawAdminResponse("budgets")
 		return b != nil && b["version"] == 2.0 && b["budgets"].([]any)[0].(map[string]any)["in_force"] == true
-	}, standin.Patience, 20*time.Millisecond, "the lower whole is in force")
+	}, standin.WaitTimeout, 20*time.Millisecond, "the lower whole is in force")
 	time.Sleep(time.Second) // what was spent before is on its way
 	from, _ := p.during(4 * time.Second)
-	f.Part(false, []*standin.Front{other}, rest)
+	f.SetPartition(false, []*standin.FrontEnd{other}, rest)
 	other.Reload()
 	time.Sleep(2 * time.Second)
 	p.end()
 	p.check(100, 40)
-	var late []history.Spending
-	for _, s := range history.Spendings(f.Record.Events(), within, ofTenant) {
+	var late []history.Consumption
+	for _, s := range history.Consumptions(f.History.Events(), within, ofTenant) {
 		if s.Event.At > from {
 			late = append(late, s)
 		}
@@ -337,16 +337,16 @@
 	one := standin.NewFleet(t, program, 1, budgets(1, quota(40, 10)))
 	three := standin.NewFleet(t, program, 3, budgets(1, quota(60, 20)))
 	p, q := press(t, one), press(t, three)
-	for _, n := range three.Fronts {
+	for _, n := range three.FrontEnds {
 		q.offer(n, 40, 5)
 	}
-	p.offer(one.Fronts[0], 80, 5)
-	q.open(three.Leader(3))
+	p.offer(one.FrontEnds[0], 80, 5)
+	q.open(three.WaitForLeader(3))
 	time.Sleep(2 * time.Second)
-	for _, n := range append(three.Fronts, one.Fronts...) {
+	for _, n := range append(three.FrontEnds, one.FrontEnds...) {
 		n.Kill(true)
 	}
-	for _, n := range append(three.Fronts, one.Fronts...) {
+	for _, n := range append(three.FrontEnds, one.FrontEnds...) {
 		n.Start()
 	}
 	time.Sleep(3 * time.Second)
@@ -366,9 +366,9 @@
 	f := standin.NewFleet(t, program, 3, lasting, budgets(1, map[string]any{"name": "places", "tenant": "t", "class": "lookup", "places": 10,
 		"without": "none"}))
 	p := press(t, f)
-	leader := f.Leader(3)
+	leader := f.WaitForLeader(3)
 	p.open(leader)
-	holder, other := f.Fronts[(leader.N+1)%3], f.Fronts[(leader.N+2)%3]
+	holder, other := f.FrontEnds[(leader.Index+1)%3], f.FrontEnds[(leader.Index+2)%3]
 	p.offer(holder, 20, 1500)
 	time.Sleep(2500 * time.Millisecond)
 	p.offer(other, 20, 1500)
@@ -378,7 +378,7 @@
 	holder.Start() // its name with another process: what the lost one had is free 2.35 s later
 	time.Sleep(6 * time.Second)
 	p.end()
-	breaches, most := history.CheckPlaces(f.Record.Events(), 10, ofTenant)
+	breaches, most := history.CheckConcurrency(f.History.Events(), 10, ofTenant)
 	for _, b := range breaches {
 		t.Errorf("%s", b)
 	}
@@ -392,21 +392,21 @@
 	f := standin.NewFleet(t, program, 3, lasting, budgets(1, map[string]any{"name": "threads", "engine": "*", "class": "lookup", "unit": "threads",
 		"places": 8, "reserve": 0.4}))
 	p := press(t, f)
-	p.open(f.Leader(3))
-	for _, n := range f.Fronts {
+	p.open(f.WaitForLeader(3))
+	for _, n := range f.FrontEnds {
 		p.offer(n, 30, 250)
 	}
 	time.Sleep(2 * time.Second)
-	f.Fronts[1].Stop()
+	f.FrontEnds[1].Pause()
 	time.Sleep(3 * time.Second)
-	f.Fronts[1].Continue()
-	f.Fronts[2].Kill(true)
+	f.FrontEnds[1].Resume()
+	f.FrontEnds[2].Kill(true)
 	time.Sleep(500 * time.Millisecond)
-	f.Fronts[2].Start()
+	f.FrontEnds[2].Start()
 	time.Sleep(3 * time.Second)
 	p.end()
-	for _, w := range f.Workers {
-		breaches, most := history.CheckPlaces(f.Record.Events(), 8, func(e history.Event) float64 {
+	for _, w := range f.Engines {
+		breaches, most := history.CheckConcurrency(f.History.Events(), 8, func(e history.Event) float64 {
 			if e.Engine != w.Name {
 				return 0
 			}
@@ -424,7 +424,7 @@
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3, budgets(1, quota(20, 10)))
 	p := press(t, f)
-	leader := f.Leader(3)
+	leader := f.WaitForLeader(3)
 	p.open(leader)
 	stop := p.offer(leader, 80, 5)
 	time.Sleep(1500 * time.Millisecond)
@@ -435,13 +435,13 @@
 		require.NoError(t, err, "%s", out)
 		return string(out)
 	}
-	assert.Regexp(t, `(?s)version +1 in force.*quota +t? *.*in force`, run("show", "--socket", leader.Admin))
-	explained := run("explain", "quota", "--socket", leader.Admin)
+	assert.Regexp(t, `(?s)version +1 in force.*quota +t? *.*in force`, run("show", "--socket", leader.AdminSocket))
+	explained := run("explain", "quota", "--socket", leader.AdminSocket)
 	assert.Regexp(t, `was turned away \d+ ms ago for want of room in "quota", and told to come back after \d+ ms`, explained)
 	call, _, _ := strings.Cut(explained, " ")
-	assert.Contains(t, run("explain", call, "--socket", leader.Admin), call+" was turned away")
-	assert.Contains(t, run("explain", "nothing", "--socket", leader.Admin), "No budget of that name")
-	assert.Contains(t, run("show", "--json", "--socket", leader.Admin), `"budgets":[{"name":"quota","kind":"rate","whole":20`)
+	assert.Contains(t, run("explain", call, "--socket", leader.AdminSocket), call+" was turned away")
+	assert.Contains(t, run("explain", "nothing", "--socket", leader.AdminSocket), "No budget of that name")
+	assert.Contains(t, run("show", "--json", "--socket", leader.AdminSocket), `"budgets":[{"name":"quota","kind":"rate","whole":20`)
 	assert.Regexp(t, `quota +rate +20 +19\.`, run("check", "--installation", leader.Cmd.Args[3]))
 	stop()
 	p.end()
@@ -456,27 +456,27 @@
 		f := standin.NewFleet(t, program, 3, budgets(1, list...))
 		p := press(t, f)
 		if len(list) > 0 {
-			p.open(f.Leader(3))
+			p.open(f.WaitForLeader(3))
 		}
-		for _, w := range f.Workers {
-			w.Fails.Store(true)
+		for _, w := range f.Engines {
+			w.FailQueries.Store(true)
 		}
-		from := f.Record.Now()
-		for _, n := range f.Fronts {
+		from := f.History.Now()
+		for _, n := range f.FrontEnds {
 			p.offer(n, 25, 5)
 		}
 		time.Sleep(2 * time.Second)
-		f.Fronts[0].Kill(true)
+		f.FrontEnds[0].Kill(true)
 		time.Sleep(2 * time.Second)
 		p.end()
-		seconds = float64(f.Record.Now()-from) / 1e6
+		seconds = float64(f.History.Now()-from) / 1e6
 		seen := map[string]bool{}
-		for _, e := range f.Record.Events() {
-			if e.What == history.Began && seen[e.Call] {
+		for _, e := range f.History.Events() {
+			if e.Kind == history.ExecutionStarted && seen[e.CallID] {
 				n++
-			} else if e.What == history.Began {
+			} else if e.Kind == history.ExecutionStarted {
 				firsts++
-				seen[e.Call] = true
+				seen[e.CallID] = true
 			}
 		}
 		t.Logf("%d budgets: %.0f further attempts for %.0f first ones in %.1f s", len(list), n, firsts, seconds)
@@ -494,36 +494,36 @@
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3, budgets(1, map[string]any{"name": "probes", "probes": true, "rate": 10, "burst": 10}))
 	p := press(t, f)
-	p.open(f.Leader(3))
-	for _, n := range f.Fronts {
+	p.open(f.WaitForLeader(3))
+	for _, n := range f.FrontEnds {
 		p.offer(n, 20, 5)
 	}
 	time.Sleep(500 * time.Millisecond)
 	budgets(2, map[string]any{"name": "probes", "probes": true, "rate": 10, "burst": 10}, quota(15, 5))(f)
-	asked := f.Record.Now()
-	for _, n := range f.Fronts {
+	asked := f.History.Now()
+	for _, n := range f.FrontEnds {
 		n.Reload()
 	}
 	inForce := func() bool {
-		b := f.Fronts[0].Question("budgets quota")
+		b := f.FrontEnds[0].RawAdminResponse("budgets quota")
 		list, _ := b["budgets"].([]any)
 		return len(list) == 1 && list[0].(map[string]any)["open"] == true
 	}
-	require.Eventually(t, inForce, standin.Patience, 10*time.Millisecond)
-	opened := f.Record.Now()
+	require.Eventually(t, inForce, standin.WaitTimeout, 10*time.Millisecond)
+	opened := f.History.Now()
 	time.Sleep(time.Second)
 	from, _ := p.during(2 * time.Second)
 	p.end()
-	var late []history.Spending
-	for _, s := range history.Spendings(f.Record.Events(), within, ofTenant) {
+	var late []history.Consumption
+	for _, s := range history.Consumptions(f.History.Events(), within, ofTenant) {
 		if s.Event.At > from {
 			late = append(late, s)
 		}
 	}
 	assert.Empty(t, history.CheckRate(late, 15, 5))
 	shed := 0
-	for _, e := range f.Record.Events() {
-		if e.What == history.Answered && e.Detail == history.Shed && e.At < opened-100_000 {
+	for _, e := range f.History.Events() {
+		if e.Kind == history.RequestEnded && e.Outcome == history.Rejected && e.At < opened-100_000 {
 			shed++
 		}
 	}
--- a/cmd/chutechute/capacity_dials_test.go
+++ b/cmd/chutechute/capacity_dials_test.go
@@ -31,21 +31,21 @@
 			figures := map[string]float64{}
 			for _, way := range ways {
 				var opened atomic.Int64
-				count := func(r *standin.Rig) {
-					r.Conns = func(_ net.Conn, state http.ConnState) {
+				count := func(r *standin.Harness) {
+					r.OnConnState = func(_ net.Conn, state http.ConnState) {
 						if state == http.StateNew {
 							opened.Add(1)
 						}
 					}
 				}
-				serve := standin.Store(0, standin.Row)
-				r := start(t, standInEngines, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+				serve := standin.SucceedAfterPolls(0, standin.ResultRow)
+				r := start(t, standInEngines, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 					if way.ends {
 						w.Header().Set("Connection", "close")
 					}
 					serve(r, w, c)
 				}, count)
-				list := connected(t, clients, r.Client)
+				list := connected(t, clients, r.NewClient)
 				askAll(t, list, clients) // one each, which learns shapes
 				pid := r.Cmd.Process.Pid
 				before, openedBefore := takenBy(t, pid), opened.Load()
--- a/cmd/chutechute/capacity_test.go
+++ b/cmd/chutechute/capacity_test.go
@@ -79,9 +79,9 @@
 		all.Go(func() {
 			client := n
 			for i := range each {
-				clients[client].Lookup(n*each+i+1, "5000")
-				if p, err := clients[client].TryRead(); err != nil || p.What != "answer" {
-					t.Errorf("connection %d, statement %d: %v, %v", client, i, p.What, err)
+				clients[client].SendLookup(n*each+i+1, "5000")
+				if p, err := clients[client].TryReadReply(); err != nil || p.Kind != "answer" {
+					t.Errorf("connection %d, statement %d: %v, %v", client, i, p.Kind, err)
 					return
 				}
 				if client += workers; client >= len(clients) {
@@ -103,12 +103,12 @@
 		standInEngines, capacityMB, warmClients, busyStatements))
 	for range 2 {
 		for _, count := range []int{100, 300, 1000, 3000, usersConnections} {
-			r := start(t, standInEngines, standin.Store(0, standin.Row),
-				func(r *standin.Rig) { r.Sockets, r.MemoryMB = socketsEach*count+1024, capacityMB })
+			r := start(t, standInEngines, standin.SucceedAfterPolls(0, standin.ResultRow),
+				func(r *standin.Harness) { r.SocketLimit, r.MemoryLimitMB = socketsEach*count+1024, capacityMB })
 			pid := r.Cmd.Process.Pid
-			askAll(t, connected(t, warmClients, r.Client), 400)
+			askAll(t, connected(t, warmClients, r.NewClient), 400)
 			before := takenBy(t, pid)
-			clients := connected(t, count, r.Client)
+			clients := connected(t, count, r.NewClient)
 			time.Sleep(300 * time.Millisecond) // what the last of them left to do
 			idle := takenBy(t, pid)
 			askAll(t, clients[:count/busyOneIn], busyStatements)
@@ -140,8 +140,8 @@
 	for range 2 {
 		for _, count := range []int{100, 300, 1000, 2000} {
 			town := newTown(t, "none", "")
-			r := start(t, 1, standin.Store(0, standin.Row), town.installed,
-				func(r *standin.Rig) { r.Sockets, r.MemoryMB = socketsEach*count+1024, capacityMB })
+			r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), town.installed,
+				func(r *standin.Harness) { r.SocketLimit, r.MemoryLimitMB = socketsEach*count+1024, capacityMB })
 			config, _ := town.client("", town.ca)
 			connect := func() *standin.Client { return town.must(r, config) }
 			connected(t, warmClients, connect)
@@ -170,17 +170,17 @@
 	for range 2 {
 		for _, axis := range []string{"engines", "tenants"} {
 			for _, count := range []int{64, 1024, 8192, 34000} {
-				r := start(t, 1, standin.Store(0, standin.Row), func(r *standin.Rig) {
-					r.MemoryMB = capacityMB
+				r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), func(r *standin.Harness) {
+					r.MemoryLimitMB = capacityMB
 					if axis == "tenants" {
 						r.Settings["tenants"] = manyTenants(count)
 					}
 				})
 				if axis == "engines" {
-					r.Config["known"] = manyKnown(count)
+					r.NodeConfig["known"] = manyKnown(count)
 				}
-				r.Write()
-				info, err := os.Stat(r.Path)
+				r.WriteNodeConfig()
+				info, err := os.Stat(r.NodeConfigPath)
 				require.NoError(t, err)
 				before, began := takenBy(t, r.Cmd.Process.Pid), time.Now()
 				for n := range reloads {
@@ -228,10 +228,10 @@
 }
 
 // awaitReloads waits until the front end's log tells of so many reloads.
-func awaitReloads(t *testing.T, r *standin.Rig, count int) {
+func awaitReloads(t *testing.T, r *standin.Harness, count int) {
 	require.Eventually(t, func() bool {
 		return strings.Count(r.Log.String(), "msg=reloaded") >= count
-	}, standin.Patience, time.Millisecond, "%s", r.Log)
+	}, standin.WaitTimeout, time.Millisecond, "%s", r.Log)
 }
 
 // What loads on record cost the processes that keep it, by clients at once, and what they take there; long.
@@ -241,12 +241,12 @@
 		"all on one machine; processor time of the front ends, the leader's among it; two runs a size.")
 	for range 2 {
 		f := standin.NewFleet(t, program, 3)
-		f.Leader(3)
+		f.WaitForLeader(3)
 		times(t, f, "warm", 3, 20)
 		for _, clients := range []int{3, 12, 48, 96} {
-			leader := f.Leader(3)
+			leader := f.WaitForLeader(3)
 			all := func() (sum time.Duration) {
-				for _, n := range f.Fronts {
+				for _, n := range f.FrontEnds {
 					sum += takenBy(t, n.Cmd.Process.Pid).processor
 				}
 				return sum
@@ -264,13 +264,13 @@
 			}
 			t.Logf("%3d clients: %v", clients, figures)
 			result.Points = append(result.Points, scale.Point{Axis: "clients", X: float64(clients), Figures: figures})
-			status := f.Leader(3).Status()
+			status := f.WaitForLeader(3).RawStatus()
 			held, bytes := status["loads"].(float64), status["load_bytes"].(float64)
 			result.Points = append(result.Points, scale.Point{Axis: "loads on record", X: held,
 				Figures: map[string]float64{"record bytes": bytes}})
 			t.Logf("%.0f loads on record, %.0f bytes", held, bytes)
 		}
-		for _, n := range f.Fronts {
+		for _, n := range f.FrontEnds {
 			n.Kill(true)
 		}
 	}
@@ -300,15 +300,15 @@
 func primaryChanges(t *testing.T, frontEnds, changes int) (gaps []time.Duration) {
 	f := standin.NewFleet(t, program, frontEnds)
 	for round := range changes {
-		leader := f.Leader(3) // copies, by default
-		other := f.Fronts[(leader.N+1)%frontEnds]
+		leader := f.WaitForLeader(3) // copies, by default
+		other := f.FrontEnds[(leader.Index+1)%frontEnds]
 		leader.Kill(true)
 		killed := time.Now()
 		insist(t, f, other, load(fmt.Sprintf("after-%d", round), "", 0))
 		gaps = append(gaps, time.Since(killed))
 		leader.Start()
 	}
-	for _, n := range f.Fronts {
+	for _, n := range f.FrontEnds {
 		n.Kill(true)
 	}
 	return gaps
--- a/cmd/chutechute/config.go
+++ b/cmd/chutechute/config.go
@@ -46,7 +46,7 @@
 				Installation *config.Installation `json:"installation,omitempty"`
 			}{Installation: file}
 			if cfg != nil {
-				shown.Node = &node{cfg.Name, cfg.Listen.String(), cfg.Journal.String(), cfg.MemoryMB, cfg.Sockets}
+				shown.Node = &node{cfg.Name, cfg.Listen.String(), cfg.Discovery.String(), cfg.MemoryMB, cfg.Sockets}
 				if cfg.Statements != nil {
 					shown.Installation.Statement.CacheMB = float64(cfg.Statements.CacheBytes) / (1 << 20)
 				}
--- a/cmd/chutechute/copies_test.go
+++ b/cmd/chutechute/copies_test.go
@@ -18,17 +18,17 @@
 )
 
 // load is a load that takes so many milliseconds.
-func load(once, key string, ms int) standin.Try {
-	return standin.Try{Once: once, Key: key, Statement: fmt.Sprintf("INSERT INTO s_1.t -- ms=%d", ms), TTL: 8 * time.Second}
+func load(once, key string, ms int) standin.LoadAttempt {
+	return standin.LoadAttempt{IdempotencyKey: once, OrderKey: key, Statement: fmt.Sprintf("INSERT INTO s_1.t -- ms=%d", ms), ClientTimeout: 8 * time.Second}
 }
 
-func lasting(f *standin.Fleet) { f.Lasting = true }
+func lasting(f *standin.Fleet) { f.Durable = true }
 
 // insist repeats a load through a front end until it is served.
-func insist(t *testing.T, f *standin.Fleet, n *standin.Front, try standin.Try) standin.Reply {
+func insist(t *testing.T, f *standin.Fleet, n *standin.FrontEnd, try standin.LoadAttempt) standin.Reply {
 	t.Helper()
-	for until := time.Now().Add(standin.Patience); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-		if p := f.Load(n, try); p.What == history.Answer {
+	for until := time.Now().Add(standin.WaitTimeout); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
+		if p := f.SendLoad(n, try); p.Kind == history.Succeeded {
 			return p
 		}
 	}
@@ -41,24 +41,24 @@
 func TestMachineLostWithItsDisk(t *testing.T) {
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3)
-	f.Leader(3)
+	f.WaitForLeader(3)
 	told := map[string]string{}
-	for round, n := range f.Fronts {
+	for round, n := range f.FrontEnds {
 		try := load(fmt.Sprintf("once-%d", round), "k", 30)
-		told[try.Once] = insist(t, f, n, try).Body()
+		told[try.IdempotencyKey] = insist(t, f, n, try).Rows()
 		n.Kill(true)
-		for _, other := range f.Fronts {
+		for _, other := range f.FrontEnds {
 			if other != n {
 				for once, body := range told {
-					assert.Equal(t, body, insist(t, f, other, load(once, "k", 30)).Body())
+					assert.Equal(t, body, insist(t, f, other, load(once, "k", 30)).Rows())
 				}
 			}
 		}
 		n.Start()
-		f.Leader(3)
+		f.WaitForLeader(3)
 	}
-	assert.Len(t, history.Runs(f.Record.Events()), 3)
-	f.Check()
+	assert.Len(t, history.Executions(f.History.Events()), 3)
+	f.CheckHistory()
 }
 
 // A front end is lost with its disk at each interesting point of a load, and the client repeats through another. Nothing runs
@@ -66,7 +66,7 @@
 func TestOwnerLostAtEachPoint(t *testing.T) {
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3, lasting)
-	f.Leader(3)
+	f.WaitForLeader(3)
 	points := []struct {
 		name   string
 		reach  func(once string) // waits until the load is there
@@ -75,38 +75,38 @@
 		{"taken", func(string) { time.Sleep(2 * time.Millisecond) }, false},
 		{"waits for its turn", func(string) { time.Sleep(200 * time.Millisecond) }, true},
 		{"begun", func(once string) {
-			f.Until(func(e history.Event) bool { return e.What == history.Began && e.Once == once })
+			f.WaitForEvent(func(e history.Event) bool { return e.Kind == history.ExecutionStarted && e.IdempotencyKey == once })
 		}, false},
 		{"over at the engine", func(once string) {
-			f.Until(func(e history.Event) bool { return e.What == history.Ended && e.Once == once })
+			f.WaitForEvent(func(e history.Event) bool { return e.Kind == history.ExecutionFinished && e.IdempotencyKey == once })
 		}, false},
 		{"told", func(once string) {
-			f.Until(func(e history.Event) bool { return e.What == history.Answered && e.Once == once })
+			f.WaitForEvent(func(e history.Event) bool { return e.Kind == history.RequestEnded && e.IdempotencyKey == once })
 		}, true},
 	}
 	for i, p := range points {
-		owner, other := f.Fronts[i%3], f.Fronts[(i+1)%3]
-		f.Did("point: %s", p.name)
+		owner, other := f.FrontEnds[i%3], f.FrontEnds[(i+1)%3]
+		f.LogStep("point: %s", p.name)
 		key := fmt.Sprintf("key-%d", i)
 		var first sync.WaitGroup
 		if p.name == "waits for its turn" { // behind one that another front end runs
-			first.Go(func() { f.Load(f.Fronts[(i+2)%3], load("before", key, 800)) })
-			f.Until(func(e history.Event) bool { return e.What == history.Began && e.Once == "before" })
+			first.Go(func() { f.SendLoad(f.FrontEnds[(i+2)%3], load("before", key, 800)) })
+			f.WaitForEvent(func(e history.Event) bool { return e.Kind == history.ExecutionStarted && e.IdempotencyKey == "before" })
 		}
 		try := load("once-"+fmt.Sprint(i), key, 100)
-		first.Go(func() { f.Load(owner, try) })
-		p.reach(try.Once)
+		first.Go(func() { f.SendLoad(owner, try) })
+		p.reach(try.IdempotencyKey)
 		owner.Kill(true)
 		if p.served {
 			insist(t, f, other, try)
 		} else {
-			f.Load(other, try)
+			f.SendLoad(other, try)
 		}
 		first.Wait()
 		owner.Start()
-		f.Leader(3)
+		f.WaitForLeader(3)
 	}
-	f.Check()
+	f.CheckHistory()
 }
 
 // A client repeats at once through all front ends: one run, the same bytes for all. The same key with another statement is
@@ -114,13 +114,13 @@
 func TestRepeatsAtOnceAndForeignStatement(t *testing.T) {
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3, lasting)
-	f.Leader(3)
+	f.WaitForLeader(3)
 	var all sync.WaitGroup
 	bodies := make([]string, 6)
 	for i := range bodies {
 		all.Go(func() {
-			if p := f.Load(f.Fronts[i%3], load("once", "k", 300)); p.What == history.Answer {
-				bodies[i] = p.Body()
+			if p := f.SendLoad(f.FrontEnds[i%3], load("once", "k", 300)); p.Kind == history.Succeeded {
+				bodies[i] = p.Rows()
 			}
 		})
 	}
@@ -129,11 +129,11 @@
 		assert.NotEmpty(t, b)
 		assert.Equal(t, bodies[0], b)
 	}
-	assert.Len(t, history.Runs(f.Record.Events()), 1)
+	assert.Len(t, history.Executions(f.History.Events()), 1)
 	other := load("once", "k", 301)
-	assert.Equal(t, history.Shed, f.Load(f.Fronts[1], other).What)
-	f.Fronts[1].AwaitLog(`reused with another statement.*idempotency_key=once`)
-	f.Check()
+	assert.Equal(t, history.Rejected, f.SendLoad(f.FrontEnds[1], other).Kind)
+	f.FrontEnds[1].WaitForLog(`reused with another statement.*idempotency_key=once`)
+	f.CheckHistory()
 }
 
 // Without a majority a load that has not begun is refused, one whose outcome can't be kept by its deadline is failed, and
@@ -141,28 +141,28 @@
 func TestNoMajority(t *testing.T) {
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3, lasting)
-	f.Leader(3)
-	n := f.Fronts[0]
+	f.WaitForLeader(3)
+	n := f.FrontEnds[0]
 	var all sync.WaitGroup
 	all.Go(func() {
 		try := load("under-way", "k", 1500)
-		try.TTL = 3 * time.Second
-		assert.Equal(t, history.Fault, f.Load(n, try).What)
+		try.ClientTimeout = 3 * time.Second
+		assert.Equal(t, history.Failed, f.SendLoad(n, try).Kind)
 	})
-	f.Until(func(e history.Event) bool { return e.What == history.Began })
-	f.Part(true, f.Fronts[:1], f.Fronts[1:])
-	f.Part(true, f.Fronts[1:2], f.Fronts[2:])
+	f.WaitForEvent(func(e history.Event) bool { return e.Kind == history.ExecutionStarted })
+	f.SetPartition(true, f.FrontEnds[:1], f.FrontEnds[1:])
+	f.SetPartition(true, f.FrontEnds[1:2], f.FrontEnds[2:])
 	try := load("new", "", 10)
-	try.TTL = 2 * time.Second
-	assert.Equal(t, history.Shed, f.Load(n, try).What)
-	look := n.Lookup()
-	assert.Equal(t, history.Answer, look)
+	try.ClientTimeout = 2 * time.Second
+	assert.Equal(t, history.Rejected, f.SendLoad(n, try).Kind)
+	look := n.SendLookup()
+	assert.Equal(t, history.Succeeded, look)
 	all.Wait()
-	f.Part(false, f.Fronts[:1], f.Fronts[1:])
-	f.Part(false, f.Fronts[1:2], f.Fronts[2:])
-	kept := insist(t, f, f.Fronts[2], load("under-way", "k", 1500)).Body()
-	assert.Equal(t, kept, insist(t, f, n, load("under-way", "k", 1500)).Body())
-	f.Check()
+	f.SetPartition(false, f.FrontEnds[:1], f.FrontEnds[1:])
+	f.SetPartition(false, f.FrontEnds[1:2], f.FrontEnds[2:])
+	kept := insist(t, f, f.FrontEnds[2], load("under-way", "k", 1500)).Rows()
+	assert.Equal(t, kept, insist(t, f, n, load("under-way", "k", 1500)).Rows())
+	f.CheckHistory()
 }
 
 // The leader is cut off one way, stands still, and hears only one neighbour, in turn, while loads come. It may believe what it
@@ -173,8 +173,8 @@
 	var all sync.WaitGroup
 	stop := make(chan struct{})
 	defer func() { close(stop); all.Wait() }()
-	leader := f.Leader(3)
-	for i, n := range f.Fronts {
+	leader := f.WaitForLeader(3)
+	for i, n := range f.FrontEnds {
 		all.Go(func() {
 			for k := 0; ; k++ {
 				select {
@@ -183,56 +183,56 @@
 				case <-time.After(30 * time.Millisecond):
 				}
 				try := load(fmt.Sprintf("once-%d-%d", i, k), fmt.Sprintf("key-%d", k%2), 20)
-				try.TTL = 3 * time.Second
-				if p := f.Load(n, try); p.What != history.Answer && k%2 == 0 {
-					f.Load(f.Fronts[(i+1)%3], try)
+				try.ClientTimeout = 3 * time.Second
+				if p := f.SendLoad(n, try); p.Kind != history.Succeeded && k%2 == 0 {
+					f.SendLoad(f.FrontEnds[(i+1)%3], try)
 				}
 			}
 		})
 	}
-	f.Mute(leader, true)
+	f.SetOutboundPartition(leader, true)
 	time.Sleep(2 * time.Second)
-	f.Mute(leader, false)
-	leader = f.Leader(3)
-	leader.Stop()
+	f.SetOutboundPartition(leader, false)
+	leader = f.WaitForLeader(3)
+	leader.Pause()
 	time.Sleep(5 * time.Second)
-	leader.Continue()
-	leader = f.Leader(3)
-	f.Deafen(leader, true)
+	leader.Resume()
+	leader = f.WaitForLeader(3)
+	f.SetInboundPartition(leader, true)
 	time.Sleep(2 * time.Second)
-	f.Deafen(leader, false)
-	f.Leader(3)
-	insist(t, f, f.Fronts[0], load("last", "key-0", 10))
-	f.Check()
+	f.SetInboundPartition(leader, false)
+	f.WaitForLeader(3)
+	insist(t, f, f.FrontEnds[0], load("last", "key-0", 10))
+	f.CheckHistory()
 }
 
 // One way flaps every 300 ms: commits go on in between, and no storm of elections comes of it.
 func TestFlappingLink(t *testing.T) {
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3)
-	leader := f.Leader(3)
-	other := f.Fronts[(leader.N+1)%3]
+	leader := f.WaitForLeader(3)
+	other := f.FrontEnds[(leader.Index+1)%3]
 	before := elections(f)
 	served := 0
 	for i := range 20 {
-		f.Way(leader, other).Cut(i%2 == 0)
-		f.Way(other, leader).Cut(i%2 == 0)
+		f.Proxy(leader, other).SetCut(i%2 == 0)
+		f.Proxy(other, leader).SetCut(i%2 == 0)
 		until := time.Now().Add(300 * time.Millisecond)
 		try := load(fmt.Sprintf("once-%d", i), "k", 5)
-		try.TTL = 2 * time.Second
-		if f.Load(other, try).What == history.Answer {
+		try.ClientTimeout = 2 * time.Second
+		if f.SendLoad(other, try).Kind == history.Succeeded {
 			served++
 		}
 		time.Sleep(time.Until(until))
 	}
 	assert.GreaterOrEqual(t, served, 10, "of 20")
 	assert.LessOrEqual(t, elections(f)-before, 12.0, "in 20 cuts")
-	f.Check()
+	f.CheckHistory()
 }
 
 func elections(f *standin.Fleet) (n float64) {
-	for _, x := range f.Fronts {
-		if s := x.Status(); s != nil {
+	for _, x := range f.FrontEnds {
+		if s := x.RawStatus(); s != nil {
 			n += s["elections"].(float64)
 		}
 	}
@@ -244,60 +244,60 @@
 func TestAllKilledAtOnceAndSpoiltFile(t *testing.T) {
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3, lasting)
-	f.Leader(3)
-	told := insist(t, f, f.Fronts[0], load("once", "k", 20)).Body()
-	for _, n := range f.Fronts {
+	f.WaitForLeader(3)
+	told := insist(t, f, f.FrontEnds[0], load("once", "k", 20)).Rows()
+	for _, n := range f.FrontEnds {
 		n.Kill(false)
 	}
-	file := filepath.Join(f.Fronts[2].Folder, "log")
+	file := filepath.Join(f.FrontEnds[2].StorageDir, "log")
 	b, err := os.ReadFile(file)
 	require.NoError(t, err)
 	b[len(b)/2] ^= 0x10
 	require.NoError(t, os.WriteFile(file, b, 0o600))
-	f.Did("flip a bit of %s", file)
-	for _, n := range f.Fronts {
+	f.LogStep("flip a bit of %s", file)
+	for _, n := range f.FrontEnds {
 		n.Start()
 	}
-	f.Leader(3)
-	f.Fronts[2].AwaitLog("was set aside")
-	for _, n := range f.Fronts {
-		assert.Equal(t, told, insist(t, f, n, load("once", "k", 20)).Body())
+	f.WaitForLeader(3)
+	f.FrontEnds[2].WaitForLog("was set aside")
+	for _, n := range f.FrontEnds {
+		assert.Equal(t, told, insist(t, f, n, load("once", "k", 20)).Rows())
 	}
-	f.Check()
+	f.CheckHistory()
 }
 
 // A disk is full on one copy, then on two: the copy steps down at once, and its front end goes on. With two the record has no
 // majority: loads are refused, look-ups served. With room again and a restart all is there.
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
-	f := standin.NewFleet(t, program, 3, lasting, func(f *standin.Fleet) { f.Section["replace_s"] = 600 })
-	f.Leader(3)
-	told := insist(t, f, f.Fronts[0], load("once", "k", 20)).Body()
-	for i, n := range f.Fronts[:2] {
-		n.Full(true)
-		for k := 0; n.Logged("is no copy any more") == 0; k++ {
+	f := standin.NewFleet(t, program, 3, lasting, func(f *standin.Fleet) { f.FleetSettings["replace_s"] = 600 })
+	f.WaitForLeader(3)
+	told := insist(t, f, f.FrontEnds[0], load("once", "k", 20)).Rows()
+	for i, n := range f.FrontEnds[:2] {
+		n.SetDiskFull(true)
+		for k := 0; n.LogMatches("is no copy any more") == 0; k++ {
 			require.Less(t, k, 400)
 			try := load(fmt.Sprintf("fill-%d-%d", i, k), "", 1)
-			try.TTL = time.Second
-			f.Load(f.Fronts[2], try)
+			try.ClientTimeout = time.Second
+			f.SendLoad(f.FrontEnds[2], try)
 		}
 		if i == 0 {
 			insist(t, f, n, load("one-left", "k", 10))
 		}
 	}
 	try := load("two-left", "", 10)
-	try.TTL = 1500 * time.Millisecond
-	assert.Equal(t, history.Shed, f.Load(f.Fronts[2], try).What)
-	assert.Equal(t, history.Answer, f.Fronts[0].Lookup())
-	for _, n := range f.Fronts[:2] {
+	try.ClientTimeout = 1500 * time.Millisecond
+	assert.Equal(t, history.Rejected, f.SendLoad(f.FrontEnds[2], try).Kind)
+	assert.Equal(t, history.Succeeded, f.FrontEnds[0].SendLookup())
+	for _, n := range f.FrontEnds[:2] {
 		n.Kill(false)
 		n.Start()
 	}
-	f.Leader(3)
-	for _, n := range f.Fronts {
-		assert.Equal(t, told, insist(t, f, n, load("once", "k", 20)).Body())
+	f.WaitForLeader(3)
+	for _, n := range f.FrontEnds {
+		assert.Equal(t, told, insist(t, f, n, load("once", "k", 20)).Rows())
 	}
-	f.Check()
+	f.CheckHistory()
 }
 
 // badDisk is the store's sync on a disk that takes half a second, or fails once and then succeeds, as files in the folder say.
@@ -328,23 +328,23 @@
 	t.Parallel()
 	bad := standin.Variant(t, "fleet/replication/wal/sync.go", badDisk)
 	f := standin.NewFleet(t, bad, 3, lasting)
-	leader := f.Leader(3)
-	require.NoError(t, os.WriteFile(filepath.Join(leader.Folder, "slow"), nil, 0o600))
-	f.Did("the disk of %s is slow", leader.Name)
+	leader := f.WaitForLeader(3)
+	require.NoError(t, os.WriteFile(filepath.Join(leader.StorageDir, "slow"), nil, 0o600))
+	f.LogStep("the disk of %s is slow", leader.Name)
 	began := time.Now()
 	for i := range 10 {
-		insist(t, f, f.Fronts[i%3], load(fmt.Sprintf("once-%d", i), "k", 5))
+		insist(t, f, f.FrontEnds[i%3], load(fmt.Sprintf("once-%d", i), "k", 5))
 	}
 	// Thirty commits, each of which would take half a second at least.
 	assert.Less(t, time.Since(began), 10*500*time.Millisecond)
-	require.NoError(t, os.WriteFile(filepath.Join(leader.Folder, "fail"), nil, 0o600))
-	f.Did("a sync of %s fails", leader.Name)
-	insist(t, f, f.Fronts[(leader.N+1)%3], load("after", "k", 5))
-	leader.AwaitLog("is no copy any more")
-	assert.Equal(t, "failed", leader.Status()["role"])
+	require.NoError(t, os.WriteFile(filepath.Join(leader.StorageDir, "fail"), nil, 0o600))
+	f.LogStep("a sync of %s fails", leader.Name)
+	insist(t, f, f.FrontEnds[(leader.Index+1)%3], load("after", "k", 5))
+	leader.WaitForLog("is no copy any more")
+	assert.Equal(t, "failed", leader.RawStatus()["role"])
 	insist(t, f, leader, load("through-it", "k", 5))
-	assert.Equal(t, 1, leader.Logged("is no copy any more"))
-	f.Check()
+	assert.Equal(t, 1, leader.LogMatches("is no copy any more"))
+	f.CheckHistory()
 }
 
 // A lost disk comes back under its name while the leader is cut off: it gets no vote, so there are never two leaders of one
@@ -352,92 +352,92 @@
 func TestDiskLostUnderItsOldName(t *testing.T) {
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3, lasting)
-	leader := f.Leader(3)
-	a, b := f.Fronts[(leader.N+1)%3], f.Fronts[(leader.N+2)%3]
-	told := insist(t, f, leader, load("once", "k", 20)).Body()
-	f.Part(true, []*standin.Front{leader}, []*standin.Front{a, b})
+	leader := f.WaitForLeader(3)
+	a, b := f.FrontEnds[(leader.Index+1)%3], f.FrontEnds[(leader.Index+2)%3]
+	told := insist(t, f, leader, load("once", "k", 20)).Rows()
+	f.SetPartition(true, []*standin.FrontEnd{leader}, []*standin.FrontEnd{a, b})
 	a.Kill(true)
 	a.Start()
 	try := load("during", "", 10)
-	try.TTL = 2 * time.Second
-	for _, n := range f.Fronts {
-		assert.Equal(t, history.Shed, f.Load(n, try).What, "through %s", n.Name)
+	try.ClientTimeout = 2 * time.Second
+	for _, n := range f.FrontEnds {
+		assert.Equal(t, history.Rejected, f.SendLoad(n, try).Kind, "through %s", n.Name)
 	}
-	assert.NotEqual(t, "leader", a.Status()["role"])
-	assert.NotEqual(t, "leader", b.Status()["role"], "with the vote of an empty disk")
-	f.Part(false, []*standin.Front{leader}, []*standin.Front{a, b})
-	f.Leader(3)
-	assert.Equal(t, told, insist(t, f, a, load("once", "k", 20)).Body())
-	f.Check()
+	assert.NotEqual(t, "leader", a.RawStatus()["role"])
+	assert.NotEqual(t, "leader", b.RawStatus()["role"], "with the vote of an empty disk")
+	f.SetPartition(false, []*standin.FrontEnd{leader}, []*standin.FrontEnd{a, b})
+	f.WaitForLeader(3)
+	assert.Equal(t, told, insist(t, f, a, load("once", "k", 20)).Rows())
+	f.CheckHistory()
 }
 
 // Five copies, two lost at once with their disks, one of them the leader and holder of the load.
 func TestTwoOfFiveLost(t *testing.T) {
 	t.Parallel()
-	f := standin.NewFleet(t, program, 5, lasting, func(f *standin.Fleet) { f.Section["copies"] = 5 })
-	leader := f.Leader(5)
-	other := f.Fronts[(leader.N+1)%5]
-	told := insist(t, f, leader, load("once", "k", 20)).Body()
+	f := standin.NewFleet(t, program, 5, lasting, func(f *standin.Fleet) { f.FleetSettings["copies"] = 5 })
+	leader := f.WaitForLeader(5)
+	other := f.FrontEnds[(leader.Index+1)%5]
+	told := insist(t, f, leader, load("once", "k", 20)).Rows()
 	leader.Kill(true)
 	other.Kill(true)
-	rest := f.Fronts[(leader.N+2)%5]
-	assert.Equal(t, told, insist(t, f, rest, load("once", "k", 20)).Body())
+	rest := f.FrontEnds[(leader.Index+2)%5]
+	assert.Equal(t, told, insist(t, f, rest, load("once", "k", 20)).Rows())
 	leader.Start()
 	other.Start()
-	f.Leader(5)
-	assert.Equal(t, told, insist(t, f, other, load("once", "k", 20)).Body())
-	f.Check()
+	f.WaitForLeader(5)
+	assert.Equal(t, told, insist(t, f, other, load("once", "k", 20)).Rows())
+	f.CheckHistory()
 }
 
 // What passes between front ends is delayed, doubled and stalled half open: links are made anew, and the rules hold.
 func TestBadWays(t *testing.T) {
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3)
-	f.Leader(3)
-	for _, a := range f.Fronts {
-		for _, b := range f.Fronts {
+	f.WaitForLeader(3)
+	for _, a := range f.FrontEnds {
+		for _, b := range f.FrontEnds {
 			if a != b {
-				f.Way(a, b).Slow(10*time.Millisecond, 40*time.Millisecond, 0)
-				f.Way(a, b).Twice(true)
+				f.Proxy(a, b).SetDelay(10*time.Millisecond, 40*time.Millisecond, 0)
+				f.Proxy(a, b).SetDuplicating(true)
 			}
 		}
 	}
 	for i := range 10 {
-		insist(t, f, f.Fronts[i%3], load(fmt.Sprintf("once-%d", i), "k", 10))
+		insist(t, f, f.FrontEnds[i%3], load(fmt.Sprintf("once-%d", i), "k", 10))
 	}
-	leader := f.Leader(3)
-	other := f.Fronts[(leader.N+1)%3]
-	f.Way(leader, other).Stall(true)
-	f.Did("stall %s to %s", leader.Name, other.Name)
+	leader := f.WaitForLeader(3)
+	other := f.FrontEnds[(leader.Index+1)%3]
+	f.Proxy(leader, other).SetStalled(true)
+	f.LogStep("stall %s to %s", leader.Name, other.Name)
 	insist(t, f, other, load("stalled", "k", 10))
-	f.Way(leader, other).Stall(false)
-	f.Leader(3)
-	f.Check()
+	f.Proxy(leader, other).SetStalled(false)
+	f.WaitForLeader(3)
+	f.CheckHistory()
 }
 
 // A ring in which each hears only its neighbour: what can't go directly goes by way of the third, and loads are served.
 func TestRingOfThree(t *testing.T) {
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3)
-	f.Leader(3)
-	for i, n := range f.Fronts {
-		f.Did("cut %s to %s", f.Fronts[(i+1)%3].Name, n.Name)
-		f.Way(f.Fronts[(i+1)%3], n).Cut(true)
+	f.WaitForLeader(3)
+	for i, n := range f.FrontEnds {
+		f.LogStep("cut %s to %s", f.FrontEnds[(i+1)%3].Name, n.Name)
+		f.Proxy(f.FrontEnds[(i+1)%3], n).SetCut(true)
 	}
-	for i, n := range f.Fronts {
+	for i, n := range f.FrontEnds {
 		insist(t, f, n, load(fmt.Sprintf("once-%d", i), "k", 10))
 	}
-	f.Check()
+	f.CheckHistory()
 }
 
 // Operators ask a front end about its fleet, and a configuration that can't be used is named by its key.
 func TestFleetCommands(t *testing.T) {
 	t.Parallel()
 	f := standin.NewFleet(t, program, 3, lasting)
-	f.Leader(3)
-	insist(t, f, f.Fronts[0], load("once-shown", "k", 10))
+	f.WaitForLeader(3)
+	insist(t, f, f.FrontEnds[0], load("once-shown", "k", 10))
 	run := func(args ...string) string {
-		cmd := exec.Command(program, append([]string{"fleet", "--socket", f.Fronts[0].Admin}, args...)...)
+		cmd := exec.Command(program, append([]string{"fleet", "--socket", f.FrontEnds[0].AdminSocket}, args...)...)
 		out, err := cmd.CombinedOutput()
 		require.NoError(t, err, "%s", out)
 		return string(out)
--- a/cmd/chutechute/endings_test.go
+++ b/cmd/chutechute/endings_test.go
@@ -20,7 +20,7 @@
 )
 
 // patient has loads be held for longer than any test waits: the wait for an attempt's end is no jam that they lapse in.
-func patient(r *standin.Rig) {
+func patient(r *standin.Harness) {
 	load := r.Settings["classes"].([]any)[1].(map[string]any)
 	load["on_time"], load["give_up"] = 8, 60
 }
@@ -28,30 +28,30 @@
 // A DELETE whose connection does not come up in time is tried for again, over one that is left too. It was left undelivered, and
 // the next of the key started when the engine was held to have given the query up by itself, a moment before it had.
 func TestDeleteOutlivesALateConnection(t *testing.T) {
-	var door *standin.Door
-	r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	var door *standin.BlockableListener
+	r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		switch {
 		case c.Method == "DELETE":
 			w.WriteHeader(204)
-		case c.Header.Get("Request-Id") == standin.ID(2):
-			standin.Serve(w, standin.Row)
+		case c.Header.Get("Request-Id") == standin.RequestID(2):
+			standin.RespondResult(w, standin.ResultRow)
 		default:
 			time.Sleep(250 * time.Millisecond)
 			w.WriteHeader(202)
 		}
-	}, patient, func(r *standin.Rig) { door = r.Shuttable(r.Engines[0]) })
-	c := r.Client()
-	c.Load(1, "1000")
-	c.Load(2, "60000")
-	r.Await(2, "GET", "/v1/store/"+standin.ID(1))
-	door.Shut()
-	assert.NotEqual(t, "answer", c.Read().What)
-	deleted := r.Await(1, "DELETE", "/v1/store/"+standin.ID(1))
-	door.Open()
-	assert.Equal(t, "answer", c.Read().What)
-	posts := r.Got("POST", "/")
+	}, patient, func(r *standin.Harness) { door = r.MakeBlockable(r.Engines[0]) })
+	c := r.NewClient()
+	c.SendLoad(1, "1000")
+	c.SendLoad(2, "60000")
+	r.WaitForRequests(2, "GET", "/v1/store/"+standin.RequestID(1))
+	door.Block()
+	assert.NotEqual(t, "answer", c.ReadReply().Kind)
+	deleted := r.WaitForRequests(1, "DELETE", "/v1/store/"+standin.RequestID(1))
+	door.Unblock()
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	posts := r.Requests("POST", "/")
 	require.Len(t, posts, 2)
-	assert.Greater(t, posts[1].At, deleted[0].At)
+	assert.Greater(t, posts[1].ReceivedAt, deleted[0].ReceivedAt)
 }
 
 // A query counts as asked after until its engine has answered the last question, however late that is: the engine counts its 2 s
@@ -59,13 +59,13 @@
 func TestUnaskedCountsFromTheLastAnswer(t *testing.T) {
 	var gets atomic.Int32
 	var answered atomic.Int64
-	r := start(t, 2, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 2, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		switch {
 		case c.Method == "DELETE":
-			standin.Raw(w, "", false) // it never arrives
-		case c.Header.Get("Request-Id") == standin.ID(2):
-			standin.Serve(w, standin.Row)
-		case c.Method == "GET" && strings.Contains(c.Path, standin.ID(1)) && gets.Add(1) == 2:
+			standin.RespondRaw(w, "", false) // it never arrives
+		case c.Header.Get("Request-Id") == standin.RequestID(2):
+			standin.RespondResult(w, standin.ResultRow)
+		case c.Method == "GET" && strings.Contains(c.Path, standin.RequestID(1)) && gets.Add(1) == 2:
 			time.Sleep(900 * time.Millisecond) // it stands still
 			answered.Store(time.Now().UnixNano())
 			w.WriteHeader(202)
@@ -74,30 +74,30 @@
 			w.WriteHeader(202)
 		}
 	}, patient)
-	c := r.Client()
-	c.Load(1, "700")
-	assert.NotEqual(t, "answer", c.Read().What)
-	c.Load(2, "60000")
-	assert.Equal(t, "answer", c.Read().What)
-	posts := r.Got("POST", "/")
+	c := r.NewClient()
+	c.SendLoad(1, "700")
+	assert.NotEqual(t, "answer", c.ReadReply().Kind)
+	c.SendLoad(2, "60000")
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	posts := r.Requests("POST", "/")
 	require.Len(t, posts, 2)
-	assert.GreaterOrEqual(t, posts[1].At.UnixNano()-answered.Load(), int64(2*time.Second))
+	assert.GreaterOrEqual(t, posts[1].ReceivedAt.UnixNano()-answered.Load(), int64(2*time.Second))
 }
 
 // held starts a front end whose engine keeps load 1 running until released, and has it planned to end.
-func held(t *testing.T) (r *standin.Rig, c *standin.Client, release *atomic.Bool) {
+func held(t *testing.T) (r *standin.Harness, c *standin.Client, release *atomic.Bool) {
 	release = &atomic.Bool{}
-	r = start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
-		if load := standin.ID(1); !release.Load() && (c.Header.Get("Request-Id") == load || strings.Contains(c.Path, load)) {
+	r = start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
+		if load := standin.RequestID(1); !release.Load() && (c.Header.Get("Request-Id") == load || strings.Contains(c.Path, load)) {
 			time.Sleep(20 * time.Millisecond)
 			w.WriteHeader(202)
 			return
 		}
-		standin.Serve(w, standin.Row)
+		standin.RespondResult(w, standin.ResultRow)
 	})
-	c = r.Client()
+	c = r.NewClient()
 	load2(c, 1)
-	r.Await(1, "POST", "/")
+	r.WaitForRequests(1, "POST", "/")
 	return r, c, release
 }
 
@@ -105,23 +105,23 @@
 // never sent on, so that its client may send it again; a reset would have told it nothing.
 func TestRestingConnectionsEndFirst(t *testing.T) {
 	r, c, release := held(t)
-	resting := r.Client()
+	resting := r.NewClient()
 	require.True(t, resting.Healthy())
 	r.Signal(syscall.SIGTERM)
 	r.Signal(syscall.SIGTERM)
-	_, err := resting.TryRead()
+	_, err := resting.TryReadReply()
 	require.ErrorIs(t, err, io.EOF)
 	require.NotContains(t, r.Log.String(), "phase=stopped")
 	for n := range 3 {
-		require.NoError(t, resting.TryAsk("INSERT INTO s_1.t", "call", standin.ID(10+n), "op", "load", "ttl", "9000", "dedupe", "x", "work", "1.0"))
+		require.NoError(t, resting.TrySendRequest("INSERT INTO s_1.t", "call", standin.RequestID(10+n), "op", "load", "ttl", "9000", "dedupe", "x", "work", "1.0"))
 		time.Sleep(20 * time.Millisecond)
 	}
 	release.Store(true)
-	assert.Equal(t, "answer", c.Read().What)
-	_, err = c.TryRead()
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	_, err = c.TryReadReply()
 	assert.ErrorIs(t, err, io.EOF)
 	assert.NoError(t, <-r.Exited)
-	assert.Len(t, r.Got("POST", "/"), 1)
+	assert.Len(t, r.Requests("POST", "/"), 1)
 	assert.Contains(t, r.Log.String(), "requests taken                                1\n")
 }
 
@@ -129,24 +129,24 @@
 // of someone who had connected, but was not accepted yet, when the listener is closed.
 func TestWhatHasComeBeforeTheEndIsServed(t *testing.T) {
 	r, c, release := held(t)
-	resting := r.Client()
+	resting := r.NewClient()
 	require.True(t, resting.Healthy())
 	var late *standin.Client
 	asleep(r, func() {
 		r.Signal(syscall.SIGTERM)
-		late = r.Client()
-		late.Lookup(2, "5000")
+		late = r.NewClient()
+		late.SendLookup(2, "5000")
 		load2(resting, 3)
 		time.Sleep(700 * time.Millisecond) // the phases of the end are all due when it wakes
 	})
-	assert.Equal(t, "answer", late.Read().What)
-	assert.Equal(t, "answer", resting.Read().What)
+	assert.Equal(t, "answer", late.ReadReply().Kind)
+	assert.Equal(t, "answer", resting.ReadReply().Kind)
 	for _, other := range []*standin.Client{late, resting} {
-		_, err := other.TryRead()
+		_, err := other.TryReadReply()
 		assert.ErrorIs(t, err, io.EOF)
 	}
 	release.Store(true)
-	assert.Equal(t, "answer", c.Read().What)
+	assert.Equal(t, "answer", c.ReadReply().Kind)
 	assert.NoError(t, <-r.Exited)
 }
 
@@ -159,12 +159,12 @@
 	require.NotContains(t, string(text), `"time"`, "the variant brings the import")
 	slow := strings.Replace(string(text), closing, closing+"\ntime.Sleep(400*time.Millisecond)\n", 1)
 	slow = strings.Replace(slow, "import (", "import (\n\"time\"", 1)
-	r := standin.Start(t, standin.Variant(t, "internal/server/server.go", slow), 1, standin.Store(0, standin.Row))
+	r := standin.Start(t, standin.Variant(t, "internal/server/server.go", slow), 1, standin.SucceedAfterPolls(0, standin.ResultRow))
 	r.Signal(syscall.SIGTERM)
-	r.AwaitLog("phase=closing")
-	c := r.Client()
-	c.Lookup(1, "5000")
-	assert.Equal(t, "answer", c.Read().What)
+	r.WaitForLog("phase=closing")
+	c := r.NewClient()
+	c.SendLookup(1, "5000")
+	assert.Equal(t, "answer", c.ReadReply().Kind)
 	assert.NoError(t, <-r.Exited)
 }
 
@@ -173,23 +173,23 @@
 func TestNothingLateReachesAnotherRequest(t *testing.T) {
 	for name, more := range map[string]string{"second copy": whole, "half a line": whole[:20], "no news": "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"} {
 		for _, pause := range []time.Duration{0, 150 * time.Millisecond} {
-			r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
-				if c.Header.Get("Request-Id") == standin.ID(1) {
-					standin.Twice(w, whole, 5*time.Millisecond, more)
+			r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
+				if c.Header.Get("Request-Id") == standin.RequestID(1) {
+					standin.RespondRawTwice(w, whole, 5*time.Millisecond, more)
 					return
 				}
-				standin.Serve(w, "own\trow\tonly\n")
+				standin.RespondResult(w, "own\trow\tonly\n")
 			})
-			c := r.Client()
+			c := r.NewClient()
 			load2(c, 1)
-			assert.Equal(t, standin.Row, c.Read().Body())
+			assert.Equal(t, standin.ResultRow, c.ReadReply().Rows())
 			time.Sleep(pause)
 			load2(c, 2)
-			p := c.Read()
-			require.Equal(t, "answer", p.What, name)
-			assert.Equal(t, "own\trow\tonly\n", p.Body(), name)
-			assert.Len(t, r.Got("POST", "/"), 2, name)
-			assert.Empty(t, r.Got("GET", "/"), name)
+			p := c.ReadReply()
+			require.Equal(t, "answer", p.Kind, name)
+			assert.Equal(t, "own\trow\tonly\n", p.Rows(), name)
+			assert.Len(t, r.Requests("POST", "/"), 2, name)
+			assert.Empty(t, r.Requests("GET", "/"), name)
 		}
 	}
 }
@@ -198,10 +198,10 @@
 // query has ended: the connection rests for longer, so that it does not become another query's.
 func TestNoNewsTwiceStaysWithItsQuery(t *testing.T) {
 	var gets atomic.Int32
-	r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		switch {
-		case c.Header.Get("Request-Id") == standin.ID(2):
-			standin.Serve(w, "own\trow\tonly\n")
+		case c.Header.Get("Request-Id") == standin.RequestID(2):
+			standin.RespondResult(w, "own\trow\tonly\n")
 		case c.Method == "POST":
 			conn, in, err := http.NewResponseController(w).Hijack()
 			if err != nil {
@@ -222,14 +222,14 @@
 			}()
 		}
 	})
-	c := r.Client()
+	c := r.NewClient()
 	load2(c, 1)
-	assert.Equal(t, standin.Row, c.Read().Body())
+	assert.Equal(t, standin.ResultRow, c.ReadReply().Rows())
 	time.Sleep(80 * time.Millisecond)
 	load2(c, 2)
-	p := c.Read()
-	require.Equal(t, "answer", p.What)
-	assert.Equal(t, "own\trow\tonly\n", p.Body())
+	p := c.ReadReply()
+	require.Equal(t, "answer", p.Kind)
+	assert.Equal(t, "own\trow\tonly\n", p.Rows())
 	assert.EqualValues(t, 1, gets.Load())
 }
 
@@ -237,10 +237,10 @@
 // for gone, it had the next of the key started beside what ran there.
 func TestResetByADrainingEngineIsNoEnd(t *testing.T) {
 	var cut atomic.Int64
-	r := start(t, 2, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 2, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		switch {
 		case c.Method == "POST" && cut.Load() != 0:
-			standin.Serve(w, standin.Row)
+			standin.RespondResult(w, standin.ResultRow)
 		case c.Method == "GET" && cut.Load() == 0:
 			for _, e := range r.Engines {
 				if e.Name == c.Engine {
@@ -253,16 +253,16 @@
 			w.WriteHeader(202)
 		}
 	}, patient)
-	c := r.Client()
-	c.Load(1, "60000")
-	r.Await(1, "GET", "/v1/store/"+standin.ID(1))
-	c.Load(2, "60000")
+	c := r.NewClient()
+	c.SendLoad(1, "60000")
+	r.WaitForRequests(1, "GET", "/v1/store/"+standin.RequestID(1))
+	c.SendLoad(2, "60000")
 	for range 2 {
-		c.Read()
+		c.ReadReply()
 	}
-	posts := r.Got("POST", "/")
+	posts := r.Requests("POST", "/")
 	require.GreaterOrEqual(t, len(posts), 2)
-	assert.GreaterOrEqual(t, posts[1].At.UnixNano()-cut.Load(), int64(2*time.Second))
+	assert.GreaterOrEqual(t, posts[1].ReceivedAt.UnixNano()-cut.Load(), int64(2*time.Second))
 }
 
 // A process that dies ends all its connections in one moment and refuses new ones: what ran there and may run twice is sent elsewhere
@@ -270,20 +270,20 @@
 func TestDeadProcessIsNotWaitedFor(t *testing.T) {
 	for _, op := range []string{"lookup", "load"} {
 		var died atomic.Int64
-		r := start(t, 2, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+		r := start(t, 2, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 			if died.Load() != 0 {
-				standin.Serve(w, standin.Row)
+				standin.RespondResult(w, standin.ResultRow)
 				return
 			}
 			time.Sleep(250 * time.Millisecond)
 			w.WriteHeader(202)
 		}, patient)
-		c := r.Client()
+		c := r.NewClient()
 		for n := range 8 {
-			c.Ask("SELECT 1 FROM s_1.t", "call", standin.ID(n), "op", op, "ttl", "60000", "dedupe", standin.ID(n), "work", "1.0")
+			c.SendRequest("SELECT 1 FROM s_1.t", "call", standin.RequestID(n), "op", op, "ttl", "60000", "dedupe", standin.RequestID(n), "work", "1.0")
 		}
-		var first []standin.Call
-		require.Eventually(t, func() bool { first = r.Got("POST", "/"); return len(first) == 8 }, standin.Patience, time.Millisecond)
+		var first []standin.EngineRequest
+		require.Eventually(t, func() bool { first = r.Requests("POST", "/"); return len(first) == 8 }, standin.WaitTimeout, time.Millisecond)
 		dead := r.Engines[0]
 		if first[0].Engine != dead.Name {
 			dead = r.Engines[1]
@@ -292,11 +292,11 @@
 		dead.Server.Listener.Close()
 		dead.Server.CloseClientConnections()
 		for range 8 {
-			require.Equal(t, "answer", c.Read().What)
+			require.Equal(t, "answer", c.ReadReply().Kind)
 		}
-		posts := r.Got("POST", "/")
+		posts := r.Requests("POST", "/")
 		require.Greater(t, len(posts), 8)
-		waited := posts[8].At.UnixNano() - died.Load()
+		waited := posts[8].ReceivedAt.UnixNano() - died.Load()
 		if op == "lookup" {
 			assert.Less(t, waited, int64(2*time.Second), "sooner than by waiting for it unasked")
 		} else {
@@ -309,7 +309,7 @@
 // Another process at the address of one that died knows nothing of what ran there: its word on that is no end for a key's next.
 func TestNewProcessAtAnOldAddress(t *testing.T) {
 	var died atomic.Int64
-	r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		switch {
 		case died.Load() == 0:
 			time.Sleep(50 * time.Millisecond)
@@ -319,23 +319,23 @@
 		case c.Method == "GET":
 			w.WriteHeader(500)
 		default:
-			standin.Serve(w, standin.Row)
+			standin.RespondResult(w, standin.ResultRow)
 		}
-	}, patient, func(r *standin.Rig) { r.Args = []string{"serve", "--log-level", "debug"} })
-	c := r.Client()
-	c.Load(1, "60000")
-	c.Load(2, "60000")
-	r.Await(1, "GET", "/v1/store/"+standin.ID(1))
+	}, patient, func(r *standin.Harness) { r.Args = []string{"serve", "--log-level", "debug"} })
+	c := r.NewClient()
+	c.SendLoad(1, "60000")
+	c.SendLoad(2, "60000")
+	r.WaitForRequests(1, "GET", "/v1/store/"+standin.RequestID(1))
 	died.Store(time.Now().UnixNano())
 	r.Engines[0].Server.Listener.Close()
 	r.Engines[0].Server.CloseClientConnections()
-	r.AwaitLog("refused=true")
-	require.NoError(t, r.Again(r.Engines[0]))
+	r.WaitForLog("refused=true")
+	require.NoError(t, r.RestartEngine(r.Engines[0]))
 	for range 2 {
-		require.Equal(t, "answer", c.Read().What)
+		require.Equal(t, "answer", c.ReadReply().Kind)
 	}
-	assert.GreaterOrEqual(t, r.Got("POST", "/")[1].At.UnixNano()-died.Load(), int64(2*time.Second))
-	assert.NotEmpty(t, r.Got("GET", "/v1/store/"+standin.ID(1)))
+	assert.GreaterOrEqual(t, r.Requests("POST", "/")[1].ReceivedAt.UnixNano()-died.Load(), int64(2*time.Second))
+	assert.NotEmpty(t, r.Requests("GET", "/v1/store/"+standin.RequestID(1)))
 }
 
 // A connection that comes up after its time carries nothing, and one that comes up in time carries nothing to an engine of which the
@@ -343,36 +343,36 @@
 func TestLateConnectionsCarryNothing(t *testing.T) {
 	for name, drain := range map[string]bool{"late": false, "in time, but it drains": true} {
 		t.Run(name, func(t *testing.T) {
-			var doors []*standin.Door
-			r := start(t, 2, standin.Store(0, standin.Row), func(r *standin.Rig) {
+			var doors []*standin.BlockableListener
+			r := start(t, 2, standin.SucceedAfterPolls(0, standin.ResultRow), func(r *standin.Harness) {
 				for _, e := range r.Engines {
-					doors = append(doors, r.Shuttable(e))
+					doors = append(doors, r.MakeBlockable(e))
 				}
 				if drain {
 					r.Settings["limits"].(map[string]any)["dial_timeout"] = 8
 				}
 			})
-			journal, _ := r.Accept()
+			journal, _ := r.AcceptDiscovery()
 			for _, d := range doors {
-				d.Shut()
+				d.Block()
 			}
-			c := r.Client()
+			c := r.NewClient()
 			load2(c, 1)
-			require.Eventually(t, func() bool { return r.Counter("connections to engines") > 0 }, standin.Patience, time.Millisecond)
+			require.Eventually(t, func() bool { return r.Counter("connections to engines") > 0 }, standin.WaitTimeout, time.Millisecond)
 			if drain {
-				_, err := journal.Write(standin.Frame(42, 2, r.Engines[0].Record(1), r.Engines[1].Record(1)))
+				_, err := journal.Write(standin.DiscoveryFrame(42, 2, r.Engines[0].DiscoveryRecord(1), r.Engines[1].DiscoveryRecord(1)))
 				require.NoError(t, err)
-				require.Eventually(t, func() bool { return r.Counter("attempts never run") > 0 }, standin.Patience, time.Millisecond)
+				require.Eventually(t, func() bool { return r.Counter("attempts never run") > 0 }, standin.WaitTimeout, time.Millisecond)
 			} else {
-				require.Eventually(t, func() bool { return r.Counter("attempts without a connection") > 0 }, standin.Patience, time.Millisecond)
+				require.Eventually(t, func() bool { return r.Counter("attempts without a connection") > 0 }, standin.WaitTimeout, time.Millisecond)
 				c.Conn.Close()
 				settled(r, 1)
 			}
 			for _, d := range doors {
-				d.Open()
+				d.Unblock()
 			}
 			time.Sleep(1200 * time.Millisecond) // the system tries for a connection again after a second
-			assert.Empty(t, r.Got("POST", "/"))
+			assert.Empty(t, r.Requests("POST", "/"))
 		})
 	}
 }
@@ -380,9 +380,9 @@
 // Stopped under load, the front end loses nothing: each request that a client has sent is answered, or its connection ended without
 // a reset and nothing of it was sent on, so that it may go again.
 func TestStoppedUnderLoad(t *testing.T) {
-	r := start(t, 3, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 3, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		time.Sleep(time.Duration(len(c.Body)%7) * 10 * time.Millisecond)
-		standin.Serve(w, standin.Row)
+		standin.RespondResult(w, standin.ResultRow)
 	})
 	const clients = 24
 	var mu sync.Mutex
@@ -390,15 +390,15 @@
 	open := map[string]error{} // requests that got no answer, and how their connection ended
 	var all sync.WaitGroup
 	for k := range clients {
-		c := r.Client()
+		c := r.NewClient()
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			for n := 0; ; n++ {
-				id := standin.ID(1000*k + n)
-				err := c.TryAsk("SELECT * FROM s_1.t"+strings.Repeat(" ", (k+n)%7), "call", id, "op", "lookup", "ttl", "5000", "org", "t", "work", "1.0")
+				id := standin.RequestID(1000*k + n)
+				err := c.TrySendRequest("SELECT * FROM s_1.t"+strings.Repeat(" ", (k+n)%7), "call", id, "op", "lookup", "ttl", "5000", "org", "t", "work", "1.0")
 				if err == nil {
-					_, err = c.TryRead()
+					_, err = c.TryReadReply()
 				}
 				mu.Lock()
 				if err != nil {
@@ -414,12 +414,12 @@
 			}
 		}()
 	}
-	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return answered > 500 }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return answered > 500 }, standin.WaitTimeout, time.Millisecond)
 	r.Signal(syscall.SIGTERM)
 	assert.NoError(t, <-r.Exited)
 	all.Wait()
 	assert.Len(t, open, clients, "each connection ends under a request at last")
-	for _, p := range r.Got("POST", "/") {
+	for _, p := range r.Requests("POST", "/") {
 		assert.NotContains(t, open, p.Header.Get("Request-Id"), "it was sent on and not answered")
 	}
 	for id, err := range open {
@@ -430,19 +430,19 @@
 // A front end that starts is ready at once, whatever else fails: no journal service, engines that let nobody in, clients that crowd.
 func TestReadyWhateverElseFails(t *testing.T) {
 	for range 5 {
-		r := start(t, 3, standin.Store(0, standin.Row), func(r *standin.Rig) {
+		r := start(t, 3, standin.SucceedAfterPolls(0, standin.ResultRow), func(r *standin.Harness) {
 			for _, e := range r.Engines {
-				r.Shuttable(e).Shut()
+				r.MakeBlockable(e).Block()
 			}
-			r.Journal.Close()
+			r.DiscoveryListener.Close()
 		})
 		for range 200 {
-			r.Client().Lookup(1, "5000")
+			r.NewClient().SendLookup(1, "5000")
 		}
 		begun := time.Now()
-		require.True(t, r.Client().Healthy())
-		t.Log("served after", r.Ready, "healthy after", time.Since(begun))
-		assert.Less(t, r.Ready+time.Since(begun), 10*time.Second, "by the operators' terms")
+		require.True(t, r.NewClient().Healthy())
+		t.Log("served after", r.StartupTime, "healthy after", time.Since(begun))
+		assert.Less(t, r.StartupTime+time.Since(begun), 10*time.Second, "by the operators' terms")
 	}
 }
 
@@ -457,12 +457,12 @@
 	require.NoError(t, err)
 	var config struct{ Settings map[string]any }
 	require.NoError(t, json.Unmarshal(text, &config))
-	r := start(t, 1, standin.Store(0, standin.Row), func(r *standin.Rig) { r.Settings = config.Settings })
-	c := r.Client()
-	c.Ask("SELECT * FROM s_1.t", "call", standin.ID(1), "op", "lookup", "ttl", "5000", "org", "desk", "work", "10.0")
-	assert.Equal(t, "answer", c.Read().What)
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), func(r *standin.Harness) { r.Settings = config.Settings })
+	c := r.NewClient()
+	c.SendRequest("SELECT * FROM s_1.t", "call", standin.RequestID(1), "op", "lookup", "ttl", "5000", "org", "desk", "work", "10.0")
+	assert.Equal(t, "answer", c.ReadReply().Kind)
 	r.Signal(syscall.SIGTERM)
-	_, err = c.TryRead()
+	_, err = c.TryReadReply()
 	assert.ErrorIs(t, err, io.EOF)
 	assert.NoError(t, <-r.Exited)
 }
--- a/cmd/chutechute/engine_faults_test.go
+++ b/cmd/chutechute/engine_faults_test.go
@@ -18,57 +18,57 @@
 // A time-out is not the end of an attempt: the next is sent only once the DELETE is known to have arrived.
 func TestResendsOnlyAfterTheDelete(t *testing.T) {
 	var deleted atomic.Int64
-	r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		switch {
 		case c.Method == "DELETE":
 			time.Sleep(300 * time.Millisecond)
 			deleted.CompareAndSwap(0, time.Now().UnixNano())
 			w.WriteHeader(204)
 		case deleted.Load() != 0 && c.Method == "POST":
-			standin.Serve(w, standin.Row)
+			standin.RespondResult(w, standin.ResultRow)
 		default:
 			time.Sleep(20 * time.Millisecond)
 			w.WriteHeader(202)
 		}
 	})
-	c := r.Client()
-	c.Lookup(1, "5000")
-	assert.Equal(t, "answer", c.Read().What)
-	posts := r.Got("POST", "/")
+	c := r.NewClient()
+	c.SendLookup(1, "5000")
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	posts := r.Requests("POST", "/")
 	require.Len(t, posts, 2)
-	assert.Greater(t, posts[1].At.UnixNano(), deleted.Load())
+	assert.Greater(t, posts[1].ReceivedAt.UnixNano(), deleted.Load())
 }
 
 // At its deadline a request is answered though its attempt is still out, and the next of its key waits
 // until that has been given up.
 func TestDeadlineAnswersWhileTheKeyWaits(t *testing.T) {
 	var deleted atomic.Int64
-	r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		switch {
 		case c.Method == "DELETE":
 			time.Sleep(400 * time.Millisecond)
 			deleted.Store(time.Now().UnixNano())
 			w.WriteHeader(204)
-		case c.Header.Get("Request-Id") == standin.ID(2):
-			standin.Serve(w, standin.Row)
+		case c.Header.Get("Request-Id") == standin.RequestID(2):
+			standin.RespondResult(w, standin.ResultRow)
 		default:
 			time.Sleep(20 * time.Millisecond)
 			w.WriteHeader(202)
 		}
 	})
-	c := r.Client()
+	c := r.NewClient()
 	sent := time.Now()
-	first := c.Load(1, "1000")
+	first := c.SendLoad(1, "1000")
 	time.Sleep(60 * time.Millisecond)
-	c.Load(2, "9000")
-	p := c.Read()
+	c.SendLoad(2, "9000")
+	p := c.ReadReply()
 	assert.Equal(t, first, p.Seq)
-	assert.Equal(t, "shed", p.What)
-	assert.Contains(t, p.Raw, "pushback")
+	assert.Equal(t, "shed", p.Kind)
+	assert.Contains(t, p.Payload, "pushback")
 	assert.GreaterOrEqual(t, time.Since(sent), 600*time.Millisecond, "given up early") // less what counts as held back
 	assert.Zero(t, deleted.Load(), "the answer waited for the engine")
-	assert.Equal(t, "answer", c.Read().What)
-	assert.Greater(t, r.Got("POST", "/")[1].At.UnixNano(), deleted.Load())
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	assert.Greater(t, r.Requests("POST", "/")[1].ReceivedAt.UnixNano(), deleted.Load())
 }
 
 // An engine that says nothing is left alone until it has given up by itself, and the answer is in time.
@@ -76,33 +76,33 @@
 	silence, err := net.Listen("tcp4", "127.0.0.1:0") // accepts and never reads
 	require.NoError(t, err)
 	defer silence.Close()
-	r := start(t, 1, standin.Store(0, standin.Row), func(r *standin.Rig) { r.Engines[0].Addr = silence.Addr().(*net.TCPAddr) })
-	c := r.Client()
-	c.Lookup(1, "1500")
-	assert.Equal(t, "shed", c.Read().What)
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), func(r *standin.Harness) { r.Engines[0].Addr = silence.Addr().(*net.TCPAddr) })
+	c := r.NewClient()
+	c.SendLookup(1, "1500")
+	assert.Equal(t, "shed", c.ReadReply().Kind)
 	r.Signal(syscall.SIGUSR1)
-	r.AwaitLog("answers refused                               1")
+	r.WaitForLog("answers refused                               1")
 }
 
 // An engine that refuses all at once looks idle. It is tried now and then, not with every query: those
 // used up their attempts on it while the others had room.
 func TestFullEngineIsNotFlooded(t *testing.T) {
-	r := start(t, 2, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 2, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		if c.Engine == "s-00000001" {
 			w.Header().Set("Never-Ran", "1")
 			w.WriteHeader(503)
 			return
 		}
-		standin.Serve(w, standin.Row)
+		standin.RespondResult(w, standin.ResultRow)
 	})
-	c := r.Client()
+	c := r.NewClient()
 	begun := time.Now()
 	for i := range 200 {
-		c.Lookup(i, "5000")
-		require.Equal(t, "answer", c.Read().What)
+		c.SendLookup(i, "5000")
+		require.Equal(t, "answer", c.ReadReply().Kind)
 	}
 	tries := 0
-	for _, p := range r.Got("POST", "/") {
+	for _, p := range r.Requests("POST", "/") {
 		if p.Engine == "s-00000001" {
 			tries++
 		}
@@ -113,20 +113,20 @@
 // No connection owns a query: one that has started is asked after on another connection, not started again.
 func TestBrokenPollGoesOn(t *testing.T) {
 	var gets atomic.Int32
-	r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		switch {
 		case c.Method == "POST":
 			w.WriteHeader(202)
 		case gets.Add(1) == 1:
 			panic(http.ErrAbortHandler)
 		default:
-			standin.Serve(w, standin.Row)
+			standin.RespondResult(w, standin.ResultRow)
 		}
 	})
-	c := r.Client()
-	c.Lookup(1, "5000")
-	assert.Equal(t, "answer", c.Read().What)
-	assert.Len(t, r.Got("POST", "/"), 1)
+	c := r.NewClient()
+	c.SendLookup(1, "5000")
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	assert.Len(t, r.Requests("POST", "/"), 1)
 }
 
 // A spoilt answer is not passed on, nor does it cost the query: its engine has run it and gives its answer
@@ -138,14 +138,14 @@
 		asked  int // how often the answer is asked for again
 	}{
 		"noise":            {"\x00\xff\x17 noise", false, 1},
-		"no status":        {"HTTP/1.1 2x0 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n" + standin.Row, false, 1},
+		"no status":        {"HTTP/1.1 2x0 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n" + standin.ResultRow, false, 1},
 		"head without end": {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Noise: 0123456789\r\n", 1000), false, 1},
-		"no length":        {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\n\r\n" + standin.Row, false, 1},
-		"3 GB":             {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 3000000000\r\n\r\n" + standin.Row, false, 1},
-		"length too long":  {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 9\r\n\r\n" + standin.Row, false, 1},
-		"length too short": {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 4\r\n\r\n" + standin.Row, false, 1},
+		"no length":        {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\n\r\n" + standin.ResultRow, false, 1},
+		"3 GB":             {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 3000000000\r\n\r\n" + standin.ResultRow, false, 1},
+		"length too long":  {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 9\r\n\r\n" + standin.ResultRow, false, 1},
+		"length too short": {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 4\r\n\r\n" + standin.ResultRow, false, 1},
 		"noise for rows":   {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n!!!!!!", false, 1},
-		"no pages":         {"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n" + standin.Row, false, 1},
+		"no pages":         {"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n" + standin.ResultRow, false, 1},
 		"cut off":          {whole[:len(whole)-2], true, 1},
 		"ended":            {"", true, 1},
 		"never comes":      {"", false, 1},
@@ -155,21 +155,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, got standin.Call) {
+			r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, got standin.EngineRequest) {
 				if got.Method == "POST" {
-					standin.Raw(w, c.answer, c.end)
+					standin.RespondRaw(w, c.answer, c.end)
 					return
 				}
-				standin.Serve(w, standin.Row)
+				standin.RespondResult(w, standin.ResultRow)
 			})
-			client := r.Client()
+			client := r.NewClient()
 			load2(client, 1)
-			p := client.Read()
-			require.Equal(t, "answer", p.What)
-			assert.Equal(t, standin.Row, p.Body())
-			assert.Len(t, r.Got("POST", "/"), 1)
-			assert.Len(t, r.Got("GET", "/v1/store/"+standin.ID(1)+"/0"), c.asked)
-			assert.Empty(t, r.Got("DELETE", "/"))
+			p := client.ReadReply()
+			require.Equal(t, "answer", p.Kind)
+			assert.Equal(t, standin.ResultRow, p.Rows())
+			assert.Len(t, r.Requests("POST", "/"), 1)
+			assert.Len(t, r.Requests("GET", "/v1/store/"+standin.RequestID(1)+"/0"), c.asked)
+			assert.Empty(t, r.Requests("DELETE", "/"))
 		})
 	}
 }
@@ -178,34 +178,34 @@
 // connection was ended (by a machine that was away and is back), or where something else came in place of its answer (a late
 // copy of another). Taken for its end, each had a second copy sent while the first was out.
 func TestDoubtfulStartIsNotSentAgainEarly(t *testing.T) {
-	stray := "HTTP/1.1 200 OK\r\nX-Batch: 3\r\nContent-Length: 6\r\n\r\n" + standin.Row
+	stray := "HTTP/1.1 200 OK\r\nX-Batch: 3\r\nContent-Length: 6\r\n\r\n" + standin.ResultRow
 	for name, first := range map[string]struct {
 		answer string
 		end    bool
 	}{"unread": {"", false}, "severed": {"", true}, "spoilt": {stray, true}} {
 		t.Run(name, func(t *testing.T) {
 			var posts atomic.Int32
-			r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+			r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 				switch {
 				case c.Method == "GET":
 					w.WriteHeader(500)
 				case c.Method == "DELETE":
 					w.WriteHeader(204)
 				case posts.Add(1) == 1:
-					standin.Raw(w, first.answer, first.end)
+					standin.RespondRaw(w, first.answer, first.end)
 				default:
-					standin.Serve(w, standin.Row)
+					standin.RespondResult(w, standin.ResultRow)
 				}
 			})
-			c := r.Client()
+			c := r.NewClient()
 			load2(c, 1)
-			assert.Equal(t, "answer", c.Read().What)
-			p := r.Got("POST", "/")
+			assert.Equal(t, "answer", c.ReadReply().Kind)
+			p := r.Requests("POST", "/")
 			require.Len(t, p, 2)
-			assert.GreaterOrEqual(t, p[1].At.Sub(p[0].At), 2*time.Second)
-			assert.Len(t, r.Got("GET", "/"), 1)
-			require.Len(t, r.Got("DELETE", "/"), 1, "what came late is not ended")
-			assert.Less(t, r.Got("DELETE", "/")[0].At, p[1].At)
+			assert.GreaterOrEqual(t, p[1].ReceivedAt.Sub(p[0].ReceivedAt), 2*time.Second)
+			assert.Len(t, r.Requests("GET", "/"), 1)
+			require.Len(t, r.Requests("DELETE", "/"), 1, "what came late is not ended")
+			assert.Less(t, r.Requests("DELETE", "/")[0].ReceivedAt, p[1].ReceivedAt)
 		})
 	}
 }
@@ -214,73 +214,73 @@
 // attempt waits for its answer. Waiting for the engine to give up by itself let attempts overlap.
 func TestSilentDeleteIsSentAgain(t *testing.T) {
 	var deletes atomic.Int32
-	r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		switch {
 		case c.Method == "DELETE" && deletes.Add(1) == 1:
-			standin.Raw(w, "", false)
+			standin.RespondRaw(w, "", false)
 		case c.Method == "DELETE":
 			w.WriteHeader(204)
 		case deletes.Load() > 1:
-			standin.Serve(w, standin.Row)
+			standin.RespondResult(w, standin.ResultRow)
 		default:
 			time.Sleep(20 * time.Millisecond)
 			w.WriteHeader(202)
 		}
 	})
-	c := r.Client()
-	c.Lookup(1, "9000")
-	assert.Equal(t, "answer", c.Read().What)
-	assert.Len(t, r.Got("POST", "/"), 2)
-	assert.Len(t, r.Got("DELETE", "/"), 2)
+	c := r.NewClient()
+	c.SendLookup(1, "9000")
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	assert.Len(t, r.Requests("POST", "/"), 2)
+	assert.Len(t, r.Requests("DELETE", "/"), 2)
 }
 
 // An engine that drains refuses new connections and runs on: a query that has lost its connection is asked after
 // on one that is left. Taken for gone, its key's next query was sent beside it.
 func TestDrainingEngineRefusesConnections(t *testing.T) {
 	var asked atomic.Int32
-	r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		switch {
-		case c.Method == "GET" && strings.Contains(c.Path, standin.ID(2)) && asked.Add(1) == 1:
+		case c.Method == "GET" && strings.Contains(c.Path, standin.RequestID(2)) && asked.Add(1) == 1:
 			r.Engines[0].Server.Listener.Close()
-			standin.Raw(w, "", false)
-		case c.Method == "GET" && strings.Contains(c.Path, standin.ID(2)):
-			standin.Serve(w, standin.Row)
+			standin.RespondRaw(w, "", false)
+		case c.Method == "GET" && strings.Contains(c.Path, standin.RequestID(2)):
+			standin.RespondResult(w, standin.ResultRow)
 		default:
 			time.Sleep(20 * time.Millisecond)
 			w.WriteHeader(202)
 		}
 	})
-	c := r.Client()
+	c := r.NewClient()
 	load2(c, 1) // keeps a connection
-	r.Await(1, "GET", "/v1/store/"+standin.ID(1))
-	c.Load(2, "9000")
-	p := c.Read()
-	require.Equal(t, "answer", p.What)
-	assert.Equal(t, standin.Row, p.Body())
-	assert.Len(t, r.Got("POST", "/"), 2)
+	r.WaitForRequests(1, "GET", "/v1/store/"+standin.RequestID(1))
+	c.SendLoad(2, "9000")
+	p := c.ReadReply()
+	require.Equal(t, "answer", p.Kind)
+	assert.Equal(t, standin.ResultRow, p.Rows())
+	assert.Len(t, r.Requests("POST", "/"), 2)
 }
 
 // Where an engine goes on to answer others, a silent connection is not waited for as if it stood still.
 func TestSilentConnectionOfALiveEngine(t *testing.T) {
 	for range 5 { // a slow machine may miss the second
-		r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
-			if c.Method == "POST" && c.Header.Get("Request-Id") == standin.ID(1) {
-				standin.Raw(w, "", false)
+		r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
+			if c.Method == "POST" && c.Header.Get("Request-Id") == standin.RequestID(1) {
+				standin.RespondRaw(w, "", false)
 				return
 			}
-			if strings.Contains(c.Path, standin.ID(1)) {
-				standin.Serve(w, standin.Row)
+			if strings.Contains(c.Path, standin.RequestID(1)) {
+				standin.RespondResult(w, standin.ResultRow)
 				return
 			}
 			time.Sleep(20 * time.Millisecond)
 			w.WriteHeader(202)
 		})
-		c := r.Client()
+		c := r.NewClient()
 		load2(c, 2)
 		load2(c, 1)
-		require.Equal(t, "answer", c.Read().What)
-		post, asked := r.Got("POST", "/"), r.Await(1, "GET", "/v1/store/"+standin.ID(1))
-		if asked[0].At.Sub(post[1].At) < 900*time.Millisecond {
+		require.Equal(t, "answer", c.ReadReply().Kind)
+		post, asked := r.Requests("POST", "/"), r.WaitForRequests(1, "GET", "/v1/store/"+standin.RequestID(1))
+		if asked[0].ReceivedAt.Sub(post[1].ReceivedAt) < 900*time.Millisecond {
 			return
 		}
 	}
@@ -290,19 +290,19 @@
 // A connection that is reset before it has carried anything costs neither the query nor its engine.
 func TestResetOfNewAndIdleConnections(t *testing.T) {
 	var conns atomic.Int32
-	r := start(t, 1, standin.Store(0, standin.Row), func(r *standin.Rig) {
-		r.Conns = func(conn net.Conn, state http.ConnState) {
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), func(r *standin.Harness) {
+		r.OnConnState = func(conn net.Conn, state http.ConnState) {
 			if state == http.StateNew && conns.Add(1) <= 2 || state == http.StateIdle {
 				_ = conn.(*net.TCPConn).SetLinger(0)
 				conn.Close()
 			}
 		}
 	})
-	c := r.Client()
+	c := r.NewClient()
 	for i := range 5 {
 		load2(c, i)
-		assert.Equal(t, "answer", c.Read().What)
+		assert.Equal(t, "answer", c.ReadReply().Kind)
 	}
-	assert.Len(t, r.Got("POST", "/"), 5)
+	assert.Len(t, r.Requests("POST", "/"), 5)
 	assert.NotContains(t, r.Log.String(), "ejected")
 }
--- a/cmd/chutechute/engine_tls_test.go
+++ b/cmd/chutechute/engine_tls_test.go
@@ -20,7 +20,7 @@
 )
 
 // behind has engines show certificates for their ids, or for what name makes of them, and ask the front end for one.
-func behind(t *testing.T, name func(id string) string) func(*standin.Rig) {
+func behind(t *testing.T, name func(id string) string) func(*standin.Harness) {
 	dir := t.TempDir()
 	at := func(file string) string { return filepath.Join(dir, file) }
 	ca, err := certs.NewCA("engines", time.Hour)
@@ -31,10 +31,10 @@
 	require.NoError(t, front.Write(at("front.pem"), at("front.key")))
 	require.NoError(t, os.WriteFile(at("i.jsonnet"), []byte(`{ tls: { engines: { enabled: true, cas: ['ca.pem'], name: '{id}.engines',
 		certificate: { certificate: 'front.pem', key: 'front.key' } } }, identity: { watch_s: 0.02 } }`), 0o600))
-	return func(r *standin.Rig) {
+	return func(r *standin.Harness) {
 		r.Args = []string{"serve", "--installation", at("i.jsonnet")}
 		r.Settings["limits"].(map[string]any)["dial_timeout"] = 2.0
-		r.EngineTLS = func(e *standin.Engine) *tls.Config {
+		r.EngineTLS = func(e *standin.StubEngine) *tls.Config {
 			leaf, err := ca.Leaf(certs.Request{Name: e.Name, DNS: []string{name(e.Name) + ".engines"}, For: time.Hour})
 			require.NoError(t, err)
 			return &tls.Config{Certificates: []tls.Certificate{leaf.TLS()}, ClientCAs: ca.Pool(), ClientAuth: tls.RequireAndVerifyClientCert}
@@ -48,71 +48,71 @@
 func TestEnginesByTLS(t *testing.T) {
 	page := strings.Repeat("aaaaaaaaaa\tbbbbbbbbbbbb\tcccccccccccc\n", 160)
 	var opened atomic.Int32
-	r := start(t, 2, standin.Store(1, page, page, page, page, page, page), behind(t, own), func(r *standin.Rig) {
-		r.Conns = func(_ net.Conn, s http.ConnState) {
+	r := start(t, 2, standin.SucceedAfterPolls(1, page, page, page, page, page, page), behind(t, own), func(r *standin.Harness) {
+		r.OnConnState = func(_ net.Conn, s http.ConnState) {
 			if s == http.StateNew {
 				opened.Add(1)
 			}
 		}
 	})
-	c := r.Client()
+	c := r.NewClient()
 	const rounds, each = 3, 8
 	for round := range rounds {
 		for n := range each {
-			c.Ask("SELECT 1 FROM s_1.t -- "+strings.Repeat("x", 20_000), "call", standin.ID(100*round+n), "op", "lookup", "ttl", "9000", "work", "100")
+			c.SendRequest("SELECT 1 FROM s_1.t -- "+strings.Repeat("x", 20_000), "call", standin.RequestID(100*round+n), "op", "lookup", "ttl", "9000", "work", "100")
 		}
 		for range each {
-			p := c.Read()
-			require.Equal(t, "answer", p.What)
-			assert.Equal(t, strings.Repeat(page, 6), p.Body())
+			p := c.ReadReply()
+			require.Equal(t, "answer", p.Kind)
+			assert.Equal(t, strings.Repeat(page, 6), p.Rows())
 		}
 		time.Sleep(400 * time.Millisecond) // that a connection rests between two queries
 	}
-	assert.Len(t, r.Got("POST", "/"), rounds*each, "none was sent twice")
+	assert.Len(t, r.Requests("POST", "/"), rounds*each, "none was sent twice")
 	assert.Less(t, int(opened.Load()), rounds*each, "connections are used again")
 }
 
 // An engine that can't show its own name gets nothing, not even a byte of a query; the others serve.
 func TestEngineOfAnotherName(t *testing.T) {
-	r := start(t, 2, standin.Store(0, standin.Row), behind(t, func(id string) string { return "s-00000001" }))
-	c := r.Client()
+	r := start(t, 2, standin.SucceedAfterPolls(0, standin.ResultRow), behind(t, func(id string) string { return "s-00000001" }))
+	c := r.NewClient()
 	for n := range 10 {
-		c.Lookup(n, "5000")
-		assert.Equal(t, "answer", c.Read().What)
+		c.SendLookup(n, "5000")
+		assert.Equal(t, "answer", c.ReadReply().Kind)
 	}
-	for _, call := range r.Got("", "/") {
+	for _, call := range r.Requests("", "/") {
 		assert.Equal(t, "s-00000001", call.Engine)
 	}
-	for _, call := range r.Got("POST", "/") {
+	for _, call := range r.Requests("POST", "/") {
 		assert.Equal(t, "s-00000001", call.Engine)
 	}
-	r = start(t, 1, standin.Store(0, standin.Row), behind(t, func(string) string { return "elsewhere" }))
-	c = r.Client()
-	c.Lookup(1, "1500")
-	assert.Equal(t, "shed", c.Read().What, "it never ran")
-	assert.Empty(t, r.Got("POST", "/"))
-	r.AwaitLog("handshake")
+	r = start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), behind(t, func(string) string { return "elsewhere" }))
+	c = r.NewClient()
+	c.SendLookup(1, "1500")
+	assert.Equal(t, "shed", c.ReadReply().Kind, "it never ran")
+	assert.Empty(t, r.Requests("POST", "/"))
+	r.WaitForLog("handshake")
 }
 
 // A connection that ends once a start has come whole on it says no more over TLS than without: a keyed load is asked after before
 // it is sent again, and what was asked for is answered once.
 func TestResetsByTLS(t *testing.T) {
 	var posts atomic.Int32
-	r := start(t, 2, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 2, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		switch {
 		case c.Method == "POST" && posts.Add(1) == 1:
-			standin.Raw(w, "", true)
+			standin.RespondRaw(w, "", true)
 		case c.Method == "DELETE":
 			w.WriteHeader(204)
 		default:
-			standin.Serve(w, standin.Row)
+			standin.RespondResult(w, standin.ResultRow)
 		}
 	}, behind(t, own))
-	c := r.Client()
-	c.Load(1, "9000")
-	assert.Equal(t, "answer", c.Read().What)
-	assert.Len(t, r.Got("POST", "/"), 1, "its news was asked for instead")
-	assert.Len(t, r.Got("GET", "/v1/store/"+standin.ID(1)), 1)
+	c := r.NewClient()
+	c.SendLoad(1, "9000")
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	assert.Len(t, r.Requests("POST", "/"), 1, "its news was asked for instead")
+	assert.Len(t, r.Requests("GET", "/v1/store/"+standin.RequestID(1)), 1)
 	assert.True(t, c.Healthy())
 }
 
@@ -121,16 +121,16 @@
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer silent.Close()
-	r := start(t, 2, standin.Store(0, standin.Row), behind(t, own), func(r *standin.Rig) {
+	r := start(t, 2, standin.SucceedAfterPolls(0, standin.ResultRow), behind(t, own), func(r *standin.Harness) {
 		r.Settings["limits"].(map[string]any)["dial_timeout"] = 0.25
 		r.Engines[0].Addr = silent.Addr().(*net.TCPAddr)
 	})
-	c := r.Client()
+	c := r.NewClient()
 	for n := range 8 {
-		c.Ask("SELECT 1 FROM s_1.t", "call", standin.ID(n), "op", "lookup", "ttl", "5000", "work", "100")
+		c.SendRequest("SELECT 1 FROM s_1.t", "call", standin.RequestID(n), "op", "lookup", "ttl", "5000", "work", "100")
 	}
 	for range 8 {
-		assert.Equal(t, "answer", c.Read().What)
+		assert.Equal(t, "answer", c.ReadReply().Kind)
 	}
-	assert.Len(t, r.Got("POST", "/"), 8, fmt.Sprint("all on ", r.Engines[1].Name))
+	assert.Len(t, r.Requests("POST", "/"), 8, fmt.Sprint("all on ", r.Engines[1].Name))
 }
--- a/cmd/chutechute/fleet.go
+++ b/cmd/chutechute/fleet.go
@@ -85,13 +85,13 @@
 	if err != nil {
 		return "", err
 	}
-	if file.Fleet.Admin == "" {
+	if file.Fleet.AdminSocket == "" {
 		return "", errors.New("installation: fleet.admin: missing")
 	}
 	if name == "" {
 		name = os.Getenv("NODE_NAME")
 	}
-	return strings.ReplaceAll(file.Fleet.Admin, "{name}", name), nil
+	return strings.ReplaceAll(file.Fleet.AdminSocket, "{name}", name), nil
 }
 
 func askAdmin(path, question string, into any) error {
@@ -140,7 +140,7 @@
 			printView(line, s.Attached)
 		}
 		if s.Role == "attached" {
-			line("loads", fmt.Sprintf("%d held here", s.Held))
+			line("loads", fmt.Sprintf("%d held here", s.InProgress))
 			return
 		}
 		if s.Error != "" {
@@ -149,18 +149,18 @@
 		line("leader", s.Leader)
 		line("term", s.Term)
 		line("record", s.Group)
-		line("applied", fmt.Sprintf("%d (sum %s)", s.Applied, s.Sum))
-		line("loads", fmt.Sprintf("%d on record, %d bytes; %d held here", s.Loads, s.LoadBytes, s.Held))
+		line("applied", fmt.Sprintf("%d (sum %s)", s.Applied, s.Digest))
+		line("loads", fmt.Sprintf("%d on record, %d bytes; %d held here", s.Records, s.RecordBytes, s.InProgress))
 		line("elections", s.Elections)
-		if s.Differing > 0 {
-			line("COPIES DIFFER", fmt.Sprintf("seen %d times: keep all folders and report it", s.Differing))
+		if s.Divergent > 0 {
+			line("COPIES DIFFER", fmt.Sprintf("seen %d times: keep all folders and report it", s.Divergent))
 		}
-		for _, c := range s.Copies {
+		for _, c := range s.Replicas {
 			how := "votes"
-			if !c.Votes {
+			if !c.Voter {
 				how = "catches up"
 			}
-			line("copy", fmt.Sprintf("%s on %s, zone %q, %s", c.Copy, c.Name, c.Zone, how))
+			line("copy", fmt.Sprintf("%s on %s, zone %q, %s", c.ReplicaID, c.Name, c.Zone, how))
 		}
 		if s.Warning != "" {
 			line("note", s.Warning)
@@ -171,15 +171,15 @@
 // printView tells how the view of all front ends stands.
 func printView(line func(...any), a *peering.ViewStatus) {
 	line("home", nameOr(a.Home, "none"))
-	age := fmt.Sprintf("%d ms old", a.ViewAge)
-	if a.ViewAge < 0 {
+	age := fmt.Sprintf("%d ms old", a.ViewAgeMS)
+	if a.ViewAgeMS < 0 {
 		age = "never confirmed"
 	}
 	line("view", fmt.Sprintf("%d front ends, %s (digest %s)", a.ViewLen, age, a.ViewDigest))
 	if len(a.Targets) > 0 {
 		line("attached to", strings.Join(a.Targets, ", "))
 	} else {
-		line("attached here", fmt.Sprintf("%d; %d questions passed on, %d messages that found no way", a.Links, a.Forwarded, a.Lost))
+		line("attached here", fmt.Sprintf("%d; %d questions passed on, %d messages that found no way", a.Links, a.Forwarded, a.Undeliverable))
 	}
 }
 
@@ -202,7 +202,7 @@
 		line("NAME", "ZONE", "STATE", "LINK", "PROCESS")
 		for _, m := range s.Members {
 			link := "down"
-			if m.Link {
+			if m.Linked {
 				link = "up"
 			}
 			line(m.Name, m.Zone, m.State, link, m.Incarnation)
@@ -216,7 +216,7 @@
 		line("NAME", "ROLE", "ZONE", "STATE", "HOME", "LINK", "PROCESS")
 		for _, m := range s.Members {
 			link := "-"
-			if m.Link {
+			if m.Linked {
 				link = "up"
 			} else if m.Role == "control" && s.Role != "attached" {
 				link = "down" // control members keep one with each other
@@ -246,8 +246,8 @@
 	}
 	return table(cmd, func(line func(...any)) {
 		line("DEDUPE", "KEY", "CLASS", "PHASE", "EPOCH", "PLACE", "OWNER", "STARTS")
-		for _, l := range s.Loads {
-			line(l.IdempotencyKey, l.OrderKey, l.Class, l.Phase, l.Epoch, l.Index, l.Owner, strings.Join(l.Starts, "; "))
+		for _, l := range s.Replicated {
+			line(l.IdempotencyKey, l.OrderKey, l.Class, l.Phase, l.Epoch, l.Index, l.Owner, strings.Join(l.Attempts, "; "))
 		}
 	})
 }
--- a/cmd/chutechute/fleet_measure_test.go
+++ b/cmd/chutechute/fleet_measure_test.go
@@ -33,8 +33,8 @@
 		all.Go(func() {
 			for i := range each {
 				began := time.Now()
-				p := f.Load(f.Fronts[c%len(f.Fronts)], load(fmt.Sprintf("%s-%d-%d", prefix, c, i), "", 0))
-				if p.What == history.Answer {
+				p := f.SendLoad(f.FrontEnds[c%len(f.FrontEnds)], load(fmt.Sprintf("%s-%d-%d", prefix, c, i), "", 0))
+				if p.Kind == history.Succeeded {
 					mu.Lock()
 					list = append(list, time.Since(began))
 					mu.Unlock()
@@ -56,14 +56,14 @@
 		name   string
 		change func(*standin.Fleet)
 	}{
-		{"off", func(f *standin.Fleet) { f.Section["enabled"] = false }},
+		{"off", func(f *standin.Fleet) { f.FleetSettings["enabled"] = false }},
 		{"memory", func(*standin.Fleet) {}},
 		{"folder", lasting},
 	}
 	for _, form := range forms {
 		f := standin.NewFleet(t, program, 3, form.change)
 		if form.name != "off" {
-			f.Leader(3)
+			f.WaitForLeader(3)
 		}
 		times(t, f, "warm", 3, 20)
 		median, p99 := quantiles(times(t, f, "one", 1, 200))
@@ -74,24 +74,24 @@
 		median, p99 = quantiles(many)
 		t.Logf("%-6s 24 clients: %.1f ms at the median, %.1f at p99, %.0f loads a second, %.0f commits a second", form.name, ms(median),
 			ms(p99), float64(len(many))/span, (commits(f)-committed)/span)
-		before, n := coreTime(t, f.Fronts[0]), 1000
+		before, n := coreTime(t, f.FrontEnds[0]), 1000
 		for range n {
-			require.Equal(t, history.Answer, f.Fronts[0].Lookup())
+			require.Equal(t, history.Succeeded, f.FrontEnds[0].SendLookup())
 		}
-		t.Logf("%-6s a look-up takes %.0f us of a core, one client and nothing beside", form.name, (coreTime(t, f.Fronts[0])-before)*1e6/float64(n))
+		t.Logf("%-6s a look-up takes %.0f us of a core, one client and nothing beside", form.name, (coreTime(t, f.FrontEnds[0])-before)*1e6/float64(n))
 		var looks []time.Duration
 		var stop atomic.Bool
 		var all sync.WaitGroup
 		for c := range 12 {
 			all.Go(func() {
 				for i := 0; !stop.Load(); i++ {
-					f.Load(f.Fronts[c%3], load(fmt.Sprintf("beside-%d-%d", c, i), "", 0))
+					f.SendLoad(f.FrontEnds[c%3], load(fmt.Sprintf("beside-%d-%d", c, i), "", 0))
 				}
 			})
 		}
 		for range 300 {
 			began := time.Now()
-			require.Equal(t, history.Answer, f.Fronts[0].Lookup())
+			require.Equal(t, history.Succeeded, f.FrontEnds[0].SendLookup())
 			looks = append(looks, time.Since(began))
 		}
 		stop.Store(true)
@@ -103,27 +103,27 @@
 		}
 		var gaps []time.Duration
 		for round := range 6 {
-			leader := f.Leader(3)
-			other := f.Fronts[(leader.N+1)%3]
+			leader := f.WaitForLeader(3)
+			other := f.FrontEnds[(leader.Index+1)%3]
 			leader.Kill(true)
 			killed := time.Now()
 			for i := 0; ; i++ {
 				try := load(fmt.Sprintf("after-%d-%d", round, i), "", 0)
-				try.TTL = 4 * time.Second
-				if f.Load(other, try).What == history.Answer {
+				try.ClientTimeout = 4 * time.Second
+				if f.SendLoad(other, try).Kind == history.Succeeded {
 					break
 				}
 			}
 			gaps = append(gaps, time.Since(killed))
 			back := time.Now()
 			leader.Start()
-			f.Leader(3)
+			f.WaitForLeader(3)
 			t.Logf("%-6s leader lost with its disk: %.0f ms without progress; replaced %.0f ms after its start", form.name,
 				ms(gaps[round]), ms(time.Since(back)))
 		}
-		s := f.Leader(3).Status()
+		s := f.WaitForLeader(3).RawStatus()
 		t.Logf("%-6s %v loads on record take %v bytes", form.name, s["loads"], s["load_bytes"])
-		for _, n := range f.Fronts {
+		for _, n := range f.FrontEnds {
 			n.Kill(true)
 		}
 	}
@@ -132,8 +132,8 @@
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func commits(f *standin.Fleet) (n float64) {
-	for _, x := range f.Fronts {
-		if s := x.Status(); s != nil {
+	for _, x := range f.FrontEnds {
+		if s := x.RawStatus(); s != nil {
 			n = max(n, s["commits"].(float64))
 		}
 	}
@@ -141,7 +141,7 @@
 }
 
 // coreTime is the seconds of a core that a front end has taken.
-func coreTime(t *testing.T, n *standin.Front) float64 {
+func coreTime(t *testing.T, n *standin.FrontEnd) float64 {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", n.Cmd.Process.Pid))
 	require.NoError(t, err)
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')'):]))
@@ -159,25 +159,25 @@
 	}
 	for _, mb := range []int{0, 1, 4, 8} {
 		f := standin.NewFleet(t, program, 3, lasting)
-		f.Leader(3)
+		f.WaitForLeader(3)
 		for i := range mb * 1024 / 5 {
 			try := load(fmt.Sprintf("large-%d", i), "", 0)
 			try.Statement += " kb=5"
-			require.Equal(t, history.Answer, f.Load(f.Fronts[i%3], try).What)
+			require.Equal(t, history.Succeeded, f.SendLoad(f.FrontEnds[i%3], try).Kind)
 		}
 		var spans []string
 		for range 3 {
-			leader := f.Leader(3)
-			n := f.Fronts[(leader.N+1)%3]
+			leader := f.WaitForLeader(3)
+			n := f.FrontEnds[(leader.Index+1)%3]
 			n.Kill(true)
 			began := time.Now()
 			n.Start()
-			f.Leader(3)
+			f.WaitForLeader(3)
 			spans = append(spans, fmt.Sprintf("%.0f", ms(time.Since(began))))
 		}
-		t.Logf("%v bytes on record: a copy again %s ms after its start with an empty disk", f.Leader(3).Status()["load_bytes"],
+		t.Logf("%v bytes on record: a copy again %s ms after its start with an empty disk", f.WaitForLeader(3).RawStatus()["load_bytes"],
 			strings.Join(spans, ", "))
-		for _, n := range f.Fronts {
+		for _, n := range f.FrontEnds {
 			n.Kill(true)
 		}
 	}
--- a/cmd/chutechute/harness_test.go
+++ b/cmd/chutechute/harness_test.go
@@ -21,6 +21,6 @@
 }
 
 // start runs the program with engines that answer so.
-func start(t *testing.T, engines int, do standin.Answer, change ...func(*standin.Rig)) *standin.Rig {
+func start(t *testing.T, engines int, do standin.EngineHandler, change ...func(*standin.Harness)) *standin.Harness {
 	return standin.Start(t, program, engines, do, change...)
 }
--- a/cmd/chutechute/identity.go
+++ b/cmd/chutechute/identity.go
@@ -50,7 +50,7 @@
 			if err != nil {
 				return err
 			}
-			caller, err := guard.Identify(strings.TrimSpace(string(text)), nil, 0, 0, time.Now().UnixMicro())
+			caller, err := guard.Authenticate(strings.TrimSpace(string(text)), nil, 0, 0, time.Now().UnixMicro())
 			if err != nil {
 				return err
 			}
@@ -99,7 +99,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		guard.Revoke(list)
+		guard.SetRevocations(list)
 	}
 	return guard, cfg, nil
 }
--- a/cmd/chutechute/identity_test.go
+++ b/cmd/chutechute/identity_test.go
@@ -62,7 +62,7 @@
 func (o *office) rotate(id string, from, end int64) {
 	k, err := token.Generate(id, "EdDSA")
 	require.NoError(o.t, err)
-	require.NoError(o.t, keyfiles.Change(o.private, o.public, func(s *token.Set) error {
+	require.NoError(o.t, keyfiles.Change(o.private, o.public, func(s *token.KeySet) error {
 		for _, old := range s.List() {
 			if end > 0 {
 				if err := s.Retire(old.ID, end*monotime.Second); err != nil {
@@ -78,7 +78,7 @@
 func (o *office) sign(key, subject, id string) string {
 	text, err := os.ReadFile(o.private)
 	require.NoError(o.t, err)
-	keys, err := token.ParsePrivate(text)
+	keys, err := token.ParsePrivateKeys(text)
 	require.NoError(o.t, err)
 	for _, k := range keys {
 		if k.ID == key {
@@ -92,13 +92,13 @@
 	return ""
 }
 
-func (o *office) installed(r *standin.Rig) {
+func (o *office) installed(r *standin.Harness) {
 	r.Args = []string{"serve", "--installation", o.installation}
 }
 
 // with asks with a token: for a look-up, or for a load of key k.
 func with(c *standin.Client, n int, class, statement, token string, fields ...string) int32 {
-	return c.Ask(statement, append([]string{"call", standin.ID(n), "op", class, "ttl", "9000", "dedupe", fmt.Sprint(n), "row", "k",
+	return c.SendRequest(statement, append([]string{"call", standin.RequestID(n), "op", class, "ttl", "9000", "dedupe", fmt.Sprint(n), "row", "k",
 		"work", "10", "token", token}, fields...)...)
 }
 
@@ -106,8 +106,8 @@
 // and says that it never ran.
 func TestRightsOfCallers(t *testing.T) {
 	o := newOffice(t)
-	r := start(t, 1, standin.Store(0, standin.Row), o.installed)
-	c := r.Client()
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), o.installed)
+	c := r.NewClient()
 	desk, booking := o.sign("a", "desk-1", ""), o.sign("a", "booking", "")
 	posts := 0
 	for i, one := range []struct {
@@ -127,22 +127,22 @@
 		{"lookup", "SELECT 1 FROM s_1.t", desk, []string{"org", "u"}, "exception", "unknown tenant"},
 	} {
 		with(c, i, one.class, one.statement, one.token, one.fields...)
-		p := c.Read()
-		assert.Equal(t, one.what, p.What, "%d: %s", i, p.Raw)
-		assert.Contains(t, p.Raw, one.why, i)
+		p := c.ReadReply()
+		assert.Equal(t, one.what, p.Kind, "%d: %s", i, p.Payload)
+		assert.Contains(t, p.Payload, one.why, i)
 		if one.what == "fault" {
-			assert.Contains(t, p.Raw, "never_ran")
+			assert.Contains(t, p.Payload, "never_ran")
 		}
 		if one.what == "answer" {
 			posts++
 		}
 	}
-	got := r.Got("POST", "/")
+	got := r.Requests("POST", "/")
 	assert.Len(t, got, posts)
 	for _, p := range got {
 		assert.NotContains(t, fmt.Sprint(p.Header, p.Body), desk, "no engine sees a token")
 	}
-	r.AwaitLog("no right")
+	r.WaitForLog("no right")
 	for _, text := range []string{desk, booking, desk[:40]} {
 		assert.NotContains(t, r.Log.String(), text)
 	}
@@ -152,32 +152,32 @@
 func TestRightsAndTheLine(t *testing.T) {
 	o := newOffice(t)
 	release := make(chan bool)
-	r := start(t, 1, standin.Held(standin.ID(1), release), o.installed)
-	c := r.Client()
+	r := start(t, 1, standin.DelayedStart(standin.RequestID(1), release), o.installed)
+	c := r.NewClient()
 	booking, desk := o.sign("a", "booking", ""), o.sign("a", "desk-1", "")
 	first := with(c, 1, "load", "INSERT INTO s_1.t VALUES (1)", booking)
-	r.Await(1, "POST", "/")
+	r.WaitForRequests(1, "POST", "/")
 	refused := with(c, 2, "load", "INSERT INTO s_1.t VALUES (2)", desk)
-	p := c.Read()
-	assert.Equal(t, []any{refused, "fault"}, []any{p.Seq, p.What}, "at once, while the first still runs")
+	p := c.ReadReply()
+	assert.Equal(t, []any{refused, "fault"}, []any{p.Seq, p.Kind}, "at once, while the first still runs")
 	waiting := with(c, 3, "load", "INSERT INTO s_1.t VALUES (3)", booking)
-	assert.True(t, r.Client().Healthy())
+	assert.True(t, r.NewClient().Healthy())
 	o.write(`[{ effect: 'allow', callers: ['*'], classes: ['lookup'] }]`, "")
 	r.Signal(syscall.SIGHUP)
-	r.AwaitLog("reloaded")
+	r.WaitForLog("reloaded")
 	late := with(c, 4, "load", "INSERT INTO s_1.t VALUES (4)", booking)
-	p = c.Read()
-	assert.Equal(t, []any{late, "fault"}, []any{p.Seq, p.What})
+	p = c.ReadReply()
+	assert.Equal(t, []any{late, "fault"}, []any{p.Seq, p.Kind})
 	close(release)
 	for _, seq := range []int32{first, waiting} {
-		p = c.Read()
-		assert.Equal(t, []any{seq, "answer"}, []any{p.Seq, p.What})
+		p = c.ReadReply()
+		assert.Equal(t, []any{seq, "answer"}, []any{p.Seq, p.Kind})
 	}
 	var ids []string
-	for _, post := range r.Got("POST", "/") {
+	for _, post := range r.Requests("POST", "/") {
 		ids = append(ids, post.Header.Get("Request-Id"))
 	}
-	assert.Equal(t, []string{standin.ID(1), standin.ID(3)}, ids)
+	assert.Equal(t, []string{standin.RequestID(1), standin.RequestID(3)}, ids)
 }
 
 // What is revoked is refused on connections that are open, within a second or two of the file's change; what was taken
@@ -185,49 +185,49 @@
 func TestRevocationInService(t *testing.T) {
 	o := newOffice(t)
 	release := make(chan bool)
-	r := start(t, 1, standin.Held(standin.ID(1), release), o.installed)
-	busy, idle := r.Client(), r.Client()
+	r := start(t, 1, standin.DelayedStart(standin.RequestID(1), release), o.installed)
+	busy, idle := r.NewClient(), r.NewClient()
 	one, two := o.sign("a", "desk-1", "t1"), o.sign("a", "desk-1", "t2")
 	with(busy, 1, "lookup", "SELECT 1 FROM s_1.t", one)
 	with(idle, 2, "lookup", "SELECT 1 FROM s_1.t", one)
-	assert.Equal(t, "answer", idle.Read().What)
-	r.Await(1, "POST", "/")
+	assert.Equal(t, "answer", idle.ReadReply().Kind)
+	r.WaitForRequests(1, "POST", "/")
 	o.revoke(`{"legon": {"jti": ["t1"]}}`)
 	n := 10
 	require.Eventually(t, func() bool {
 		n++
 		with(idle, n, "lookup", "SELECT 1 FROM s_1.t", one)
-		return idle.Read().What == "fault"
-	}, standin.Patience, 5*time.Millisecond)
+		return idle.ReadReply().Kind == "fault"
+	}, standin.WaitTimeout, 5*time.Millisecond)
 	with(idle, 3, "lookup", "SELECT 1 FROM s_1.t", two)
-	assert.Equal(t, "answer", idle.Read().What)
+	assert.Equal(t, "answer", idle.ReadReply().Kind)
 	close(release)
-	assert.Equal(t, "answer", busy.Read().What)
+	assert.Equal(t, "answer", busy.ReadReply().Kind)
 	assert.True(t, busy.Healthy(), "answered once")
 	// A list that can't be read leaves what was revoked as it is.
 	o.revoke(`{"legon": `)
-	r.AwaitLog("the last good content stays in force")
+	r.WaitForLog("the last good content stays in force")
 	with(idle, 4, "lookup", "SELECT 1 FROM s_1.t", one)
-	assert.Equal(t, "fault", idle.Read().What)
+	assert.Equal(t, "fault", idle.ReadReply().Kind)
 }
 
 // A reload that fails for want of a key file changes nothing: the files of before are still taken over as they change.
 func TestFailedReloadGoesOnWatching(t *testing.T) {
 	o := newOffice(t)
-	r := start(t, 1, standin.Store(0, standin.Row), o.installed)
-	c := r.Client()
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), o.installed)
+	c := r.NewClient()
 	text, err := os.ReadFile(o.installation)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(o.installation, []byte(strings.Replace(string(text), "k.jwks", "nowhere.jwks", 1)), 0o600))
 	r.Signal(syscall.SIGHUP)
-	r.AwaitLog("the old configuration stays in force")
+	r.WaitForLog("the old configuration stays in force")
 	o.rotate("b", 0, 0)
 	token, n := o.sign("b", "desk-1", ""), 0
 	require.Eventually(t, func() bool {
 		n++
 		with(c, n, "lookup", "SELECT 1 FROM s_1.t", token)
-		return c.Read().What == "answer"
-	}, standin.Patience, 50*time.Millisecond)
+		return c.ReadReply().Kind == "answer"
+	}, standin.WaitTimeout, 50*time.Millisecond)
 }
 
 // Keys rotate again and again under load, while clients hold old and new keys: nobody is refused whose key holds, nor let in
@@ -239,7 +239,7 @@
 		span = time.Minute
 	}
 	o := newOffice(t)
-	r := start(t, 2, standin.Store(0, standin.Row), o.installed)
+	r := start(t, 2, standin.SucceedAfterPolls(0, standin.ResultRow), o.installed)
 	type held struct {
 		token     string
 		from, end time.Time // zero: no end yet
@@ -251,7 +251,7 @@
 	var workers sync.WaitGroup
 	const slack, known = 300 * time.Millisecond, 2 * time.Second // by when the front end has read a key at the latest
 	for worker := range 4 {
-		c := r.Client()
+		c := r.NewClient()
 		require.NoError(t, c.Conn.SetDeadline(time.Now().Add(2*time.Minute)))
 		workers.Go(func() {
 			for n := 0; !stop.Load(); n++ {
@@ -260,16 +260,16 @@
 				mu.Unlock()
 				before := time.Now()
 				with(c, 1_000_000*(worker+1)+n, "lookup", "SELECT 1 FROM s_1.t", k.token)
-				p := c.Read()
+				p := c.ReadReply()
 				after := time.Now()
 				mustPass := before.After(k.from.Add(known)) && (k.end.IsZero() || after.Before(k.end.Add(-slack)))
 				mustFail := !k.end.IsZero() && before.After(k.end.Add(slack))
 				switch {
-				case p.What == "answer" && mustFail, p.What != "answer" && mustPass:
+				case p.Kind == "answer" && mustFail, p.Kind != "answer" && mustPass:
 					wrong.Add(1)
-					t.Errorf("%s, must pass %v, must fail %v: %s", p.What, mustPass, mustFail, p.Raw)
+					t.Errorf("%s, must pass %v, must fail %v: %s", p.Kind, mustPass, mustFail, p.Payload)
 					return
-				case p.What == "answer":
+				case p.Kind == "answer":
 					passed.Add(1)
 				default:
 					refused.Add(1)
@@ -302,12 +302,12 @@
 // A flood of bad tokens costs a bounded number of signatures, and good callers are served beside it.
 func TestFloodOfBadTokensInService(t *testing.T) {
 	o := newOffice(t)
-	r := start(t, 1, standin.Store(0, standin.Row), o.installed)
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), o.installed)
 	good := o.sign("a", "desk-1", "")
-	c := r.Client()
+	c := r.NewClient()
 	with(c, 1, "lookup", "SELECT 1 FROM s_1.t", good)
-	require.Equal(t, "answer", c.Read().What)
-	bad := r.Client()
+	require.Equal(t, "answer", c.ReadReply().Kind)
+	bad := r.NewClient()
 	const floods = 3000
 	go func() {
 		for n := range floods {
@@ -316,13 +316,13 @@
 	}()
 	for n := range 50 {
 		with(c, 10_000+n, "lookup", "SELECT 1 FROM s_1.t", good)
-		assert.Equal(t, "answer", c.Read().What)
+		assert.Equal(t, "answer", c.ReadReply().Kind)
 	}
 	for range floods {
-		assert.Contains(t, []string{"fault", "shed"}, bad.Read().What)
+		assert.Contains(t, []string{"fault", "shed"}, bad.ReadReply().Kind)
 	}
 	r.Signal(syscall.SIGUSR1)
-	r.AwaitLog("signatures checked")
+	r.WaitForLog("signatures checked")
 	var checked int
 	for line := range strings.SplitSeq(r.Log.String(), "\n") {
 		if strings.HasPrefix(line, "signatures checked") {
@@ -352,7 +352,7 @@
 	keys := func(args ...string) string { return run("", append(append([]string{"keys"}, args...), files...)...) }
 	assert.Equal(t, "ok\n", run("", "identity", "check", "--installation", o.installation))
 	keys("rotate", "--ahead", "0s", "--overlap", "1h", "--alg", "ES256")
-	var list []token.Listed
+	var list []token.KeyInfo
 	require.NoError(t, json.Unmarshal([]byte(keys("list", "--json")), &list))
 	require.Len(t, list, 2)
 	assert.Positive(t, list[0].Until)
--- a/cmd/chutechute/idle_test.go
+++ b/cmd/chutechute/idle_test.go
@@ -28,7 +28,7 @@
 		var starts, sizes []int
 		for range 9 {
 			r := standin.Start(t, p, 0, nil)
-			starts = append(starts, int(r.Ready.Microseconds()))
+			starts = append(starts, int(r.StartupTime.Microseconds()))
 			time.Sleep(300 * time.Millisecond)
 			status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.Cmd.Process.Pid))
 			require.NoError(t, err)
--- a/cmd/chutechute/main_test.go
+++ b/cmd/chutechute/main_test.go
@@ -17,15 +17,15 @@
 
 // What a client sent goes to the engine byte for byte, and all pages come back in order and unchanged.
 func TestServesAllPagesUnchanged(t *testing.T) {
-	r := start(t, 1, standin.Store(2, "a\tb\tc\n", "d\te\tf\n", "g\th\ti\n"))
-	c := r.Client()
+	r := start(t, 1, standin.SucceedAfterPolls(2, "a\tb\tc\n", "d\te\tf\n", "g\th\ti\n"))
+	c := r.NewClient()
 	require.True(t, c.Healthy())
 	statement := "INSERT INTO s_7.t -- \u00e9\nVALUES ('x''y')"
-	c.Ask(statement, "call", "9b1f03aa5c7e2d41", "op", "load", "ttl", "9000", "org", "t", "dedupe", "5c0f", "row", "k")
-	p := c.Read()
-	assert.Equal(t, "answer", p.What)
-	assert.Equal(t, "a\tb\tc\nd\te\tf\ng\th\ti\n", p.Body())
-	post := r.Got("POST", "/v1/store")
+	c.SendRequest(statement, "call", "9b1f03aa5c7e2d41", "op", "load", "ttl", "9000", "org", "t", "dedupe", "5c0f", "row", "k")
+	p := c.ReadReply()
+	assert.Equal(t, "answer", p.Kind)
+	assert.Equal(t, "a\tb\tc\nd\te\tf\ng\th\ti\n", p.Rows())
+	post := r.Requests("POST", "/v1/store")
 	require.Len(t, post, 1)
 	h := post[0].Header
 	assert.Equal(t, []string{"9b1f03aa5c7e2d41", "load", "5c0f", ""},
@@ -36,68 +36,68 @@
 // With far more queries running than descriptors, each is still asked after in turn: engines give up
 // what is not asked for in 2 s. All must end by the 200 of their engine, at the first attempt.
 func TestScarceDescriptors(t *testing.T) {
-	r := start(t, 1, standin.Store(3, standin.Row), func(r *standin.Rig) { r.Sockets = 64 })
-	a, b := r.Client(), r.Client()
+	r := start(t, 1, standin.SucceedAfterPolls(3, standin.ResultRow), func(r *standin.Harness) { r.SocketLimit = 64 })
+	a, b := r.NewClient(), r.NewClient()
 	for i := range 30 {
 		load2(a, i)
 		load2(b, 100+i)
 	}
 	for range 30 {
-		assert.Equal(t, "answer", a.Read().What)
-		assert.Equal(t, "answer", b.Read().What)
+		assert.Equal(t, "answer", a.ReadReply().Kind)
+		assert.Equal(t, "answer", b.ReadReply().Kind)
 	}
-	assert.Len(t, r.Got("POST", "/"), 60)
-	assert.Empty(t, r.Got("DELETE", "/"))
+	assert.Len(t, r.Requests("POST", "/"), 60)
+	assert.Empty(t, r.Requests("DELETE", "/"))
 }
 
 // load2 asks for a load without a key, which no attempt's time-out cuts short.
 func load2(c *standin.Client, n int) int32 {
-	return c.Ask("INSERT INTO s_1.t", "call", standin.ID(n), "op", "load", "ttl", "15000", "dedupe", fmt.Sprint(n), "work", "10.0")
+	return c.SendRequest("INSERT INTO s_1.t", "call", standin.RequestID(n), "op", "load", "ttl", "15000", "dedupe", fmt.Sprint(n), "work", "10.0")
 }
 
 // Cancel frees a request: no answer, and its attempt is given up.
 func TestCancel(t *testing.T) {
-	r := start(t, 1, standin.Store(1000, standin.Row))
-	c := r.Client()
+	r := start(t, 1, standin.SucceedAfterPolls(1000, standin.ResultRow))
+	c := r.NewClient()
 	seq := load2(c, 1)
-	r.Await(1, "GET", "/v1/store/"+standin.ID(1)+"/0")
-	c.Send(4, "cancel", []byte{8, 0, 1, 0, 0, 0, byte(seq)})
-	r.Await(1, "DELETE", "/v1/store/"+standin.ID(1))
+	r.WaitForRequests(1, "GET", "/v1/store/"+standin.RequestID(1)+"/0")
+	c.SendMessage(4, "cancel", []byte{8, 0, 1, 0, 0, 0, byte(seq)})
+	r.WaitForRequests(1, "DELETE", "/v1/store/"+standin.RequestID(1))
 	assert.True(t, c.Healthy(), "the next message is the answer to health")
 }
 
 // A client that goes away leaves nothing running.
 func TestClientGone(t *testing.T) {
-	r := start(t, 1, standin.Store(1000, standin.Row))
-	c := r.Client()
+	r := start(t, 1, standin.SucceedAfterPolls(1000, standin.ResultRow))
+	c := r.NewClient()
 	load2(c, 1)
-	r.Await(1, "GET", "/v1/store/"+standin.ID(1)+"/0")
+	r.WaitForRequests(1, "GET", "/v1/store/"+standin.RequestID(1)+"/0")
 	c.Conn.Close()
-	r.Await(1, "DELETE", "/v1/store/"+standin.ID(1))
+	r.WaitForRequests(1, "DELETE", "/v1/store/"+standin.RequestID(1))
 }
 
 // What never ran is sent again; a page that is lost fails the attempt; nothing is served in part.
 func TestOutcomes(t *testing.T) {
-	for name, first := range map[string]standin.Answer{
-		"full": func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	for name, first := range map[string]standin.EngineHandler{
+		"full": func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 			w.Header().Set("Never-Ran", "1")
 			w.WriteHeader(503)
 		},
-		"over": func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+		"over": func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 			w.Header().Set("Never-Ran", "1")
 			w.WriteHeader(504)
 		},
-		"error":   func(r *standin.Rig, w http.ResponseWriter, c standin.Call) { w.WriteHeader(500) },
-		"unknown": func(r *standin.Rig, w http.ResponseWriter, c standin.Call) { w.WriteHeader(418) },
-		"lost page": func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+		"error":   func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) { w.WriteHeader(500) },
+		"unknown": func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) { w.WriteHeader(418) },
+		"lost page": func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 			w.Header().Set("X-Batches", "2")
-			fmt.Fprint(w, standin.Row)
+			fmt.Fprint(w, standin.ResultRow)
 		},
-		"reset": func(r *standin.Rig, w http.ResponseWriter, c standin.Call) { panic(http.ErrAbortHandler) },
+		"reset": func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) { panic(http.ErrAbortHandler) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			var posts atomic.Int32
-			r := start(t, 2, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+			r := start(t, 2, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 				switch {
 				case c.Method == "DELETE":
 					w.WriteHeader(204)
@@ -106,14 +106,14 @@
 				case posts.Add(1) == 1:
 					first(r, w, c)
 				default:
-					standin.Serve(w, standin.Row)
+					standin.RespondResult(w, standin.ResultRow)
 				}
 			})
-			c := r.Client()
-			c.Lookup(1, "5000")
-			p := c.Read()
-			assert.Equal(t, "answer", p.What)
-			assert.Equal(t, standin.Row, p.Body())
+			c := r.NewClient()
+			c.SendLookup(1, "5000")
+			p := c.ReadReply()
+			assert.Equal(t, "answer", p.Kind)
+			assert.Equal(t, standin.ResultRow, p.Rows())
 		})
 	}
 }
@@ -121,26 +121,26 @@
 // Long queries fill their share of an engine, not that of shorter ones, which cost it little: lookups were held
 // and refused behind them.
 func TestShortQueriesPassLongOnes(t *testing.T) {
-	r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		if c.Header.Get("Kind") == "lookup" {
-			standin.Serve(w, standin.Row)
+			standin.RespondResult(w, standin.ResultRow)
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 		w.WriteHeader(202)
-	}, func(r *standin.Rig) { r.Settings["domain"].(map[string]any)["cpu_of_kind"] = []int{1} })
-	c := r.Client()
+	}, func(r *standin.Harness) { r.Settings["domain"].(map[string]any)["cpu_of_kind"] = []int{1} })
+	c := r.NewClient()
 	for i := range 4 { // of two threads each, where four is the share
 		load2(c, i)
 	}
-	r.Await(2, "POST", "/")
+	r.WaitForRequests(2, "POST", "/")
 	require.True(t, c.Healthy(), "all are taken")
-	c.Lookup(5, "5000")
-	assert.Equal(t, "answer", c.Read().What)
-	assert.Len(t, r.Got("POST", "/"), 3)
+	c.SendLookup(5, "5000")
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	assert.Len(t, r.Requests("POST", "/"), 3)
 }
 
-const whole = "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n" + standin.Row
+const whole = "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n" + standin.ResultRow
 
 // The first query of a table group goes to the same engine of twelve, whatever strings, comments, aliases
 // and the schema staging say beside it.
@@ -153,41 +153,41 @@
 		"SELECT * FROM staging.x, sales_17.t",
 		"UPDATE Sales_17.t SET x = $q$ from s_6.t $q$",
 	} {
-		r := start(t, 12, standin.Store(0, standin.Row))
-		c := r.Client()
-		c.Ask(statement, "call", standin.ID(i), "op", "lookup", "ttl", "5000", "work", "10.0")
-		require.Equal(t, "answer", c.Read().What)
+		r := start(t, 12, standin.SucceedAfterPolls(0, standin.ResultRow))
+		c := r.NewClient()
+		c.SendRequest(statement, "call", standin.RequestID(i), "op", "lookup", "ttl", "5000", "work", "10.0")
+		require.Equal(t, "answer", c.ReadReply().Kind)
 		if i == 0 {
-			home = r.Got("POST", "/")[0].Engine
+			home = r.Requests("POST", "/")[0].Engine
 		}
-		assert.Equal(t, home, r.Got("POST", "/")[0].Engine, statement)
+		assert.Equal(t, home, r.Requests("POST", "/")[0].Engine, statement)
 	}
 }
 
 // The journal is followed from the last event known, over broken and silent connections; an engine that
 // drains gets nothing new.
 func TestJournal(t *testing.T) {
-	r := start(t, 2, standin.Store(0, standin.Row))
-	conn, last := r.Accept()
+	r := start(t, 2, standin.SucceedAfterPolls(0, standin.ResultRow))
+	conn, last := r.AcceptDiscovery()
 	require.EqualValues(t, 41, last)
-	_, err := conn.Write(append(standin.Frame(41, 0), standin.Frame(42, 2, r.Engines[0].Record(1))...))
+	_, err := conn.Write(append(standin.DiscoveryFrame(41, 0), standin.DiscoveryFrame(42, 2, r.Engines[0].DiscoveryRecord(1))...))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
 		r.Signal(syscall.SIGUSR1)
 		return strings.Contains(r.Log.String(), "frames from the journal                       2")
-	}, standin.Patience, 10*time.Millisecond)
-	c := r.Client()
+	}, standin.WaitTimeout, 10*time.Millisecond)
+	c := r.NewClient()
 	for i := range 8 {
-		c.Ask(fmt.Sprintf("SELECT * FROM s_%d.t", i), "call", standin.ID(i), "op", "lookup", "ttl", "5000")
-		require.Equal(t, "answer", c.Read().What)
+		c.SendRequest(fmt.Sprintf("SELECT * FROM s_%d.t", i), "call", standin.RequestID(i), "op", "lookup", "ttl", "5000")
+		require.Equal(t, "answer", c.ReadReply().Kind)
 	}
-	for _, p := range r.Got("POST", "/") {
+	for _, p := range r.Requests("POST", "/") {
 		assert.Equal(t, r.Engines[1].Name, p.Engine)
 	}
 	conn.Close()
-	conn, last = r.Accept() // which stays silent from here
+	conn, last = r.AcceptDiscovery() // which stays silent from here
 	assert.EqualValues(t, 42, last)
-	_, last = r.Accept()
+	_, last = r.AcceptDiscovery()
 	assert.EqualValues(t, 42, last)
 	conn.Close()
 }
@@ -195,30 +195,30 @@
 // What waits for a connection to an engine is not sent there once the engine drains.
 func TestDrainWithdrawsWhatWaits(t *testing.T) {
 	release := make(chan struct{})
-	r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		<-release
-		standin.Serve(w, standin.Row)
-	}, func(r *standin.Rig) { r.Sockets = 64 })
-	conn, _ := r.Accept()
-	a, b := r.Client(), r.Client()
+		standin.RespondResult(w, standin.ResultRow)
+	}, func(r *standin.Harness) { r.SocketLimit = 64 })
+	conn, _ := r.AcceptDiscovery()
+	a, b := r.NewClient(), r.NewClient()
 	for i := range 30 {
 		load2(a, i)
 		load2(b, 100+i)
 	}
 	require.True(t, a.Healthy() && b.Healthy(), "all are taken")
-	r.Await(10, "POST", "/")
-	_, err := conn.Write(standin.Frame(42, 2, r.Engines[0].Record(1)))
+	r.WaitForRequests(10, "POST", "/")
+	_, err := conn.Write(standin.DiscoveryFrame(42, 2, r.Engines[0].DiscoveryRecord(1)))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
 		r.Signal(syscall.SIGUSR1)
 		return strings.Contains(r.Log.String(), "frames from the journal                       1")
-	}, standin.Patience, 10*time.Millisecond)
-	sent := len(r.Got("POST", "/"))
+	}, standin.WaitTimeout, 10*time.Millisecond)
+	sent := len(r.Requests("POST", "/"))
 	close(release)
 	require.Eventually(t, func() bool {
 		r.Signal(syscall.SIGUSR1)
 		return strings.Contains(r.Log.String(), fmt.Sprintf("answers served                                %d\n", sent))
-	}, standin.Patience, 10*time.Millisecond)
+	}, standin.WaitTimeout, 10*time.Millisecond)
 	assert.Less(t, sent, 60)
-	assert.Len(t, r.Got("POST", "/"), sent)
+	assert.Len(t, r.Requests("POST", "/"), sent)
 }
--- a/cmd/chutechute/measure_test.go
+++ b/cmd/chutechute/measure_test.go
@@ -20,7 +20,7 @@
 )
 
 // cpu is the processor time that the front end has used, in clock ticks of 10 ms.
-func cpu(t *testing.T, r *standin.Rig) float64 {
+func cpu(t *testing.T, r *standin.Harness) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.Cmd.Process.Pid))
 	require.NoError(t, err)
 	f := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+2:]))
@@ -39,9 +39,9 @@
 	}
 	requests := 30_000
 	base := 0.0
-	run := func(name string, r *standin.Rig, c *standin.Client, fields func(n int) []string) {
+	run := func(name string, r *standin.Harness, c *standin.Client, fields func(n int) []string) {
 		ask := func(n int) {
-			c.Ask("SELECT gate FROM ops_7.flights WHERE id = 4", append([]string{"call", standin.ID(n), "op", "lookup", "ttl", "9000",
+			c.SendRequest("SELECT gate FROM ops_7.flights WHERE id = 4", append([]string{"call", standin.RequestID(n), "op", "lookup", "ttl", "9000",
 				"work", "10"}, fields(n)...)...)
 		}
 		require.NoError(t, c.Conn.SetDeadline(time.Now().Add(time.Minute)))
@@ -51,7 +51,7 @@
 				ask(n)
 			}
 			if n >= 16 {
-				require.Equal(t, "answer", c.Read().What)
+				require.Equal(t, "answer", c.ReadReply().Kind)
 			}
 		}
 		each := (cpu(t, r) - before) / float64(requests) * 1e6
@@ -62,28 +62,28 @@
 			float64(requests)/time.Since(began).Seconds(), each, each/base)
 	}
 	none := func(int) []string { return nil }
-	r := start(t, 1, standin.Store(0, standin.Row))
-	run("plain", r, r.Client(), none)
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow))
+	run("plain", r, r.NewClient(), none)
 
 	o := newOffice(t)
 	o.write(rightsOfAll, "limits: { checks_per_s: 1e6, checks_per_address_per_s: 1e6, cache_tokens: 20000 }")
-	r = start(t, 1, standin.Store(0, standin.Row), o.installed)
+	r = start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), o.installed)
 	one := o.sign("a", "desk-1", "")
-	run("token, cached", r, r.Client(), func(int) []string { return []string{"token", one} })
+	run("token, cached", r, r.NewClient(), func(int) []string { return []string{"token", one} })
 	requests = 6000 // ticks of 10 ms are fine enough for what costs more
 	many := make([]string, requests)
 	for n := range many {
 		many[n] = o.sign("a", "desk-1", fmt.Sprint(n))
 	}
-	run("token, not cached", r, r.Client(), func(n int) []string { return []string{"token", many[n]} })
+	run("token, not cached", r, r.NewClient(), func(n int) []string { return []string{"token", many[n]} })
 
 	requests = 30_000
 	w := newTown(t, "request", townRights)
-	r = start(t, 1, standin.Store(0, standin.Row), w.installed)
+	r = start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), w.installed)
 	config, _ := w.client("spiffe://town/desk/4", w.ca)
 	run("mutual TLS", r, w.must(r, config), none)
 	w = newTown(t, "none", "")
-	r = start(t, 1, standin.Store(0, standin.Row), w.installed)
+	r = start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), w.installed)
 	config, _ = w.client("", w.ca)
 	run("TLS", r, w.must(r, config), none)
 
@@ -106,23 +106,23 @@
 			shakes/time.Since(began).Seconds(), (cpu(t, r)-before)/shakes*1e6)
 	}
 
-	for name, connect := range map[string]func(r *standin.Rig, w *town) *standin.Client{
-		"plain": func(r *standin.Rig, _ *town) *standin.Client { return r.Client() },
-		"TLS":   func(r *standin.Rig, w *town) *standin.Client { return w.must(r, config) },
+	for name, connect := range map[string]func(r *standin.Harness, w *town) *standin.Client{
+		"plain": func(r *standin.Harness, _ *town) *standin.Client { return r.NewClient() },
+		"TLS":   func(r *standin.Harness, w *town) *standin.Client { return w.must(r, config) },
 	} {
-		r := start(t, 1, standin.Store(0, standin.Row))
+		r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow))
 		if name == "TLS" {
-			r = start(t, 1, standin.Store(0, standin.Row), w.installed)
+			r = start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), w.installed)
 		}
 		for range 20 {
 			require.True(t, connect(r, w).Healthy())
 		}
-		before := r.PeakMB()
+		before := r.PeakMemoryMB()
 		const idle = 300
 		for range idle {
 			require.True(t, connect(r, w).Healthy())
 		}
-		t.Logf("idle connections, %-10s %6.1f KB each (of the peak)", name, float64(r.PeakMB()-before)*1024/idle)
+		t.Logf("idle connections, %-10s %6.1f KB each (of the peak)", name, float64(r.PeakMemoryMB()-before)*1024/idle)
 	}
 	began := time.Now()
 	leaf, err := w.ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, For: time.Hour})
@@ -145,9 +145,9 @@
 		t.Skip("measures: make measure")
 	}
 	o := newOffice(t)
-	r := start(t, 1, standin.Store(0, standin.Row), o.installed)
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), o.installed)
 	good := o.sign("a", "desk-1", "")
-	c := r.Client()
+	c := r.NewClient()
 	require.NoError(t, c.Conn.SetDeadline(time.Now().Add(time.Minute)))
 	n := 0
 	times := func() (median, most time.Duration) {
@@ -156,7 +156,7 @@
 			n++
 			began := time.Now()
 			with(c, n, "lookup", "SELECT 1 FROM s_1.t", good)
-			require.Equal(t, "answer", c.Read().What)
+			require.Equal(t, "answer", c.ReadReply().Kind)
 			all = append(all, time.Since(began))
 		}
 		slices.Sort(all)
--- a/cmd/chutechute/membership_page_test.go
+++ b/cmd/chutechute/membership_page_test.go
@@ -39,8 +39,8 @@
 	t.Parallel()
 	script := commands(t, "../../docs/operators/membership.md")
 	require.Contains(t, script, pageAddresses)
-	script = strings.ReplaceAll(script, pageAddresses, standin.Loopback()+".")
-	ctx, cancel := context.WithTimeout(t.Context(), 2*standin.Patience)
+	script = strings.ReplaceAll(script, pageAddresses, standin.LoopbackPrefix()+".")
+	ctx, cancel := context.WithTimeout(t.Context(), 2*standin.WaitTimeout)
 	defer cancel()
 	said, err := os.Create(filepath.Join(t.TempDir(), "said")) // no pipe, that what is left behind would keep open
 	require.NoError(t, err)
--- a/cmd/chutechute/places_test.go
+++ b/cmd/chutechute/places_test.go
@@ -21,15 +21,15 @@
 // free. The one that waits kept the loop from resting.
 func TestNoDescriptorIsWaitedForAtRest(t *testing.T) {
 	r := start(t, 0, nil) // requests are held, as there is no engine: their clients can't be done without
-	journal, _ := r.Accept()
+	journal, _ := r.AcceptDiscovery()
 	defer journal.Close()
-	r.HoldDescriptors(2)
+	r.LimitDescriptors(2)
 	var all []*standin.Client
 	for waits := false; !waits; {
 		n := len(all) + 1
 		require.Less(t, n, 50)
-		c := r.Client()
-		c.Ask("INSERT INTO s_1.t", "call", standin.ID(n), "op", "load", "ttl", "20000", "dedupe", fmt.Sprint(n), "work", "10.0")
+		c := r.NewClient()
+		c.SendRequest("INSERT INTO s_1.t", "call", standin.RequestID(n), "op", "load", "ttl", "20000", "dedupe", fmt.Sprint(n), "work", "10.0")
 		for tries := 0; r.Counter("requests taken") < n && !waits; tries++ {
 			waits = tries > 20 && strings.Contains(r.Log.String(), "msg=accept")
 			time.Sleep(5 * time.Millisecond)
@@ -43,34 +43,34 @@
 	assert.Less(t, tries, 2+int(time.Since(begun)/(20*time.Millisecond)), "one a tick")
 	taken := r.Counter("requests taken")
 	all[0].Conn.Close()
-	require.Eventually(t, func() bool { return r.Counter("requests taken") == taken+1 }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return r.Counter("requests taken") == taken+1 }, standin.WaitTimeout, time.Millisecond)
 }
 
 // A client that takes the last descriptor and says nothing yet keeps its place: nobody waits behind it. It was closed unread where
 // its first bytes came after its connection had been accepted.
 func TestLastDescriptorServesWhoTookIt(t *testing.T) {
-	r := start(t, 1, standin.Store(0, standin.Row))
-	journal, _ := r.Accept()
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow))
+	journal, _ := r.AcceptDiscovery()
 	defer journal.Close()
-	r.HoldDescriptors(1)
-	c := r.Client()
-	require.Eventually(t, func() bool { return r.Counter("connections from clients") == 1 }, standin.Patience, time.Millisecond)
-	c.Ask("SELECT * FROM s_1.t", "call", standin.ID(1), "op", "lookup", "ttl", "5000", "work", "1.0")
-	require.Eventually(t, func() bool { return r.Counter("requests taken") == 1 }, standin.Patience, time.Millisecond)
+	r.LimitDescriptors(1)
+	c := r.NewClient()
+	require.Eventually(t, func() bool { return r.Counter("connections from clients") == 1 }, standin.WaitTimeout, time.Millisecond)
+	c.SendRequest("SELECT * FROM s_1.t", "call", standin.RequestID(1), "op", "lookup", "ttl", "5000", "work", "1.0")
+	require.Eventually(t, func() bool { return r.Counter("requests taken") == 1 }, standin.WaitTimeout, time.Millisecond)
 	assert.Zero(t, r.Counter("connections ended by their clients"))
 }
 
 // Clients that rest, say half of something or nothing fill their share while discovery is down; the watch is made again, engines
 // get their connections and new clients their turn all the same.
 func TestPlacesWhileDiscoveryIsDown(t *testing.T) {
-	r := start(t, 3, standin.Store(0, standin.Row), func(r *standin.Rig) { r.Sockets = 64 })
-	conn, _ := r.Accept()
+	r := start(t, 3, standin.SucceedAfterPolls(0, standin.ResultRow), func(r *standin.Harness) { r.SocketLimit = 64 })
+	conn, _ := r.AcceptDiscovery()
 	conn.Close()
-	addr := r.Journal.Addr().String()
-	r.Journal.Close()
-	r.AwaitLog("connection refused")
+	addr := r.DiscoveryListener.Addr().String()
+	r.DiscoveryListener.Close()
+	r.WaitForLog("connection refused")
 	for n := range 90 {
-		c := r.Client()
+		c := r.NewClient()
 		switch n % 3 {
 		case 0:
 			require.True(t, c.Healthy())
@@ -79,19 +79,19 @@
 			require.NoError(t, err)
 		}
 	}
-	require.NoError(t, r.ListenJournal(addr))
-	back, last := r.Accept()
+	require.NoError(t, r.ListenDiscovery(addr))
+	back, last := r.AcceptDiscovery()
 	assert.EqualValues(t, 41, last)
-	_, err := back.Write(standin.Frame(42, 2, r.Engines[0].Record(1)))
+	_, err := back.Write(standin.DiscoveryFrame(42, 2, r.Engines[0].DiscoveryRecord(1)))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return r.Counter("frames from the journal") == 1 }, standin.Patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return r.Counter("frames from the journal") == 1 }, standin.WaitTimeout, 5*time.Millisecond)
 	for n := range 20 {
-		c := r.Client()
-		c.Ask(fmt.Sprintf("SELECT * FROM s_%d.t", n), "call", standin.ID(n), "op", "lookup", "ttl", "5000", "work", "1.0")
-		require.Equal(t, "answer", c.Read().What)
+		c := r.NewClient()
+		c.SendRequest(fmt.Sprintf("SELECT * FROM s_%d.t", n), "call", standin.RequestID(n), "op", "lookup", "ttl", "5000", "work", "1.0")
+		require.Equal(t, "answer", c.ReadReply().Kind)
 	}
-	assert.LessOrEqual(t, r.Descriptors(), 64)
-	for _, p := range r.Got("POST", "/") {
+	assert.LessOrEqual(t, r.DescriptorCount(), 64)
+	for _, p := range r.Requests("POST", "/") {
 		assert.NotEqual(t, r.Engines[0].Name, p.Engine, "it drains")
 	}
 }
@@ -99,14 +99,14 @@
 // Nothing of one request is used for another, whatever is recycled meanwhile: numbers of sequence, connections, descriptors, and
 // settings by a reload, those that can't be used too.
 func TestNothingOfAnotherRequest(t *testing.T) {
-	r := start(t, 3, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 3, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		if c.Method != "POST" {
 			w.WriteHeader(204)
 			return
 		}
 		h := c.Header
-		standin.Serve(w, h.Get("Request-Id")+"\t"+h.Get("Kind")+"/"+h.Get("Once-Key")+"\t"+c.Body+"\n")
-	}, func(r *standin.Rig) {
+		standin.RespondResult(w, h.Get("Request-Id")+"\t"+h.Get("Kind")+"/"+h.Get("Once-Key")+"\t"+c.Body+"\n")
+	}, func(r *standin.Harness) {
 		r.Settings["tenants"] = []any{map[string]any{"name": "t", "quota_per_s": 1000, "share": 0.5},
 			map[string]any{"name": "u", "quota_per_s": 1000, "share": 0.5}}
 	})
@@ -114,14 +114,14 @@
 	for round := range rounds {
 		var all []*standin.Client
 		for k := range clients {
-			c := r.Client()
+			c := r.NewClient()
 			n := round*clients + k
 			op, once := "lookup", ""
 			if n%3 == 0 {
 				op, once = "load", fmt.Sprintf("once-%d", n)
 			}
 			tenant := []string{"t", "u"}[n%2]
-			c.Ask(fmt.Sprintf("SELECT %d FROM s_%d.t", n, n%5), "call", standin.ID(n), "op", op, "ttl", "9000", "org", tenant, "dedupe", once,
+			c.SendRequest(fmt.Sprintf("SELECT %d FROM s_%d.t", n, n%5), "call", standin.RequestID(n), "op", op, "ttl", "9000", "org", tenant, "dedupe", once,
 				"row", once, "work", "1.0")
 			if n%7 == 0 {
 				c.Conn.Close()
@@ -130,14 +130,14 @@
 			all = append(all, c)
 		}
 		if round%10 == 0 {
-			r.Config["journal"] = []any{7, r.Journal.Addr().String()}[round/10%2]
-			r.Write()
+			r.NodeConfig["journal"] = []any{7, r.DiscoveryListener.Addr().String()}[round/10%2]
+			r.WriteNodeConfig()
 			r.Signal(syscall.SIGHUP)
 		}
 		for _, c := range all {
-			p := c.Read()
-			require.Equal(t, "answer", p.What)
-			part := strings.Split(strings.TrimSuffix(p.Body(), "\n"), "\t")
+			p := c.ReadReply()
+			require.Equal(t, "answer", p.Kind)
+			part := strings.Split(strings.TrimSuffix(p.Rows(), "\n"), "\t")
 			var n int
 			_, err := fmt.Sscanf(part[0], "%x", &n)
 			require.NoError(t, err)
@@ -152,7 +152,7 @@
 		}
 	}
 	seen := map[string]bool{}
-	for _, p := range r.Got("POST", "/") {
+	for _, p := range r.Requests("POST", "/") {
 		assert.False(t, seen[p.Header.Get("Request-Id")], "sent twice")
 		seen[p.Header.Get("Request-Id")] = true
 	}
@@ -167,20 +167,20 @@
 	var mu sync.Mutex
 	closed := map[string]int{} // connections that ended, by the engine's address
 	var cut atomic.Int32       // questions about loads whose connection was closed before they were answered
-	r := start(t, engines, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, engines, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		select {
 		case <-released:
-			standin.Serve(w, standin.Row)
-		case <-c.Gone:
-			if path := strings.Split(c.Path, "/"); c.Method == "GET" && path[3] < standin.ID(100) {
+			standin.RespondResult(w, standin.ResultRow)
+		case <-c.Done:
+			if path := strings.Split(c.Path, "/"); c.Method == "GET" && path[3] < standin.RequestID(100) {
 				cut.Add(1)
 			}
 		case <-time.After(50 * time.Millisecond):
 			w.WriteHeader(202)
 		}
-	}, func(r *standin.Rig) {
-		r.Sockets = 64
-		r.Conns = func(conn net.Conn, state http.ConnState) {
+	}, func(r *standin.Harness) {
+		r.SocketLimit = 64
+		r.OnConnState = func(conn net.Conn, state http.ConnState) {
 			if state == http.StateClosed {
 				mu.Lock()
 				defer mu.Unlock()
@@ -188,14 +188,14 @@
 			}
 		}
 	})
-	client := r.Client()
+	client := r.NewClient()
 	for n := range loads {
-		client.Ask(fmt.Sprintf("INSERT INTO s_%d.t", n), "call", standin.ID(1+n), "op", "load", "ttl", "60000", "dedupe", fmt.Sprint(n),
+		client.SendRequest(fmt.Sprintf("INSERT INTO s_%d.t", n), "call", standin.RequestID(1+n), "op", "load", "ttl", "60000", "dedupe", fmt.Sprint(n),
 			"row", fmt.Sprint(n), "work", "10.0")
 	}
 	at := map[string][]string{} // loads by their engines
 	drains := r.Engines[0]
-	for _, p := range r.Await(loads, "POST", "/") {
+	for _, p := range r.WaitForRequests(loads, "POST", "/") {
 		at[p.Engine] = append(at[p.Engine], p.Header.Get("Request-Id"))
 	}
 	for _, e := range r.Engines {
@@ -205,31 +205,31 @@
 	}
 	require.Greater(t, len(at[drains.Name]), 1)
 	require.NoError(t, drains.Server.Listener.Close())
-	many := [2]*standin.Client{r.Client(), r.Client()}
+	many := [2]*standin.Client{r.NewClient(), r.NewClient()}
 	for n := range lookups {
-		many[n%2].Ask(fmt.Sprintf("SELECT * FROM s_%d.t", n), "call", standin.ID(100+n), "op", "lookup", "ttl", "60000", "work", "1.0")
+		many[n%2].SendRequest(fmt.Sprintf("SELECT * FROM s_%d.t", n), "call", standin.RequestID(100+n), "op", "lookup", "ttl", "60000", "work", "1.0")
 	}
-	require.Eventually(t, func() bool { return len(r.Got("GET", "/")) > 10*lookups }, standin.Patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return len(r.Requests("GET", "/")) > 10*lookups }, standin.WaitTimeout, 5*time.Millisecond)
 	for range newcomers {
-		c := r.Client()
+		c := r.NewClient()
 		_, err := c.Conn.Write([]byte{0, 0, 1, 0, 0x80, 1})
 		if err == nil {
 			defer c.Conn.Close()
 		}
 	}
 	for _, load := range at[drains.Name] {
-		asked := func() int { return len(r.Got("GET", "/v1/store/"+load)) }
+		asked := func() int { return len(r.Requests("GET", "/v1/store/"+load)) }
 		before := asked()
-		require.Eventually(t, func() bool { return asked() > before+20 }, standin.Patience, 5*time.Millisecond, "load %s is asked after no more", load)
+		require.Eventually(t, func() bool { return asked() > before+20 }, standin.WaitTimeout, 5*time.Millisecond, "load %s is asked after no more", load)
 	}
 	mu.Lock()
 	assert.Zero(t, closed[drains.Addr.String()], "connections to the engine that drains were closed")
 	mu.Unlock()
 	assert.Zero(t, cut.Load(), "connections were closed under questions about loads")
-	assert.LessOrEqual(t, r.Descriptors(), 64)
+	assert.LessOrEqual(t, r.DescriptorCount(), 64)
 	close(released)
 	for range loads {
-		assert.Equal(t, "answer", client.Read().What)
+		assert.Equal(t, "answer", client.ReadReply().Kind)
 	}
-	assert.Len(t, r.Got("POST", "/"), loads+lookups, "nothing was sent twice")
+	assert.Len(t, r.Requests("POST", "/"), loads+lookups, "nothing was sent twice")
 }
--- a/cmd/chutechute/restart_test.go
+++ b/cmd/chutechute/restart_test.go
@@ -21,44 +21,44 @@
 // SIGHUP takes over a new journal address at once, from the last event known, while all goes on: it ended the
 // program before. A file that can't be used is logged with its key and the old one stays in force.
 func TestReload(t *testing.T) {
-	r := start(t, 2, standin.Store(3, standin.Row))
-	old, _ := r.Accept()
-	_, err := old.Write(standin.Frame(42, 2, r.Engines[0].Record(1)))
+	r := start(t, 2, standin.SucceedAfterPolls(3, standin.ResultRow))
+	old, _ := r.AcceptDiscovery()
+	_, err := old.Write(standin.DiscoveryFrame(42, 2, r.Engines[0].DiscoveryRecord(1)))
 	require.NoError(t, err)
-	c := r.Client()
+	c := r.NewClient()
 	for name, journal := range map[string]any{"config: journal: .*nowhere": "nowhere", "config: .*cannot unmarshal": 7} {
 		load2(c, len(name))
-		r.Config["journal"] = journal
-		r.Write()
+		r.NodeConfig["journal"] = journal
+		r.WriteNodeConfig()
 		r.Signal(syscall.SIGHUP)
 		require.Eventually(t, func() bool { return regexp.MustCompile(name).MatchString(r.Log.String()) },
-			standin.Patience, time.Millisecond)
-		assert.Equal(t, "answer", c.Read().What)
+			standin.WaitTimeout, time.Millisecond)
+		assert.Equal(t, "answer", c.ReadReply().Kind)
 	}
 	journal, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer journal.Close()
-	r.Journal, r.Config["journal"], r.Config["seed"] = journal, journal.Addr().String(), "77"
-	r.Write()
+	r.DiscoveryListener, r.NodeConfig["journal"], r.NodeConfig["seed"] = journal, journal.Addr().String(), "77"
+	r.WriteNodeConfig()
 	load2(c, 3)
-	r.Await(3, "POST", "/")
+	r.WaitForRequests(3, "POST", "/")
 	r.Signal(syscall.SIGHUP)
-	conn, last := r.Accept()
+	conn, last := r.AcceptDiscovery()
 	assert.EqualValues(t, 42, last)
-	assert.True(t, r.Client().Healthy())
+	assert.True(t, r.NewClient().Healthy())
 	_, err = old.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF, "the old connection is kept")
-	_, err = conn.Write(standin.Frame(43, 2, r.Engines[0].Record(0), r.Engines[1].Record(1)))
+	_, err = conn.Write(standin.DiscoveryFrame(43, 2, r.Engines[0].DiscoveryRecord(0), r.Engines[1].DiscoveryRecord(1)))
 	require.NoError(t, err)
-	assert.Equal(t, "answer", c.Read().What)
+	assert.Equal(t, "answer", c.ReadReply().Kind)
 	require.Eventually(t, func() bool {
 		r.Signal(syscall.SIGUSR1)
 		return strings.Contains(r.Log.String(), "frames from the journal                       2")
-	}, standin.Patience, 10*time.Millisecond)
+	}, standin.WaitTimeout, 10*time.Millisecond)
 	load2(c, 4)
-	assert.Equal(t, "answer", c.Read().What)
-	assert.Equal(t, r.Engines[0].Name, r.Got("POST", "/")[3].Engine)
-	r.AwaitLog("take effect at the next start\" keys=[seed]")
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	assert.Equal(t, r.Engines[0].Name, r.Requests("POST", "/")[3].Engine)
+	r.WaitForLog("take effect at the next start\" keys=[seed]")
 	r.Signal(syscall.SIGHUP) // a planned end goes on whatever else is told
 	r.Signal(syscall.SIGTERM)
 	r.Signal(syscall.SIGHUP)
@@ -68,37 +68,37 @@
 // At a planned restart health turns bad, newcomers and open requests are served, and the exit is clean.
 func TestPlannedRestart(t *testing.T) {
 	var release atomic.Bool
-	r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		if !release.Load() {
 			time.Sleep(20 * time.Millisecond)
 			w.WriteHeader(202)
 			return
 		}
-		standin.Serve(w, standin.Row)
+		standin.RespondResult(w, standin.ResultRow)
 	})
-	old := r.Client()
+	old := r.NewClient()
 	load2(old, 1)
-	r.Await(1, "POST", "/")
+	r.WaitForRequests(1, "POST", "/")
 	r.Signal(syscall.SIGTERM)
 	var c *standin.Client // a newcomer
-	require.Eventually(t, func() bool { c = r.Client(); return !c.Healthy() }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { c = r.NewClient(); return !c.Healthy() }, standin.WaitTimeout, time.Millisecond)
 	load2(c, 2)
-	r.Await(2, "POST", "/")
+	r.WaitForRequests(2, "POST", "/")
 	release.Store(true)
-	assert.Equal(t, "answer", c.Read().What)
-	assert.Equal(t, "answer", old.Read().What)
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	assert.Equal(t, "answer", old.ReadReply().Kind)
 	assert.NoError(t, <-r.Exited)
 	assert.Contains(t, r.Log.String(), "answers served                                2")
 }
 
 // What can't end before the process may be killed is answered all the same.
 func TestPlannedRestartAnswersWhatCannotEnd(t *testing.T) {
-	r := start(t, 1, standin.Store(1000, standin.Row))
-	c := r.Client()
+	r := start(t, 1, standin.SucceedAfterPolls(1000, standin.ResultRow))
+	c := r.NewClient()
 	load2(c, 1)
-	r.Await(1, "POST", "/")
+	r.WaitForRequests(1, "POST", "/")
 	r.Signal(syscall.SIGTERM)
-	assert.Equal(t, "shed", c.Read().What)
+	assert.Equal(t, "shed", c.ReadReply().Kind)
 	assert.NoError(t, <-r.Exited)
 }
 
@@ -133,8 +133,8 @@
 		`class "c": unknown repeat "odd"`: {"listen": "127.0.0.1:0", "journal": "127.0.0.1:1", "seed": "1",
 			"settings": map[string]any{"classes": []any{map[string]any{"name": "c", "repeat": "odd"}}}},
 	} {
-		r := &standin.Rig{T: t, Program: program, Log: &standin.LockedBuffer{}, Exited: make(chan error, 1)}
-		r.Run(config)
+		r := &standin.Harness{T: t, Program: program, Log: &standin.LogBuffer{}, Exited: make(chan error, 1)}
+		r.StartProcess(config)
 		assert.Error(t, <-r.Exited)
 		assert.Regexp(t, "config: .*"+key, r.Log.String())
 	}
--- a/cmd/chutechute/statement_test.go
+++ b/cmd/chutechute/statement_test.go
@@ -26,9 +26,9 @@
 const rules = `[{ class: 'report', tables: ['stats_*'] }, { class: 'lookup', cost_ms: 900 }, { class: 'report' }, { class: 'load' }]`
 
 // install writes an installation file and starts the program with it; a class for reports joins the site's.
-func install(t *testing.T, path, statement string) func(*standin.Rig) {
+func install(t *testing.T, path, statement string) func(*standin.Harness) {
 	write(t, path, statement)
-	return func(r *standin.Rig) {
+	return func(r *standin.Harness) {
 		r.Args = []string{"serve", "--installation", path, "--log-level", "debug"}
 		classes := r.Settings["classes"].([]any)
 		r.Settings["classes"] = append(classes, map[string]any{"name": "report", "on_time": 4.0, "aim_stretch": 2.5, "give_up": 25.0,
@@ -48,13 +48,13 @@
 
 // bare asks without class or figures.
 func bare(c *standin.Client, n int, statement string, fields ...string) int32 {
-	return c.Ask(statement, append([]string{"call", standin.ID(n), "ttl", "9000", "org", "t"}, fields...)...)
+	return c.SendRequest(statement, append([]string{"call", standin.RequestID(n), "ttl", "9000", "org", "t"}, fields...)...)
 }
 
 // Bare look-ups, reports and loads are served under the class that the rules give them, and groups are kept.
 func TestBareStatements(t *testing.T) {
-	r := start(t, 1, standin.Store(0, standin.Row), install(t, file(t), "rules: "+rules))
-	c := r.Client()
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), install(t, file(t), "rules: "+rules))
+	c := r.NewClient()
 	for i, one := range []struct{ text, kind string }{
 		{"SELECT * FROM ops_7.flights WHERE id = 3", "lookup"},
 		{"SELECT gate, sum(n) FROM stats_2.daily GROUP BY gate", "report"},
@@ -62,37 +62,37 @@
 		{"WITH d AS (DELETE FROM ops_7.old RETURNING *) SELECT * FROM d", "load"},
 	} {
 		bare(c, i, one.text)
-		assert.Equal(t, "answer", c.Read().What, one.text)
-		post := r.Got("POST", "/")[i]
-		assert.Equal(t, []string{one.kind, one.text, standin.ID(i)}, []string{post.Header.Get("Kind"), post.Body,
+		assert.Equal(t, "answer", c.ReadReply().Kind, one.text)
+		post := r.Requests("POST", "/")[i]
+		assert.Equal(t, []string{one.kind, one.text, standin.RequestID(i)}, []string{post.Header.Get("Kind"), post.Body,
 			post.Header.Get("Request-Id")})
 	}
 	// What is told stands before what is read.
 	bare(c, 9, "SELECT * FROM ops_7.flights WHERE id = 3", "op", "report")
-	assert.Equal(t, "answer", c.Read().What)
-	assert.Equal(t, "report", r.Got("POST", "/")[4].Header.Get("Kind"))
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	assert.Equal(t, "report", r.Requests("POST", "/")[4].Header.Get("Kind"))
 	// No class of that name, whatever the statement is.
 	bare(c, 10, "SELECT 1", "op", "none")
-	assert.Equal(t, "exception", c.Read().What)
+	assert.Equal(t, "exception", c.ReadReply().Kind)
 }
 
 // Without the installation file a class has to be told.
 func TestBareStatementsAreOffByThemselves(t *testing.T) {
-	r := start(t, 1, standin.Store(0, standin.Row))
-	c := r.Client()
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow))
+	c := r.NewClient()
 	bare(c, 1, "SELECT * FROM ops_7.flights")
-	p := c.Read()
-	assert.Equal(t, "exception", p.What)
-	assert.Contains(t, p.Raw, "unknown class")
-	assert.Empty(t, r.Got("POST", "/"))
+	p := c.ReadReply()
+	assert.Equal(t, "exception", p.Kind)
+	assert.Contains(t, p.Payload, "unknown class")
+	assert.Empty(t, r.Requests("POST", "/"))
 }
 
 // resets ends each connection once a start has come whole on it, and knows nothing of the query afterwards.
-func resets(t *testing.T) standin.Answer {
-	return func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+func resets(t *testing.T) standin.EngineHandler {
+	return func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		switch c.Method {
 		case "POST":
-			standin.Raw(w, "", true)
+			standin.RespondRaw(w, "", true)
 		case "DELETE":
 			w.WriteHeader(204)
 		default:
@@ -105,7 +105,7 @@
 // told, be it a safe one. A look-up goes on elsewhere.
 func TestBareLoadRunsOnce(t *testing.T) {
 	r := start(t, 3, resets(t), install(t, file(t), "rules: "+rules))
-	c := r.Client()
+	c := r.NewClient()
 	for i, one := range []struct {
 		text   string
 		fields []string
@@ -117,15 +117,15 @@
 		{"SELECT nextval('s') FROM ops_7.t FOR UPDATE", nil, 1},
 		{"DELETE FROM ops_7.t", []string{"op", "load", "dedupe", "d1"}, 2},
 	} {
-		before := len(r.Got("POST", "/"))
+		before := len(r.Requests("POST", "/"))
 		bare(c, i, one.text, one.fields...)
-		p := c.Read()
-		assert.Contains(t, []string{"fault", "shed"}, p.What, one.text)
+		p := c.ReadReply()
+		assert.Contains(t, []string{"fault", "shed"}, p.Kind, one.text)
 		if one.posts == 1 {
-			assert.Equal(t, "fault", p.What, "%s: it may have run", one.text)
-			assert.Equal(t, before+1, len(r.Got("POST", "/")), one.text)
+			assert.Equal(t, "fault", p.Kind, "%s: it may have run", one.text)
+			assert.Equal(t, before+1, len(r.Requests("POST", "/")), one.text)
 		} else {
-			assert.GreaterOrEqual(t, len(r.Got("POST", "/")), before+one.posts, one.text)
+			assert.GreaterOrEqual(t, len(r.Requests("POST", "/")), before+one.posts, one.text)
 		}
 	}
 	assert.True(t, c.Healthy(), "each was answered once: the next message is that of health")
@@ -135,53 +135,53 @@
 func TestUnparsable(t *testing.T) {
 	path := file(t)
 	r := start(t, 2, resets(t), install(t, path, "unparsed: 'fail', rules: "+rules))
-	c := r.Client()
+	c := r.NewClient()
 	bare(c, 1, "SELECT a\nFROM WHERE")
-	p := c.Read()
-	assert.Equal(t, "exception", p.What)
-	assert.Contains(t, p.Raw, "line 2, column 6: expected a table, found where")
-	assert.Empty(t, r.Got("POST", "/"))
+	p := c.ReadReply()
+	assert.Equal(t, "exception", p.Kind)
+	assert.Contains(t, p.Payload, "line 2, column 6: expected a table, found where")
+	assert.Empty(t, r.Requests("POST", "/"))
 
 	write(t, path, "unparsed: 'once', unparsed_class: 'lookup', rules: "+rules)
 	r.Signal(syscall.SIGHUP)
-	r.AwaitLog("reloaded")
+	r.WaitForLog("reloaded")
 	bare(c, 2, "INGEST MANIFEST INTO s_3.t")
-	assert.Equal(t, "fault", c.Read().What)
-	posts := r.Got("POST", "/")
+	assert.Equal(t, "fault", c.ReadReply().Kind)
+	posts := r.Requests("POST", "/")
 	require.Len(t, posts, 1)
 	assert.Equal(t, "lookup", posts[0].Header.Get("Kind"))
 	// A client that tells the class is served under it, but no guess lets it run twice.
 	bare(c, 3, "INGEST MANIFEST INTO s_3.t", "op", "report")
-	assert.Equal(t, "fault", c.Read().What)
-	assert.Len(t, r.Got("POST", "/"), 2)
+	assert.Equal(t, "fault", c.ReadReply().Kind)
+	assert.Len(t, r.Requests("POST", "/"), 2)
 	assert.True(t, c.Healthy())
 }
 
 // One attempt is one: not even a start that an engine is known to have refused is sent again.
 func TestUnparsableIsSentOnce(t *testing.T) {
-	full := func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	full := func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		w.Header().Set("Never-Ran", "1")
 		w.WriteHeader(503)
 	}
 	r := start(t, 2, full, install(t, file(t), "unparsed: 'once', unparsed_class: 'load', rules: "+rules))
-	c := r.Client()
+	c := r.NewClient()
 	bare(c, 1, "INGEST MANIFEST INTO s_3.t", "row", "k")
-	assert.Equal(t, "shed", c.Read().What, "it never ran")
-	assert.Len(t, r.Got("POST", "/"), 1)
+	assert.Equal(t, "shed", c.ReadReply().Kind, "it never ran")
+	assert.Len(t, r.Requests("POST", "/"), 1)
 }
 
 // Loads of one key that were not told as such, and one that can't be read between them, run one at a time in the
 // order in which they came.
 func TestBareLoadsKeepTheirOrder(t *testing.T) {
 	var running, most atomic.Int32
-	slow := func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	slow := func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		most.Store(max(most.Load(), running.Add(1)))
 		time.Sleep(30 * time.Millisecond)
 		running.Add(-1)
-		standin.Serve(w, standin.Row)
+		standin.RespondResult(w, standin.ResultRow)
 	}
 	r := start(t, 3, slow, install(t, file(t), "unparsed: 'once', unparsed_class: 'load', rules: "+rules))
-	c := r.Client()
+	c := r.NewClient()
 	for i := range 6 {
 		text := "INSERT INTO ops_7.flights VALUES (1)"
 		if i%2 == 1 {
@@ -190,10 +190,10 @@
 		bare(c, i, text, "row", "k")
 	}
 	for range 6 {
-		assert.Equal(t, "answer", c.Read().What)
+		assert.Equal(t, "answer", c.ReadReply().Kind)
 	}
-	for i, p := range r.Got("POST", "/") {
-		assert.Equal(t, standin.ID(i), p.Header.Get("Request-Id"))
+	for i, p := range r.Requests("POST", "/") {
+		assert.Equal(t, standin.RequestID(i), p.Header.Get("Request-Id"))
 	}
 	assert.Equal(t, int32(1), most.Load())
 }
@@ -203,36 +203,36 @@
 func TestOneShapeCheapAndDear(t *testing.T) {
 	var release sync.WaitGroup
 	release.Add(1)
-	r := start(t, 1, func(r *standin.Rig, w http.ResponseWriter, c standin.Call) {
+	r := start(t, 1, func(r *standin.Harness, w http.ResponseWriter, c standin.EngineRequest) {
 		if c.Method == "POST" && strings.Contains(c.Body, "999999") && strings.HasSuffix(c.Body, "-- hold") {
 			release.Wait()
 		}
-		standin.Serve(w, standin.Row)
-	}, install(t, file(t), "rules: "+rules), func(r *standin.Rig) {
+		standin.RespondResult(w, standin.ResultRow)
+	}, install(t, file(t), "rules: "+rules), func(r *standin.Harness) {
 		r.Settings["domain"].(map[string]any)["cpu_of_kind"] = []any{4}
 	})
 	defer release.Done()
-	c := r.Client()
+	c := r.NewClient()
 	text := func(width int) string {
 		return fmt.Sprintf("SELECT sum(a) FROM ops_7.t WHERE d BETWEEN 0 AND %d", width)
 	}
 	for i := range 30 { // what the client tells is learned from
 		bare(c, 2*i, text(10), "work", "20")
-		c.Read()
+		c.ReadReply()
 		bare(c, 2*i+1, text(999999), "work", "8000")
-		c.Read()
+		c.ReadReply()
 	}
-	dear := r.Client()
+	dear := r.NewClient()
 	for i := range 20 {
 		bare(dear, 100+i, text(999999)+" -- hold")
 	}
-	r.Await(61, "POST", "/")
+	r.WaitForRequests(61, "POST", "/")
 	for i := range 10 {
 		bare(c, 200+i, text(10+i))
-		assert.Equal(t, "answer", c.Read().What)
+		assert.Equal(t, "answer", c.ReadReply().Kind)
 	}
 	kinds := map[string]int{}
-	for _, p := range r.Got("POST", "/")[60:] {
+	for _, p := range r.Requests("POST", "/")[60:] {
 		kinds[fmt.Sprint(p.Header.Get("Kind"), strings.Contains(p.Body, "999999"))]++
 	}
 	assert.Equal(t, 10, kinds["lookupfalse"])
@@ -244,36 +244,36 @@
 // used changes nothing and is told of with its key.
 func TestRulesAreReloadedUnderLoad(t *testing.T) {
 	path := file(t)
-	r := start(t, 2, standin.Store(1, standin.Row), install(t, path, "rules: "+rules))
-	c := r.Client()
+	r := start(t, 2, standin.SucceedAfterPolls(1, standin.ResultRow), install(t, path, "rules: "+rules))
+	c := r.NewClient()
 	answered := func(from, n int) {
 		for i := range n {
 			bare(c, from+i, "SELECT * FROM ops_7.flights WHERE id = 3")
 		}
 	}
 	answered(0, 16)
-	r.Await(1, "POST", "/")
+	r.WaitForRequests(1, "POST", "/")
 	write(t, path, "rules: [{ class: 'report' }, { class: 'load' }]")
 	r.Signal(syscall.SIGHUP)
-	r.AwaitLog("reloaded")
+	r.WaitForLog("reloaded")
 	answered(16, 16)
 	for range 32 {
-		assert.Equal(t, "answer", c.Read().What)
+		assert.Equal(t, "answer", c.ReadReply().Kind)
 	}
-	assert.Equal(t, "report", r.Await(32, "POST", "/")[31].Header.Get("Kind"))
+	assert.Equal(t, "report", r.WaitForRequests(32, "POST", "/")[31].Header.Get("Kind"))
 	write(t, path, "rules: [{ class: 'nobody' }]")
 	r.Signal(syscall.SIGHUP)
-	r.AwaitLog("the old configuration stays in force")
-	r.AwaitLog("statement.rules[0].class")
+	r.WaitForLog("the old configuration stays in force")
+	r.WaitForLog("statement.rules[0].class")
 	answered(32, 1)
-	assert.Equal(t, "answer", c.Read().What)
-	assert.Equal(t, "report", r.Await(33, "POST", "/")[32].Header.Get("Kind"))
+	assert.Equal(t, "answer", c.ReadReply().Kind)
+	assert.Equal(t, "report", r.WaitForRequests(33, "POST", "/")[32].Header.Get("Kind"))
 	require.NoError(t, os.WriteFile(path, []byte("{ statement: { enabled: false } }"), 0o600))
 	r.Signal(syscall.SIGHUP)
 	require.Eventually(t, func() bool {
 		bare(c, 50, "SELECT 1")
-		return c.Read().What == "exception"
-	}, standin.Patience, 10*time.Millisecond)
+		return c.ReadReply().Kind == "exception"
+	}, standin.WaitTimeout, 10*time.Millisecond)
 }
 
 // command runs the program to its end.
@@ -380,12 +380,12 @@
 
 // The log can be JSON, a line an object.
 func TestLogFormat(t *testing.T) {
-	r := &standin.Rig{T: t, Program: program, Args: []string{"--log-format", "json"}, Log: &standin.LockedBuffer{}, Exited: make(chan error, 1)}
+	r := &standin.Harness{T: t, Program: program, Args: []string{"--log-format", "json"}, Log: &standin.LogBuffer{}, Exited: make(chan error, 1)}
 	var settings map[string]any
 	require.NoError(t, json.Unmarshal([]byte(standin.Settings), &settings))
-	r.Run(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "journal": "127.0.0.1:1", "seed": "1", "settings": settings,
+	r.StartProcess(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "journal": "127.0.0.1:1", "seed": "1", "settings": settings,
 		"known": map[string]any{"pos": 0, "entries": []any{}}})
-	r.AwaitLog(`"msg":"serving"`)
+	r.WaitForLog(`"msg":"serving"`)
 	line, _, _ := strings.Cut(r.Log.String(), "\n")
 	var object map[string]any
 	assert.NoError(t, json.Unmarshal([]byte(line), &object), line)
