--- a/cmd/chutechute/tls_test.go
+++ b/cmd/chutechute/tls_test.go
@@ -46,7 +46,7 @@
 	return w
 }
 
-func (w *town) installed(r *standin.Rig) {
+func (w *town) installed(r *standin.Harness) {
 	r.Args = []string{"serve", "--installation", w.installation, "--log-level", "debug"}
 }
 
@@ -91,8 +91,8 @@
 	return config, leaf
 }
 
-func (w *town) must(r *standin.Rig, config *tls.Config) *standin.Client {
-	c, err := r.Secure(config)
+func (w *town) must(r *standin.Harness, config *tls.Config) *standin.Client {
+	c, err := r.NewTLSClient(config)
 	require.NoError(w.t, err)
 	return c
 }
@@ -106,7 +106,7 @@
 func TestTLS(t *testing.T) {
 	w := newTown(t, "none", "")
 	page := strings.Repeat("aaaaaaaaaa\tbbbbbbbbbbbb\tcccccccccccc\n", 160)
-	r := start(t, 2, standin.Store(0, page, page, page, page, page, page, page), w.installed)
+	r := start(t, 2, standin.SucceedAfterPolls(0, page, page, page, page, page, page, page), w.installed)
 	config, _ := w.client("", w.ca)
 	config.ClientSessionCache = tls.NewLRUClientSessionCache(4)
 	for round := range 2 {
@@ -114,22 +114,22 @@
 		require.True(t, c.Healthy())
 		assert.Equal(t, round == 1, c.Conn.(*tls.Conn).ConnectionState().DidResume)
 		for n := range 32 {
-			c.Ask("SELECT 1 FROM s_1.t -- "+strings.Repeat("x", 20_000), "call", standin.ID(100*round+n), "op", "lookup", "ttl", "9000", "work", "10")
+			c.SendRequest("SELECT 1 FROM s_1.t -- "+strings.Repeat("x", 20_000), "call", standin.RequestID(100*round+n), "op", "lookup", "ttl", "9000", "work", "10")
 		}
 		for range 32 {
-			p := c.Read()
-			require.Equal(t, "answer", p.What)
-			assert.Equal(t, strings.Repeat(page, 7), p.Body())
+			p := c.ReadReply()
+			require.Equal(t, "answer", p.Kind)
+			assert.Equal(t, strings.Repeat(page, 7), p.Rows())
 		}
 	}
-	plain := r.Client()
-	plain.Send(1, "health")
+	plain := r.NewClient()
+	plain.SendMessage(1, "health")
 	_, err := plain.Conn.Read(make([]byte, 1))
 	assert.Error(t, err)
 	other, err := certs.NewCA("elsewhere", time.Hour)
 	require.NoError(t, err)
 	config, _ = w.client("", other)
-	_, err = r.Secure(config)
+	_, err = r.NewTLSClient(config)
 	assert.Error(t, err, "a client that does not know the authority")
 	assert.True(t, w.must(r, func() *tls.Config { c, _ := w.client("", w.ca); return c }()).Healthy())
 }
@@ -137,21 +137,21 @@
 // A client's certificate stands for its caller: it may do what that one may. One of another authority gets no connection.
 func TestClientCertificates(t *testing.T) {
 	w := newTown(t, "require", townRights)
-	r := start(t, 1, standin.Store(0, standin.Row), w.installed)
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), w.installed)
 	for uri, want := range map[string][2]string{"spiffe://town/booking": {"answer", "answer"},
 		"spiffe://town/desk/4": {"answer", "fault"}, "spiffe://town/kiosk": {"fault", "fault"}} {
 		config, _ := w.client(uri, w.ca)
 		c := w.must(r, config)
 		with(c, 1, "lookup", "SELECT 1 FROM s_1.t", "")
-		assert.Equal(t, want[0], c.Read().What, uri)
+		assert.Equal(t, want[0], c.ReadReply().Kind, uri)
 		with(c, 2, "load", "INSERT INTO s_1.t VALUES (1)", "")
-		assert.Equal(t, want[1], c.Read().What, uri)
+		assert.Equal(t, want[1], c.ReadReply().Kind, uri)
 	}
 	other, err := certs.NewCA("town", time.Hour)
 	require.NoError(t, err)
 	for _, uri := range []string{"", "spiffe://town/booking"} {
 		config, _ := w.client(uri, other, w.ca)
-		c, err := r.Secure(config)
+		c, err := r.NewTLSClient(config)
 		if err == nil { // TLS 1.3 clients hear of it with their first read
 			_, err = c.Conn.Read(make([]byte, 1))
 		}
@@ -164,7 +164,7 @@
 func TestRevokedCertificates(t *testing.T) {
 	w := newTown(t, "require", townRights)
 	release := make(chan bool)
-	r := start(t, 1, standin.Held(standin.ID(1), release), w.installed)
+	r := start(t, 1, standin.DelayedStart(standin.RequestID(1), release), w.installed)
 	config, leaf := w.client("spiffe://town/desk/4", w.ca)
 	config.ClientSessionCache = tls.NewLRUClientSessionCache(4)
 	busy, idle := w.must(r, config), w.must(r, config)
@@ -172,19 +172,19 @@
 	ask := func(c *standin.Client) string {
 		n++
 		with(c, n, "lookup", "SELECT 1 FROM s_1.t", "")
-		return c.Read().What
+		return c.ReadReply().Kind
 	}
 	with(busy, 1, "lookup", "SELECT 1 FROM s_1.t", "")
 	require.Equal(t, "answer", ask(idle))
-	r.Await(1, "POST", "/")
+	r.WaitForRequests(1, "POST", "/")
 	w.writeCRL(2, time.Hour, leaf.Certificate)
 	began := time.Now()
-	require.Eventually(t, func() bool { return ask(idle) == "fault" }, standin.Patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return ask(idle) == "fault" }, standin.WaitTimeout, 5*time.Millisecond)
 	t.Logf("refused %s after the list was written, with a look each 20 ms", time.Since(began).Round(time.Millisecond))
 	again := w.must(r, config)
 	assert.Equal(t, "fault", ask(again))
 	close(release)
-	assert.Equal(t, "answer", busy.Read().What)
+	assert.Equal(t, "answer", busy.ReadReply().Kind)
 	assert.Equal(t, "fault", ask(busy))
 	fresh, _ := w.client("spiffe://town/desk/5", w.ca)
 	other := w.must(r, fresh)
@@ -195,12 +195,12 @@
 	text, err := stranger.Revoke(3, time.Hour)
 	require.NoError(t, err)
 	require.NoError(t, keyfiles.Write(w.revoke, text, 0o644))
-	r.AwaitLog("the last good content stays in force")
+	r.WaitForLog("the last good content stays in force")
 	assert.Equal(t, "fault", ask(idle))
 	w.writeCRL(4, -time.Second)
-	require.Eventually(t, func() bool { return ask(other) == "fault" }, standin.Patience, 5*time.Millisecond, "past its time")
+	require.Eventually(t, func() bool { return ask(other) == "fault" }, standin.WaitTimeout, 5*time.Millisecond, "past its time")
 	w.writeCRL(5, time.Hour)
-	require.Eventually(t, func() bool { return ask(other) == "answer" && ask(idle) == "answer" }, standin.Patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return ask(other) == "answer" && ask(idle) == "answer" }, standin.WaitTimeout, 5*time.Millisecond)
 }
 
 // Server certificates, the clients' authority and their certificates change again and again under load: who should be let in
@@ -211,7 +211,7 @@
 		span = time.Minute
 	}
 	w := newTown(t, "require", townRights)
-	r := start(t, 2, standin.Store(0, standin.Row), w.installed)
+	r := start(t, 2, standin.SucceedAfterPolls(0, standin.ResultRow), w.installed)
 	type age struct {
 		ca     *certs.CA
 		config *tls.Config
@@ -238,7 +238,7 @@
 				config := a.config.Clone()
 				config.RootCAs = roots
 				before := time.Now()
-				c, err := r.Secure(config)
+				c, err := r.NewTLSClient(config)
 				what := "closed"
 				if err == nil {
 					with(c, 1_000_000*(worker+1)+n, "lookup", "SELECT 1 FROM s_1.t", "")
@@ -299,7 +299,7 @@
 	if err != nil || n < 20 {
 		return "closed"
 	}
-	if strings.Contains(string(rest[:n]), standin.Row) {
+	if strings.Contains(string(rest[:n]), standin.ResultRow) {
 		return "answer"
 	}
 	return "refused"
@@ -308,7 +308,7 @@
 // Half a pair, a key that others may read, and a folder in the place of a file never come into force.
 func TestHalfAPairIsNotInForce(t *testing.T) {
 	w := newTown(t, "none", "")
-	r := start(t, 1, standin.Store(0, standin.Row), w.installed)
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), w.installed)
 	config, _ := w.client("", w.ca)
 	serial := func() string {
 		c := w.must(r, config)
@@ -321,13 +321,13 @@
 	cert, key, err := leaf.PEM()
 	require.NoError(t, err)
 	require.NoError(t, keyfiles.Write(w.cert, cert, 0o644))
-	r.AwaitLog("cert.pem")
+	r.WaitForLog("cert.pem")
 	assert.Equal(t, was, serial())
 	require.NoError(t, keyfiles.Write(w.key, key, 0o644))
-	r.AwaitLog("others may read it")
+	r.WaitForLog("others may read it")
 	assert.Equal(t, was, serial())
 	require.NoError(t, keyfiles.Write(w.key, key, 0o600))
-	require.Eventually(t, func() bool { return serial() == leaf.Certificate.SerialNumber.String() }, standin.Patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return serial() == leaf.Certificate.SerialNumber.String() }, standin.WaitTimeout, 5*time.Millisecond)
 	assert.NotContains(t, r.Log.String(), "PRIVATE")
 }
 
@@ -335,7 +335,7 @@
 // are there nor, for long, newcomers; the front end holds no more for them than it may.
 func TestHandshakeFlood(t *testing.T) {
 	w := newTown(t, "none", "")
-	r := start(t, 1, standin.Store(0, standin.Row), w.installed)
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), w.installed)
 	config, _ := w.client("", w.ca)
 	c := w.must(r, config)
 	require.True(t, c.Healthy())
@@ -351,11 +351,11 @@
 		require.NoError(t, err)
 	}
 	for n := range 50 {
-		c.Lookup(n, "5000")
-		assert.Equal(t, "answer", c.Read().What)
+		c.SendLookup(n, "5000")
+		assert.Equal(t, "answer", c.ReadReply().Kind)
 	}
 	assert.True(t, w.must(r, config).Healthy(), "a newcomer gets its turn")
-	assert.Less(t, r.PeakMB(), 64)
+	assert.Less(t, r.PeakMemoryMB(), 64)
 }
 
 // The name that a client asks for chooses the certificate, and the first is for those who ask for none that is there. What ends
@@ -369,13 +369,13 @@
 	require.NoError(t, leaf.Write(filepath.Join(w.dir, "other.pem"), filepath.Join(w.dir, "other.key")))
 	more := strings.Replace(string(text), "key: 'key.pem' }", "key: 'key.pem' }, { certificate: 'other.pem', key: 'other.key' }", 1)
 	require.NoError(t, os.WriteFile(w.installation, []byte(more), 0o600))
-	r := start(t, 1, standin.Store(0, standin.Row), w.installed)
+	r := start(t, 1, standin.SucceedAfterPolls(0, standin.ResultRow), w.installed)
 	for asked, shown := range map[string]string{"front": "front", "other": "other", "neither": "front"} {
 		config, _ := w.client("", w.ca)
 		config.ServerName, config.InsecureSkipVerify = asked, true // what is shown is looked at here
 		c := w.must(r, config)
 		assert.Equal(t, shown, c.Conn.(*tls.Conn).ConnectionState().PeerCertificates[0].DNSNames[0])
 	}
-	r.AwaitLog("expires soon")
-	r.AwaitLog("other.pem")
+	r.WaitForLog("expires soon")
+	r.WaitForLog("other.pem")
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -70,7 +70,7 @@
 		case it.Start != nil:
 			d, err := scheduler.New(it.Start.Config, it.Start.Seed)
 			if err != nil {
-				h.reply.Broken(it.Instance, err.Error())
+				h.reply.AddFailure(it.Instance, err.Error())
 				return h.reply.Line(), nil
 			}
 			h.instances[it.Instance] = d
--- a/exercise/client.go
+++ b/exercise/client.go
@@ -60,9 +60,9 @@
 		process:    f.process,
 		onEnd:      onEnd,
 	}
-	c.record(history.Event{What: history.Asked, Body: request.statement})
+	c.record(history.Event{Kind: history.RequestSent, Body: request.statement})
 	if c.process == nil {
-		c.respond(history.Lost, nil)
+		c.respond(history.ConnectionLost, nil)
 		return
 	}
 	s.after(requestDelay, func() { c.process.run(c.submit) })
@@ -72,10 +72,10 @@
 
 // record adds an event of the call to the history.
 func (c *call) record(event history.Event) {
-	event.Front = c.frontEnd.name
-	event.Call = c.id
-	event.Once = c.request.idempotencyKey
-	event.Key = c.request.orderKey
+	event.FrontEnd = c.frontEnd.name
+	event.CallID = c.id
+	event.IdempotencyKey = c.request.idempotencyKey
+	event.OrderKey = c.request.orderKey
 	c.simulation.History.Add(event)
 }
 
@@ -88,10 +88,10 @@
 	c.submitted, err = c.process.core.Submit(c.process.now(), &gateway.Call{
 		ID:             c.id,
 		Class:          requestClass,
-		Key:            c.request.orderKey,
+		OrderKey:       c.request.orderKey,
 		IdempotencyKey: c.request.idempotencyKey,
 		TTL:            c.request.ttl,
-		Cost:           estimatedCost,
+		EstimatedWork:  estimatedCost,
 		Statement:      []byte(c.request.statement),
 	}, c)
 	if err != nil {
@@ -102,13 +102,13 @@
 }
 
 // Respond delivers the rows of the result.
-func (c *call) Respond(rows []byte) { c.respond(history.Answer, rows) }
+func (c *call) Respond(rows []byte) { c.respond(history.Succeeded, rows) }
 
 // Reject delivers that nothing of the request has run or will run.
-func (c *call) Reject(monotime.Micros) { c.respond(history.Shed, nil) }
+func (c *call) Reject(monotime.Micros) { c.respond(history.Rejected, nil) }
 
 // Fail delivers that the request has no result and may have run.
-func (c *call) Fail() { c.respond(history.Fault, nil) }
+func (c *call) Fail() { c.respond(history.Failed, nil) }
 
 // respond sends the final response over the network.
 func (c *call) respond(outcome string, rows []byte) {
@@ -124,7 +124,7 @@
 		return
 	}
 	c.ended = true
-	c.record(history.Event{What: history.Answered, Detail: outcome, Body: body})
+	c.record(history.Event{Kind: history.RequestEnded, Outcome: outcome, Body: body})
 	c.onEnd(outcome)
 	c.simulation.reach(responseReceived, c.frontEnd)
 }
@@ -134,7 +134,7 @@
 	if c.ended {
 		return
 	}
-	c.end(history.Lost, "")
+	c.end(history.ConnectionLost, "")
 	c.process.run(func() {
 		if c.submitted != nil {
 			c.process.core.Cancel(c.submitted)
@@ -148,7 +148,7 @@
 	switch {
 	case c.ended:
 	case !c.process.isAlive():
-		c.end(history.Lost, "")
+		c.end(history.ConnectionLost, "")
 	default:
 		c.simulation.after(connectionCheckInterval, c.checkConnection)
 	}
--- a/exercise/disk.go
+++ b/exercise/disk.go
@@ -23,8 +23,8 @@
 // write persists a Save, as package wal does in its files.
 func (d *disk) write(save replication.Save) {
 	state := &d.persisted
-	if state.Group == 0 {
-		state.Group = save.Group
+	if state.GroupID == 0 {
+		state.GroupID = save.GroupID
 	}
 	if save.Snapshot.GetMetadata().GetIndex() != 0 {
 		state.Snapshot = save.Snapshot
--- a/exercise/engine.go
+++ b/exercise/engine.go
@@ -85,7 +85,7 @@
 	a.state = attemptReceived
 	s.after(s.random.between(0, ms), func() { s.reach(executionStarted, a.process.frontEnd) })
 	if s.isDuplicate(a.IdempotencyKey) {
-		s.History.Add(history.Event{What: history.Repeat, Engine: e.name, Call: a.ID, Once: a.IdempotencyKey})
+		s.History.Add(history.Event{Kind: history.DuplicateDropped, Engine: e.name, CallID: a.ID, IdempotencyKey: a.IdempotencyKey})
 		s.after(s.engineResponseDelay(), func() { a.process.run(a.fail) })
 		return
 	}
@@ -107,7 +107,7 @@
 		rows:       fmt.Sprintf("%s\t%s\t%s\n", a.ID, a.IdempotencyKey, e.name),
 	}
 	e.executions[a.ID] = exec
-	e.record(history.Began, a)
+	e.record(history.ExecutionStarted, a)
 	var duration monotime.Micros // in milliseconds
 	fmt.Sscanf(string(a.Statement), statementFormat, &duration)
 	result := succeeded
@@ -116,7 +116,7 @@
 	}
 	s.after(duration*ms, func() {
 		if exec.state == running {
-			e.end(exec, history.Ended, result)
+			e.end(exec, history.ExecutionFinished, result)
 		}
 	})
 	return exec
@@ -125,7 +125,7 @@
 // record adds an event of an execution to the history, with what the attempt that started it says.
 func (e *engine) record(what string, a *attempt) {
 	e.simulation.History.Add(history.Event{
-		What: what, Engine: e.name, Call: a.ID, Once: a.IdempotencyKey, Key: a.Key,
+		Kind: what, Engine: e.name, CallID: a.ID, IdempotencyKey: a.IdempotencyKey, OrderKey: a.OrderKey,
 	})
 }
 
@@ -151,7 +151,7 @@
 	switch {
 	case exec.state != running:
 	case e.simulation.now-exec.lastPolled >= abandonTimeout:
-		e.end(exec, history.Unasked, failed)
+		e.end(exec, history.ExecutionAbandoned, failed)
 	default:
 		e.simulation.after(enginePollInterval, func() { e.checkAbandoned(exec) })
 	}
@@ -164,7 +164,7 @@
 	first := exec.attempts[0]
 	e.record(what, first)
 	s.after(s.random.between(0, maxEndDelay), func() { s.reach(executionEnded, first.process.frontEnd) })
-	if what != history.Ended {
+	if what != history.ExecutionFinished {
 		return
 	}
 	for _, a := range exec.attempts {
--- a/exercise/engineclient.go
+++ b/exercise/engineclient.go
@@ -132,7 +132,7 @@
 	s := a.process.simulation
 	s.after(s.engineRequestDelay(), func() {
 		if exec := a.engine.executions[a.ID]; exec != nil && exec.state == running {
-			a.engine.end(exec, history.Deleted, failed)
+			a.engine.end(exec, history.ExecutionCanceled, failed)
 		}
 		s.after(s.engineResponseDelay(), func() { a.process.run(a.endCanceled) })
 	})
--- a/exercise/histories_test.go
+++ b/exercise/histories_test.go
@@ -47,14 +47,14 @@
 			Kind:               account.Concurrency,
 			Total:              budget.Amount{Capacity: maxConcurrency * milli},
 			MaxAttemptDuration: 25 * second,
-			MinPart:            milli,
+			MinAllocation:      milli,
 		},
 		{
-			Name:    "rate",
-			Kind:    account.Rate,
-			Total:   budget.Amount{Capacity: maxBurst * milli, Rate: maxRate * milli},
-			Reserve: 20,
-			MinPart: milli,
+			Name:          "rate",
+			Kind:          account.Rate,
+			Total:         budget.Amount{Capacity: maxBurst * milli, Rate: maxRate * milli},
+			StaticShare:   20,
+			MinAllocation: milli,
 		},
 	} {
 		spec.Scope = (&enforce.Scope{Class: "load", OnExceeded: "wait"}).Encode()
@@ -66,8 +66,8 @@
 // budgetViolations returns the violations of the limits of requestBudgets.
 func budgetViolations(events []history.Event) []history.Violation {
 	oneUnit := func(history.Event) float64 { return 1 }
-	violations, _ := history.CheckPlaces(events, maxConcurrency, oneUnit)
-	consumptions := history.Spendings(events, maxConsumptionLead, oneUnit)
+	violations, _ := history.CheckConcurrency(events, maxConcurrency, oneUnit)
+	consumptions := history.Consumptions(events, maxConsumptionLead, oneUnit)
 	return append(violations, history.CheckRate(consumptions, maxRate, maxBurst)...)
 }
 
@@ -143,7 +143,7 @@
 	}
 	for _, violation := range violations[:min(maxViolations, len(violations))] {
 		fmt.Fprintf(&text, "%s\nrelated events:\n", violation)
-		for _, event := range history.Around(s.History.Events(), violation, maxEvents) {
+		for _, event := range history.RelatedEvents(s.History.Events(), violation, maxEvents) {
 			fmt.Fprintf(&text, "  %s\n", event)
 		}
 	}
@@ -158,7 +158,7 @@
 	hash := sha256.New()
 	for _, e := range s.History.Events() {
 		fmt.Fprintf(hash, "%d %s %q %q %q %q %q %s %q\n",
-			e.At, e.What, e.Front, e.Engine, e.Call, e.Once, e.Key, e.Detail, e.Body)
+			e.At, e.Kind, e.FrontEnd, e.Engine, e.CallID, e.IdempotencyKey, e.OrderKey, e.Outcome, e.Body)
 	}
 	return fmt.Sprintf("%d %x", s.Steps, hash.Sum(nil))
 }
--- a/exercise/membership/burst.go
+++ b/exercise/membership/burst.go
@@ -9,7 +9,7 @@
 // Burst is the load of control members in the second after a fault. The second begins with the first accepted
 // connection, or with the first snapshot, that followed the fault.
 type Burst struct {
-	Of        string // the fault
+	Trigger   string // the fault
 	Accepts   Load   // connections of attached front ends that were accepted
 	Snapshots Load   // snapshots that were sent
 }
@@ -19,7 +19,7 @@
 	Total   int
 	Running int // control members that ran
 	Mean    float64
-	Most    int // at any one control member
+	Max     int // at any one control member
 }
 
 // Ratio returns Most divided by Mean; 0 if Total is 0.
@@ -27,7 +27,7 @@
 	if l.Total == 0 {
 		return 0
 	}
-	return float64(l.Most) / l.Mean
+	return float64(l.Max) / l.Mean
 }
 
 // burstTimes is when a control member accepted connections of attached front ends, and sent snapshots.
@@ -61,7 +61,7 @@
 			until = s.triggers[i+1].at
 		}
 		bursts = append(bursts, Burst{
-			Of:        t.description,
+			Trigger:   t.description,
 			Accepts:   s.firstSecond(t.at, until, accepts),
 			Snapshots: s.firstSecond(t.at, until, snapshots),
 		})
@@ -80,7 +80,7 @@
 		begin, _ := slices.BinarySearch(list, first)
 		end, _ := slices.BinarySearch(list, min(first+monotime.Second, until))
 		load.Total += end - begin
-		load.Most = max(load.Most, end-begin)
+		load.Max = max(load.Max, end-begin)
 	}
 	load.Mean = float64(load.Total) / float64(max(1, load.Running))
 	return load
--- a/exercise/membership/burst_test.go
+++ b/exercise/membership/burst_test.go
@@ -26,7 +26,7 @@
 	s.triggers = []trigger{{"lost", 4 * monotime.Second}}
 	bursts := s.bursts()
 	require.Len(t, bursts, 1)
-	assert.Equal(t, Load{Total: 4, Running: 2, Mean: 2, Most: 3}, bursts[0].Accepts)
+	assert.Equal(t, Load{Total: 4, Running: 2, Mean: 2, Max: 3}, bursts[0].Accepts)
 	assert.InDelta(t, 1.5, bursts[0].Accepts.Ratio(), 1e-9)
 	assert.Zero(t, bursts[0].Snapshots.Total)
 }
--- a/exercise/membership/controlprocess.go
+++ b/exercise/membership/controlprocess.go
@@ -116,7 +116,7 @@
 // sendPending sends the messages of the server, and closes the links that it wants closed.
 func (c *controlProcess) sendPending() {
 	for {
-		messages, closing := c.server.Actions(), c.server.LinksToClose()
+		messages, closing := c.server.TakeMessages(), c.server.LinksToClose()
 		if len(messages) == 0 && len(closing) == 0 {
 			break
 		}
--- a/exercise/membership/figures.go
+++ b/exercise/membership/figures.go
@@ -12,26 +12,26 @@
 // docs/capacity names many of them, so the names stay.
 func (s *simulation) namedFigures(out *Outcome) map[string]float64 {
 	figures := map[string]float64{
-		"front end in and out B/s":             out.Rest,
-		"front end busiest 10 s B/s":           out.Busiest,
+		"front end in and out B/s":             out.MeanRate,
+		"front end busiest 10 s B/s":           out.PeakRate,
 		"false deaths count":                   float64(out.FalseDeaths),
-		"past processes seen again count":      float64(out.PastBack),
-		"older processes seen late count":      float64(out.Older),
-		"views agree after the last fault ms":  float64(out.Settled / monotime.Millisecond),
-		"views still wrong at the end members": float64(len(out.Disagree)),
+		"past processes seen again count":      float64(out.Resurrections),
+		"older processes seen late count":      float64(out.OutOfOrder),
+		"views agree after the last fault ms":  float64(out.ConvergenceTime / monotime.Millisecond),
+		"views still wrong at the end members": float64(len(out.Disagreements)),
 	}
-	if detection := scale.SpreadOf(durations(out.Noticed), 0); detection != nil {
+	if detection := scale.SpreadOf(durations(out.DetectionTimes), 0); detection != nil {
 		figures["deaths noticed count"] = float64(detection.Count)
 		figures["death noticed median ms"] = detection.MedianMS
 		figures["death noticed p99 ms"] = detection.P99MS
 		figures["death noticed most ms"] = detection.MostMS
 	}
 	for _, burst := range out.Bursts {
-		addLoad(figures, burst.Of+": accepts in the first second", burst.Accepts)
-		addLoad(figures, burst.Of+": snapshots in the first second", burst.Snapshots)
+		addLoad(figures, burst.Trigger+": accepts in the first second", burst.Accepts)
+		addLoad(figures, burst.Trigger+": snapshots in the first second", burst.Snapshots)
 	}
-	if out.Turns > 0 {
-		figures["changes seen of the one that flaps count"] = float64(out.Turns)
+	if out.MaxObservedFlaps > 0 {
+		figures["changes seen of the one that flaps count"] = float64(out.MaxObservedFlaps)
 	}
 	s.addKindRates(figures, membership.Attached)
 	s.addKindRates(figures, membership.Control)
@@ -41,7 +41,7 @@
 func addLoad(figures map[string]float64, name string, load Load) {
 	figures[name+", all count"] = float64(load.Total)
 	figures[name+", mean count"] = load.Mean
-	figures[name+", most at one control member count"] = float64(load.Most)
+	figures[name+", most at one control member count"] = float64(load.Max)
 }
 
 // addKindRates adds the rate of each kind of message, in bytes a second and member.
--- a/exercise/membership/frontendprocess.go
+++ b/exercise/membership/frontendprocess.go
@@ -135,7 +135,7 @@
 
 // sendPending sends the messages of the client. Those without an open link are lost.
 func (f *frontEndProcess) sendPending() {
-	for _, message := range f.client.Actions() {
+	for _, message := range f.client.TakeMessages() {
 		l := f.openLink(message.To)
 		if l == nil {
 			continue
--- a/exercise/membership/fullscale_test.go
+++ b/exercise/membership/fullscale_test.go
@@ -66,11 +66,11 @@
 func simulateFull(t *testing.T, scenario membership.Scenario) {
 	startedAt := time.Now()
 	options := fullFleet(fullAttached, scenario.Name)
-	options.Processor = scenario.Seconds <= maxMeteredSeconds
+	options.MeasureCPU = scenario.Seconds <= maxMeteredSeconds
 	options.Seconds = float64(environmentNumber("CHUTECHUTE_SECONDS", 0))
 	options.Seed = environmentNumber("CHUTECHUTE_SEED", options.Seed)
 	options.Progress = func(progress string) { t.Logf("%6.1f s: %s", time.Since(startedAt).Seconds(), progress) }
-	o, err := membership.Play(options)
+	o, err := membership.Simulate(options)
 	require.NoError(t, err)
 	t.Logf("took %.0f s", time.Since(startedAt).Seconds())
 	if folder := os.Getenv("CHUTECHUTE_RESULTS"); folder != "" {
@@ -80,7 +80,7 @@
 	require.NoError(t, err)
 	t.Logf("%s", text)
 	assert.NoError(t, o.Err())
-	assert.Empty(t, o.Rejected)
+	assert.Empty(t, o.RejectedMessages)
 	logObjectives(t, scenario, o)
 }
 
@@ -96,17 +96,17 @@
 // logObjectives logs of each objective whether an outcome meets it.
 func logObjectives(t *testing.T, scenario membership.Scenario, o *membership.Outcome) {
 	if scenario.Name == "rest" {
-		logObjective(t, o.Rest <= maxRestRate, "%.0f B/s at rest in and out, at most %d", o.Rest, maxRestRate)
+		logObjective(t, o.MeanRate <= maxRestRate, "%.0f B/s at rest in and out, at most %d", o.MeanRate, maxRestRate)
 	}
-	logObjective(t, o.Busiest <= maxPeakRate,
-		"%.0f B/s over the busiest 10 s (%s), at most %d", o.Busiest, o.BusiestWho, maxPeakRate)
+	logObjective(t, o.PeakRate <= maxPeakRate,
+		"%.0f B/s over the busiest 10 s (%s), at most %d", o.PeakRate, o.PeakFrontEnd, maxPeakRate)
 	logDelayObjectives(t, o)
 	if scenario.Name == "lossy" {
 		logObjective(t, o.FalseDeaths == 0, "%d false deaths", o.FalseDeaths)
 	}
 	for _, burst := range o.Bursts {
-		logBurstObjective(t, burst.Of, "accepts", burst.Accepts)
-		logBurstObjective(t, burst.Of, "snapshots", burst.Snapshots)
+		logBurstObjective(t, burst.Trigger, "accepts", burst.Accepts)
+		logBurstObjective(t, burst.Trigger, "snapshots", burst.Snapshots)
 	}
 }
 
@@ -118,9 +118,9 @@
 		logObjective(t, met, "%d changes known to all after %.0f ms median, %.0f ms p99, %.0f ms most; %d unreached",
 			s.Count, s.MedianMS, s.P99MS, s.MostMS, s.Unreached)
 	}
-	if count := len(o.Noticed); count > 0 {
-		late := countAbove(o.Noticed, maxDetectionTime)
-		longest := o.Noticed[count-1] / monotime.Millisecond
+	if count := len(o.DetectionTimes); count > 0 {
+		late := countAbove(o.DetectionTimes, maxDetectionTime)
+		longest := o.DetectionTimes[count-1] / monotime.Millisecond
 		logObjective(t, late == 0,
 			"%d deaths noticed after %d ms at most; %d after more than 5 s", count, longest, late)
 	}
@@ -150,10 +150,10 @@
 func TestRestTrafficGrowthIsBounded(t *testing.T) {
 	skipUnlessLong(t)
 	rest := func(attached int) float64 {
-		o, err := membership.Play(fullFleet(attached, "rest"))
+		o, err := membership.Simulate(fullFleet(attached, "rest"))
 		require.NoError(t, err)
 		require.NoError(t, o.Err())
-		return o.Rest
+		return o.MeanRate
 	}
 	few, many := rest(300), rest(fullAttached)
 	t.Logf("%.1f B/s at 300, %.1f at %d: %.3f times", few, many, fullAttached, many/few)
--- a/exercise/membership/outcome.go
+++ b/exercise/membership/outcome.go
@@ -14,41 +14,41 @@
 
 	// FalseDeaths is how often a running member was seen dead by a member that could have known better.
 	FalseDeaths int
-	// PastBack is how often a process was seen again by a member that had already seen a later one.
-	PastBack int
-	// Older is how often a process was seen for the first time by a member that had already seen a later one.
-	Older int
-	// Faults describes the first findings that FalseDeaths, PastBack and Older count.
-	Faults []string
-	// Steady says that the scenario allows no false deaths.
-	Steady bool
+	// Resurrections is how often a process was seen again by a member that had already seen a later one.
+	Resurrections int
+	// OutOfOrder is how often a process was seen for the first time by a member that had already seen a later one.
+	OutOfOrder int
+	// Findings describes the first findings that FalseDeaths, PastBack and Older count.
+	Findings []string
+	// ForbidsFalseDeaths says that the scenario allows no false deaths.
+	ForbidsFalseDeaths bool
 
-	// Disagree describes the first differences between views and the ground truth that were left when the time for
+	// Disagreements describes the first differences between views and the ground truth that were left when the time for
 	// convergence was over.
-	Disagree []string
-	// Settled is how long after the end of all faults all views agreed with the ground truth.
-	Settled monotime.Micros
+	Disagreements []string
+	// ConvergenceTime is how long after the end of all faults all views agreed with the ground truth.
+	ConvergenceTime monotime.Micros
 
-	// Noticed is how long each death took to be detected by a control member, sorted.
-	Noticed []monotime.Micros
-	// Spreads is how long each change took from its detection until the last responsive member knew it, sorted.
-	Spreads []monotime.Micros
+	// DetectionTimes is how long each death took to be detected by a control member, sorted.
+	DetectionTimes []monotime.Micros
+	// PropagationDelays is how long each change took from its detection until the last responsive member knew it, sorted.
+	PropagationDelays []monotime.Micros
 
 	Bursts []Burst
 
-	// Rest is the mean rate, in and out, of an attached front end.
-	Rest float64
-	// Busiest is the highest mean rate of any attached front end over ten seconds.
-	Busiest float64
-	// BusiestWho is the name of that attached front end.
-	BusiestWho string
+	// MeanRate is the mean rate, in and out, of an attached front end.
+	MeanRate float64
+	// PeakRate is the highest mean rate of any attached front end over ten seconds.
+	PeakRate float64
+	// PeakFrontEnd is the name of that attached front end.
+	PeakFrontEnd string
 
-	// Turns is the most changes of the flapping front end that a control member observed.
-	Turns int
-	// Refused is how many queues to attached front ends were full.
-	Refused int
-	// Rejected is the number of messages of running processes that their receivers refused, by the text of the error.
-	Rejected map[string]int
+	// MaxObservedFlaps is the most changes of the flapping front end that a control member observed.
+	MaxObservedFlaps int
+	// FullQueues is how many queues to attached front ends were full.
+	FullQueues int
+	// RejectedMessages is the number of messages of running processes that their receivers refused, by the text of the error.
+	RejectedMessages map[string]int
 }
 
 var errNotConverged = errors.New("membership: views don't agree with the truth")
@@ -57,15 +57,15 @@
 // after later ones, or false deaths where the scenario allows none.
 func (o *Outcome) Err() error {
 	var violations []error
-	if len(o.Disagree) > 0 {
-		violations = append(violations, fmt.Errorf("%w: %v", errNotConverged, o.Disagree))
+	if len(o.Disagreements) > 0 {
+		violations = append(violations, fmt.Errorf("%w: %v", errNotConverged, o.Disagreements))
 	}
-	if o.PastBack > 0 {
+	if o.Resurrections > 0 {
 		violations = append(violations,
-			fmt.Errorf("membership: %d times a past process was seen again: %v", o.PastBack, o.Faults))
+			fmt.Errorf("membership: %d times a past process was seen again: %v", o.Resurrections, o.Findings))
 	}
-	if o.FalseDeaths > 0 && o.Steady {
-		violations = append(violations, fmt.Errorf("membership: %d false deaths: %v", o.FalseDeaths, o.Faults))
+	if o.FalseDeaths > 0 && o.ForbidsFalseDeaths {
+		violations = append(violations, fmt.Errorf("membership: %d false deaths: %v", o.FalseDeaths, o.Findings))
 	}
 	return errors.Join(violations...)
 }
--- a/exercise/membership/report.go
+++ b/exercise/membership/report.go
@@ -14,16 +14,16 @@
 // outcome returns what the run has shown. The findings are taken first: describing the disagreements compares all views
 // once more, which may add findings.
 func (s *simulation) outcome(o Options, scenario Scenario, convergenceTime monotime.Micros) *Outcome {
-	out := &Outcome{Steady: scenario.forbidsFalseDeaths, Settled: convergenceTime}
+	out := &Outcome{ForbidsFalseDeaths: scenario.forbidsFalseDeaths, ConvergenceTime: convergenceTime}
 	s.groundTruth.addFindings(out)
-	out.Disagree = s.groundTruth.describeDisagreements()
-	out.Noticed, out.Spreads = s.groundTruth.delays()
-	out.Turns = s.groundTruth.maxObservedFlaps()
+	out.Disagreements = s.groundTruth.describeDisagreements()
+	out.DetectionTimes, out.PropagationDelays = s.groundTruth.delays()
+	out.MaxObservedFlaps = s.groundTruth.maxObservedFlaps()
 	out.Bursts = s.bursts()
-	out.Refused = s.fullQueues()
-	out.Rejected = s.rejected
-	out.Busiest = float64(s.traffic.peak.bytes) / peakWindowSeconds
-	out.BusiestWho = s.traffic.peak.frontEnd
+	out.FullQueues = s.fullQueues()
+	out.RejectedMessages = s.rejected
+	out.PeakRate = float64(s.traffic.peak.bytes) / peakWindowSeconds
+	out.PeakFrontEnd = s.traffic.peak.frontEnd
 	s.addResult(o, scenario, out)
 	return out
 }
@@ -31,16 +31,16 @@
 // addFindings adds the errors of views that were found during the run.
 func (t *groundTruth) addFindings(out *Outcome) {
 	out.FalseDeaths = t.falseDeaths.count
-	out.PastBack = t.resurrections.count
-	out.Older = t.outOfOrder.count
-	out.Faults = slices.Concat(t.resurrections.descriptions, t.falseDeaths.descriptions, t.outOfOrder.descriptions)
+	out.Resurrections = t.resurrections.count
+	out.OutOfOrder = t.outOfOrder.count
+	out.Findings = slices.Concat(t.resurrections.descriptions, t.falseDeaths.descriptions, t.outOfOrder.descriptions)
 }
 
 // addResult adds the Result to an outcome that has all else, and the mean rate.
 func (s *simulation) addResult(o Options, scenario Scenario, out *Outcome) {
 	attached := s.roleFigures(membership.Attached)
 	control := s.roleFigures(membership.Control)
-	out.Rest = attached.BytesIn + attached.BytesOut + attached.FramingIn + attached.FramingOut
+	out.MeanRate = attached.BytesIn + attached.BytesOut + attached.FramingIn + attached.FramingOut
 	out.Result = &scale.Result{
 		Name:      scenario.Name,
 		Mode:      scale.ModeVirtual,
@@ -51,7 +51,7 @@
 		Seed:      s.shape.Seed,
 		Faults:    o.Faults,
 		Roles:     []scale.RoleFigures{attached, control},
-		Spread:    scale.SpreadOf(durations(out.Spreads), s.groundTruth.unreached()),
+		Spread:    scale.SpreadOf(durations(out.PropagationDelays), s.groundTruth.unreached()),
 		Points:    []scale.Point{{Axis: "front ends", X: float64(s.shape.Total()), Figures: s.namedFigures(out)}},
 		Notes:     s.notes(out),
 	}
@@ -142,10 +142,10 @@
 			"processor: this process's time, divided by the time that steps of each role took; links cost nothing",
 			s.heapNote())
 	}
-	for _, description := range out.Faults {
+	for _, description := range out.Findings {
 		notes = append(notes, "fault: "+description)
 	}
-	for _, description := range out.Disagree {
+	for _, description := range out.Disagreements {
 		notes = append(notes, "wrong at the end: "+description)
 	}
 	return notes
--- a/exercise/membership/run.go
+++ b/exercise/membership/run.go
@@ -10,13 +10,13 @@
 
 // Options say what to simulate.
 type Options struct {
-	FrontEnds int     // all front ends, with the control members, as in scale.Shape
-	Controls  int     // control members
-	Zones     int     // that the front ends are spread over
-	Seconds   float64 // of virtual time in the measured part; 0 for the scenario's own
-	Seed      uint64  // of all that is random
-	Faults    string  // a scenario's name, or a script as scale.ParseFaults reads it; empty for no faults
-	Processor bool    // measure processor time, which no seed determines
+	FrontEnds  int     // all front ends, with the control members, as in scale.Shape
+	Controls   int     // control members
+	Zones      int     // that the front ends are spread over
+	Seconds    float64 // of virtual time in the measured part; 0 for the scenario's own
+	Seed       uint64  // of all that is random
+	Faults     string  // a scenario's name, or a script as scale.ParseFaults reads it; empty for no faults
+	MeasureCPU bool    // measure processor time, which no seed determines
 	// Progress is called with what begins, or how far the measured part is. It may be nil.
 	Progress func(progress string)
 }
@@ -44,16 +44,16 @@
 // Run simulates a fleet and returns its figures. A violation (see Outcome.Err) is an error that comes with the figures;
 // all other errors, those of the options among them, come without.
 func Run(o Options) (*scale.Result, error) {
-	outcome, err := Play(o)
+	outcome, err := Simulate(o)
 	if outcome == nil {
 		return nil, err
 	}
 	return outcome.Result, errors.Join(err, outcome.Err())
 }
 
-// Play simulates a fleet and returns what the run has shown, violations included. Its errors are those of the options
+// Simulate simulates a fleet and returns what the run has shown, violations included. Its errors are those of the options
 // (scale.FlagError, scale.ScriptError), a fleet whose views do not converge after the start, and a message storm.
-func Play(o Options) (*Outcome, error) {
+func Simulate(o Options) (*Outcome, error) {
 	shape := scale.Shape{
 		FrontEnds: o.FrontEnds,
 		Controls:  o.Controls,
@@ -69,13 +69,13 @@
 		o.Progress = func(string) {}
 	}
 	s := newSimulation(shape)
-	if o.Processor {
+	if o.MeasureCPU {
 		s.cpuMeter = newCPUMeter()
 	}
 	if err := s.startFleet(scenario, o.Progress); err != nil {
 		return nil, err
 	}
-	o.Progress("measured part: " + scenario.About)
+	o.Progress("measured part: " + scenario.Description)
 	s.measure(scenario, o.Progress)
 	o.Progress("faults are over")
 	s.endFaults()
@@ -93,7 +93,7 @@
 	if name == "" {
 		name = "rest"
 	}
-	scenario, known := Named(name)
+	scenario, known := ScenarioByName(name)
 	if shape.Seconds == 0 {
 		shape.Seconds = scenario.Seconds
 	}
--- a/exercise/membership/scenario.go
+++ b/exercise/membership/scenario.go
@@ -4,9 +4,9 @@
 
 // Scenario is a hard case that has a name: one that a script of faults cannot express, or that is asked for often.
 type Scenario struct {
-	Name    string
-	About   string  // what happens in it
-	Seconds float64 // of virtual time in the measured part, unless Options has another duration
+	Name        string
+	Description string  // what happens in it
+	Seconds     float64 // of virtual time in the measured part, unless Options has another duration
 
 	coldStart          bool              // the scenario starts the fleet, in the measured part
 	forbidsFalseDeaths bool              // no running member may be seen dead
@@ -16,8 +16,8 @@
 // Scenarios returns all scenarios.
 func Scenarios() []Scenario { return slices.Clone(scenarios) }
 
-// Named returns the scenario with a name, false if there is none.
-func Named(name string) (Scenario, bool) {
+// ScenarioByName returns the scenario with a name, false if there is none.
+func ScenarioByName(name string) (Scenario, bool) {
 	index := slices.IndexFunc(scenarios, func(s Scenario) bool { return s.Name == name })
 	if index < 0 {
 		return Scenario{}, false
@@ -28,79 +28,79 @@
 var scenarios = []Scenario{
 	{
 		Name: "rest", Seconds: 120, forbidsFalseDeaths: true, inject: func(*simulation) {},
-		About: "nothing happens",
+		Description: "nothing happens",
 	},
 	{
 		Name: "start", Seconds: 60, coldStart: true, forbidsFalseDeaths: true, inject: injectColdStart,
-		About: "the whole fleet starts in one instant",
+		Description: "the whole fleet starts in one instant",
 	},
 	{
 		Name: "zone", Seconds: 90, forbidsFalseDeaths: true, inject: injectZoneLoss,
-		About: "a zone and its control members lost in one instant, and back together",
+		Description: "a zone and its control members lost in one instant, and back together",
 	},
 	{
 		Name: "restarts", Seconds: 60, forbidsFalseDeaths: true, inject: injectRestarts,
-		About: "a tenth of the attached front ends restarted within 10 s",
+		Description: "a tenth of the attached front ends restarted within 10 s",
 	},
 	{
 		Name: "flap", Seconds: 300, forbidsFalseDeaths: true, inject: injectFlapping,
-		About: "one attached front end that restarts every 3 s for 4 minutes",
+		Description: "one attached front end that restarts every 3 s for 4 minutes",
 	},
 	{
 		Name: "deaths", Seconds: 60, forbidsFalseDeaths: true, inject: injectDeaths,
-		About: "one attached front end in a hundred dies within 30 s, for good",
+		Description: "one attached front end in a hundred dies within 30 s, for good",
 	},
 	{
 		Name: "regions", Seconds: 3600, forbidsFalseDeaths: true, inject: injectRegionPartition,
-		About: "two regions lose each other for an hour, with changes in both",
+		Description: "two regions lose each other for an hour, with changes in both",
 	},
 	{
 		Name: "split", Seconds: 3600, inject: injectSplit,
-		About: "two regions lose all others for an hour, with changes on both sides",
+		Description: "two regions lose all others for an hour, with changes on both sides",
 	},
 	{
 		Name: "control", Seconds: 120, forbidsFalseDeaths: true, inject: injectControlLoss,
-		About: "a control member lost, and back after a minute",
+		Description: "a control member lost, and back after a minute",
 	},
 	{
 		Name: "controls", Seconds: 120, forbidsFalseDeaths: true, inject: injectSuccessiveControlLoss,
-		About: "a control member lost, its zone's others 10 s later, and back after a minute",
+		Description: "a control member lost, its zone's others 10 s later, and back after a minute",
 	},
 	{
 		Name: "rolling", Seconds: 180, forbidsFalseDeaths: true, inject: injectRollingRestart,
-		About: "a control member lost for 20 s, and then all others restarted one by one",
+		Description: "a control member lost for 20 s, and then all others restarted one by one",
 	},
 	{
 		Name: "deaf", Seconds: 120, forbidsFalseDeaths: true, inject: injectControlIsolation,
-		About: "a control member cut off from all attached front ends, and not from the rest, for a minute",
+		Description: "a control member cut off from all attached front ends, and not from the rest, for a minute",
 	},
 	{
 		Name: "both", Seconds: 120, forbidsFalseDeaths: true, inject: injectHomePartition,
-		About: "an attached front end cut off from both its control members at once, and from no other, for a minute",
+		Description: "an attached front end cut off from both its control members at once, and from no other, for a minute",
 	},
 	{
 		Name: "lossy", Seconds: 3600, forbidsFalseDeaths: true, inject: injectLoss,
-		About: "an hour with a hundredth of the messages lost and all up to 300 ms late",
+		Description: "an hour with a hundredth of the messages lost and all up to 300 ms late",
 	},
 	{
 		Name: "disorder", Seconds: 60, forbidsFalseDeaths: true, inject: injectReordering,
-		About: "a tenth restarted while a hundredth of the messages are lost and all come late and out of turn",
+		Description: "a tenth restarted while a hundredth of the messages are lost and all come late and out of turn",
 	},
 	{
 		Name: "chaos", Seconds: 90, inject: injectChaos,
-		About: "anything that can fail fails at random",
+		Description: "anything that can fail fails at random",
 	},
 	{
 		Name: "stopped", Seconds: 60, forbidsFalseDeaths: true, inject: injectPauses,
-		About: "an attached front end and a control member stand still for 10 s",
+		Description: "an attached front end and a control member stand still for 10 s",
 	},
 	{
 		Name: "slow", Seconds: 90, forbidsFalseDeaths: true, inject: injectStalledReader,
-		About: "an attached front end that takes nothing every other 1.5 s while a tenth are restarted",
+		Description: "an attached front end that takes nothing every other 1.5 s while a tenth are restarted",
 	},
 	{
 		Name: "trickle", Seconds: 90, forbidsFalseDeaths: true, inject: injectSlowReader,
-		About: "an attached front end that reads 15 bytes a second while a tenth are restarted",
+		Description: "an attached front end that reads 15 bytes a second while a tenth are restarted",
 	},
 }
 
--- a/exercise/membership/scenarios_test.go
+++ b/exercise/membership/scenarios_test.go
@@ -70,8 +70,8 @@
 // digest is over all figures of an outcome, but not over their names.
 func digest(o *membership.Outcome) string {
 	h := sha256.New()
-	fmt.Fprintln(h, o.FalseDeaths, o.PastBack, o.Older, len(o.Disagree), o.Settled, o.Noticed, o.Spreads,
-		o.Rest, o.Busiest, o.Turns, o.Refused)
+	fmt.Fprintln(h, o.FalseDeaths, o.Resurrections, o.OutOfOrder, len(o.Disagreements), o.ConvergenceTime, o.DetectionTimes, o.PropagationDelays,
+		o.MeanRate, o.PeakRate, o.MaxObservedFlaps, o.FullQueues)
 	for _, b := range o.Bursts {
 		fmt.Fprintln(h, b.Accepts, b.Snapshots)
 	}
@@ -87,13 +87,13 @@
 
 // simulateSmall simulates a scenario at small size, and checks its outcome and for seed 1 its digest.
 func simulateSmall(t *testing.T, scenario membership.Scenario, seed uint64) {
-	o, err := membership.Play(smallFleet(scenario.Name, smallSeconds[scenario.Name], seed))
+	o, err := membership.Simulate(smallFleet(scenario.Name, smallSeconds[scenario.Name], seed))
 	require.NoError(t, err)
 	require.NoError(t, o.Err())
 	if seed == 1 {
 		golden.Entry(t, "testdata/scenarios.txt", scenario.Name, digest(o))
 	}
-	assert.LessOrEqual(t, o.Busiest, float64(maxPeakRate), "%s", o.BusiestWho)
+	assert.LessOrEqual(t, o.PeakRate, float64(maxPeakRate), "%s", o.PeakFrontEnd)
 	if s := o.Result.Spread; s != nil {
 		assert.Zero(t, s.Unreached)
 	}
@@ -104,17 +104,17 @@
 	}
 	switch scenario.Name {
 	case "rest", "lossy":
-		assert.LessOrEqual(t, o.Rest, float64(maxRestRate))
+		assert.LessOrEqual(t, o.MeanRate, float64(maxRestRate))
 	case "flap":
-		assert.LessOrEqual(t, o.Turns, maxObservedFlaps)
+		assert.LessOrEqual(t, o.MaxObservedFlaps, maxObservedFlaps)
 	case "slow":
-		assert.Positive(t, o.Refused)
+		assert.Positive(t, o.FullQueues)
 	case "trickle":
-		assert.Positive(t, o.Refused)
+		assert.Positive(t, o.FullQueues)
 	}
 	// A link may end where repairs of its view are lost or not read in time. Nothing else is ever rejected.
 	harsh := scenario.Name == "trickle" || scenario.Name == "chaos"
-	for err := range o.Rejected {
+	for err := range o.RejectedMessages {
 		assert.True(t, harsh && strings.HasPrefix(err, fleetmembership.ErrDigestMismatch.Error()), err)
 	}
 }
@@ -137,7 +137,7 @@
 func TestScriptOfFaultsIsInjected(t *testing.T) {
 	const script = "1s kill control 1 for 8s; 2s restart 10% over 2s; " +
 		"3s stop attached 3 for 10s; 14s cut zone b; 24s heal"
-	o, err := membership.Play(smallFleet(script, 30, 3))
+	o, err := membership.Simulate(smallFleet(script, 30, 3))
 	require.NoError(t, err)
 	require.NoError(t, o.Err())
 	assert.Len(t, o.Bursts, 4)
--- a/exercise/membership/script.go
+++ b/exercise/membership/script.go
@@ -21,7 +21,7 @@
 			s.scheduleAfter(fault.At.Microseconds(), func() { s.injectFault(i+1, fault) })
 		}
 	}
-	return Scenario{Name: script, About: script, Seconds: shape.Seconds, inject: inject}, nil
+	return Scenario{Name: script, Description: script, Seconds: shape.Seconds, inject: inject}, nil
 }
 
 // injectFault injects a fault of a script into all its targets. number is its position in the script, from 1.
--- a/exercise/mutations_test.go
+++ b/exercise/mutations_test.go
@@ -46,7 +46,7 @@
 	_ replication.Incarnation, command *idempotency.Command, response *idempotency.Response,
 ) {
 	if command.Op == idempotency.Register {
-		response.FirstOfKey = true
+		response.FirstInQueue = true
 	}
 	if command.Op == idempotency.AuthorizeAttempt && response.Status == idempotency.Blocked {
 		response.Status = idempotency.OK
@@ -74,7 +74,7 @@
 	response.Phase = idempotency.Waiting
 	response.Owner = uint64(from)
 	response.Status = idempotency.OK
-	response.FirstOfKey = true
+	response.FirstInQueue = true
 	response.OwnerRequestID = command.RequestID
 }
 
--- a/exercise/process.go
+++ b/exercise/process.go
@@ -102,7 +102,7 @@
 		Name:              p.frontEnd.name,
 		Zone:              p.frontEnd.zone,
 		Incarnation:       p.incarnation,
-		Zones:             zones,
+		PeerZones:         zones,
 		HeartbeatInterval: heartbeatInterval,
 		RetryInterval:     retryInterval,
 		Heartbeat: heartbeat.Config{
@@ -129,16 +129,16 @@
 	if wrap := s.options.Mutation.WrapStateMachine; wrap != nil {
 		registry = wrap(registry)
 	}
-	return []replication.StateMachine{registry, budget.NewAuthority(budget.Options{Instances: budgetInstances})}
+	return []replication.StateMachine{registry, budget.NewAuthority(budget.Options{MaxSubjects: budgetInstances})}
 }
 
 // useIdempotencyStore connects the core with the fleet's registry of idempotent requests.
 func (p *process) useIdempotencyStore() {
 	config := idempotencyclient.Config{
-		Incarnation:        p.incarnation,
-		PollInterval:       pollInterval,
-		CommitTimeout:      commitTimeout,
-		CapacityRetryAfter: capacityRetryAfter,
+		Incarnation:   p.incarnation,
+		PollInterval:  pollInterval,
+		CommitTimeout: commitTimeout,
+		RetryAfter:    capacityRetryAfter,
 	}
 	p.idempotency = idempotencyclient.New(config, p.node, p.core)
 	var store gateway.IdempotencyStore = p.idempotency
@@ -231,7 +231,7 @@
 	p.executeActions()
 	p.core.Step(now)
 	p.executeActions()
-	if p.core.Pending() {
+	if p.core.HasEvents() {
 		p.core.Step(now)
 		p.executeActions()
 	}
@@ -240,7 +240,7 @@
 
 // scheduleWakeup has the loop run for the next timer of the core, where that is due before the next tick.
 func (p *process) scheduleWakeup(now monotime.Micros) {
-	next, ok := p.core.Next()
+	next, ok := p.core.NextTimer()
 	if !ok || next >= now+loopInterval {
 		return
 	}
--- a/exercise/simulation.go
+++ b/exercise/simulation.go
@@ -85,7 +85,7 @@
 	// FrontEnds are all front ends, running or not.
 	FrontEnds []*FrontEnd
 	// History is what clients and engines observed.
-	History history.Record
+	History history.Recorder
 	// FaultLog lists the faults that were injected so far, one a line.
 	FaultLog []string
 
--- a/exercise/traffic.go
+++ b/exercise/traffic.go
@@ -66,7 +66,7 @@
 // then it is sent again although it has succeeded, and to two front ends at the same time.
 func (s *Simulation) sendWithRetries(f *FrontEnd, request clientRequest) {
 	s.send(f, request, func(outcome string) {
-		if outcome == history.Answer && !s.random.oneIn(resendSucceededOneIn) || request.callsLeft <= 1 {
+		if outcome == history.Succeeded && !s.random.oneIn(resendSucceededOneIn) || request.callsLeft <= 1 {
 			return
 		}
 		retry := request
--- a/fleet/attachednode.go
+++ b/fleet/attachednode.go
@@ -108,7 +108,7 @@
 
 // Actions returns the actions to carry out, and forgets them.
 func (a *AttachedNode) Actions() []Action {
-	for _, m := range a.client.Actions() {
+	for _, m := range a.client.TakeMessages() {
 		a.sendMessage(m.To, frameKind(m.Kind), m.Bulk, m.Body)
 	}
 	actions := a.actions
--- a/fleet/attachednode_test.go
+++ b/fleet/attachednode_test.go
@@ -177,10 +177,10 @@
 		assert.ErrorIs(t, follower.Receive(c.now, link, kind, nil), transport.ErrUnknownKind, kind.String())
 	}
 	ofAnother := replication.Command{
-		StateMachine: 1,
-		Version:      1,
-		Proposer:     replication.Incarnation(leader.incarnation),
-		Sequence:     1,
+		StateMachineID: 1,
+		Version:        1,
+		Proposer:       replication.Incarnation(leader.incarnation),
+		Sequence:       1,
 	}
 	err := follower.Receive(c.now, link, transport.Proposal, ofAnother.Encode())
 	assert.ErrorIs(t, err, fleet.ErrProposerMismatch)
@@ -212,7 +212,7 @@
 	c := newCluster(t, true)
 	leader, follower := c.waitForLeader()
 	link := fleet.Link{From: follower.name, Incarnation: follower.incarnation, ChallengedAt: second}
-	command := replication.Command{StateMachine: 1, Version: 1, Proposer: 7, Sequence: 1}
+	command := replication.Command{StateMachineID: 1, Version: 1, Proposer: 7, Sequence: 1}
 	for want, body := range map[error][]byte{
 		fleet.ErrProposerMismatch: fleet.EncodeForward(8, transport.Proposal, command.Encode()),
 		transport.ErrUnknownKind:  fleet.EncodeForward(7, transport.ControlHeartbeat, nil),
--- a/fleet/bootstrap.go
+++ b/fleet/bootstrap.go
@@ -26,7 +26,7 @@
 // mayBootstrap reports whether all control members are alive and belong to no replicated log, and this one is the first
 // of them by name.
 func (n *Node) mayBootstrap(alive []replication.Member) bool {
-	if n.replica.Group() != 0 || n.replica.Err() != nil || len(alive) != len(n.cfg.Zones)+1 {
+	if n.replica.GroupID() != 0 || n.replica.Err() != nil || len(alive) != len(n.cfg.PeerZones)+1 {
 		return false
 	}
 	for _, peer := range n.monitor.Peers() {
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	if n.replica.Group() != 0 || m.Group == 0 {
+	if n.replica.GroupID() != 0 || m.Group == 0 {
 		return nil
 	}
 	n.pendingBootstrap = body
--- a/fleet/budget/account/account.go
+++ b/fleet/budget/account/account.go
@@ -56,15 +56,15 @@
 	return amount
 }
 
-// Lease sets the leased amount, and when the lease expires.
-func (a *Account) Lease(now monotime.Micros, amount Amount, until monotime.Micros) {
+// SetLease sets the leased amount, and when the lease expires.
+func (a *Account) SetLease(now monotime.Micros, amount Amount, until monotime.Micros) {
 	a.expireLease(now)
 	a.lease.set(now, a.slowed(amount))
 	a.leaseExpiresAt = until
 }
 
-// Static sets the amount that needs no lease.
-func (a *Account) Static(now monotime.Micros, amount Amount) { a.static.set(now, a.slowed(amount)) }
+// SetStatic sets the amount that needs no lease.
+func (a *Account) SetStatic(now monotime.Micros, amount Amount) { a.static.set(now, a.slowed(amount)) }
 
 // expireLease drops the lease if it has expired. The tokens of the next lease start at zero.
 func (a *Account) expireLease(now monotime.Micros) {
@@ -169,14 +169,14 @@
 	}
 }
 
-// InUse returns what is in use, or was spent within the window, beyond the static allocation, in thousandths of a unit.
-func (a *Account) InUse(now monotime.Micros) int64 {
+// InUseBeyondStatic returns what is in use, or was spent within the window, beyond the static allocation, in thousandths of a unit.
+func (a *Account) InUseBeyondStatic(now monotime.Micros) int64 {
 	a.advance(now)
 	return max(0, a.inUse-a.static.Capacity)
 }
 
-// Used returns all that is in use, or was spent within the window, in thousandths of a unit.
-func (a *Account) Used(now monotime.Micros) int64 {
+// TotalInUse returns all that is in use, or was spent within the window, in thousandths of a unit.
+func (a *Account) TotalInUse(now monotime.Micros) int64 {
 	a.advance(now)
 	return a.inUse
 }
--- a/fleet/budget/account/book.go
+++ b/fleet/budget/account/book.go
@@ -7,8 +7,8 @@
 	"chutechute/internal/monotime"
 )
 
-// Lease is the leased amount of one subject's budget.
-type Lease struct {
+// SubjectLease is the leased amount of one subject's budget.
+type SubjectLease struct {
 	Subject string
 	Amount  Amount
 }
@@ -30,36 +30,36 @@
 			b.accounts = map[string]*Account{}
 		}
 		a = New(b.Kind, b.Window)
-		a.Static(now, b.static)
+		a.SetStatic(now, b.static)
 		b.accounts[subject] = a
 	}
 	return a
 }
 
-// Static sets the amount that every subject has without a lease.
-func (b *Book) Static(now monotime.Micros, amount Amount) {
+// SetStatic sets the amount that every subject has without a lease.
+func (b *Book) SetStatic(now monotime.Micros, amount Amount) {
 	b.static = amount
 	for _, a := range b.accounts {
-		a.Static(now, amount)
+		a.SetStatic(now, amount)
 	}
 }
 
-// Lease sets the leases of all subjects. A subject that is not in the list has nothing leased any more.
-func (b *Book) Lease(now monotime.Micros, leases []Lease, until monotime.Micros) {
+// SetLeases sets the leases of all subjects. A subject that is not in the list has nothing leased any more.
+func (b *Book) SetLeases(now monotime.Micros, leases []SubjectLease, until monotime.Micros) {
 	leased := make(map[string]bool, len(leases))
 	for _, lease := range leases {
 		leased[lease.Subject] = true
-		b.Account(now, lease.Subject).Lease(now, lease.Amount, until)
+		b.Account(now, lease.Subject).SetLease(now, lease.Amount, until)
 	}
 	for subject, a := range b.accounts {
 		if !leased[subject] {
-			a.Lease(now, Amount{}, until)
+			a.SetLease(now, Amount{}, until)
 		}
 	}
 }
 
-// Each calls a function for all accounts, in the order of their subjects.
-func (b *Book) Each(do func(subject string, a *Account)) {
+// ForEach calls a function for all accounts, in the order of their subjects.
+func (b *Book) ForEach(do func(subject string, a *Account)) {
 	for _, subject := range slices.Sorted(maps.Keys(b.accounts)) {
 		do(subject, b.accounts[subject])
 	}
@@ -69,6 +69,6 @@
 func (b *Book) EvictIdle(now monotime.Micros) {
 	maps.DeleteFunc(b.accounts, func(subject string, a *Account) bool {
 		lease, _, _ := a.Amounts(now)
-		return subject != "" && lease == (Amount{}) && a.Used(now) == 0 && a.Demand(now) == 0
+		return subject != "" && lease == (Amount{}) && a.TotalInUse(now) == 0 && a.Demand(now) == 0
 	})
 }
--- a/fleet/budget/allocation.go
+++ b/fleet/budget/allocation.go
@@ -85,7 +85,7 @@
 	}
 	subject := a.subjects[key]
 	if subject == nil {
-		if len(a.subjects) >= a.options.Instances {
+		if len(a.subjects) >= a.options.MaxSubjects {
 			return nil
 		}
 		subject = &subjectBudget{key: key, kind: spec.Kind}
--- a/fleet/budget/authority.go
+++ b/fleet/budget/authority.go
@@ -11,11 +11,11 @@
 
 // Options are the limits of an Authority. All replicas of one group have the same.
 type Options struct {
-	Instances int // how many subjects' budgets may have allocations at a time
+	MaxSubjects int // how many subjects' budgets may have allocations at a time
 }
 
-// MaxInstances is the limit for Options.Instances that the program uses.
-const MaxInstances = 1 << 16
+// MaxSubjects is the limit for Options.Instances that the program uses.
+const MaxSubjects = 1 << 16
 
 // NotificationTopic is the topic of notifications to lease holders whose share may have changed.
 const NotificationTopic = "\x00budget"
--- a/fleet/budget/authority_settings.go
+++ b/fleet/budget/authority_settings.go
@@ -51,7 +51,7 @@
 	for i := range next.Specs {
 		spec := &next.Specs[i]
 		old := s.Lookup(spec.Name)
-		if old != nil && (old.Kind != spec.Kind || old.Window != spec.Window || old.MinPart != spec.MinPart) {
+		if old != nil && (old.Kind != spec.Kind || old.Window != spec.Window || old.MinAllocation != spec.MinAllocation) {
 			return false
 		}
 	}
--- a/fleet/budget/division.go
+++ b/fleet/budget/division.go
@@ -87,7 +87,7 @@
 // rotation returns the number of the current rotation of parts that cannot be divided evenly, or 0 if there are enough
 // parts for all.
 func (s *subjectBudget) rotation(spec *Spec, index uint64) uint64 {
-	if spec.Kind == account.Rate || spec.Total.Capacity/spec.MinPart >= rotationParts*int64(len(s.allocations)) {
+	if spec.Kind == account.Rate || spec.Total.Capacity/spec.MinAllocation >= rotationParts*int64(len(s.allocations)) {
 		return 0
 	}
 	return index / rotationPeriod
@@ -139,11 +139,11 @@
 // usable rounds an allocation down to what is of use.
 func (s *Spec) usable(amount Amount) Amount {
 	if s.Kind != account.Rate {
-		amount.Capacity -= amount.Capacity % s.MinPart
+		amount.Capacity -= amount.Capacity % s.MinAllocation
 	} else if amount.Rate == 0 {
 		amount.Capacity = 0
 	}
-	if amount.Capacity < s.MinPart {
+	if amount.Capacity < s.MinAllocation {
 		return Amount{}
 	}
 	return amount
@@ -174,7 +174,7 @@
 	if s.kind == account.Rate {
 		return spec.rateShares(pool, quantities)
 	}
-	roundShares(pool.Capacity, spec.MinPart, a.index/rotationPeriod, claims, quantities)
+	roundShares(pool.Capacity, spec.MinAllocation, a.index/rotationPeriod, claims, quantities)
 	shares := make([]Amount, len(quantities))
 	for i, capacity := range quantities {
 		shares[i].Capacity = capacity
@@ -187,7 +187,7 @@
 	shares := make([]Amount, len(rates))
 	for i, rate := range rates {
 		if rate > 0 {
-			burst := max(s.MinPart, mulDiv(pool.Capacity, rate, pool.Rate))
+			burst := max(s.MinAllocation, mulDiv(pool.Capacity, rate, pool.Rate))
 			shares[i] = Amount{Capacity: burst, Rate: rate}
 		}
 	}
--- a/fleet/budget/enforce/enforcer.go
+++ b/fleet/budget/enforce/enforcer.go
@@ -25,9 +25,9 @@
 type Enforcer struct {
 	site *settings.Settings
 	core Core
-	// Unknown is the budgets that cannot be enforced here, with the reasons: this front end's site does not have what
+	// Unenforceable is the budgets that cannot be enforced here, with the reasons: this front end's site does not have what
 	// they apply to.
-	Unknown map[string]string
+	Unenforceable map[string]string
 }
 
 // New returns an enforcer for a site.
@@ -40,7 +40,7 @@
 
 // GrantBudgets passes a grant on to the scheduler, with new rules if the set has changed.
 func (e *Enforcer) GrantBudgets(_ monotime.Micros, g budget.Grant) {
-	event := scheduler.BudgetGrant{Until: g.Until, Leased: g.Leased, Static: g.Static}
+	event := scheduler.BudgetGrant{Until: g.LeaseExpiresAt, Leased: g.Leased, Static: g.Static}
 	if g.Set != nil {
 		event.Rules = e.rules(g.Set, g.NotInForce)
 	}
@@ -50,12 +50,12 @@
 // rules returns the scheduler's rules for a set. What is spent of a budget that is not in force is only counted.
 func (e *Enforcer) rules(set *budget.Set, notInForce []string) []scheduler.BudgetRule {
 	rules := []scheduler.BudgetRule{}
-	e.Unknown = map[string]string{}
+	e.Unenforceable = map[string]string{}
 	for i := range set.Specs {
 		spec := &set.Specs[i]
 		rule, err := e.rule(spec)
 		if err != nil {
-			e.Unknown[spec.Name] = err.Error()
+			e.Unenforceable[spec.Name] = err.Error()
 			continue
 		}
 		rule.CountOnly = slices.Contains(notInForce, spec.Name)
--- a/fleet/budget/enforce/scope.go
+++ b/fleet/budget/enforce/scope.go
@@ -56,7 +56,7 @@
 		WarmingUp:          s.WarmingUp,
 		Retries:            s.Retries,
 		HealthChecks:       s.HealthChecks,
-		Earned:             int64(s.EarnedShare * account.Unit),
+		RetryCredit:        int64(s.EarnedShare * account.Unit),
 	}
 	if err := s.resolveNames(&rule, site); err != nil {
 		return rule, err
@@ -79,7 +79,7 @@
 	}
 	switch {
 	case s.Tenant == Each:
-		rule.EachTenant = true
+		rule.PerTenant = true
 	case s.Tenant != "":
 		if rule.Tenant, ok = site.TenantOf[s.Tenant]; !ok {
 			return keyError("tenant", "the site has no %q", s.Tenant)
@@ -92,7 +92,7 @@
 	switch s.Engine {
 	case "":
 	case Each:
-		rule.EachEngine = true
+		rule.PerEngine = true
 	default:
 		return keyError("engine", "%q is not \"*\"", s.Engine)
 	}
@@ -107,14 +107,14 @@
 
 // checkCombination returns an error if the keys of the scope do not go together.
 func (s *Scope) checkCombination(rule *scheduler.BudgetRule) error {
-	forTenant := rule.EachTenant || rule.Tenant >= 0
-	each := rule.EachTenant || rule.EachEngine
+	forTenant := rule.PerTenant || rule.Tenant >= 0
+	each := rule.PerTenant || rule.PerEngine
 	switch {
-	case rule.EachEngine && rule.EachTenant:
+	case rule.PerEngine && rule.PerTenant:
 		return keyError("engine", "\"*\" stands with tenant \"*\"")
-	case (rule.WarmingUp || rule.EngineKind != "") && !rule.EachEngine:
+	case (rule.WarmingUp || rule.EngineKind != "") && !rule.PerEngine:
 		return keyError("engine", "missing, with cold or engine_kind")
-	case rule.Overflow == scheduler.DeprioritizeOverflow && (!forTenant || rule.EachEngine || rule.Retries):
+	case rule.Overflow == scheduler.DeprioritizeOverflow && (!forTenant || rule.PerEngine || rule.Retries):
 		return keyError("over", "\"last\" takes a tenant, and neither engine nor further")
 	case s.EarnedShare < 0 || s.EarnedShare > 1,
 		s.EarnedShare > 0 && (!rule.Retries || each || rule.Kind != account.Rate):
--- a/fleet/budget/export_test.go
+++ b/fleet/budget/export_test.go
@@ -59,4 +59,4 @@
 }
 
 // Reserved returns the sum of all static allocations.
-func (s *Spec) Reserved() Amount { return thousandths(s.Total, s.Reserve) }
+func (s *Spec) Reserved() Amount { return thousandths(s.Total, s.StaticShare) }
--- a/fleet/budget/faults_test.go
+++ b/fleet/budget/faults_test.go
@@ -183,11 +183,11 @@
 func standardSet(lease monotime.Micros) *budget.Set {
 	return &budget.Set{Version: 1, Lease: lease, MaxFrontEnds: maxFrontEnds, Specs: []budget.Spec{
 		{Name: "places", Kind: account.Concurrency, Total: budget.Amount{Capacity: 12_000},
-			MaxAttemptDuration: 3 * second, Reserve: 420, MinPart: 1000},
+			MaxAttemptDuration: 3 * second, StaticShare: 420, MinAllocation: 1000},
 		{Name: "rate", Kind: account.Rate, Total: budget.Amount{Capacity: 40_000, Rate: 50_000},
-			Reserve: 130, NewcomerReserve: 20, MinPart: 1000},
+			StaticShare: 130, NewcomerReserve: 20, MinAllocation: 1000},
 		{Name: "window", Kind: account.Window, Total: budget.Amount{Capacity: 60_000},
-			Window: 2 * second, Reserve: 100, MinPart: 1000},
+			Window: 2 * second, StaticShare: 100, MinAllocation: 1000},
 	}}
 }
 
--- a/fleet/budget/figures_test.go
+++ b/fleet/budget/figures_test.go
@@ -18,7 +18,7 @@
 func newFleet(frontEnds int, rate int64, lease monotime.Micros) *world {
 	set := &budget.Set{Version: 1, Lease: lease, MaxFrontEnds: frontEnds, Specs: []budget.Spec{{
 		Name: "rate", Kind: account.Rate, Total: budget.Amount{Capacity: rate * 500, Rate: rate * account.Unit},
-		Reserve: 20, NewcomerReserve: 5, MinPart: 1000,
+		StaticShare: 20, NewcomerReserve: 5, MinAllocation: 1000,
 	}}}
 	w := newWorld(1, set, frontEnds, defects{})
 	w.setDemand(1)
@@ -168,7 +168,7 @@
 	}
 	for _, subjects := range []int{100, 2000, 10000} {
 		w := newWorld(1, subjectsSet(9, 20_000, 30, 10, 1), 9, defects{})
-		w.setMaxSubjects(budget.MaxInstances)
+		w.setMaxSubjects(budget.MaxSubjects)
 		w.subjects = subjects
 		w.setDemand(1000)
 		w.run(8 * second)
@@ -184,7 +184,7 @@
 func subjectsSet(frontEnds int, capacity, reserve, newcomerReserve, minPart int64) *budget.Set {
 	return &budget.Set{Version: 1, Lease: 2 * second, MaxFrontEnds: frontEnds, Specs: []budget.Spec{{
 		Name: "each", Kind: account.Window, Window: second, Total: budget.Amount{Capacity: capacity},
-		Reserve: reserve, NewcomerReserve: newcomerReserve, MinPart: minPart,
+		StaticShare: reserve, NewcomerReserve: newcomerReserve, MinAllocation: minPart,
 	}}}
 }
 
--- a/fleet/budget/front_end_test.go
+++ b/fleet/budget/front_end_test.go
@@ -196,11 +196,11 @@
 		if book == nil {
 			continue
 		}
-		book.Each(func(subject string, a *account.Account) {
-			demand, inUse := a.Demand(now), a.InUse(now)
+		book.ForEach(func(subject string, a *account.Account) {
+			demand, inUse := a.Demand(now), a.InUseBeyondStatic(now)
 			if demand != 0 || inUse != 0 {
 				demands = append(demands,
-					scheduler.BudgetDemand{Budget: name, Subject: subject, Want: demand, InUse: inUse})
+					scheduler.BudgetDemand{Budget: name, Subject: subject, Demand: demand, InUse: inUse})
 			}
 		})
 		book.EvictIdle(now)
@@ -227,20 +227,20 @@
 		}
 	}
 	for name, book := range p.books {
-		book.Lease(now, p.leasesOf(name, book.Kind, g), g.Until)
+		book.SetLeases(now, p.leasesOf(name, book.Kind, g), g.LeaseExpiresAt)
 		if g.Static != nil {
-			book.Static(now, staticOf(name, g))
+			book.SetStatic(now, staticOf(name, g))
 		}
 	}
 }
 
 // leasesOf returns the leases of one budget.
-func (p *process) leasesOf(name string, kind account.Kind, g budget.Grant) (leases []account.Lease) {
+func (p *process) leasesOf(name string, kind account.Kind, g budget.Grant) (leases []account.SubjectLease) {
 	for _, leased := range g.Leased {
 		if leased.Budget != name {
 			continue
 		}
-		leases = append(leases, account.Lease{Subject: leased.Subject, Amount: leased.Amount})
+		leases = append(leases, account.SubjectLease{Subject: leased.Subject, Amount: leased.Amount})
 		if kind == account.Rate {
 			if leased.Amount.Capacity > p.lastBurst {
 				p.freeQueries = int(leased.Amount.Capacity / account.Unit)
--- a/fleet/budget/golden_test.go
+++ b/fleet/budget/golden_test.go
@@ -19,10 +19,10 @@
 func goldenSet(version uint64) *Set {
 	return &Set{Version: version, Lease: 2 * second, MaxFrontEnds: 5, Specs: []Spec{
 		{Name: "places", Kind: account.Concurrency, Total: Amount{Capacity: 6000},
-			MaxAttemptDuration: 25 * second, NewcomerReserve: 100, Floor: 50, MinPart: 1000},
-		{Name: "rate", Kind: account.Rate, Total: Amount{Capacity: 8000, Rate: 6000}, Reserve: 700, MinPart: 1000,
+			MaxAttemptDuration: 25 * second, NewcomerReserve: 100, Floor: 50, MinAllocation: 1000},
+		{Name: "rate", Kind: account.Rate, Total: Amount{Capacity: 8000, Rate: 6000}, StaticShare: 700, MinAllocation: 1000,
 			Weights: []Weight{{"n1", 2000}, {"n2", 500}}, Scope: []byte(`{"class":"load"}`)},
-		{Name: "window", Kind: account.Window, Total: Amount{Capacity: 90_000}, Window: 60 * second, MinPart: 10},
+		{Name: "window", Kind: account.Window, Total: Amount{Capacity: 90_000}, Window: 60 * second, MinAllocation: 10},
 	}}
 }
 
@@ -110,7 +110,7 @@
 func newStateRecorder(t *testing.T) *stateRecorder {
 	return &stateRecorder{
 		t:         t,
-		authority: NewAuthority(Options{Instances: 100}),
+		authority: NewAuthority(Options{MaxSubjects: 100}),
 		at:        replication.ApplyContext{Index: 100, Notify: func(replication.Incarnation, string) {}},
 		set:       goldenSet(1),
 		processes: allLive{map[replication.Incarnation]bool{}},
@@ -173,7 +173,7 @@
 	r.set.Specs[1].Total = Amount{Capacity: 4000, Rate: 3000}
 	r.report(4, 1, 0, 0, places(2000, 500), rate(3000))
 	recodeSnapshot := func(b []byte) ([]byte, error) {
-		other := NewAuthority(Options{Instances: 100})
+		other := NewAuthority(Options{MaxSubjects: 100})
 		err := other.Restore(b, r.at.Now)
 		return other.AppendSnapshot(nil), err
 	}
--- a/fleet/budget/lease_holder.go
+++ b/fleet/budget/lease_holder.go
@@ -28,11 +28,11 @@
 
 // Grant is what a front end may spend from now on.
 type Grant struct {
-	Set        *Set                     // the budgets, if they or NotInForce have changed; nil otherwise
-	NotInForce []string                 // budgets of the set that are not in force yet
-	Until      monotime.Micros          // when the lease expires
-	Leased     []scheduler.BudgetAmount // by budget and subject
-	Static     []scheduler.BudgetAmount // without a lease; nil: as before
+	Set            *Set                     // the budgets, if they or NotInForce have changed; nil otherwise
+	NotInForce     []string                 // budgets of the set that are not in force yet
+	LeaseExpiresAt monotime.Micros          // when the lease expires
+	Leased         []scheduler.BudgetAmount // by budget and subject
+	Static         []scheduler.BudgetAmount // without a lease; nil: as before
 }
 
 // LeaseHolderConfig configures a LeaseHolder.
@@ -175,7 +175,7 @@
 func (h *LeaseHolder) dropLease() {
 	h.grant, h.leaseExpiresAt, h.oldestValidReport = 0, h.now, h.reportNumber+1
 	clear(h.leased)
-	h.consumer.GrantBudgets(h.now, Grant{Until: h.now, Static: h.statics})
+	h.consumer.GrantBudgets(h.now, Grant{LeaseExpiresAt: h.now, Static: h.statics})
 }
 
 // leasedAmounts returns everything that is leased, by budget and subject.
@@ -195,40 +195,40 @@
 func (h *LeaseHolder) enforce(set *Set) {
 	h.setSettings(set)
 	h.consumer.GrantBudgets(h.now, Grant{
-		Set:        set,
-		NotInForce: h.notInForce,
-		Until:      h.leaseExpiresAt,
-		Leased:     h.leasedAmounts(),
-		Static:     h.statics,
+		Set:            set,
+		NotInForce:     h.notInForce,
+		LeaseExpiresAt: h.leaseExpiresAt,
+		Leased:         h.leasedAmounts(),
+		Static:         h.statics,
 	})
 }
 
 // LeaseStatus is the state of a front end's lease, for operators.
 type LeaseStatus struct {
-	Version          uint64          `json:"version"`       // of the settings in force
-	OwnVersion       uint64          `json:"own_version"`   // of this front end's settings
-	Differs          bool            `json:"differs"`       // see LeaseHolder.SettingsConflict
-	Grant            uint64          `json:"grant"`         // the log index of the grant in force; 0 without a lease
-	LeaseRemainingUS monotime.Micros `json:"lease_left_us"` // until the lease expires, in microseconds
-	Reports          int             `json:"reports"`       // see LeaseHolder.Reports and the next fields
-	ChangedGrants    int             `json:"moved"`
-	ExpiredLeases    int             `json:"lapsed"`
-	LateResponses    int             `json:"too_late"`
-	HasStaticPart    bool            `json:"static_part"`
+	Version             uint64          `json:"version"`       // of the settings in force
+	ConfiguredVersion   uint64          `json:"own_version"`   // of this front end's settings
+	SettingsConflict    bool            `json:"differs"`       // see LeaseHolder.SettingsConflict
+	Grant               uint64          `json:"grant"`         // the log index of the grant in force; 0 without a lease
+	LeaseRemainingUS    monotime.Micros `json:"lease_left_us"` // until the lease expires, in microseconds
+	Reports             int             `json:"reports"`       // see LeaseHolder.Reports and the next fields
+	ChangedGrants       int             `json:"moved"`
+	ExpiredLeases       int             `json:"lapsed"`
+	LateResponses       int             `json:"too_late"`
+	HasStaticAllocation bool            `json:"static_part"`
 }
 
 // Status returns the state of the lease.
 func (h *LeaseHolder) Status(now monotime.Micros) LeaseStatus {
 	return LeaseStatus{
-		Version:          h.set.Version,
-		OwnVersion:       h.config.Set.Version,
-		Differs:          h.SettingsConflict,
-		Grant:            h.grant,
-		LeaseRemainingUS: max(0, h.leaseExpiresAt-now),
-		Reports:          h.Reports,
-		ChangedGrants:    h.ChangedGrants,
-		ExpiredLeases:    h.ExpiredLeases,
-		LateResponses:    h.LateResponses,
-		HasStaticPart:    h.staticGrant != 0,
+		Version:             h.set.Version,
+		ConfiguredVersion:   h.config.Set.Version,
+		SettingsConflict:    h.SettingsConflict,
+		Grant:               h.grant,
+		LeaseRemainingUS:    max(0, h.leaseExpiresAt-now),
+		Reports:             h.Reports,
+		ChangedGrants:       h.ChangedGrants,
+		ExpiredLeases:       h.ExpiredLeases,
+		LateResponses:       h.LateResponses,
+		HasStaticAllocation: h.staticGrant != 0,
 	}
 }
--- a/fleet/budget/lease_holder_report.go
+++ b/fleet/budget/lease_holder_report.go
@@ -41,7 +41,7 @@
 	h.demandCheckedAt = h.now
 	for _, d := range h.consumer.BudgetDemands(h.now) {
 		reported, ok := h.reported[subjectKey{d.Budget, d.Subject}]
-		if !ok || demandChanged(reported.Demand, d.Want) {
+		if !ok || demandChanged(reported.Demand, d.Demand) {
 			h.reportDue = true
 			return
 		}
@@ -107,7 +107,7 @@
 	}
 	present := make(map[subjectKey]bool, len(h.reported))
 	for _, d := range h.consumer.BudgetDemands(h.now) {
-		current := subjectDemand{Budget: d.Budget, Subject: d.Subject, Demand: d.Want, InUse: d.InUse}
+		current := subjectDemand{Budget: d.Budget, Subject: d.Subject, Demand: d.Demand, InUse: d.InUse}
 		key := current.key()
 		if h.phase != phaseActive {
 			current.Demand = 0
--- a/fleet/budget/lease_holder_response.go
+++ b/fleet/budget/lease_holder_response.go
@@ -42,9 +42,9 @@
 	if leaseChanged || staticChanged {
 		h.ChangedGrants++
 		h.consumer.GrantBudgets(h.now, Grant{
-			Until:  h.leaseExpiresAt,
-			Leased: h.leasedAmounts(),
-			Static: h.statics,
+			LeaseExpiresAt: h.leaseExpiresAt,
+			Leased:         h.leasedAmounts(),
+			Static:         h.statics,
 		})
 	}
 }
--- a/fleet/budget/plan.go
+++ b/fleet/budget/plan.go
@@ -8,13 +8,13 @@
 
 // Plan is what the settings of a budget come to, for who writes them. Amounts are in units, per second for rates.
 type Plan struct {
-	Name      string  `json:"name"`
-	Kind      string  `json:"kind"`
-	Total     float64 `json:"whole"`
-	Divided   float64 `json:"divided"`   // by demand
-	Static    float64 `json:"static"`    // of each front end
-	Newcomers float64 `json:"newcomers"` // reserved for who has no allocation yet
-	Lost      string  `json:"lost"`      // how long what a lost front end had is unavailable, at most
+	Name            string  `json:"name"`
+	Kind            string  `json:"kind"`
+	Total           float64 `json:"whole"`
+	Divided         float64 `json:"divided"`   // by demand
+	Static          float64 `json:"static"`    // of each front end
+	NewcomerReserve float64 `json:"newcomers"` // reserved for who has no allocation yet
+	MaxRecoveryTime string  `json:"lost"`      // how long what a lost front end had is unavailable, at most
 }
 
 // Plan returns what the settings of all budgets come to.
@@ -34,13 +34,13 @@
 		unavailable += withMargin(s.drainTime())
 	}
 	return Plan{
-		Name:      s.Name,
-		Kind:      s.Kind.String(),
-		Total:     s.units(s.Total),
-		Divided:   s.units(s.Total.Sub(allStatic).Sub(s.newcomerReserve())),
-		Static:    s.units(static),
-		Newcomers: s.units(s.newcomerReserve()),
-		Lost:      formatMicros(unavailable),
+		Name:            s.Name,
+		Kind:            s.Kind.String(),
+		Total:           s.units(s.Total),
+		Divided:         s.units(s.Total.Sub(allStatic).Sub(s.newcomerReserve())),
+		Static:          s.units(static),
+		NewcomerReserve: s.units(s.newcomerReserve()),
+		MaxRecoveryTime: formatMicros(unavailable),
 	}
 }
 
--- a/fleet/budget/spec.go
+++ b/fleet/budget/spec.go
@@ -22,18 +22,18 @@
 	Total              Amount          // of all front ends
 	Window             monotime.Micros // the length of the sliding window; of Window budgets only
 	MaxAttemptDuration monotime.Micros // the longest that a front end polls for what uses a concurrency limit
-	Reserve            int64           // thousandths of the total that are divided evenly as static allocations
+	StaticShare        int64           // thousandths of the total that are divided evenly as static allocations
 	NewcomerReserve    int64           // thousandths of the total that are reserved for who has no allocation yet
 	Floor              int64           // thousandths of the total that each front end with demand gets first
-	MinPart            int64           // the smallest allocation that is of use, in thousandths of a unit
+	MinAllocation      int64           // the smallest allocation that is of use, in thousandths of a unit
 	Weights            []Weight
 	Scope              []byte // what the budget applies to, as in the settings; it plays no part in the division
 }
 
 // Weight gives a front end a larger or a smaller share.
 type Weight struct {
-	Name  string // of the front end
-	Parts int64  // thousandths of the default
+	FrontEnd    string // of the front end
+	Thousandths int64  // thousandths of the default
 }
 
 // drainTime returns how long what was spent under a lease counts after the lease has expired, in microseconds.
@@ -61,13 +61,13 @@
 // staticAllocation returns the static allocation of one front end of as many as there may be.
 func (s *Spec) staticAllocation(maxFrontEnds int) Amount {
 	n := int64(maxFrontEnds)
-	amount := thousandths(s.Total, s.Reserve)
+	amount := thousandths(s.Total, s.StaticShare)
 	amount = Amount{Capacity: amount.Capacity / n, Rate: amount.Rate / n}
-	if amount.Capacity < s.MinPart {
+	if amount.Capacity < s.MinAllocation {
 		return Amount{}
 	}
 	if s.Kind == account.Concurrency {
-		amount.Capacity -= amount.Capacity % s.MinPart
+		amount.Capacity -= amount.Capacity % s.MinAllocation
 	}
 	return amount
 }
@@ -75,8 +75,8 @@
 // weight returns a front end's weight, in thousandths.
 func (s *Spec) weight(frontEnd string) int64 {
 	for _, w := range s.Weights {
-		if w.Name == frontEnd {
-			return w.Parts
+		if w.FrontEnd == frontEnd {
+			return w.Thousandths
 		}
 	}
 	return permille
@@ -144,13 +144,13 @@
 
 // validShares reports whether what is reserved in one way or another is no more than the total.
 func (s *Spec) validShares(maxFrontEnds int) bool {
-	return s.Reserve >= 0 && s.NewcomerReserve >= 0 && s.Floor >= 0 && s.MinPart >= 1 &&
-		s.Reserve+s.NewcomerReserve+s.Floor*int64(maxFrontEnds) <= permille
+	return s.StaticShare >= 0 && s.NewcomerReserve >= 0 && s.Floor >= 0 && s.MinAllocation >= 1 &&
+		s.StaticShare+s.NewcomerReserve+s.Floor*int64(maxFrontEnds) <= permille
 }
 
 func (s *Spec) validWeights(maxFrontEnds int) bool {
 	return len(s.Weights) <= maxFrontEnds && !slices.ContainsFunc(s.Weights, func(w Weight) bool {
-		return w.Parts < 1 || w.Parts > maxWeight
+		return w.Thousandths < 1 || w.Thousandths > maxWeight
 	})
 }
 
--- a/fleet/budget/spec_codec.go
+++ b/fleet/budget/spec_codec.go
@@ -39,15 +39,15 @@
 	fieldcodec.IntUpTo(f, 4, &s.Total.Rate, maxNumber)
 	fieldcodec.IntUpTo(f, 5, &s.Window, maxNumber)
 	fieldcodec.IntUpTo(f, 6, &s.MaxAttemptDuration, maxNumber)
-	fieldcodec.IntUpTo(f, 7, &s.Reserve, maxNumber)
+	fieldcodec.IntUpTo(f, 7, &s.StaticShare, maxNumber)
 	fieldcodec.IntUpTo(f, 8, &s.NewcomerReserve, maxNumber)
 	fieldcodec.IntUpTo(f, 9, &s.Floor, maxNumber)
-	fieldcodec.IntUpTo(f, 10, &s.MinPart, maxNumber)
+	fieldcodec.IntUpTo(f, 10, &s.MinAllocation, maxNumber)
 	fieldcodec.Messages(f, 11, &s.Weights, 0, nil, (*Weight).fields)
 	f.Copied(12, &s.Scope)
 }
 
 func (w *Weight) fields(f *fieldcodec.Fields) {
-	f.String(1, &w.Name)
-	fieldcodec.IntUpTo(f, 2, &w.Parts, maxNumber)
+	f.String(1, &w.FrontEnd)
+	fieldcodec.IntUpTo(f, 2, &w.Thousandths, maxNumber)
 }
--- a/fleet/budget/static.go
+++ b/fleet/budget/static.go
@@ -56,7 +56,7 @@
 		}
 		available := spec.Total.Sub(leased[spec.Name]).Sub(b.staticOutstanding).Max(Amount{})
 		target = target.Min(allocation.previous.Add(available))
-		if target.Capacity < spec.MinPart {
+		if target.Capacity < spec.MinAllocation {
 			target = Amount{}
 		}
 		if target != allocation.current {
--- a/fleet/budget/status.go
+++ b/fleet/budget/status.go
@@ -10,17 +10,17 @@
 // Status is the state of a budget, for operators. Amounts are in units: queries, threads or milliseconds of work, per
 // second for rates.
 type Status struct {
-	Name      string          `json:"name"`
-	Kind      string          `json:"kind"`
-	Total     float64         `json:"whole"`
-	Burst     float64         `json:"burst,omitempty"`
-	WindowMS  int64           `json:"window_ms,omitempty"`
-	Reserve   float64         `json:"reserve"`     // for static allocations, whether they are assigned or not
-	Newcomers float64         `json:"newcomers"`   // reserved for who has no allocation yet
-	Open      bool            `json:"open"`        // granted: a new authority waits until earlier grants have expired
-	InForce   bool            `json:"in_force"`    // no more is outstanding than the total, which may have been lowered
-	SinceMS   int64           `json:"in_force_ms"` // for how long it has been in force, by this replica's clock
-	Subjects  []SubjectStatus `json:"subjects"`    // maxShownSubjects at most
+	Name            string          `json:"name"`
+	Kind            string          `json:"kind"`
+	Total           float64         `json:"whole"`
+	Burst           float64         `json:"burst,omitempty"`
+	WindowMS        int64           `json:"window_ms,omitempty"`
+	StaticReserve   float64         `json:"reserve"`     // for static allocations, whether they are assigned or not
+	NewcomerReserve float64         `json:"newcomers"`   // reserved for who has no allocation yet
+	Open            bool            `json:"open"`        // granted: a new authority waits until earlier grants have expired
+	InForce         bool            `json:"in_force"`    // no more is outstanding than the total, which may have been lowered
+	InForceMS       int64           `json:"in_force_ms"` // for how long it has been in force, by this replica's clock
+	Subjects        []SubjectStatus `json:"subjects"`    // maxShownSubjects at most
 }
 
 // SubjectStatus is the division of one subject's budget.
@@ -33,13 +33,13 @@
 
 // HolderStatus is one lease holder's allocation of a subject's budget.
 type HolderStatus struct {
-	Name    string  `json:"name"`    // of the front end
-	Process string  `json:"process"` // the incarnation, hexadecimal
-	Want    float64 `json:"want"`    // demand
-	Granted float64 `json:"granted"`
-	Counted float64 `json:"counted"` // outstanding: what may be in force, or in use
-	InUse   float64 `json:"in_use"`
-	Lapsed  bool    `json:"lapsed"` // the lease has expired; what was spent under it may still be in use
+	Name        string  `json:"name"`    // of the front end
+	Incarnation string  `json:"process"` // the incarnation, hexadecimal
+	Demand      float64 `json:"want"`    // demand
+	Granted     float64 `json:"granted"`
+	Outstanding float64 `json:"counted"` // outstanding: what may be in force, or in use
+	InUse       float64 `json:"in_use"`
+	Expired     bool    `json:"lapsed"` // the lease has expired; what was spent under it may still be in use
 }
 
 // maxShownSubjects bounds the subjects of a budget in its Status.
@@ -74,21 +74,21 @@
 func (a *Authority) budgetStatus(now monotime.Micros, spec *Spec, keys []subjectKey) Status {
 	b := a.budgets[spec.Name]
 	status := Status{
-		Name:      spec.Name,
-		Kind:      spec.Kind.String(),
-		Total:     spec.units(spec.Total),
-		WindowMS:  spec.Window / monotime.Millisecond,
-		Reserve:   spec.units(b.staticReserved),
-		Newcomers: spec.units(spec.newcomerReserve()),
-		Open:      b.open,
-		InForce:   !a.exceedsTotal(spec),
-		Subjects:  []SubjectStatus{},
+		Name:            spec.Name,
+		Kind:            spec.Kind.String(),
+		Total:           spec.units(spec.Total),
+		WindowMS:        spec.Window / monotime.Millisecond,
+		StaticReserve:   spec.units(b.staticReserved),
+		NewcomerReserve: spec.units(spec.newcomerReserve()),
+		Open:            b.open,
+		InForce:         !a.exceedsTotal(spec),
+		Subjects:        []SubjectStatus{},
 	}
 	if spec.Kind == account.Rate {
 		status.Burst = inUnits(spec.Total.Capacity)
 	}
 	if status.InForce && b.inForceSince != 0 {
-		status.SinceMS = (now - b.inForceSince) / monotime.Millisecond
+		status.InForceMS = (now - b.inForceSince) / monotime.Millisecond
 	}
 	for _, key := range keys {
 		if key.budget == spec.Name && len(status.Subjects) < maxShownSubjects {
@@ -107,13 +107,13 @@
 	}
 	for _, o := range s.allocations {
 		status.Holders = append(status.Holders, HolderStatus{
-			Name:    o.holder.name,
-			Process: fmt.Sprintf("%016x", uint64(o.holder.incarnation)),
-			Want:    inUnits(o.demand),
-			Granted: spec.units(o.current),
-			Counted: spec.units(o.outstanding()),
-			InUse:   inUnits(o.inUse),
-			Lapsed:  o.holder.expired,
+			Name:        o.holder.name,
+			Incarnation: fmt.Sprintf("%016x", uint64(o.holder.incarnation)),
+			Demand:      inUnits(o.demand),
+			Granted:     spec.units(o.current),
+			Outstanding: spec.units(o.outstanding()),
+			InUse:       inUnits(o.inUse),
+			Expired:     o.holder.expired,
 		})
 	}
 	return status
--- a/fleet/budget/world_test.go
+++ b/fleet/budget/world_test.go
@@ -96,7 +96,7 @@
 }
 
 func newAuthority(maxSubjects int) *budget.Authority {
-	return budget.NewAuthority(budget.Options{Instances: maxSubjects})
+	return budget.NewAuthority(budget.Options{MaxSubjects: maxSubjects})
 }
 
 // setMaxSubjects gives all replicas new authorities with another limit.
--- a/fleet/cluster_test.go
+++ b/fleet/cluster_test.go
@@ -20,7 +20,7 @@
 	"chutechute/internal/standin"
 )
 
-func TestMain(m *testing.M) { os.Exit(standin.Seeded(m)) }
+func TestMain(m *testing.M) { os.Exit(standin.RunWithFixedSeed(m)) }
 
 const (
 	ms            = monotime.Millisecond
@@ -109,7 +109,7 @@
 		Name:              name,
 		Zone:              zones[name],
 		Incarnation:       m.incarnation,
-		Zones:             otherZones,
+		PeerZones:         otherZones,
 		HeartbeatInterval: 2 * tickInterval,
 		RetryInterval:     retryInterval,
 		NewID:             c.newID,
@@ -359,7 +359,7 @@
 		IdempotencyKey:  idempotencyKey,
 		StatementDigest: []byte("statement"),
 		RequestID:       "call-" + idempotencyKey,
-		TTL:             uint64(8 * second),
+		ClientTimeout:   uint64(8 * second),
 	}
 	c.propose(a, &command, func(response replication.Response) {
 		decoded, err := idempotency.DecodeResponse(response.Body)
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -24,7 +24,7 @@
 		Name:              "n1",
 		Zone:              "a",
 		Incarnation:       fuzzedIncarnation,
-		Zones:             map[string]string{"n2": "b"},
+		PeerZones:         map[string]string{"n2": "b"},
 		HeartbeatInterval: 2 * tickInterval,
 		RetryInterval:     retryInterval,
 		Membership: &membership.Config{
@@ -63,11 +63,11 @@
 // front end's message never causes one among control members, except a proposal in its own name.
 func FuzzReceive(f *testing.F) {
 	command := replication.Command{
-		StateMachine: 1,
-		Version:      1,
-		Proposer:     attachedIncarnation,
-		Sequence:     1,
-		Body:         []byte("body"),
+		StateMachineID: 1,
+		Version:        1,
+		Proposer:       attachedIncarnation,
+		Sequence:       1,
+		Body:           []byte("body"),
 	}
 	for _, kind := range []transport.Kind{
 		transport.ControlHeartbeat, transport.Proposal, transport.Response, transport.Relay, transport.AttachedHeartbeat,
--- a/fleet/heartbeats.go
+++ b/fleet/heartbeats.go
@@ -21,7 +21,7 @@
 	m := controlHeartbeat{
 		Incarnation:   n.cfg.Incarnation,
 		ReplicaID:     n.replica.ID(),
-		Group:         n.replica.Group(),
+		Group:         n.replica.GroupID(),
 		Leader:        n.replica.Leader(),
 		Term:          n.replica.Term(),
 		AppliedIndex:  index,
@@ -50,7 +50,7 @@
 		return nil
 	}
 	n.lastHeartbeats[l.From] = &m
-	if m.Group != 0 && m.Group == n.replica.Group() {
+	if m.Group != 0 && m.Group == n.replica.GroupID() {
 		n.replica.CheckDivergence(m.AppliedIndex, m.AppliedDigest)
 	}
 	if n.server != nil && len(m.TableVersions) > 0 {
--- a/fleet/heartbeats_test.go
+++ b/fleet/heartbeats_test.go
@@ -20,7 +20,7 @@
 	n := NewNode(Config{
 		Name:              "n1",
 		Incarnation:       5,
-		Zones:             map[string]string{"n2": ""},
+		PeerZones:         map[string]string{"n2": ""},
 		HeartbeatInterval: 100_000,
 		RetryInterval:     200_000,
 		Membership:        attached,
--- a/fleet/idempotency/apply.go
+++ b/fleet/idempotency/apply.go
@@ -38,7 +38,7 @@
 	switch c.Op {
 	case Expire:
 		r.expire(c, rec)
-	case Forget:
+	case Evict:
 		r.evict(c, rec)
 	case OfferTransfer:
 		offerTransfer(c, rec)
@@ -179,12 +179,12 @@
 	response.Owner = uint64(rec.owner)
 	response.Epoch = rec.epoch
 	response.Index = rec.index
-	response.FirstOfKey = r.isFirst(rec)
+	response.FirstInQueue = r.isFirst(rec)
 	response.OwnerRequestID = rec.requestID
 	response.Rows = rec.rows
 	if rec.phase == Started {
 		last := rec.lastAttempt()
-		response.TTL = rec.ttl
+		response.ClientTimeout = rec.ttl
 		response.Engine = last.engine
 		response.StartedRequestID = last.requestID
 		response.Class = rec.class
--- a/fleet/idempotency/command.go
+++ b/fleet/idempotency/command.go
@@ -15,7 +15,7 @@
 	AuthorizeAttempt               // authorize an attempt to start
 	Complete                       // commit the outcome, or remove a request that did not run
 	Expire                         // by the leader: no attempt of the request can run any more
-	Forget                         // by the leader: the outcome was retained long enough, evict the record
+	Evict                          // by the leader: the outcome was retained long enough, evict the record
 	Inspect                        // return the record, as of this place in the order of commits
 	OfferTransfer                  // by the leader: the owner is unreachable, another front end polls what was started
 	Transfer                       // the owner shuts down: another front end is to poll what was started
@@ -34,7 +34,7 @@
 	Class           string
 	StatementDigest []byte
 	RequestID       string
-	TTL             uint64 // microseconds that the client waits, from before the command was proposed
+	ClientTimeout   uint64 // microseconds that the client waits, from before the command was proposed
 	TakeOver        bool   // Register: become the owner if no attempt was authorized
 	Epoch           uint64 // the epoch in which the proposer believes to be the owner
 	Attempt         uint64 // AuthorizeAttempt: the number of the attempt
@@ -54,7 +54,7 @@
 	f.String(5, &c.Class)
 	f.Copied(6, &c.StatementDigest)
 	f.String(7, &c.RequestID)
-	fieldcodec.Uint(f, 8, &c.TTL)
+	fieldcodec.Uint(f, 8, &c.ClientTimeout)
 	f.Bool(9, &c.TakeOver)
 	fieldcodec.Uint(f, 10, &c.Epoch)
 	fieldcodec.Uint(f, 11, &c.Attempt)
--- a/fleet/idempotency/due.go
+++ b/fleet/idempotency/due.go
@@ -50,7 +50,7 @@
 	switch {
 	case rec.phase.Finished():
 		if now-rec.changedAt >= r.options.Retention {
-			return rec.leaderCommand(Forget)
+			return rec.leaderCommand(Evict)
 		}
 	case rec.phase == Started:
 		if now-rec.registeredAt >= rec.lifetime()+replication.AbandonTimeout {
--- a/fleet/idempotency/golden_test.go
+++ b/fleet/idempotency/golden_test.go
@@ -31,7 +31,7 @@
 		Class:           "load",
 		StatementDigest: []byte{1, 2, 3},
 		RequestID:       "call-1",
-		TTL:             25_000_000,
+		ClientTimeout:   25_000_000,
 		TakeOver:        true,
 		Epoch:           300,
 		Attempt:         2,
@@ -55,10 +55,10 @@
 		Owner:            1 << 61,
 		Epoch:            300,
 		Index:            299,
-		FirstOfKey:       true,
+		FirstInQueue:     true,
 		OwnerRequestID:   "call-1",
 		Rows:             []byte("rows"),
-		TTL:              25_000_000,
+		ClientTimeout:    25_000_000,
 		Engine:           "s-00000001",
 		StartedRequestID: "call-0",
 		Class:            "load",
@@ -103,7 +103,7 @@
 		Class:           "load",
 		StatementDigest: []byte(idempotencyKey + orderKey),
 		RequestID:       "call-" + idempotencyKey,
-		TTL:             uint64(25 * monotime.Second),
+		ClientTimeout:   uint64(25 * monotime.Second),
 	}).Epoch
 }
 
@@ -127,7 +127,7 @@
 		IdempotencyKey:  idempotencyKey,
 		StatementDigest: []byte(digest),
 		RequestID:       "again",
-		TTL:             uint64(monotime.Second),
+		ClientTimeout:   uint64(monotime.Second),
 	})
 }
 
@@ -158,7 +158,7 @@
 		Class:           "load",
 		StatementDigest: []byte("fiveother"),
 		RequestID:       "second",
-		TTL:             uint64(monotime.Second),
+		ClientTimeout:   uint64(monotime.Second),
 		TakeOver:        true,
 	})
 	r.apply(5, Command{Op: Transfer, IdempotencyKey: "one", Epoch: one})
--- a/fleet/idempotency/idempotencyclient/attempt.go
+++ b/fleet/idempotency/idempotencyclient/attempt.go
@@ -45,5 +45,5 @@
 func (c *Client) OutcomeUnknown(registration *gateway.Registration) bool {
 	t := recordOf(registration)
 	startedElsewhere := t.phase == idempotency.Started && t.ownership != ownerBeforeStart
-	return registration.Seen && (startedElsewhere || t.phase.Finished() || t.completing)
+	return registration.StoreAnswered && (startedElsewhere || t.phase.Finished() || t.completing)
 }
--- a/fleet/idempotency/idempotencyclient/client.go
+++ b/fleet/idempotency/idempotencyclient/client.go
@@ -24,8 +24,8 @@
 	PresumedDead(incarnation uint64) bool
 }
 
-// Core is the part of the gateway that polls for attempts that another front end has started.
-type Core interface {
+// TakeoverHandler is the part of the gateway that polls for attempts that another front end has started.
+type TakeoverHandler interface {
 	// TakeOver opens a request without a client for a started attempt, and returns its registration, or nil where this
 	// front end has an open request of the same id.
 	TakeOver(now monotime.Micros, takeover gateway.Takeover) *gateway.Registration
@@ -33,17 +33,17 @@
 
 // Config has the settings of a client.
 type Config struct {
-	Incarnation        uint64          // of this front end's process
-	PollInterval       monotime.Micros // between polls for a request that another owns, or that is not first of its key
-	CommitTimeout      monotime.Micros // how long an outcome is proposed until the request fails
-	CapacityRetryAfter monotime.Micros // when a client may retry a request that was rejected
+	Incarnation   uint64          // of this front end's process
+	PollInterval  monotime.Micros // between polls for a request that another owns, or that is not first of its key
+	CommitTimeout monotime.Micros // how long an outcome is proposed until the request fails
+	RetryAfter    monotime.Micros // when a client may retry a request that was rejected
 }
 
 // Client is one front end's side of the registry.
 type Client struct {
 	config   Config
 	proposer Proposer
-	core     Core
+	core     TakeoverHandler
 	now      monotime.Micros
 	tracked  map[string]*trackedRecord // by idempotency key
 	ordered  []*trackedRecord          // those of tracked, in the order in which they came
@@ -57,7 +57,7 @@
 var _ gateway.IdempotencyStore = (*Client)(nil)
 
 // New returns a client that tracks no requests.
-func New(config Config, proposer Proposer, core Core) *Client {
+func New(config Config, proposer Proposer, core TakeoverHandler) *Client {
 	return &Client{config: config, proposer: proposer, core: core, tracked: map[string]*trackedRecord{}}
 }
 
@@ -126,7 +126,7 @@
 // rejectAll rejects all that wait for a record, and closes it.
 func (c *Client) rejectAll(t *trackedRecord) {
 	for _, registration := range c.close(t) {
-		registration.Reject(c.now, c.config.CapacityRetryAfter)
+		registration.Reject(c.now, c.config.RetryAfter)
 	}
 }
 
--- a/fleet/idempotency/idempotencyclient/register.go
+++ b/fleet/idempotency/idempotencyclient/register.go
@@ -34,12 +34,12 @@
 	command := &idempotency.Command{
 		Op:              idempotency.Register,
 		IdempotencyKey:  t.idempotencyKey,
-		OrderKey:        call.Key,
+		OrderKey:        call.OrderKey,
 		Tenant:          call.Tenant,
 		Class:           call.Class,
 		StatementDigest: t.statementDigest,
 		RequestID:       call.ID,
-		TTL:             uint64(max(1, registration.Deadline()-c.now)),
+		ClientTimeout:   uint64(max(1, registration.Deadline()-c.now)),
 		TakeOver:        takeOver,
 	}
 	t.registerProposal = c.propose(command, func(response idempotency.Response, committed bool) {
@@ -83,7 +83,7 @@
 	isFirstResponse := !t.registered
 	t.registered = true
 	for _, registration := range t.registrations {
-		registration.Seen = true
+		registration.StoreAnswered = true
 	}
 	isOwner := committed && response.Status == idempotency.OK && response.Owner == c.config.Incarnation
 	if isOwner && takeOver && !t.isOwner() && response.Phase == idempotency.Waiting {
@@ -136,13 +136,13 @@
 // advanceOwned does what the state of a record of which this front end is the owner calls for.
 func (c *Client) advanceOwned(t *trackedRecord, response idempotency.Response) {
 	switch {
-	case t.phase == idempotency.Waiting && response.FirstOfKey:
+	case t.phase == idempotency.Waiting && response.FirstInQueue:
 		if response.OwnerRequestID != t.registrations[0].Call().ID {
 			c.register(t, false) // its request was released; the registry must know how long the next client waits
 			return
 		}
 		t.dispatched = t.registrations[0]
-		t.dispatched.Owned()
+		t.dispatched.Schedule()
 	case t.phase == idempotency.Started && t.dispatched == nil:
 		if t.ownership == ownerAfterStart {
 			c.takeOver(t, response)
@@ -169,10 +169,10 @@
 func (c *Client) rejectOtherStatements(t *trackedRecord) {
 	var conflicting []*gateway.Registration
 	for _, registration := range t.registrations {
-		if registration.Checked {
+		if registration.StatementChecked {
 			continue
 		}
-		registration.Checked = true
+		registration.StatementChecked = true
 		if !bytes.Equal(statementDigest(registration.Call().Statement), t.statementDigest) {
 			conflicting = append(conflicting, registration)
 		}
@@ -182,6 +182,6 @@
 		slog.Warn("request rejected: idempotency key reused with another statement",
 			slog.String("idempotency_key", t.idempotencyKey), slog.String("request_id", registration.Call().ID))
 		t.removeRegistration(registration)
-		registration.Reject(c.now, c.config.CapacityRetryAfter)
+		registration.Reject(c.now, c.config.RetryAfter)
 	}
 }
--- a/fleet/idempotency/idempotencyclient/status.go
+++ b/fleet/idempotency/idempotencyclient/status.go
@@ -9,8 +9,8 @@
 	Phase          string `json:"phase"`
 	Epoch          uint64 `json:"epoch"`
 	Dispatched     bool   `json:"runs"`   // the scheduler has one of its requests
-	Proposing      bool   `json:"asking"` // a Register is pending
-	Committing     bool   `json:"ending"` // a Complete is pending
+	Registering    bool   `json:"asking"` // a Register is pending
+	Completing     bool   `json:"ending"` // a Complete is pending
 	Registered     bool   `json:"noted"`  // the first Register was answered
 }
 
@@ -32,8 +32,8 @@
 		Phase:          t.phase.String(),
 		Epoch:          t.epoch,
 		Dispatched:     t.dispatched != nil,
-		Proposing:      t.registerProposal != 0,
-		Committing:     t.completing,
+		Registering:    t.registerProposal != 0,
+		Completing:     t.completing,
 		Registered:     t.registered,
 	}
 }
--- a/fleet/idempotency/idempotencyclient/takeover.go
+++ b/fleet/idempotency/idempotencyclient/takeover.go
@@ -74,9 +74,9 @@
 		RequestID:      response.StartedRequestID,
 		Engine:         response.Engine,
 		IdempotencyKey: t.idempotencyKey,
-		Key:            response.OrderKey,
+		OrderKey:       response.OrderKey,
 		Class:          response.Class,
-		TTL:            monotime.Micros(response.TTL),
+		TTL:            monotime.Micros(response.ClientTimeout),
 	})
 	if registration == nil {
 		return // a client's request here has that id; the record expires
@@ -84,7 +84,7 @@
 	slog.Info("started request taken over", slog.String("idempotency_key", t.idempotencyKey),
 		slog.String("engine", response.Engine), slog.String("request_id", response.StartedRequestID),
 		slog.Uint64("epoch", response.Epoch))
-	registration.Checked = true
+	registration.StatementChecked = true
 	t.addRegistration(registration)
 	t.dispatched = registration
 }
--- a/fleet/idempotency/idempotencyclient/trackedrecord.go
+++ b/fleet/idempotency/idempotencyclient/trackedrecord.go
@@ -39,7 +39,7 @@
 
 // recordOf returns the record that a registration is for.
 func recordOf(registration *gateway.Registration) *trackedRecord {
-	return registration.Slot.(*trackedRecord)
+	return registration.StoreState.(*trackedRecord)
 }
 
 // newTrackedRecord returns the record of the first request for it that came here.
@@ -47,7 +47,7 @@
 	call := registration.Call()
 	t := &trackedRecord{
 		idempotencyKey:  call.IdempotencyKey,
-		orderKey:        call.Key,
+		orderKey:        call.OrderKey,
 		statementDigest: statementDigest(call.Statement),
 	}
 	t.addRegistration(registration)
@@ -55,7 +55,7 @@
 }
 
 func (t *trackedRecord) addRegistration(registration *gateway.Registration) {
-	registration.Slot = t
+	registration.StoreState = t
 	t.registrations = append(t.registrations, registration)
 }
 
--- a/fleet/idempotency/record.go
+++ b/fleet/idempotency/record.go
@@ -56,7 +56,7 @@
 		class:           c.Class,
 		statementDigest: c.StatementDigest,
 		requestID:       c.RequestID,
-		ttl:             c.TTL,
+		ttl:             c.ClientTimeout,
 		index:           c.Index,
 		owner:           c.proposer,
 		epoch:           c.Index,
@@ -102,6 +102,6 @@
 // assignToProposer makes the proposer of a Register the owner, with its registration of the request.
 func (rec *record) assignToProposer(c *committedCommand) {
 	rec.setOwner(c, c.proposer)
-	rec.requestID, rec.ttl = c.RequestID, c.TTL
+	rec.requestID, rec.ttl = c.RequestID, c.ClientTimeout
 	rec.registeredAt, rec.changedAt = c.Now, c.Now
 }
--- a/fleet/idempotency/response.go
+++ b/fleet/idempotency/response.go
@@ -29,11 +29,11 @@
 	Owner          uint64 // incarnation; 0 while the record has no owner
 	Epoch          uint64
 	Index          uint64 // the log index of the registration, which is its place in the order of commits
-	FirstOfKey     bool   // no request of its order key is before it
+	FirstInQueue   bool   // no request of its order key is before it
 	OwnerRequestID string // the request that the owner registered
 	Rows           []byte // of a served request
 
-	TTL              uint64 // microseconds that the client waits
+	ClientTimeout    uint64 // microseconds that the client waits
 	Engine           string // of the last attempt
 	StartedRequestID string // the request whose last attempt it is
 	Class            string
@@ -48,10 +48,10 @@
 	fieldcodec.Uint(f, 3, &r.Owner)
 	fieldcodec.Uint(f, 4, &r.Epoch)
 	fieldcodec.Uint(f, 5, &r.Index)
-	f.Bool(6, &r.FirstOfKey)
+	f.Bool(6, &r.FirstInQueue)
 	f.String(7, &r.OwnerRequestID)
 	f.Copied(8, &r.Rows)
-	fieldcodec.Uint(f, 9, &r.TTL)
+	fieldcodec.Uint(f, 9, &r.ClientTimeout)
 	f.String(10, &r.Engine)
 	f.String(11, &r.StartedRequestID)
 	f.String(12, &r.Class)
--- a/fleet/idempotency/status.go
+++ b/fleet/idempotency/status.go
@@ -11,7 +11,7 @@
 	Owner          string   `json:"owner"` // incarnation, in hexadecimal
 	Epoch          uint64   `json:"epoch"`
 	Index          uint64   `json:"place"`
-	Starts         []string `json:"starts,omitempty"` // the attempts that were authorized
+	Attempts       []string `json:"starts,omitempty"` // the attempts that were authorized
 	Bytes          int      `json:"bytes"`            // of the rows
 }
 
@@ -36,7 +36,7 @@
 		Bytes:          len(rec.rows),
 	}
 	for _, a := range rec.attempts {
-		status.Starts = append(status.Starts, fmt.Sprintf("%d on %s as %s", a.number, a.engine, a.requestID))
+		status.Attempts = append(status.Attempts, fmt.Sprintf("%d on %s as %s", a.number, a.engine, a.requestID))
 	}
 	return status
 }
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -166,7 +166,7 @@
 	if n.server == nil {
 		return
 	}
-	for _, m := range n.server.Actions() {
+	for _, m := range n.server.TakeMessages() {
 		if m.Incarnation == 0 {
 			n.send(m.To, frameKind(m.Kind), m.Bulk, m.Body)
 			continue
--- a/fleet/membership/client.go
+++ b/fleet/membership/client.go
@@ -266,8 +266,8 @@
 	}
 }
 
-// Actions returns the messages that are to be sent, and removes them from the client.
-func (c *Client) Actions() []Message {
+// TakeMessages returns the messages that are to be sent, and removes them from the client.
+func (c *Client) TakeMessages() []Message {
 	messages := c.outgoing
 	c.outgoing = nil
 	return messages
--- a/fleet/membership/cost_test.go
+++ b/fleet/membership/cost_test.go
@@ -49,7 +49,7 @@
 	}
 	now += 50 * ms
 	s.Tick(now, controls)
-	s.Actions()
+	s.TakeMessages()
 	return s, now
 }
 
@@ -82,7 +82,7 @@
 	s, now := fullFleetServer(t)
 	require.Equal(t, 2756, s.View().Len())
 	heartbeatTo(t, s, now, 0, false)
-	body := s.Actions()[1].Body
+	body := s.TakeMessages()[1].Body
 	t.Logf("a snapshot of %d entries has %d bytes", s.View().Len(), len(body))
 	assert.Less(t, len(body), 64<<10)
 
@@ -104,7 +104,7 @@
 	m.digest = s.members[1].tables[0].digestAfter(m.entries)
 	require.NoError(t, s.ReceiveFromControl(now, m.home, m.epoch, TableUpdate, m.encode()))
 	s.Tick(now+50*ms, nil)
-	change := s.Actions()[0]
+	change := s.TakeMessages()[0]
 	t.Logf("a change has %d bytes", len(change.Body))
 	assert.Less(t, len(change.Body), 140)
 	allocations := testing.AllocsPerRun(1, func() {
@@ -160,6 +160,6 @@
 			_ = s.ReceiveVersions(now, c.Name, c.Incarnation, encodeVersions(now, all))
 		}
 		s.Versions(now)
-		s.Actions()
+		s.TakeMessages()
 	}
 }
--- a/fleet/membership/counters.go
+++ b/fleet/membership/counters.go
@@ -22,7 +22,7 @@
 	NameMismatches     int `json:"WrongNames"` // names that are not the link's, or that are a control member's
 	Oversized          int // views, tables or front ends beyond the limit
 	Malformed          int // messages that could not be decoded or are not valid
-	SumRepairs         int `json:"SumRepairs"`    // tables whose digest differed at the same version
+	TableDigestRepairs int `json:"SumRepairs"`    // tables whose digest differed at the same version
 	DigestMismatches   int `json:"Disagreements"` // digests that did not agree after changes, or after buckets
 	RateLimited        int `json:"Limited"`       // snapshots, repairs and pulls put off by a rate limit
 	Damped             int // changes put off by the rate limit of one name
--- a/fleet/membership/fuzz_test.go
+++ b/fleet/membership/fuzz_test.go
@@ -20,7 +20,7 @@
 		s.LinkOpened(now, l)
 	}
 	s.Tick(now+second, nil)
-	s.Actions()
+	s.TakeMessages()
 	return s, now + second
 }
 
@@ -86,7 +86,7 @@
 		require.Equal(t, digest, s.ownTable.entries["g"].digest())
 		require.Equal(t, 5, s.View().Len())
 		requireInvariants(t, s)
-		s.Actions()
+		s.TakeMessages()
 		s.LinksToClose()
 	})
 }
@@ -125,7 +125,7 @@
 		s.Tick(now+100*ms, nil)
 		require.Equal(t, before, s.ownTable.version())
 		requireInvariants(t, s)
-		for _, m := range s.Actions() {
+		for _, m := range s.TakeMessages() {
 			require.Contains(t, []Kind{TablePull, TableUpdate, ViewUpdate}, m.Kind)
 		}
 	})
@@ -186,7 +186,7 @@
 			}
 		}
 		c.Tick(now + 2*oneSecond)
-		require.LessOrEqual(t, len(c.Actions()), 6)
+		require.LessOrEqual(t, len(c.TakeMessages()), 6)
 		require.GreaterOrEqual(t, c.Next(), now+2*oneSecond)
 	})
 }
--- a/fleet/membership/limits_test.go
+++ b/fleet/membership/limits_test.go
@@ -58,9 +58,9 @@
 	for range 100 {
 		require.NoError(t, s.ReceiveFromControl(r.now, "m1", 1001, TablePull, p.encode()))
 	}
-	require.Len(t, s.Actions(), 3)
+	require.Len(t, s.TakeMessages(), 3)
 	require.NoError(t, s.ReceiveFromControl(r.now, "m2", 1002, TablePull, p.encode()))
-	require.Len(t, s.Actions(), 1, "another is not delayed")
+	require.Len(t, s.TakeMessages(), 1, "another is not delayed")
 }
 
 // One name gets a limited number of bytes of snapshots, however many processes it has, and the last of them gets one
@@ -157,7 +157,7 @@
 	for range maxQueuedMessages + 10 {
 		require.NoError(t, p.server.Receive(p.now, p.link, Heartbeat, (&heartbeat{name: "f"}).encode()))
 	}
-	require.Len(t, p.server.Actions(), maxQueuedMessages)
+	require.Len(t, p.server.TakeMessages(), maxQueuedMessages)
 }
 
 // The order of two processes of one name becomes right as soon as messages give a better estimate of the clocks'
--- a/fleet/membership/member_restart_test.go
+++ b/fleet/membership/member_restart_test.go
@@ -69,11 +69,11 @@
 }
 
 func (r *twoHomes) carry() {
-	for _, m := range r.client.Actions() {
+	for _, m := range r.client.TakeMessages() {
 		require.NoError(r.t, r.servers[m.To].Receive(r.now, r.link, m.Kind, m.Body))
 	}
 	for name, server := range r.servers {
-		for _, m := range server.Actions() {
+		for _, m := range server.TakeMessages() {
 			if m.To == r.client.cfg.Name {
 				require.NoError(r.t, r.client.Receive(r.now, name, server.cfg.Incarnation, m.Kind, m.Body))
 			}
--- a/fleet/membership/rig_test.go
+++ b/fleet/membership/rig_test.go
@@ -259,7 +259,7 @@
 
 func (r *rig) flushServer(s *rigServer) {
 	incarnation := s.cfg.Incarnation
-	for _, m := range s.Actions() {
+	for _, m := range s.TakeMessages() {
 		if m.Incarnation == 0 {
 			other := r.names[m.To]
 			r.transmit(s.cfg.Name, m.To, func() {
@@ -368,7 +368,7 @@
 
 func (r *rig) flushClient(c *rigClient) {
 	r.dial(c)
-	for _, m := range c.Actions() {
+	for _, m := range c.TakeMessages() {
 		l := c.links[m.To]
 		if l == nil || l.closed {
 			continue
--- a/fleet/membership/server.go
+++ b/fleet/membership/server.go
@@ -166,8 +166,8 @@
 	s.send(Message{To: l.name, Incarnation: l.incarnation, Kind: ViewUpdate, Bulk: bulk, Body: body})
 }
 
-// Actions returns the messages that are to be sent, and removes them from the server.
-func (s *Server) Actions() []Message {
+// TakeMessages returns the messages that are to be sent, and removes them from the server.
+func (s *Server) TakeMessages() []Message {
 	messages := s.outgoing
 	s.outgoing = nil
 	return messages
--- a/fleet/membership/slots_test.go
+++ b/fleet/membership/slots_test.go
@@ -42,7 +42,7 @@
 			c.LinkOpened(now, name, 1+rendezvousWeight(name, "", 0)%1000)
 		}
 	}
-	for _, m := range c.Actions() {
+	for _, m := range c.TakeMessages() {
 		member := c.peersByName[m.To]
 		if !member.linked {
 			continue
@@ -212,7 +212,7 @@
 
 // answerHeartbeatsTo answers the heartbeats to some control members.
 func answerHeartbeatsTo(c *Client, now monotime.Micros, names []string) {
-	for _, m := range c.Actions() {
+	for _, m := range c.TakeMessages() {
 		if member := c.peersByName[m.To]; slices.Contains(names, m.To) && member.linked {
 			h, _ := decodeHeartbeat(m.Body)
 			answer := viewMessage{epoch: member.incarnation, isAnswer: true, heartbeatSentAt: h.sentAt}
@@ -361,7 +361,7 @@
 
 // answerHeartbeatsExcept answers the heartbeats to the control members that are not in mask.
 func answerHeartbeatsExcept(c *Client, now monotime.Micros, mask uint64, controls []ControlMember) {
-	for _, m := range c.Actions() {
+	for _, m := range c.TakeMessages() {
 		member := c.peersByName[m.To]
 		i := slices.IndexFunc(controls, func(member ControlMember) bool { return member.Name == m.To })
 		if mask>>i&1 == 1 || !member.linked {
--- a/fleet/membership/subscription_test.go
+++ b/fleet/membership/subscription_test.go
@@ -71,10 +71,10 @@
 }
 
 func (p *serverAndClient) deliver() {
-	for _, m := range p.client.Actions() {
+	for _, m := range p.client.TakeMessages() {
 		p.recordError(p.server.Receive(p.now, p.link, m.Kind, m.Body))
 	}
-	for _, m := range p.server.Actions() {
+	for _, m := range p.server.TakeMessages() {
 		if m.To == "f" && !p.drop(m) {
 			p.received = append(p.received, m)
 			p.recordError(p.client.Receive(p.now, "m0", 1, m.Kind, m.Body))
@@ -144,7 +144,7 @@
 		h := heartbeat{name: "f", sentAt: 1, subscribe: true}
 		p.recordError(p.server.Receive(p.now, p.link, Heartbeat, h.encode()))
 		p.server.Tick(p.now, nil)
-		p.server.Actions()
+		p.server.TakeMessages()
 	}
 	p.drop = func(Message) bool { return false }
 	p.client.LinkOpened(p.now, "m0", 1)
@@ -174,7 +174,7 @@
 		p.heartbeatOf(100+i, uint64(1000+i))
 		p.now += 50 * ms
 		p.server.Tick(p.now, nil)
-		for _, m := range p.server.Actions() {
+		for _, m := range p.server.TakeMessages() {
 			to[m.To]++
 		}
 	}
@@ -195,7 +195,7 @@
 		link := Link{From: name, Zone: "za", Incarnation: rendezvousWeight(name, "", 0), ChallengedAt: p.now}
 		require.NoError(t, p.server.Receive(p.now, link, Heartbeat, h.encode()))
 	}
-	for _, m := range p.server.Actions() {
+	for _, m := range p.server.TakeMessages() {
 		if p.contentOf(m) == fullBuckets {
 			bodies = append(bodies, m.Body)
 		}
@@ -206,7 +206,7 @@
 	bodies = nil
 	p.now += 50 * ms
 	p.server.Tick(p.now, nil)
-	for _, m := range p.server.Actions() {
+	for _, m := range p.server.TakeMessages() {
 		if p.contentOf(m) == changesSince {
 			bodies = append(bodies, m.Body)
 		}
@@ -396,7 +396,7 @@
 	}
 	require.ErrorIs(t, err, ErrDigestMismatch)
 	require.Equal(t, maxDigestFailures+1, tries)
-	heartbeats := len(p.client.Actions())
+	heartbeats := len(p.client.TakeMessages())
 	require.LessOrEqual(t, heartbeats, 1, "its requests are limited too")
 }
 
--- a/fleet/membership/table_test.go
+++ b/fleet/membership/table_test.go
@@ -83,7 +83,7 @@
 
 func (r *threeServers) deliver() {
 	for _, c := range threeControls {
-		for _, m := range r.servers[c.Name].Actions() {
+		for _, m := range r.servers[c.Name].TakeMessages() {
 			if m.Incarnation == 0 && !r.drop(c.Name, m.To, m.Kind) {
 				r.messageCounts[m.Kind]++
 				r.recordError(r.servers[m.To].ReceiveFromControl(r.now, c.Name, r.epochs[c.Name], m.Kind, m.Body))
@@ -425,7 +425,7 @@
 	replica := s.membersByName["m0"].tables[0]
 	s.applyEntries(replica, []tableEntry{{name: "wrong", zone: "z", incarnation: 3}})
 	r.run(200 * ms)
-	require.Equal(t, 1, s.Counters.SumRepairs)
+	require.Equal(t, 1, s.Counters.TableDigestRepairs)
 	require.Equal(t, r.servers["m0"].ownTable.contentDigest, replica.contentDigest)
 	_, ok := s.View().Lookup("wrong")
 	require.False(t, ok)
--- a/fleet/membership/tablesync.go
+++ b/fleet/membership/tablesync.go
@@ -205,7 +205,7 @@
 		s.Counters.RateLimited++
 		return
 	}
-	s.Counters.SumRepairs++
+	s.Counters.TableDigestRepairs++
 	s.pullTable(t, from, true)
 }
 
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -13,7 +13,7 @@
 	Name              string
 	Zone              string
 	Incarnation       uint64            // of this process
-	Zones             map[string]string // of the other control members, by name
+	PeerZones         map[string]string // of the other control members, by name
 	Heartbeat         heartbeat.Config
 	Replication       replication.Config // its ID is the number of this front end's disk
 	HeartbeatInterval monotime.Micros
@@ -62,7 +62,7 @@
 func NewNode(cfg Config, notify func(topic string)) *Node {
 	n := &Node{
 		cfg:            cfg,
-		monitor:        heartbeat.NewMonitor(cfg.Heartbeat, cfg.Zones),
+		monitor:        heartbeat.NewMonitor(cfg.Heartbeat, cfg.PeerZones),
 		replica:        replication.New(cfg.Replication),
 		lastHeartbeats: map[string]*controlHeartbeat{},
 		notify:         notify,
@@ -86,8 +86,8 @@
 // Replica returns this front end's replica of the log, which may be no member of it.
 func (n *Node) Replica() *replication.Replica { return n.replica }
 
-// Members returns the failure detector of the other control members.
-func (n *Node) Members() *heartbeat.Monitor { return n.monitor }
+// Monitor returns the failure detector of the other control members.
+func (n *Node) Monitor() *heartbeat.Monitor { return n.monitor }
 
 // Leave has the next heartbeats announce that this front end leaves the fleet.
 func (n *Node) Leave() { n.leaving = true }
@@ -187,7 +187,7 @@
 // SendFailed records that messages to a front end may not arrive.
 func (n *Node) SendFailed(name string) {
 	if last := n.lastHeartbeats[name]; last != nil && last.ReplicaID != 0 {
-		n.replica.Unreachable(last.ReplicaID)
+		n.replica.ReportUnreachable(last.ReplicaID)
 	}
 }
 
@@ -232,7 +232,7 @@
 		switch action := action.(type) {
 		case replication.Send:
 			if to := n.ReplicaName(action.To); to != "" {
-				m := replicationMessage{n.replica.Group(), action.Message}
+				m := replicationMessage{n.replica.GroupID(), action.Message}
 				n.send(to, transport.Replication, action.Bulk, m.encode())
 			}
 		case replication.Save:
--- a/fleet/proposals.go
+++ b/fleet/proposals.go
@@ -63,11 +63,11 @@
 ) (id uint64) {
 	p.lastID++
 	proposal := &pendingProposal{done: done, command: replication.Command{
-		StateMachine: kind,
-		Version:      version,
-		Proposer:     p.proposer,
-		Sequence:     p.lastID,
-		Body:         body,
+		StateMachineID: kind,
+		Version:        version,
+		Proposer:       p.proposer,
+		Sequence:       p.lastID,
+		Body:           body,
 	}}
 	p.pending[p.lastID] = proposal
 	p.ids = append(p.ids, p.lastID)
--- a/fleet/replication/action.go
+++ b/fleet/replication/action.go
@@ -20,8 +20,8 @@
 type Save struct {
 	// Token identifies the Save in the call of Persisted.
 	Token uint64
-	// Group is the ID of the Raft group.
-	Group uint64
+	// GroupID is the ID of the Raft group.
+	GroupID uint64
 	// Entries are log entries. They replace persisted ones from the first one's index on.
 	Entries []*raftpb.Entry
 	// HardState is the term, vote and commit index; nil if they have not changed.
--- a/fleet/replication/command.go
+++ b/fleet/replication/command.go
@@ -7,8 +7,8 @@
 
 // Command is a command to a state machine, and an entry of the replicated log.
 type Command struct {
-	// StateMachine is the ID of the state machine that applies the command.
-	StateMachine uint32
+	// StateMachineID is the ID of the state machine that applies the command.
+	StateMachineID uint32
 	// Version is the version of the body's form.
 	Version uint32
 	// Proposer is the process that proposed the command; 0 for a command that the leader proposed by itself.
@@ -20,7 +20,7 @@
 }
 
 func (c *Command) fields(f *fieldcodec.Fields) {
-	fieldcodec.Uint(f, 1, &c.StateMachine)
+	fieldcodec.Uint(f, 1, &c.StateMachineID)
 	fieldcodec.Uint(f, 2, &c.Version)
 	fieldcodec.Uint(f, 3, &c.Proposer)
 	fieldcodec.Uint(f, 4, &c.Sequence)
--- a/fleet/replication/compaction.go
+++ b/fleet/replication/compaction.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	r.Snapshots++
+	r.SnapshotsTaken++
 	first, err := r.log.FirstIndex()
 	if err == nil && index > retainedEntries && index-retainedEntries > first {
 		if err := r.log.Compact(index - retainedEntries); err != nil {
--- a/fleet/replication/golden_test.go
+++ b/fleet/replication/golden_test.go
@@ -52,12 +52,12 @@
 	empty := state.snapshot()
 	state.members[1<<40] = Member{ID: 1 << 40, Name: "n2", Zone: "b"}
 	state.members[300] = Member{ID: 300, Name: "n1", Zone: "a"}
-	echoed := Command{StateMachine: 9, Version: 2, Proposer: 5, Sequence: 6, Body: []byte("body")}
+	echoed := Command{StateMachineID: 9, Version: 2, Proposer: 5, Sequence: 6, Body: []byte("body")}
 	_, response := state.apply(17, echoed.Encode(), 0)
 	require.Equal(t, Response{Sequence: 6, Result: Committed, Body: []byte("body")}, response)
-	_, unsupported := state.apply(18, Command{StateMachine: 9, Version: 3, Sequence: 7}.Encode(), 0)
+	_, unsupported := state.apply(18, Command{StateMachineID: 9, Version: 3, Sequence: 7}.Encode(), 0)
 	require.Equal(t, Unsupported, unsupported.Result)
-	command := Command{StateMachine: 1, Version: 2, Proposer: 1 << 61, Sequence: 300, Body: []byte("body")}
+	command := Command{StateMachineID: 1, Version: 2, Proposer: 1 << 61, Sequence: 300, Body: []byte("body")}
 	committed := Response{Sequence: 300, Result: Committed, Leader: 1 << 40, Body: []byte("body")}
 	notLeader := Response{Sequence: 1, Result: NotLeader, Leader: 2}
 	members := []Member{{ID: 1, Name: "n1", Zone: "a"}, {ID: 1 << 40, Name: "n2"}, {}}
--- a/fleet/replication/messages.go
+++ b/fleet/replication/messages.go
@@ -43,8 +43,8 @@
 	return err
 }
 
-// Unreachable reports that a message to another replica was not sent. It may have been a snapshot.
-func (r *Replica) Unreachable(to uint64) {
+// ReportUnreachable reports that a message to another replica was not sent. It may have been a snapshot.
+func (r *Replica) ReportUnreachable(to uint64) {
 	defer r.recoverFromInvariantError()
 	if r.node != nil {
 		r.node.ReportUnreachable(to)
--- a/fleet/replication/persistence.go
+++ b/fleet/replication/persistence.go
@@ -27,7 +27,7 @@
 	r.pendingSaves[r.lastToken] = save
 	r.actions = append(r.actions, Save{
 		Token:      r.lastToken,
-		Group:      r.group,
+		GroupID:    r.group,
 		Entries:    save.entries,
 		HardState:  save.hardState,
 		Snapshot:   save.snapshot,
--- a/fleet/replication/proposals.go
+++ b/fleet/replication/proposals.go
@@ -91,7 +91,7 @@
 	r.nextDueCommands = r.now + dueCommandsTicks*r.config.TickInterval
 	for _, stateMachine := range r.state.order {
 		for _, body := range stateMachine.DueCommands(r.now, r.detector) {
-			command := Command{StateMachine: stateMachine.ID(), Version: stateMachine.Version(), Body: body}
+			command := Command{StateMachineID: stateMachine.ID(), Version: stateMachine.Version(), Body: body}
 			_ = r.node.Propose(command.Encode()) // if it is dropped, it will be due again
 		}
 	}
--- a/fleet/replication/ready.go
+++ b/fleet/replication/ready.go
@@ -34,7 +34,7 @@
 	}
 	isCandidate := state.RaftState == raft.StateCandidate || state.RaftState == raft.StatePreCandidate
 	if isCandidate && state.RaftState != r.role {
-		r.Elections++
+		r.ElectionsStarted++
 	}
 	r.role = state.RaftState
 }
@@ -115,7 +115,7 @@
 		return
 	}
 	command, response := r.state.apply(entry.GetIndex(), entry.GetData(), r.now)
-	r.Commits++
+	r.CommandsApplied++
 	if r.proposals.take(command) {
 		r.actions = append(r.actions, Reply{To: command.Proposer, Response: response})
 	}
--- a/fleet/replication/recovery.go
+++ b/fleet/replication/recovery.go
@@ -12,8 +12,8 @@
 
 // PersistedState is what a replica had persisted when its process ended.
 type PersistedState struct {
-	// Group is the ID of the Raft group; 0 if the front end was not a replica.
-	Group uint64
+	// GroupID is the ID of the Raft group; 0 if the front end was not a replica.
+	GroupID uint64
 	// HardState is the last term, vote and commit index; nil if there is none.
 	HardState *raftpb.HardState
 	// Snapshot is the last snapshot; nil if there is none.
@@ -26,7 +26,7 @@
 // library, or of a state machine that does not know the snapshot.
 func (r *Replica) Recover(now monotime.Micros, persisted *PersistedState) error {
 	defer r.recoverFromInvariantError()
-	if persisted == nil || persisted.Group == 0 {
+	if persisted == nil || persisted.GroupID == 0 {
 		return nil
 	}
 	snapshotIndex := persisted.Snapshot.GetMetadata().GetIndex()
@@ -47,7 +47,7 @@
 	if err := log.Append(persisted.Entries); err != nil {
 		return err
 	}
-	return r.start(now, persisted.Group, log, persisted.Snapshot)
+	return r.start(now, persisted.GroupID, log, persisted.Snapshot)
 }
 
 // Bootstrap makes this front end one of the first replicas of a new Raft group, if it is among the members. All
--- a/fleet/replication/replica.go
+++ b/fleet/replication/replica.go
@@ -34,14 +34,14 @@
 	membership         membershipManager
 	lastLeaderTransfer monotime.Micros
 
-	// Elections counts the elections and pre-elections that this replica started.
-	Elections int
-	// Commits counts the committed commands that this replica applied.
-	Commits int
-	// Snapshots counts the snapshots that this replica took because its log had grown.
-	Snapshots int
-	// Divergent counts how often another replica's state was found to differ from this one's.
-	Divergent int
+	// ElectionsStarted counts the elections and pre-elections that this replica started.
+	ElectionsStarted int
+	// CommandsApplied counts the committed commands that this replica applied.
+	CommandsApplied int
+	// SnapshotsTaken counts the snapshots that this replica took because its log had grown.
+	SnapshotsTaken int
+	// Divergences counts how often another replica's state was found to differ from this one's.
+	Divergences int
 	// LeaderTransfers counts how often this replica gave up leadership because its disk was slow.
 	LeaderTransfers int
 }
@@ -57,8 +57,8 @@
 	return r
 }
 
-// Group returns the ID of the Raft group, or 0 while this is not a replica.
-func (r *Replica) Group() uint64 { return r.group }
+// GroupID returns the ID of the Raft group, or 0 while this is not a replica.
+func (r *Replica) GroupID() uint64 { return r.group }
 
 // ID returns this replica's ID.
 func (r *Replica) ID() uint64 { return r.config.ID }
@@ -112,7 +112,7 @@
 // It counts a difference and returns false.
 func (r *Replica) CheckDivergence(index, checksum uint64) bool {
 	if r.state.diverges(index, checksum) {
-		r.Divergent++
+		r.Divergences++
 		return false
 	}
 	return true
--- a/fleet/replication/replicatedstate.go
+++ b/fleet/replication/replicatedstate.go
@@ -40,7 +40,7 @@
 
 // supports reports whether this build knows the state machine and the version of a command.
 func (s *replicatedState) supports(c Command) bool {
-	stateMachine := s.stateMachines[c.StateMachine]
+	stateMachine := s.stateMachines[c.StateMachineID]
 	return stateMachine != nil && c.Version <= stateMachine.Version()
 }
 
@@ -51,7 +51,7 @@
 	if err == nil && s.supports(command) {
 		response.Result = Committed
 		context := ApplyContext{Index: index, Now: now, Notify: s.notify}
-		response.Body = s.stateMachines[command.StateMachine].Apply(context, command.Proposer, command.Body)
+		response.Body = s.stateMachines[command.StateMachineID].Apply(context, command.Proposer, command.Body)
 	}
 	s.advance(index, response.Body)
 	return command, response
--- a/fleet/replication/wal/format.go
+++ b/fleet/replication/wal/format.go
@@ -49,7 +49,7 @@
 
 func newLogRecord(save replication.Save) logRecord {
 	return logRecord{
-		group:      save.Group,
+		group:      save.GroupID,
 		hardState:  save.HardState,
 		discardLog: save.DiscardLog,
 		entries:    save.Entries,
--- a/fleet/replication/wal/golden_test.go
+++ b/fleet/replication/wal/golden_test.go
@@ -65,7 +65,7 @@
 			Retention:     60 * monotime.Second,
 			OrphanTimeout: 3 * monotime.Second,
 		}),
-		budgets: budget.NewAuthority(budget.Options{Instances: 100}),
+		budgets: budget.NewAuthority(budget.Options{MaxSubjects: 100}),
 	}
 	r.replica = replication.New(replication.Config{
 		ID:               store.ReplicaID(),
@@ -117,7 +117,7 @@
 func (r *singleReplica) propose(stateMachine uint32, proposer replication.Incarnation, body []byte) []byte {
 	r.sequence++
 	r.replica.Propose(r.now, replication.Command{
-		StateMachine: stateMachine, Version: 1, Proposer: proposer, Sequence: r.sequence, Body: body,
+		StateMachineID: stateMachine, Version: 1, Proposer: proposer, Sequence: r.sequence, Body: body,
 	})
 	r.perform()
 	require.Equal(r.t, replication.Committed, r.responses[r.sequence].Result)
@@ -142,7 +142,7 @@
 	require.NoError(r.t, err)
 	return []string{
 		fmt.Sprintf("number %d group %d term %d applied %d sum %x",
-			r.store.ReplicaID(), r.replica.Group(), r.replica.Term(), index, checksum),
+			r.store.ReplicaID(), r.replica.GroupID(), r.replica.Term(), index, checksum),
 		fmt.Sprintf("copies %v %v", voters, learners),
 		string(records),
 		string(budgets),
@@ -161,7 +161,7 @@
 		Class:           "load",
 		StatementDigest: []byte(idempotencyKey),
 		RequestID:       "call-" + idempotencyKey,
-		TTL:             uint64(25 * monotime.Second),
+		ClientTimeout:   uint64(25 * monotime.Second),
 	}).Epoch
 }
 
@@ -197,14 +197,14 @@
 			Kind:               account.Concurrency,
 			Total:              budget.Amount{Capacity: 6000},
 			MaxAttemptDuration: 25 * monotime.Second,
-			MinPart:            1000,
+			MinAllocation:      1000,
 		},
 		{
-			Name:    "rate",
-			Kind:    account.Rate,
-			Total:   budget.Amount{Capacity: 8000, Rate: 6000},
-			Reserve: 700,
-			MinPart: 1000,
+			Name:          "rate",
+			Kind:          account.Rate,
+			Total:         budget.Amount{Capacity: 8000, Rate: 6000},
+			StaticShare:   700,
+			MinAllocation: 1000,
 		},
 	}}
 	config := budget.LeaseHolderConfig{Name: frontEnd, Set: set, MinReportInterval: monotime.Second / 50}
@@ -250,7 +250,7 @@
 type constantDemand struct{}
 
 func (constantDemand) BudgetDemands(monotime.Micros) []scheduler.BudgetDemand {
-	return []scheduler.BudgetDemand{{Budget: "places", Want: 3000, InUse: 1000}, {Budget: "rate", Want: 5000}}
+	return []scheduler.BudgetDemand{{Budget: "places", Demand: 3000, InUse: 1000}, {Budget: "rate", Demand: 5000}}
 }
 
 func (constantDemand) GrantBudgets(monotime.Micros, budget.Grant) {}
--- a/fleet/replication/wal/recovery.go
+++ b/fleet/replication/wal/recovery.go
@@ -29,7 +29,7 @@
 		return nil, fmt.Errorf("%w: a gap behind the snapshot", ErrCorrupt)
 	}
 	return &replication.PersistedState{
-		Group:     s.state.group,
+		GroupID:   s.state.group,
 		HardState: s.state.hardState,
 		Snapshot:  snapshot,
 		Entries:   s.state.entries,
--- a/fleet/replication/wal/store_test.go
+++ b/fleet/replication/wal/store_test.go
@@ -14,7 +14,7 @@
 	"chutechute/internal/standin"
 )
 
-func TestMain(m *testing.M) { os.Exit(standin.Seeded(m)) }
+func TestMain(m *testing.M) { os.Exit(standin.RunWithFixedSeed(m)) }
 
 // entries returns the entries of a term from one index to another.
 func entries(term, from, to uint64) (list []*raftpb.Entry) {
@@ -74,7 +74,7 @@
 func (m *modelStore) logPath() string { return filepath.Join(m.folder, logName) }
 
 func (m *modelStore) write(t *testing.T, save replication.Save) {
-	save.Group = 7
+	save.GroupID = 7
 	require.NoError(t, m.store.Write([]replication.Save{save}))
 }
 
@@ -161,7 +161,7 @@
 		persisted = model.open(t)
 		assert.NotEmpty(t, model.store.QuarantinedPath)
 		assert.NotEqual(t, model.replicaID, model.store.ReplicaID(), "a corrupt disk must not vote under its old ID")
-		assert.Zero(t, persisted.Group)
+		assert.Zero(t, persisted.GroupID)
 		require.NoError(t, model.store.Close())
 	})
 }
@@ -188,7 +188,7 @@
 	readOnlyFile, err := os.Open(os.DevNull)
 	require.NoError(t, err)
 	store.logFile = readOnlyFile
-	require.Error(t, store.Write([]replication.Save{{Group: 7, Entries: entries(1, 1, 2)}}))
+	require.Error(t, store.Write([]replication.Save{{GroupID: 7, Entries: entries(1, 1, 2)}}))
 	store.logFile = goodFile
-	assert.ErrorIs(t, store.Write([]replication.Save{{Group: 7, Entries: entries(1, 1, 2)}}), ErrFailed)
+	assert.ErrorIs(t, store.Write([]replication.Save{{GroupID: 7, Entries: entries(1, 1, 2)}}), ErrFailed)
 }
--- a/fleet/replication/wal/write.go
+++ b/fleet/replication/wal/write.go
@@ -69,14 +69,14 @@
 		return err
 	}
 	s.state.snapshotIndex = save.Snapshot.GetMetadata().GetIndex()
-	s.state.apply(logRecord{group: save.Group, hardState: save.HardState, entries: save.Entries})
+	s.state.apply(logRecord{group: save.GroupID, hardState: save.HardState, entries: save.Entries})
 	return s.replaceLog()
 }
 
 // discardLog records that earlier entries of the log are void, so that entries after the snapshot are not taken for
 // its continuation.
 func (s *Store) discardLog(save replication.Save) error {
-	discard := logRecord{group: save.Group, hardState: save.HardState, discardLog: true}
+	discard := logRecord{group: save.GroupID, hardState: save.HardState, discardLog: true}
 	record, err := discard.appendTo(nil)
 	if err != nil {
 		return err
--- a/fleet/transport/attached_test.go
+++ b/fleet/transport/attached_test.go
@@ -96,7 +96,7 @@
 	d.Feed(transport.AppendFrame(nil, transport.ViewUpdate, 0, false, []byte("view")))
 	_, err := d.Process()
 	assert.ErrorIs(t, err, transport.ErrUnexpectedFrame)
-	assert.Empty(t, d.Messages())
+	assert.Empty(t, d.TakeMessages())
 
 	d, l = newAttachedLink(4 * transport.MaxFrameBody)
 	require.NoError(t, establish(d, l))
@@ -113,15 +113,15 @@
 	assert.Equal(t, []transport.Message{
 		{Kind: transport.ViewUpdate, Body: []byte("urgent")},
 		{Kind: transport.ViewUpdate, Body: long},
-	}, d.Messages())
-	assert.Empty(t, d.Messages())
+	}, d.TakeMessages())
+	assert.Empty(t, d.TakeMessages())
 	require.True(t, q.Push(transport.ViewUpdate, true, bytes.Repeat([]byte("v"), 5*transport.MaxFrameBody)))
 	for frame := q.Pop(); frame != nil; frame = q.Pop() {
 		d.Feed(frame)
 	}
 	_, err = d.Process()
 	assert.ErrorIs(t, err, transport.ErrFrameLength)
-	assert.Empty(t, d.Messages(), "a message that is too long")
+	assert.Empty(t, d.TakeMessages(), "a message that is too long")
 }
 
 // A queue that drops its messages keeps the rest of one that was started, so that the reader can continue.
@@ -148,18 +148,18 @@
 			}
 		}
 		q.DropUnstarted()
-		require.LessOrEqual(rt, q.Len(), 8*(transport.MaxFrameBody+10))
+		require.LessOrEqual(rt, q.QueuedBytes(), 8*(transport.MaxFrameBody+10))
 		for frame := q.Pop(); frame != nil; frame = q.Pop() {
 			d.Feed(frame)
 		}
-		require.Zero(rt, q.Len())
+		require.Zero(rt, q.QueuedBytes())
 		require.True(rt, q.Push(transport.ViewUpdate, true, bytes.Repeat([]byte{255}, 3*transport.MaxFrameBody)))
 		for frame := q.Pop(); frame != nil; frame = q.Pop() {
 			d.Feed(frame)
 		}
 		_, err := d.Process()
 		require.NoError(rt, err)
-		messages := d.Messages()
+		messages := d.TakeMessages()
 		require.NotEmpty(rt, messages)
 		require.Len(rt, messages[len(messages)-1].Body, 3*transport.MaxFrameBody)
 		for _, m := range messages {
--- a/fleet/transport/dialer.go
+++ b/fleet/transport/dialer.go
@@ -19,8 +19,8 @@
 // Established reports whether the handshake is complete, so that messages may be sent.
 func (d *Dialer) Established() bool { return d.established }
 
-// Messages returns the messages that the listener has sent to an attached front end, and forgets them.
-func (d *Dialer) Messages() []Message {
+// TakeMessages returns the messages that the listener has sent to an attached front end, and forgets them.
+func (d *Dialer) TakeMessages() []Message {
 	messages := d.received
 	d.received = nil
 	return messages
--- a/fleet/transport/queue.go
+++ b/fleet/transport/queue.go
@@ -46,8 +46,8 @@
 	return q.urgent.pop()
 }
 
-// Len returns the queued bytes.
-func (q *Queue) Len() int { return q.urgent.bytes + q.bulk.bytes }
+// QueuedBytes returns the queued bytes.
+func (q *Queue) QueuedBytes() int { return q.urgent.bytes + q.bulk.bytes }
 
 // Clear drops everything that is queued, as the connection is closed.
 func (q *Queue) Clear() {
--- a/fleet/transport/transport_test.go
+++ b/fleet/transport/transport_test.go
@@ -13,7 +13,7 @@
 	"chutechute/internal/standin"
 )
 
-func TestMain(m *testing.M) { os.Exit(standin.Seeded(m)) }
+func TestMain(m *testing.M) { os.Exit(standin.RunWithFixedSeed(m)) }
 
 // newLink returns both sides of a link between the control members a and b, before the handshake.
 func newLink(dialerSecret, listenerSecret transport.Secret) (*transport.Dialer, *transport.Listener) {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -38,10 +38,10 @@
 	GrantMB        float64         // the memory that it may use, in megabytes; 0: the engine chooses
 	StartBy        monotime.Micros // no byte of its start may be written at or after this time; 0: no such bound
 	AlreadyRunning bool            // another front end started it: its engine is polled for it, and nothing is started
-	// Strict requires that the end of the attempt is certain, and not concluded from the state of a connection: a
+	// RequiresConfirmedEnd requires that the end of the attempt is certain, and not concluded from the state of a connection: a
 	// second execution does harm, or others wait for the end. An attempt has ended once its engine says so, has
 	// received its cancellation, or has not been polled for it for 2 s.
-	Strict bool
+	RequiresConfirmedEnd bool
 	// WorkUsed is the work on one thread that the engine reported; 0 if it reports none.
 	WorkUsed monotime.Micros
 	// MemoryUsedMB is the memory in megabytes that the engine reported; 0 if it reports none.
@@ -62,15 +62,15 @@
 		return
 	}
 	a := &Attempt{
-		Request:   r,
-		Engine:    start.Engine,
-		Timeout:   r.deadline - c.now,
-		GrantMB:   r.grantMB,
-		StartBy:   start.StartBy,
-		Strict:    r.strictAttempts,
-		number:    len(r.attempts),
-		state:     attemptInFlight,
-		startedAt: c.now,
+		Request:              r,
+		Engine:               start.Engine,
+		Timeout:              r.deadline - c.now,
+		GrantMB:              r.grantMB,
+		StartBy:              start.StartBy,
+		RequiresConfirmedEnd: r.strictAttempts,
+		number:               len(r.attempts),
+		state:                attemptInFlight,
+		startedAt:            c.now,
 	}
 	if start.Timeout > 0 && start.Timeout < a.Timeout {
 		a.Timeout = start.Timeout
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -13,10 +13,10 @@
 	guard *identity.Guard // nil where callers are not identified
 }
 
-// IdentifyCallers sets the options by which calls must prove their callers' identity; with nil they need not any more.
+// ConfigureIdentity sets the options by which calls must prove their callers' identity; with nil they need not any more.
 // Tokens verified before stay valid and requests stay open. The error names the key of an invalid option; nothing has
 // changed then.
-func (c *Core) IdentifyCallers(o *identity.Options) error {
+func (c *Core) ConfigureIdentity(o *identity.Options) error {
 	if o == nil {
 		c.callers.guard = nil
 		return nil
@@ -41,8 +41,8 @@
 	if c.guard == nil {
 		return identity.Caller{}, nil
 	}
-	proof := &call.Proof
-	caller, err := c.guard.Identify(proof.Token, proof.Certificate, proof.Address, now, proof.Wall)
+	proof := &call.Credentials
+	caller, err := c.guard.Authenticate(proof.Token, proof.Certificate, proof.ClientAddress, now, proof.WallTime)
 	if err != nil {
 		c.logDenied(now, call, err)
 	}
@@ -54,10 +54,10 @@
 	if c.guard == nil {
 		return nil
 	}
-	tenant, err := c.guard.Authorize(caller, call.Tenant, call.Class, call.Group)
+	tenant, err := c.guard.Authorize(caller, call.Tenant, call.Class, call.TableGroup)
 	if err == nil {
 		call.Tenant = tenant
-		err = c.guard.Enter(caller, now)
+		err = c.guard.Acquire(caller, now)
 	}
 	if err != nil {
 		c.logDenied(now, call, err)
@@ -68,13 +68,13 @@
 // release ends the count of an admitted call.
 func (c *callers) release(caller identity.Caller) {
 	if c.guard != nil && caller.Name != "" {
-		c.guard.Leave(caller)
+		c.guard.Release(caller)
 	}
 }
 
 // logDenied logs a call that was denied, at a limited rate. The call's proof is never logged.
 func (c *callers) logDenied(now monotime.Micros, call *Call, err error) {
-	suppressed, ok := c.guard.Audit(now)
+	suppressed, ok := c.guard.AllowLogEntry(now)
 	if !ok {
 		return
 	}
--- a/gateway/capacity_test.go
+++ b/gateway/capacity_test.go
@@ -66,7 +66,7 @@
 		t:        t,
 		core:     core,
 		follower: discovery.Follower{Names: discovery.Names{Zones: []string{"a"}, Kinds: []string{"k"}}},
-		in:       ring.New(discovery.MaxFrame, &ring.Budget{Most: discovery.MaxFrame}),
+		in:       ring.New(discovery.MaxFrame, &ring.Budget{Max: discovery.MaxFrame}),
 		now:      monotime.Second,
 	}
 }
@@ -102,7 +102,7 @@
 	for i := range engines {
 		records = append(records, engineRecord(i, engineServing))
 	}
-	list := standin.Frame(1, completeList, records...)
+	list := standin.DiscoveryFrame(1, completeList, records...)
 	cost.listBytes = len(list)
 
 	heapBefore := procstat.HeapInUse()
@@ -115,7 +115,7 @@
 	start = procstat.OwnProcessorTime()
 	for i := range changes { // each drains or returns one engine
 		state := byte(engineDraining - i%2)
-		frame := standin.Frame(uint64(2+i), listChanges, engineRecord(i/2%engines, state))
+		frame := standin.DiscoveryFrame(uint64(2+i), listChanges, engineRecord(i/2%engines, state))
 		cost.changeBytes = len(frame)
 		core.apply(frame)
 	}
--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -19,5 +19,5 @@
 
 // UpdateEndpoints passes an update of the list of engines to the scheduler.
 func (c *Core) UpdateEndpoints(kind scheduler.UpdateKind, entries []scheduler.Endpoint) {
-	c.addEvent(scheduler.EndpointUpdate{Kind: kind, Entries: entries})
+	c.addEvent(scheduler.EndpointUpdate{Kind: kind, Endpoints: entries})
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -83,14 +83,14 @@
 // SetLimits replaces the limits. Open requests stay open, even beyond them.
 func (c *Core) SetLimits(limits Limits) { c.limits = limits }
 
-// Pending reports whether events wait for the next Step.
-func (c *Core) Pending() bool { return len(c.events) > 0 }
+// HasEvents reports whether events wait for the next Step.
+func (c *Core) HasEvents() bool { return len(c.events) > 0 }
 
 // Idle reports whether no request is open and no attempt is in flight.
 func (c *Core) Idle() bool { return len(c.open) == 0 && c.attemptsInFlight == 0 }
 
-// Next returns when the next timer is due; false if none is set.
-func (c *Core) Next() (monotime.Micros, bool) { return c.timers.next() }
+// NextTimer returns when the next timer is due; false if none is set.
+func (c *Core) NextTimer() (monotime.Micros, bool) { return c.timers.next() }
 
 // Step fires the timers that are due, passes all pending events to the scheduler and applies its actions, until no
 // event is left. It must be called again when the time that Next returns has come, and while Pending is true.
@@ -160,9 +160,9 @@
 		c.fail(r)
 	} else {
 		if a.Budget != "" {
-			c.denials.add(Denial{At: c.now, RequestID: r.ID, Budget: a.Budget, RetryAfter: a.After})
+			c.denials.add(Denial{At: c.now, RequestID: r.ID, Budget: a.Budget, RetryAfter: a.RetryAfter})
 		}
-		c.reject(r, a.After)
+		c.reject(r, a.RetryAfter)
 	}
 	c.closeIfDone(r)
 }
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -34,10 +34,10 @@
 
 // Registration is a request in the idempotency store.
 type Registration struct {
-	// Slot, Checked and Seen belong to the store; the core neither reads nor sets them.
-	Slot    any
-	Checked bool
-	Seen    bool
+	// StoreState, Checked and Seen belong to the store; the core neither reads nor sets them.
+	StoreState       any
+	StatementChecked bool
+	StoreAnswered    bool
 
 	core      *Core
 	request   *Request
@@ -71,9 +71,9 @@
 	return true
 }
 
-// Owned tells that the request is this front end's and the first of its key: the scheduler may have it. It has no
+// Schedule tells that the request is this front end's and the first of its key: the scheduler may have it. It has no
 // effect where the scheduler has it already.
-func (reg *Registration) Owned() {
+func (reg *Registration) Schedule() {
 	if !reg.request.finished && !reg.scheduled {
 		reg.scheduled = true
 		reg.core.addEvent(reg.event)
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -40,8 +40,8 @@
 
 // Lifecycle is the state machine of a front end's phases. The zero value is Starting.
 type Lifecycle struct {
-	// LongestDeadline is the longest timeout of a request's client; 0 counts as long as possible.
-	LongestDeadline monotime.Micros
+	// MaxClientTimeout is the longest timeout of a request's client; 0 counts as long as possible.
+	MaxClientTimeout monotime.Micros
 
 	phase      Phase
 	drainStart monotime.Micros
@@ -50,8 +50,8 @@
 // killTime returns when the process may be killed, once it drains.
 func (l *Lifecycle) killTime() monotime.Micros {
 	longest := maxCountedDeadline
-	if l.LongestDeadline > 0 {
-		longest = min(longest, l.LongestDeadline)
+	if l.MaxClientTimeout > 0 {
+		longest = min(longest, l.MaxClientTimeout)
 	}
 	return l.drainStart + longest + killAfter
 }
@@ -90,8 +90,8 @@
 	}
 }
 
-// Expired reports whether all open requests must be answered now, whatever their deadlines.
-func (l *Lifecycle) Expired(now monotime.Micros) bool {
+// MustExpireAll reports whether all open requests must be answered now, whatever their deadlines.
+func (l *Lifecycle) MustExpireAll(now monotime.Micros) bool {
 	return l.phase >= Draining && now >= l.killTime()-expireBeforeKill
 }
 
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -16,7 +16,7 @@
 	began, expired = map[Phase]monotime.Micros{}, -1
 	l.Drain(signal)
 	for now := signal; l.Phase() != Stopped && now < signal+10*monotime.Second; now += millisecond {
-		if l.Expired(now) && expired < 0 {
+		if l.MustExpireAll(now) && expired < 0 {
 			expired = now - signal
 		}
 		if before := l.Phase(); l.Advance(now, false) != before {
@@ -32,7 +32,7 @@
 func TestGracefulShutdownEndsBeforeTheKill(t *testing.T) {
 	for _, longest := range []monotime.Micros{0, 500 * millisecond, 1200 * millisecond, 3 * monotime.Second,
 		25 * monotime.Second} {
-		l := &Lifecycle{LongestDeadline: longest}
+		l := &Lifecycle{MaxClientTimeout: longest}
 		l.Serve()
 		killTime := 700*millisecond + min(3*monotime.Second, longest)
 		if longest == 0 {
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -21,27 +21,27 @@
 	ID             string // chosen by the client, unique among open requests
 	Class          string
 	Tenant         string // empty: none, or that of the caller's identity
-	Key            string // requests of one key run in order, where their class is ordered
+	OrderKey       string // requests of one key run in order, where their class is ordered
 	IdempotencyKey string
 	TTL            monotime.Micros // how long the client waits, from the last byte of the request
-	Cost           monotime.Micros // estimated work on one thread; 0: not reported
+	EstimatedWork  monotime.Micros // estimated work on one thread; 0: not reported
 	MemoryMB       float64         // estimated memory in megabytes; 0: not reported
 	Statement      []byte
-	Group          int // the table group of the statement, which Submit sets
-	Proof          Proof
+	TableGroup     int // the table group of the statement, which Submit sets
+	Credentials    Credentials
 
 	// What the client reported, before Submit filled in the rest; 0: not reported.
 	reportedCostMS   float64
 	reportedMemoryMB float64
 }
 
-// Proof is what a call shows of its caller's identity. It counts only where callers are identified (see
+// Credentials is what a call shows of its caller's identity. It counts only where callers are identified (see
 // Core.IdentifyCallers).
-type Proof struct {
-	Token       string
-	Certificate *identity.Certificate // the connection's; nil without one
-	Address     uint64                // the client's, as a number
-	Wall        monotime.Micros       // the time of the system's clock, which may jump, since the Unix epoch
+type Credentials struct {
+	Token         string
+	Certificate   *identity.Certificate // the connection's; nil without one
+	ClientAddress uint64                // the client's, as a number
+	WallTime      monotime.Micros       // the time of the system's clock, which may jump, since the Unix epoch
 }
 
 // Responder receives the final response to one request. The core calls exactly one of its methods, exactly once, unless
--- a/gateway/simulation_test.go
+++ b/gateway/simulation_test.go
@@ -152,7 +152,7 @@
 
 // checkOrdered checks that the requests before this one of its key are done, and that a repeat is within the window.
 func (s *simulation) checkOrdered(r *clientRequest, attempt *Attempt) {
-	for _, before := range s.byKey[attempt.Key] {
+	for _, before := range s.byKey[attempt.OrderKey] {
 		if before == r {
 			break
 		}
@@ -197,11 +197,11 @@
 	r := &clientRequest{s: s, id: requestID(s.lastRequest), class: s.rng.IntN(classCount)}
 	ttl := monotime.Second/10 + s.rng.Int64N(clientTimeouts[r.class]*monotime.Second)
 	r.deadline = s.now + ttl
-	call := &Call{ID: r.id, Class: classNames[r.class], TTL: ttl, Cost: 1000 + s.rng.Int64N(monotime.Second),
+	call := &Call{ID: r.id, Class: classNames[r.class], TTL: ttl, EstimatedWork: 1000 + s.rng.Int64N(monotime.Second),
 		Statement: []byte(fmt.Sprintf("SELECT 1 FROM s_%d.t", s.rng.IntN(5)))}
 	if r.class == orderedKeyedClass {
-		call.Key, call.IdempotencyKey = fmt.Sprint(s.rng.IntN(3)), r.id
-		s.byKey[call.Key] = append(s.byKey[call.Key], r)
+		call.OrderKey, call.IdempotencyKey = fmt.Sprint(s.rng.IntN(3)), r.id
+		s.byKey[call.OrderKey] = append(s.byKey[call.OrderKey], r)
 	}
 	s.requests[r.id] = r
 	request, err := s.core.Submit(s.now, call, r)
--- a/gateway/statements.go
+++ b/gateway/statements.go
@@ -27,10 +27,10 @@
 	return statements{reader: reader, classes: classes, served: map[uint64]*Request{}}, err
 }
 
-// ReadStatements lets calls leave out what can be read from their statements, by these options; with nil they may not
+// ConfigureStatements lets calls leave out what can be read from their statements, by these options; with nil they may not
 // any more. What was learned is kept if statements were read before. The error names the key of an invalid option;
 // nothing has changed then.
-func (c *Core) ReadStatements(o *statement.Options) error {
+func (c *Core) ConfigureStatements(o *statement.Options) error {
 	if o == nil && !c.statements.completesCalls {
 		return nil
 	}
@@ -52,14 +52,14 @@
 // where only the table group is read.
 func (s *statements) complete(call *Call, class int) (*statement.Completion, error) {
 	if !s.completesCalls {
-		call.Group = s.reader.Group(call.Statement)
+		call.TableGroup = s.reader.Group(call.Statement)
 		return nil, nil
 	}
 	completion, err := s.reader.Complete(statement.Call{
 		Text:     call.Statement,
 		Class:    class,
 		Keyed:    call.IdempotencyKey != "",
-		CostMS:   float64(call.Cost) / microsPerMillisecond,
+		CostMS:   float64(call.EstimatedWork) / microsPerMillisecond,
 		MemoryMB: call.MemoryMB,
 	})
 	if err != nil {
@@ -69,11 +69,11 @@
 	if call.IdempotencyKey == "" && completedClass.Effect == scheduler.IdempotentByKey {
 		completion.Unsafe = true // engines could not recognize its repeats
 	}
-	call.reportedCostMS = float64(call.Cost) / microsPerMillisecond
+	call.reportedCostMS = float64(call.EstimatedWork) / microsPerMillisecond
 	call.reportedMemoryMB = call.MemoryMB
 	call.Class = completedClass.Name
-	call.Group = completion.Group
-	call.Cost = max(1, monotime.Micros(completion.CostMS*microsPerMillisecond))
+	call.TableGroup = completion.Group
+	call.EstimatedWork = max(1, monotime.Micros(completion.CostMS*microsPerMillisecond))
 	call.MemoryMB = completion.MemoryMB
 	return &completion, nil
 }
--- a/gateway/submit.go
+++ b/gateway/submit.go
@@ -100,17 +100,17 @@
 		ID:            r.schedulerID,
 		Class:         class,
 		Tenant:        tenant,
-		Key:           r.Key,
+		Key:           r.OrderKey,
 		Deadline:      r.deadline,
-		EstimatedWork: r.Cost,
+		EstimatedWork: r.EstimatedWork,
 		MemoryMB:      r.MemoryMB,
-		Group:         r.Group,
+		TableGroup:    r.TableGroup,
 	}
 	if r.completion != nil {
 		event.Class = r.completion.Class
 		event.NonIdempotent = r.completion.Unsafe
 		event.NoRetry = r.completion.Single
-		event.EstimatedHere = r.completion.Guessed
+		event.OwnEstimate = r.completion.Guessed
 		event.MeasureLatency = true
 	}
 	return event
--- a/gateway/takeover.go
+++ b/gateway/takeover.go
@@ -11,7 +11,7 @@
 	RequestID      string // by which the engine knows the attempt
 	Engine         string // that runs it
 	IdempotencyKey string
-	Key            string // requests of one key run in order
+	OrderKey       string // requests of one key run in order
 	Class          string
 	TTL            monotime.Micros // how long the result is waited for
 }
@@ -23,18 +23,18 @@
 	if c.openIDs[t.RequestID] {
 		return nil
 	}
-	call := &Call{ID: t.RequestID, IdempotencyKey: t.IdempotencyKey, Key: t.Key, Class: t.Class, TTL: t.TTL}
+	call := &Call{ID: t.RequestID, IdempotencyKey: t.IdempotencyKey, OrderKey: t.OrderKey, Class: t.Class, TTL: t.TTL}
 	r := c.newRequest(now, call, discardResponse{})
 	r.registration = &Registration{core: c, request: r, scheduled: true, attemptStarted: true, attemptMayHaveRun: true}
 	c.openRequest(r)
 	a := &Attempt{
-		Request:        r,
-		Engine:         t.Engine,
-		Timeout:        r.deadline - now,
-		AlreadyRunning: true,
-		Strict:         true,
-		state:          attemptInFlight,
-		startedAt:      now,
+		Request:              r,
+		Engine:               t.Engine,
+		Timeout:              r.deadline - now,
+		AlreadyRunning:       true,
+		RequiresConfirmedEnd: true,
+		state:                attemptInFlight,
+		startedAt:            now,
 	}
 	c.addAttempt(a)
 	c.engines.Start(a)
--- a/gateway/trace.go
+++ b/gateway/trace.go
@@ -47,8 +47,8 @@
 		slog.String("class", a.Class),
 		slog.String("engine", a.Engine),
 		slog.Int("attempt", a.number),
-		slog.Int64("cost_ms", milliseconds(a.Cost)),
-		slog.Int("table_group", a.Group),
+		slog.Int64("cost_ms", milliseconds(a.EstimatedWork)),
+		slog.Int("table_group", a.TableGroup),
 		slog.Int64("timeout_ms", milliseconds(a.Timeout)))
 }
 
@@ -62,7 +62,7 @@
 		slog.String("engine", a.Engine),
 		slog.Int("attempt", a.number),
 		slog.String("result", resultNames[result]),
-		slog.Int64("cost_ms", milliseconds(a.Cost)),
+		slog.Int64("cost_ms", milliseconds(a.EstimatedWork)),
 		slog.Int64("duration_ms", milliseconds(elapsed)))
 }
 
@@ -75,7 +75,7 @@
 		slog.String("class", r.Class),
 		slog.String("tenant", r.Tenant),
 		slog.String("response", response),
-		slog.Int64("cost_ms", milliseconds(r.Cost)),
+		slog.Int64("cost_ms", milliseconds(r.EstimatedWork)),
 		slog.Int64("duration_ms", milliseconds(now-r.receivedAt)),
 		slog.Int("attempts", len(r.attempts)))
 }
--- a/identity/authentication.go
+++ b/identity/authentication.go
@@ -18,16 +18,16 @@
 	Tenant string // whose calls the caller may send; empty: none
 }
 
-// Identify authenticates a call by its token, by the client certificate of its connection, or by both, which then must
+// Authenticate authenticates a call by its token, by the client certificate of its connection, or by both, which then must
 // stand for the same caller. The token is empty, and the certificate nil, where the call has none. The address is the
 // client's, as a number; now is of the monotonic clock and wall of the wall clock. The error is a *Denied.
-func (g *Guard) Identify(
+func (g *Guard) Authenticate(
 	token string, certificate *Certificate, address uint64, now, wall monotime.Micros,
 ) (Caller, error) {
 	switch {
 	case token == "" && certificate == nil:
-		g.counts.Missing++
-		return Caller{}, &Denied{Reason: NoProof}
+		g.counts.NoCredentials++
+		return Caller{}, &Denied{Reason: NoCredentials}
 	case certificate == nil:
 		return g.callerOfToken(token, address, now, wall)
 	}
@@ -40,8 +40,8 @@
 		return Caller{}, err
 	}
 	if byToken.Name != byCertificate.Name {
-		g.counts.Unmapped++
-		return Caller{}, &Denied{Reason: Disagreement, Caller: byCertificate.Name, Detail: "token of " + byToken.Name}
+		g.counts.UnknownCallers++
+		return Caller{}, &Denied{Reason: CallerMismatch, Caller: byCertificate.Name, Detail: "token of " + byToken.Name}
 	}
 	return byToken, nil
 }
@@ -50,12 +50,12 @@
 func (g *Guard) callerOfCertificate(certificate *Certificate, wall monotime.Micros) (Caller, error) {
 	if certificate.Revoked || certificate.Expires > 0 && wall >= certificate.Expires {
 		g.counts.Expired++
-		return Caller{}, &Denied{Reason: Outdated, Detail: "certificate"}
+		return Caller{}, &Denied{Reason: NotValidNow, Detail: "certificate"}
 	}
 	rule := g.options.ruleForCertificate(certificate)
 	if rule == nil {
-		g.counts.Unmapped++
-		return Caller{}, &Denied{Reason: Unknown, Detail: "certificate"}
+		g.counts.UnknownCallers++
+		return Caller{}, &Denied{Reason: UnknownCaller, Detail: "certificate"}
 	}
 	return rule.caller(), nil
 }
@@ -63,8 +63,8 @@
 // callerOfToken returns the caller that a token stands for.
 func (g *Guard) callerOfToken(text string, address uint64, now, wall monotime.Micros) (Caller, error) {
 	if maxBytes := g.options.Limits.TokenBytes; len(text) > maxBytes {
-		g.counts.Unsigned++
-		return Caller{}, &Denied{Reason: BadProof, Detail: fmt.Sprintf("longer than %d bytes", maxBytes)}
+		g.counts.InvalidTokens++
+		return Caller{}, &Denied{Reason: InvalidToken, Detail: fmt.Sprintf("longer than %d bytes", maxBytes)}
 	}
 	token, err := g.verifiedToken(text, address, now, wall)
 	if err != nil {
@@ -77,8 +77,8 @@
 	if !token.mapped {
 		rule := g.options.ruleForToken(&token.claims)
 		if rule == nil {
-			g.counts.Unmapped++
-			return Caller{}, &Denied{Reason: Unknown, Detail: fmt.Sprintf("subject %.80q", token.claims.Subject)}
+			g.counts.UnknownCallers++
+			return Caller{}, &Denied{Reason: UnknownCaller, Detail: fmt.Sprintf("subject %.80q", token.claims.Subject)}
 		}
 		token.caller = rule.caller()
 		token.mapped = true
@@ -90,24 +90,24 @@
 func (g *Guard) verifiedToken(text string, address uint64, now, wall monotime.Micros) (*verifiedToken, error) {
 	hash := sha256.Sum256([]byte(text))
 	if token, ok := g.cache.verified.Get(hash); ok {
-		g.counts.Cached++
+		g.counts.CacheHits++
 		return token, nil
 	}
 	if g.cache.hasFailure(hash, now) {
-		g.counts.Negative++
-		return nil, &Denied{Reason: BadProof}
+		g.counts.NegativeCacheHits++
+		return nil, &Denied{Reason: InvalidToken}
 	}
 	budget, ok := g.signatures.take(address, now)
 	if !ok {
-		g.counts.Busy++
-		return nil, &Denied{Reason: Busy, After: signatureRetryAfter}
+		g.counts.SignatureBudgetExhausted++
+		return nil, &Denied{Reason: SignatureBudgetExhausted, RetryAfter: signatureRetryAfter}
 	}
-	g.counts.Checked++
+	g.counts.SignaturesChecked++
 	token, err := g.checkSignature(text, wall)
 	if err != nil {
-		g.counts.Unsigned++
+		g.counts.InvalidTokens++
 		g.cache.failedAt.Add(hash, now)
-		return nil, &Denied{Reason: BadProof, Detail: err.Error()}
+		return nil, &Denied{Reason: InvalidToken, Detail: err.Error()}
 	}
 	budget.proven = true
 	g.cache.verified.Add(hash, token)
@@ -117,7 +117,7 @@
 // checkSignature checks a token's signature with a key of the issuer that the token names: the one with the id that it
 // names or, where it names none, the only one that is valid.
 func (g *Guard) checkSignature(text string, wall monotime.Micros) (*verifiedToken, error) {
-	issuer, keyID, err := g.verifier.Peek(text)
+	issuer, keyID, err := g.verifier.ParseUnverified(text)
 	if err != nil {
 		return nil, err
 	}
@@ -140,7 +140,7 @@
 func (g *Guard) checkValidity(token *verifiedToken, wall monotime.Micros) error {
 	if detail := g.invalidity(token, wall); detail != "" {
 		g.counts.Expired++
-		return &Denied{Reason: Outdated, Detail: detail}
+		return &Denied{Reason: NotValidNow, Detail: detail}
 	}
 	return nil
 }
--- a/identity/authentication_test.go
+++ b/identity/authentication_test.go
@@ -12,7 +12,7 @@
 // Every invalid token is denied, and every valid one accepted, at the first call and from the caches.
 func TestTokensAreJudgedAlikeFromSignatureAndCache(t *testing.T) {
 	guard, issuer := newGuard(t, options())
-	keyA := identity.Key{ID: "a", Algorithm: "EdDSA", Public: issuer.keys["a"].Secret.Public()}
+	keyA := identity.Key{ID: "a", Algorithm: "EdDSA", Public: issuer.keys["a"].Signer.Public()}
 	keyB, keyC := issuer.newKey("b", "ES256"), issuer.newKey("c", "RS256")
 	otherKey := issuer.newKey("x", "EdDSA")
 	guard.SetKeys("legon", []identity.Key{keyA, keyB, keyC})
@@ -29,32 +29,32 @@
 		"EdDSA":            {good, ""},
 		"ES256":            {issuer.sign("b", "desk-4"), ""},
 		"RS256":            {issuer.sign("c", "desk-4"), ""},
-		"none at all":      {"", identity.NoProof},
-		"no token":         {"x", identity.BadProof},
-		"three parts":      {"a.b.c", identity.BadProof},
-		"cut short":        {good[:len(good)-4], identity.BadProof},
-		"of an unknown":    {issuer.sign("x", "desk-4"), identity.BadProof},
-		"no algorithm":     {"eyJhbGciOiJub25lIiwia2lkIjoiYSJ9.eyJpc3MiOiJsZWdvbiJ9.", identity.BadProof},
-		"too long":         {good + string(make([]byte, 5000)), identity.BadProof},
-		"expired":          {issuer.sign("a", "desk-4", expiresAt(noon-31*second)), identity.Outdated},
+		"none at all":      {"", identity.NoCredentials},
+		"no token":         {"x", identity.InvalidToken},
+		"three parts":      {"a.b.c", identity.InvalidToken},
+		"cut short":        {good[:len(good)-4], identity.InvalidToken},
+		"of an unknown":    {issuer.sign("x", "desk-4"), identity.InvalidToken},
+		"no algorithm":     {"eyJhbGciOiJub25lIiwia2lkIjoiYSJ9.eyJpc3MiOiJsZWdvbiJ9.", identity.InvalidToken},
+		"too long":         {good + string(make([]byte, 5000)), identity.InvalidToken},
+		"expired":          {issuer.sign("a", "desk-4", expiresAt(noon-31*second)), identity.NotValidNow},
 		"within leeway":    {issuer.sign("a", "desk-4", expiresAt(noon-29*second)), ""},
-		"never expires":    {issuer.sign("a", "desk-4", expiresAt(0)), identity.Outdated},
-		"not yet":          {issuer.sign("a", "desk-4", notBefore(noon+31*second)), identity.Outdated},
-		"other audience":   {issuer.sign("a", "desk-4", otherAudience), identity.Outdated},
-		"other issuer":     {issuer.sign("a", "desk-4", otherIssuer), identity.BadProof},
-		"unknown subject":  {issuer.sign("a", "kiosk"), identity.Unknown},
-		"subject of a dir": {issuer.sign("a", "desk-4/x"), identity.Unknown},
+		"never expires":    {issuer.sign("a", "desk-4", expiresAt(0)), identity.NotValidNow},
+		"not yet":          {issuer.sign("a", "desk-4", notBefore(noon+31*second)), identity.NotValidNow},
+		"other audience":   {issuer.sign("a", "desk-4", otherAudience), identity.NotValidNow},
+		"other issuer":     {issuer.sign("a", "desk-4", otherIssuer), identity.InvalidToken},
+		"unknown subject":  {issuer.sign("a", "kiosk"), identity.UnknownCaller},
+		"subject of a dir": {issuer.sign("a", "desk-4/x"), identity.UnknownCaller},
 	} {
 		for range 2 { // checked by its signature, then from the caches
-			_, err := guard.Identify(test.token, nil, 1, 0, noon)
+			_, err := guard.Authenticate(test.token, nil, 1, 0, noon)
 			assert.Equal(t, test.want, reasonOf(err), "%s: %v", name, err)
 		}
 	}
 	// Another key under the same id is another key, whatever the header says.
 	otherKey.ID = "a"
 	guard.SetKeys("legon", []identity.Key{otherKey})
-	_, err := guard.Identify(good, nil, 1, 0, noon)
-	assert.Equal(t, identity.BadProof, reasonOf(err))
+	_, err := guard.Authenticate(good, nil, 1, 0, noon)
+	assert.Equal(t, identity.InvalidToken, reasonOf(err))
 }
 
 // A certificate stands for the caller of the rule that its names match; a token must agree with it.
@@ -67,21 +67,21 @@
 		{identity.Certificate{URIs: []string{"spiffe://legon/desk/4"}}, "desk"},
 		{identity.Certificate{URIs: []string{"spiffe://legon/desk/4/x"}}, ""},
 		{identity.Certificate{URIs: []string{"spiffe://evil/desk/4"}}, ""},
-		{identity.Certificate{DNS: []string{"A4.desks.legon"}}, "desk"},
-		{identity.Certificate{DNS: []string{"x.a4.desks.legon"}}, ""},
-		{identity.Certificate{DNS: []string{"*.desks.legon"}}, ""},
-		{identity.Certificate{DNS: []string{"spiffe://legon/booking"}}, ""},
+		{identity.Certificate{DNSNames: []string{"A4.desks.legon"}}, "desk"},
+		{identity.Certificate{DNSNames: []string{"x.a4.desks.legon"}}, ""},
+		{identity.Certificate{DNSNames: []string{"*.desks.legon"}}, ""},
+		{identity.Certificate{DNSNames: []string{"spiffe://legon/booking"}}, ""},
 		{identity.Certificate{URIs: []string{"spiffe://legon/booking"}}, "booking"},
 		{identity.Certificate{Subject: "CN=booking-office"}, ""},
 	} {
-		caller, err := guard.Identify("", &test.certificate, 1, 0, noon)
+		caller, err := guard.Authenticate("", &test.certificate, 1, 0, noon)
 		assert.Equal(t, test.want, caller.Name, "%v", test.certificate)
-		assert.Equal(t, test.want == "", reasonOf(err) == identity.Unknown)
+		assert.Equal(t, test.want == "", reasonOf(err) == identity.UnknownCaller)
 	}
 	desk := &identity.Certificate{URIs: []string{"spiffe://legon/desk/4"}}
-	_, err := guard.Identify(issuer.sign("a", "booking-office"), desk, 1, 0, noon)
-	assert.Equal(t, identity.Disagreement, reasonOf(err))
-	caller, err := guard.Identify(issuer.sign("a", "desk-9"), desk, 1, 0, noon)
+	_, err := guard.Authenticate(issuer.sign("a", "booking-office"), desk, 1, 0, noon)
+	assert.Equal(t, identity.CallerMismatch, reasonOf(err))
+	caller, err := guard.Authenticate(issuer.sign("a", "desk-9"), desk, 1, 0, noon)
 	assert.NoError(t, err)
 	assert.Equal(t, identity.Caller{Name: "desk", Tenant: "coast"}, caller)
 }
@@ -99,15 +99,15 @@
 		want identity.Reason
 	}{
 		{noon, ""},
-		{noon + hour, identity.Outdated},
+		{noon + hour, identity.NotValidNow},
 		{noon, ""},
-		{noon - hour, identity.Outdated},
+		{noon - hour, identity.NotValidNow},
 		{noon + second, ""},
 	} {
-		_, err := guard.Identify(short, nil, 1, monotime.Micros(i)*second, step.wall)
+		_, err := guard.Authenticate(short, nil, 1, monotime.Micros(i)*second, step.wall)
 		assert.Equal(t, step.want, reasonOf(err), "step %d", i)
 	}
-	assert.Equal(t, 1, guard.Counts().Checked)
+	assert.Equal(t, 1, guard.Counts().SignaturesChecked)
 }
 
 // A certificate with any names has either a caller or an error.
@@ -117,8 +117,8 @@
 	f.Add("[", "\x00.desks.legon", "\\")
 	guard, _ := newGuard(f, options())
 	f.Fuzz(func(t *testing.T, uri, dns, subject string) {
-		certificate := &identity.Certificate{URIs: []string{uri}, DNS: []string{dns}, Subject: subject}
-		caller, err := guard.Identify("", certificate, 1, 0, noon)
+		certificate := &identity.Certificate{URIs: []string{uri}, DNSNames: []string{dns}, Subject: subject}
+		caller, err := guard.Authenticate("", certificate, 1, 0, noon)
 		assert.Equal(t, err == nil, caller.Name != "")
 	})
 }
@@ -129,16 +129,16 @@
 	text := issuer.sign("a", "desk-1")
 	b.ReportAllocs()
 	for b.Loop() {
-		caller, err := guard.Identify(text, nil, 1, 0, noon)
+		caller, err := guard.Authenticate(text, nil, 1, 0, noon)
 		if err == nil {
 			_, err = guard.Authorize(caller, "", "lookup", 1)
 		}
 		if err == nil {
-			err = guard.Enter(caller, 0)
+			err = guard.Acquire(caller, 0)
 		}
 		if err != nil {
 			b.Fatal(err)
 		}
-		guard.Leave(caller)
+		guard.Release(caller)
 	}
 }
--- a/identity/callers.go
+++ b/identity/callers.go
@@ -65,10 +65,10 @@
 
 // Certificate has the names of a client certificate that was verified during the handshake.
 type Certificate struct {
-	URIs, DNS []string
-	Subject   string          // as RFC 2253 writes it
-	Expires   monotime.Micros // of the wall clock, in microseconds since 1970; 0: not known
-	Revoked   bool            // by its authority, as of this call
+	URIs, DNSNames []string
+	Subject        string          // as RFC 2253 writes it
+	Expires        monotime.Micros // of the wall clock, in microseconds since 1970; 0: not known
+	Revoked        bool            // by its authority, as of this call
 }
 
 // ruleForToken returns the first rule that applies to a token's claims; nil if there is none.
@@ -113,7 +113,7 @@
 			}
 			continue
 		}
-		if slices.ContainsFunc(certificate.DNS, func(name string) bool { return matchesDNSName(pattern, name) }) {
+		if slices.ContainsFunc(certificate.DNSNames, func(name string) bool { return matchesDNSName(pattern, name) }) {
 			return true
 		}
 	}
--- a/identity/ceilings.go
+++ b/identity/ceilings.go
@@ -15,14 +15,14 @@
 	Callers []string // patterns of callers' names
 	Rate    float64  // calls a second; 0: not limited
 	Burst   float64  // calls that may come at once; 0: those of one second
-	Open    int      // calls open at once; 0: not limited
+	MaxOpen int      // calls open at once; 0: not limited
 }
 
 func (c *Ceiling) check(callers map[string]bool) error {
 	if err := checkCallerPatterns(c.Callers, callers); err != nil {
 		return err
 	}
-	if c.Rate < 0 || c.Burst < 0 || c.Open < 0 {
+	if c.Rate < 0 || c.Burst < 0 || c.MaxOpen < 0 {
 		return fmt.Errorf("rate, burst and open may not be negative")
 	}
 	return nil
@@ -64,13 +64,13 @@
 	return usage
 }
 
-// Enter counts a call of an authorized caller as open until Leave, at the monotonic time now. Where the caller's
+// Acquire counts a call of an authorized caller as open until Leave, at the monotonic time now. Where the caller's
 // ceiling is reached the call is not counted, and the error is a *Denied with the time after which it may be sent
 // again.
-func (g *Guard) Enter(caller Caller, now monotime.Micros) error {
+func (g *Guard) Acquire(caller Caller, now monotime.Micros) error {
 	usage := g.usageOf(caller.Name)
 	if denied := usage.checkCeiling(caller.Name, now); denied != nil {
-		g.counts.Over++
+		g.counts.CeilingReached++
 		return denied
 	}
 	usage.open++
@@ -83,22 +83,22 @@
 	if ceiling == nil {
 		return nil
 	}
-	if ceiling.Open > 0 && u.open >= ceiling.Open {
+	if ceiling.MaxOpen > 0 && u.open >= ceiling.MaxOpen {
 		detail := fmt.Sprintf("%d are open", u.open)
-		return &Denied{Reason: TooMany, Caller: caller, Detail: detail, After: openRetryAfter}
+		return &Denied{Reason: CeilingReached, Caller: caller, Detail: detail, RetryAfter: openRetryAfter}
 	}
 	// The ceiling may have changed since the last call.
 	u.calls.rate = ceiling.Rate
 	u.calls.burst = ceiling.burst()
 	if ceiling.Rate > 0 && !u.calls.take(now) {
 		detail := fmt.Sprintf("more than %g a second", ceiling.Rate)
-		return &Denied{Reason: TooMany, Caller: caller, Detail: detail, After: u.calls.timeToNext()}
+		return &Denied{Reason: CeilingReached, Caller: caller, Detail: detail, RetryAfter: u.calls.timeToNext()}
 	}
 	return nil
 }
 
-// Leave ends the count of a call that Enter has counted as open.
-func (g *Guard) Leave(caller Caller) {
+// Release ends the count of a call that Enter has counted as open.
+func (g *Guard) Release(caller Caller) {
 	usage := g.usage[caller.Name]
 	if usage == nil || usage.open == 0 {
 		return
--- a/identity/ceilings_test.go
+++ b/identity/ceilings_test.go
@@ -12,23 +12,23 @@
 // A ceiling limits how many calls of its callers are open and how many come at once, and no other caller.
 func TestCeilingsLimitOpenCallsAndRate(t *testing.T) {
 	o := options()
-	o.Ceilings = []identity.Ceiling{{Callers: []string{"desk"}, Rate: 10, Burst: 3, Open: 2}}
+	o.Ceilings = []identity.Ceiling{{Callers: []string{"desk"}, Rate: 10, Burst: 3, MaxOpen: 2}}
 	guard, _ := newGuard(t, o)
 	desk, booking := identity.Caller{Name: "desk"}, identity.Caller{Name: "booking"}
-	assert.NoError(t, guard.Enter(desk, 0))
-	assert.NoError(t, guard.Enter(desk, 0))
-	assert.Equal(t, identity.TooMany, reasonOf(guard.Enter(desk, 0)), "two are open")
+	assert.NoError(t, guard.Acquire(desk, 0))
+	assert.NoError(t, guard.Acquire(desk, 0))
+	assert.Equal(t, identity.CeilingReached, reasonOf(guard.Acquire(desk, 0)), "two are open")
 	for range 100 {
-		assert.NoError(t, guard.Enter(booking, 0))
+		assert.NoError(t, guard.Acquire(booking, 0))
 	}
-	guard.Leave(desk)
-	guard.Leave(desk)
-	assert.NoError(t, guard.Enter(desk, 0))
-	guard.Leave(desk)
-	err := guard.Enter(desk, 0)
-	assert.Equal(t, identity.TooMany, reasonOf(err), "three came at once")
+	guard.Release(desk)
+	guard.Release(desk)
+	assert.NoError(t, guard.Acquire(desk, 0))
+	guard.Release(desk)
+	err := guard.Acquire(desk, 0)
+	assert.Equal(t, identity.CeilingReached, reasonOf(err), "three came at once")
 	var denied *identity.Denied
 	require.ErrorAs(t, err, &denied)
-	assert.InDelta(t, second/10, denied.After, 1)
-	assert.NoError(t, guard.Enter(desk, denied.After+1), "there is a token after the time that the error gives")
+	assert.InDelta(t, second/10, denied.RetryAfter, 1)
+	assert.NoError(t, guard.Acquire(desk, denied.RetryAfter+1), "there is a token after the time that the error gives")
 }
--- a/identity/guard.go
+++ b/identity/guard.go
@@ -5,7 +5,7 @@
 	options     Options
 	verifier    Verifier
 	keys        map[string][]Key // by issuer
-	revocations Revoked
+	revocations Revocations
 	cache       tokenCache
 	signatures  signatureBudget
 	usage       map[string]*callerUsage // by caller
@@ -15,20 +15,20 @@
 
 // Counts are the numbers of a Guard's decisions since it was made.
 type Counts struct {
-	Cached   int // tokens that were in the cache of verified ones
-	Checked  int // tokens whose signature was checked
-	Negative int // tokens that were in the cache of failed ones
+	CacheHits         int // tokens that were in the cache of verified ones
+	SignaturesChecked int // tokens whose signature was checked
+	NegativeCacheHits int // tokens that were in the cache of failed ones
 
-	Expired  int // calls denied for the reason Outdated
-	Unsigned int // calls denied for a token without a valid signature, or one that is too long
-	Unmapped int // calls denied because their credentials stand for no caller, or for two
-	Missing  int // calls denied for want of any credential
+	Expired        int // calls denied for the reason Outdated
+	InvalidTokens  int // calls denied for a token without a valid signature, or one that is too long
+	UnknownCallers int // calls denied because their credentials stand for no caller, or for two
+	NoCredentials  int // calls denied for want of any credential
 
-	Busy      int // calls denied because the budget of signature checks was exhausted
-	Forbidden int // calls denied for want of a right
-	Foreign   int // calls denied because they claimed another tenant than their caller's
-	Over      int // calls denied by a ceiling
-	Allowed   int // calls that were authorized
+	SignatureBudgetExhausted int // calls denied because the budget of signature checks was exhausted
+	PermissionDenied         int // calls denied for want of a right
+	TenantMismatches         int // calls denied because they claimed another tenant than their caller's
+	CeilingReached           int // calls denied by a ceiling
+	Allowed                  int // calls that were authorized
 }
 
 // New returns a Guard for an installation with these classes of queries. The error names the key of an invalid option.
--- a/identity/handshakes.go
+++ b/identity/handshakes.go
@@ -1,13 +1,13 @@
 package identity
 
-// Handshakes limits the TLS handshakes that compute at once, for all addresses together and for each, since a handshake
+// HandshakeLimiter limits the TLS handshakes that compute at once, for all addresses together and for each, since a handshake
 // costs many times what a call does. Those above a limit are queued, first in, first out, except that an address at its
 // limit does not hold up the others. A handshake that waits for its peer is not counted.
-type Handshakes struct {
-	Most, Each       int // maximum of handshakes that run at once, for all addresses and for each
-	running          int
-	runningByAddress map[uint64]int
-	queue            []queuedHandshake
+type HandshakeLimiter struct {
+	MaxRunning, MaxRunningPerAddress int // maximum of handshakes that run at once, for all addresses and for each
+	running                          int
+	runningByAddress                 map[uint64]int
+	queue                            []queuedHandshake
 }
 
 // queuedHandshake is a handshake that has not been started.
@@ -16,21 +16,21 @@
 	start   func()
 }
 
-// NewHandshakes returns a Handshakes that lets at most that many run at once, and half of them, but at least one, from
+// NewHandshakeLimiter returns a Handshakes that lets at most that many run at once, and half of them, but at least one, from
 // one address.
-func NewHandshakes(most int) *Handshakes {
-	return &Handshakes{Most: most, Each: max(1, most/2), runningByAddress: map[uint64]int{}}
+func NewHandshakeLimiter(most int) *HandshakeLimiter {
+	return &HandshakeLimiter{MaxRunning: most, MaxRunningPerAddress: max(1, most/2), runningByAddress: map[uint64]int{}}
 }
 
-// Ask calls start at once or, where a limit is reached, once others have ended. Start must not call methods of h.
-func (h *Handshakes) Ask(address uint64, start func()) {
+// Start calls start at once or, where a limit is reached, once others have ended. Start must not call methods of h.
+func (h *HandshakeLimiter) Start(address uint64, start func()) {
 	h.queue = append(h.queue, queuedHandshake{address, start})
 	h.startQueued()
 }
 
-// Ended ends the count of a handshake that was started, and starts queued ones in its place. It is called once for
+// Done ends the count of a handshake that was started, and starts queued ones in its place. It is called once for
 // each.
-func (h *Handshakes) Ended(address uint64) {
+func (h *HandshakeLimiter) Done(address uint64) {
 	h.running--
 	h.runningByAddress[address]--
 	if h.runningByAddress[address] <= 0 {
@@ -39,14 +39,14 @@
 	h.startQueued()
 }
 
-// Waiting returns the number of queued handshakes.
-func (h *Handshakes) Waiting() int { return len(h.queue) }
+// Queued returns the number of queued handshakes.
+func (h *HandshakeLimiter) Queued() int { return len(h.queue) }
 
 // startQueued starts the queued handshakes that the limits allow, first in, first out.
-func (h *Handshakes) startQueued() {
+func (h *HandshakeLimiter) startQueued() {
 	remaining := h.queue[:0]
 	for _, handshake := range h.queue {
-		if h.running >= h.Most || h.runningByAddress[handshake.address] >= h.Each {
+		if h.running >= h.MaxRunning || h.runningByAddress[handshake.address] >= h.MaxRunningPerAddress {
 			remaining = append(remaining, handshake)
 			continue
 		}
--- a/identity/helpers_test.go
+++ b/identity/helpers_test.go
@@ -46,7 +46,7 @@
 // testIssuer signs tokens with keys that are made for a test.
 type testIssuer struct {
 	t    testing.TB
-	keys map[string]*token.Private // by id
+	keys map[string]*token.PrivateKey // by id
 }
 
 // newKey makes a key and returns its public half.
@@ -54,7 +54,7 @@
 	key, err := token.Generate(id, algorithm)
 	require.NoError(i.t, err)
 	i.keys[id] = key
-	return identity.Key{ID: id, Algorithm: algorithm, Public: key.Secret.Public()}
+	return identity.Key{ID: id, Algorithm: algorithm, Public: key.Signer.Public()}
 }
 
 // sign returns a token for a subject, with the changes made to its claims. It expires an hour after noon.
@@ -84,7 +84,7 @@
 func newGuard(t testing.TB, o identity.Options) (*identity.Guard, *testIssuer) {
 	guard, err := identity.New(o, classes, token.Verifier{})
 	require.NoError(t, err)
-	issuer := &testIssuer{t, map[string]*token.Private{}}
+	issuer := &testIssuer{t, map[string]*token.PrivateKey{}}
 	guard.SetKeys("legon", []identity.Key{issuer.newKey("a", "EdDSA")})
 	return guard, issuer
 }
--- a/identity/keys.go
+++ b/identity/keys.go
@@ -12,17 +12,17 @@
 type Key struct {
 	ID        string          // as in the header "kid" of a token
 	Algorithm string          // the only one that the key is used with
-	From      monotime.Micros // when the key becomes valid; 0: it always was
-	Until     monotime.Micros // when the key expires; 0: never
+	NotBefore monotime.Micros // when the key becomes valid; 0: it always was
+	Expires   monotime.Micros // when the key expires; 0: never
 	Public    any             // in the form that the Verifier takes
 }
 
 // validAt reports whether the key is valid at a time of the wall clock. Leeway is granted only for its beginning.
 func (k *Key) validAt(wall, leeway monotime.Micros) bool {
-	if k.From != 0 && wall < k.From-leeway {
+	if k.NotBefore != 0 && wall < k.NotBefore-leeway {
 		return false
 	}
-	return k.Until == 0 || wall < k.Until
+	return k.Expires == 0 || wall < k.Expires
 }
 
 // same reports whether another key is this one, whatever their times.
--- a/identity/keys_test.go
+++ b/identity/keys_test.go
@@ -27,7 +27,7 @@
 // addKey adds a key that is valid from a time of the wall clock on.
 func (r *rotation) addKey(from monotime.Micros) {
 	key := r.issuer.newKey(fmt.Sprint("k", len(r.keys)), "EdDSA")
-	key.From = from
+	key.NotBefore = from
 	r.keys = append(r.keys, key)
 	r.tokens = append(r.tokens, r.issuer.sign(key.ID, "desk-1", expiresAt(noon+10*hour)))
 }
@@ -40,7 +40,7 @@
 
 // isValid is the oracle: whether the key at an index is in the set and valid at a time of the wall clock.
 func (r *rotation) isValid(i int, wall monotime.Micros) bool {
-	until := r.keys[i].Until
+	until := r.keys[i].Expires
 	return i >= len(r.keys)-keysInSet && (until == 0 || wall < until)
 }
 
@@ -60,13 +60,13 @@
 		wall += second
 		if step%5 == 0 { // the new key is valid at once, the one before for 7 s more
 			keys.addKey(wall)
-			keys.keys[len(keys.keys)-2].Until = wall + 7*second
+			keys.keys[len(keys.keys)-2].Expires = wall + 7*second
 			keys.apply()
 		}
 		count := len(keys.keys)
 		i := count - 1 - rng.IntN(min(count, 9))
 		want := keys.isValid(i, wall)
-		_, err := guard.Identify(keys.tokens[i], nil, uint64(step), wall, wall)
+		_, err := guard.Authenticate(keys.tokens[i], nil, uint64(step), wall, wall)
 		require.Equal(t, want, err == nil, "step %d, key %d of %d: %v", step, i, count, err)
 		if want {
 			accepted++
@@ -83,9 +83,9 @@
 	guard, issuer := newGuard(t, options())
 	key := issuer.newKey("b", "EdDSA")
 	early := issuer.sign("b", "desk-1")
-	_, err := guard.Identify(early, nil, 1, 0, noon)
-	assert.Equal(t, identity.BadProof, reasonOf(err))
+	_, err := guard.Authenticate(early, nil, 1, 0, noon)
+	assert.Equal(t, identity.InvalidToken, reasonOf(err))
 	guard.SetKeys("legon", []identity.Key{key})
-	_, err = guard.Identify(early, nil, 1, 1, noon)
+	_, err = guard.Authenticate(early, nil, 1, 1, noon)
 	assert.NoError(t, err)
 }
--- a/identity/main_test.go
+++ b/identity/main_test.go
@@ -7,4 +7,4 @@
 	"chutechute/internal/standin"
 )
 
-func TestMain(m *testing.M) { os.Exit(standin.Seeded(m)) }
+func TestMain(m *testing.M) { os.Exit(standin.RunWithFixedSeed(m)) }
--- a/identity/options.go
+++ b/identity/options.go
@@ -27,8 +27,8 @@
 	AuditPerSecond   float64 // log entries a second about denied calls
 }
 
-// MostLeeway is the maximum of Options.Leeway, in microseconds.
-const MostLeeway = 300 * monotime.Second
+// MaxLeeway is the maximum of Options.Leeway, in microseconds.
+const MaxLeeway = 300 * monotime.Second
 
 // Defaults of Options, and the bound of Limits.TokenBytes.
 const (
@@ -77,8 +77,8 @@
 	if err != nil {
 		return err
 	}
-	if o.Leeway < 0 || o.Leeway > MostLeeway {
-		return fmt.Errorf("leeway_s: not from 0 to %d", MostLeeway/monotime.Second)
+	if o.Leeway < 0 || o.Leeway > MaxLeeway {
+		return fmt.Errorf("leeway_s: not from 0 to %d", MaxLeeway/monotime.Second)
 	}
 	callers, err := o.checkCallers(issuers)
 	if err != nil {
--- a/identity/options_test.go
+++ b/identity/options_test.go
@@ -40,13 +40,13 @@
 func TestApplyKeepsVerifiedTokens(t *testing.T) {
 	guard, issuer := newGuard(t, options())
 	text := issuer.sign("a", "desk-1")
-	_, err := guard.Identify(text, nil, 1, 0, noon)
+	_, err := guard.Authenticate(text, nil, 1, 0, noon)
 	require.NoError(t, err)
 	o := options()
 	o.Callers[1].Name, o.Rights = "counter", nil
 	require.NoError(t, guard.Apply(o, classes))
-	caller, err := guard.Identify(text, nil, 1, 0, noon)
+	caller, err := guard.Authenticate(text, nil, 1, 0, noon)
 	require.NoError(t, err)
 	assert.Equal(t, "counter", caller.Name)
-	assert.Equal(t, 1, guard.Counts().Checked)
+	assert.Equal(t, 1, guard.Counts().SignaturesChecked)
 }
--- a/identity/revocation.go
+++ b/identity/revocation.go
@@ -1,15 +1,15 @@
 package identity
 
-// Revoked lists the tokens that are revoked although their signatures and times are valid.
-type Revoked struct {
+// Revocations lists the tokens that are revoked although their signatures and times are valid.
+type Revocations struct {
 	IDs      map[string]bool // by issuer, a space and the token's id
 	Subjects map[string]bool // by issuer, a space and the subject
 }
 
 // has reports whether the token with these claims is revoked.
-func (r *Revoked) has(c *Claims) bool {
+func (r *Revocations) has(c *Claims) bool {
 	return c.ID != "" && r.IDs[c.Issuer+" "+c.ID] || r.Subjects[c.Issuer+" "+c.Subject]
 }
 
-// Revoke replaces the list of revoked tokens. It holds from the next call on.
-func (g *Guard) Revoke(r Revoked) { g.revocations = r }
+// SetRevocations replaces the list of revoked tokens. It holds from the next call on.
+func (g *Guard) SetRevocations(r Revocations) { g.revocations = r }
--- a/identity/revocation_test.go
+++ b/identity/revocation_test.go
@@ -14,16 +14,16 @@
 	one := issuer.sign("a", "desk-1", withID("t1"))
 	two := issuer.sign("a", "desk-1", withID("t2"))
 	reason := func(token string) identity.Reason {
-		_, err := guard.Identify(token, nil, 1, 0, noon)
+		_, err := guard.Authenticate(token, nil, 1, 0, noon)
 		return reasonOf(err)
 	}
 	assert.Empty(t, reason(one))
 	assert.Empty(t, reason(two))
-	guard.Revoke(identity.Revoked{IDs: map[string]bool{"legon t1": true}})
-	assert.Equal(t, identity.Outdated, reason(one))
+	guard.SetRevocations(identity.Revocations{IDs: map[string]bool{"legon t1": true}})
+	assert.Equal(t, identity.NotValidNow, reason(one))
 	assert.Empty(t, reason(two))
-	guard.Revoke(identity.Revoked{Subjects: map[string]bool{"legon desk-1": true}})
-	assert.Equal(t, identity.Outdated, reason(two))
-	guard.Revoke(identity.Revoked{})
+	guard.SetRevocations(identity.Revocations{Subjects: map[string]bool{"legon desk-1": true}})
+	assert.Equal(t, identity.NotValidNow, reason(two))
+	guard.SetRevocations(identity.Revocations{})
 	assert.Empty(t, reason(one))
 }
--- a/identity/rights.go
+++ b/identity/rights.go
@@ -56,13 +56,13 @@
 // it claims, and returns the caller's tenant. An empty claim stands for the caller's own. The error is a *Denied.
 func (g *Guard) Authorize(caller Caller, tenant, class string, group int) (string, error) {
 	if tenant != "" && tenant != caller.Tenant {
-		g.counts.Foreign++
-		return "", &Denied{Reason: OtherTenant, Caller: caller.Name, Detail: fmt.Sprintf("org %.80q", tenant)}
+		g.counts.TenantMismatches++
+		return "", &Denied{Reason: TenantMismatch, Caller: caller.Name, Detail: fmt.Sprintf("org %.80q", tenant)}
 	}
 	if !g.options.allows(caller.Name, class, group) {
-		g.counts.Forbidden++
+		g.counts.PermissionDenied++
 		detail := fmt.Sprintf("class %q, group %d", class, group)
-		return "", &Denied{Reason: NoRight, Caller: caller.Name, Detail: detail}
+		return "", &Denied{Reason: PermissionDenied, Caller: caller.Name, Detail: detail}
 	}
 	g.counts.Allowed++
 	return caller.Tenant, nil
--- a/identity/rights_test.go
+++ b/identity/rights_test.go
@@ -72,9 +72,9 @@
 	assert.NoError(t, err)
 	assert.Equal(t, "coast", tenant)
 	_, err = guard.Authorize(desk, "volta", "lookup", 1)
-	assert.Equal(t, identity.OtherTenant, reasonOf(err))
+	assert.Equal(t, identity.TenantMismatch, reasonOf(err))
 	_, err = guard.Authorize(desk, "coast", "load", 1)
-	assert.Equal(t, identity.NoRight, reasonOf(err))
+	assert.Equal(t, identity.PermissionDenied, reasonOf(err))
 	_, err = guard.Authorize(desk, "coast", "lookup", 150)
-	assert.Equal(t, identity.NoRight, reasonOf(err), "a right that denies outweighs those that allow")
+	assert.Equal(t, identity.PermissionDenied, reasonOf(err), "a right that denies outweighs those that allow")
 }
--- a/identity/signaturebudget_test.go
+++ b/identity/signaturebudget_test.go
@@ -15,10 +15,10 @@
 // checks than the budget has, and new tokens from a proven address are accepted.
 func TestFloodOfBadTokensStaysWithinTheSignatureBudget(t *testing.T) {
 	guard, issuer := newGuard(t, options())
-	unknownIssuer := &testIssuer{t, map[string]*token.Private{}}
+	unknownIssuer := &testIssuer{t, map[string]*token.PrivateKey{}}
 	unknownIssuer.newKey("a", "EdDSA")
 	bad := unknownIssuer.sign("a", "desk-1")
-	_, err := guard.Identify(issuer.sign("a", "desk-1"), nil, 7, 0, noon)
+	_, err := guard.Authenticate(issuer.sign("a", "desk-1"), nil, 7, 0, noon)
 	require.NoError(t, err)
 	now := monotime.Micros(0)
 	denied := 0
@@ -28,16 +28,16 @@
 		if n%2 == 1 {
 			address = uint64(100 + n%1000)
 		}
-		_, err := guard.Identify(fmt.Sprintf("%s%d", bad[:len(bad)-8], 10_000_000+n), nil, address, now, noon)
+		_, err := guard.Authenticate(fmt.Sprintf("%s%d", bad[:len(bad)-8], 10_000_000+n), nil, address, now, noon)
 		require.Error(t, err)
 		if n%1000 == 0 { // a proven address with a token that is not in the cache
 			token := issuer.sign("a", "desk-1", withID(fmt.Sprint(n)))
-			if _, err := guard.Identify(token, nil, 7, now, noon); err != nil {
+			if _, err := guard.Authenticate(token, nil, 7, now, noon); err != nil {
 				denied++
 			}
 		}
 	}
 	assert.Zero(t, denied)
-	assert.Less(t, guard.Counts().Checked, 250*5+50)
-	assert.Greater(t, guard.Counts().Busy, 20_000)
+	assert.Less(t, guard.Counts().SignaturesChecked, 250*5+50)
+	assert.Greater(t, guard.Counts().SignatureBudgetExhausted, 20_000)
 }
--- a/identity/token/algorithms.go
+++ b/identity/token/algorithms.go
@@ -32,15 +32,15 @@
 	return ""
 }
 
-// Private is a private key that signs tokens.
-type Private struct {
+// PrivateKey is a private key that signs tokens.
+type PrivateKey struct {
 	ID        string // as in the header "kid" of its tokens
 	Algorithm string // EdDSA, ES256 or RS256
-	Secret    crypto.Signer
+	Signer    crypto.Signer
 }
 
 // Generate returns a new private key for an algorithm: EdDSA, ES256 or RS256. For any other it returns an error.
-func Generate(id, algorithm string) (*Private, error) {
+func Generate(id, algorithm string) (*PrivateKey, error) {
 	var secret crypto.Signer
 	var err error
 	switch jose.SignatureAlgorithm(algorithm) {
@@ -56,5 +56,5 @@
 	if err != nil {
 		return nil, fmt.Errorf("token: %w", err)
 	}
-	return &Private{ID: id, Algorithm: algorithm, Secret: secret}, nil
+	return &PrivateKey{ID: id, Algorithm: algorithm, Signer: secret}, nil
 }
--- a/identity/token/jwks.go
+++ b/identity/token/jwks.go
@@ -11,8 +11,8 @@
 	"chutechute/internal/monotime"
 )
 
-// MostSet is the maximum length of a key set, in bytes.
-const MostSet = 256 << 10
+// MaxSetBytes is the maximum length of a key set, in bytes.
+const MaxSetBytes = 256 << 10
 
 // maxKeys is the maximum number of keys in a set.
 const maxKeys = 64
@@ -51,9 +51,9 @@
 	return v.Until > 0 && v.Until*monotime.Second <= wall
 }
 
-// ParseSet reads a set of public keys. It returns an error for a set that has a private or unusable key, or two keys of
+// ParsePublicKeys reads a set of public keys. It returns an error for a set that has a private or unusable key, or two keys of
 // one id: half a set in force would have valid tokens denied.
-func ParseSet(text []byte) ([]identity.Key, error) {
+func ParsePublicKeys(text []byte) ([]identity.Key, error) {
 	parsed, err := parseKeys(text)
 	if err != nil {
 		return nil, err
@@ -69,14 +69,14 @@
 	return keys, nil
 }
 
-// ParsePrivate reads a set of private keys, in their order. It returns an error for a set that has a public or unusable
+// ParsePrivateKeys reads a set of private keys, in their order. It returns an error for a set that has a public or unusable
 // key, or two keys of one id.
-func ParsePrivate(text []byte) ([]*Private, error) {
+func ParsePrivateKeys(text []byte) ([]*PrivateKey, error) {
 	parsed, err := parseKeys(text)
 	if err != nil {
 		return nil, err
 	}
-	var keys []*Private
+	var keys []*PrivateKey
 	for _, key := range parsed {
 		private, err := key.private()
 		if err != nil {
@@ -88,8 +88,8 @@
 }
 
 func parseKeys(text []byte) ([]setKey, error) {
-	if len(text) > MostSet {
-		return nil, fmt.Errorf("longer than %d bytes", MostSet)
+	if len(text) > MaxSetBytes {
+		return nil, fmt.Errorf("longer than %d bytes", MaxSetBytes)
 	}
 	var set encodedSet
 	if err := json.Unmarshal(text, &set); err != nil {
@@ -155,19 +155,19 @@
 	return identity.Key{
 		ID:        k.jwk.KeyID,
 		Algorithm: k.jwk.Algorithm,
-		From:      k.From * monotime.Second,
-		Until:     k.Until * monotime.Second,
+		NotBefore: k.From * monotime.Second,
+		Expires:   k.Until * monotime.Second,
 		Public:    k.jwk.Key,
 	}, nil
 }
 
 // private returns the key as Sign takes it, or an error for a public one.
-func (k *setKey) private() (*Private, error) {
+func (k *setKey) private() (*PrivateKey, error) {
 	secret, ok := k.jwk.Key.(crypto.Signer)
 	if !ok {
 		return nil, fmt.Errorf("key %q: not a private key", k.jwk.KeyID)
 	}
-	return &Private{ID: k.jwk.KeyID, Algorithm: k.jwk.Algorithm, Secret: secret}, nil
+	return &PrivateKey{ID: k.jwk.KeyID, Algorithm: k.jwk.Algorithm, Signer: secret}, nil
 }
 
 // marshal returns the private key, or only its public half, as a JWK with the members of its validity.
--- a/identity/token/privateset.go
+++ b/identity/token/privateset.go
@@ -10,23 +10,23 @@
 	"chutechute/internal/monotime"
 )
 
-// Set is a set of private keys that is maintained: keys are added, retired and pruned. The set of their public
+// KeySet is a set of private keys that is maintained: keys are added, retired and pruned. The set of their public
 // halves is written from it.
-type Set struct{ keys []setKey }
+type KeySet struct{ keys []setKey }
 
-// Listed is what of a key is no secret. Its times are Unix seconds, and 0 where the key has none.
-type Listed struct {
+// KeyInfo is what of a key is no secret. Its times are Unix seconds, and 0 where the key has none.
+type KeyInfo struct {
 	ID        string `json:"kid"`
 	Algorithm string `json:"alg"`
 	From      int64  `json:"nbf,omitempty"`
 	Until     int64  `json:"exp,omitempty"`
 }
 
-// ReadSet reads a set of private keys; an empty text is an empty set. It returns an error for a set that has a
+// ParseKeySet reads a set of private keys; an empty text is an empty set. It returns an error for a set that has a
 // public or unusable key, or two keys of one id.
-func ReadSet(text []byte) (*Set, error) {
+func ParseKeySet(text []byte) (*KeySet, error) {
 	if len(text) == 0 {
-		return &Set{}, nil
+		return &KeySet{}, nil
 	}
 	keys, err := parseKeys(text)
 	if err != nil {
@@ -37,12 +37,12 @@
 			return nil, err
 		}
 	}
-	return &Set{keys}, nil
+	return &KeySet{keys}, nil
 }
 
 // Add adds a key that is valid from a time of the wall clock on, in microseconds since 1970. It returns an error if the
 // set is full or has a key of that id.
-func (s *Set) Add(key *Private, from monotime.Micros) error {
+func (s *KeySet) Add(key *PrivateKey, from monotime.Micros) error {
 	if s.indexOf(key.ID) >= 0 {
 		return fmt.Errorf("key %q is there already", key.ID)
 	}
@@ -50,21 +50,21 @@
 		return fmt.Errorf("there are %d keys: retire some first", len(s.keys))
 	}
 	s.keys = append(s.keys, setKey{
-		jwk:      jose.JSONWebKey{Key: key.Secret, KeyID: key.ID, Algorithm: key.Algorithm, Use: useSignature},
+		jwk:      jose.JSONWebKey{Key: key.Signer, KeyID: key.ID, Algorithm: key.Algorithm, Use: useSignature},
 		validity: validity{From: from / monotime.Second},
 	})
 	return nil
 }
 
 // indexOf returns the index of the key with an id; -1 if there is none.
-func (s *Set) indexOf(id string) int {
+func (s *KeySet) indexOf(id string) int {
 	return slices.IndexFunc(s.keys, func(key setKey) bool { return key.jwk.KeyID == id })
 }
 
 // Retire has a key expire at a time of the wall clock, in microseconds since 1970, unless it expires earlier. A key
 // that would expire before it is valid is removed at once. It returns an error if that is the only key, or if there
 // is no key of that id.
-func (s *Set) Retire(id string, until monotime.Micros) error {
+func (s *KeySet) Retire(id string, until monotime.Micros) error {
 	i := s.indexOf(id)
 	if i < 0 {
 		return fmt.Errorf("no key %q", id)
@@ -83,7 +83,7 @@
 
 // Prune removes the keys that have expired at a time of the wall clock, in microseconds since 1970, and returns their
 // ids.
-func (s *Set) Prune(wall monotime.Micros) (ids []string) {
+func (s *KeySet) Prune(wall monotime.Micros) (ids []string) {
 	s.keys = slices.DeleteFunc(s.keys, func(key setKey) bool {
 		if !key.hasExpired(wall) {
 			return false
@@ -95,16 +95,16 @@
 }
 
 // List returns what of the keys is no secret, in their order.
-func (s *Set) List() (list []Listed) {
+func (s *KeySet) List() (list []KeyInfo) {
 	for _, key := range s.keys {
-		list = append(list, Listed{ID: key.jwk.KeyID, Algorithm: key.jwk.Algorithm, From: key.From, Until: key.Until})
+		list = append(list, KeyInfo{ID: key.jwk.KeyID, Algorithm: key.jwk.Algorithm, From: key.From, Until: key.Until})
 	}
 	return list
 }
 
 // Signer returns the key to sign with at a time of the wall clock, in microseconds since 1970: of the valid ones
 // the one that became valid last. It returns an error if no key is valid.
-func (s *Set) Signer(wall monotime.Micros) (*Private, error) {
+func (s *KeySet) Signer(wall monotime.Micros) (*PrivateKey, error) {
 	var newest *setKey
 	for i := range s.keys {
 		key := &s.keys[i]
@@ -121,8 +121,8 @@
 	return newest.private()
 }
 
-// Write returns the set as JSON, with the private keys or only with their public halves.
-func (s *Set) Write(private bool) ([]byte, error) {
+// Marshal returns the set as JSON, with the private keys or only with their public halves.
+func (s *KeySet) Marshal(private bool) ([]byte, error) {
 	var set encodedSet
 	for _, key := range s.keys {
 		text, err := key.marshal(private)
--- a/identity/token/token.go
+++ b/identity/token/token.go
@@ -39,8 +39,8 @@
 	Issuer string `json:"iss"`
 }
 
-// Peek returns the issuer and the key's id that a token names. It returns an error for a token that can't be read.
-func (Verifier) Peek(token string) (issuer, keyID string, err error) {
+// ParseUnverified returns the issuer and the key's id that a token names. It returns an error for a token that can't be read.
+func (Verifier) ParseUnverified(token string) (issuer, keyID string, err error) {
 	parts := strings.Split(token, ".")
 	if len(parts) != tokenParts || len(parts[0]) > maxHeaderBytes {
 		return "", "", fmt.Errorf("not a token in three parts")
@@ -93,10 +93,10 @@
 }
 
 // Sign returns a token with these claims, signed with a key. It returns an error if the key can't be used.
-func Sign(key *Private, c identity.Claims) (string, error) {
+func Sign(key *PrivateKey, c identity.Claims) (string, error) {
 	signingKey := jose.SigningKey{
 		Algorithm: jose.SignatureAlgorithm(key.Algorithm),
-		Key:       jose.JSONWebKey{Key: key.Secret, KeyID: key.ID},
+		Key:       jose.JSONWebKey{Key: key.Signer, KeyID: key.ID},
 	}
 	signer, err := jose.NewSigner(signingKey, (&jose.SignerOptions{}).WithType("JWT"))
 	if err != nil {
