--- a/identity/token/token_test.go
+++ b/identity/token/token_test.go
@@ -13,8 +13,8 @@
 )
 
 // newSet returns a set of keys, each valid a second after the one before.
-func newSet(t testing.TB, keys ...*token.Private) *token.Set {
-	set, err := token.ReadSet(nil)
+func newSet(t testing.TB, keys ...*token.PrivateKey) *token.KeySet {
+	set, err := token.ParseKeySet(nil)
 	require.NoError(t, err)
 	for i, key := range keys {
 		require.NoError(t, set.Add(key, monotime.Micros(i)*monotime.Second))
@@ -22,7 +22,7 @@
 	return set
 }
 
-func generate(t testing.TB, id, algorithm string) *token.Private {
+func generate(t testing.TB, id, algorithm string) *token.PrivateKey {
 	key, err := token.Generate(id, algorithm)
 	require.NoError(t, err)
 	return key
@@ -33,19 +33,19 @@
 func TestSetsAreReadBackAsWritten(t *testing.T) {
 	set := newSet(t, generate(t, "a", "EdDSA"), generate(t, "b", "ES256"), generate(t, "c", "RS256"))
 	require.NoError(t, set.Retire("a", 100*monotime.Second))
-	private, err := set.Write(true)
+	private, err := set.Marshal(true)
 	require.NoError(t, err)
-	readBack, err := token.ReadSet(private)
+	readBack, err := token.ParseKeySet(private)
 	require.NoError(t, err)
 	assert.Equal(t, set.List(), readBack.List())
-	public, err := set.Write(false)
+	public, err := set.Marshal(false)
 	require.NoError(t, err)
 	assert.NotContains(t, string(public), `"d"`)
-	keys, err := token.ParseSet(public)
+	keys, err := token.ParsePublicKeys(public)
 	require.NoError(t, err)
 	require.Len(t, keys, 3)
-	assert.Equal(t, []any{"a", "EdDSA", 100 * monotime.Second}, []any{keys[0].ID, keys[0].Algorithm, keys[0].Until})
-	signers, err := token.ParsePrivate(private)
+	assert.Equal(t, []any{"a", "EdDSA", 100 * monotime.Second}, []any{keys[0].ID, keys[0].Algorithm, keys[0].Expires})
+	signers, err := token.ParsePrivateKeys(private)
 	require.NoError(t, err)
 	for i, signer := range signers {
 		text, err := token.Sign(signer, identity.Claims{Issuer: "i", Subject: "s", Expires: monotime.Second})
@@ -65,8 +65,8 @@
 // A set of which one key can't be used is an error, in which there is no key.
 func TestUnusableSetsAreErrorsWithoutKeys(t *testing.T) {
 	set := newSet(t, generate(t, "a", "EdDSA"))
-	private, _ := set.Write(true)
-	public, _ := set.Write(false)
+	private, _ := set.Marshal(true)
+	public, _ := set.Marshal(false)
 	publicText := string(public)
 	onlyKey := publicText[strings.Index(publicText, "[")+1 : strings.LastIndex(publicText, "]")]
 	for name, text := range map[string]string{
@@ -78,7 +78,7 @@
 		"twice":     strings.Replace(publicText, `"keys": [`, `"keys": [`+onlyKey+",", 1),
 		"no time":   strings.Replace(publicText, `"kid"`, `"nbf": 9, "exp": 5, "kid"`, 1),
 	} {
-		_, err := token.ParseSet([]byte(text))
+		_, err := token.ParsePublicKeys([]byte(text))
 		if assert.Error(t, err, name) {
 			assert.NotContains(t, err.Error(), "c2VjcmV0")
 		}
@@ -87,14 +87,14 @@
 
 // A header can choose neither the algorithm nor an extension: such tokens are invalid.
 func TestHeadersChooseNeitherAlgorithmNorExtensions(t *testing.T) {
-	key := &identity.Key{Algorithm: "EdDSA", Public: generate(t, "a", "EdDSA").Secret.Public()}
+	key := &identity.Key{Algorithm: "EdDSA", Public: generate(t, "a", "EdDSA").Signer.Public()}
 	for _, header := range []string{
 		"eyJhbGciOiJub25lIiwia2lkIjoiYSJ9",         // {"alg":"none","kid":"a"}
 		"eyJhbGciOiJIUzI1NiIsImtpZCI6ImEifQ",       // {"alg":"HS256","kid":"a"}
 		"eyJhbGciOiJFZERTQSIsImNyaXQiOlsiYjY0Il19", // {"alg":"EdDSA","crit":["b64"]}
 	} {
 		text := header + ".eyJpc3MiOiJpIn0.AAAA"
-		_, _, peekErr := token.Verifier{}.Peek(text)
+		_, _, peekErr := token.Verifier{}.ParseUnverified(text)
 		_, err := token.Verifier{}.Verify(text, key)
 		assert.True(t, peekErr != nil || err != nil, header)
 	}
@@ -103,7 +103,7 @@
 // Of all texts only those with the claims that were signed are verified.
 func FuzzToken(f *testing.F) {
 	private := generate(f, "a", "EdDSA")
-	key := &identity.Key{ID: "a", Algorithm: "EdDSA", Public: private.Secret.Public()}
+	key := &identity.Key{ID: "a", Algorithm: "EdDSA", Public: private.Signer.Public()}
 	good, err := token.Sign(private, identity.Claims{Issuer: "i", Expires: monotime.Second})
 	require.NoError(f, err)
 	f.Add(good)
@@ -111,7 +111,7 @@
 	f.Add("e30.e30.")
 	f.Add("bnVsbA.bnVsbA.")
 	f.Fuzz(func(t *testing.T, text string) {
-		_, _, _ = token.Verifier{}.Peek(text)
+		_, _, _ = token.Verifier{}.ParseUnverified(text)
 		if _, err := (token.Verifier{}).Verify(text, key); err == nil {
 			assert.Equal(t, strings.Split(good, ".")[1], strings.Split(text, ".")[1], "only what was signed passes")
 		}
@@ -120,18 +120,18 @@
 
 // A text is either an error or a set of keys that can be used.
 func FuzzSet(f *testing.F) {
-	public, err := newSet(f, generate(f, "a", "EdDSA"), generate(f, "b", "ES256")).Write(false)
+	public, err := newSet(f, generate(f, "a", "EdDSA"), generate(f, "b", "ES256")).Marshal(false)
 	require.NoError(f, err)
 	f.Add(public)
 	f.Add([]byte(`{"keys":[{"kty":"EC","crv":"P-256","kid":"a","x":"","y":""}]}`))
 	f.Add([]byte(`{"keys":[null]}`))
 	f.Add([]byte(`{"keys":[{"kty":"OKP","crv":"Ed25519","kid":"a","x":"AA"}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		keys, err := token.ParseSet(text)
+		keys, err := token.ParsePublicKeys(text)
 		for _, key := range keys {
 			assert.NoError(t, err)
 			_, _ = token.Verifier{}.Verify("e30.e30.AAAA", &key)
 		}
-		_, _ = token.ReadSet(text)
+		_, _ = token.ParseKeySet(text)
 	})
 }
--- a/identity/verifier.go
+++ b/identity/verifier.go
@@ -19,9 +19,9 @@
 
 // Verifier reads tokens and checks their signatures. It has neither keys nor state.
 type Verifier interface {
-	// Peek returns the issuer and the key's id that a token names, without a check of its signature. The id is empty
+	// ParseUnverified returns the issuer and the key's id that a token names, without a check of its signature. The id is empty
 	// where the token names none. It returns an error for a token that can't be read.
-	Peek(token string) (issuer, keyID string, err error)
+	ParseUnverified(token string) (issuer, keyID string, err error)
 	// Verify checks the signature with a key, by the key's own algorithm, and returns the claims. The error is
 	// ErrSignature.
 	Verify(token string, key *Key) (Claims, error)
--- a/internal/certs/load.go
+++ b/internal/certs/load.go
@@ -247,7 +247,7 @@
 
 // Of is what a verified certificate stands for.
 func Of(c *x509.Certificate) *identity.Certificate {
-	out := &identity.Certificate{DNS: c.DNSNames, Subject: c.Subject.String(), Expires: c.NotAfter.UnixMicro()}
+	out := &identity.Certificate{DNSNames: c.DNSNames, Subject: c.Subject.String(), Expires: c.NotAfter.UnixMicro()}
 	for _, u := range c.URIs {
 		out.URIs = append(out.URIs, u.String())
 	}
--- a/internal/config/attached.go
+++ b/internal/config/attached.go
@@ -10,19 +10,19 @@
 // Attached is the section "fleet.attached". It allows front ends that are not among the members: each of them attaches
 // itself to two members. All front ends of a site have to have the same section.
 type Attached struct {
-	Enabled     bool    `json:"enabled"`
-	HeartbeatMS float64 `json:"heartbeat_ms"` // between heartbeats on a link; from 250 to 10,000, default 1000
-	SuspectMS   float64 `json:"suspect_ms"`   // without a heartbeat; at least two heartbeats, default 2500
-	DeadMS      float64 `json:"dead_ms"`      // without a heartbeat; at most 120,000, default 4000
-	Most        int     `json:"most"`         // front ends, with the members; at most 16,384, default 8192
+	Enabled      bool    `json:"enabled"`
+	HeartbeatMS  float64 `json:"heartbeat_ms"` // between heartbeats on a link; from 250 to 10,000, default 1000
+	SuspectMS    float64 `json:"suspect_ms"`   // without a heartbeat; at least two heartbeats, default 2500
+	DeadMS       float64 `json:"dead_ms"`      // without a heartbeat; at most 120,000, default 4000
+	MaxFrontEnds int     `json:"most"`         // front ends, with the members; at most 16,384, default 8192
 }
 
 // Attachment is what is in force of the section "fleet.attached" at one front end.
 type Attachment struct {
-	Here   bool              // this front end is an attached one, and no member
-	Config membership.Config // but for the incarnation and the seed, which the process chooses
-	// MostView is the largest size, in bytes, of the whole membership view in a message.
-	MostView int
+	IsAttached bool              // this front end is an attached one, and no member
+	Config     membership.Config // but for the incarnation and the seed, which the process chooses
+	// MaxViewBytes is the largest size, in bytes, of the whole membership view in a message.
+	MaxViewBytes int
 }
 
 // Limits and defaults of the section.
@@ -53,7 +53,7 @@
 	a.HeartbeatMS = cmp.Or(a.HeartbeatMS, defaultAttachedHeartbeatMS)
 	a.SuspectMS = cmp.Or(a.SuspectMS, defaultAttachedSuspectMS)
 	a.DeadMS = cmp.Or(a.DeadMS, defaultAttachedDeadMS)
-	a.Most = cmp.Or(a.Most, membership.DefaultMaxEntries)
+	a.MaxFrontEnds = cmp.Or(a.MaxFrontEnds, membership.DefaultMaxEntries)
 	return &a
 }
 
@@ -77,9 +77,9 @@
 	case a.DeadMS < minDeadMS || a.DeadMS > maxAttachedDeadMS:
 		return fault("dead_ms", "%g is not from suspect_ms and a heartbeat, %g, to %d",
 			a.DeadMS, minDeadMS, maxAttachedDeadMS)
-	case a.Most <= members || a.Most > maxFrontEnds:
+	case a.MaxFrontEnds <= members || a.MaxFrontEnds > maxFrontEnds:
 		return fault("most", "%d is not from one above the %d members to %d: each front end holds the view of all",
-			a.Most, members, maxFrontEnds)
+			a.MaxFrontEnds, members, maxFrontEnds)
 	}
 	return nil
 }
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	return &Attachment{
-		Here: !self.isMember,
+		IsAttached: !self.isMember,
 		Config: membership.Config{
 			Name:              name,
 			Zone:              self.zone,
@@ -113,9 +113,9 @@
 			HeartbeatInterval: fromMilliseconds(attached.HeartbeatMS),
 			SuspectAfter:      fromMilliseconds(attached.SuspectMS),
 			DeadAfter:         fromMilliseconds(attached.DeadMS),
-			MaxEntries:        attached.Most,
+			MaxEntries:        attached.MaxFrontEnds,
 		},
-		MostView: attached.Most * maxViewEntryBytes,
+		MaxViewBytes: attached.MaxFrontEnds * maxViewEntryBytes,
 	}, nil
 }
 
@@ -133,7 +133,7 @@
 	case !self.isMember && !transport.ValidName(name):
 		return fault("attached", "the name %q is not 1 to %d letters, digits, dots, hyphens and underscores",
 			name, transport.MaxNameLength)
-	case !self.isMember && f.OrphanS != 0:
+	case !self.isMember && f.OrphanTimeoutS != 0:
 		return fault("orphan_s",
 			"stands at an attached front end, which takes over no loads: it belongs to the members' files")
 	case len(f.Members) == 0:
--- a/internal/config/attached_test.go
+++ b/internal/config/attached_test.go
@@ -77,11 +77,11 @@
 	member, err := fleetOf(t, "n1", on+`, "orphan_s": 7`)
 	require.NoError(t, err)
 	assert.Equal(t, attached.Digest, member.Digest, "the zone and orphan_s may differ among front ends")
-	assert.Len(t, attached.Others, 3)
+	assert.Len(t, attached.Members, 3)
 	assert.Empty(t, attached.Folder)
-	assert.Equal(t, "/x1.sock", attached.Admin)
-	require.True(t, attached.Attached.Here)
-	require.False(t, member.Attached.Here)
+	assert.Equal(t, "/x1.sock", attached.AdminSocket)
+	require.True(t, attached.Attached.IsAttached)
+	require.False(t, member.Attached.IsAttached)
 	cfg := attached.Attached.Config
 	assert.Equal(t, []string{"x1", "b"}, []string{cfg.Name, cfg.Zone})
 	assert.Equal(t, []monotime.Micros{1_000_000, 2_500_000, 5_000_000},
--- a/internal/config/budget.go
+++ b/internal/config/budget.go
@@ -16,20 +16,20 @@
 // Budget is one element of "fleet.budgets.list". It has one of three kinds: a rate with a burst, a concurrency limit
 // ("places"), or a total within a sliding window. Amounts are from 0 to 1e9, in units of Scope.Unit.
 type Budget struct {
-	Name     string  `json:"name"`      // at most 64 bytes
-	Rate     float64 `json:"rate"`      // per second
-	Burst    float64 `json:"burst"`     // of a rate: at once, after a rest
-	Places   int     `json:"places"`    // at a time
-	Total    float64 `json:"total"`     // within any window
-	WindowMS float64 `json:"window_ms"` // with a total only; from 100 to 3,600,000
-	LifeS    float64 `json:"life_s"`    // of places: the longest attempt; default and least: the longest give_up
+	Name        string  `json:"name"`      // at most 64 bytes
+	Rate        float64 `json:"rate"`      // per second
+	Burst       float64 `json:"burst"`     // of a rate: at once, after a rest
+	Concurrency int     `json:"places"`    // at a time
+	Total       float64 `json:"total"`     // within any window
+	WindowMS    float64 `json:"window_ms"` // with a total only; from 100 to 3,600,000
+	MaxAttemptS float64 `json:"life_s"`    // of places: the longest attempt; default and least: the longest give_up
 	//lint:ignore SA5008 the tag is read by mapstructure, which knows squash, and not by encoding/json
-	enforce.Scope `json:",squash"`
-	Reserve       *float64           `json:"reserve"`   // share divided evenly, without a lease; default 0.02
-	Newcomers     *float64           `json:"newcomers"` // share for front ends without an allocation; default 0.005
-	Floor         float64            `json:"floor"`     // share that each front end with demand gets first
-	Weights       map[string]float64 `json:"weights"`   // of members by name; from 0.001 to 1000, default 1
-	Without       string             `json:"without"`   // what front ends have without a lease: "reserve" or "none"
+	enforce.Scope   `json:",squash"`
+	Reserve         *float64           `json:"reserve"`   // share divided evenly, without a lease; default 0.02
+	NewcomerReserve *float64           `json:"newcomers"` // share for front ends without an allocation; default 0.005
+	Floor           float64            `json:"floor"`     // share that each front end with demand gets first
+	Weights         map[string]float64 `json:"weights"`   // of members by name; from 0.001 to 1000, default 1
+	WithoutLease    string             `json:"without"`   // what front ends have without a lease: "reserve" or "none"
 }
 
 // Defaults and limits of a budget.
@@ -78,9 +78,9 @@
 	classes := classLimitsOf(site.settings, b.Class)
 	spec := budget.Spec{
 		Name:            b.Name,
-		MinPart:         b.minPart(classes.threads),
-		Reserve:         b.reserve(),
-		NewcomerReserve: shareOrDefault(b.Newcomers, defaultNewcomerReserve),
+		MinAllocation:   b.minPart(classes.threads),
+		StaticShare:     b.reserve(),
+		NewcomerReserve: shareOrDefault(b.NewcomerReserve, defaultNewcomerReserve),
 		Floor:           thousandths(b.Floor),
 	}
 	b.setKind(&spec, classes.clientTimeout)
@@ -110,10 +110,10 @@
 	}{
 		{"rate", b.Rate},
 		{"burst", b.Burst},
-		{"places", float64(b.Places)},
+		{"places", float64(b.Concurrency)},
 		{"total", b.Total},
 		{"window_ms", b.WindowMS},
-		{"life_s", b.LifeS},
+		{"life_s", b.MaxAttemptS},
 	} {
 		if amount.value < 0 || amount.value > maxBudgetAmount || math.IsNaN(amount.value) {
 			return element.keyError(amount.key, "%g is not from 0 to 1e9", amount.value)
@@ -163,7 +163,7 @@
 
 // reserve returns the share that front ends have without a lease.
 func (b *Budget) reserve() int64 {
-	if b.Without == withoutNone {
+	if b.WithoutLease == withoutNone {
 		return 0
 	}
 	return shareOrDefault(b.Reserve, defaultReserve)
@@ -171,7 +171,7 @@
 
 // kinds returns how many kinds the budget has; it should be one.
 func (b *Budget) kinds() (count int) {
-	for _, amount := range []float64{b.Rate, float64(b.Places), b.Total} {
+	for _, amount := range []float64{b.Rate, float64(b.Concurrency), b.Total} {
 		if amount > 0 {
 			count++
 		}
@@ -186,10 +186,10 @@
 		spec.Kind = account.Window
 		spec.Total = budget.Amount{Capacity: thousandths(b.Total)}
 		spec.Window = fromMilliseconds(b.WindowMS)
-	case b.Places > 0:
+	case b.Concurrency > 0:
 		spec.Kind = account.Concurrency
-		spec.Total = budget.Amount{Capacity: thousandths(float64(b.Places))}
-		spec.MaxAttemptDuration = cmp.Or(fromSeconds(b.LifeS), clientTimeout)
+		spec.Total = budget.Amount{Capacity: thousandths(float64(b.Concurrency))}
+		spec.MaxAttemptDuration = cmp.Or(fromSeconds(b.MaxAttemptS), clientTimeout)
 	case b.Rate > 0:
 		spec.Kind = account.Rate
 		spec.Total = budget.Amount{Capacity: thousandths(b.Burst), Rate: thousandths(b.Rate)}
@@ -213,9 +213,9 @@
 		if weight < minWeight || weight > maxWeight {
 			return nil, element.keyError("weights", "%g is not from %g to %d", weight, minWeight, maxWeight)
 		}
-		weights = append(weights, budget.Weight{Name: name, Parts: thousandths(weight)})
+		weights = append(weights, budget.Weight{FrontEnd: name, Thousandths: thousandths(weight)})
 	}
-	slices.SortFunc(weights, func(a, b budget.Weight) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(weights, func(a, b budget.Weight) int { return strings.Compare(a.FrontEnd, b.FrontEnd) })
 	return weights, nil
 }
 
@@ -240,19 +240,19 @@
 
 // checkDivision returns an error if the budget cannot be divided among maxFrontEnds front ends.
 func (b *Budget) checkDivision(element section, spec *budget.Spec, maxFrontEnds int) error {
-	reserved := spec.Reserve + spec.NewcomerReserve
+	reserved := spec.StaticShare + spec.NewcomerReserve
 	floors := spec.Floor * int64(maxFrontEnds)
 	divided := spec.Total.Capacity * (wholeShare - reserved) / wholeShare
 	switch {
-	case spec.Kind == account.Rate && divided < int64(maxFrontEnds)*spec.MinPart:
+	case spec.Kind == account.Rate && divided < int64(maxFrontEnds)*spec.MinAllocation:
 		return element.keyError("burst",
 			"%g: the part of it that is divided, %g, leaves less than one query's for each of %d front ends",
 			b.Burst, float64(divided)/account.Unit, maxFrontEnds)
 	case b.OnExceeded == overflowLast && spec.Kind != account.Rate:
 		return element.keyError("over", "\"last\" stands without rate")
-	case b.Without != "" && b.Without != withoutNone && b.Without != withoutReserve:
-		return element.keyError("without", "%q is neither \"reserve\" nor \"none\"", b.Without)
-	case spec.Reserve < 0 || spec.NewcomerReserve < 0 || spec.Floor < 0 || reserved+floors > wholeShare:
+	case b.WithoutLease != "" && b.WithoutLease != withoutNone && b.WithoutLease != withoutReserve:
+		return element.keyError("without", "%q is neither \"reserve\" nor \"none\"", b.WithoutLease)
+	case spec.StaticShare < 0 || spec.NewcomerReserve < 0 || spec.Floor < 0 || reserved+floors > wholeShare:
 		return element.keyError("reserve",
 			"reserve, newcomers and floor for each of %d front ends are more than the whole, or less than nothing",
 			maxFrontEnds)
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -12,10 +12,10 @@
 // Budgets is the section "fleet.budgets": what the front ends of a fleet may spend together. If front ends have
 // different versions, the highest one is in force.
 type Budgets struct {
-	Version int      `json:"version"`  // at least 1
-	LeaseMS float64  `json:"lease_ms"` // duration of leases; from 300 to 60,000 and at least 8 ticks, default 2000
-	Most    int      `json:"most"`     // front ends there may be at a time; at most 800, default: the members
-	List    []Budget `json:"list"`     // at most 256
+	Version      int      `json:"version"`  // at least 1
+	LeaseMS      float64  `json:"lease_ms"` // duration of leases; from 300 to 60,000 and at least 8 ticks, default 2000
+	MaxFrontEnds int      `json:"most"`     // front ends there may be at a time; at most 800, default: the members
+	List         []Budget `json:"list"`     // at most 256
 }
 
 // Defaults and limits of the section.
@@ -51,14 +51,14 @@
 	if err := b.check(len(members), tick); err != nil {
 		return nil, err
 	}
-	specs, err := b.specs(&budgetSite{members: members, maxFrontEnds: b.Most, settings: site})
+	specs, err := b.specs(&budgetSite{members: members, maxFrontEnds: b.MaxFrontEnds, settings: site})
 	if err != nil {
 		return nil, err
 	}
 	set := &budget.Set{
 		Version:      uint64(b.Version),
 		Lease:        fromMilliseconds(b.LeaseMS),
-		MaxFrontEnds: b.Most,
+		MaxFrontEnds: b.MaxFrontEnds,
 		Specs:        specs,
 	}
 	if err := set.Check(); err != nil {
@@ -72,8 +72,8 @@
 	if b.LeaseMS == 0 {
 		b.LeaseMS = defaultLeaseMS
 	}
-	if b.Most == 0 {
-		b.Most = members
+	if b.MaxFrontEnds == 0 {
+		b.MaxFrontEnds = members
 	}
 }
 
@@ -87,8 +87,8 @@
 		return fault("lease_ms", "%g is not from %d to %d", b.LeaseMS, minLeaseMS, maxLeaseMS)
 	case fromMilliseconds(b.LeaseMS) < minLeaseTicks*tick:
 		return fault("lease_ms", "%g is below %d times tick_ms", b.LeaseMS, minLeaseTicks)
-	case b.Most < members || b.Most > maxBudgetFrontEnds:
-		return fault("most", "%d is not from the %d members to %d", b.Most, members, maxBudgetFrontEnds)
+	case b.MaxFrontEnds < members || b.MaxFrontEnds > maxBudgetFrontEnds:
+		return fault("most", "%d is not from the %d members to %d", b.MaxFrontEnds, members, maxBudgetFrontEnds)
 	case len(b.List) > budget.MaxSpecs:
 		return fault("list", "%d are above %d", len(b.List), budget.MaxSpecs)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,18 +22,18 @@
 
 // Config is the checked configuration of one front end, with defaults filled in.
 type Config struct {
-	Name     string         // of the front end
-	Listen   netip.AddrPort // where clients connect
-	Journal  netip.AddrPort // of the journal service, which lists engines
-	Seed     uint64         // for random numbers
-	MemoryMB int            // that the front end may use; at least 16, default 192
-	Sockets  int            // file descriptors that the front end may have; at least 64, default 1024
-	Settings *settings.Settings
-	Known    []discovery.Event // of the journal service up to LastPos
-	LastPos  uint64            // the position of the last known event
+	Name              string         // of the front end
+	Listen            netip.AddrPort // where clients connect
+	Discovery         netip.AddrPort // of the journal service, which lists engines
+	Seed              uint64         // for random numbers
+	MemoryMB          int            // that the front end may use; at least 16, default 192
+	Sockets           int            // file descriptors that the front end may have; at least 64, default 1024
+	Settings          *settings.Settings
+	KnownEvents       []discovery.Event // of the journal service up to LastPos
+	LastKnownPosition uint64            // the position of the last known event
 
-	// Installation is the path of the installation file; empty without one.
-	Installation string
+	// InstallationPath is the path of the installation file; empty without one.
+	InstallationPath string
 	// Statements are the options for reading statements; nil if that is off.
 	Statements *statement.Options
 	// Callers are the options for identifying callers; nil if that is off.
@@ -56,7 +56,7 @@
 	if c.installation, err = ReadInstallation(installation); err != nil {
 		return nil, err
 	}
-	c.Installation = installation
+	c.InstallationPath = installation
 	return c, c.applyInstallation(c.Settings)
 }
 
@@ -108,17 +108,17 @@
 	return &c.installation.Identity
 }
 
-// Rebase checks the installation of next, which a reload has read, against the settings of c, which a reload does not
+// CheckReload checks the installation of next, which a reload has read, against the settings of c, which a reload does not
 // change. It returns next.
-func (c *Config) Rebase(next *Config) (*Config, error) {
+func (c *Config) CheckReload(next *Config) (*Config, error) {
 	return next, next.applyInstallation(c.Settings)
 }
 
-// With returns the configuration that is in force after a reload: c with the keys of next that can change while the
+// Reloaded returns the configuration that is in force after a reload: c with the keys of next that can change while the
 // front end runs. The known engines of next are not among them, as the journal service reports these.
-func (c *Config) With(next *Config) *Config {
+func (c *Config) Reloaded(next *Config) *Config {
 	merged := *c
-	merged.Journal = next.Journal
+	merged.Discovery = next.Discovery
 	merged.MemoryMB = next.MemoryMB
 	merged.Sockets = next.Sockets
 	merged.Statements = next.Statements
@@ -127,8 +127,8 @@
 	return &merged
 }
 
-// Fixed returns the keys, in alphabetical order, that differ in next but take effect only when a front end starts.
-func (c *Config) Fixed(next *Config) (keys []string) {
+// RestartKeys returns the keys, in alphabetical order, that differ in next but take effect only when a front end starts.
+func (c *Config) RestartKeys(next *Config) (keys []string) {
 	equal := map[string]bool{
 		"name":     c.Name == next.Name,
 		"listen":   c.Listen == next.Listen,
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -50,13 +50,13 @@
 	assert.Equal(t, &Identity{}, first.Identity())
 	next, err := Load(getenv, writeInstallation(t, `{"statement": {"enabled": true}, "tls": {"warn_days": 5}}`))
 	require.NoError(t, err)
-	next.Name, next.Seed, next.Listen, next.MemoryMB, next.Sockets = "n3", 5, next.Journal, 100, 200
+	next.Name, next.Seed, next.Listen, next.MemoryMB, next.Sockets = "n3", 5, next.Discovery, 100, 200
 	next.settings = nil
-	_, err = first.Rebase(next)
+	_, err = first.CheckReload(next)
 	require.NoError(t, err)
-	assert.Equal(t, []string{"listen", "name", "seed", "settings"}, first.Fixed(next))
-	merged := first.With(next)
-	assert.Empty(t, first.Fixed(merged))
+	assert.Equal(t, []string{"listen", "name", "seed", "settings"}, first.RestartKeys(next))
+	merged := first.Reloaded(next)
+	assert.Empty(t, first.RestartKeys(merged))
 	assert.Equal(t, 100, merged.MemoryMB)
 	assert.Equal(t, 200, merged.Sockets)
 	assert.NotNil(t, merged.Statements)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -14,24 +14,24 @@
 // section, but for the keys that say otherwise. Each front end finds itself among the members by its name. A front end
 // that is not among them attaches itself to some of them, if "attached" allows that.
 type Fleet struct {
-	Enabled    bool          `json:"enabled"`
-	Site       string        `json:"site"`              // the name of the fleet
-	Members    []FleetMember `json:"members"`           // the control members; at most 80
-	SecretFile string        `json:"secret_file"`       // path of a secret of 16 bytes or more; empty: no authentication
-	Folder     string        `json:"folder"`            // of the replicated log, with {name}; empty: in memory only
-	Admin      string        `json:"admin"`             // path of the operators' socket, with {name}; empty: none
-	Copies     int           `json:"copies"`            // replicas of the log: odd, at most 7; default 3
-	LedgerMB   float64       `json:"ledger_mb"`         // for idempotent requests; default 16, at most memory_mb / 8
-	KeepS      float64       `json:"keep_s"`            // retention of outcomes; default: as required by classes, and 10 s
-	OrphanS    float64       `json:"orphan_s"`          // until unstarted requests of a dead owner expire; default 3
-	TickMS     float64       `json:"tick_ms"`           // unit of the elections' timeouts; default 50, at most 1000
-	BeatMS     float64       `json:"beat_ms"`           // between heartbeats of members; default 100
-	SuspectMS  float64       `json:"suspect_ms"`        // without a heartbeat, until suspected; default 600
-	DeadMS     float64       `json:"dead_ms"`           // without a heartbeat, until presumed dead; default 3000
-	ReplaceS   float64       `json:"replace_s"`         // without a heartbeat, until a replica is replaced; default 10
-	Budgets    *Budgets      `json:"budgets,omitempty"` // not with Attached
-	Attached   *Attached     `json:"attached,omitempty"`
-	Zone       string        `json:"zone,omitempty"` // of a front end that is not among the members; its own key
+	Enabled        bool          `json:"enabled"`
+	Site           string        `json:"site"`              // the name of the fleet
+	Members        []FleetMember `json:"members"`           // the control members; at most 80
+	SecretFile     string        `json:"secret_file"`       // path of a secret of 16 bytes or more; empty: no authentication
+	Folder         string        `json:"folder"`            // of the replicated log, with {name}; empty: in memory only
+	AdminSocket    string        `json:"admin"`             // path of the operators' socket, with {name}; empty: none
+	Replicas       int           `json:"copies"`            // replicas of the log: odd, at most 7; default 3
+	LedgerMB       float64       `json:"ledger_mb"`         // for idempotent requests; default 16, at most memory_mb / 8
+	RetentionS     float64       `json:"keep_s"`            // retention of outcomes; default: as required by classes, and 10 s
+	OrphanTimeoutS float64       `json:"orphan_s"`          // until unstarted requests of a dead owner expire; default 3
+	TickMS         float64       `json:"tick_ms"`           // unit of the elections' timeouts; default 50, at most 1000
+	HeartbeatMS    float64       `json:"beat_ms"`           // between heartbeats of members; default 100
+	SuspectMS      float64       `json:"suspect_ms"`        // without a heartbeat, until suspected; default 600
+	DeadMS         float64       `json:"dead_ms"`           // without a heartbeat, until presumed dead; default 3000
+	ReplaceAfterS  float64       `json:"replace_s"`         // without a heartbeat, until a replica is replaced; default 10
+	Budgets        *Budgets      `json:"budgets,omitempty"` // not with Attached
+	Attached       *Attached     `json:"attached,omitempty"`
+	Zone           string        `json:"zone,omitempty"` // of a front end that is not among the members; its own key
 }
 
 // FleetMember is one control member of the fleet.
@@ -125,10 +125,10 @@
 func (f *Fleet) replicas() (int, error) {
 	members := len(f.Members)
 	largestOdd := members - 1 + members%2
-	replicas := cmp.Or(f.Copies, min(defaultReplicas, largestOdd))
+	replicas := cmp.Or(f.Replicas, min(defaultReplicas, largestOdd))
 	if replicas < 1 || replicas%2 == 0 || replicas > maxReplicas || replicas > members {
 		return 0, fleetSection.keyError("copies", "%d is not odd, or not from 1 to the %d members (%d at most)",
-			f.Copies, members, maxReplicas)
+			f.Replicas, members, maxReplicas)
 	}
 	return replicas, nil
 }
@@ -164,7 +164,7 @@
 
 // resolvePaths makes the section's relative paths relative to the installation file's folder.
 func (f *Fleet) resolvePaths(folder string) {
-	resolvePaths(folder, &f.Folder, &f.Admin, &f.SecretFile)
+	resolvePaths(folder, &f.Folder, &f.AdminSocket, &f.SecretFile)
 }
 
 // withName returns a path with the front end's name in place of {name}.
--- a/internal/config/fleetdigest.go
+++ b/internal/config/fleetdigest.go
@@ -28,13 +28,13 @@
 	agreed.Zone = ""
 	agreed.Attached = agreed.Attached.agreedSection()
 	if agreed.Attached != nil {
-		agreed.OrphanS = 0 // a front end that is no member may not have it
+		agreed.OrphanTimeoutS = 0 // a front end that is no member may not have it
 	}
 	agreed.Members = agreedMembers(agreed.Members)
-	agreed.Folder, agreed.Admin, agreed.SecretFile = "", "", ""
-	agreed.Copies = r.replicas
+	agreed.Folder, agreed.AdminSocket, agreed.SecretFile = "", "", ""
+	agreed.Replicas = r.replicas
 	agreed.LedgerMB = r.ledgerMB
-	agreed.KeepS = float64(r.durations.retention) // in microseconds, as it always was in digests
+	agreed.RetentionS = float64(r.durations.retention) // in microseconds, as it always was in digests
 	return &agreed
 }
 
--- a/internal/config/fleetdurations.go
+++ b/internal/config/fleetdurations.go
@@ -46,12 +46,12 @@
 	minRetention := requiredRetention(site)
 	for _, key := range []durationKey{
 		{"tick_ms", f.TickMS, fromMilliseconds, defaultTick, &d.tick},
-		{"beat_ms", f.BeatMS, fromMilliseconds, defaultHeartbeat, &d.heartbeat},
+		{"beat_ms", f.HeartbeatMS, fromMilliseconds, defaultHeartbeat, &d.heartbeat},
 		{"suspect_ms", f.SuspectMS, fromMilliseconds, defaultSuspectAfter, &d.suspectAfter},
 		{"dead_ms", f.DeadMS, fromMilliseconds, defaultDeadAfter, &d.deadAfter},
-		{"replace_s", f.ReplaceS, fromSeconds, defaultReplaceAfter, &d.replaceAfter},
-		{"orphan_s", f.OrphanS, fromSeconds, defaultOrphan, &d.orphan},
-		{"keep_s", f.KeepS, fromSeconds, minRetention + retentionMargin, &d.retention},
+		{"replace_s", f.ReplaceAfterS, fromSeconds, defaultReplaceAfter, &d.replaceAfter},
+		{"orphan_s", f.OrphanTimeoutS, fromSeconds, defaultOrphan, &d.orphan},
+		{"keep_s", f.RetentionS, fromSeconds, minRetention + retentionMargin, &d.retention},
 	} {
 		if *key.result, err = key.resolve(); err != nil {
 			return d, err
--- a/internal/config/identity.go
+++ b/internal/config/identity.go
@@ -194,7 +194,7 @@
 			Callers: ceiling.Callers,
 			Rate:    ceiling.Rate,
 			Burst:   ceiling.Burst,
-			Open:    ceiling.Open,
+			MaxOpen: ceiling.Open,
 		})
 	}
 	return ceilings
@@ -212,8 +212,8 @@
 	}
 }
 
-// Every returns the interval at which files are checked for changes: key files, certificates and revocation lists.
-func (i *Identity) Every() time.Duration {
+// WatchInterval returns the interval at which files are checked for changes: key files, certificates and revocation lists.
+func (i *Identity) WatchInterval() time.Duration {
 	return time.Duration(cmp.Or(i.WatchS, defaultWatchS) * float64(time.Second))
 }
 
--- a/internal/config/identity_test.go
+++ b/internal/config/identity_test.go
@@ -43,7 +43,7 @@
 	site := parsedSettings(t, keyedSettings)
 	recorded := sectionLines("identity", identitySections, func(section string, file *Installation) []string {
 		options, err := file.Identity.Options(site)
-		return []string{resultLine(section, []any{dereferenced(options), file.Identity.Every()}, err)}
+		return []string{resultLine(section, []any{dereferenced(options), file.Identity.WatchInterval()}, err)}
 	})
 	golden.Lines(t, "testdata/identity.golden", recorded)
 }
--- a/internal/config/installation_test.go
+++ b/internal/config/installation_test.go
@@ -33,6 +33,6 @@
 	assert.Equal(t, []string{in("eca")}, file.TLS.Engines.CAs)
 	assert.Equal(t, TLSCertificate{Certificate: in("ec"), Key: in("ek")}, file.TLS.Engines.Certificate)
 	assert.Equal(t, in("f"), file.Fleet.Folder)
-	assert.Equal(t, "/a", file.Fleet.Admin)
+	assert.Equal(t, "/a", file.Fleet.AdminSocket)
 	assert.Equal(t, in("s"), file.Fleet.SecretFile)
 }
--- a/internal/config/memory.go
+++ b/internal/config/memory.go
@@ -18,8 +18,8 @@
 // engines together.
 func (c *Config) BufferBytes() int { return c.memoryShare() }
 
-// Bounds returns the limits of open requests and of the bytes of their statements.
-func (c *Config) Bounds() gateway.Limits {
+// Limits returns the limits of open requests and of the bytes of their statements.
+func (c *Config) Limits() gateway.Limits {
 	return gateway.Limits{
 		MaxOpen:           min(c.Settings.MaxOpen, c.memoryShare()/requestBytes),
 		MaxStatementBytes: c.memoryShare(),
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -48,7 +48,7 @@
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	document.Listen = cmp.Or(listen, document.Listen)
-	c := &Config{Name: cmp.Or(name, document.Name), LastPos: document.Known.Pos}
+	c := &Config{Name: cmp.Or(name, document.Name), LastKnownPosition: document.Known.LastEvent}
 	for _, convert := range []func(*nodeDocument) error{
 		c.parseAddresses, c.parseSeed, c.parseLimits, c.parseSettings, c.parseKnown,
 	} {
@@ -64,7 +64,7 @@
 	if c.Listen, err = parseAddress("listen", document.Listen); err != nil {
 		return err
 	}
-	c.Journal, err = parseAddress("journal", document.Journal)
+	c.Discovery, err = parseAddress("journal", document.Journal)
 	return err
 }
 
@@ -134,7 +134,7 @@
 
 // parseKnown sets the known events of the journal service.
 func (c *Config) parseKnown(document *nodeDocument) (err error) {
-	if c.Known, err = document.Known.Events(); err != nil {
+	if c.KnownEvents, err = document.Known.Parse(); err != nil {
 		return section{file: nodeFile, path: "known"}.addKey(err)
 	}
 	return nil
--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -74,7 +74,7 @@
 // nodeValues returns what a node's configuration gives.
 func nodeValues(c *Config) []any {
 	return []any{
-		c.Name, c.Listen, c.Journal, c.Seed, c.MemoryMB, c.Sockets, *c.Settings, c.Known, c.LastPos,
-		string(c.settings), c.BufferBytes(), c.Bounds(), c.HeapLimit(),
+		c.Name, c.Listen, c.Discovery, c.Seed, c.MemoryMB, c.Sockets, *c.Settings, c.KnownEvents, c.LastKnownPosition,
+		string(c.settings), c.BufferBytes(), c.Limits(), c.HeapLimit(),
 	}
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -14,21 +14,21 @@
 
 // Peers is what is in force of the section "fleet" at one front end.
 type Peers struct {
-	Site         string
-	Name         string                    // of this front end
-	Zone         string                    // of this front end
-	Listen       netip.AddrPort            // for other front ends; invalid if this one is no member
-	Others       map[string]netip.AddrPort // addresses of the members by name, without this front end
-	Secret       []byte                    // by which front ends authenticate one another; nil: they do not
-	Folder       string                    // of the replicated log; empty: in memory only
-	Admin        string                    // path of the operators' socket; empty: none
-	Digest       []byte                    // of the keys that all front ends have to agree on
-	Node         fleet.Config
-	Loads        idempotency.Options      // of the registry of idempotent requests
-	RecordClient idempotencyclient.Config // but for the incarnation, which the process chooses
-	Budgets      *budget.Set              // nil if none are set
-	MostBulk     int                      // the largest message, in bytes
-	Attached     *Attachment              // nil if no front ends may attach
+	Site              string
+	Name              string                    // of this front end
+	Zone              string                    // of this front end
+	Listen            netip.AddrPort            // for other front ends; invalid if this one is no member
+	Members           map[string]netip.AddrPort // addresses of the members by name, without this front end
+	Secret            []byte                    // by which front ends authenticate one another; nil: they do not
+	Folder            string                    // of the replicated log; empty: in memory only
+	AdminSocket       string                    // path of the operators' socket; empty: none
+	Digest            []byte                    // of the keys that all front ends have to agree on
+	Node              fleet.Config
+	Idempotency       idempotency.Options      // of the registry of idempotent requests
+	IdempotencyClient idempotencyclient.Config // but for the incarnation, which the process chooses
+	Budgets           *budget.Set              // nil if none are set
+	MaxMessageBytes   int                      // the largest message, in bytes
+	Attached          *Attachment              // nil if no front ends may attach
 }
 
 // Values that follow from the section's keys.
@@ -48,31 +48,31 @@
 // peers converts the resolved section.
 func (r *resolvedFleet) peers() *Peers {
 	peers := &Peers{
-		Site:     r.section.Site,
-		Name:     r.name,
-		Zone:     r.self.zone,
-		Listen:   r.self.listen,
-		Others:   r.links.addresses,
-		Secret:   r.secret,
-		Admin:    withName(r.section.Admin, r.name),
-		Digest:   r.digest,
-		Node:     r.nodeConfig(),
-		Budgets:  r.budgets,
-		MostBulk: r.maxMessageBytes(),
-		Attached: r.attachment,
+		Site:            r.section.Site,
+		Name:            r.name,
+		Zone:            r.self.zone,
+		Listen:          r.self.listen,
+		Members:         r.links.addresses,
+		Secret:          r.secret,
+		AdminSocket:     withName(r.section.AdminSocket, r.name),
+		Digest:          r.digest,
+		Node:            r.nodeConfig(),
+		Budgets:         r.budgets,
+		MaxMessageBytes: r.maxMessageBytes(),
+		Attached:        r.attachment,
 	}
 	if r.self.isMember {
 		peers.Folder = withName(r.section.Folder, r.name)
 	}
-	peers.Loads = idempotency.Options{
+	peers.Idempotency = idempotency.Options{
 		MaxBytes:      int(r.ledgerMB * bytesPerMB),
 		Retention:     r.durations.retention,
 		OrphanTimeout: r.durations.orphan,
 	}
-	peers.RecordClient = idempotencyclient.Config{
-		PollInterval:       pollTicks * r.durations.tick,
-		CommitTimeout:      r.durations.retention,
-		CapacityRetryAfter: capacityRetryAfter,
+	peers.IdempotencyClient = idempotencyclient.Config{
+		PollInterval:  pollTicks * r.durations.tick,
+		CommitTimeout: r.durations.retention,
+		RetryAfter:    capacityRetryAfter,
 	}
 	return peers
 }
@@ -83,7 +83,7 @@
 	return fleet.Config{
 		Name:              r.name,
 		Zone:              r.self.zone,
-		Zones:             r.links.zones,
+		PeerZones:         r.links.zones,
 		HeartbeatInterval: d.heartbeat,
 		RetryInterval:     retryTicks * d.tick,
 		Heartbeat: heartbeat.Config{
@@ -107,5 +107,5 @@
 	if r.attachment == nil {
 		return snapshot
 	}
-	return max(snapshot, r.attachment.MostView)
+	return max(snapshot, r.attachment.MaxViewBytes)
 }
--- a/internal/config/sitesettings.go
+++ b/internal/config/sitesettings.go
@@ -30,7 +30,7 @@
 			return settingsSection.element("tenants", i).keyError("name", "%q stands twice", tenant.Name)
 		}
 	}
-	if warmth := site.Rules.InitialWarmth; warmth < 0 || warmth > 1 {
+	if warmth := site.Rules.InitialCapacity; warmth < 0 || warmth > 1 {
 		return settingsSection.keyError("rules.cold_from", "%g is no share of a capacity", warmth)
 	}
 	return nil
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -173,15 +173,15 @@
 	return nil
 }
 
-// Bounds returns how many handshakes may be in progress at a time, and the share of the core that they may take.
-func (t *TLS) Bounds() (pending int, share float64) {
+// HandshakeLimits returns how many handshakes may be in progress at a time, and the share of the core that they may take.
+func (t *TLS) HandshakeLimits() (pending int, share float64) {
 	pending = cmp.Or(t.Handshakes.Pending, defaultPendingHandshakes)
 	share = cmp.Or(t.Handshakes.Share, defaultHandshakeShare)
 	return pending, share
 }
 
-// Warn returns how long before a certificate or a revocation list expires the log warns of it.
-func (t *TLS) Warn() time.Duration {
+// ExpiryWarning returns how long before a certificate or a revocation list expires the log warns of it.
+func (t *TLS) ExpiryWarning() time.Duration {
 	hours := cmp.Or(t.WarnDays, defaultWarnDays) * 24
 	return time.Duration(hours * float64(time.Hour))
 }
--- a/internal/config/tls_test.go
+++ b/internal/config/tls_test.go
@@ -40,8 +40,8 @@
 func TestTLSSectionGivesRecordedResults(t *testing.T) {
 	recorded := sectionLines("tls", tlsSections, func(section string, file *Installation) []string {
 		files, err := file.TLS.Files()
-		pending, share := file.TLS.Bounds()
-		value := append(filesWithoutPointers(files), pending, share, file.TLS.Warn())
+		pending, share := file.TLS.HandshakeLimits()
+		value := append(filesWithoutPointers(files), pending, share, file.TLS.ExpiryWarning())
 		return []string{resultLine(section, value, err)}
 	})
 	golden.Lines(t, "testdata/tls.golden", recorded)
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -9,41 +9,41 @@
 
 // Set is all counters of one front end; it belongs to the one loop.
 type Set struct {
-	Taken     int `name:"requests taken"`
-	Unusable  int `name:"requests unusable"`
-	Served    int `name:"answers served"`
-	Refused   int `name:"answers refused"`
-	Failed    int `name:"answers failed"`
-	Cancelled int `name:"requests cancelled by clients"`
-	Expired   int `name:"requests at their deadline"`
+	Taken            int `name:"requests taken"`
+	UnusableRequests int `name:"requests unusable"`
+	Served           int `name:"answers served"`
+	Refused          int `name:"answers refused"`
+	Failed           int `name:"answers failed"`
+	Cancelled        int `name:"requests cancelled by clients"`
+	Expired          int `name:"requests at their deadline"`
 
-	Sent         int `name:"attempts sent"`
-	Done         int `name:"attempts done"`
-	Errored      int `name:"attempts errored"`
-	Full         int `name:"attempts refused by a full engine"`
-	TimedOut     int `name:"attempts timed out"`
-	NoConnection int `name:"attempts without a connection"`
-	Reset        int `name:"attempts reset"`
-	Dropped      int `name:"attempts given up for clients"`
-	NotSent      int `name:"attempts never run"`
-	Notes        int `name:"notes on running attempts"`
-	OddFacts     int `name:"notes and costs that can't be"`
-	Probes       int `name:"probes sent"`
+	Sent           int `name:"attempts sent"`
+	Done           int `name:"attempts done"`
+	Errored        int `name:"attempts errored"`
+	Full           int `name:"attempts refused by a full engine"`
+	TimedOut       int `name:"attempts timed out"`
+	NoConnection   int `name:"attempts without a connection"`
+	Reset          int `name:"attempts reset"`
+	Dropped        int `name:"attempts given up for clients"`
+	NotSent        int `name:"attempts never run"`
+	Notes          int `name:"notes on running attempts"`
+	MalformedFacts int `name:"notes and costs that can't be"`
+	Probes         int `name:"probes sent"`
 
-	Calls       int `name:"calls to engines"`
-	Dialled     int `name:"connections to engines"`
-	Accepted    int `name:"connections from clients"`
-	Rested      int `name:"times that newcomers waited for a descriptor"`
-	Left        int `name:"connections ended by their clients"`
-	Malformed   int `name:"connections closed for malformed input"`
-	Silent      int `name:"connections closed for half a message or none"`
-	Relieved    int `name:"connections closed for want of storage"`
-	Spoilt      int `name:"connections to engines spoilt"`
-	Frames      int `name:"frames from the journal"`
-	OddEvents   int `name:"events of the journal that ended its connection"`
-	Reconnected int `name:"connections to the journal"`
-	Reloaded    int `name:"configurations taken over"`
-	Rejected    int `name:"configurations rejected"`
+	EngineCalls         int `name:"calls to engines"`
+	EngineDials         int `name:"connections to engines"`
+	Accepted            int `name:"connections from clients"`
+	AcceptPauses        int `name:"times that newcomers waited for a descriptor"`
+	ClientsDisconnected int `name:"connections ended by their clients"`
+	Malformed           int `name:"connections closed for malformed input"`
+	ReadTimeouts        int `name:"connections closed for half a message or none"`
+	ClosedForBuffers    int `name:"connections closed for want of storage"`
+	MalformedResponses  int `name:"connections to engines spoilt"`
+	DiscoveryFrames     int `name:"frames from the journal"`
+	MalformedEvents     int `name:"events of the journal that ended its connection"`
+	DiscoveryDials      int `name:"connections to the journal"`
+	Reloads             int `name:"configurations taken over"`
+	RejectedReloads     int `name:"configurations rejected"`
 
 	ShapeHits   int `name:"statements of a known shape"`
 	ShapeMisses int `name:"statements parsed"`
--- a/internal/discovery/cached.go
+++ b/internal/discovery/cached.go
@@ -10,8 +10,8 @@
 
 // CachedEvents has the events that were known when the configuration was written, in its JSON form.
 type CachedEvents struct {
-	Pos     uint64        `json:"pos"` // the number of the last event
-	Entries []cachedEvent `json:"entries"`
+	LastEvent uint64        `json:"pos"` // the number of the last event
+	Events    []cachedEvent `json:"entries"`
 }
 
 // cachedEvent is one event.
@@ -41,10 +41,10 @@
 	"terminated":  scheduler.Removed,
 }
 
-// Events returns the events in their order. An error names the faulty key of the configuration.
-func (c *CachedEvents) Events() ([]Event, error) {
+// Parse returns the events in their order. An error names the faulty key of the configuration.
+func (c *CachedEvents) Parse() ([]Event, error) {
 	var events []Event
-	for i, entry := range c.Entries {
+	for i, entry := range c.Events {
 		event := Event{Number: entry.Pos, Kind: scheduler.UpdateChanges}
 		if entry.Hosts.All {
 			event.Kind = scheduler.UpdateCached
@@ -82,5 +82,5 @@
 		State:   state,
 		Started: c.BootMS * microsPerMilli,
 	}
-	return Engine{Addr: addr, Endpoint: endpoint}, nil
+	return Engine{Address: addr, Endpoint: endpoint}, nil
 }
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -18,7 +18,7 @@
 // stand still from there on.
 type Follower struct {
 	Names     Names
-	Last      uint64 // the number of the last event taken
+	LastEvent uint64 // the number of the last event taken
 	Malformed int    // counts the events that were taken though they were not whole
 
 	retriedEvent uint64 // the event for which a connection was ended last; 0: none
@@ -31,11 +31,11 @@
 	if !ok || !isEvent {
 		return event, false, ok, err
 	}
-	if event.Number <= f.Last { // it has been taken before
+	if event.Number <= f.LastEvent { // it has been taken before
 		return event, false, true, nil
 	}
-	if err == nil && event.Number > f.Last+1 && event.Kind == scheduler.UpdateChanges {
-		err = fmt.Errorf("%w: %d after %d", ErrMissingEvent, event.Number, f.Last)
+	if err == nil && event.Number > f.LastEvent+1 && event.Kind == scheduler.UpdateChanges {
+		err = fmt.Errorf("%w: %d after %d", ErrMissingEvent, event.Number, f.LastEvent)
 	}
 	if err != nil {
 		if f.retriedEvent != event.Number {
@@ -44,6 +44,6 @@
 		}
 		f.Malformed++
 	}
-	f.Last = event.Number
+	f.LastEvent = event.Number
 	return event, true, true, nil
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -46,8 +46,8 @@
 // ended.
 func follow(t *testing.T, f *Follower, frames connectionFrames) (got followed) {
 	for got.connections = 1; got.connections <= 10; got.connections++ {
-		in := ring.New(MaxFrame, &ring.Budget{Most: 2 * MaxFrame})
-		for _, b := range frames(got.connections, f.Last) {
+		in := ring.New(MaxFrame, &ring.Budget{Max: 2 * MaxFrame})
+		for _, b := range frames(got.connections, f.LastEvent) {
 			_, err := in.Write(b)
 			require.NoError(t, err)
 		}
@@ -76,7 +76,7 @@
 }
 
 func newFollower() *Follower {
-	return &Follower{Names: Names{Zones: []string{"a"}, Kinds: []string{"k"}}, Last: 41}
+	return &Follower{Names: Names{Zones: []string{"a"}, Kinds: []string{"k"}}, LastEvent: 41}
 }
 
 // Events that come again, out of order or with one missing are each taken once, in order: a drain that was skipped for
@@ -133,7 +133,7 @@
 	f := newFollower() // and a stream that holds no frames is ended each time
 	got := follow(t, f, func(int, uint64) [][]byte { return [][]byte{{0xff, 0xff, 0xff, 0xff}} })
 	assert.Equal(t, 11, got.connections)
-	assert.EqualValues(t, 41, f.Last)
+	assert.EqualValues(t, 41, f.LastEvent)
 }
 
 // When the discovery service fails, all front ends lose it at one moment. They dial it again apart from each other,
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -37,7 +37,7 @@
 // Engine is an engine as the discovery service lists it, with the address at which it listens.
 type Engine struct {
 	scheduler.Endpoint
-	Addr netip.AddrPort
+	Address netip.AddrPort
 }
 
 // Event is one numbered update of the endpoint list.
@@ -123,5 +123,5 @@
 		State:   states[state],
 		Started: monotime.Micros(binary.BigEndian.Uint64(record[19:])) * microsPerMilli,
 	}
-	return Engine{Addr: netip.AddrPortFrom(ip, port), Endpoint: endpoint}, nil
+	return Engine{Address: netip.AddrPortFrom(ip, port), Endpoint: endpoint}, nil
 }
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -14,7 +14,7 @@
 		follower := newFollower()
 		piece = max(1, piece)
 		for range 3 { // over three connections
-			in := ring.New(MaxFrame, &ring.Budget{Most: MaxFrame})
+			in := ring.New(MaxFrame, &ring.Budget{Max: MaxFrame})
 			for rest := data; len(rest) > 0; {
 				n := min(piece, len(rest))
 				if _, err := in.Write(rest[:n]); err != nil {
@@ -22,7 +22,7 @@
 				}
 				rest = rest[n:]
 				for {
-					last := follower.Last
+					last := follower.LastEvent
 					event, isNew, ok, err := follower.Next(in)
 					if err != nil {
 						rest = nil
@@ -31,8 +31,8 @@
 					if !ok {
 						break
 					}
-					if isNew != (follower.Last > last) || isNew && event.Number != follower.Last {
-						t.Fatalf("event %d, last %d, then %d, new %v", event.Number, last, follower.Last, isNew)
+					if isNew != (follower.LastEvent > last) || isNew && event.Number != follower.LastEvent {
+						t.Fatalf("event %d, last %d, then %d, new %v", event.Number, last, follower.LastEvent, isNew)
 					}
 				}
 			}
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -24,7 +24,7 @@
 	t.Cleanup(loop.Close)
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
-	budget := &ring.Budget{Most: 1 << 20}
+	budget := &ring.Budget{Max: 1 << 20}
 	var streams []*Stream
 	for _, fd := range fds {
 		s := NewStream(loop, fd, 1<<16, 1<<16, budget)
@@ -55,9 +55,9 @@
 // After the peer has closed the connection Fill reports the end of the stream, and closing twice is harmless.
 func TestStreamEndsWhenPeerCloses(t *testing.T) {
 	a, b := connectedStreams(t)
-	assert.True(t, b.PeerSilent())
+	assert.True(t, b.PeerIdle())
 	a.Close()
 	a.Close()
-	assert.False(t, b.PeerSilent())
+	assert.False(t, b.PeerIdle())
 	assert.False(t, b.Fill())
 }
--- a/internal/eventloop/stream.go
+++ b/internal/eventloop/stream.go
@@ -17,15 +17,15 @@
 
 // Stream is a non-blocking connection with one ring buffer for each direction, and optionally with TLS.
 type Stream struct {
-	loop           *Loop
-	FD             int          // the socket's descriptor
-	In, Out        *ring.Buffer // bytes received and not yet consumed; bytes to be written to the socket
-	Interest       uint32       // epoll events that the descriptor is registered for
-	AlwaysInterest uint32       // of these, the events that UpdateInterest never drops
-	Closed         bool
-	TLS            *tlsio.Conn // nil without TLS
-	Counter        ByteCounter // nil where the bytes are not counted
-	HandshakeDone  bool        // the TLS handshake is complete
+	loop          *Loop
+	FD            int          // the socket's descriptor
+	In, Out       *ring.Buffer // bytes received and not yet consumed; bytes to be written to the socket
+	Interest      uint32       // epoll events that the descriptor is registered for
+	BaseInterest  uint32       // of these, the events that UpdateInterest never drops
+	Closed        bool
+	TLS           *tlsio.Conn // nil without TLS
+	Counter       ByteCounter // nil where the bytes are not counted
+	HandshakeDone bool        // the TLS handshake is complete
 }
 
 // NewStream returns a stream over a connected or connecting descriptor, which its owner registers with the loop. The
@@ -72,8 +72,8 @@
 	}
 }
 
-// PeerSilent reports whether the peer has neither sent anything unread nor closed the connection.
-func (s *Stream) PeerSilent() bool {
+// PeerIdle reports whether the peer has neither sent anything unread nor closed the connection.
+func (s *Stream) PeerIdle() bool {
 	var b [1]byte
 	_, _, err := unix.Recvfrom(s.FD, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return err == unix.EAGAIN
@@ -104,7 +104,7 @@
 // UpdateInterest registers for what the stream needs now: reading where wantRead is set, writing while Out is not
 // empty, and AlwaysInterest.
 func (s *Stream) UpdateInterest(wantRead bool) {
-	interest := s.AlwaysInterest
+	interest := s.BaseInterest
 	if wantRead {
 		interest |= unix.EPOLLIN
 	}
@@ -117,8 +117,8 @@
 	}
 }
 
-// HasHangup reports whether readiness events say that the peer has closed the connection, or that it is broken.
-func HasHangup(events uint32) bool { return events&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 }
+// IsHangup reports whether readiness events say that the peer has closed the connection, or that it is broken.
+func IsHangup(events uint32) bool { return events&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 }
 
 // Close closes the connection and releases its buffers. Closing a closed stream does nothing.
 func (s *Stream) Close() {
--- a/internal/eventloop/tasks.go
+++ b/internal/eventloop/tasks.go
@@ -9,8 +9,8 @@
 	queued []func()
 }
 
-// Add queues a task. It may be called from any goroutine.
-func (t *Tasks) Add(task func()) {
+// Post queues a task. It may be called from any goroutine.
+func (t *Tasks) Post(task func()) {
 	t.mutex.Lock()
 	t.queued = append(t.queued, task)
 	t.mutex.Unlock()
--- a/internal/eventloop/tls.go
+++ b/internal/eventloop/tls.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// Seal returns a message in the form in which it goes over the connection: encrypted where the stream has TLS. It
+// Encode returns a message in the form in which it goes over the connection: encrypted where the stream has TLS. It
 // returns an error before the TLS handshake is complete.
-func (s *Stream) Seal(message []byte) ([]byte, error) {
+func (s *Stream) Encode(message []byte) ([]byte, error) {
 	if s.TLS == nil {
 		return message, nil
 	}
--- a/internal/history/concurrency.go
+++ b/internal/history/concurrency.go
@@ -13,9 +13,9 @@
 	event Event
 }
 
-// CheckPlaces finds starts at which more units ran on all engines together than the capacity. units returns how much a
+// CheckConcurrency finds starts at which more units ran on all engines together than the capacity. units returns how much a
 // start takes until the execution ends, 0 if it does not count. maxInUse is the most units that ran at the same time.
-func CheckPlaces(events []Event, capacity float64, units func(start Event) float64) (
+func CheckConcurrency(events []Event, capacity float64, units func(start Event) float64) (
 	violations []Violation, maxInUse float64,
 ) {
 	inUse := 0.0
@@ -35,7 +35,7 @@
 // usageChanges returns the changes of the units in use, in order of time. At the same time, ends come before
 // starts, unless they differ by less than one unit: those keep the order of the executions.
 func usageChanges(events []Event, units func(start Event) float64) (list []usageChange) {
-	for _, execution := range Runs(events) {
+	for _, execution := range Executions(events) {
 		if n := units(execution.Start); n > 0 {
 			list = append(list,
 				usageChange{execution.Start.At, n, execution.Start},
--- a/internal/history/execution.go
+++ b/internal/history/execution.go
@@ -10,23 +10,23 @@
 
 // endTime returns when the execution ended, or a time after all events if it has not.
 func (e Execution) endTime() int64 {
-	if e.End.What == "" {
+	if e.End.Kind == "" {
 		return math.MaxInt64
 	}
 	return e.End.At
 }
 
-// Runs returns the executions on all engines, in the order in which they started.
-func Runs(events []Event) (executions []Execution) {
+// Executions returns the executions on all engines, in the order in which they started.
+func Executions(events []Event) (executions []Execution) {
 	type executionID struct{ engine, call string }
 	running := map[executionID]int{} // indexes into executions
 	for _, event := range events {
-		id := executionID{event.Engine, event.Call}
-		switch event.What {
-		case Began:
+		id := executionID{event.Engine, event.CallID}
+		switch event.Kind {
+		case ExecutionStarted:
 			running[id] = len(executions)
 			executions = append(executions, Execution{Start: event})
-		case Ended, Deleted, Unasked:
+		case ExecutionFinished, ExecutionCanceled, ExecutionAbandoned:
 			if i, ok := running[id]; ok {
 				executions[i].End = event
 				delete(running, id)
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -13,44 +13,44 @@
 
 // The kinds of events.
 const (
-	Asked    = "asked"    // a client has sent a whole request
-	Answered = "answered" // a client's request ended, with one of the outcomes
-	Began    = "began"    // an engine started an execution
-	Repeat   = "repeat"   // an engine dropped a start, as it executed the same idempotency key a short while ago
-	Ended    = "ended"    // an execution finished by itself
-	Deleted  = "deleted"  // an execution ended because it was canceled
-	Unasked  = "unasked"  // an execution ended because no front end polled for it
+	RequestSent        = "asked"    // a client has sent a whole request
+	RequestEnded       = "answered" // a client's request ended, with one of the outcomes
+	ExecutionStarted   = "began"    // an engine started an execution
+	DuplicateDropped   = "repeat"   // an engine dropped a start, as it executed the same idempotency key a short while ago
+	ExecutionFinished  = "ended"    // an execution finished by itself
+	ExecutionCanceled  = "deleted"  // an execution ended because it was canceled
+	ExecutionAbandoned = "unasked"  // an execution ended because no front end polled for it
 )
 
 // The outcomes of a client's request.
 const (
-	Answer = "answer" // it succeeded, with the rows in Event.Body
-	Shed   = "shed"   // it was rejected: nothing of it has run or will run
-	Fault  = "fault"  // it failed: it may have run
-	Lost   = "lost"   // its connection was lost or its client timed out: the outcome is unknown
+	Succeeded      = "answer" // it succeeded, with the rows in Event.Body
+	Rejected       = "shed"   // it was rejected: nothing of it has run or will run
+	Failed         = "fault"  // it failed: it may have run
+	ConnectionLost = "lost"   // its connection was lost or its client timed out: the outcome is unknown
 )
 
 // Event is one thing that a client or an engine observed. Fields that do not apply are empty.
 type Event struct {
-	At     int64  // microseconds of true time
-	What   string // one of the kinds
-	Front  string // the front end to which the client sent the request
-	Engine string // the engine that observed the event
-	Call   string // the ID of the client's request
-	Once   string // the idempotency key
-	Key    string // the order key: requests with the same one run one at a time, in order
-	Detail string // one of the outcomes, where a client's request ended
-	Body   string // the statement of a request, or the rows of its response
+	At             int64  // microseconds of true time
+	Kind           string // one of the kinds
+	FrontEnd       string // the front end to which the client sent the request
+	Engine         string // the engine that observed the event
+	CallID         string // the ID of the client's request
+	IdempotencyKey string // the idempotency key
+	OrderKey       string // the order key: requests with the same one run one at a time, in order
+	Outcome        string // one of the outcomes, where a client's request ended
+	Body           string // the statement of a request, or the rows of its response
 }
 
 // String formats the event on one line, with the time in seconds and a body that is cut short.
 func (e Event) String() string {
-	return fmt.Sprintf("%10.6f %-8s front=%-3s engine=%s call=%s once=%s key=%s %s %.60q", float64(e.At)/1e6, e.What,
-		e.Front, e.Engine, e.Call, e.Once, e.Key, e.Detail, e.Body)
+	return fmt.Sprintf("%10.6f %-8s front=%-3s engine=%s call=%s once=%s key=%s %s %.60q", float64(e.At)/1e6, e.Kind,
+		e.FrontEnd, e.Engine, e.CallID, e.IdempotencyKey, e.OrderKey, e.Outcome, e.Body)
 }
 
-// Record collects the events of a fleet in the order in which they are added. Goroutines may share it.
-type Record struct {
+// Recorder collects the events of a fleet in the order in which they are added. Goroutines may share it.
+type Recorder struct {
 	// Now returns the true time in microseconds. It is set before the first event is added.
 	Now    func() int64
 	mu     sync.Mutex
@@ -58,7 +58,7 @@
 }
 
 // Add appends an event and sets its time to the current one.
-func (r *Record) Add(event Event) {
+func (r *Recorder) Add(event Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	event.At = r.Now()
@@ -66,7 +66,7 @@
 }
 
 // Events returns a copy of the events that were added so far.
-func (r *Record) Events() []Event {
+func (r *Recorder) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.events)
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -15,31 +15,31 @@
 
 func sent(at int64, frontEnd, call, idempotencyKey, orderKey string) history.Event {
 	return history.Event{
-		At: at * second, What: history.Asked, Front: frontEnd, Call: call, Once: idempotencyKey, Key: orderKey,
+		At: at * second, Kind: history.RequestSent, FrontEnd: frontEnd, CallID: call, IdempotencyKey: idempotencyKey, OrderKey: orderKey,
 	}
 }
 
 func ended(at int64, call, idempotencyKey, outcome, body string) history.Event {
 	return history.Event{
-		At: at * second, What: history.Answered, Call: call, Once: idempotencyKey, Detail: outcome, Body: body,
+		At: at * second, Kind: history.RequestEnded, CallID: call, IdempotencyKey: idempotencyKey, Outcome: outcome, Body: body,
 	}
 }
 
 func onEngine(at int64, what, call, idempotencyKey string) history.Event {
-	return history.Event{At: at * second, What: what, Engine: "engine", Call: call, Once: idempotencyKey}
+	return history.Event{At: at * second, Kind: what, Engine: "engine", CallID: call, IdempotencyKey: idempotencyKey}
 }
 
 func TestCheckAcceptsACorrectHistory(t *testing.T) {
 	assert.Empty(t, history.Check([]history.Event{
 		sent(1, "a", "call-1", "request-1", "key"),
-		onEngine(2, history.Began, "call-1", "request-1"),
-		onEngine(3, history.Ended, "call-1", "request-1"),
-		ended(4, "call-1", "request-1", history.Answer, "call-1 rows"),
+		onEngine(2, history.ExecutionStarted, "call-1", "request-1"),
+		onEngine(3, history.ExecutionFinished, "call-1", "request-1"),
+		ended(4, "call-1", "request-1", history.Succeeded, "call-1 rows"),
 		sent(5, "b", "call-2", "request-1", "key"),
-		ended(6, "call-2", "request-1", history.Answer, "call-1 rows"),
+		ended(6, "call-2", "request-1", history.Succeeded, "call-1 rows"),
 		sent(7, "b", "call-3", "request-2", "key"),
-		onEngine(8, history.Began, "call-3", "request-2"),
-		onEngine(9, history.Ended, "call-3", "request-2"),
+		onEngine(8, history.ExecutionStarted, "call-3", "request-2"),
+		onEngine(9, history.ExecutionFinished, "call-3", "request-2"),
 	}))
 }
 
@@ -49,51 +49,51 @@
 		events  []history.Event
 	}{
 		{"two attempts of a request at once", []history.Event{
-			onEngine(1, history.Began, "call-1", "request"),
-			onEngine(2, history.Began, "call-2", "request"),
-			onEngine(3, history.Ended, "call-1", "request"),
+			onEngine(1, history.ExecutionStarted, "call-1", "request"),
+			onEngine(2, history.ExecutionStarted, "call-2", "request"),
+			onEngine(3, history.ExecutionFinished, "call-1", "request"),
 		}},
 		{"an attempt after a client got the outcome", []history.Event{
-			onEngine(1, history.Began, "call-1", "request"),
-			onEngine(2, history.Ended, "call-1", "request"),
-			ended(3, "call-1", "request", history.Answer, "call-1 rows"),
-			onEngine(4, history.Began, "call-2", "request"),
+			onEngine(1, history.ExecutionStarted, "call-1", "request"),
+			onEngine(2, history.ExecutionFinished, "call-1", "request"),
+			ended(3, "call-1", "request", history.Succeeded, "call-1 rows"),
+			onEngine(4, history.ExecutionStarted, "call-2", "request"),
 		}},
 		{"two outcomes of a request", []history.Event{
-			onEngine(1, history.Began, "call-1", "request"),
-			onEngine(2, history.Ended, "call-1", "request"),
-			ended(3, "call-1", "request", history.Answer, "call-1 rows"),
-			ended(4, "call-2", "request", history.Answer, "call-1 other rows"),
+			onEngine(1, history.ExecutionStarted, "call-1", "request"),
+			onEngine(2, history.ExecutionFinished, "call-1", "request"),
+			ended(3, "call-1", "request", history.Succeeded, "call-1 rows"),
+			ended(4, "call-2", "request", history.Succeeded, "call-1 other rows"),
 		}},
 		{"rows that no engine produced", []history.Event{
-			onEngine(1, history.Began, "call-1", "request"),
-			onEngine(2, history.Deleted, "call-1", "request"),
-			ended(3, "call-1", "request", history.Answer, "call-1 rows"),
+			onEngine(1, history.ExecutionStarted, "call-1", "request"),
+			onEngine(2, history.ExecutionCanceled, "call-1", "request"),
+			ended(3, "call-1", "request", history.Succeeded, "call-1 rows"),
 		}},
 		{"a delivered outcome was lost", []history.Event{
-			onEngine(1, history.Began, "call-1", "request"),
-			onEngine(2, history.Ended, "call-1", "request"),
-			ended(3, "call-1", "request", history.Answer, "call-1 rows"),
+			onEngine(1, history.ExecutionStarted, "call-1", "request"),
+			onEngine(2, history.ExecutionFinished, "call-1", "request"),
+			ended(3, "call-1", "request", history.Succeeded, "call-1 rows"),
 			sent(4, "a", "call-2", "request", ""),
-			ended(5, "call-2", "request", history.Fault, ""),
+			ended(5, "call-2", "request", history.Failed, ""),
 		}},
 		{"a rejected call ran", []history.Event{
-			ended(1, "call-1", "request", history.Shed, ""),
-			onEngine(2, history.Began, "call-1", "request"),
+			ended(1, "call-1", "request", history.Rejected, ""),
+			onEngine(2, history.ExecutionStarted, "call-1", "request"),
 		}},
 		{history.ConcurrentRequestsOfKey, []history.Event{
 			sent(1, "a", "call-1", "request-1", "key"),
 			sent(1, "b", "call-2", "request-2", "key"),
-			onEngine(2, history.Began, "call-1", "request-1"),
-			onEngine(3, history.Began, "call-2", "request-2"),
-			onEngine(4, history.Ended, "call-1", "request-1"),
+			onEngine(2, history.ExecutionStarted, "call-1", "request-1"),
+			onEngine(3, history.ExecutionStarted, "call-2", "request-2"),
+			onEngine(4, history.ExecutionFinished, "call-1", "request-1"),
 		}},
 		{"requests of a key out of the order in which one front end received them", []history.Event{
 			sent(1, "a", "call-1", "request-1", "key"),
 			sent(2, "a", "call-2", "request-2", "key"),
-			onEngine(3, history.Began, "call-2", "request-2"),
-			onEngine(4, history.Ended, "call-2", "request-2"),
-			onEngine(5, history.Began, "call-1", "request-1"),
+			onEngine(3, history.ExecutionStarted, "call-2", "request-2"),
+			onEngine(4, history.ExecutionFinished, "call-2", "request-2"),
+			onEngine(5, history.ExecutionStarted, "call-1", "request-1"),
 		}},
 	} {
 		t.Run(test.anomaly, func(t *testing.T) {
@@ -110,17 +110,17 @@
 // twoStarts returns two executions that start at the given times, in microseconds, and last one second.
 func twoStarts(first, next int64) []history.Event {
 	return []history.Event{
-		{At: first, What: history.Began, Call: "call-1"},
-		{At: next, What: history.Began, Call: "call-2"},
-		{At: first + second, What: history.Ended, Call: "call-1"},
-		{At: next + second, What: history.Ended, Call: "call-2"},
+		{At: first, Kind: history.ExecutionStarted, CallID: "call-1"},
+		{At: next, Kind: history.ExecutionStarted, CallID: "call-2"},
+		{At: first + second, Kind: history.ExecutionFinished, CallID: "call-1"},
+		{At: next + second, Kind: history.ExecutionFinished, CallID: "call-2"},
 	}
 }
 
 func TestCheckRateAllowsOnlyWhatTheBucketHolds(t *testing.T) {
 	const within = 100_000 // µs
-	apart := func(gap int64) []history.Spending {
-		return history.Spendings(twoStarts(10*second, 10*second+gap), within, oneUnit)
+	apart := func(gap int64) []history.Consumption {
+		return history.Consumptions(twoStarts(10*second, 10*second+gap), within, oneUnit)
 	}
 	// At one a second, the second token is there a second after the first one was taken, up to 0.1 s before its start.
 	assert.Empty(t, history.CheckRate(apart(second-within+2), 1, 1))
@@ -129,27 +129,27 @@
 }
 
 func TestCheckConcurrencyAllowsOnlyTheCapacity(t *testing.T) {
-	violations, maxInUse := history.CheckPlaces(twoStarts(0, second/2), 1, oneUnit)
+	violations, maxInUse := history.CheckConcurrency(twoStarts(0, second/2), 1, oneUnit)
 	assert.Len(t, violations, 1)
 	assert.EqualValues(t, 2, maxInUse)
 
-	violations, maxInUse = history.CheckPlaces(twoStarts(0, second), 1, oneUnit)
+	violations, maxInUse = history.CheckConcurrency(twoStarts(0, second), 1, oneUnit)
 	assert.Empty(t, violations, "the first one ends as the next one starts")
 	assert.EqualValues(t, 1, maxInUse)
 }
 
 func TestCheckWindowAllowsOnlyTheTotal(t *testing.T) {
-	consumptions := history.Spendings(twoStarts(10*second, 15*second), 0, oneUnit)
+	consumptions := history.Consumptions(twoStarts(10*second, 15*second), 0, oneUnit)
 	assert.Empty(t, history.CheckWindow(consumptions, 1, 5*second))
 	assert.Len(t, history.CheckWindow(consumptions, 1, 5*second+1), 1)
 }
 
 func TestRelatedEventsShareAKeyWithTheViolation(t *testing.T) {
 	of := func(idempotencyKey, orderKey string) history.Event {
-		return history.Event{Once: idempotencyKey, Key: orderKey}
+		return history.Event{IdempotencyKey: idempotencyKey, OrderKey: orderKey}
 	}
 	events := []history.Event{of("1", "a"), of("2", "a"), of("3", ""), of("4", "b"), of("1", "")}
 	violation := history.Violation{Events: []history.Event{of("1", "a")}}
-	assert.Equal(t, []history.Event{of("1", "a"), of("2", "a"), of("1", "")}, history.Around(events, violation, 9))
-	assert.Equal(t, []history.Event{of("1", "")}, history.Around(events, violation, 1))
+	assert.Equal(t, []history.Event{of("1", "a"), of("2", "a"), of("1", "")}, history.RelatedEvents(events, violation, 9))
+	assert.Equal(t, []history.Event{of("1", "")}, history.RelatedEvents(events, violation, 1))
 }
--- a/internal/history/idempotency.go
+++ b/internal/history/idempotency.go
@@ -22,11 +22,11 @@
 // Check returns all violations of the guarantees for idempotent requests. Events without an idempotency key are not
 // looked at.
 func Check(events []Event) (violations []Violation) {
-	events = slices.DeleteFunc(slices.Clone(events), func(e Event) bool { return e.Once == "" })
-	observed := observations{events: events, executions: Runs(events), requests: map[string]Event{}}
+	events = slices.DeleteFunc(slices.Clone(events), func(e Event) bool { return e.IdempotencyKey == "" })
+	observed := observations{events: events, executions: Executions(events), requests: map[string]Event{}}
 	for _, event := range events {
-		if event.What == Asked {
-			observed.requests[event.Call] = event
+		if event.Kind == RequestSent {
+			observed.requests[event.CallID] = event
 		}
 	}
 	for _, check := range []func(observations) []Violation{
@@ -42,7 +42,7 @@
 func checkNoConcurrentAttempts(o observations) (violations []Violation) {
 	previous := map[string]Execution{}
 	for _, execution := range o.executions {
-		idempotencyKey := execution.Start.Once
+		idempotencyKey := execution.Start.IdempotencyKey
 		before, ok := previous[idempotencyKey]
 		if ok && before.endTime() > execution.Start.At {
 			violations = append(violations, Violation{
@@ -59,7 +59,7 @@
 func checkNoAttemptAfterOutcome(o observations) (violations []Violation) {
 	firstResponses := firstSuccessfulResponses(o.events)
 	for _, execution := range o.executions {
-		response, ok := firstResponses[execution.Start.Once]
+		response, ok := firstResponses[execution.Start.IdempotencyKey]
 		if ok && execution.Start.At > response.At {
 			violations = append(violations, Violation{
 				Anomaly: "an attempt after a client got the outcome",
@@ -74,11 +74,11 @@
 func firstSuccessfulResponses(events []Event) map[string]Event {
 	first := map[string]Event{}
 	for _, event := range events {
-		if event.What != Answered || event.Detail != Answer {
+		if event.Kind != RequestEnded || event.Outcome != Succeeded {
 			continue
 		}
-		if _, known := first[event.Once]; !known {
-			first[event.Once] = event
+		if _, known := first[event.IdempotencyKey]; !known {
+			first[event.IdempotencyKey] = event
 		}
 	}
 	return first
@@ -89,25 +89,25 @@
 func checkSingleOutcome(o observations) (violations []Violation) {
 	finished := map[string][]Event{}
 	for _, execution := range o.executions {
-		if execution.End.What == Ended {
-			idempotencyKey := execution.Start.Once
+		if execution.End.Kind == ExecutionFinished {
+			idempotencyKey := execution.Start.IdempotencyKey
 			finished[idempotencyKey] = append(finished[idempotencyKey], execution.End)
 		}
 	}
 	first := map[string]Event{}
 	for _, event := range o.events {
-		if event.What != Answered || event.Detail != Answer {
+		if event.Kind != RequestEnded || event.Outcome != Succeeded {
 			continue
 		}
-		before, known := first[event.Once]
+		before, known := first[event.IdempotencyKey]
 		if known && before.Body != event.Body {
 			violations = append(violations, Violation{"two outcomes of a request", []Event{before, event}})
 		}
 		if known {
 			continue
 		}
-		first[event.Once] = event
-		if !hasSource(event, finished[event.Once]) {
+		first[event.IdempotencyKey] = event
+		if !hasSource(event, finished[event.IdempotencyKey]) {
 			violations = append(violations, Violation{"rows that no engine produced", []Event{event}})
 		}
 	}
@@ -118,7 +118,7 @@
 // call of the execution that produced them.
 func hasSource(response Event, finished []Event) bool {
 	return slices.ContainsFunc(finished, func(end Event) bool {
-		return end.At <= response.At && strings.HasPrefix(response.Body, end.Call)
+		return end.At <= response.At && strings.HasPrefix(response.Body, end.CallID)
 	})
 }
 
@@ -127,15 +127,15 @@
 func checkOutcomeRetained(o observations) (violations []Violation) {
 	delivered := map[string]Event{}
 	for _, event := range o.events {
-		if event.What != Answered {
+		if event.Kind != RequestEnded {
 			continue
 		}
-		response, known := delivered[event.Once]
-		request := o.requests[event.Call]
+		response, known := delivered[event.IdempotencyKey]
+		request := o.requests[event.CallID]
 		switch {
-		case event.Detail == Answer && !known:
-			delivered[event.Once] = event
-		case event.Detail == Fault && known && request.At > response.At && event.At < response.At+minOutcomeRetention:
+		case event.Outcome == Succeeded && !known:
+			delivered[event.IdempotencyKey] = event
+		case event.Outcome == Failed && known && request.At > response.At && event.At < response.At+minOutcomeRetention:
 			violations = append(violations, Violation{
 				Anomaly: "a delivered outcome was lost",
 				Events:  []Event{response, request, event},
@@ -149,12 +149,12 @@
 func checkRejectedNeverRan(o observations) (violations []Violation) {
 	rejections := map[string]Event{}
 	for _, event := range o.events {
-		if event.What == Answered && event.Detail == Shed {
-			rejections[event.Call] = event
+		if event.Kind == RequestEnded && event.Outcome == Rejected {
+			rejections[event.CallID] = event
 		}
 	}
 	for _, execution := range o.executions {
-		if rejection, ok := rejections[execution.Start.Call]; ok {
+		if rejection, ok := rejections[execution.Start.CallID]; ok {
 			violations = append(violations, Violation{"a rejected call ran", []Event{rejection, execution.Start}})
 		}
 	}
@@ -167,8 +167,8 @@
 	firstCalls := o.firstCalls()
 	byKey := map[string][]Execution{}
 	for _, execution := range o.executions {
-		if request, ok := o.requests[execution.Start.Call]; ok && request.Key != "" {
-			byKey[request.Key] = append(byKey[request.Key], execution)
+		if request, ok := o.requests[execution.Start.CallID]; ok && request.OrderKey != "" {
+			byKey[request.OrderKey] = append(byKey[request.OrderKey], execution)
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(byKey)) {
@@ -185,15 +185,15 @@
 // checkPairOfKey checks two executions of one key, the earlier of which started first. The order is checked for first
 // calls only, as a repeated call has the position of its request.
 func (o observations) checkPairOfKey(earlier, later Execution, firstCalls map[string]Event) (violations []Violation) {
-	if earlier.endTime() > later.Start.At && earlier.Start.Once != later.Start.Once {
+	if earlier.endTime() > later.Start.At && earlier.Start.IdempotencyKey != later.Start.IdempotencyKey {
 		violations = append(violations, Violation{
 			Anomaly: ConcurrentRequestsOfKey,
 			Events:  []Event{earlier.Start, later.Start, earlier.End},
 		})
 	}
-	a, b := o.requests[earlier.Start.Call], o.requests[later.Start.Call]
-	areFirst := firstCalls[a.Once] == a && firstCalls[b.Once] == b
-	if a.Front == b.Front && b.At < a.At && a.Once != b.Once && areFirst {
+	a, b := o.requests[earlier.Start.CallID], o.requests[later.Start.CallID]
+	areFirst := firstCalls[a.IdempotencyKey] == a && firstCalls[b.IdempotencyKey] == b
+	if a.FrontEnd == b.FrontEnd && b.At < a.At && a.IdempotencyKey != b.IdempotencyKey && areFirst {
 		violations = append(violations, Violation{
 			Anomaly: "requests of a key out of the order in which one front end received them",
 			Events:  []Event{b, a, earlier.Start, later.Start},
@@ -206,9 +206,9 @@
 func (o observations) firstCalls() map[string]Event {
 	first := map[string]Event{}
 	for _, call := range o.requests {
-		known, ok := first[call.Once]
-		if !ok || call.At < known.At || call.At == known.At && call.Call < known.Call {
-			first[call.Once] = call
+		known, ok := first[call.IdempotencyKey]
+		if !ok || call.At < known.At || call.At == known.At && call.CallID < known.CallID {
+			first[call.IdempotencyKey] = call
 		}
 	}
 	return first
--- a/internal/history/rate.go
+++ b/internal/history/rate.go
@@ -39,16 +39,16 @@
 //
 // It serves consumptions in the order of their deadlines, each as soon as there are tokens for it. If any order is in
 // time, this one is.
-func CheckRate(consumptions []Spending, rate, burst float64) (violations []Violation) {
+func CheckRate(consumptions []Consumption, rate, burst float64) (violations []Violation) {
 	upcoming := slices.Clone(consumptions)
-	slices.SortStableFunc(upcoming, func(a, b Spending) int { return cmp.Compare(a.From, b.From) })
+	slices.SortStableFunc(upcoming, func(a, b Consumption) int { return cmp.Compare(a.Earliest, b.Earliest) })
 	bucket := tokenBucket{rate: rate, burst: burst, tokens: burst}
 	var waiting byDeadline
 	for len(upcoming) > 0 || len(waiting) > 0 {
 		if len(waiting) == 0 {
-			bucket.advance(max(bucket.at, upcoming[0].From))
+			bucket.advance(max(bucket.at, upcoming[0].Earliest))
 		}
-		for len(upcoming) > 0 && upcoming[0].From <= bucket.at {
+		for len(upcoming) > 0 && upcoming[0].Earliest <= bucket.at {
 			heap.Push(&waiting, upcoming[0])
 			upcoming = upcoming[1:]
 		}
@@ -56,7 +56,7 @@
 		if !bucket.holds(next.Units) {
 			wakeup := bucket.fullEnoughAt(next.Units)
 			if len(upcoming) > 0 {
-				wakeup = min(wakeup, upcoming[0].From)
+				wakeup = min(wakeup, upcoming[0].Earliest)
 			}
 			bucket.advance(max(wakeup, bucket.at+1))
 			continue
@@ -72,7 +72,7 @@
 	return violations
 }
 
-func rateViolation(consumption Spending, bucket tokenBucket) Violation {
+func rateViolation(consumption Consumption, bucket tokenBucket) Violation {
 	early := float64(bucket.at-consumption.Event.At) / 1000
 	return Violation{
 		Anomaly: fmt.Sprintf("more than %g a second with a burst of %g: %.0f ms too early",
--- a/internal/history/violation.go
+++ b/internal/history/violation.go
@@ -21,18 +21,18 @@
 	return text.String()
 }
 
-// Around returns the last n events, at most, that have an idempotency key or an order key in common with a violation.
-func Around(events []Event, violation Violation, n int) (related []Event) {
+// RelatedEvents returns the last n events, at most, that have an idempotency key or an order key in common with a violation.
+func RelatedEvents(events []Event, violation Violation, n int) (related []Event) {
 	idempotencyKeys := map[string]bool{}
 	orderKeys := map[string]bool{}
 	for _, event := range violation.Events {
-		idempotencyKeys[event.Once] = true
-		if event.Key != "" {
-			orderKeys[event.Key] = true
+		idempotencyKeys[event.IdempotencyKey] = true
+		if event.OrderKey != "" {
+			orderKeys[event.OrderKey] = true
 		}
 	}
 	for _, event := range events {
-		if idempotencyKeys[event.Once] || orderKeys[event.Key] {
+		if idempotencyKeys[event.IdempotencyKey] || orderKeys[event.OrderKey] {
 			related = append(related, event)
 		}
 	}
--- a/internal/history/window.go
+++ b/internal/history/window.go
@@ -4,11 +4,11 @@
 
 // CheckWindow finds windows, in microseconds, in which more than a total was consumed, whenever within its bounds each
 // unit was consumed.
-func CheckWindow(consumptions []Spending, total float64, window int64) (violations []Violation) {
+func CheckWindow(consumptions []Consumption, total float64, window int64) (violations []Violation) {
 	for i, first := range consumptions {
-		sum, earliest := 0.0, first.From
+		sum, earliest := 0.0, first.Earliest
 		for _, consumption := range consumptions[i:] {
-			earliest = min(earliest, consumption.From)
+			earliest = min(earliest, consumption.Earliest)
 			if consumption.Event.At-earliest >= window { // they may lie a window apart
 				break
 			}
--- a/internal/keyfiles/files.go
+++ b/internal/keyfiles/files.go
@@ -46,11 +46,11 @@
 
 // Keys reads a set of public keys.
 func Keys(path string) ([]identity.Key, error) {
-	text, err := Read(path, token.MostSet)
+	text, err := Read(path, token.MaxSetBytes)
 	if err != nil {
 		return nil, err
 	}
-	keys, err := token.ParseSet(text)
+	keys, err := token.ParsePublicKeys(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -58,8 +58,8 @@
 }
 
 // Revoked reads what is revoked: {"issuer": {"jti": [...], "sub": [...]}}.
-func Revoked(path string) (identity.Revoked, error) {
-	out := identity.Revoked{IDs: map[string]bool{}, Subjects: map[string]bool{}}
+func Revoked(path string) (identity.Revocations, error) {
+	out := identity.Revocations{IDs: map[string]bool{}, Subjects: map[string]bool{}}
 	text, err := Read(path, mostRevoked)
 	if err != nil {
 		return out, err
@@ -83,10 +83,10 @@
 }
 
 // ReadPrivate reads a set of private keys, which nobody else may be able to read. One that does not exist is empty.
-func ReadPrivate(path string) (*token.Set, error) {
+func ReadPrivate(path string) (*token.KeySet, error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return token.ReadSet(nil)
+		return token.ParseKeySet(nil)
 	}
 	if err != nil {
 		return nil, err
@@ -94,12 +94,12 @@
 	if info.Mode().Perm()&0o077 != 0 {
 		return nil, fmt.Errorf("%s: others may read it (mode %04o): it has to be 0600", path, info.Mode().Perm())
 	}
-	text, err := Read(path, token.MostSet)
+	text, err := Read(path, token.MaxSetBytes)
 	if err != nil {
 		return nil, err
 	}
 	defer clear(text)
-	set, err := token.ReadSet(text)
+	set, err := token.ParseKeySet(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -137,7 +137,7 @@
 
 // Change changes a set of private keys, and writes its public half beside it, while nobody else can. The public half comes
 // first: a key that signs before anybody knows it would have its tokens refused.
-func Change(private, public string, change func(*token.Set) error) error {
+func Change(private, public string, change func(*token.KeySet) error) error {
 	lock, err := os.OpenFile(private+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
@@ -153,11 +153,11 @@
 	if err := change(set); err != nil {
 		return err
 	}
-	half, err := set.Write(false)
+	half, err := set.Marshal(false)
 	if err != nil {
 		return err
 	}
-	whole, err := set.Write(true)
+	whole, err := set.Marshal(true)
 	if err != nil {
 		return err
 	}
--- a/internal/keyfiles/files_test.go
+++ b/internal/keyfiles/files_test.go
@@ -20,7 +20,7 @@
 func add(t *testing.T, private, public, id string) {
 	k, err := token.Generate(id, "EdDSA")
 	require.NoError(t, err)
-	require.NoError(t, keyfiles.Change(private, public, func(s *token.Set) error { return s.Add(k, 0) }))
+	require.NoError(t, keyfiles.Change(private, public, func(s *token.KeySet) error { return s.Add(k, 0) }))
 }
 
 // Many who add keys at once lose none, and whoever reads meanwhile never sees half a file.
--- a/internal/peering/adminsocket.go
+++ b/internal/peering/adminsocket.go
@@ -28,7 +28,7 @@
 }
 
 func newAdminListener(p *Peering) (*adminListener, error) {
-	fd, err := listenUnix(p.cfg.Admin)
+	fd, err := listenUnix(p.cfg.AdminSocket)
 	if err != nil {
 		return nil, fmt.Errorf("installation: fleet.admin: %w", err)
 	}
@@ -72,7 +72,7 @@
 func (a *adminListener) accept(fd int) {
 	host := a.peering.Host
 	c := &adminConnection{listener: a, acceptedAt: host.TurnTime}
-	c.budget.Most = maxAdminRequestBytes + maxAdminResponseBytes
+	c.budget.Max = maxAdminRequestBytes + maxAdminResponseBytes
 	c.Stream = eventloop.NewStream(host.Loop, fd, maxAdminRequestBytes, maxAdminResponseBytes, &c.budget)
 	c.Interest = unix.EPOLLIN
 	if err := host.Loop.Add(fd, c.Interest, c); err != nil {
@@ -94,7 +94,7 @@
 // close ends listening. Open connections are left to the end of the process.
 func (a *adminListener) close() {
 	a.peering.Host.Loop.CloseDescriptor(a.fd)
-	_ = os.Remove(a.peering.cfg.Admin) // the next start removes it too
+	_ = os.Remove(a.peering.cfg.AdminSocket) // the next start removes it too
 }
 
 // adminConnection is a connection to the admin socket.
--- a/internal/peering/attachedfrontend.go
+++ b/internal/peering/attachedfrontend.go
@@ -42,7 +42,7 @@
 
 // dialTarget makes a link with a control member.
 func (p *Peering) dialTarget(name string) {
-	l := newOutboundLink(p, name, p.cfg.Others[name])
+	l := newOutboundLink(p, name, p.cfg.Members[name])
 	l.lastRefusal = p.lastRefusals[name]
 	p.outbound[name] = l
 	l.dial()
@@ -68,7 +68,7 @@
 func (l *outboundLink) receiveMessages() error {
 	p := l.peering
 	link := fleet.Link{From: l.name, Incarnation: l.handshake.Remote.Incarnation}
-	for _, m := range l.handshake.Messages() {
+	for _, m := range l.handshake.TakeMessages() {
 		p.traffic.countReceived(m)
 		if err := p.attachedNode.Receive(p.Host.TurnTime, link, m.Kind, m.Body); err != nil {
 			p.Host.Counters.PeerRejected++
--- a/internal/peering/attachedfrontend_test.go
+++ b/internal/peering/attachedfrontend_test.go
@@ -44,19 +44,19 @@
 	assert.Equal(t, x.attachedNode.Home(), s.Attached.Home)
 	home := f.frontEnds[s.Attached.Home].status()
 	assert.Positive(t, home.Attached.Links)
-	assert.Zero(t, home.Attached.ViewAge)
+	assert.Zero(t, home.Attached.ViewAgeMS)
 	assert.Contains(t, home.Members, MemberStatus{
 		Name:        "x1",
 		State:       "alive",
 		Incarnation: s.Incarnation,
-		Link:        true,
+		Linked:      true,
 		Role:        "attached",
 		Home:        home.Name,
 	})
 	f.runUntil("their views are the same", func() bool {
 		return x.status().Attached.ViewDigest == f.frontEnds[home.Name].status().Attached.ViewDigest
 	})
-	assert.False(t, x.budgetPage("").On)
+	assert.False(t, x.budgetPage("").Enabled)
 	var attachedCounters, homeCounters counters.Set
 	x.ReportCounters(&attachedCounters)
 	f.frontEnds[home.Name].ReportCounters(&homeCounters)
@@ -105,7 +105,7 @@
 	f := newTestFleet(t)
 	x := f.start("x1")
 	f.runUntil("both links", func() bool { return seesAlive(x, 4) && len(x.outbound) == 2 })
-	for name, addr := range x.cfg.Others {
+	for name, addr := range x.cfg.Members {
 		if x.outbound[name] == nil {
 			x.outbound[name] = newOutboundLink(x, name, addr)
 			x.outbound[name].dial()
--- a/internal/peering/attachedlinks.go
+++ b/internal/peering/attachedlinks.go
@@ -45,7 +45,7 @@
 // remove removes a link with what is queued on it.
 func (a *attachedLinks) remove(l *inboundLink) {
 	a.count--
-	a.queuedBytes -= l.queue.Len()
+	a.queuedBytes -= l.queue.QueuedBytes()
 	incarnation := l.link.Incarnation
 	isRemoved := func(other *inboundLink) bool { return other == l }
 	a.byIncarnation[incarnation] = slices.DeleteFunc(a.byIncarnation[incarnation], isRemoved)
@@ -81,7 +81,7 @@
 	p.Host.Counters.Attached++
 	// Without it only more is buffered in the system.
 	_ = unix.SetsockoptInt(l.FD, unix.SOL_SOCKET, unix.SO_SNDBUF, attachedSendBufferBytes)
-	l.queue = transport.Queue{MaxUrgentBytes: maxAttachedUrgentBytes, MaxBulkBytes: p.cfg.Attached.MostView}
+	l.queue = transport.Queue{MaxUrgentBytes: maxAttachedUrgentBytes, MaxBulkBytes: p.cfg.Attached.MaxViewBytes}
 	p.attachedLinks.add(l)
 	logEstablished(l.link.From, l.link.Incarnation, membership.Attached)
 	p.controlNode.LinkOpened(p.Host.TurnTime, l.link)
@@ -108,14 +108,14 @@
 		p.Host.Counters.PeerDropped++
 		return
 	}
-	queuedBefore := l.queue.Len()
+	queuedBefore := l.queue.QueuedBytes()
 	exceedsTotal := p.attachedLinks.queuedBytes+len(message.Body) > maxAttachedQueuedBytes
 	full := exceedsTotal || !l.queue.Push(message.Kind, message.Bulk, message.Body)
 	if full {
 		l.queue.DropUnstarted()
 		p.Host.Counters.PeerDropped++
 	}
-	p.attachedLinks.queuedBytes += l.queue.Len() - queuedBefore
+	p.attachedLinks.queuedBytes += l.queue.QueuedBytes() - queuedBefore
 	if full {
 		p.controlNode.QueueFull(p.Host.TurnTime, l.link.From, message.Incarnation)
 		return
--- a/internal/peering/attachedlinks_test.go
+++ b/internal/peering/attachedlinks_test.go
@@ -50,7 +50,7 @@
 	conn, err := net.DialTCP("tcp4", nil, net.TCPAddrFromAddrPort(control.cfg.Listen))
 	require.NoError(f.t, err)
 	f.t.Cleanup(func() { conn.Close() })
-	dialer := &transport.Dialer{Local: self, ExpectedName: control.cfg.Name, MaxInbound: control.cfg.MostBulk}
+	dialer := &transport.Dialer{Local: self, ExpectedName: control.cfg.Name, MaxInbound: control.cfg.MaxMessageBytes}
 	return conn, dialer
 }
 
@@ -142,24 +142,24 @@
 	l := n1.attachedLinks.byIncarnation[d.Local.Incarnation][0]
 	l.postponeIdleTimeout()
 	refused := &n1.controlNode.MembershipServer().Counters.FullQueues
-	before, small := l.Out.Len()+l.queue.Len(), make([]byte, 1000)
+	before, small := l.Out.Len()+l.queue.QueuedBytes(), make([]byte, 1000)
 	const sent = 1000
 	for range sent {
 		n1.sendToAttached(bulkMessage("slow", d.Local.Incarnation, small))
 	}
-	queued := l.Out.Len() + l.queue.Len() - before
+	queued := l.Out.Len() + l.queue.QueuedBytes() - before
 	assert.Greater(t, queued, sent*len(small)-8*attachedSendBufferBytes, "the system buffers little of what is not read")
 	for range 64 {
 		before := *refused
 		n1.sendToAttached(bulkMessage("slow", d.Local.Incarnation, body))
 		require.LessOrEqual(t, n1.attachedLinks.queuedBytes, maxAttachedQueuedBytes)
 		if *refused > before {
-			require.Less(t, l.queue.Len(), len(body), "the queue is dropped, but for a message that was begun")
+			require.Less(t, l.queue.QueuedBytes(), len(body), "the queue is dropped, but for a message that was begun")
 		}
 	}
 	assert.Positive(t, *refused)
-	assert.LessOrEqual(t, l.queue.Len(), maxAttachedUrgentBytes+n1.cfg.Attached.MostView)
-	assert.Equal(t, l.queue.Len(), n1.attachedLinks.queuedBytes)
+	assert.LessOrEqual(t, l.queue.QueuedBytes(), maxAttachedUrgentBytes+n1.cfg.Attached.MaxViewBytes)
+	assert.Equal(t, l.queue.QueuedBytes(), n1.attachedLinks.queuedBytes)
 	f.start("x2")
 	f.runUntil("others are served", func() bool { return seesAlive(x, 5) || seesAlive(x, 6) })
 	f.runUntil("its link is closed", func() bool { return len(n1.attachedLinks.byIncarnation[d.Local.Incarnation]) == 0 })
--- a/internal/peering/controlmember.go
+++ b/internal/peering/controlmember.go
@@ -24,8 +24,8 @@
 	if p.store != nil && p.storeErr == nil {
 		c.Replication.ID = p.store.ReplicaID()
 	}
-	p.idempotencyRegistry = idempotency.NewRegistry(cfg.Loads)
-	p.budgetAuthority = budget.NewAuthority(budget.Options{Instances: budget.MaxInstances})
+	p.idempotencyRegistry = idempotency.NewRegistry(cfg.Idempotency)
+	p.budgetAuthority = budget.NewAuthority(budget.Options{MaxSubjects: budget.MaxSubjects})
 	c.Replication.StateMachines = []replication.StateMachine{p.idempotencyRegistry, p.budgetAuthority}
 	if cfg.Attached != nil {
 		server := cfg.Attached.Config
--- a/internal/peering/fleet_test.go
+++ b/internal/peering/fleet_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	os.Exit(standin.Seeded(m))
+	os.Exit(standin.RunWithFixedSeed(m))
 }
 
 const second = 1000 * monotime.Millisecond
@@ -143,7 +143,7 @@
 // runUntil takes turns until a condition holds, and fails the test where that takes too long.
 func (f *testFleet) runUntil(description string, holds func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(standin.Patience)
+	deadline := time.Now().Add(standin.WaitTimeout)
 	for !holds() {
 		require.True(f.t, time.Now().Before(deadline), "not in time: %s", description)
 		f.turn()
--- a/internal/peering/hollow.go
+++ b/internal/peering/hollow.go
@@ -44,14 +44,14 @@
 	return &Hollow{Host: NewHost(loop)}, nil
 }
 
-// Do runs a function on the loop, within a tick. It may be called from any goroutine.
-func (h *Hollow) Do(work func()) { h.tasks.Add(work) }
+// Post runs a function on the loop, within a tick. It may be called from any goroutine.
+func (h *Hollow) Post(work func()) { h.tasks.Post(work) }
 
 // Stop ends Run within a tick. It may be called from any goroutine.
-func (h *Hollow) Stop() { h.Do(func() { h.stopped = true }) }
+func (h *Hollow) Stop() { h.Post(func() { h.stopped = true }) }
 
-// CurrentTime returns the time of this turn of the loop, in microseconds of Unix time that never goes back.
-func (h *Hollow) CurrentTime() monotime.Micros { return h.TurnTime }
+// Now returns the time of this turn of the loop, in microseconds of Unix time that never goes back.
+func (h *Hollow) Now() monotime.Micros { return h.TurnTime }
 
 // Start starts a front end under its configured name and addresses, and returns its incarnation. It returns
 // ErrDuplicateHollow where one of that name runs here, or the error of building it or of listening.
@@ -61,7 +61,7 @@
 	}
 	firstTickDelay := monotime.Micros(seed % uint64(eventloop.TickInterval)) // processes do not tick in step
 	f := &hollowFrontEnd{nextTick: h.TurnTime + firstTickDelay}
-	program := Program{Host: &h.Host, Seed: seed, Post: h.Do, Draining: func() bool { return false }}
+	program := Program{Host: &h.Host, Seed: seed, Post: h.Post, Draining: func() bool { return false }}
 	if f.Peering, err = NewPeering(program, cfg); err != nil {
 		return 0, err
 	}
--- a/internal/peering/hollow_test.go
+++ b/internal/peering/hollow_test.go
@@ -29,12 +29,12 @@
 	require.NoError(t, err)
 	t.Cleanup(h.Close)
 	f := &hollowFleet{Hollow: h, t: t, config: map[string]*config.Peers{}, incarnations: map[string]uint64{}}
-	var members []site.Member
+	var members []site.ControlMember
 	for i := range size {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer listener.Close()
-		members = append(members, site.Member{Name: fmt.Sprintf("n%d", i+1), Address: listener.Addr().String(), Zone: "a"})
+		members = append(members, site.ControlMember{Name: fmt.Sprintf("n%d", i+1), Address: listener.Addr().String(), Zone: "a"})
 	}
 	text, err := json.Marshal(map[string]any{"fleet": map[string]any{"enabled": true, "site": "test", "members": members}})
 	require.NoError(t, err)
@@ -44,7 +44,7 @@
 	require.NoError(t, err)
 	for _, m := range members {
 		f.names = append(f.names, m.Name)
-		f.config[m.Name], err = file.Fleet.Options(m.Name, parsed, site.MemoryMB)
+		f.config[m.Name], err = file.Fleet.Options(m.Name, parsed, site.MemoryLimitMB)
 		require.NoError(t, err)
 	}
 	return f
@@ -64,14 +64,14 @@
 		if holds() {
 			return
 		}
-		require.NoError(f.t, f.Run(f.CurrentTime()+10*monotime.Millisecond))
+		require.NoError(f.t, f.Run(f.Now()+10*monotime.Millisecond))
 	}
 	require.Fail(f.t, "the condition does not hold within 30 s of the loop's time")
 }
 
 // countComplete returns how many see all as alive.
 func (f *hollowFleet) countComplete() int {
-	complete, _ := f.Complete(len(f.names))
+	complete, _ := f.CountComplete(len(f.names))
 	return complete
 }
 
@@ -115,9 +115,9 @@
 		f.start(name)
 	}
 	f.runUntil(func() bool { return f.countComplete() == size })
-	require.NoError(t, f.Pause("n2", f.CurrentTime()+1000*monotime.Millisecond))
+	require.NoError(t, f.Pause("n2", f.Now()+1000*monotime.Millisecond))
 	before, _ := f.Traffic("n2")
-	require.NoError(t, f.Run(f.CurrentTime()+900*monotime.Millisecond))
+	require.NoError(t, f.Run(f.Now()+900*monotime.Millisecond))
 	after, _ := f.Traffic("n2")
 	assert.Equal(t, before, after)
 	f.runUntil(func() bool { t, _ := f.Traffic("n2"); return t.HeartbeatsIn > after.HeartbeatsIn+2*size })
@@ -125,7 +125,7 @@
 
 	seen := monotime.Micros(-1)
 	require.NoError(t, f.Kill("n4"))
-	f.Await(Change{Name: "n4", Incarnation: f.incarnations["n4"], Gone: true}, func(at monotime.Micros) { seen = at })
+	f.AwaitChange(Change{Name: "n4", Incarnation: f.incarnations["n4"], Removed: true}, func(at monotime.Micros) { seen = at })
 	assert.EqualValues(t, -1, seen, "an end is noticed by missing heartbeats only")
 	for _, name := range f.names[:3] {
 		assert.LessOrEqual(t, f.Connections(name), 2*(size-1))
@@ -138,7 +138,7 @@
 
 	f.start("n4")
 	seen = -1
-	f.Await(Change{Name: "n4", Incarnation: f.incarnations["n4"]}, func(at monotime.Micros) { seen = at })
+	f.AwaitChange(Change{Name: "n4", Incarnation: f.incarnations["n4"]}, func(at monotime.Micros) { seen = at })
 	assert.EqualValues(t, -1, seen)
 	f.runUntil(func() bool { return seen > 0 })
 }
@@ -152,15 +152,15 @@
 	f.runUntil(func() bool { return f.countComplete() == 3 })
 	var seenAt []monotime.Micros
 	never := Change{Name: "n1", Incarnation: 1}
-	f.Await(never, func(at monotime.Micros) { seenAt = append(seenAt, at) })
-	require.NoError(t, f.Pause("n2", f.CurrentTime()+60_000*monotime.Millisecond))
+	f.AwaitChange(never, func(at monotime.Micros) { seenAt = append(seenAt, at) })
+	require.NoError(t, f.Pause("n2", f.Now()+60_000*monotime.Millisecond))
 	assert.Empty(t, seenAt)
 	require.NoError(t, f.Kill("n3"))
 	assert.Equal(t, []monotime.Micros{0}, seenAt, "nobody has seen it")
-	f.Await(never, func(at monotime.Micros) { seenAt = append(seenAt, at) })
+	f.AwaitChange(never, func(at monotime.Micros) { seenAt = append(seenAt, at) })
 	assert.Equal(t, []monotime.Micros{0, 0}, seenAt, "nobody is left to see it")
-	killed := Change{Name: "n3", Incarnation: f.incarnations["n3"], Gone: true}
-	f.Await(killed, func(at monotime.Micros) { seenAt = append(seenAt, at) })
+	killed := Change{Name: "n3", Incarnation: f.incarnations["n3"], Removed: true}
+	f.AwaitChange(killed, func(at monotime.Micros) { seenAt = append(seenAt, at) })
 	f.runUntil(func() bool { return len(seenAt) == 3 })
 	assert.Positive(t, seenAt[2])
 	assert.ErrorIs(t, f.Kill("n3"), ErrUnknownHollow)
--- a/internal/peering/hollowchange.go
+++ b/internal/peering/hollowchange.go
@@ -11,7 +11,7 @@
 type Change struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
-	Gone        bool   `json:"gone"` // dead or left
+	Removed     bool   `json:"gone"` // dead or left
 }
 
 // pendingChange is a change that not all front ends here have seen yet.
@@ -22,10 +22,10 @@
 	onSeen   func(lastSeen monotime.Micros)
 }
 
-// Await calls done, on the loop, once every front end that runs here now has seen a change, or has ended or been
+// AwaitChange calls done, on the loop, once every front end that runs here now has seen a change, or has ended or been
 // paused. The front end that the change is about does not count. Seen is the time of the tick in which the last of
 // them saw it; 0 where none has.
-func (h *Hollow) Await(change Change, done func(seen monotime.Micros)) {
+func (h *Hollow) AwaitChange(change Change, done func(seen monotime.Micros)) {
 	pending := &pendingChange{change: change, unseenBy: map[*hollowFrontEnd]struct{}{}, onSeen: done}
 	for _, f := range h.frontEnds {
 		switch {
@@ -43,8 +43,8 @@
 	h.pendingChanges = append(h.pendingChanges, pending)
 }
 
-// Waiting returns, for each change that is awaited, the names of the front ends here that have not seen it yet.
-func (h *Hollow) Waiting() map[Change][]string {
+// PendingChanges returns, for each change that is awaited, the names of the front ends here that have not seen it yet.
+func (h *Hollow) PendingChanges() map[Change][]string {
 	waiting := map[Change][]string{}
 	for _, pending := range h.pendingChanges {
 		for _, f := range h.frontEnds {
@@ -98,18 +98,18 @@
 	if view := p.fleetNode.View(); view != nil {
 		return viewShows(view, change)
 	}
-	peer := p.controlNode.Members().Lookup(change.Name)
+	peer := p.controlNode.Monitor().Lookup(change.Name)
 	if peer == nil || peer.Incarnation != change.Incarnation {
-		return change.Gone
+		return change.Removed
 	}
-	if change.Gone {
+	if change.Removed {
 		return peer.State == heartbeat.Dead || peer.State == heartbeat.Left
 	}
 	return peer.State == heartbeat.Alive
 }
 
 func viewShows(view *membership.View, change Change) bool {
-	if !change.Gone {
+	if !change.Removed {
 		return view.Alive(change.Incarnation)
 	}
 	e, known := view.Lookup(change.Name)
--- a/internal/peering/hollowview.go
+++ b/internal/peering/hollowview.go
@@ -26,9 +26,9 @@
 	return f.connectionCount()
 }
 
-// Complete returns how many front ends here see a total of so many as alive, themselves included, and the lowest number
+// CountComplete returns how many front ends here see a total of so many as alive, themselves included, and the lowest number
 // that any of them sees.
-func (h *Hollow) Complete(total int) (complete, least int) {
+func (h *Hollow) CountComplete(total int) (complete, least int) {
 	least = total
 	countByDigest := map[uint64]int{} // most views are equal
 	for _, f := range h.frontEnds {
@@ -68,7 +68,7 @@
 // countAliveMembers returns how many control members this one sees as alive, itself included.
 func (p *Peering) countAliveMembers() int {
 	alive := 1
-	for _, peer := range p.controlNode.Members().Peers() {
+	for _, peer := range p.controlNode.Monitor().Peers() {
 		if peer.State == heartbeat.Alive {
 			alive++
 		}
--- a/internal/peering/host.go
+++ b/internal/peering/host.go
@@ -37,7 +37,7 @@
 }
 
 // takeoverCore returns what takes over requests of other front ends.
-func (p *Program) takeoverCore() idempotencyclient.Core {
+func (p *Program) takeoverCore() idempotencyclient.TakeoverHandler {
 	if p.Core == nil {
 		return takeoverRefuser{}
 	}
--- a/internal/peering/lifecycle.go
+++ b/internal/peering/lifecycle.go
@@ -15,7 +15,7 @@
 			return err
 		}
 	}
-	if p.cfg.Admin != "" {
+	if p.cfg.AdminSocket != "" {
 		p.adminListener, err = newAdminListener(p)
 	}
 	return err
--- a/internal/peering/linklistener.go
+++ b/internal/peering/linklistener.go
@@ -65,7 +65,7 @@
 	l.peering.inbound[in] = struct{}{}
 	var nonce [16]byte
 	_, _ = rand.Read(nonce[:]) // it never fails
-	in.writeHandshake(in.handshake.Challenge(nonce, l.peering.cfg.MostBulk))
+	in.writeHandshake(in.handshake.Challenge(nonce, l.peering.cfg.MaxMessageBytes))
 }
 
 func (l *linkListener) newInboundLink(fd int) *inboundLink {
@@ -85,7 +85,7 @@
 	if in.handshake.AcceptsAttached {
 		maxOutput = linkOutputBytes
 	}
-	in.budget.Most = linkInputBytes + maxOutput
+	in.budget.Max = linkInputBytes + maxOutput
 	in.open(fd, maxOutput, unix.EPOLLIN)
 	return in
 }
--- a/internal/peering/outboundlink.go
+++ b/internal/peering/outboundlink.go
@@ -50,8 +50,8 @@
 func newOutboundLink(p *Peering, name string, addr netip.AddrPort) *outboundLink {
 	l := &outboundLink{name: name, addr: addr}
 	l.peering = p
-	l.queue = transport.Queue{MaxUrgentBytes: maxUrgentQueueBytes, MaxBulkBytes: p.cfg.MostBulk}
-	l.budget.Most = linkOutputBytes + linkInputBytes
+	l.queue = transport.Queue{MaxUrgentBytes: maxUrgentQueueBytes, MaxBulkBytes: p.cfg.MaxMessageBytes}
+	l.budget.Max = linkOutputBytes + linkInputBytes
 	l.Closed = true
 	return l
 }
@@ -117,7 +117,7 @@
 		Local:        l.peering.self,
 		ExpectedName: l.name,
 		Secret:       l.peering.cfg.Secret,
-		MaxInbound:   l.peering.cfg.MostBulk,
+		MaxInbound:   l.peering.cfg.MaxMessageBytes,
 	}
 	if err := l.peering.Host.Loop.Add(fd, l.Interest, l); err != nil {
 		l.fail(err)
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -88,17 +88,17 @@
 		jitterState: program.Seed | 1, // the generator needs a state other than zero
 	}
 	incarnation := randomID()
-	if cfg.Attached != nil && cfg.Attached.Here {
+	if cfg.Attached != nil && cfg.Attached.IsAttached {
 		p.startAttached(cfg, incarnation)
 	} else if err := p.startControlMember(cfg, incarnation); err != nil {
 		return nil, err
 	}
-	clientConfig := cfg.RecordClient
+	clientConfig := cfg.IdempotencyClient
 	clientConfig.Incarnation = incarnation
 	p.idempotencyClient = idempotencyclient.New(clientConfig, p.fleetNode, p.takeoverCore())
 	p.self = p.newIdentity(incarnation)
 	if p.controlNode != nil {
-		for name, addr := range cfg.Others {
+		for name, addr := range cfg.Members {
 			p.outbound[name] = newOutboundLink(p, name, addr)
 		}
 	}
--- a/internal/peering/statuspage.go
+++ b/internal/peering/statuspage.go
@@ -33,36 +33,36 @@
 	replica := p.controlNode.Replica()
 	index, digest := replica.LastApplied()
 	s := Status{
-		Site:        p.cfg.Site,
-		Name:        p.cfg.Name,
-		Incarnation: formatID(p.self.Incarnation),
-		Copy:        formatID(replica.ID()),
-		Lasting:     p.cfg.Folder != "",
-		Group:       formatID(replica.Group()),
-		Role:        replicaRole(replica),
-		Leader:      p.controlNode.ReplicaName(replica.Leader()),
-		Term:        replica.Term(),
-		Applied:     index,
-		Sum:         formatID(digest),
-		Differing:   replica.Divergent,
-		Elections:   replica.Elections,
-		Commits:     replica.Commits,
-		Snapshots:   replica.Snapshots,
-		HandOvers:   replica.LeaderTransfers,
-		Relayed:     p.controlNode.Relayed,
-		Loads:       p.idempotencyRegistry.Len(),
-		LoadBytes:   p.idempotencyRegistry.Bytes(),
-		Held:        p.idempotencyClient.Len(),
-		Copies:      replicaStatuses(replica),
-		Members:     []MemberStatus{},
+		Site:            p.cfg.Site,
+		Name:            p.cfg.Name,
+		Incarnation:     formatID(p.self.Incarnation),
+		ReplicaID:       formatID(replica.ID()),
+		Durable:         p.cfg.Folder != "",
+		Group:           formatID(replica.GroupID()),
+		Role:            replicaRole(replica),
+		Leader:          p.controlNode.ReplicaName(replica.Leader()),
+		Term:            replica.Term(),
+		Applied:         index,
+		Digest:          formatID(digest),
+		Divergent:       replica.Divergences,
+		Elections:       replica.ElectionsStarted,
+		Commits:         replica.CommandsApplied,
+		Snapshots:       replica.SnapshotsTaken,
+		LeaderTransfers: replica.LeaderTransfers,
+		Relayed:         p.controlNode.Relayed,
+		Records:         p.idempotencyRegistry.Len(),
+		RecordBytes:     p.idempotencyRegistry.Bytes(),
+		InProgress:      p.idempotencyClient.Len(),
+		Replicas:        replicaStatuses(replica),
+		Members:         []MemberStatus{},
 	}
 	if err := replica.Err(); err != nil {
 		s.Error = err.Error()
 	}
-	if !s.Lasting {
+	if !s.Durable {
 		s.Warning = memoryOnlyWarning
 	}
-	for _, peer := range p.controlNode.Members().Peers() {
+	for _, peer := range p.controlNode.Monitor().Peers() {
 		s.Members = append(s.Members, p.newPeerStatus(peer))
 	}
 	p.addAttachedMembers(&s)
@@ -78,7 +78,7 @@
 		return roleLeader
 	case replica.IsVoter():
 		return roleVoter
-	case replica.Group() != 0:
+	case replica.GroupID() != 0:
 		return roleLearner
 	}
 	return roleNone
@@ -89,10 +89,10 @@
 	voters, learners := replica.Members()
 	statuses := []ReplicaStatus{}
 	for _, m := range voters {
-		statuses = append(statuses, ReplicaStatus{Copy: formatID(m.ID), Name: m.Name, Zone: m.Zone, Votes: true})
+		statuses = append(statuses, ReplicaStatus{ReplicaID: formatID(m.ID), Name: m.Name, Zone: m.Zone, Voter: true})
 	}
 	for _, m := range learners {
-		statuses = append(statuses, ReplicaStatus{Copy: formatID(m.ID), Name: m.Name, Zone: m.Zone})
+		statuses = append(statuses, ReplicaStatus{ReplicaID: formatID(m.ID), Name: m.Name, Zone: m.Zone})
 	}
 	return statuses
 }
@@ -103,7 +103,7 @@
 		Zone:        peer.Zone,
 		State:       peer.State.String(),
 		Incarnation: formatID(peer.Incarnation),
-		Link:        p.outbound[peer.Name].established(),
+		Linked:      p.outbound[peer.Name].established(),
 	}
 }
 
@@ -126,7 +126,7 @@
 	s.Attached.Links = p.controlNode.AttachedCount()
 	s.Attached.Counters = server.Counters
 	s.Attached.Forwarded = p.controlNode.Forwarded
-	s.Attached.Lost = p.controlNode.Undeliverable
+	s.Attached.Undeliverable = p.controlNode.Undeliverable
 }
 
 // attachedStatus returns the status page of an attached front end. It has no replica, and its view is its home's.
@@ -136,12 +136,12 @@
 		Site:        p.cfg.Site,
 		Name:        p.cfg.Name,
 		Incarnation: formatID(p.self.Incarnation),
-		Copy:        formatID(0),
+		ReplicaID:   formatID(0),
 		Group:       formatID(0),
-		Sum:         formatID(0),
+		Digest:      formatID(0),
 		Role:        membership.Attached.String(),
-		Held:        p.idempotencyClient.Len(),
-		Copies:      []ReplicaStatus{},
+		InProgress:  p.idempotencyClient.Len(),
+		Replicas:    []ReplicaStatus{},
 		Members:     p.viewMembers(view),
 		Attached:    newViewStatus(view, p.Host.TurnTime, p.attachedNode.Home()),
 	}
@@ -174,7 +174,7 @@
 		Zone:        entry.Zone,
 		State:       entry.State.String(),
 		Incarnation: formatID(entry.Incarnation),
-		Link:        linked,
+		Linked:      linked,
 		Role:        entry.Role.String(),
 	}
 	if entry.Role == membership.Attached {
@@ -189,9 +189,9 @@
 		age = -monotime.Millisecond // the page has -1
 	}
 	return &ViewStatus{
-		On:         true,
+		Enabled:    true,
 		Home:       home,
-		ViewAge:    age / monotime.Millisecond,
+		ViewAgeMS:  age / monotime.Millisecond,
 		ViewDigest: formatID(view.Digest()),
 		ViewLen:    view.Len(),
 	}
--- a/internal/rest/facts_test.go
+++ b/internal/rest/facts_test.go
@@ -14,13 +14,13 @@
 // read gives a query one answer of an engine.
 func read(t *testing.T, q *Query, answer string) (r Response, result scheduler.Result, ended bool, err error) {
 	t.Helper()
-	in := ring.New(MaxResponse, &ring.Budget{Most: MaxResponse})
+	in := ring.New(MaxResponse, &ring.Budget{Max: MaxResponse})
 	_, err = in.Write([]byte(answer))
 	require.NoError(t, err)
 	r, ok, err := NextResponse(in)
 	require.NoError(t, err)
 	require.True(t, ok)
-	result, ended, err = q.Take(r)
+	result, ended, err = q.HandleResponse(r)
 	return r, result, ended, err
 }
 
@@ -36,7 +36,7 @@
 
 // A note is read where it is one of those there are. Else it is counted and says nothing, and the answer that it came with is good.
 func TestNotes(t *testing.T) {
-	for headers, want := range map[string]*Note{
+	for headers, want := range map[string]*Progress{
 		"":                                      nil,
 		"Outcome: p\r\nX-Num: 0.25\r\n":         {scheduler.ProgressFraction, 0.25},
 		"Outcome: s\r\nX-Num: 96\r\n":           {scheduler.ProgressSpill, 96},
@@ -64,8 +64,8 @@
 		require.NoError(t, err, headers)
 		assert.False(t, ended)
 		assert.True(t, q.Polling())
-		assert.Equal(t, want, q.Note(), headers)
-		assert.Equal(t, headers != "" && want == nil, r.Odd == 1, headers)
+		assert.Equal(t, want, q.Progress(), headers)
+		assert.Equal(t, headers != "" && want == nil, r.MalformedHeaders == 1, headers)
 	}
 	q := started() // an end holds no note, and the note of one answer is not that of the next
 	_, _, _, err := read(t, q, with(noNews, "Outcome: p\r\nX-Num: 0.25\r\n"))
@@ -74,7 +74,7 @@
 	require.NoError(t, err)
 	assert.True(t, ended)
 	assert.Equal(t, scheduler.Succeeded, result)
-	assert.Nil(t, q.Note())
+	assert.Nil(t, q.Progress())
 }
 
 // What a query took is read from a good end. What can't be is counted, and the end stays good.
@@ -94,7 +94,7 @@
 		assert.Equal(t, scheduler.Succeeded, result, headers)
 		assert.Equal(t, "a\tb\tc\n", string(q.Rows()))
 		assert.Equal(t, want, q.Cost(), headers)
-		assert.LessOrEqual(t, r.Odd, 2)
+		assert.LessOrEqual(t, r.MalformedHeaders, 2)
 	}
 }
 
@@ -103,14 +103,14 @@
 func TestPriorities(t *testing.T) {
 	q := NewQuery("h", Start{ID: "1", Class: "c", Statement: []byte("x"), Priority: 2})
 	assert.Contains(t, string(q.Call()), "\r\nX-Weight-Class: 2\r\n")
-	q.Renice(0)
-	assert.True(t, q.Posting())
+	q.SetPriority(0)
+	assert.True(t, q.StartPending())
 	_, _, _, err := read(t, q, with(noNews, ""))
 	require.NoError(t, err)
 	put := string(q.Call())
 	assert.True(t, strings.HasPrefix(put, "PUT /v1/store/1 HTTP/1.1\r\n") && strings.HasSuffix(put, "\r\nContent-Length: 1\r\n\r\n0"), put)
 	_, _, _, err = read(t, q, with(noNews, ""))
-	assert.ErrorIs(t, err, ErrStray)
+	assert.ErrorIs(t, err, ErrStaleResponse)
 	q.Resume()
 	assert.Equal(t, put, string(q.Call()), "again, on another connection")
 	_, _, ended, err := read(t, q, "HTTP/1.1 204 No Content\r\n\r\n")
@@ -120,8 +120,8 @@
 	_, _, _, err = read(t, q, with(noNews, ""))
 	require.NoError(t, err)
 	assert.True(t, strings.HasPrefix(string(q.Call()), "GET "), "it is known now")
-	q.Renice(3)
-	q.Drop()
+	q.SetPriority(3)
+	q.Cancel()
 	assert.True(t, strings.HasPrefix(string(q.Call()), "DELETE "), "nothing is told of what is given up")
 	q = NewQuery("h", Start{ID: "1", Class: "c", Statement: []byte("x"), Priority: -1})
 	assert.NotContains(t, string(q.Call()), "Weight")
--- a/internal/rest/fuzz_test.go
+++ b/internal/rest/fuzz_test.go
@@ -13,7 +13,7 @@
 	f.Add([]byte("HTTP/1.1 202 Accepted\r\nOutcome: p\r\nX-Num: 0.5\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 x\r\nNever-Ran: 1\r\nContent-Length: 0\r\n\r\n"), 1)
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 500 x\r\nContent-Length: 3000000000\r\n\r\n"), 50)
 	f.Fuzz(func(t *testing.T, data []byte, piece int) {
-		in := ring.New(MaxResponse, &ring.Budget{Most: MaxResponse})
+		in := ring.New(MaxResponse, &ring.Budget{Max: MaxResponse})
 		q := NewQuery("h", Start{ID: "1", Class: "c", Statement: []byte("x"), Priority: 1})
 		q.Call()
 		piece = max(1, piece)
@@ -35,7 +35,7 @@
 				if in.Len() >= before {
 					t.Fatal("an answer of no bytes")
 				}
-				result, ended, err := q.Take(r)
+				result, ended, err := q.HandleResponse(r)
 				if len(q.Rows()) > maxRows {
 					t.Fatalf("%d bytes of rows", len(q.Rows()))
 				}
@@ -48,7 +48,7 @@
 				if ended {
 					return
 				}
-				q.Renice(len(data) % 4)
+				q.SetPriority(len(data) % 4)
 				q.Call()
 			}
 		}
--- a/internal/rest/query.go
+++ b/internal/rest/query.go
@@ -19,11 +19,11 @@
 
 // Start is what an engine is told of a query; id, class, statement and once-key are the client's own.
 type Start struct {
-	ID, Class, Once string
-	Statement       []byte
-	Wait            monotime.Micros
-	GrantMB         float64 // 0: the engine chooses
-	Priority        int     // negative: none is told
+	ID, Class, IdempotencyKey string
+	Statement                 []byte
+	Timeout                   monotime.Micros
+	GrantMB                   float64 // 0: the engine chooses
+	Priority                  int     // negative: none is told
 }
 
 type state int
@@ -49,13 +49,13 @@
 	rows  []byte
 	load  *scheduler.LoadReport
 	told  int // the priority that the engine knows
-	note  *Note
+	note  *Progress
 	cost  Cost
 }
 
-// Note is an engine's word on a running query: how far it is (the share done), that it spills (megabytes missing), or what it waits
+// Progress is an engine's word on a running query: how far it is (the share done), that it spills (megabytes missing), or what it waits
 // for (1 for memory, 2 for a load).
-type Note struct {
+type Progress struct {
 	Kind  scheduler.ProgressKind
 	Value float64
 }
@@ -71,21 +71,21 @@
 	return &Query{start: start, host: host, told: start.Priority}
 }
 
-// NewProbe is a question for an engine's load.
-func NewProbe(host string) *Query { return &Query{host: host, state: probing} }
+// NewHealthCheck is a question for an engine's load.
+func NewHealthCheck(host string) *Query { return &Query{host: host, state: probing} }
 
-// ErrStray says that an answer to a DELETE is none: a copy of an earlier answer, which has come late, says nothing of whether
+// ErrStaleResponse says that an answer to a DELETE is none: a copy of an earlier answer, which has come late, says nothing of whether
 // the DELETE has arrived.
-var ErrStray = errors.New("rest: an answer to an earlier call")
+var ErrStaleResponse = errors.New("rest: an answer to an earlier call")
 
-// Posting says whether the start has not been answered yet.
-func (q *Query) Posting() bool { return q.state == posting }
+// StartPending says whether the start has not been answered yet.
+func (q *Query) StartPending() bool { return q.state == posting }
 
 // Polling says whether the query is known to run and its end is awaited.
 func (q *Query) Polling() bool { return q.state == polling }
 
-// Dropping says whether the query is being given up.
-func (q *Query) Dropping() bool { return q.state == dropping }
+// Canceling says whether the query is being given up.
+func (q *Query) Canceling() bool { return q.state == dropping }
 
 // Resume turns a query whose last call has no readable answer to one that may be asked again. A POST may not:
 // the query's news is asked for instead, which holds the answer if it has run.
@@ -95,18 +95,18 @@
 	}
 }
 
-// Renice has the engine run the query at another priority. It is told between two questions: a call of its own could overtake the
+// SetPriority has the engine run the query at another priority. It is told between two questions: a call of its own could overtake the
 // start.
-func (q *Query) Renice(priority int) { q.start.Priority = priority }
+func (q *Query) SetPriority(priority int) { q.start.Priority = priority }
 
-// Note is the engine's word that came with the last answer, if there was one.
-func (q *Query) Note() *Note { return q.note }
+// Progress is the engine's word that came with the last answer, if there was one.
+func (q *Query) Progress() *Progress { return q.note }
 
 // Cost is what the engine says that the query took, once Take has said Done.
 func (q *Query) Cost() Cost { return q.cost }
 
-// Drop turns the query to giving up: its next call is the DELETE.
-func (q *Query) Drop() { q.state = dropping }
+// Cancel turns the query to giving up: its next call is the DELETE.
+func (q *Query) Cancel() { q.state = dropping }
 
 // Rows is the result once Take has said Done.
 func (q *Query) Rows() []byte { return q.rows }
@@ -135,9 +135,9 @@
 	}
 	s := q.start
 	b := fmt.Appendf(nil, "POST /v1/store HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nKind: %s\r\nTimeout-Ms: %d\r\n",
-		q.host, s.ID, s.Class, max(1, s.Wait/1000))
-	if s.Once != "" {
-		b = fmt.Appendf(b, "Once-Key: %s\r\n", s.Once)
+		q.host, s.ID, s.Class, max(1, s.Timeout/1000))
+	if s.IdempotencyKey != "" {
+		b = fmt.Appendf(b, "Once-Key: %s\r\n", s.IdempotencyKey)
 	}
 	if s.GrantMB > 0 {
 		b = fmt.Appendf(b, "X-Reserve: %s\r\n", strconv.FormatFloat(s.GrantMB, 'f', -1, 64))
@@ -154,21 +154,21 @@
 	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, q.host)
 }
 
-// Take feeds the answer to the last call. Where the query has ended, result tells how; else Call is to
+// HandleResponse feeds the answer to the last call. Where the query has ended, result tells how; else Call is to
 // follow at once. An error says that the answer is spoilt: the call has no readable answer.
-func (q *Query) Take(r Response) (result scheduler.Result, ended bool, err error) {
+func (q *Query) HandleResponse(r Response) (result scheduler.Result, ended bool, err error) {
 	if r.Load != "" {
 		q.load = readLoad(r.Load)
 	}
 	q.note = nil
 	switch {
 	case q.state == renicing && (r.Status == 200 || r.Status == 202): // says nothing of whether the PUT has arrived
-		return 0, false, ErrStray
+		return 0, false, ErrStaleResponse
 	case q.state == renicing: // what is wrong with the query itself its news will tell
 		q.state, q.told = polling, q.start.Priority
 		return 0, false, nil
 	case q.state == dropping && (r.Status == 200 || r.Status == 202):
-		return 0, false, ErrStray
+		return 0, false, ErrStaleResponse
 	case q.state == dropping:
 		return scheduler.Canceled, true, nil
 	case q.state == probing && r.Status == 200:
@@ -191,11 +191,11 @@
 	}
 	switch {
 	case max(0, r.Page) != q.page:
-		return 0, false, fmt.Errorf("%w: page %d for page %d", ErrResponse, r.Page, q.page)
+		return 0, false, fmt.Errorf("%w: page %d for page %d", ErrMalformedResponse, r.Page, q.page)
 	case pages < 1 || pages > maxPages || len(q.rows)+len(r.Body) > maxRows:
-		return 0, false, fmt.Errorf("%w: %d pages, %d bytes", ErrResponse, pages, len(q.rows)+len(r.Body))
+		return 0, false, fmt.Errorf("%w: %d pages, %d bytes", ErrMalformedResponse, pages, len(q.rows)+len(r.Body))
 	case !wholeRows(r.Body):
-		return 0, false, fmt.Errorf("%w: page %d does not hold whole rows", ErrResponse, q.page)
+		return 0, false, fmt.Errorf("%w: page %d does not hold whole rows", ErrMalformedResponse, q.page)
 	}
 	if q.state != paging {
 		q.cost = r.Cost
@@ -225,7 +225,7 @@
 
 // readLoad reads a load report; what it does not name is negative.
 func readLoad(text string) *scheduler.LoadReport {
-	load := &scheduler.LoadReport{Util: -1, Queue: -1, Memory: -1, Disk: -1}
+	load := &scheduler.LoadReport{Utilization: -1, Queue: -1, Memory: -1, Disk: -1}
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(part, ":")
 		x, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
@@ -234,7 +234,7 @@
 		}
 		switch strings.TrimSpace(name) {
 		case "util":
-			load.Util = x
+			load.Utilization = x
 		case "queue":
 			load.Queue = x
 		case "x0":
--- a/internal/rest/response.go
+++ b/internal/rest/response.go
@@ -24,21 +24,21 @@
 	MaxResponse = maxHead + maxBody
 )
 
-// ErrResponse says that the stream holds no answer of ours, or a spoilt one: the connection has to end.
-var ErrResponse = errors.New("rest: unreadable answer")
+// ErrMalformedResponse says that the stream holds no answer of ours, or a spoilt one: the connection has to end.
+var ErrMalformedResponse = errors.New("rest: unreadable answer")
 
 // Response is one whole answer of an engine.
 type Response struct {
-	Status   int
-	NeverRan bool
-	Pages    int    // X-Batches, 0 without
-	Page     int    // X-Batch, -1 without
-	Load     string // Load-Report
-	Note     *Note  // Outcome and X-Num, where they make one
-	Cost     Cost   // X-Spent and X-Wanted, as far as they can be
-	Odd      int    // notes and costs that can't be
-	Close    bool   // the engine closes the connection after it
-	Body     []byte // valid until the buffer is fed again
+	Status           int
+	NeverRan         bool
+	Pages            int       // X-Batches, 0 without
+	Page             int       // X-Batch, -1 without
+	Load             string    // Load-Report
+	Note             *Progress // Outcome and X-Num, where they make one
+	Cost             Cost      // X-Spent and X-Wanted, as far as they can be
+	MalformedHeaders int       // notes and costs that can't be
+	Close            bool      // the engine closes the connection after it
+	Body             []byte    // valid until the buffer is fed again
 }
 
 // NextResponse takes the next whole answer from what has come; ok is false until there is one. Interim answers
@@ -48,12 +48,12 @@
 	for {
 		end = bytes.Index(data, []byte("\r\n\r\n"))
 		if end > maxHead || end < 0 && len(data) > maxHead {
-			return r, false, fmt.Errorf("%w: head too long", ErrResponse)
+			return r, false, fmt.Errorf("%w: head too long", ErrMalformedResponse)
 		}
 		if end < 0 {
 			// What can't become a status line is not waited for.
 			if n := min(len(data), len(protocol)); string(data[:n]) != protocol[:n] {
-				return r, false, fmt.Errorf("%w: status line %.40q", ErrResponse, data)
+				return r, false, fmt.Errorf("%w: status line %.40q", ErrMalformedResponse, data)
 			}
 			return r, false, nil
 		}
@@ -80,28 +80,28 @@
 	r.Page, length = -1, -1
 	var kind, number string
 	if !strings.HasPrefix(line, protocol) || len(line) < 12 || line[8] != ' ' {
-		return r, 0, fmt.Errorf("%w: status line %.40q", ErrResponse, line)
+		return r, 0, fmt.Errorf("%w: status line %.40q", ErrMalformedResponse, line)
 	}
 	if r.Status, err = strconv.Atoi(line[9:12]); err != nil || r.Status < 100 || r.Status == 101 {
-		return r, 0, fmt.Errorf("%w: status line %.40q", ErrResponse, line)
+		return r, 0, fmt.Errorf("%w: status line %.40q", ErrMalformedResponse, line)
 	}
 	r.Close = line[7] == '0'
 	for rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
 		if !ok {
-			return r, 0, fmt.Errorf("%w: header %.40q", ErrResponse, line)
+			return r, 0, fmt.Errorf("%w: header %.40q", ErrMalformedResponse, line)
 		}
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "content-length":
 			n, err := strconv.Atoi(value)
 			if err != nil || n < 0 || n > maxBody || length >= 0 && n != length {
-				return r, 0, fmt.Errorf("%w: Content-Length %.40q", ErrResponse, value)
+				return r, 0, fmt.Errorf("%w: Content-Length %.40q", ErrMalformedResponse, value)
 			}
 			length = n
 		case "transfer-encoding":
-			return r, 0, fmt.Errorf("%w: Transfer-Encoding %.40q", ErrResponse, value)
+			return r, 0, fmt.Errorf("%w: Transfer-Encoding %.40q", ErrMalformedResponse, value)
 		case "connection":
 			r.Close = strings.EqualFold(value, "close")
 		case "never-ran":
@@ -122,7 +122,7 @@
 			r.Cost.MemoryMB = r.figure(value, mostSpent)
 		}
 		if err != nil {
-			return r, 0, fmt.Errorf("%w: %s %.40q", ErrResponse, name, value)
+			return r, 0, fmt.Errorf("%w: %s %.40q", ErrMalformedResponse, name, value)
 		}
 	}
 	r.note(kind, number)
@@ -130,7 +130,7 @@
 		length = 0
 	}
 	if length < 0 {
-		return r, 0, fmt.Errorf("%w: no Content-Length", ErrResponse)
+		return r, 0, fmt.Errorf("%w: no Content-Length", ErrMalformedResponse)
 	}
 	return r, length, nil
 }
@@ -142,7 +142,7 @@
 func (r *Response) figure(text string, most float64) float64 {
 	x, err := decimal.Parse(text, most)
 	if err != nil {
-		r.Odd++
+		r.MalformedHeaders++
 	}
 	return x
 }
@@ -160,8 +160,8 @@
 	k, ok := noteKinds[kind]
 	x, err := decimal.Parse(number, k.most)
 	if !ok || err != nil || k.kind == scheduler.ProgressWaiting && x != 1 && x != 2 {
-		r.Odd++
+		r.MalformedHeaders++
 		return
 	}
-	r.Note = &Note{k.kind, x}
+	r.Note = &Progress{k.kind, x}
 }
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -13,7 +13,7 @@
 
 // Budget bounds the storage of many buffers together.
 type Budget struct {
-	Most int // bytes
+	Max  int // bytes
 	used int
 }
 
@@ -104,7 +104,7 @@
 		return true
 	}
 	size = min(b.max, max(size, 2*len(b.buf), first))
-	if b.budget.used+size-len(b.buf) > b.budget.Most {
+	if b.budget.used+size-len(b.buf) > b.budget.Max {
 		return false
 	}
 	b.move(size)
--- a/internal/scale/sockets/change.go
+++ b/internal/scale/sockets/change.go
@@ -141,7 +141,7 @@
 func (r *run) follow(change peering.Change, at monotime.Micros) error {
 	left, last := len(r.hollows), at
 	var mu sync.Mutex
-	r.watch.begun(change.Gone)
+	r.watch.begun(change.Removed)
 	for _, h := range r.hollows {
 		err := h.send(request{Op: opAwait, Change: &change}, func(reply reply) {
 			mu.Lock()
@@ -149,7 +149,7 @@
 			left--
 			last = max(last, reply.SeenAt)
 			if left == 0 {
-				r.watch.reached(change.Gone, time.Duration(last-at)*time.Microsecond)
+				r.watch.reached(change.Removed, time.Duration(last-at)*time.Microsecond)
 			}
 		})
 		if err != nil {
@@ -218,7 +218,7 @@
 	if err != nil {
 		return err
 	}
-	return r.follow(peering.Change{Name: f.name, Incarnation: process.incarnation, Gone: true}, at)
+	return r.follow(peering.Change{Name: f.name, Incarnation: process.incarnation, Removed: true}, at)
 }
 
 // bring starts a front end that doesn't run and follows its start.
--- a/internal/scale/sockets/plan.go
+++ b/internal/scale/sockets/plan.go
@@ -155,10 +155,10 @@
 
 // section is the installation's on the fleet.
 func (p *plan) section(shape scale.Shape) map[string]any {
-	var members []site.Member
+	var members []site.ControlMember
 	for _, f := range p.fronts {
 		if !f.attached {
-			members = append(members, site.Member{Name: f.name, Address: f.address.String(), Zone: f.zone})
+			members = append(members, site.ControlMember{Name: f.name, Address: f.address.String(), Zone: f.zone})
 		}
 	}
 	section := map[string]any{"enabled": true, "site": "scale", "members": members}
--- a/internal/scale/sockets/process.go
+++ b/internal/scale/sockets/process.go
@@ -46,8 +46,8 @@
 	if err := json.Unmarshal(p.section, &section); err != nil {
 		return 0, fmt.Errorf("sockets: %w", err)
 	}
-	files := site.Front{Name: p.name, Listen: p.listen.String(), Seed: strconv.Itoa(p.starts), Journal: p.journal, FrontEnds: p.total,
-		Sockets: max(site.DefaultSockets, p.sockets), Fleet: section}
+	files := site.FrontEndFiles{Name: p.name, ClientAddr: p.listen.String(), Seed: strconv.Itoa(p.starts), DiscoveryAddr: p.journal, SiteSize: p.total,
+		SocketLimit: max(site.DefaultSocketLimit, p.sockets), FleetSection: section}
 	config, installation, err := files.Write(p.dir)
 	if err != nil {
 		return 0, err
--- a/internal/scale/sockets/run.go
+++ b/internal/scale/sockets/run.go
@@ -31,7 +31,7 @@
 	o         *Options
 	plan      *plan
 	dir       string
-	journal   *site.Journal
+	journal   *site.StubDiscovery
 	hollows   []*hollows
 	processes []*process
 	section   json.RawMessage // as installations hold it
@@ -104,7 +104,7 @@
 	if r.dir, err = os.MkdirTemp("", "chutechute-scale-"); err != nil {
 		return fmt.Errorf("sockets: %w", err)
 	}
-	if r.journal, err = site.NewJournal(); err != nil {
+	if r.journal, err = site.NewStubDiscovery(); err != nil {
 		return err
 	}
 	if r.section, err = json.Marshal(r.plan.section(r.o.Shape)); err != nil {
@@ -114,7 +114,7 @@
 		return err
 	}
 	for _, f := range r.plan.real {
-		p := &process{front: f, dir: r.dir, program: r.o.Program, journal: r.journal.Address(), total: r.o.Shape.Total(),
+		p := &process{front: f, dir: r.dir, program: r.o.Program, journal: r.journal.Addr(), total: r.o.Shape.Total(),
 			sockets: socketsShare * r.o.linksOfControl(), section: r.section}
 		r.processes = append(r.processes, p)
 		if err := r.start(f); err != nil {
--- a/internal/scale/sockets/worker.go
+++ b/internal/scale/sockets/worker.go
@@ -40,7 +40,7 @@
 	}
 	w := &worker{hollow: hollow, replies: json.NewEncoder(out), site: parsed}
 	go w.read(in)
-	if err := hollow.Run(hollow.CurrentTime() + most.Microseconds()); err != nil {
+	if err := hollow.Run(hollow.Now() + most.Microseconds()); err != nil {
 		return err
 	}
 	return w.failure
@@ -55,13 +55,13 @@
 			w.hollow.Stop()
 			return
 		}
-		w.hollow.Do(func() { w.take(&q) })
+		w.hollow.Post(func() { w.take(&q) })
 	}
 }
 
 // reply writes a reply; the loop stops where that fails, since nobody listens any more.
 func (w *worker) reply(r reply) {
-	r.At = w.hollow.CurrentTime()
+	r.At = w.hollow.Now()
 	if err := w.replies.Encode(r); err != nil && w.failure == nil {
 		w.failure = fmt.Errorf("sockets: reply: %w", err)
 		w.hollow.Stop()
@@ -80,13 +80,13 @@
 	case opKill:
 		err = w.kill(q.Member)
 	case opPause:
-		err = w.hollow.Pause(q.Member, w.hollow.CurrentTime()+q.Span)
+		err = w.hollow.Pause(q.Member, w.hollow.Now()+q.Span)
 	case opSeen:
-		r.Seen, r.Least = w.hollow.Complete(q.Total)
+		r.Seen, r.Least = w.hollow.CountComplete(q.Total)
 	case opFigures:
 		r.Figures, err = w.figures(q.Collect)
 	case opAwait:
-		w.hollow.Await(*q.Change, func(seen monotime.Micros) { w.reply(reply{ID: q.ID, SeenAt: seen}) })
+		w.hollow.AwaitChange(*q.Change, func(seen monotime.Micros) { w.reply(reply{ID: q.ID, SeenAt: seen}) })
 		return
 	case opWaiting:
 		r.Waiting = w.waiting()
@@ -118,7 +118,7 @@
 	}
 	section := *w.section
 	section.Zone = q.Zone
-	peers, err := section.Options(q.Member, w.site, site.MemoryMB)
+	peers, err := section.Options(q.Member, w.site, site.MemoryLimitMB)
 	if err != nil {
 		return 0, err
 	}
@@ -158,9 +158,9 @@
 
 // waiting is who has not seen which change, in words.
 func (w *worker) waiting() (list []string) {
-	for change, names := range w.hollow.Waiting() {
+	for change, names := range w.hollow.PendingChanges() {
 		what := "start"
-		if change.Gone {
+		if change.Removed {
 			what = "end"
 		}
 		list = append(list, fmt.Sprintf("the %s of %s: %s", what, change.Name, strings.Join(names, " ")))
--- a/internal/server/client_close.go
+++ b/internal/server/client_close.go
@@ -56,7 +56,7 @@
 	if c.Closed || c.state == clientLingering {
 		return
 	}
-	c.counters().Left++
+	c.counters().ClientsDisconnected++
 	c.state, c.lastActivity = clientLingering, c.turnTime()
 	c.cancelInFlight()
 	c.discardInput()
--- a/internal/server/client_conn.go
+++ b/internal/server/client_conn.go
@@ -84,7 +84,7 @@
 		c.discardInput()
 		return
 	}
-	if eventloop.HasHangup(events) {
+	if eventloop.IsHangup(events) {
 		c.handlePeerClose()
 		return
 	}
@@ -151,7 +151,7 @@
 	var exception *thrift.Exception
 	switch {
 	case errors.As(err, &exception):
-		c.counters().Unusable++
+		c.counters().UnusableRequests++
 		c.respond(exception.Reply())
 	case err != nil:
 		c.counters().Malformed++
--- a/internal/server/client_eviction.go
+++ b/internal/server/client_eviction.go
@@ -104,7 +104,7 @@
 		}
 	}
 	if largest != nil {
-		l.server.host.Counters.Relieved++
+		l.server.host.Counters.ClosedForBuffers++
 		slog.Warn("client buffers exhausted, closing the largest connection")
 		largest.terminate()
 	}
--- a/internal/server/client_listener.go
+++ b/internal/server/client_listener.go
@@ -118,8 +118,8 @@
 		establishedAt: host.TurnTime,
 		lastActivity:  host.TurnTime,
 	}
-	c.AlwaysInterest = unix.EPOLLRDHUP // the client's close, also while its input is not read
-	c.Interest = unix.EPOLLIN | c.AlwaysInterest
+	c.BaseInterest = unix.EPOLLRDHUP // the client's close, also while its input is not read
+	c.Interest = unix.EPOLLIN | c.BaseInterest
 	if err := host.Loop.Add(fd, c.Interest, c); err != nil {
 		slog.Warn("accept", slog.Any("error", err))
 		c.Close()
@@ -143,7 +143,7 @@
 	interest := uint32(unix.EPOLLIN)
 	if paused {
 		interest = 0
-		l.server.host.Counters.Rested++
+		l.server.host.Counters.AcceptPauses++
 	}
 	l.server.host.Loop.Modify(l.fd, interest)
 }
@@ -158,7 +158,7 @@
 
 // maxUnreadOutput returns how many bytes one client may leave unread, fewer than all may together.
 func (l *clientListener) maxUnreadOutput() int {
-	return min(maxUnreadOutput, l.bufferBudget.Most/unreadOutputFraction)
+	return min(maxUnreadOutput, l.bufferBudget.Max/unreadOutputFraction)
 }
 
 // tick accepts again after a pause, and closes the connections that are past a timeout.
@@ -170,7 +170,7 @@
 		case c.state == clientLingering && now-c.lastActivity >= lingerTimeout:
 			c.terminate()
 		case c.state == clientOpen && c.isReadTimedOut(now):
-			l.server.host.Counters.Silent++
+			l.server.host.Counters.ReadTimeouts++
 			c.closeAfterResponses()
 		case now-c.lastActivity >= bufferIdleTimeout:
 			c.FreeBuffers()
--- a/internal/server/client_requests.go
+++ b/internal/server/client_requests.go
@@ -33,7 +33,7 @@
 	switch message.Name {
 	case "health":
 		healthy := c.listener.server.lifecycle.Healthy()
-		c.respond(thrift.Answer(message.Name, message.Seq, nil, nil, healthy))
+		c.respond(thrift.EncodeReply(message.Name, message.Seq, nil, nil, healthy))
 	case "cancel":
 		if request := c.inFlight[message.Target]; request != nil {
 			delete(c.inFlight, message.Target)
@@ -60,7 +60,7 @@
 		c.respondUnusable(message, err)
 		return
 	}
-	call.Proof = c.callerProof(message.Fields["token"])
+	call.Credentials = c.callerProof(message.Fields["token"])
 	response := &responder{client: c, sequence: message.Seq}
 	request, err := c.listener.server.core.Submit(c.turnTime(), call, response)
 	var denied *identity.Denied
@@ -79,7 +79,7 @@
 
 // respondUnusable responds to a call that can't be taken as it is.
 func (c *clientConn) respondUnusable(message thrift.Message, cause error) {
-	c.counters().Unusable++
+	c.counters().UnusableRequests++
 	slog.Debug("unusable client request", slog.Any("error", cause))
 	exception := thrift.Exception{
 		Seq:  message.Seq,
@@ -98,7 +98,7 @@
 		ID:             fields["call"],
 		Class:          fields["op"],
 		Tenant:         fields["org"],
-		Key:            fields["row"],
+		OrderKey:       fields["row"],
 		IdempotencyKey: fields["dedupe"],
 		Statement:      message.Body,
 	}
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	call.TTL, call.Cost = millisToMicros(ttl), millisToMicros(work)
+	call.TTL, call.EstimatedWork = millisToMicros(ttl), millisToMicros(work)
 	call.MemoryMB, err = parseNumber(fields, "mb", maxMemoryMB)
 	return call, err
 }
--- a/internal/server/client_tls.go
+++ b/internal/server/client_tls.go
@@ -27,9 +27,9 @@
 	}
 	c.handshakeRequested = true
 	server := c.listener.server
-	server.tls.handshakes.Ask(c.address, func() {
+	server.tls.handshakes.Start(c.address, func() {
 		if c.Closed { // while it waited
-			server.post(func() { server.tls.handshakes.Ended(c.address) })
+			server.post(func() { server.tls.handshakes.Done(c.address) })
 			return
 		}
 		c.holdsHandshakeSlot = true
@@ -43,7 +43,7 @@
 func (c *clientConn) handleHandshakeProgress(done bool, err error) {
 	if c.holdsHandshakeSlot { // from now on it waits for its peer, or for nothing
 		c.holdsHandshakeSlot = false
-		c.listener.server.tls.handshakes.Ended(c.address)
+		c.listener.server.tls.handshakes.Done(c.address)
 	}
 	if c.Closed || c.state == clientLingering {
 		return
@@ -89,11 +89,11 @@
 }
 
 // callerProof returns what a call shows of who it comes from.
-func (c *clientConn) callerProof(token string) gateway.Proof {
-	proof := gateway.Proof{Token: token, Address: c.address}
+func (c *clientConn) callerProof(token string) gateway.Credentials {
+	proof := gateway.Credentials{Token: token, ClientAddress: c.address}
 	if c.listener.server.core.Guard() != nil {
-		proof.Wall = time.Now().UnixMicro()
-		proof.Certificate = c.certificateAt(proof.Wall)
+		proof.WallTime = time.Now().UnixMicro()
+		proof.Certificate = c.certificateAt(proof.WallTime)
 	}
 	return proof
 }
@@ -129,7 +129,7 @@
 
 // seal returns a response as it goes over the connection, encrypted with TLS.
 func (c *clientConn) seal(response []byte) []byte {
-	sealed, err := c.Seal(response)
+	sealed, err := c.Encode(response)
 	if err != nil {
 		c.terminate()
 	}
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -26,8 +26,8 @@
 	}
 	counts := guard.Counts()
 	counters := &s.host.Counters
-	counters.Identified, counters.SignatureChecks = counts.Allowed, counts.Checked
-	counters.BadProofs = counts.Missing + counts.Unsigned + counts.Negative + counts.Expired + counts.Unmapped
-	counters.Forbidden = counts.Forbidden + counts.Foreign
-	counters.OverCeiling = counts.Over + counts.Busy
+	counters.Identified, counters.SignatureChecks = counts.Allowed, counts.SignaturesChecked
+	counters.BadProofs = counts.NoCredentials + counts.InvalidTokens + counts.NegativeCacheHits + counts.Expired + counts.UnknownCallers
+	counters.Forbidden = counts.PermissionDenied + counts.TenantMismatches
+	counters.OverCeiling = counts.CeilingReached + counts.SignatureBudgetExhausted
 }
--- a/internal/server/discovery_watch.go
+++ b/internal/server/discovery_watch.go
@@ -46,7 +46,7 @@
 	}
 	w := &discoveryWatch{
 		server:   s,
-		follower: discovery.Follower{Names: names, Last: s.cfg.LastPos},
+		follower: discovery.Follower{Names: names, LastEvent: s.cfg.LastKnownPosition},
 		backoff:  discovery.NewBackoff(s.cfg.Seed),
 	}
 	w.Closed = true
@@ -57,13 +57,13 @@
 func (w *discoveryWatch) connect() {
 	host := &w.server.host
 	w.lastActivity, w.readTimeout = host.TurnTime, w.backoff.ReadTimeout()
-	fd, err := eventloop.Dial(w.server.cfg.Journal)
+	fd, err := eventloop.Dial(w.server.cfg.Discovery)
 	if err != nil {
 		w.disconnect(err)
 		return
 	}
-	host.Counters.Reconnected++
-	budget := &ring.Budget{Most: discovery.MaxFrame + maxHelloSize}
+	host.Counters.DiscoveryDials++
+	budget := &ring.Budget{Max: discovery.MaxFrame + maxHelloSize}
 	w.Stream = eventloop.NewStream(host.Loop, fd, discovery.MaxFrame, maxHelloSize, budget)
 	w.dialing, w.Interest = true, unix.EPOLLOUT
 	if err := host.Loop.Add(fd, w.Interest, w); err != nil {
@@ -123,7 +123,7 @@
 		return err
 	}
 	w.dialing = false
-	_, err := w.Out.Write(discovery.Hello(w.follower.Last))
+	_, err := w.Out.Write(discovery.Hello(w.follower.LastEvent))
 	return err
 }
 
@@ -133,7 +133,7 @@
 	for {
 		event, isNew, ok, err := w.follower.Next(w.In)
 		if err != nil {
-			w.server.host.Counters.OddEvents++
+			w.server.host.Counters.MalformedEvents++
 			return err
 		}
 		if !ok {
@@ -141,7 +141,7 @@
 		}
 		w.lastActivity = w.server.host.TurnTime
 		w.backoff.Reset()
-		w.server.host.Counters.Frames++
+		w.server.host.Counters.DiscoveryFrames++
 		w.server.lifecycle.Reloaded()
 		if isNew {
 			w.server.updateEndpoints(event)
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -43,7 +43,7 @@
 		if !c.isRested(now) {
 			continue
 		}
-		if !c.PeerSilent() {
+		if !c.PeerIdle() {
 			c.terminate() // which takes it out
 			continue
 		}
--- a/internal/server/engine_conn.go
+++ b/internal/server/engine_conn.go
@@ -125,13 +125,13 @@
 		c.release(true)
 		return
 	}
-	call, err := c.Seal(request.query.Call())
+	call, err := c.Encode(request.query.Call())
 	c.state, c.lastActivity, c.callSize = engineBusy, c.pool.turnTime(), len(call)
 	c.partialSince, c.overtakenSince = 0, 0
-	if !request.query.Dropping() {
+	if !request.query.Canceling() {
 		request.lastPolled = c.lastActivity
 	}
-	c.pool.counters().Calls++
+	c.pool.counters().EngineCalls++
 	if err == nil {
 		_, err = c.Out.Write(call)
 	}
--- a/internal/server/engine_failures.go
+++ b/internal/server/engine_failures.go
@@ -30,7 +30,7 @@
 	request.connection = nil
 	e.refusesConnections = refused
 	processMayHaveEnded := refused && request.connectionReset
-	if processMayHaveEnded && request.attempt.Strict { // who accepts next may be another process, without the query
+	if processMayHaveEnded && request.attempt.RequiresConfirmedEnd { // who accepts next may be another process, without the query
 		request.startUnconfirmed = true
 	}
 	switch {
@@ -38,7 +38,7 @@
 		p.finish(request, scheduler.NoConnection)
 	case refused && e.establishedCount > 0:
 		e.enqueue(request)
-	case processMayHaveEnded && !request.attempt.Strict && (e.removed || e.resetCount > 1):
+	case processMayHaveEnded && !request.attempt.RequiresConfirmedEnd && (e.removed || e.resetCount > 1):
 		p.finish(request, scheduler.Reset)
 		p.sendWaiting(e)
 	default:
@@ -59,13 +59,13 @@
 	switch {
 	case request.isHealthCheck():
 		p.finish(request, scheduler.Reset)
-	case arrived && request.query.Dropping():
+	case arrived && request.query.Canceling():
 		p.finish(request, scheduler.Canceled)
 	case request.resumeCount <= maxResumes:
 		p.resume(request)
-	case !request.query.Dropping() && !request.startUnconfirmed:
+	case !request.query.Canceling() && !request.startUnconfirmed:
 		request.resumeCount = 0
-		request.query.Drop()
+		request.query.Cancel()
 		p.sendNext(request)
 	} // else the engine abandons it as it is not polled
 }
@@ -75,7 +75,7 @@
 // nothing. What came in place of a POST's response may be a late copy of another, which proves nothing of the POST
 // either.
 func (p *enginePool) resume(request *engineRequest) {
-	request.startUnconfirmed = request.startUnconfirmed || request.query.Posting()
+	request.startUnconfirmed = request.startUnconfirmed || request.query.StartPending()
 	request.query.Resume()
 	p.sendNext(request)
 }
@@ -94,11 +94,11 @@
 		return
 	}
 	switch {
-	case request.query.Posting():
+	case request.query.StartPending():
 		request.startUnconfirmed = true
 		request.query.Resume()
 	case request.resumeCount > 1:
-		request.query.Drop()
+		request.query.Cancel()
 	}
 	p.dial(request)
 }
--- a/internal/server/engine_pool.go
+++ b/internal/server/engine_pool.go
@@ -72,15 +72,15 @@
 	}
 	slog.Debug("endpoint updated",
 		slog.String("engine", listed.Engine),
-		slog.Any("address", listed.Addr),
+		slog.Any("address", listed.Address),
 		slog.String("zone", listed.Zone),
 		slog.Any("state", listed.State),
 		slog.Int64("started_us", listed.Started))
 	e.draining, e.removed = listed.State != scheduler.Serving, listed.State == scheduler.Removed
-	if e.address != listed.Addr {
+	if e.address != listed.Address {
 		e.closeIdle()
 	}
-	e.address = listed.Addr
+	e.address = listed.Address
 	if e.draining {
 		p.cancelUnsent(e)
 	}
@@ -115,7 +115,7 @@
 		p.server.core.HealthCheckEnded(name, scheduler.NoConnection, 0, nil)
 		return
 	}
-	request := &engineRequest{engine: e, startedAt: p.turnTime(), query: rest.NewProbe(e.address.String())}
+	request := &engineRequest{engine: e, startedAt: p.turnTime(), query: rest.NewHealthCheck(e.address.String())}
 	p.register(request)
 	p.sendNext(request)
 }
@@ -129,7 +129,7 @@
 	case request == nil:
 	case !request.startSent:
 		p.finish(request, scheduler.NotSent)
-	case request.query.Posting() || request.startUnconfirmed:
+	case request.query.StartPending() || request.startUnconfirmed:
 		request.cancelAfterStart = true
 	default:
 		p.sendDelete(request)
@@ -139,7 +139,7 @@
 // SetPriority changes the priority of an attempt; its engine gets it with the next call that can carry it.
 func (p *enginePool) SetPriority(attempt *gateway.Attempt) {
 	if request := p.requestByAttempt[attempt]; request != nil {
-		request.query.Renice(attempt.Priority)
+		request.query.SetPriority(attempt.Priority)
 	}
 }
 
@@ -151,7 +151,7 @@
 			c.terminate()
 		}
 	}
-	request.query.Drop()
+	request.query.Cancel()
 	p.sendNext(request)
 }
 
@@ -190,7 +190,7 @@
 		p.handleNoConnection(request, err == unix.ECONNREFUSED)
 		return
 	}
-	p.counters().Dialled++
+	p.counters().EngineDials++
 	slog.Debug("dialing engine", slog.String("engine", e.name), slog.Int("connections", e.connectionCount))
 	c := &engineConn{
 		Stream:       eventloop.NewStream(p.server.host.Loop, fd, rest.MaxResponse, maxCallSize, &p.bufferBudget),
--- a/internal/server/engine_request.go
+++ b/internal/server/engine_request.go
@@ -35,13 +35,13 @@
 // newStatementRequest returns the request for an attempt.
 func newStatementRequest(attempt *gateway.Attempt, e *engine, now monotime.Micros) *engineRequest {
 	start := rest.Start{
-		ID:        attempt.ID,
-		Class:     attempt.Class,
-		Once:      attempt.IdempotencyKey,
-		Statement: attempt.Statement,
-		Wait:      attempt.Timeout,
-		GrantMB:   attempt.GrantMB,
-		Priority:  attempt.Priority,
+		ID:             attempt.ID,
+		Class:          attempt.Class,
+		IdempotencyKey: attempt.IdempotencyKey,
+		Statement:      attempt.Statement,
+		Timeout:        attempt.Timeout,
+		GrantMB:        attempt.GrantMB,
+		Priority:       attempt.Priority,
 	}
 	request := &engineRequest{
 		attempt:   attempt,
@@ -60,18 +60,18 @@
 func (r *engineRequest) isHealthCheck() bool { return r.attempt == nil }
 
 // isStrict says whether the request is of a query that must not run twice.
-func (r *engineRequest) isStrict() bool { return r.attempt != nil && r.attempt.Strict }
+func (r *engineRequest) isStrict() bool { return r.attempt != nil && r.attempt.RequiresConfirmedEnd }
 
 // isStartExpired says whether the start may not be written any more. It reads the clock anew: the process may have
 // stood still since this turn began, and others may count the attempt as expired by now.
 func (r *engineRequest) isStartExpired() bool {
-	return r != nil && r.attempt != nil && r.attempt.StartBy != 0 && r.query.Posting() &&
+	return r != nil && r.attempt != nil && r.attempt.StartBy != 0 && r.query.StartPending() &&
 		r.engine.readClock() >= r.attempt.StartBy
 }
 
 // isAbandonable says whether the engine abandons the query by itself, unless it is polled again.
 func (r *engineRequest) isAbandonable() bool {
-	return r.startSent && (r.connection == nil || r.cancelAfterStart || r.query.Dropping())
+	return r.startSent && (r.connection == nil || r.cancelAfterStart || r.query.Canceling())
 }
 
 // logDebug logs what befell a request's call, at debug level.
@@ -83,9 +83,9 @@
 		slog.String("request_id", r.attempt.ID),
 		slog.String("engine", r.engine.name),
 		slog.Bool("start_sent", r.startSent),
-		slog.Bool("start_pending", r.query.Posting()),
+		slog.Bool("start_pending", r.query.StartPending()),
 		slog.Bool("start_unconfirmed", r.startUnconfirmed),
-		slog.Bool("canceling", r.query.Dropping()),
+		slog.Bool("canceling", r.query.Canceling()),
 		slog.Int("resume_count", r.resumeCount))...)
 }
 
--- a/internal/server/engine_response.go
+++ b/internal/server/engine_response.go
@@ -70,7 +70,7 @@
 
 // failMalformed fails a connection on which something came that is no response to its call.
 func (c *engineConn) failMalformed(cause error) {
-	c.pool.counters().Spoilt++
+	c.pool.counters().MalformedResponses++
 	slog.Debug("malformed engine response", slog.String("engine", c.engine.name), slog.Any("error", cause))
 	c.fail(true)
 }
@@ -81,10 +81,10 @@
 	c.engine.lastSeen, c.engine.resetCount = c.pool.turnTime(), 0
 	outcome, err := callOutcome{result: scheduler.Succeeded}, error(nil)
 	if request != nil {
-		outcome.result, outcome.ended, err = request.query.Take(response)
+		outcome.result, outcome.ended, err = request.query.HandleResponse(response)
 	}
-	if errors.Is(err, rest.ErrStray) { // what the DELETE ends may still run: it goes again over another connection
-		c.pool.counters().Spoilt++
+	if errors.Is(err, rest.ErrStaleResponse) { // what the DELETE ends may still run: it goes again over another connection
+		c.pool.counters().MalformedResponses++
 		c.fail(false)
 		return
 	}
@@ -100,8 +100,8 @@
 		return
 	}
 	request.connection, request.resumeCount = nil, 0
-	c.pool.counters().OddFacts += response.Odd
-	if note := request.query.Note(); note != nil && !request.isHealthCheck() && !outcome.ended {
+	c.pool.counters().MalformedFacts += response.MalformedHeaders
+	if note := request.query.Progress(); note != nil && !request.isHealthCheck() && !outcome.ended {
 		c.pool.server.core.ReportProgress(request.attempt, note.Kind, note.Value)
 	}
 	if isUnknownToEngine(request, outcome) {
@@ -114,7 +114,7 @@
 	}
 	request.startUnconfirmed = false
 	if !outcome.ended && request.cancelAfterStart {
-		request.query.Drop()
+		request.query.Cancel()
 	}
 	c.continueRequest(request, outcome)
 }
@@ -133,7 +133,7 @@
 // isReusable says whether the connection may carry another call after a response.
 func (c *engineConn) isReusable(response rest.Response, more bool) bool {
 	isAffordable := c.pool.server.freeDescriptors() >= 0 || !c.pool.isReplaceable(c)
-	return more && !response.Close && c.In.Len() == 0 && c.Out.Len() == 0 && isAffordable && c.PeerSilent()
+	return more && !response.Close && c.In.Len() == 0 && c.Out.Len() == 0 && isAffordable && c.PeerIdle()
 }
 
 // endAbandonedPoll notes that the poll of a request that has left the connection has its response: the request
--- a/internal/server/engine_timeouts.go
+++ b/internal/server/engine_timeouts.go
@@ -99,6 +99,6 @@
 	}
 	request.finalDeleteSent = true
 	request.lastPolled = p.turnTime() - abandonTimeout + silenceTimeout
-	request.query.Drop()
+	request.query.Cancel()
 	p.dial(request)
 }
--- a/internal/server/key_files.go
+++ b/internal/server/key_files.go
@@ -39,7 +39,7 @@
 	if err := keyfiles.Load(files); err != nil {
 		return err
 	}
-	if err := s.core.IdentifyCallers(cfg.Callers); err != nil {
+	if err := s.core.ConfigureIdentity(cfg.Callers); err != nil {
 		return err
 	}
 	s.keyWatchGeneration = generation
@@ -50,7 +50,7 @@
 	s.stopKeyWatch()
 	started = true
 	if len(files) > 0 {
-		s.keyWatch = keyfiles.Start(files, cfg.Identity().Every())
+		s.keyWatch = keyfiles.Start(files, cfg.Identity().WatchInterval())
 	}
 	return nil
 }
@@ -94,8 +94,8 @@
 }
 
 // setRevoked puts the list of what is revoked into force. It may come just after identity was turned off.
-func (s *Server) setRevoked(revoked identity.Revoked) {
+func (s *Server) setRevoked(revoked identity.Revocations) {
 	if guard := s.core.Guard(); guard != nil {
-		guard.Revoke(revoked)
+		guard.SetRevocations(revoked)
 	}
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -24,7 +24,7 @@
 		cfg, err = s.checkReload(cfg)
 	}
 	if err != nil {
-		s.host.Counters.Rejected++
+		s.host.Counters.RejectedReloads++
 		slog.Error("reload: the old configuration stays in force", slog.Any("error", err))
 		return
 	}
@@ -34,7 +34,7 @@
 // checkReload applies those parts of a new configuration that can fail, and returns it as far as it may change at a
 // reload.
 func (s *Server) checkReload(cfg *config.Config) (*config.Config, error) {
-	cfg, err := s.cfg.Rebase(cfg)
+	cfg, err := s.cfg.CheckReload(cfg)
 	if err != nil {
 		return nil, err
 	}
@@ -46,18 +46,18 @@
 
 // applyReload applies the rest of a new configuration, which can't fail.
 func (s *Server) applyReload(cfg *config.Config) {
-	s.host.Counters.Reloaded++
-	if keys := s.cfg.Fixed(cfg); len(keys) > 0 {
+	s.host.Counters.Reloads++
+	if keys := s.cfg.RestartKeys(cfg); len(keys) > 0 {
 		slog.Warn("reload: these keys take effect at the next start", slog.Any("keys", keys))
 	}
 	s.peering.Reload(cfg.Peers)
-	discoveryMoved := cfg.Journal != s.cfg.Journal
-	s.cfg = s.cfg.With(cfg)
+	discoveryMoved := cfg.Discovery != s.cfg.Discovery
+	s.cfg = s.cfg.Reloaded(cfg)
 	s.listener.maxClients = s.maxClients()
 	s.setBufferBudgets()
-	s.core.SetLimits(s.cfg.Bounds())
+	s.core.SetLimits(s.cfg.Limits())
 	debug.SetMemoryLimit(s.cfg.HeapLimit())
-	slog.Info("reloaded", slog.Any("journal", s.cfg.Journal), slog.Uint64("last", s.discovery.follower.Last))
+	slog.Info("reloaded", slog.Any("journal", s.cfg.Discovery), slog.Uint64("last", s.discovery.follower.LastEvent))
 	if discoveryMoved {
 		s.lifecycle.Reload()
 		s.discovery.reconnect()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -60,10 +60,10 @@
 		host:             peering.NewHost(loop),
 		cfg:              cfg,
 		counterOutput:    counterOutput,
-		installationPath: cfg.Installation,
+		installationPath: cfg.InstallationPath,
 	}
 	for _, class := range cfg.Settings.Classes {
-		s.lifecycle.LongestDeadline = max(s.lifecycle.LongestDeadline, class.ClientTimeout)
+		s.lifecycle.MaxClientTimeout = max(s.lifecycle.MaxClientTimeout, class.ClientTimeout)
 	}
 	s.pool = newEnginePool(s)
 	s.listener = newClientListener(s)
@@ -86,7 +86,7 @@
 
 // openCore builds the gateway's core over the engine pool.
 func (s *Server) openCore() (err error) {
-	s.core, err = gateway.New(s.cfg.Settings, s.cfg.Seed, s.cfg.Bounds(), s.pool, &s.host.Counters)
+	s.core, err = gateway.New(s.cfg.Settings, s.cfg.Seed, s.cfg.Limits(), s.pool, &s.host.Counters)
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 
 // setStatementRules has statements read by a configuration's rules. With an error the former rules stay.
 func (s *Server) setStatementRules(cfg *config.Config) error {
-	if err := s.core.ReadStatements(cfg.Statements); err != nil {
+	if err := s.core.ConfigureStatements(cfg.Statements); err != nil {
 		return fmt.Errorf("installation: statement.%w", err)
 	}
 	return nil
@@ -121,8 +121,8 @@
 
 // setBufferBudgets bounds the bytes that the connections of clients, and those to engines, may buffer.
 func (s *Server) setBufferBudgets() {
-	s.listener.bufferBudget.Most = s.cfg.BufferBytes()
-	s.pool.bufferBudget.Most = s.cfg.BufferBytes()
+	s.listener.bufferBudget.Max = s.cfg.BufferBytes()
+	s.pool.bufferBudget.Max = s.cfg.BufferBytes()
 }
 
 // isDraining says whether a graceful shutdown has begun.
@@ -151,7 +151,7 @@
 
 // start opens the sockets, from the cached endpoint list on.
 func (s *Server) start() error {
-	for _, event := range s.cfg.Known {
+	for _, event := range s.cfg.KnownEvents {
 		s.updateEndpoints(event)
 	}
 	s.core.Step(s.host.TurnTime)
@@ -230,10 +230,10 @@
 // nextTurnAt returns when the next turn is due, whatever comes on the sockets.
 func (s *Server) nextTurnAt() monotime.Micros {
 	at := s.nextTickAt
-	if coreAt, ok := s.core.Next(); ok {
+	if coreAt, ok := s.core.NextTimer(); ok {
 		at = min(at, coreAt)
 	}
-	if len(s.listener.deferred) > 0 || s.core.Pending() {
+	if len(s.listener.deferred) > 0 || s.core.HasEvents() {
 		at = s.host.TurnTime
 	}
 	return at
@@ -248,7 +248,7 @@
 	if s.peering != nil {
 		s.peering.Tick()
 	}
-	if s.lifecycle.Expired(s.host.TurnTime) {
+	if s.lifecycle.MustExpireAll(s.host.TurnTime) {
 		s.core.ExpireAll()
 	}
 }
--- a/internal/server/tls.go
+++ b/internal/server/tls.go
@@ -23,7 +23,7 @@
 type tlsState struct {
 	material         *certs.Material // nil where TLS is off
 	files            *certs.Files
-	handshakes       *identity.Handshakes // of clients, those that may begin
+	handshakes       *identity.HandshakeLimiter // of clients, those that may begin
 	clientHandshakes *tlsio.Pool
 	engineHandshakes *tlsio.Pool     // of its own, since those of clients are not to hold it up
 	warnAhead        time.Duration   // of an expiry
@@ -63,7 +63,7 @@
 	}
 	return files, func() {
 		s.openTLS(section)
-		s.tls.files, s.tls.warnAhead = set, section.Warn()
+		s.tls.files, s.tls.warnAhead = set, section.ExpiryWarning()
 		s.setTLSMaterial(material)
 	}, nil
 }
@@ -73,8 +73,8 @@
 	if s.tls.clientHandshakes != nil {
 		return
 	}
-	pending, share := section.Bounds()
-	s.tls.handshakes = identity.NewHandshakes(pending)
+	pending, share := section.HandshakeLimits()
+	s.tls.handshakes = identity.NewHandshakeLimiter(pending)
 	s.tls.clientHandshakes = tlsio.NewPool(share)
 	s.tls.engineHandshakes = tlsio.NewPool(engineHandshakeRoutines)
 	s.tls.receiveBuffer = make([]byte, receiveBufferSize)
--- a/internal/server/waker.go
+++ b/internal/server/waker.go
@@ -60,7 +60,7 @@
 
 // post has the loop run a task. It may be called from any goroutine.
 func (s *Server) post(task func()) {
-	s.tasks.Add(task)
+	s.tasks.Post(task)
 	s.waker.send(signalTasks)
 }
 
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -36,7 +36,7 @@
 		ReportsCost:               o.Domain.TellsCost,
 		HealthCheckCost:           o.Tariffs.Probe,
 		CrossZoneCost:             o.Tariffs.CrossZone,
-		OverShareWeight:           o.OverShare,
+		OverQuotaWeight:           o.OverShare,
 		LoadReportsOnHealthChecks: o.Report.How == reportOnHealthChecks,
 		LoadReportsOnResponses:    o.Report.How == reportOnResponses,
 		Limits:                    convertLimits(&o.Limits),
@@ -66,7 +66,7 @@
 	converted := scheduler.Rules{
 		ResponseTimeout:  fromSeconds(rules.AskWithin),
 		WarmUp:           fromSeconds(rules.Cold),
-		InitialWarmth:    rules.ColdFrom,
+		InitialCapacity:  rules.ColdFrom,
 		OverloadWindow:   fromSeconds(rules.Fall),
 		OverloadMultiple: rules.FallMultiple,
 		DrainGrace:       fromSeconds(rules.DrainGrace),
@@ -140,7 +140,7 @@
 		Ordered:          class.ByArrival,
 		Zones:            class.AllowedIn,
 		Kinds:            class.HostTypesOnly,
-		Stream:           class.Stream,
+		Streaming:        class.Stream,
 	}, nil
 }
 
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -13,8 +13,8 @@
 	"chutechute/scheduler"
 )
 
-// Item is one message of a batch to one instance of the scheduler: a start, a stop or an event.
-type Item struct {
+// Message is one message of a batch to one instance of the scheduler: a start, a stop or an event.
+type Message struct {
 	Instance int
 	Start    *Start
 	Stop     bool
@@ -42,7 +42,7 @@
 
 // Batch reads one line: its time and its messages in their order. An error names the message and the value that
 // can't be read; then there are no items.
-func (d *Decoder) Batch(line []byte) (monotime.Micros, []Item, error) {
+func (d *Decoder) Batch(line []byte) (monotime.Micros, []Message, error) {
 	var batch struct {
 		Now *float64            `json:"now"`
 		In  [][]json.RawMessage `json:"in"`
@@ -53,7 +53,7 @@
 	if batch.Now == nil {
 		return 0, nil, errNoTime
 	}
-	items := make([]Item, 0, len(batch.In))
+	items := make([]Message, 0, len(batch.In))
 	for i, values := range batch.In {
 		item, ok, err := d.parseMessage(values)
 		if err != nil {
@@ -72,14 +72,14 @@
 }
 
 // parseMessage reads one message. ok is false for an endpoint list, which is kept for later and gives no item.
-func (d *Decoder) parseMessage(values []json.RawMessage) (item Item, ok bool, err error) {
+func (d *Decoder) parseMessage(values []json.RawMessage) (item Message, ok bool, err error) {
 	f := &fields{values: values, name: "message"}
 	f.name = f.text(0)
 	if f.err == nil && f.name == "catalog" {
 		list := f.integer(1)
 		endpoints, err := parseEndpoints(f, 2)
 		d.lists[int(list)] = endpoints
-		return Item{}, false, err
+		return Message{}, false, err
 	}
 	item.Instance = int(f.integer(1))
 	if f.err != nil {
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -41,7 +41,7 @@
 	case scheduler.Reject:
 		r.beginAction("push_back", instance)
 		r.id(a.ID)
-		r.seconds(a.After)
+		r.seconds(a.RetryAfter)
 	case scheduler.Fail:
 		r.beginAction("report_failure", instance)
 		r.id(a.ID)
@@ -64,8 +64,8 @@
 	r.endAction()
 }
 
-// Broken appends that an instance can't go on, and why.
-func (r *Reply) Broken(instance int, what string) {
+// AddFailure appends that an instance can't go on, and why.
+func (r *Reply) AddFailure(instance int, what string) {
 	r.beginAction("broken", instance)
 	r.text(what)
 	r.endAction()
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -126,7 +126,7 @@
 	if !ok {
 		return nil, fmt.Errorf("endpoints: no list %d", f.integer(3))
 	}
-	return scheduler.EndpointUpdate{Kind: kind, Entries: endpoints}, nil
+	return scheduler.EndpointUpdate{Kind: kind, Endpoints: endpoints}, nil
 }
 
 // estimateValidFlag is the bit of a request's flags that says that its estimate of work holds.
@@ -135,12 +135,12 @@
 // parseRequest reads a client's request.
 func parseRequest(f *fields, instanceSettings *settings.Settings) (scheduler.Event, error) {
 	request := scheduler.Request{
-		ID:       f.id(2),
-		Tenant:   -1,
-		Key:      f.optionalText(5),
-		Deadline: f.time(6),
-		MemoryMB: f.optionalNumber(8),
-		Group:    int(f.optionalNumber(9)),
+		ID:         f.id(2),
+		Tenant:     -1,
+		Key:        f.optionalText(5),
+		Deadline:   f.time(6),
+		MemoryMB:   f.optionalNumber(8),
+		TableGroup: int(f.optionalNumber(9)),
 	}
 	class, ok := instanceSettings.ClassOf[f.text(3)]
 	if !ok && f.err == nil {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -99,9 +99,9 @@
 		return notReported
 	}
 	return &scheduler.LoadReport{
-		Util:   valueOf("util"),
-		Queue:  valueOf("queue"),
-		Memory: valueOf("x0"),
-		Disk:   valueOf("x1"),
+		Utilization: valueOf("util"),
+		Queue:       valueOf("queue"),
+		Memory:      valueOf("x0"),
+		Disk:        valueOf("x1"),
 	}
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -46,14 +46,14 @@
 func TestEventsAreReadIntoSchedulerTerms(t *testing.T) {
 	for message, want := range map[string]scheduler.Event{
 		`["new_request",3,7,"c","t","key",5.5,0.25,64,9,1,"extra"]`: scheduler.Request{ID: 7, Key: "key",
-			Deadline: 5_500_000, EstimatedWork: 250_000, MemoryMB: 64, Group: 9},
+			Deadline: 5_500_000, EstimatedWork: 250_000, MemoryMB: 64, TableGroup: 9},
 		`["new_request",3,7,"c",null,null,5.5,0.25,null,null,0]`: scheduler.Request{ID: 7, Tenant: -1,
 			Deadline: 5_500_000},
 		`["response",3,7,1,"e","severed",0.5,false,null,null]`: scheduler.Outcome{ID: 7, Attempt: 1, Engine: "e",
 			Result: scheduler.Reset, Elapsed: 500_000},
 		`["response",3,7,1,"e","completed",0.5,true,0,{"util":0.5,"x1":0.25}]`: scheduler.Outcome{ID: 7, Attempt: 1,
 			Engine: "e", Elapsed: 500_000, Final: true,
-			Load: &scheduler.LoadReport{Util: 0.5, Queue: -1, Memory: -1, Disk: 0.25}},
+			Load: &scheduler.LoadReport{Utilization: 0.5, Queue: -1, Memory: -1, Disk: 0.25}},
 		`["flowing",3,7,0,"e",0.1]`: scheduler.Started{ID: 7},
 		`["client_gone",3,7]`:       scheduler.ClientDisconnected{ID: 7},
 		`["response",3,7,0,"e","completed",0.5,true,69728,null]`: scheduler.Outcome{ID: 7, Engine: "e",
@@ -92,7 +92,7 @@
 	}
 	first, second := items[1].Event.(scheduler.EndpointUpdate), items[2].Event.(scheduler.EndpointUpdate)
 	want := scheduler.Endpoint{Engine: "b", Zone: "z", Kind: "k", Cell: 2, State: scheduler.Draining, Started: 6_500_000}
-	if first.Entries[0].Engine != "a" || second.Entries[0] != want {
+	if first.Endpoints[0].Engine != "a" || second.Endpoints[0] != want {
 		t.Fatalf("%+v %+v", first, second)
 	}
 }
@@ -131,7 +131,7 @@
 		scheduler.StartAttempt{ID: 1 << 51, Engine: "e", Timeout: 80_000},
 		scheduler.AttemptParameters{ID: 2, GrantMB: 64, Priority: 3},
 		scheduler.Cancel{ID: 2, Attempt: 1},
-		scheduler.Reject{ID: 3, After: 250_000},
+		scheduler.Reject{ID: 3, RetryAfter: 250_000},
 		scheduler.Fail{ID: 4},
 		scheduler.HealthCheck{Engine: "e"},
 		scheduler.Subscribe{},
--- a/internal/standin/addresses.go
+++ b/internal/standin/addresses.go
@@ -15,16 +15,16 @@
 
 var addressesTaken atomic.Int64
 
-// Loopback returns the first three bytes, as text, of loopback addresses that only this process's tests use. Nothing
+// LoopbackPrefix returns the first three bytes, as text, of loopback addresses that only this process's tests use. Nothing
 // else can take a port that is free on one of them.
-func Loopback() string {
+func LoopbackPrefix() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d", 16+(pid>>8)%200, pid&255)
 }
 
 // nextAddress returns the next loopback address of this process's tests.
 func nextAddress() string {
-	return fmt.Sprintf("%s.%d", Loopback(), int(addressesTaken.Add(1))%hostsPerProcess+1)
+	return fmt.Sprintf("%s.%d", LoopbackPrefix(), int(addressesTaken.Add(1))%hostsPerProcess+1)
 }
 
 // freeAddress returns host:port with a free port of an address.
--- a/internal/standin/attached.go
+++ b/internal/standin/attached.go
@@ -2,45 +2,45 @@
 
 import "fmt"
 
-// Attached is an option of NewFleet: it adds attached front ends, one in each of the zones. They are named a1, a2
+// WithAttachedFrontEnds is an option of NewFleet: it adds attached front ends, one in each of the zones. They are named a1, a2
 // and so on, and follow the control members in the list.
-func Attached(zones ...string) func(*Fleet) {
+func WithAttachedFrontEnds(zones ...string) func(*Fleet) {
 	return func(f *Fleet) {
-		f.Section["attached"] = map[string]any{"enabled": true}
+		f.FleetSettings["attached"] = map[string]any{"enabled": true}
 		for i, zone := range zones {
 			name := fmt.Sprintf("a%d", i+1)
-			f.Fronts = append(f.Fronts, &Front{
-				F:        f,
-				N:        len(f.Fronts),
-				Name:     name,
-				Zone:     zone,
-				Attached: true,
-				Listen:   freeAddress(f.T, nextAddress()),
-				Folder:   f.storageDir(name),
-				Admin:    f.adminSocket(name),
+			f.FrontEnds = append(f.FrontEnds, &FrontEnd{
+				Fleet:       f,
+				Index:       len(f.FrontEnds),
+				Name:        name,
+				Zone:        zone,
+				Attached:    true,
+				ClientAddr:  freeAddress(f.T, nextAddress()),
+				StorageDir:  f.storageDir(name),
+				AdminSocket: f.adminSocket(name),
 			})
 		}
 	}
 }
 
-// Twin adds a second process under a front end's name to the fleet, with proxies of its own to all control members.
+// AddDuplicate adds a second process under a front end's name to the fleet, with proxies of its own to all control members.
 // It is not started.
-func (f *Fleet) Twin(original *Front) *Front {
-	index := len(f.Fronts)
-	twin := &Front{
-		F:        f,
-		N:        index,
-		Name:     original.Name,
-		Zone:     original.Zone,
-		Attached: original.Attached,
-		Section:  original.Section,
-		Listen:   freeAddress(f.T, nextAddress()),
-		Folder:   original.Folder,
-		Admin:    f.adminSocket(fmt.Sprintf("%s-%d", original.Name, index)),
-		Log:      &LockedBuffer{},
+func (f *Fleet) AddDuplicate(original *FrontEnd) *FrontEnd {
+	index := len(f.FrontEnds)
+	twin := &FrontEnd{
+		Fleet:         f,
+		Index:         index,
+		Name:          original.Name,
+		Zone:          original.Zone,
+		Attached:      original.Attached,
+		FleetSettings: original.FleetSettings,
+		ClientAddr:    freeAddress(f.T, nextAddress()),
+		StorageDir:    original.StorageDir,
+		AdminSocket:   f.adminSocket(fmt.Sprintf("%s-%d", original.Name, index)),
+		Log:           &LogBuffer{},
 	}
-	f.Fronts = append(f.Fronts, twin)
-	for _, controlMember := range f.Controls() {
+	f.FrontEnds = append(f.FrontEnds, twin)
+	for _, controlMember := range f.ControlMembers() {
 		f.startProxy(twin, controlMember)
 	}
 	return twin
--- a/internal/standin/attachedstub.go
+++ b/internal/standin/attachedstub.go
@@ -14,9 +14,9 @@
 	"chutechute/internal/fieldcodec"
 )
 
-// Guest is a stub of an attached front end without a process: it authenticates itself to one control member, sends
+// AttachedStub is a stub of an attached front end without a process: it authenticates itself to one control member, sends
 // heartbeats, and discards what it receives. Many of them make many changes of the view.
-type Guest struct {
+type AttachedStub struct {
 	name    string
 	conn    net.Conn
 	workers sync.WaitGroup
@@ -38,12 +38,12 @@
 	heartbeatSentTimeField = 2 // microseconds of the sender's clock
 )
 
-// Agreed ends the connections of a path, waits for the hello on the next one, and returns the digest of the settings
+// CaptureSettingsDigest ends the connections of a path, waits for the hello on the next one, and returns the digest of the settings
 // in it, which the stub of an attached front end has to send. The test fails where no hello passes in time.
-func (f *Fleet) Agreed(proxy *Relay) (digest []byte) {
+func (f *Fleet) CaptureSettingsDigest(proxy *FaultProxy) (digest []byte) {
 	f.T.Helper()
 	hellos := make(chan []byte, 1)
-	proxy.Tap(func(frame []byte) {
+	proxy.Observe(func(frame []byte) {
 		if frameKind(frame) == transport.Hello {
 			select {
 			case hellos <- append([]byte(nil), frame[frameBodyOffset:]...):
@@ -51,12 +51,12 @@
 			}
 		}
 	})
-	defer proxy.Tap(f.observe)
-	proxy.Reset()
+	defer proxy.Observe(f.observe)
+	proxy.CloseConnections()
 	var hello []byte
 	select {
 	case hello = <-hellos:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		require.Fail(f.T, "no hello")
 	}
 	digest = bytesField(bytesField(hello, helloIdentityField), identitySettingsDigestField)
@@ -75,16 +75,16 @@
 	return value
 }
 
-// Guest attaches the stub of a front end to a control member, under a name and an incarnation. The digest of the
+// AttachStub attaches the stub of a front end to a control member, under a name and an incarnation. The digest of the
 // settings has to be that of the control member's. The test fails where the control member refuses the handshake.
 // The stub is closed with the test.
-func (f *Fleet) Guest(controlMember *Front, name string, incarnation uint64, digest []byte) *Guest {
+func (f *Fleet) AttachStub(controlMember *FrontEnd, name string, incarnation uint64, digest []byte) *AttachedStub {
 	f.T.Helper()
-	conn, err := net.DialTimeout("tcp4", controlMember.Peer, stubDialTimeout)
+	conn, err := net.DialTimeout("tcp4", controlMember.PeerAddr, stubDialTimeout)
 	require.NoError(f.T, err)
-	s := &Guest{name: name, conn: conn, stop: make(chan struct{})}
+	s := &AttachedStub{name: name, conn: conn, stop: make(chan struct{})}
 	identity := &transport.Identity{
-		Site:           f.Site,
+		Site:           f.SiteName,
 		Name:           name,
 		Zone:           controlMember.Zone,
 		Incarnation:    incarnation,
@@ -101,8 +101,8 @@
 }
 
 // handshake authenticates the stub to the control member of a name.
-func (s *Guest) handshake(controlMember string, self *transport.Identity) error {
-	_ = s.conn.SetDeadline(time.Now().Add(Patience))
+func (s *AttachedStub) handshake(controlMember string, self *transport.Identity) error {
+	_ = s.conn.SetDeadline(time.Now().Add(WaitTimeout))
 	defer func() { _ = s.conn.SetDeadline(time.Time{}) }()
 	dialer := &transport.Dialer{Local: self, ExpectedName: controlMember}
 	buffer := make([]byte, stubReadBufferSize)
@@ -124,7 +124,7 @@
 }
 
 // sendHeartbeats sends heartbeats that request no view, until the stub is closed or its connection ends.
-func (s *Guest) sendHeartbeats() {
+func (s *AttachedStub) sendHeartbeats() {
 	began := time.Now()
 	for {
 		sentTime := time.Since(began).Microseconds()
@@ -144,7 +144,7 @@
 }
 
 // discardReceived reads and discards all that the control member sends, until the connection ends.
-func (s *Guest) discardReceived() {
+func (s *AttachedStub) discardReceived() {
 	buffer := make([]byte, stubReadBufferSize)
 	for {
 		if _, err := s.conn.Read(buffer); err != nil {
@@ -154,7 +154,7 @@
 }
 
 // Close closes the stub's connection without a goodbye, and waits until its goroutines have ended.
-func (s *Guest) Close() {
+func (s *AttachedStub) Close() {
 	select {
 	case <-s.stop:
 		return
--- a/internal/standin/blockablelistener.go
+++ b/internal/standin/blockablelistener.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Door is a TCP listener that can be blocked: while it is, its backlog is full, so that connection attempts hang
+// BlockableListener is a TCP listener that can be blocked: while it is, its backlog is full, so that connection attempts hang
 // until it is opened again, or forever. It accepts in a goroutine of its own, so that it can be blocked before its
 // server calls Accept.
-type Door struct {
+type BlockableListener struct {
 	net.Listener
 	accepted     chan net.Conn // what Accept returns
 	closed       chan struct{} // closed with the listener
@@ -28,12 +28,12 @@
 const backlogDialTimeout = 100 * time.Millisecond
 
 // newBlockableListener listens on loopback with the shortest backlog that the system has.
-func newBlockableListener() (*Door, error) {
+func newBlockableListener() (*BlockableListener, error) {
 	listener, err := listenWithoutBacklog()
 	if err != nil {
 		return nil, err
 	}
-	l := &Door{
+	l := &BlockableListener{
 		Listener:    listener,
 		accepted:    make(chan net.Conn),
 		closed:      make(chan struct{}),
@@ -61,7 +61,7 @@
 }
 
 // acceptLoop accepts one connection after the other, and hands each to Accept once the listener is open.
-func (l *Door) acceptLoop() {
+func (l *BlockableListener) acceptLoop() {
 	defer close(l.acceptEnded)
 	for {
 		var conn net.Conn
@@ -78,7 +78,7 @@
 }
 
 // waitUnblocked waits until the listener is open.
-func (l *Door) waitUnblocked() {
+func (l *BlockableListener) waitUnblocked() {
 	l.mu.Lock()
 	unblocked, firstBlocked := l.unblocked, l.firstBlocked
 	l.mu.Unlock()
@@ -89,7 +89,7 @@
 }
 
 // Accept returns the next connection, once the listener is open.
-func (l *Door) Accept() (net.Conn, error) {
+func (l *BlockableListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.accepted:
 		return conn, nil
@@ -98,9 +98,9 @@
 	}
 }
 
-// Shut blocks the listener: it returns once the backlog is full. What the listener accepts leaves the backlog, so
+// Block blocks the listener: it returns once the backlog is full. What the listener accepts leaves the backlog, so
 // that it stays full only once the accept loop has accepted one connection and waits.
-func (l *Door) Shut() {
+func (l *BlockableListener) Block() {
 	firstBlocked := make(chan struct{})
 	l.mu.Lock()
 	l.unblocked, l.firstBlocked = make(chan struct{}), firstBlocked
@@ -122,8 +122,8 @@
 	}
 }
 
-// Open unblocks the listener and closes the connections that filled its backlog.
-func (l *Door) Open() {
+// Unblock unblocks the listener and closes the connections that filled its backlog.
+func (l *BlockableListener) Unblock() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unblocked != nil {
@@ -137,8 +137,8 @@
 }
 
 // Close unblocks and closes the listener.
-func (l *Door) Close() error {
-	l.Open()
+func (l *BlockableListener) Close() error {
+	l.Unblock()
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -19,29 +19,29 @@
 // Client is a client of a front end: framed Thrift in the binary protocol, written apart from the program's own
 // codec. It is not safe for concurrent use.
 type Client struct {
-	T    *testing.T
-	Conn net.Conn
-	Seq  int32 // sequence number of the last message sent
+	T       *testing.T
+	Conn    net.Conn
+	LastSeq int32 // sequence number of the last message sent
 }
 
-// Client connects a new client to the front end. Its connection is closed with the test, and has one timeout for all
+// NewClient connects a new client to the front end. Its connection is closed with the test, and has one timeout for all
 // of its reads and writes together.
-func (h *Rig) Client() *Client {
+func (h *Harness) NewClient() *Client {
 	conn, err := net.Dial("tcp4", h.Addr)
 	require.NoError(h.T, err)
 	h.T.Cleanup(func() { conn.Close() })
-	require.NoError(h.T, conn.SetDeadline(time.Now().Add(Patience)))
+	require.NoError(h.T, conn.SetDeadline(time.Now().Add(WaitTimeout)))
 	return &Client{T: h.T, Conn: conn}
 }
 
-// Secure connects a new client by TLS. It returns the error of the handshake where there is one.
-func (h *Rig) Secure(config *tls.Config) (*Client, error) {
-	conn, err := tls.DialWithDialer(&net.Dialer{Timeout: Patience}, "tcp4", h.Addr, config)
+// NewTLSClient connects a new client by TLS. It returns the error of the handshake where there is one.
+func (h *Harness) NewTLSClient(config *tls.Config) (*Client, error) {
+	conn, err := tls.DialWithDialer(&net.Dialer{Timeout: WaitTimeout}, "tcp4", h.Addr, config)
 	if err != nil {
 		return nil, err
 	}
 	h.T.Cleanup(func() { conn.Close() })
-	return &Client{T: h.T, Conn: conn}, conn.SetDeadline(time.Now().Add(Patience))
+	return &Client{T: h.T, Conn: conn}, conn.SetDeadline(time.Now().Add(WaitTimeout))
 }
 
 // Types of messages, and of fields, in Thrift's binary protocol.
@@ -62,18 +62,18 @@
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(text))), text...)
 }
 
-// Send sends a message of a Thrift type, and returns its sequence number. The arguments are whole encoded fields.
-func (c *Client) Send(kind byte, name string, args ...[]byte) int32 {
-	require.NoError(c.T, c.TrySend(kind, name, args...))
-	return c.Seq
+// SendMessage sends a message of a Thrift type, and returns its sequence number. The arguments are whole encoded fields.
+func (c *Client) SendMessage(kind byte, name string, args ...[]byte) int32 {
+	require.NoError(c.T, c.TrySendMessage(kind, name, args...))
+	return c.LastSeq
 }
 
-// TrySend sends a message of a Thrift type, and returns the error of writing.
-func (c *Client) TrySend(kind byte, name string, args ...[]byte) error {
-	c.Seq++
+// TrySendMessage sends a message of a Thrift type, and returns the error of writing.
+func (c *Client) TrySendMessage(kind byte, name string, args ...[]byte) error {
+	c.LastSeq++
 	message := append(bytes.Clone(thriftVersion), kind)
 	message = appendText(message, name)
-	message = binary.BigEndian.AppendUint32(message, uint32(c.Seq))
+	message = binary.BigEndian.AppendUint32(message, uint32(c.LastSeq))
 	message = append(message, bytes.Join(args, nil)...)
 	message = append(message, fieldsEnd)
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(message)))
@@ -81,66 +81,66 @@
 	return err
 }
 
-// Ask sends a request, and returns its sequence number. The fields of its map are name, value, name, value and so on.
-func (c *Client) Ask(statement string, fields ...string) int32 {
-	require.NoError(c.T, c.TryAsk(statement, fields...))
-	return c.Seq
+// SendRequest sends a request, and returns its sequence number. The fields of its map are name, value, name, value and so on.
+func (c *Client) SendRequest(statement string, fields ...string) int32 {
+	require.NoError(c.T, c.TrySendRequest(statement, fields...))
+	return c.LastSeq
 }
 
-// TryAsk sends a request with the fields of its map, and returns the error of writing.
-func (c *Client) TryAsk(statement string, fields ...string) error {
+// TrySendRequest sends a request with the fields of its map, and returns the error of writing.
+func (c *Client) TrySendRequest(statement string, fields ...string) error {
 	info := []byte{mapField, 0, 1, stringField, stringField, 0, 0, 0, byte(len(fields) / 2)}
 	for _, text := range fields {
 		info = appendText(info, text)
 	}
-	return c.TrySend(callMessage, "call", info, appendText([]byte{stringField, 0, 2}, statement))
+	return c.TrySendMessage(callMessage, "call", info, appendText([]byte{stringField, 0, 2}, statement))
 }
 
-// ID returns the request id of a number: 16 hexadecimal digits.
-func ID(n int) string { return fmt.Sprintf("%016x", n) }
+// RequestID returns the request id of a number: 16 hexadecimal digits.
+func RequestID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// Lookup sends a look-up with the usual fields and the id of a number, and returns its sequence number. The ttl, the
+// SendLookup sends a look-up with the usual fields and the id of a number, and returns its sequence number. The ttl, the
 // client's timeout, is in milliseconds.
-func (c *Client) Lookup(n int, ttl string) int32 {
-	return c.Ask("SELECT * FROM s_1.t",
-		"call", ID(n), "op", "lookup", "ttl", ttl, "org", "t", "work", "1000.0", "mb", "8")
+func (c *Client) SendLookup(n int, ttl string) int32 {
+	return c.SendRequest("SELECT * FROM s_1.t",
+		"call", RequestID(n), "op", "lookup", "ttl", ttl, "org", "t", "work", "1000.0", "mb", "8")
 }
 
-// Load sends a load with the id and idempotency key of a number, and returns its sequence number. All of them have
+// SendLoad sends a load with the id and idempotency key of a number, and returns its sequence number. All of them have
 // the same order key. The ttl, the client's timeout, is in milliseconds.
-func (c *Client) Load(n int, ttl string) int32 {
-	return c.Ask("INSERT INTO s_1.t",
-		"call", ID(n), "op", "load", "ttl", ttl, "dedupe", fmt.Sprint(n), "row", "k", "work", "10.0")
+func (c *Client) SendLoad(n int, ttl string) int32 {
+	return c.SendRequest("INSERT INTO s_1.t",
+		"call", RequestID(n), "op", "load", "ttl", ttl, "dedupe", fmt.Sprint(n), "row", "k", "work", "10.0")
 }
 
 // Reply is one message from the front end.
 type Reply struct {
-	Seq  int32  // sequence number of the request that it responds to
-	What string // answer, shed, fault or exception
-	Raw  string // all after the sequence number
+	Seq     int32  // sequence number of the request that it responds to
+	Kind    string // answer, shed, fault or exception
+	Payload string // all after the sequence number
 }
 
 // Healthy calls the front end's health method, and reports whether it responds that it is healthy.
 func (c *Client) Healthy() bool {
-	c.Send(callMessage, "health")
-	return strings.HasSuffix(c.Read().Raw, "\x02\x00\x03\x01\x00\x00")
+	c.SendMessage(callMessage, "health")
+	return strings.HasSuffix(c.ReadReply().Payload, "\x02\x00\x03\x01\x00\x00")
 }
 
 // replyKinds is the kind of reply for each id of the field that a reply's result begins with.
-var replyKinds = []string{history.Answer, history.Shed, history.Fault}
+var replyKinds = []string{history.Succeeded, history.Rejected, history.Failed}
 
 const exceptionReply = "exception"
 
-// Read reads the next message from the front end. The test fails where none can be read.
-func (c *Client) Read() Reply {
+// ReadReply reads the next message from the front end. The test fails where none can be read.
+func (c *Client) ReadReply() Reply {
 	c.T.Helper()
-	reply, err := c.TryRead()
+	reply, err := c.TryReadReply()
 	require.NoError(c.T, err)
 	return reply
 }
 
-// TryRead reads the next message from the front end. It returns the error of reading.
-func (c *Client) TryRead() (Reply, error) {
+// TryReadReply reads the next message from the front end. It returns the error of reading.
+func (c *Client) TryReadReply() (Reply, error) {
 	var size uint32
 	if err := binary.Read(c.Conn, binary.BigEndian, &size); err != nil {
 		return Reply{}, err
@@ -159,19 +159,19 @@
 	seqOffset := nameOffset + int(binary.BigEndian.Uint32(message[nameLengthOffset:]))
 	rawOffset := seqOffset + 4
 	reply := Reply{
-		Seq:  int32(binary.BigEndian.Uint32(message[seqOffset:])),
-		What: exceptionReply,
-		Raw:  string(message[rawOffset:]),
+		Seq:     int32(binary.BigEndian.Uint32(message[seqOffset:])),
+		Kind:    exceptionReply,
+		Payload: string(message[rawOffset:]),
 	}
 	if message[typeOffset] == replyMessage {
-		reply.What = replyKinds[message[rawOffset+2]]
+		reply.Kind = replyKinds[message[rawOffset+2]]
 	}
 	return reply
 }
 
-// Body returns the rows of an answer.
-func (p Reply) Body() string {
+// Rows returns the rows of an answer.
+func (p Reply) Rows() string {
 	const lengthOffset, rowsOffset = 6, 10
-	length := binary.BigEndian.Uint32([]byte(p.Raw[lengthOffset:]))
-	return p.Raw[rowsOffset : rowsOffset+length]
+	length := binary.BigEndian.Uint32([]byte(p.Payload[lengthOffset:]))
+	return p.Payload[rowsOffset : rowsOffset+length]
 }
--- a/internal/standin/direction.go
+++ b/internal/standin/direction.go
@@ -25,9 +25,9 @@
 // frameKind returns the kind of a whole frame.
 func frameKind(frame []byte) transport.Kind { return transport.Kind(frame[frameKindOffset]) }
 
-// Flow is one direction of all connections of a proxy, with the faults injected into it. Frames pass whole, each
+// ProxyDirection is one direction of all connections of a proxy, with the faults injected into it. Frames pass whole, each
 // with the faults that are set when it arrives. It is safe for concurrent use.
-type Flow struct {
+type ProxyDirection struct {
 	random *Random
 
 	mu             sync.Mutex
@@ -45,10 +45,12 @@
 	observe        func(frame []byte)
 }
 
-func newDirection(random *Random) *Flow { return &Flow{random: random, resumed: make(chan struct{})} }
+func newDirection(random *Random) *ProxyDirection {
+	return &ProxyDirection{random: random, resumed: make(chan struct{})}
+}
 
-// Stall stops all traffic in this direction, or resumes it. Connections stay open, and nothing is lost.
-func (d *Flow) Stall(stall bool) {
+// SetStalled stops all traffic in this direction, or resumes it. Connections stay open, and nothing is lost.
+func (d *ProxyDirection) SetStalled(stall bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stalled && !stall {
@@ -58,53 +60,53 @@
 	d.stalled = stall
 }
 
-// Lose drops all frames that arrive, or forwards them again. Connections stay open.
-func (d *Flow) Lose(drop bool) {
+// SetDropping drops all frames that arrive, or forwards them again. Connections stay open.
+func (d *ProxyDirection) SetDropping(drop bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.dropping = drop
 }
 
-// Slow sets the delay of each frame, a random jitter below the given one that is added to it, and the rate in bytes
+// SetDelay sets the delay of each frame, a random jitter below the given one that is added to it, and the rate in bytes
 // a second. 0 is no delay, no jitter or no limit. A low rate is what a slow reader looks like.
-func (d *Flow) Slow(delay, jitter time.Duration, bytesPerSecond int) {
+func (d *ProxyDirection) SetDelay(delay, jitter time.Duration, bytesPerSecond int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.delay, d.jitter, d.bytesPerSecond = delay, jitter, bytesPerSecond
 }
 
-// Twice has a random third of all frames after the handshake forwarded twice, or no more.
-func (d *Flow) Twice(duplicate bool) {
+// SetDuplicating has a random third of all frames after the handshake forwarded twice, or no more.
+func (d *ProxyDirection) SetDuplicating(duplicate bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.duplicating = duplicate
 }
 
-// Passed returns how many frames and bytes were forwarded, and how many frames were dropped. A duplicated frame
+// FrameCounts returns how many frames and bytes were forwarded, and how many frames were dropped. A duplicated frame
 // counts once, with the bytes of both.
-func (d *Flow) Passed() (frames, bytes, dropped int) {
+func (d *ProxyDirection) FrameCounts() (frames, bytes, dropped int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.forwarded, d.forwardedBytes, d.dropped
 }
 
-// Waiting returns how many frames have arrived and are neither forwarded nor dropped yet.
-func (d *Flow) Waiting() int {
+// PendingFrames returns how many frames have arrived and are neither forwarded nor dropped yet.
+func (d *ProxyDirection) PendingFrames() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.received - d.forwarded - d.dropped
 }
 
-// Tap has observe called with each frame that arrives, header included; nil ends that. It must neither keep nor
+// Observe has observe called with each frame that arrives, header included; nil ends that. It must neither keep nor
 // change the frame.
-func (d *Flow) Tap(observe func(frame []byte)) {
+func (d *ProxyDirection) Observe(observe func(frame []byte)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.observe = observe
 }
 
 // waitResumed waits while this direction is stalled.
-func (d *Flow) waitResumed() {
+func (d *ProxyDirection) waitResumed() {
 	for {
 		d.mu.Lock()
 		stalled, resumed := d.stalled, d.resumed
@@ -124,7 +126,7 @@
 
 // applyFaults applies the faults that are set now to a frame. It returns what is to be written, and for how long
 // nothing more is to be read; ok is false where the frame is dropped.
-func (d *Flow) applyFaults(frame []byte) (write delayedWrite, pause time.Duration, ok bool) {
+func (d *ProxyDirection) applyFaults(frame []byte) (write delayedWrite, pause time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.received++
@@ -151,7 +153,7 @@
 // forward forwards frames from one connection to the other. It returns once the first has ended and all that came of
 // it is written or thrown away. While heldUntil returns a channel, frames are read but not written until it is
 // closed, so that none is lost with its sender.
-func (d *Flow) forward(from, to net.Conn, heldUntil func() <-chan struct{}) {
+func (d *ProxyDirection) forward(from, to net.Conn, heldUntil func() <-chan struct{}) {
 	queue := make(chan delayedWrite, maxQueuedFrames)
 	written := make(chan struct{})
 	go func() {
@@ -174,7 +176,7 @@
 
 // queueFrames takes the whole frames off the front of what was read, queues what is to be written of them, and
 // returns the rest.
-func (d *Flow) queueFrames(unparsed []byte, queue chan<- delayedWrite) []byte {
+func (d *ProxyDirection) queueFrames(unparsed []byte, queue chan<- delayedWrite) []byte {
 	for len(unparsed) >= frameLengthSize {
 		size := frameLengthSize + int(binary.BigEndian.Uint32(unparsed))
 		if len(unparsed) < size {
@@ -193,7 +195,7 @@
 
 // writeQueue writes what is queued, each when it is due. Once the connection takes nothing more the rest is thrown
 // away.
-func (d *Flow) writeQueue(to net.Conn, queue <-chan delayedWrite, heldUntil func() <-chan struct{}) {
+func (d *ProxyDirection) writeQueue(to net.Conn, queue <-chan delayedWrite, heldUntil func() <-chan struct{}) {
 	failed := false
 	for write := range queue {
 		time.Sleep(time.Until(write.due))
@@ -210,7 +212,7 @@
 }
 
 // countWrite counts a frame that was forwarded, or that is lost as its receiver has ended.
-func (d *Flow) countWrite(size int, lost bool) {
+func (d *ProxyDirection) countWrite(size int, lost bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if lost {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -13,17 +13,17 @@
 // discoveryFrameHeader is the length, in bytes, of a discovery frame's sequence number and kind.
 const discoveryFrameHeader = 9
 
-// Frame returns a frame of the discovery service ("journal" on the wire): its length, sequence number and kind, and
+// DiscoveryFrame returns a frame of the discovery service ("journal" on the wire): its length, sequence number and kind, and
 // the records after them.
-func Frame(number uint64, kind byte, records ...[]byte) []byte {
+func DiscoveryFrame(number uint64, kind byte, records ...[]byte) []byte {
 	payload := bytes.Join(records, nil)
 	frame := binary.BigEndian.AppendUint32(nil, uint32(discoveryFrameHeader+len(payload)))
 	frame = binary.BigEndian.AppendUint64(frame, number)
 	return append(append(frame, kind), payload...)
 }
 
-// Record returns the discovery record of the engine with the given state. The engine's name has the form s-%x.
-func (e *Engine) Record(state byte) []byte {
+// DiscoveryRecord returns the discovery record of the engine with the given state. The engine's name has the form s-%x.
+func (e *StubEngine) DiscoveryRecord(state byte) []byte {
 	var number uint32
 	fmt.Sscanf(e.Name, "s-%x", &number)
 	record := append(binary.BigEndian.AppendUint32(nil, number), e.Addr.IP.To4()...)
@@ -31,21 +31,21 @@
 	return append(record, make([]byte, 8)...)
 }
 
-// ListenJournal closes the listener of the stub discovery service and listens at addr in its place. It returns the
+// ListenDiscovery closes the listener of the stub discovery service and listens at addr in its place. It returns the
 // error of listening.
-func (h *Rig) ListenJournal(addr string) (err error) {
-	h.Journal.Close()
-	if h.Journal, err = net.Listen("tcp4", addr); err == nil {
-		h.T.Cleanup(func() { h.Journal.Close() })
+func (h *Harness) ListenDiscovery(addr string) (err error) {
+	h.DiscoveryListener.Close()
+	if h.DiscoveryListener, err = net.Listen("tcp4", addr); err == nil {
+		h.T.Cleanup(func() { h.DiscoveryListener.Close() })
 	}
 	return err
 }
 
-// Accept accepts the next connection of the front end to the stub discovery service. It returns the connection and
+// AcceptDiscovery accepts the next connection of the front end to the stub discovery service. It returns the connection and
 // the sequence number after which the front end asks for events. The test fails where no connection can be accepted
 // or its number can't be read.
-func (h *Rig) Accept() (net.Conn, uint64) {
-	conn, err := h.Journal.Accept()
+func (h *Harness) AcceptDiscovery() (net.Conn, uint64) {
+	conn, err := h.DiscoveryListener.Accept()
 	require.NoError(h.T, err)
 	h.T.Cleanup(func() { conn.Close() })
 	var last uint64
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -18,9 +18,9 @@
 
 import "time"
 
-// Patience is the timeout of each wait for a condition: a test fails whose condition isn't reached within it. It is far
+// WaitTimeout is the timeout of each wait for a condition: a test fails whose condition isn't reached within it. It is far
 // above what any condition needs, so that it measures nothing.
-const Patience = 20 * time.Second
+const WaitTimeout = 20 * time.Second
 
 // The intervals at which conditions are polled.
 const (
