--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -12,17 +12,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Call is one HTTP request that a stub engine received.
-type Call struct {
+// EngineRequest is one HTTP request that a stub engine received.
+type EngineRequest struct {
 	Engine, Method, Path string
 	Header               http.Header
 	Body                 string
-	At                   time.Time       // when it was read whole
-	Gone                 <-chan struct{} // closed once its connection has ended, or it is answered
+	ReceivedAt           time.Time       // when it was read whole
+	Done                 <-chan struct{} // closed once its connection has ended, or it is answered
 }
 
-// Engine is a stub engine, an HTTP server on loopback whose handler is the test's.
-type Engine struct {
+// StubEngine is a stub engine, an HTTP server on loopback whose handler is the test's.
+type StubEngine struct {
 	Name   string
 	Addr   *net.TCPAddr
 	Server *httptest.Server
@@ -30,27 +30,27 @@
 
 // newEngine returns the stub engine of a number that isn't started yet. It records its requests and gives them to
 // handle.
-func (h *Rig) newEngine(number int, handle Answer) *Engine {
-	engine := &Engine{Name: fmt.Sprintf("s-%08x", number)}
+func (h *Harness) newEngine(number int, handle EngineHandler) *StubEngine {
+	engine := &StubEngine{Name: fmt.Sprintf("s-%08x", number)}
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
-		call := Call{
-			Engine: engine.Name,
-			Method: request.Method,
-			Path:   request.URL.Path,
-			Header: request.Header,
-			Body:   string(body),
-			At:     time.Now(),
-			Gone:   request.Context().Done(),
+		call := EngineRequest{
+			Engine:     engine.Name,
+			Method:     request.Method,
+			Path:       request.URL.Path,
+			Header:     request.Header,
+			Body:       string(body),
+			ReceivedAt: time.Now(),
+			Done:       request.Context().Done(),
 		}
-		h.Mu.Lock()
-		h.Calls = append(h.Calls, call)
-		h.Mu.Unlock()
+		h.mu.Lock()
+		h.AllRequests = append(h.AllRequests, call)
+		h.mu.Unlock()
 		handle(h, w, call)
 	}))
 	server.Config.ConnState = func(conn net.Conn, state http.ConnState) {
-		if h.Conns != nil {
-			h.Conns(conn, state)
+		if h.OnConnState != nil {
+			h.OnConnState(conn, state)
 		}
 	}
 	engine.Server = server
@@ -60,7 +60,7 @@
 }
 
 // start starts the engine, with TLS where config is not nil.
-func (e *Engine) start(config *tls.Config) {
+func (e *StubEngine) start(config *tls.Config) {
 	if config == nil {
 		e.Server.Start()
 		return
@@ -75,9 +75,9 @@
 	server.Close()
 }
 
-// Again starts another server, with the same handler, at the address of an engine whose listener was closed. It
+// RestartEngine starts another server, with the same handler, at the address of an engine whose listener was closed. It
 // returns the error of listening.
-func (h *Rig) Again(e *Engine) error {
+func (h *Harness) RestartEngine(e *StubEngine) error {
 	listener, err := net.Listen("tcp4", e.Addr.String())
 	if err != nil {
 		return err
@@ -90,9 +90,9 @@
 	return nil
 }
 
-// Shuttable has a stub engine listen behind a listener that can be blocked, in place of its own, and returns it. It
+// MakeBlockable has a stub engine listen behind a listener that can be blocked, in place of its own, and returns it. It
 // is called before the engine starts.
-func (h *Rig) Shuttable(e *Engine) *Door {
+func (h *Harness) MakeBlockable(e *StubEngine) *BlockableListener {
 	listener, err := newBlockableListener()
 	require.NoError(h.T, err)
 	e.Server.Listener.Close()
--- a/internal/standin/engineresponses.go
+++ b/internal/standin/engineresponses.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// Answer handles one request to a stub engine. It is called by several goroutines at once.
-type Answer func(h *Rig, w http.ResponseWriter, request Call)
+// EngineHandler handles one request to a stub engine. It is called by several goroutines at once.
+type EngineHandler func(h *Harness, w http.ResponseWriter, request EngineRequest)
 
-// Row is one row of a result, and the whole result in most tests.
-const Row = "x\ty\tz\n"
+// ResultRow is one row of a result, and the whole result in most tests.
+const ResultRow = "x\ty\tz\n"
 
-// Serve responds with a result of one page.
-func Serve(w http.ResponseWriter, page string) {
+// RespondResult responds with a result of one page.
+func RespondResult(w http.ResponseWriter, page string) {
 	w.Header().Set("X-Batches", "1")
 	w.Header().Set("Content-Length", strconv.Itoa(len(page))) // engines send no chunks
 	fmt.Fprint(w, page)
 }
 
-// Raw responds with bytes of the test's own, head included, and closes the connection where closeConn is set.
-func Raw(w http.ResponseWriter, response string, closeConn bool) {
+// RespondRaw responds with bytes of the test's own, head included, and closes the connection where closeConn is set.
+func RespondRaw(w http.ResponseWriter, response string, closeConn bool) {
 	conn := hijack(w)
 	_, _ = io.WriteString(conn, response)
 	if closeConn {
@@ -32,9 +32,9 @@
 	}
 }
 
-// Twice responds with bytes of the test's own, head included, and writes more of them after a delay. The connection
+// RespondRawTwice responds with bytes of the test's own, head included, and writes more of them after a delay. The connection
 // stays open.
-func Twice(w http.ResponseWriter, response string, delay time.Duration, more string) {
+func RespondRawTwice(w http.ResponseWriter, response string, delay time.Duration, more string) {
 	conn := hijack(w)
 	_, _ = io.WriteString(conn, response)
 	time.AfterFunc(delay, func() { _, _ = io.WriteString(conn, more) })
@@ -52,11 +52,11 @@
 // runningResponseDelay is how long an engine takes to respond that a query is still running.
 const runningResponseDelay = 50 * time.Millisecond
 
-// Store returns a handler under which each query is running for so many responses (to its start and polls), and has
+// SucceedAfterPolls returns a handler under which each query is running for so many responses (to its start and polls), and has
 // ended with one page for each of the rows after them. DELETE succeeds and changes nothing.
-func Store(runningResponses int, rows ...string) Answer {
+func SucceedAfterPolls(runningResponses int, rows ...string) EngineHandler {
 	requests := map[string]int{} // of each query; guarded by the harness's lock
-	return func(h *Rig, w http.ResponseWriter, request Call) {
+	return func(h *Harness, w http.ResponseWriter, request EngineRequest) {
 		if request.Method == http.MethodDelete {
 			w.WriteHeader(http.StatusNoContent)
 			return
@@ -67,10 +67,10 @@
 			query = parts[3]
 			fmt.Sscan(parts[4], &page)
 		}
-		h.Mu.Lock()
+		h.mu.Lock()
 		requests[query]++
 		count := requests[query]
-		h.Mu.Unlock()
+		h.mu.Unlock()
 		if page == 0 && count <= runningResponses {
 			time.Sleep(runningResponseDelay)
 			w.WriteHeader(http.StatusAccepted)
@@ -86,13 +86,13 @@
 	}
 }
 
-// Held returns a handler that responds at once with one row; only the start of the request with the given id waits
+// DelayedStart returns a handler that responds at once with one row; only the start of the request with the given id waits
 // until released has a value or is closed.
-func Held(id string, released <-chan bool) Answer {
-	return func(h *Rig, w http.ResponseWriter, request Call) {
+func DelayedStart(id string, released <-chan bool) EngineHandler {
+	return func(h *Harness, w http.ResponseWriter, request EngineRequest) {
 		if request.Method == http.MethodPost && request.Header.Get("Request-Id") == id {
 			<-released
 		}
-		Serve(w, Row)
+		RespondResult(w, ResultRow)
 	}
 }
--- a/internal/standin/faultproxy.go
+++ b/internal/standin/faultproxy.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Relay is a fault-injecting TCP proxy on the path from one front end to another. All connections that the first
+// FaultProxy is a fault-injecting TCP proxy on the path from one front end to another. All connections that the first
 // dials to the second pass through it, in both directions. The embedded direction has the faults of what the dialer
 // sends. A proxy is safe for concurrent use.
-type Relay struct {
-	*Flow // from the dialer to the target
-	// Back is the direction from the target to the dialer: the handshake's answer, and the view where the dialer is
+type FaultProxy struct {
+	*ProxyDirection // from the dialer to the target
+	// ToDialer is the direction from the target to the dialer: the handshake's answer, and the view where the dialer is
 	// an attached front end.
-	Back   *Flow
-	Addr   string // host:port that the dialer dials
-	target string // host:port that the proxy dials
+	ToDialer *ProxyDirection
+	Addr     string // host:port that the dialer dials
+	target   string // host:port that the proxy dials
 
 	listener net.Listener
 
@@ -58,27 +58,27 @@
 // neverHeld is the hold of a direction that has none.
 func neverHeld() <-chan struct{} { return nil }
 
-// NewRelay starts a proxy to a target, given as host:port, that listens on loopback. The error is that of listening.
-func NewRelay(target string, random *Random) (*Relay, error) {
+// NewFaultProxy starts a proxy to a target, given as host:port, that listens on loopback. The error is that of listening.
+func NewFaultProxy(target string, random *Random) (*FaultProxy, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Relay{
-		Flow:     newDirection(random),
-		Back:     newDirection(random),
-		Addr:     listener.Addr().String(),
-		target:   target,
-		listener: listener,
-		conns:    map[net.Conn]bool{},
-		sessions: map[*proxySession]bool{},
+	p := &FaultProxy{
+		ProxyDirection: newDirection(random),
+		ToDialer:       newDirection(random),
+		Addr:           listener.Addr().String(),
+		target:         target,
+		listener:       listener,
+		conns:          map[net.Conn]bool{},
+		sessions:       map[*proxySession]bool{},
 	}
 	go p.acceptLoop()
 	return p, nil
 }
 
 // acceptLoop accepts connections until the listener is closed.
-func (p *Relay) acceptLoop() {
+func (p *FaultProxy) acceptLoop() {
 	for {
 		conn, err := p.listener.Accept()
 		if err != nil {
@@ -93,7 +93,7 @@
 }
 
 // admit counts a new connection of the dialer, and reports whether it is not refused.
-func (p *Relay) admit(conn net.Conn) bool {
+func (p *FaultProxy) admit(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connectionAttempts++
@@ -105,7 +105,7 @@
 }
 
 // serve connects to the target and forwards both directions until one of the connections has ended.
-func (p *Relay) serve(dialer net.Conn) {
+func (p *FaultProxy) serve(dialer net.Conn) {
 	defer p.closeConn(dialer)
 	p.waitResumed() // while the path is stalled new connections are not established either
 	session := p.addSession()
@@ -119,7 +119,7 @@
 		return
 	}
 	go func() {
-		p.Back.forward(target, dialer, neverHeld)
+		p.ToDialer.forward(target, dialer, neverHeld)
 		p.closeConn(dialer) // the target has ended the session
 		p.closeConn(target)
 	}()
@@ -127,7 +127,7 @@
 }
 
 // addTarget registers the connection to the target, and reports whether the path was not cut meanwhile.
-func (p *Relay) addTarget(dialer, target net.Conn) bool {
+func (p *FaultProxy) addTarget(dialer, target net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[target] = true
@@ -138,14 +138,14 @@
 	return !p.cut
 }
 
-func (p *Relay) closeConn(conn net.Conn) {
+func (p *FaultProxy) closeConn(conn net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, conn)
 	p.mu.Unlock()
 	conn.Close()
 }
 
-func (p *Relay) addSession() *proxySession {
+func (p *FaultProxy) addSession() *proxySession {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	session := &proxySession{heldUntil: p.newHeldUntil}
@@ -153,15 +153,15 @@
 	return session
 }
 
-func (p *Relay) removeSession(session *proxySession) {
+func (p *FaultProxy) removeSession(session *proxySession) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.sessions, session)
 }
 
-// Hold holds back what the dialer sends on the connections that are open now, also beyond the end of its process,
+// HoldCurrent holds back what the dialer sends on the connections that are open now, also beyond the end of its process,
 // until release is called. Later connections are not held, so that what arrives after the release is late.
-func (p *Relay) Hold() (release func()) {
+func (p *FaultProxy) HoldCurrent() (release func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	until := make(chan struct{})
@@ -173,32 +173,32 @@
 
 // HoldNew ends all connections once, and holds back what the dialer sends on later ones, the handshake included,
 // until release is called.
-func (p *Relay) HoldNew() (release func()) {
+func (p *FaultProxy) HoldNew() (release func()) {
 	until := make(chan struct{})
-	p.Cut(true)
+	p.SetCut(true)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cut, p.newHeldUntil = false, until
 	return sync.OnceFunc(func() { close(until) })
 }
 
-// Narrow gives new connections small kernel buffers on the way back, so that a dialer that reads slowly blocks its
+// UseSmallBuffers gives new connections small kernel buffers on the way back, so that a dialer that reads slowly blocks its
 // sender.
-func (p *Relay) Narrow() {
+func (p *FaultProxy) UseSmallBuffers() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.smallBuffers = true
 }
 
-// Dialled returns how many connections the dialer has opened, refused ones included.
-func (p *Relay) Dialled() int {
+// ConnectionAttempts returns how many connections the dialer has opened, refused ones included.
+func (p *FaultProxy) ConnectionAttempts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connectionAttempts
 }
 
-// Cut ends all connections and refuses new ones, or admits them again.
-func (p *Relay) Cut(cut bool) {
+// SetCut ends all connections and refuses new ones, or admits them again.
+func (p *FaultProxy) SetCut(cut bool) {
 	p.mu.Lock()
 	p.cut = cut
 	var closing []net.Conn
@@ -213,21 +213,21 @@
 	}
 }
 
-// Reset ends all connections once.
-func (p *Relay) Reset() {
-	p.Cut(true)
-	p.Cut(false)
+// CloseConnections ends all connections once.
+func (p *FaultProxy) CloseConnections() {
+	p.SetCut(true)
+	p.SetCut(false)
 }
 
-// StallBoth stops all traffic in both directions, or resumes it. Connections stay open.
-func (p *Relay) StallBoth(stall bool) {
-	p.Stall(stall)
-	p.Back.Stall(stall)
+// SetBothStalled stops all traffic in both directions, or resumes it. Connections stay open.
+func (p *FaultProxy) SetBothStalled(stall bool) {
+	p.SetStalled(stall)
+	p.ToDialer.SetStalled(stall)
 }
 
 // Close stops the proxy and ends all its connections.
-func (p *Relay) Close() {
+func (p *FaultProxy) Close() {
 	p.listener.Close()
-	p.Cut(true)
-	p.StallBoth(false)
+	p.SetCut(true)
+	p.SetBothStalled(false)
 }
--- a/internal/standin/faultproxy_test.go
+++ b/internal/standin/faultproxy_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestMain(m *testing.M) { os.Exit(Seeded(m)) }
+func TestMain(m *testing.M) { os.Exit(RunWithFixedSeed(m)) }
 
 // The kinds of frames of these tests.
 const (
@@ -28,27 +28,27 @@
 
 // proxiedConn is one connection through a proxy, with what has been received at both ends.
 type proxiedConn struct {
-	proxy            *Relay
+	proxy            *FaultProxy
 	dialer           net.Conn
 	target           net.Conn
-	receivedByDialer *LockedBuffer
-	receivedByTarget *LockedBuffer
+	receivedByDialer *LogBuffer
+	receivedByTarget *LogBuffer
 }
 
 // newProxy starts a proxy and the listener that is its target.
-func newProxy(t *testing.T) (*Relay, net.Listener) {
+func newProxy(t *testing.T) (*FaultProxy, net.Listener) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	proxy, err := NewRelay(listener.Addr().String(), NewRandom(1))
+	proxy, err := NewFaultProxy(listener.Addr().String(), NewRandom(1))
 	require.NoError(t, err)
 	t.Cleanup(proxy.Close)
 	return proxy, listener
 }
 
 // dial opens a connection through a proxy.
-func dial(t *testing.T, proxy *Relay, listener net.Listener) *proxiedConn {
+func dial(t *testing.T, proxy *FaultProxy, listener net.Listener) *proxiedConn {
 	t.Helper()
 	dialer, err := net.Dial("tcp4", proxy.Addr)
 	require.NoError(t, err)
@@ -66,8 +66,8 @@
 }
 
 // collect reads all that is received on a connection into a buffer.
-func collect(t *testing.T, conn net.Conn) *LockedBuffer {
-	received := &LockedBuffer{}
+func collect(t *testing.T, conn net.Conn) *LogBuffer {
+	received := &LogBuffer{}
 	var reader sync.WaitGroup
 	reader.Go(func() { _, _ = io.Copy(received, conn) })
 	t.Cleanup(func() { conn.Close(); reader.Wait() })
@@ -84,11 +84,11 @@
 // eventually waits until a condition holds.
 func eventually(t *testing.T, condition func() bool, description ...any) {
 	t.Helper()
-	require.Eventually(t, condition, Patience, fastPollInterval, description...)
+	require.Eventually(t, condition, WaitTimeout, fastPollInterval, description...)
 }
 
 // requireReceived waits until exactly the frames have been received.
-func requireReceived(t *testing.T, received *LockedBuffer, frames ...[]byte) {
+func requireReceived(t *testing.T, received *LogBuffer, frames ...[]byte) {
 	t.Helper()
 	expected := string(bytes.Join(frames, nil))
 	eventually(t, func() bool { return received.String() == expected }, "%q", expected)
@@ -97,16 +97,16 @@
 // direction is one direction of a connection: who has the faults, who sends, and what was received.
 type direction struct {
 	name     string
-	faults   *Flow
+	faults   *ProxyDirection
 	sender   net.Conn
-	received *LockedBuffer
+	received *LogBuffer
 }
 
 // directions returns both directions of a connection.
 func (c *proxiedConn) directions() [2]direction {
 	return [2]direction{
-		{"dialer to target", c.proxy.Flow, c.dialer, c.receivedByTarget},
-		{"target to dialer", c.proxy.Back, c.target, c.receivedByDialer},
+		{"dialer to target", c.proxy.ProxyDirection, c.dialer, c.receivedByTarget},
+		{"target to dialer", c.proxy.ToDialer, c.target, c.receivedByDialer},
 	}
 }
 
@@ -117,18 +117,18 @@
 		conn := newProxiedConn(t)
 		faulty, sound := conn.directions()[i], conn.directions()[1-i]
 		t.Run(faulty.name, func(t *testing.T) {
-			faulty.faults.Stall(true)
+			faulty.faults.SetStalled(true)
 			write(t, faulty.sender, one)
 			write(t, sound.sender, two)
 			requireReceived(t, sound.received, two)
 			assert.Empty(t, faulty.received.String())
-			faulty.faults.Stall(false)
+			faulty.faults.SetStalled(false)
 			requireReceived(t, faulty.received, one)
 
-			faulty.faults.Lose(true)
+			faulty.faults.SetDropping(true)
 			write(t, faulty.sender, two)
-			eventually(t, func() bool { _, _, dropped := faulty.faults.Passed(); return dropped == 1 })
-			faulty.faults.Lose(false)
+			eventually(t, func() bool { _, _, dropped := faulty.faults.FrameCounts(); return dropped == 1 })
+			faulty.faults.SetDropping(false)
 			write(t, faulty.sender, one)
 			requireReceived(t, faulty.received, one, one)
 		})
@@ -142,7 +142,7 @@
 		duplicating := conn.directions()[i]
 		t.Run(duplicating.name, func(t *testing.T) {
 			handshake, other := frame(handshakeKind, "h"), frame(otherKind, "o")
-			duplicating.faults.Twice(true)
+			duplicating.faults.SetDuplicating(true)
 			const sent = 100
 			write(t, duplicating.sender, bytes.Repeat(append(bytes.Clone(handshake), other...), sent))
 			write(t, duplicating.sender, frame(otherKind, "end"))
@@ -158,7 +158,7 @@
 func TestHeldFramesArriveAfterThoseOfLaterConnection(t *testing.T) {
 	proxy, listener := newProxy(t)
 	old := dial(t, proxy, listener)
-	release := proxy.Hold()
+	release := proxy.HoldCurrent()
 	write(t, old.dialer, frame(otherKind, "old"))
 	require.NoError(t, old.dialer.Close())
 	later := dial(t, proxy, listener)
@@ -181,7 +181,7 @@
 	write(t, after.dialer, frame(handshakeKind, "hello"))
 	write(t, after.target, frame(handshakeKind, "challenge"))
 	requireReceived(t, after.receivedByDialer, frame(handshakeKind, "challenge"))
-	eventually(t, func() bool { return proxy.Waiting() == 1 })
+	eventually(t, func() bool { return proxy.PendingFrames() == 1 })
 	assert.Empty(t, after.receivedByTarget.String())
 	release()
 	requireReceived(t, after.receivedByTarget, frame(handshakeKind, "hello"))
@@ -190,7 +190,7 @@
 // A cut ends both connections at once, and new ones are refused.
 func TestCutClosesBothConnectionsAndRefusesNewOnes(t *testing.T) {
 	conn := newProxiedConn(t)
-	conn.proxy.Cut(true)
+	conn.proxy.SetCut(true)
 	for _, end := range []net.Conn{conn.dialer, conn.target} {
 		eventually(t, func() bool { _, err := end.Write([]byte{0}); return err != nil })
 	}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -19,23 +19,23 @@
 // Fleet is a fleet of front ends, each a process on a loopback address of its own, with a proxy on each path from
 // one to another, and the engines that they share. What clients and engines see is recorded in a history.
 type Fleet struct {
-	T         *testing.T
-	Program   string // path of the executable
-	Site      string // the site's name; each fleet has its own, so that processes of two fleets never form one
-	Fronts    []*Front
-	Workers   []*Worker       // the engines
-	Record    *history.Record // what clients and engines saw
-	Random    *Random
-	Seed      uint64         // of the random numbers
-	Dir       string         // of all files
-	Lasting   bool           // control members store the replicated record
-	Section   map[string]any // what else the fleet's section of the installation file has
-	observe   func(frame []byte)
-	proxies   map[path]*Relay
-	discovery *site.Journal
-	calls     atomic.Int64 // request ids given out
-	script    *strings.Builder
-	began     time.Time
+	T             *testing.T
+	Program       string // path of the executable
+	SiteName      string // the site's name; each fleet has its own, so that processes of two fleets never form one
+	FrontEnds     []*FrontEnd
+	Engines       []*RecordingEngine // the engines
+	History       *history.Recorder  // what clients and engines saw
+	Random        *Random
+	Seed          uint64         // of the random numbers
+	Dir           string         // of all files
+	Durable       bool           // control members store the replicated record
+	FleetSettings map[string]any // what else the fleet's section of the installation file has
+	observe       func(frame []byte)
+	proxies       map[path]*FaultProxy
+	discovery     *site.StubDiscovery
+	calls         atomic.Int64 // request ids given out
+	script        *strings.Builder
+	began         time.Time
 }
 
 // path is the direction of connections from one front end, that dials, to another; both by their index.
@@ -55,19 +55,19 @@
 // script, statuses and logs if it failed.
 func NewFleet(t *testing.T, program string, controlMembers int, options ...func(*Fleet)) *Fleet {
 	f := &Fleet{
-		T:       t,
-		Program: program,
-		Site:    fmt.Sprintf("test-%d-%d", os.Getpid(), fleetsMade.Add(1)),
-		Seed:    fleetSeed,
-		Dir:     t.TempDir(),
-		Section: map[string]any{},
-		proxies: map[path]*Relay{},
-		script:  &strings.Builder{},
-		began:   time.Now(),
+		T:             t,
+		Program:       program,
+		SiteName:      fmt.Sprintf("test-%d-%d", os.Getpid(), fleetsMade.Add(1)),
+		Seed:          fleetSeed,
+		Dir:           t.TempDir(),
+		FleetSettings: map[string]any{},
+		proxies:       map[path]*FaultProxy{},
+		script:        &strings.Builder{},
+		began:         time.Now(),
 	}
-	f.Record = &history.Record{Now: func() int64 { return time.Since(f.began).Microseconds() }}
+	f.History = &history.Recorder{Now: func() int64 { return time.Since(f.began).Microseconds() }}
 	var err error
-	f.discovery, err = site.NewJournal()
+	f.discovery, err = site.NewStubDiscovery()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = f.discovery.Close() })
 	for range controlMembers {
@@ -80,7 +80,7 @@
 	f.startEngines()
 	f.startProxies()
 	t.Cleanup(f.stop) // before the first starts, so that one that doesn't serve is stopped too
-	for _, frontEnd := range f.Fronts {
+	for _, frontEnd := range f.FrontEnds {
 		frontEnd.Start()
 	}
 	return f
@@ -88,18 +88,18 @@
 
 // addControlMember adds a front end that the settings list.
 func (f *Fleet) addControlMember() {
-	index := len(f.Fronts)
+	index := len(f.FrontEnds)
 	name := fmt.Sprintf("n%d", index+1)
 	addresses := freeAddresses(f.T, nextAddress(), 2)
-	f.Fronts = append(f.Fronts, &Front{
-		F:      f,
-		N:      index,
-		Name:   name,
-		Zone:   string(rune('a' + index%fleetZones)),
-		Listen: addresses[0],
-		Peer:   addresses[1],
-		Folder: f.storageDir(name),
-		Admin:  f.adminSocket(name),
+	f.FrontEnds = append(f.FrontEnds, &FrontEnd{
+		Fleet:       f,
+		Index:       index,
+		Name:        name,
+		Zone:        string(rune('a' + index%fleetZones)),
+		ClientAddr:  addresses[0],
+		PeerAddr:    addresses[1],
+		StorageDir:  f.storageDir(name),
+		AdminSocket: f.adminSocket(name),
 	})
 }
 
@@ -111,34 +111,34 @@
 
 // startEngines starts the engines.
 func (f *Fleet) startEngines() {
-	deduplicator := &Seen{keys: map[string]time.Time{}}
+	deduplicator := &keyDeduplicator{keys: map[string]time.Time{}}
 	for i := range fleetEngines {
-		engine := NewWorker(fmt.Sprintf("s-%08x", i+1), f.Record, deduplicator)
+		engine := newRecordingEngine(fmt.Sprintf("s-%08x", i+1), f.History, deduplicator)
 		f.T.Cleanup(engine.Close)
-		f.Workers = append(f.Workers, engine)
+		f.Engines = append(f.Engines, engine)
 	}
 }
 
 // startProxies starts the proxies from each front end to all control members. There are none to attached front ends,
 // which nobody dials.
 func (f *Fleet) startProxies() {
-	for _, from := range f.Fronts {
-		for _, to := range f.Controls() {
+	for _, from := range f.FrontEnds {
+		for _, to := range f.ControlMembers() {
 			if from != to {
 				proxy := f.startProxy(from, to)
-				proxy.Tap(f.observe)
-				proxy.Back.Tap(f.observe)
+				proxy.Observe(f.observe)
+				proxy.ToDialer.Observe(f.observe)
 			}
 		}
 	}
 }
 
 // startProxy starts the proxy from one front end to another.
-func (f *Fleet) startProxy(from, to *Front) *Relay {
-	proxy, err := NewRelay(to.Peer, f.Random)
+func (f *Fleet) startProxy(from, to *FrontEnd) *FaultProxy {
+	proxy, err := NewFaultProxy(to.PeerAddr, f.Random)
 	require.NoError(f.T, err)
 	f.T.Cleanup(proxy.Close)
-	f.proxies[path{from.N, to.N}] = proxy
+	f.proxies[path{from.Index, to.Index}] = proxy
 	return proxy
 }
 
@@ -149,42 +149,42 @@
 		t.Logf("seed %d, script:\n%s", f.Seed, f.script)
 	}
 	if t.Failed() {
-		for _, frontEnd := range f.Fronts {
-			status, _ := json.Marshal(frontEnd.Status())
+		for _, frontEnd := range f.FrontEnds {
+			status, _ := json.Marshal(frontEnd.RawStatus())
 			t.Logf("status of %s: %s", frontEnd.Name, status)
 		}
 	}
-	for _, frontEnd := range f.Fronts {
+	for _, frontEnd := range f.FrontEnds {
 		frontEnd.killIfRunning()
 	}
 	if t.Failed() {
-		for _, frontEnd := range f.Fronts {
+		for _, frontEnd := range f.FrontEnds {
 			t.Logf("log of %s:\n%s", frontEnd.Name, frontEnd.Log)
 		}
 	}
 }
 
-// Did adds a line to the script, the list of what a test did to the fleet and when, in seconds from its start. A
+// LogStep adds a line to the script, the list of what a test did to the fleet and when, in seconds from its start. A
 // test that fails prints it.
-func (f *Fleet) Did(format string, args ...any) {
+func (f *Fleet) LogStep(format string, args ...any) {
 	fmt.Fprintf(f.script, "%8.3f s  %s\n", time.Since(f.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// Tapped is an option of NewFleet: observe is called with each frame between front ends, in either direction. It is
+// WithFrameObserver is an option of NewFleet: observe is called with each frame between front ends, in either direction. It is
 // called by several goroutines at once, and must neither keep nor change the frame.
-func Tapped(observe func(frame []byte)) func(*Fleet) {
+func WithFrameObserver(observe func(frame []byte)) func(*Fleet) {
 	return func(f *Fleet) { f.observe = observe }
 }
 
-// Controls returns the control members: the front ends that the settings list.
-func (f *Fleet) Controls() []*Front { return f.withAttached(false) }
+// ControlMembers returns the control members: the front ends that the settings list.
+func (f *Fleet) ControlMembers() []*FrontEnd { return f.withAttached(false) }
 
-// AttachedOnes returns the attached front ends, which the settings don't list.
-func (f *Fleet) AttachedOnes() []*Front { return f.withAttached(true) }
+// AttachedFrontEnds returns the attached front ends, which the settings don't list.
+func (f *Fleet) AttachedFrontEnds() []*FrontEnd { return f.withAttached(true) }
 
 // withAttached returns the front ends that are attached, or those that are not.
-func (f *Fleet) withAttached(attached bool) (list []*Front) {
-	for _, frontEnd := range f.Fronts {
+func (f *Fleet) withAttached(attached bool) (list []*FrontEnd) {
+	for _, frontEnd := range f.FrontEnds {
 		if frontEnd.Attached == attached {
 			list = append(list, frontEnd)
 		}
@@ -192,9 +192,9 @@
 	return list
 }
 
-// Named returns the first front end of a name; nil where there is none.
-func (f *Fleet) Named(name string) *Front {
-	for _, frontEnd := range f.Fronts {
+// FrontEndByName returns the first front end of a name; nil where there is none.
+func (f *Fleet) FrontEndByName(name string) *FrontEnd {
+	for _, frontEnd := range f.FrontEnds {
 		if frontEnd.Name == name {
 			return frontEnd
 		}
@@ -202,14 +202,14 @@
 	return nil
 }
 
-// Check checks the history of what clients and engines saw. Each violation fails the test, with the events around it.
-func (f *Fleet) Check() {
+// CheckHistory checks the history of what clients and engines saw. Each violation fails the test, with the events around it.
+func (f *Fleet) CheckHistory() {
 	f.T.Helper()
 	const eventsAround = 20
-	events := f.Record.Events()
+	events := f.History.Events()
 	for _, violation := range history.Check(events) {
 		f.T.Errorf("%s", violation)
-		for _, event := range history.Around(events, violation, eventsAround) {
+		for _, event := range history.RelatedEvents(events, violation, eventsAround) {
 			f.T.Logf("  %s", event)
 		}
 	}
--- a/internal/standin/frontendstatus.go
+++ b/internal/standin/frontendstatus.go
@@ -19,49 +19,49 @@
 	leaderRole    = "leader"
 )
 
-// Member is another front end as the one that reports its status sees it.
-type Member struct {
+// MemberStatus is another front end as the one that reports its status sees it.
+type MemberStatus struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
 	State       string `json:"state"` // of the failure detector
 	Incarnation string `json:"incarnation"`
-	Link        bool   `json:"link"` // it is connected
+	Connected   bool   `json:"link"` // it is connected
 	Role        string `json:"role"` // control or attached
 	Home        string `json:"home"` // at an attached one: the control member that it has its view from
 }
 
 // AttachedStatus is the part of a front end's status that is about attached front ends.
 type AttachedStatus struct {
-	On         bool             `json:"on"`
-	Home       string           `json:"home"`        // the control member that the view comes from; empty: none
-	ViewAgeMS  float64          `json:"view_age_ms"` // since the view was confirmed; -1: never
-	ViewDigest string           `json:"view_digest"`
-	ViewLen    int              `json:"view_len"` // front ends in the view
-	Targets    []string         `json:"targets"`  // control members that it attaches itself to
-	Links      int              `json:"links"`    // at a control member: attached front ends that are connected
-	Counters   map[string]int64 `json:"counters"`
+	Enabled            bool             `json:"on"`
+	Home               string           `json:"home"`        // the control member that the view comes from; empty: none
+	ViewAgeMS          float64          `json:"view_age_ms"` // since the view was confirmed; -1: never
+	ViewDigest         string           `json:"view_digest"`
+	ViewSize           int              `json:"view_len"` // front ends in the view
+	AttachmentTargets  []string         `json:"targets"`  // control members that it attaches itself to
+	ConnectedFrontEnds int              `json:"links"`    // at a control member: attached front ends that are connected
+	Counters           map[string]int64 `json:"counters"`
 }
 
-// Standing is the status of a front end: what it reports of itself, and how it sees the others.
-type Standing struct {
+// FrontEndStatus is the status of a front end: what it reports of itself, and how it sees the others.
+type FrontEndStatus struct {
 	Name        string         `json:"name"`
 	Incarnation string         `json:"incarnation"`
 	Role        string         `json:"role"`
 	Attached    AttachedStatus `json:"attached"`
-	Members     []Member       `json:"members"`
+	Members     []MemberStatus `json:"members"`
 }
 
-// Of returns how the front end of a name is seen; the zero Member where it is not seen, or where s is nil.
-func (s *Standing) Of(name string) Member {
+// Member returns how the front end of a name is seen; the zero Member where it is not seen, or where s is nil.
+func (s *FrontEndStatus) Member(name string) MemberStatus {
 	if s == nil {
-		return Member{}
+		return MemberStatus{}
 	}
 	for _, member := range s.Members {
 		if member.Name == name {
 			return member
 		}
 	}
-	return Member{}
+	return MemberStatus{}
 }
 
 // replicationStatus is the part of a front end's status that is about its replica of the record.
@@ -84,20 +84,20 @@
 	return ids
 }
 
-// Standing requests a front end's status; nil where it doesn't respond.
-func (n *Front) Standing() *Standing {
-	var s Standing
+// Status requests a front end's status; nil where it doesn't respond.
+func (n *FrontEnd) Status() *FrontEndStatus {
+	var s FrontEndStatus
 	if !n.adminRequest(statusRequest, &s) {
 		return nil
 	}
 	return &s
 }
 
-// Status requests a front end's status, with all that it has; nil where it doesn't respond.
-func (n *Front) Status() map[string]any { return n.Question(statusRequest) }
+// RawStatus requests a front end's status, with all that it has; nil where it doesn't respond.
+func (n *FrontEnd) RawStatus() map[string]any { return n.RawAdminResponse(statusRequest) }
 
-// Question sends a request to the operators' socket and returns the response; nil where there is none.
-func (n *Front) Question(request string) map[string]any {
+// RawAdminResponse sends a request to the operators' socket and returns the response; nil where there is none.
+func (n *FrontEnd) RawAdminResponse(request string) map[string]any {
 	var response map[string]any
 	if !n.adminRequest(request, &response) {
 		return nil
@@ -107,8 +107,8 @@
 
 // adminRequest sends a request to the operators' socket and decodes the response, in JSON, into a value. It reports
 // whether there was one.
-func (n *Front) adminRequest(request string, into any) bool {
-	conn, err := net.DialTimeout("unix", n.Admin, adminDialTimeout)
+func (n *FrontEnd) adminRequest(request string, into any) bool {
+	conn, err := net.DialTimeout("unix", n.AdminSocket, adminDialTimeout)
 	if err != nil {
 		return false
 	}
@@ -122,18 +122,18 @@
 
 // Counter returns one of the counters that a front end has of attached front ends; 0 where it doesn't respond. The
 // test fails where it has no counter of the name.
-func (n *Front) Counter(name string) int64 {
-	s := n.Standing()
+func (n *FrontEnd) Counter(name string) int64 {
+	s := n.Status()
 	if s == nil {
 		return 0
 	}
 	value, ok := s.Attached.Counters[name]
-	require.True(n.F.T, ok, "%s has no counter %q", n.Name, name)
+	require.True(n.Fleet.T, ok, "%s has no counter %q", n.Name, name)
 	return value
 }
 
-// Sees reports whether a front end sees the one of a name in one of the states. It doesn't where it doesn't respond.
-func (n *Front) Sees(name string, states ...string) bool {
-	s := n.Standing()
-	return s != nil && slices.Contains(states, s.Of(name).State)
+// SeesInState reports whether a front end sees the one of a name in one of the states. It doesn't where it doesn't respond.
+func (n *FrontEnd) SeesInState(name string, states ...string) bool {
+	s := n.Status()
+	return s != nil && slices.Contains(states, s.Member(name).State)
 }
--- a/internal/standin/logbuffer.go
+++ b/internal/standin/logbuffer.go
@@ -5,21 +5,21 @@
 	"sync"
 )
 
-// LockedBuffer is a buffer that is safe for concurrent use. It captures the log of a process.
-type LockedBuffer struct {
+// LogBuffer is a buffer that is safe for concurrent use. It captures the log of a process.
+type LogBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
 }
 
 // Write appends p to the buffer. It never fails.
-func (l *LockedBuffer) Write(p []byte) (int, error) {
+func (l *LogBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buffer.Write(p)
 }
 
 // String returns all that was written so far.
-func (l *LockedBuffer) String() string {
+func (l *LogBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buffer.String()
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -19,11 +19,11 @@
 const descriptorsSettleTime = 50 * time.Millisecond
 
 // Signal sends the process a signal.
-func (h *Rig) Signal(s syscall.Signal) { require.NoError(h.T, h.Cmd.Process.Signal(s)) }
+func (h *Harness) Signal(s syscall.Signal) { require.NoError(h.T, h.Cmd.Process.Signal(s)) }
 
 // Counter returns the present value of one of the front end's counters. It has the process log all of them
 // (SIGUSR1); the test fails where the counter doesn't appear in time.
-func (h *Rig) Counter(name string) (n int) {
+func (h *Harness) Counter(name string) (n int) {
 	h.T.Helper()
 	line := regexp.MustCompile("(?m)^" + regexp.QuoteMeta(name) + " +([0-9]+)$")
 	before := len(h.Log.String())
@@ -34,15 +34,15 @@
 			n, _ = strconv.Atoi(match[1])
 		}
 		return match != nil
-	}, Patience, fastPollInterval)
+	}, WaitTimeout, fastPollInterval)
 	return n
 }
 
-// Descriptors returns how many file descriptors the process has open.
-func (h *Rig) Descriptors() int { return len(h.openDescriptors()) }
+// DescriptorCount returns how many file descriptors the process has open.
+func (h *Harness) DescriptorCount() int { return len(h.openDescriptors()) }
 
 // openDescriptors returns the numbers of the process's open file descriptors.
-func (h *Rig) openDescriptors() (numbers []string) {
+func (h *Harness) openDescriptors() (numbers []string) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.Cmd.Process.Pid))
 	require.NoError(h.T, err)
 	for _, entry := range entries {
@@ -51,16 +51,16 @@
 	return numbers
 }
 
-// HoldDescriptors limits the process's open file descriptors to those that it has open and so many more. It waits
+// LimitDescriptors limits the process's open file descriptors to those that it has open and so many more. It waits
 // first until what was opened only to start is closed, which is when they stay the same for a while.
-func (h *Rig) HoldDescriptors(free int) {
+func (h *Harness) LimitDescriptors(free int) {
 	limit := descriptorLimit(h.settledDescriptors(), free)
 	err := unix.Prlimit(h.Cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: limit}, nil)
 	require.NoError(h.T, err)
 }
 
 // settledDescriptors waits until the process's open file descriptors stay the same, and returns their numbers.
-func (h *Rig) settledDescriptors() []string {
+func (h *Harness) settledDescriptors() []string {
 	open, since := h.openDescriptors(), time.Now()
 	for time.Since(since) < descriptorsSettleTime {
 		time.Sleep(fastPollInterval)
@@ -82,9 +82,9 @@
 	return limit
 }
 
-// State returns the process's state as proc(5) has it: 'T' where it is stopped. The error is that of reading it, as
+// ProcessState returns the process's state as proc(5) has it: 'T' where it is stopped. The error is that of reading it, as
 // for a process that has ended.
-func (h *Rig) State() (byte, error) {
+func (h *Harness) ProcessState() (byte, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", h.Cmd.Process.Pid))
 	if err != nil {
 		return 0, err
@@ -92,8 +92,8 @@
 	return stat[bytes.LastIndexByte(stat, ')')+2], nil
 }
 
-// PeakMB returns the peak of the process's resident memory, in MiB.
-func (h *Rig) PeakMB() int {
+// PeakMemoryMB returns the peak of the process's resident memory, in MiB.
+func (h *Harness) PeakMemoryMB() int {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", h.Cmd.Process.Pid))
 	require.NoError(h.T, err)
 	kb := 0
--- a/internal/standin/recordingengine.go
+++ b/internal/standin/recordingengine.go
@@ -23,33 +23,33 @@
 	longPollTimeout     = 250 * time.Millisecond
 )
 
-// Worker is an engine that does what engines promise, and records it in the history: each query runs for as long as
+// RecordingEngine is an engine that does what engines promise, and records it in the history: each query runs for as long as
 // its statement says ("ms=300"), until it is deleted, or until it was not polled for 2 s. Its result names the call,
 // the idempotency key and the engine, and is repeated up to the size that the statement says ("kb=64"). All engines
 // of a fleet share one table of idempotency keys.
-type Worker struct {
+type RecordingEngine struct {
 	Name         string
 	Addr         *net.TCPAddr
-	record       *history.Record
-	deduplicator *Seen
+	record       *history.Recorder
+	deduplicator *keyDeduplicator
 	server       *httptest.Server
 
-	// Fails has each query fail as it starts.
-	Fails atomic.Bool
+	// FailQueries has each query fail as it starts.
+	FailQueries atomic.Bool
 
 	mu        sync.Mutex
 	queries   map[string]*query      // by call
 	pollTimes map[string][]time.Time // by call
 }
 
-// Seen is the idempotency keys that the engines of a fleet have run, and when.
-type Seen struct {
+// keyDeduplicator is the idempotency keys that the engines of a fleet have run, and when.
+type keyDeduplicator struct {
 	mu   sync.Mutex
 	keys map[string]time.Time
 }
 
 // admit notes the start of a key, and reports whether it is not a repeat within the window.
-func (s *Seen) admit(key string) bool {
+func (s *keyDeduplicator) admit(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last, known := s.keys[key]
@@ -78,10 +78,10 @@
 	ended                chan struct{} // closed when it is no longer running
 }
 
-// NewWorker starts an engine that records into a history, and shares a table of idempotency keys with the other
+// newRecordingEngine starts an engine that records into a history, and shares a table of idempotency keys with the other
 // engines of its fleet.
-func NewWorker(name string, record *history.Record, deduplicator *Seen) *Worker {
-	e := &Worker{Name: name, record: record, deduplicator: deduplicator,
+func newRecordingEngine(name string, record *history.Recorder, deduplicator *keyDeduplicator) *RecordingEngine {
+	e := &RecordingEngine{Name: name, record: record, deduplicator: deduplicator,
 		queries: map[string]*query{}, pollTimes: map[string][]time.Time{}}
 	e.server = httptest.NewServer(http.HandlerFunc(e.serve))
 	e.Addr = e.server.Listener.Addr().(*net.TCPAddr)
@@ -89,10 +89,10 @@
 }
 
 // Close ends all connections of the engine and its server.
-func (e *Worker) Close() { closeServer(e.server) }
+func (e *RecordingEngine) Close() { closeServer(e.server) }
 
-// AskedAfter returns the time of the first poll of a call's query after since; ok is false where there is none.
-func (e *Worker) AskedAfter(call string, since time.Time) (at time.Time, ok bool) {
+// FirstPollAfter returns the time of the first poll of a call's query after since; ok is false where there is none.
+func (e *RecordingEngine) FirstPollAfter(call string, since time.Time) (at time.Time, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, at := range e.pollTimes[call] {
@@ -104,7 +104,7 @@
 }
 
 // serve handles one request: POST starts a query, GET polls it, and DELETE ends it. Other paths are of health checks.
-func (e *Worker) serve(out http.ResponseWriter, request *http.Request) {
+func (e *RecordingEngine) serve(out http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return // the request never came whole
@@ -122,7 +122,7 @@
 	switch {
 	case request.Method == http.MethodDelete:
 		if q != nil {
-			e.end(q, history.Deleted, queryFailed)
+			e.end(q, history.ExecutionCanceled, queryFailed)
 		}
 		out.WriteHeader(http.StatusNoContent)
 	case q == nil:
@@ -133,7 +133,7 @@
 }
 
 // lookUp returns the query of a call, nil where it is unknown, and notes the time of a poll.
-func (e *Worker) lookUp(call, method string) *query {
+func (e *RecordingEngine) lookUp(call, method string) *query {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if method == http.MethodGet {
@@ -143,10 +143,10 @@
 }
 
 // start starts the query of a statement, unless it repeats an idempotency key, and responds.
-func (e *Worker) start(out http.ResponseWriter, request *http.Request, statement string) {
+func (e *RecordingEngine) start(out http.ResponseWriter, request *http.Request, statement string) {
 	call, key := request.Header.Get("Request-Id"), request.Header.Get("Once-Key")
 	if key != "" && !e.deduplicator.admit(key) {
-		e.record.Add(history.Event{What: history.Repeat, Engine: e.Name, Call: call, Once: key})
+		e.record.Add(history.Event{Kind: history.DuplicateDropped, Engine: e.Name, CallID: call, IdempotencyKey: key})
 		out.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -154,10 +154,10 @@
 		ended: make(chan struct{})}
 	e.mu.Lock()
 	e.queries[call] = q
-	e.record.Add(history.Event{What: history.Began, Engine: e.Name, Call: call, Once: key, Body: statement})
+	e.record.Add(history.Event{Kind: history.ExecutionStarted, Engine: e.Name, CallID: call, IdempotencyKey: key, Body: statement})
 	e.mu.Unlock()
-	if e.Fails.Load() {
-		e.end(q, history.Ended, queryFailed)
+	if e.FailQueries.Load() {
+		e.end(q, history.ExecutionFinished, queryFailed)
 	}
 	runTime := time.Duration(statementNumber(statement, statementRunTime)) * time.Millisecond
 	go e.run(q, runTime)
@@ -181,14 +181,14 @@
 }
 
 // result returns the result of a query: a row that is repeated up to the size that the statement says.
-func (e *Worker) result(call, key, statement string) string {
+func (e *RecordingEngine) result(call, key, statement string) string {
 	row := fmt.Sprintf("%s\t%s\t%s\n", call, key, e.Name)
 	size := statementNumber(statement, statementResultSize) * 1024
 	return row + strings.Repeat(row, size/len(row))
 }
 
 // run ends a query when its run time is over, or when it is abandoned.
-func (e *Worker) run(q *query, runTime time.Duration) {
+func (e *RecordingEngine) run(q *query, runTime time.Duration) {
 	finished := time.After(runTime)
 	ticker := time.NewTicker(abandonPollInterval)
 	defer ticker.Stop()
@@ -197,11 +197,11 @@
 		case <-q.ended:
 			return
 		case <-finished:
-			e.end(q, history.Ended, querySucceeded)
+			e.end(q, history.ExecutionFinished, querySucceeded)
 			return
 		case <-ticker.C:
 			if e.abandoned(q) {
-				e.end(q, history.Unasked, queryFailed)
+				e.end(q, history.ExecutionAbandoned, queryFailed)
 				return
 			}
 		}
@@ -209,14 +209,14 @@
 }
 
 // abandoned reports whether nobody has polled a query for abandonTimeout.
-func (e *Worker) abandoned(q *query) bool {
+func (e *RecordingEngine) abandoned(q *query) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return q.pollers == 0 && time.Since(q.lastPolled) >= abandonTimeout
 }
 
 // end ends a query that is running, and records how.
-func (e *Worker) end(q *query, how string, state queryState) {
+func (e *RecordingEngine) end(q *query, how string, state queryState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if q.state != queryRunning {
@@ -224,23 +224,23 @@
 	}
 	q.state = state
 	close(q.ended)
-	e.record.Add(history.Event{What: how, Engine: e.Name, Call: q.call, Once: q.idempotencyKey})
+	e.record.Add(history.Event{Kind: how, Engine: e.Name, CallID: q.call, IdempotencyKey: q.idempotencyKey})
 }
 
 // respond waits for a query's end for longPollTimeout, and responds with its state.
-func (e *Worker) respond(out http.ResponseWriter, q *query) {
+func (e *RecordingEngine) respond(out http.ResponseWriter, q *query) {
 	switch e.waitEnd(q) {
 	case queryRunning:
 		out.WriteHeader(http.StatusAccepted)
 	case querySucceeded:
-		Serve(out, q.result)
+		RespondResult(out, q.result)
 	case queryFailed:
 		out.WriteHeader(http.StatusInternalServerError)
 	}
 }
 
 // waitEnd waits for a query's end for longPollTimeout, and returns its state.
-func (e *Worker) waitEnd(q *query) queryState {
+func (e *RecordingEngine) waitEnd(q *query) queryState {
 	e.mu.Lock()
 	q.pollers++
 	e.mu.Unlock()
--- a/internal/standin/site/discovery.go
+++ b/internal/standin/site/discovery.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Journal is a stub discovery service that sends heartbeats and never an event.
-type Journal struct{ listener net.Listener }
+// StubDiscovery is a stub discovery service that sends heartbeats and never an event.
+type StubDiscovery struct{ listener net.Listener }
 
 // heartbeatFrame is a frame of the discovery service without an event: a length of 9, the sequence number 0 and the
 // kind 0.
@@ -15,25 +15,25 @@
 
 const heartbeatInterval = time.Second
 
-// NewJournal starts a discovery service on loopback. The error is that of listening.
-func NewJournal() (*Journal, error) {
+// NewStubDiscovery starts a discovery service on loopback. The error is that of listening.
+func NewStubDiscovery() (*StubDiscovery, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("site: journal: %w", err)
 	}
-	j := &Journal{listener}
+	j := &StubDiscovery{listener}
 	go j.serve()
 	return j, nil
 }
 
-// Address returns where it listens, as host:port.
-func (j *Journal) Address() string { return j.listener.Addr().String() }
+// Addr returns where it listens, as host:port.
+func (j *StubDiscovery) Addr() string { return j.listener.Addr().String() }
 
 // Close stops accepting. Connections that are open get heartbeats until the front end closes them.
-func (j *Journal) Close() error { return j.listener.Close() }
+func (j *StubDiscovery) Close() error { return j.listener.Close() }
 
 // serve accepts connections until the listener is closed.
-func (j *Journal) serve() {
+func (j *StubDiscovery) serve() {
 	for {
 		conn, err := j.listener.Accept()
 		if err != nil {
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -15,64 +15,64 @@
 	Address string // host:port
 }
 
-// Member is a control member as the fleet's section of the installation file lists it.
-type Member struct {
+// ControlMember is a control member as the fleet's section of the installation file lists it.
+type ControlMember struct {
 	Name    string `json:"name"`
 	Address string `json:"address"` // host:port for other front ends
 	Zone    string `json:"zone"`
 }
 
-// Front is what is configured for one front end.
-type Front struct {
-	Name      string
-	Listen    string // host:port for clients
-	Seed      string // of its random numbers, hexadecimal
-	Journal   string // host:port of the discovery service
-	FrontEnds int    // number of front ends of the site
-	Sockets   int    // limit of open sockets; 0: the default
-	Engines   []Engine
-	Fleet     map[string]any // the fleet's section of the installation file
+// FrontEndFiles is what is configured for one front end.
+type FrontEndFiles struct {
+	Name          string
+	ClientAddr    string // host:port for clients
+	Seed          string // of its random numbers, hexadecimal
+	DiscoveryAddr string // host:port of the discovery service
+	SiteSize      int    // number of front ends of the site
+	SocketLimit   int    // limit of open sockets; 0: the default
+	Engines       []Engine
+	FleetSection  map[string]any // the fleet's section of the installation file
 }
 
 // The configured limits of a front end, besides one core.
 const (
-	// MemoryMB is the limit of memory, in MiB. The replicated record takes a share of it, on which all front ends
+	// MemoryLimitMB is the limit of memory, in MiB. The replicated record takes a share of it, on which all front ends
 	// have to agree.
-	MemoryMB = 192
-	// DefaultSockets is the limit of open sockets where none is given.
-	DefaultSockets = 1024
+	MemoryLimitMB = 192
+	// DefaultSocketLimit is the limit of open sockets where none is given.
+	DefaultSocketLimit = 1024
 )
 
 // knownPosition is the position of the discovery service's events that the configuration is written at.
 const knownPosition = 41
 
 // Write writes the front end's two files into a folder, each at once, and returns their paths.
-func (f *Front) Write(dir string) (config, installation string, err error) {
+func (f *FrontEndFiles) Write(dir string) (config, installation string, err error) {
 	settings := map[string]any{}
 	if err := json.Unmarshal([]byte(Settings), &settings); err != nil {
 		return "", "", fmt.Errorf("site: settings: %w", err)
 	}
-	settings["balancers"] = f.FrontEnds
+	settings["balancers"] = f.SiteSize
 	config = filepath.Join(dir, f.Name+"-config.json")
 	installation = filepath.Join(dir, f.Name+"-installation.json")
 	if err := replaceFile(config, f.nodeConfig(settings)); err != nil {
 		return "", "", err
 	}
-	return config, installation, replaceFile(installation, map[string]any{"fleet": f.Fleet})
+	return config, installation, replaceFile(installation, map[string]any{"fleet": f.FleetSection})
 }
 
 // nodeConfig returns the content of the configuration's file.
-func (f *Front) nodeConfig(settings map[string]any) map[string]any {
-	sockets := f.Sockets
+func (f *FrontEndFiles) nodeConfig(settings map[string]any) map[string]any {
+	sockets := f.SocketLimit
 	if sockets == 0 {
-		sockets = DefaultSockets
+		sockets = DefaultSocketLimit
 	}
 	return map[string]any{
 		"name":     f.Name,
-		"listen":   f.Listen,
+		"listen":   f.ClientAddr,
 		"seed":     f.Seed,
-		"limits":   map[string]any{"cores": 1, "memory_mb": MemoryMB, "sockets": sockets},
-		"journal":  f.Journal,
+		"limits":   map[string]any{"cores": 1, "memory_mb": MemoryLimitMB, "sockets": sockets},
+		"journal":  f.DiscoveryAddr,
 		"settings": settings,
 		"known":    KnownEndpoints(f.Engines),
 	}
--- a/internal/thrift/fuzz_test.go
+++ b/internal/thrift/fuzz_test.go
@@ -14,7 +14,7 @@
 	f.Add([]byte("\x00\x00\x00\x15\x80\x01\x00\x04\x00\x00\x00\x06cancel\x00\x00\x00\x02\x08\x00\x01"), 1)
 	f.Add([]byte("\x00\x00\x00\x0cabcdefghijkl\xff\xff\xff\xff"), 100)
 	f.Fuzz(func(t *testing.T, data []byte, piece int) {
-		in := ring.New(MaxFrame+4, &ring.Budget{Most: MaxFrame + 4})
+		in := ring.New(MaxFrame+4, &ring.Budget{Max: MaxFrame + 4})
 		piece = max(1, piece)
 		for len(data) > 0 {
 			n := min(piece, len(data))
--- a/internal/thrift/reply.go
+++ b/internal/thrift/reply.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Answer is the reply to a call that was served, or to health.
-func Answer(name string, seq int32, body []byte, fields map[string]string, good bool) []byte {
+// EncodeReply is the reply to a call that was served, or to health.
+func EncodeReply(name string, seq int32, body []byte, fields map[string]string, good bool) []byte {
 	b := begin(typeReply, name, seq)
 	b = field(b, tStruct, 0)
 	b = field(b, tString, 1)
@@ -23,11 +23,11 @@
 	return end(append(b, tStop, tStop))
 }
 
-// Shed is the reply that refuses a call.
-func Shed(seq int32, fields map[string]string) []byte { return thrown(seq, 1, fields) }
+// EncodeRejection is the reply that refuses a call.
+func EncodeRejection(seq int32, fields map[string]string) []byte { return thrown(seq, 1, fields) }
 
-// Fault is the reply that fails a call.
-func Fault(seq int32, fields map[string]string) []byte { return thrown(seq, 2, fields) }
+// EncodeFailure is the reply that fails a call.
+func EncodeFailure(seq int32, fields map[string]string) []byte { return thrown(seq, 2, fields) }
 
 func thrown(seq int32, id int16, fields map[string]string) []byte {
 	b := field(begin(typeReply, "call", seq), tStruct, id)
--- a/internal/tlsio/pool.go
+++ b/internal/tlsio/pool.go
@@ -6,7 +6,7 @@
 )
 
 // Pool runs handshakes: one at a time computes, and with pauses, so that all together take no more than their share of the
-// core. It starts what it is told to; how many may be on their way is identity.Handshakes' to decide.
+// core. It starts what it is told to; how many may be on their way is identity.HandshakeLimiter' to decide.
 type Pool struct{ gate gate }
 
 // NewPool is a pool whose handshakes take at most a share of the core, above 0 and 1 at most.
--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -28,9 +28,9 @@
 
 // Reject answers a request that was not served where a retry by the client does no harm.
 type Reject struct {
-	ID     uint64          // Request.ID
-	After  monotime.Micros // how long the client should wait before it retries
-	Budget string          // the fleet's budget that is exhausted, "" if none is
+	ID         uint64          // Request.ID
+	RetryAfter monotime.Micros // how long the client should wait before it retries
+	Budget     string          // the fleet's budget that is exhausted, "" if none is
 }
 
 // Fail answers a request that was not served, without a promise that it never ran.
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -100,7 +100,7 @@
 func (s *Scheduler) answerUnserved(q *query) {
 	after := min(s.cfg.Limits.MaxRetryAfter, monotime.Micros(q.executionTime()))
 	if q.canReject() {
-		s.do(Reject{ID: q.ID, After: after})
+		s.do(Reject{ID: q.ID, RetryAfter: after})
 	} else {
 		s.do(Fail{ID: q.ID})
 	}
@@ -118,7 +118,7 @@
 			if after == 0 {
 				after = monotime.Micros(q.executionTime())
 			}
-			s.do(Reject{ID: q.ID, Budget: b.Name, After: min(s.cfg.Limits.MaxRetryAfter, after)})
+			s.do(Reject{ID: q.ID, Budget: b.Name, RetryAfter: min(s.cfg.Limits.MaxRetryAfter, after)})
 			s.closeQuery(q)
 		default:
 			s.answerUnserved(q)
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -13,7 +13,7 @@
 		b.Run(fmt.Sprintf("%d engines", n), func(b *testing.B) {
 			update := EndpointUpdate{Kind: UpdateComplete}
 			for i := range n {
-				update.Entries = append(update.Entries, Endpoint{Engine: fmt.Sprint("e", i), Kind: "k"})
+				update.Endpoints = append(update.Endpoints, Endpoint{Engine: fmt.Sprint("e", i), Kind: "k"})
 			}
 			cfg := testConfig()
 			cfg.Gateways = 5 * n
@@ -26,7 +26,7 @@
 			for i := range b.N {
 				now, id := monotime.Micros(i)*monotime.Second/5, uint64(i)
 				r := newRequest(id, 0, now)
-				r.Group = i % (2 * n)
+				r.TableGroup = i % (2 * n)
 				for _, s := range startedAttempts(sched.Step(now, []Event{r})) {
 					sched.Step(now+1000, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, 1000)})
 				}
--- a/scheduler/budgets.go
+++ b/scheduler/budgets.go
@@ -51,14 +51,14 @@
 	MaxAttemptDuration monotime.Micros
 	Class              int        // index into Config.Classes, -1 for any
 	Tenant             int        // index into Config.Tenants, -1 for any
-	EachTenant         bool       // each tenant has the whole amount for itself
-	EachEngine         bool       // each engine has the whole amount for itself
+	PerTenant          bool       // each tenant has the whole amount for itself
+	PerEngine          bool       // each engine has the whole amount for itself
 	EngineKind         string     // only engines of this kind count; "": any
 	WarmingUp          bool       // only engines that are warming up count
 	Retries            bool       // only attempts after the first count
 	HealthChecks       bool       // only health checks count
 	CountOnly          bool       // it is not in force yet: what is spent is counted, and nothing is held back
-	Earned             int64      // thousandths of a retry that each first attempt earns
+	RetryCredit        int64      // thousandths of a retry that each first attempt earns
 	Unit               BudgetUnit // zero: Queries
 	Overflow           Overflow   // zero: RejectOverflow
 }
@@ -74,7 +74,7 @@
 type BudgetDemand struct {
 	Budget  string // BudgetRule.Name
 	Subject string // tenant or engine, where each has the whole amount for itself; else ""
-	Want    int64  // thousandths, see account.Account.Demand
+	Demand  int64  // thousandths, see account.Account.Demand
 	InUse   int64  // thousandths
 }
 
@@ -125,16 +125,16 @@
 	rest := grant.Leased // by budget, as the rules are
 	for _, b := range bs.list {
 		if grant.Static != nil {
-			b.book.Static(now, staticAmount(grant.Static, b.Name))
+			b.book.SetStatic(now, staticAmount(grant.Static, b.Name))
 		}
-		var leased []account.Lease
+		var leased []account.SubjectLease
 		for len(rest) > 0 && rest[0].Budget < b.Name {
 			rest = rest[1:]
 		}
 		for ; len(rest) > 0 && rest[0].Budget == b.Name; rest = rest[1:] {
-			leased = append(leased, account.Lease{Subject: rest[0].Subject, Amount: rest[0].Amount})
+			leased = append(leased, account.SubjectLease{Subject: rest[0].Subject, Amount: rest[0].Amount})
 		}
-		b.book.Lease(now, leased, grant.Until)
+		b.book.SetLeases(now, leased, grant.Until)
 	}
 }
 
@@ -161,7 +161,7 @@
 			b.book = o.book
 		}
 		bs.list = append(bs.list, b)
-		perEngine := !rule.CountOnly && rule.EachEngine
+		perEngine := !rule.CountOnly && rule.PerEngine
 		bs.divideThreads = bs.divideThreads || perEngine && rule.Unit == Threads && rule.Kind == account.Concurrency
 		bs.divideWarmUp = bs.divideWarmUp || perEngine && rule.WarmingUp
 	}
@@ -192,7 +192,7 @@
 // charge returns the account and the cost of an attempt of the query on an engine; nil where it does not count towards
 // the budget. Without an engine, only budgets that are not of engines count.
 func (bs *budgets) charge(now monotime.Micros, b *budget, q *query, e *engine) (*account.Account, int64) {
-	if b.EachEngine != (e != nil) || b.HealthChecks || b.Overflow == DeprioritizeOverflow ||
+	if b.PerEngine != (e != nil) || b.HealthChecks || b.Overflow == DeprioritizeOverflow ||
 		b.Retries && len(q.attempts) == 0 || !b.matches(q) {
 		return nil, 0
 	}
@@ -202,14 +202,14 @@
 		return nil, 0
 	case e != nil:
 		subject = e.Engine
-	case b.EachTenant && q.Tenant < 0:
+	case b.PerTenant && q.Tenant < 0:
 		return nil, 0
-	case b.EachTenant:
+	case b.PerTenant:
 		subject = bs.cfg.Tenants[q.Tenant].Name
 	}
 	cost := b.cost(q)
 	if b.WarmingUp { // the whole amount is that of the start; as the engine warms up, as much work costs less
-		cost = int64(float64(cost) * bs.cfg.Rules.InitialWarmth / e.warmUp.capacity(now, &bs.cfg.Rules))
+		cost = int64(float64(cost) * bs.cfg.Rules.InitialCapacity / e.warmUp.capacity(now, &bs.cfg.Rules))
 	}
 	return b.book.Account(now, subject), cost
 }
@@ -236,8 +236,8 @@
 ) (startBy, maxDuration monotime.Micros) {
 	for _, e := range []*engine{nil, e} {
 		for _, b := range bs.list {
-			if b.Earned > 0 && len(q.attempts) == 0 && e == nil {
-				b.book.Account(now, "").Earn(b.Earned)
+			if b.RetryCredit > 0 && len(q.attempts) == 0 && e == nil {
+				b.book.Account(now, "").Earn(b.RetryCredit)
 			}
 			acc, cost := bs.charge(now, b, q, e)
 			if acc == nil {
@@ -292,7 +292,7 @@
 // it will have some; nil if there is none.
 func (bs *budgets) exhausted(now monotime.Micros, q *query) (b *budget, after monotime.Micros) {
 	for _, b := range bs.list {
-		if b.Overflow != RejectOverflow || b.EachEngine || b.CountOnly {
+		if b.Overflow != RejectOverflow || b.PerEngine || b.CountOnly {
 			continue
 		}
 		a, cost := bs.charge(now, b, q, nil)
@@ -308,13 +308,13 @@
 // whether any does, and whether the query is over one of them.
 func (bs *budgets) overQuota(now monotime.Micros, q *query) (bounded, over bool) {
 	for _, b := range bs.list {
-		if b.Overflow != DeprioritizeOverflow || b.CountOnly || !b.EachTenant && b.Tenant != q.Tenant ||
+		if b.Overflow != DeprioritizeOverflow || b.CountOnly || !b.PerTenant && b.Tenant != q.Tenant ||
 			b.Class >= 0 && b.Class != q.Request.Class {
 			continue
 		}
 		bounded = true
 		subject := ""
-		if b.EachTenant {
+		if b.PerTenant {
 			subject = bs.cfg.Tenants[q.Tenant].Name
 		}
 		a, cost := b.book.Account(now, subject), b.cost(q)
@@ -332,11 +332,11 @@
 func (s *Scheduler) BudgetDemands(now monotime.Micros) (list []BudgetDemand) {
 	for _, b := range s.budgets.list {
 		perEngine := s.recordQueued(now, b)
-		b.book.Each(func(subject string, a *account.Account) {
+		b.book.ForEach(func(subject string, a *account.Account) {
 			if perEngine > 0 {
 				a.RecordQueued(now, perEngine)
 			}
-			want, inUse := a.Demand(now), a.InUse(now)
+			want, inUse := a.Demand(now), a.InUseBeyondStatic(now)
 			if (want != 0 || inUse != 0) && len(list) < maxReportedSubjects {
 				list = append(list, BudgetDemand{b.Name, subject, want, inUse})
 			}
@@ -352,7 +352,7 @@
 	if b.Kind != account.Concurrency {
 		return 0
 	}
-	if b.EachEngine {
+	if b.PerEngine {
 		for _, q := range s.queue.queries {
 			perEngine += b.cost(q)
 		}
@@ -373,10 +373,10 @@
 // BudgetStatuses returns how all budgets stand.
 func (s *Scheduler) BudgetStatuses(now monotime.Micros) (list []BudgetStatus) {
 	for _, b := range s.budgets.list {
-		b.book.Each(func(subject string, a *account.Account) {
+		b.book.ForEach(func(subject string, a *account.Account) {
 			status := BudgetStatus{
-				BudgetDemand: BudgetDemand{b.Name, subject, a.Demand(now), a.InUse(now)},
-				Used:         a.Used(now),
+				BudgetDemand: BudgetDemand{b.Name, subject, a.Demand(now), a.InUseBeyondStatic(now)},
+				Used:         a.TotalInUse(now),
 				Spent:        a.Spent,
 				Denied:       a.Denied,
 			}
--- a/scheduler/budgets_test.go
+++ b/scheduler/budgets_test.go
@@ -46,7 +46,7 @@
 	cfg.Tenants = []Tenant{{Name: "x", Share: 1, Quota: 40}}
 	cfg.Limits.HealthChecks = true
 	update := completeUpdate("a", "b", "c")
-	update.Entries[2].Started = monotime.Second
+	update.Endpoints[2].Started = monotime.Second
 	plain, granted := newTestScheduler(t, cfg, update), newTestScheduler(t, cfg, update)
 	rng := rand.New(rand.NewPCG(1, 2))
 	var inFlight []StartAttempt
@@ -54,7 +54,7 @@
 		var events []Event
 		if rng.IntN(2) == 0 {
 			r := newRequest(uint64(now), rng.IntN(2), now)
-			r.Tenant, r.Group = 0, rng.IntN(5)
+			r.Tenant, r.TableGroup = 0, rng.IntN(5)
 			events = append(events, r)
 		}
 		if len(inFlight) > 0 && rng.IntN(2) == 0 {
@@ -89,7 +89,7 @@
 	var after []monotime.Micros
 	for _, a := range actions {
 		if r, ok := a.(Reject); ok {
-			after = append(after, r.After)
+			after = append(after, r.RetryAfter)
 			if r.Budget != "r" {
 				t.Errorf("rejected for %q", r.Budget)
 			}
@@ -138,7 +138,7 @@
 	if len(got) != 2 || got[0].Timeout == 0 || got[0].Timeout > 3*monotime.Second {
 		t.Fatalf("sends %v of two slots", got)
 	}
-	if n := sched.BudgetDemands(monotime.Second); len(n) != 1 || n[0].Want != 4000 || n[0].InUse != 2000 {
+	if n := sched.BudgetDemands(monotime.Second); len(n) != 1 || n[0].Demand != 4000 || n[0].InUse != 2000 {
 		t.Errorf("demand %v", n)
 	}
 	if n := len(startedAttempts(sched.Step(monotime.Second+1000, newRequests(9, 1, 1, monotime.Second)))); n != 1 {
@@ -182,7 +182,7 @@
 func TestThreadBudgetOfEachEngine(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 40
-	rule := BudgetRule{Name: "t", Kind: account.Concurrency, Class: -1, Tenant: -1, EachEngine: true, Unit: Threads,
+	rule := BudgetRule{Name: "t", Kind: account.Concurrency, Class: -1, Tenant: -1, PerEngine: true, Unit: Threads,
 		Overflow: QueueOverflow}
 	amount := account.Amount{Capacity: 4000}
 	sched := newTestSchedulerWithBudget(t, cfg, completeUpdate("a", "b"), rule, amount, "a", "b")
@@ -201,9 +201,9 @@
 	cfg := testConfig()
 	cfg.Gateways = 40
 	update := completeUpdate("a", "b")
-	update.Entries[0].Started = monotime.Second
+	update.Endpoints[0].Started = monotime.Second
 	rule := BudgetRule{Name: "c", Kind: account.Window, Window: monotime.Second, Class: -1, Tenant: -1,
-		EachEngine: true, WarmingUp: true, Unit: Work, Overflow: QueueOverflow}
+		PerEngine: true, WarmingUp: true, Unit: Work, Overflow: QueueOverflow}
 	sched := newTestSchedulerWithBudget(t, cfg, update, rule, account.Amount{Capacity: 3 * monotime.Second}, "a")
 	sched.Step(monotime.Second, []Event{update})
 	spent := map[monotime.Micros]monotime.Micros{}
@@ -227,7 +227,7 @@
 			}
 		}
 		// The amount is that of the start; it grows as the engine warms up.
-		amount := 3 * float64(monotime.Second) * capacityAfter(cfg.Rules, from) / cfg.Rules.InitialWarmth
+		amount := 3 * float64(monotime.Second) * capacityAfter(cfg.Rules, from) / cfg.Rules.InitialCapacity
 		maxUse = max(maxUse, float64(sum)/amount)
 	}
 	if maxUse > 1 || maxUse < 0.6 {
@@ -260,7 +260,7 @@
 func TestDeprioritizedQueriesGoLast(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "x", Share: 1, Quota: 1}}
-	rule := BudgetRule{Name: "l", Kind: account.Rate, Class: -1, Tenant: -1, EachTenant: true,
+	rule := BudgetRule{Name: "l", Kind: account.Rate, Class: -1, Tenant: -1, PerTenant: true,
 		Overflow: DeprioritizeOverflow}
 	amount := account.Amount{Capacity: 3000, Rate: 3000}
 	sched := newTestSchedulerWithBudget(t, cfg, completeUpdate(), rule, amount, "x")
@@ -316,7 +316,7 @@
 		b.Fatal(err)
 	}
 	grant := BudgetGrant{
-		Rules:  []BudgetRule{{Name: "r", Kind: account.Rate, Class: -1, Tenant: -1, EachTenant: true}},
+		Rules:  []BudgetRule{{Name: "r", Kind: account.Rate, Class: -1, Tenant: -1, PerTenant: true}},
 		Until:  1 << 60,
 		Leased: []BudgetAmount{{"r", "x", account.Amount{Capacity: 1e12, Rate: 1e12}}},
 	}
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -32,7 +32,7 @@
 	update := EndpointUpdate{Kind: UpdateComplete}
 	for i := range engines {
 		endpoint := Endpoint{Engine: fmt.Sprintf("s-%08x", i), Kind: "k", Zone: fmt.Sprint("z", i%fleetZones)}
-		update.Entries = append(update.Entries, endpoint)
+		update.Endpoints = append(update.Endpoints, endpoint)
 	}
 	sched.Step(0, []Event{update})
 	return sched
@@ -73,7 +73,7 @@
 			end(done.attempt)
 		}
 		query := newRequest(uint64(first+i), 0, now)
-		query.Group = (first + i) % tableGroups
+		query.TableGroup = (first + i) % tableGroups
 		carryOut(sched.Step(now, []Event{query}))
 	}
 	for _, r := range inFlight {
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -44,8 +44,8 @@
 	HealthCheckCost float64
 	// CrossZoneCost is what a query sent to another zone costs, in points. The decisions don't read it.
 	CrossZoneCost float64
-	// OverShareWeight is the weight of a query over its tenant's quota. The decisions don't read it.
-	OverShareWeight float64
+	// OverQuotaWeight is the weight of a query over its tenant's quota. The decisions don't read it.
+	OverQuotaWeight float64
 	// LoadReportsOnHealthChecks says that load reports come with health checks only. The decisions don't read it.
 	LoadReportsOnHealthChecks bool
 	// LoadReportsOnResponses says that load reports come with every response. The decisions don't read it.
@@ -131,8 +131,8 @@
 	Zones []string
 	// Kinds are the engine kinds that may run the class; none: any kind.
 	Kinds []string
-	// Stream says that responses are streamed. The decisions don't read it.
-	Stream bool
+	// Streaming says that responses are streamed. The decisions don't read it.
+	Streaming bool
 	// Threads is the number of threads that a query of the class runs on; at least 1.
 	Threads int
 	// LocksTableGroup says that a query locks its table group on its engine while it runs.
@@ -174,8 +174,8 @@
 	ResponseTimeout monotime.Micros
 	// WarmUp is the time from an engine's start until it has its full capacity; 0: engines have no warm-up.
 	WarmUp monotime.Micros
-	// InitialWarmth is the part of its capacity that an engine has at its start, up to 1.
-	InitialWarmth float64
+	// InitialCapacity is the part of its capacity that an engine has at its start, up to 1.
+	InitialCapacity float64
 	// OverloadWindow is the span over which the work sent to an engine that is warming up is bounded; 0: no bound.
 	OverloadWindow monotime.Micros
 	// OverloadMultiple is how many times its capacity such an engine may be sent in an OverloadWindow.
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -71,8 +71,8 @@
 	u.attempts += n
 	q.class.inFlight += n
 	if q.class.LocksTableGroup {
-		if u.tableLocks[q.Group] += n; u.tableLocks[q.Group] == 0 {
-			delete(u.tableLocks, q.Group)
+		if u.tableLocks[q.TableGroup] += n; u.tableLocks[q.TableGroup] == 0 {
+			delete(u.tableLocks, q.TableGroup)
 		}
 	}
 	u.threads += n * q.class.Threads
@@ -131,7 +131,7 @@
 		es.subscribeAt = math.MaxInt64
 	}
 	listed := map[string]bool{}
-	for _, endpoint := range update.Entries {
+	for _, endpoint := range update.Endpoints {
 		listed[endpoint.Engine] = true
 		s.updateEndpoint(endpoint)
 	}
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -9,8 +9,8 @@
 // Rule 3: no attempt goes to an engine that is draining, removed, or missing from a complete update.
 func TestNoAttemptGoesToAnEngineThatIsNotServing(t *testing.T) {
 	for name, update := range map[string]EndpointUpdate{
-		"draining": {Entries: []Endpoint{{Engine: "a", Kind: "k", State: Draining}}},
-		"removed":  {Entries: []Endpoint{{Engine: "a", Kind: "k", State: Removed}}},
+		"draining": {Endpoints: []Endpoint{{Engine: "a", Kind: "k", State: Draining}}},
+		"removed":  {Endpoints: []Endpoint{{Engine: "a", Kind: "k", State: Removed}}},
 		"missing":  completeUpdate("b"),
 	} {
 		sched := newTestScheduler(t, testConfig(), completeUpdate("a", "b"))
--- a/scheduler/estimate_test.go
+++ b/scheduler/estimate_test.go
@@ -99,7 +99,7 @@
 		for id := uint64(1); id < 200; id++ {
 			now := monotime.Second * monotime.Micros(id)
 			r := newRequest(id, 0, now)
-			r.EstimatedHere, r.EstimatedWork = own, 2*monotime.Second
+			r.OwnEstimate, r.EstimatedWork = own, 2*monotime.Second
 			if id > 30 {
 				r.EstimatedWork = monotime.Second / 10
 			}
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -7,10 +7,10 @@
 
 // LoadReport is an engine's report of its load; a negative value is not reported. The decisions don't read it.
 type LoadReport struct {
-	Util   float64 // used share of the cores
-	Queue  float64 // queries that wait
-	Memory float64 // used share of the memory
-	Disk   float64 // used share of the disk
+	Utilization float64 // used share of the cores
+	Queue       float64 // queries that wait
+	Memory      float64 // used share of the memory
+	Disk        float64 // used share of the disk
 }
 
 // UpdateKind says how an EndpointUpdate is to be read.
@@ -94,8 +94,8 @@
 
 // EndpointUpdate reports the state of engines.
 type EndpointUpdate struct {
-	Kind    UpdateKind // how Entries are to be read
-	Entries []Endpoint
+	Kind      UpdateKind // how Entries are to be read
+	Endpoints []Endpoint
 }
 
 // Request is a query that arrived; from here on exactly one final answer is due.
@@ -107,10 +107,10 @@
 	Deadline       monotime.Micros // when the client times out
 	EstimatedWork  monotime.Micros // estimated execution time on one thread, 0 without an estimate
 	MemoryMB       float64         // estimated memory in megabytes, 0 without an estimate
-	Group          int             // table group
+	TableGroup     int             // table group
 	NonIdempotent  bool            // a second execution would do harm, whatever the class says
 	NoRetry        bool            // at most one attempt, even if that never ran
-	EstimatedHere  bool            // EstimatedWork is this gateway's own estimate, not the client's
+	OwnEstimate    bool            // EstimatedWork is this gateway's own estimate, not the client's
 	MeasureLatency bool            // a LatencyMeasurement is wanted when the query is served
 }
 
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -22,8 +22,8 @@
 		return
 	}
 	update := scheduler.EndpointUpdate{
-		Kind:    scheduler.UpdateComplete,
-		Entries: []scheduler.Endpoint{{Engine: "e1", Kind: "small"}},
+		Kind:      scheduler.UpdateComplete,
+		Endpoints: []scheduler.Endpoint{{Engine: "e1", Kind: "small"}},
 	}
 	query := scheduler.Request{ID: 7, Tenant: -1, Deadline: 5 * monotime.Second}
 	for _, action := range gateway.Step(0, []scheduler.Event{update, query}) {
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -45,7 +45,7 @@
 	update := EndpointUpdate{Kind: UpdateComplete}
 	for i := range 6 {
 		zone := []string{"x", "y"}[i%2]
-		update.Entries = append(update.Entries, Endpoint{Engine: fmt.Sprint("e", i), Zone: zone, Kind: "k"})
+		update.Endpoints = append(update.Endpoints, Endpoint{Engine: fmt.Sprint("e", i), Zone: zone, Kind: "k"})
 	}
 	sched := newTestScheduler(t, largeEngineConfig(), update)
 	ejected := func(zone string) (n int) {
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -19,7 +19,7 @@
 		},
 		Limits: Limits{Cancel: true, MaxAttempts: 3, MaxRetryAfter: monotime.Second},
 		Rules: Rules{
-			WarmUp: 10 * monotime.Second, InitialWarmth: 0.5,
+			WarmUp: 10 * monotime.Second, InitialCapacity: 0.5,
 			OverloadWindow: monotime.Second, OverloadMultiple: 2,
 			DrainGrace: monotime.Second,
 		},
@@ -49,7 +49,7 @@
 func completeUpdate(names ...string) EndpointUpdate {
 	update := EndpointUpdate{Kind: UpdateComplete}
 	for _, n := range names {
-		update.Entries = append(update.Entries, Endpoint{Engine: n, Kind: "k"})
+		update.Endpoints = append(update.Endpoints, Endpoint{Engine: n, Kind: "k"})
 	}
 	return update
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -117,7 +117,7 @@
 	if len(candidates) == 0 {
 		return nil
 	}
-	homes := s.placement.popularity.homeEngines(q.Group, s.placement.readyEngines)
+	homes := s.placement.popularity.homeEngines(q.TableGroup, s.placement.readyEngines)
 	for i := 1; i < min(homes, len(candidates)); i++ {
 		if s.load(candidates[i]) < s.load(candidates[0]) {
 			candidates[0], candidates[i] = candidates[i], candidates[0]
@@ -135,7 +135,7 @@
 // them for a probation request, or where no engine is ready.
 func (s *Scheduler) candidates(q *query) []*engine {
 	var list []*engine
-	for _, e := range s.placement.hashOrder(q.Group, s.endpoints.engines) {
+	for _, e := range s.placement.hashOrder(q.TableGroup, s.endpoints.engines) {
 		if (s.placement.readyEngines == 0 || !e.health.ejected || s.mayTakeProbation(q, e)) &&
 			s.mayStartOn(q, e) && !s.exceedsShare(q, e) {
 			list = append(list, e)
@@ -158,7 +158,7 @@
 		start := len(candidates)/2 + int(q.ID%uint64(len(candidates)/2))
 		candidates = slices.Concat(candidates[start:], candidates[:start])
 	}
-	return subset(candidates, func(e *engine) bool { return e.usage.tableLocks[q.Group] == 0 })
+	return subset(candidates, func(e *engine) bool { return e.usage.tableLocks[q.TableGroup] == 0 })
 }
 
 // subset returns the engines that ok holds for, or all where there are none.
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -90,11 +90,11 @@
 func (s *Scheduler) request(r Request) {
 	c := s.classes[r.Class]
 	q := &query{Request: r, class: c, arrivedAt: s.now, firstRequestedAt: s.now, priority: -1}
-	c.ownEstimates = c.ownEstimates || r.EstimatedHere
+	c.ownEstimates = c.ownEstimates || r.OwnEstimate
 	c.seed(q)
 	q.dueAt = s.now + monotime.Micros(deadlineMultiplier*q.executionTime())
 	s.traffic.arrivals.add(s.now)
-	s.placement.popularity.add(r.Group)
+	s.placement.popularity.add(r.TableGroup)
 	s.retries.countArrival(s.now, &s.cfg.Rules)
 	s.budgets.recordArrival(s.now, q)
 	if s.isRetryPastObjective(q) || r.Tenant >= 0 && s.overQuota(q) {
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -33,13 +33,13 @@
 		class := &cfg.Classes[0]
 		class.Effect, class.DedupeScope, class.DedupeWindow = c.effect, c.scope, 2*monotime.Second
 		update := completeUpdate("a")
-		update.Entries[0].Zone, update.Entries[0].Cell = "north", 1
+		update.Endpoints[0].Zone, update.Endpoints[0].Cell = "north", 1
 		sched := newTestScheduler(t, cfg, update)
 		sched.Step(monotime.Second, []Event{newRequest(1, 0, monotime.Second)})
-		others := EndpointUpdate{Entries: []Endpoint{{Engine: "b", Kind: "k", Zone: "south", Cell: 2},
+		others := EndpointUpdate{Endpoints: []Endpoint{{Engine: "b", Kind: "k", Zone: "south", Cell: 2},
 			{Engine: "c", Kind: "k", Zone: "north", Cell: 1}}}
 		if c.wantEngine == "b" {
-			others.Entries = others.Entries[:1]
+			others.Endpoints = others.Endpoints[:1]
 		}
 		now := monotime.Second + c.elapsed
 		actions := sched.Step(now, []Event{others, newOutcome(1, 0, "a", c.result, c.elapsed)})
@@ -72,8 +72,8 @@
 				class := &cfg.Classes[0]
 				class.Effect, class.DedupeScope, class.DedupeWindow = effect, scope, 2*monotime.Second
 				update := completeUpdate("a", "b", "c")
-				for i := range update.Entries { // each alone in its zone and cell
-					update.Entries[i].Zone, update.Entries[i].Cell = string(rune('x'+i)), i
+				for i := range update.Endpoints { // each alone in its zone and cell
+					update.Endpoints[i].Zone, update.Endpoints[i].Cell = string(rune('x'+i)), i
 				}
 				sched := newTestScheduler(t, cfg, update)
 				first := startedAttempts(sched.Step(monotime.Second, []Event{newRequest(1, 0, monotime.Second)}))
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -15,7 +15,7 @@
 		for i := range 300 {
 			now := monotime.Micros(i) * 3000
 			r := newRequest(uint64(i), i%2, now)
-			r.Group = i % 5
+			r.TableGroup = i % 5
 			events := []Event{r, Timer{Token: "sweep"}}
 			if i > 9 {
 				if q := sched.queries[uint64(i-9)]; q != nil && q.inFlight > 0 {
--- a/scheduler/sequences_test.go
+++ b/scheduler/sequences_test.go
@@ -48,7 +48,7 @@
 			{Name: "lookup", LatencyObjective: monotime.Second / 2, ObjectiveStretch: 1.5,
 				ClientTimeout: 4 * monotime.Second, PriorityWeight: 1, LateWeight: 0.2, Threads: 1, WaitsForTableGroup: true},
 			{Name: "report", LatencyObjective: 4 * monotime.Second, ClientTimeout: 20 * monotime.Second,
-				PriorityWeight: 5, Threads: 2, Stream: has(0)},
+				PriorityWeight: 5, Threads: 2, Streaming: has(0)},
 			{Name: "load", LatencyObjective: 3 * monotime.Second, ObjectiveStretch: 2,
 				ClientTimeout: 25 * monotime.Second, PriorityWeight: 4, LateWeight: 0.5, Threads: 1,
 				Effect: IdempotentByKey, DedupeScope: DedupeScope(seed % 3), DedupeWindow: 20 * monotime.Second,
@@ -64,13 +64,13 @@
 			MaxAttempts: 2 + int(seed%4), MaxRetryAfter: 2 * monotime.Second,
 		},
 		Rules: Rules{
-			ResponseTimeout: monotime.Second, WarmUp: 8 * monotime.Second, InitialWarmth: 0.3,
+			ResponseTimeout: monotime.Second, WarmUp: 8 * monotime.Second, InitialCapacity: 0.3,
 			OverloadWindow: monotime.Second, OverloadMultiple: 2, DrainGrace: monotime.Second / 2,
 			AnswerSlack: monotime.Second / 20, KeyQuietPeriod: monotime.Second,
 			RetryBudget: has(2), MinRetries: 2, RetryRatio: 0.2, RetryBudgetWindow: 10 * monotime.Second,
 		},
 		PollEndpoints: has(3), MemoryGrants: has(0), Priorities: has(1), MaxGrantShare: 0.5, ReportsCost: has(2),
-		HealthCheckCost: 0.01, CrossZoneCost: 0.1, OverShareWeight: 0.4,
+		HealthCheckCost: 0.01, CrossZoneCost: 0.1, OverQuotaWeight: 0.4,
 		LoadReportsOnHealthChecks: has(3), LoadReportsOnResponses: has(0),
 	}
 	if has(4) {
@@ -92,7 +92,7 @@
 	for i := range 12 {
 		s.engines = append(s.engines, s.engine(i, 0))
 	}
-	s.step(EndpointUpdate{Kind: UpdateComplete, Entries: slices.Clone(s.engines)})
+	s.step(EndpointUpdate{Kind: UpdateComplete, Endpoints: slices.Clone(s.engines)})
 	return s
 }
 
@@ -165,7 +165,7 @@
 	s.nextID++
 	class := s.rng.IntN(len(s.cfg.Classes))
 	r := Request{
-		ID: s.nextID, Class: class, Tenant: s.rng.IntN(3) - 1, Group: s.rng.IntN(9),
+		ID: s.nextID, Class: class, Tenant: s.rng.IntN(3) - 1, TableGroup: s.rng.IntN(9),
 		Deadline:      s.now + s.span(s.cfg.Classes[class].ClientTimeout),
 		NonIdempotent: s.chance(3), NoRetry: s.chance(3), MeasureLatency: s.chance(10),
 	}
@@ -173,7 +173,7 @@
 		r.Key = fmt.Sprintf("key-%d", s.rng.IntN(6))
 	}
 	if s.chance(40) {
-		r.EstimatedWork, r.EstimatedHere = s.span(monotime.Second), s.chance(50)
+		r.EstimatedWork, r.OwnEstimate = s.span(monotime.Second), s.chance(50)
 	}
 	if s.chance(20) {
 		r.MemoryMB = float64(s.rng.IntN(4000))
@@ -185,7 +185,7 @@
 	if !s.chance(50) {
 		return nil
 	}
-	return &LoadReport{Util: s.rng.Float64(), Queue: float64(s.rng.IntN(20)), Memory: s.rng.Float64(), Disk: -1}
+	return &LoadReport{Utilization: s.rng.Float64(), Queue: float64(s.rng.IntN(20)), Memory: s.rng.Float64(), Disk: -1}
 }
 
 // outcome ends one of the attempts in flight; every fourth engine does worse.
@@ -222,9 +222,9 @@
 	case 0:
 		return EndpointUpdate{Kind: UpdateFailed}
 	case 1:
-		return EndpointUpdate{Kind: UpdateComplete, Entries: slices.Clone(s.engines)}
+		return EndpointUpdate{Kind: UpdateComplete, Endpoints: slices.Clone(s.engines)}
 	case 2:
-		return EndpointUpdate{Kind: UpdateCached, Entries: slices.Clone(s.engines)}
+		return EndpointUpdate{Kind: UpdateCached, Endpoints: slices.Clone(s.engines)}
 	case 3, 4:
 		s.engines[i].State = Draining
 	case 5:
@@ -232,7 +232,7 @@
 	default:
 		s.engines[i] = s.engine(i, s.now-s.span(monotime.Second))
 	}
-	return EndpointUpdate{Kind: UpdateChanges, Entries: []Endpoint{s.engines[i]}}
+	return EndpointUpdate{Kind: UpdateChanges, Endpoints: []Endpoint{s.engines[i]}}
 }
 
 // rules returns budgets of each kind, as the settings allow them.
@@ -240,11 +240,11 @@
 	list := []BudgetRule{
 		{Name: "attempts", Kind: account.Rate, Class: s.rng.IntN(6) - 1, Tenant: -1,
 			Unit: BudgetUnit(s.rng.IntN(3)), Overflow: Overflow(s.rng.IntN(2))},
-		{Name: "retries", Kind: account.Rate, Class: -1, Tenant: -1, Retries: true, Earned: 100},
+		{Name: "retries", Kind: account.Rate, Class: -1, Tenant: -1, Retries: true, RetryCredit: 100},
 		{Name: "engines", Kind: account.Concurrency, MaxAttemptDuration: 10 * monotime.Second, Class: -1, Tenant: -1,
-			EachEngine: true, Unit: Threads, Overflow: QueueOverflow},
+			PerEngine: true, Unit: Threads, Overflow: QueueOverflow},
 		{Name: "tenants", Kind: account.Window, Window: 5 * monotime.Second, Class: -1, Tenant: -1,
-			EachTenant: true, Unit: Work, Overflow: Overflow(s.rng.IntN(3))},
+			PerTenant: true, Unit: Work, Overflow: Overflow(s.rng.IntN(3))},
 		{Name: "probes", Kind: account.Rate, Class: -1, Tenant: -1, HealthChecks: true},
 	}
 	switch s.rng.IntN(4) {
@@ -265,12 +265,12 @@
 	for _, r := range ev.Rules {
 		subjects := []string{""}
 		switch {
-		case r.EachEngine:
+		case r.PerEngine:
 			subjects = nil
 			for _, e := range s.engines {
 				subjects = append(subjects, e.Engine)
 			}
-		case r.EachTenant:
+		case r.PerTenant:
 			subjects = []string{s.cfg.Tenants[0].Name, s.cfg.Tenants[1].Name}
 		}
 		for _, subject := range subjects {
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -54,7 +54,7 @@
 		return 1
 	}
 	age := float64(now-w.from) / float64(max(1, rules.WarmUp))
-	return min(1, rules.InitialWarmth+(1-rules.InitialWarmth)*max(0, age))
+	return min(1, rules.InitialCapacity+(1-rules.InitialCapacity)*max(0, age))
 }
 
 // over reports whether an active warm-up ends now.
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -131,7 +131,7 @@
 		Kinds:    []EngineKind{{Name: "k", Cores: scenarioCores, MemoryMB: 1 << 20}},
 		Limits:   Limits{HealthChecks: true, MaxAttempts: 5, MaxRetryAfter: 2 * monotime.Second},
 		Rules: Rules{
-			WarmUp: 14 * monotime.Second, InitialWarmth: 0.32, OverloadWindow: monotime.Second, OverloadMultiple: 2,
+			WarmUp: 14 * monotime.Second, InitialCapacity: 0.32, OverloadWindow: monotime.Second, OverloadMultiple: 2,
 			DrainGrace: monotime.Second / 2,
 		},
 	}
@@ -165,7 +165,7 @@
 		for _, e := range r.engines {
 			if e.Started > 0 {
 				at := e.Started + monotime.Second/2 + r.rng.Int64N(r.maxUpdateDelay+1)
-				r.push(scenarioEvent{at: at, frontEnd: i, event: EndpointUpdate{Entries: []Endpoint{e}}})
+				r.push(scenarioEvent{at: at, frontEnd: i, event: EndpointUpdate{Endpoints: []Endpoint{e}}})
 			}
 		}
 		if r.restarts {
@@ -193,7 +193,7 @@
 	update := EndpointUpdate{Kind: UpdateComplete}
 	for _, e := range r.engines {
 		if e.Started <= now {
-			update.Entries = append(update.Entries, e)
+			update.Endpoints = append(update.Endpoints, e)
 		}
 	}
 	r.push(scenarioEvent{at: now, frontEnd: i, event: update, generation: r.generations[i]})
@@ -244,7 +244,7 @@
 	r.result.requested += c.class.PriorityWeight
 	return Request{
 		ID: r.lastID, Class: class, Tenant: 0, Key: fmt.Sprint(r.lastID), Deadline: now + c.class.ClientTimeout,
-		EstimatedWork: max(1, monotime.Micros(work*1000)), Group: r.rng.IntN(40),
+		EstimatedWork: max(1, monotime.Micros(work*1000)), TableGroup: r.rng.IntN(40),
 	}
 }
 
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -8,14 +8,14 @@
 
 // capacityAfter returns the part of its capacity that an engine has at an age within its warm-up.
 func capacityAfter(rules Rules, age monotime.Micros) float64 {
-	return rules.InitialWarmth + (1-rules.InitialWarmth)*float64(age)/float64(rules.WarmUp)
+	return rules.InitialCapacity + (1-rules.InitialCapacity)*float64(age)/float64(rules.WarmUp)
 }
 
 // Rule 4: the work that all gateways send an engine that is warming up stays within the rule's budget of any window.
 func TestWorkForAnEngineWarmingUpStaysWithinItsBudget(t *testing.T) {
 	cfg := testConfig()
 	update := completeUpdate("a")
-	update.Entries[0].Started = monotime.Second
+	update.Endpoints[0].Started = monotime.Second
 	sched := newTestScheduler(t, cfg, update)
 	sent := 0
 	for now := 2 * monotime.Second; now < 12*monotime.Second; now += monotime.Second { // its turns are among them
@@ -27,7 +27,7 @@
 	}
 	workEach := cfg.Classes[0].LatencyObjective // nothing is known of the class yet
 	rules := cfg.Rules
-	budget := rules.OverloadMultiple * rules.InitialWarmth * 4 * float64(rules.OverloadWindow) / float64(cfg.Gateways)
+	budget := rules.OverloadMultiple * rules.InitialCapacity * 4 * float64(rules.OverloadWindow) / float64(cfg.Gateways)
 	if work := float64(sent) * float64(workEach); sent == 0 || work > budget {
 		t.Fatalf("sent %d queries of %d, budget %.0f", sent, workEach, budget)
 	}
@@ -36,7 +36,7 @@
 // Guards against a work budget that stays at its start while the engine's capacity grows (incident ie86a9c).
 func TestWarmUpBudgetGrowsWithTime(t *testing.T) {
 	update := completeUpdate("a")
-	update.Entries[0].Started = monotime.Second
+	update.Endpoints[0].Started = monotime.Second
 	sent := func(from monotime.Micros) (n int) {
 		sched := newTestScheduler(t, testConfig(), update)
 		for now := from; now < from+4*monotime.Second; now += monotime.Second { // its turn is among them
@@ -61,7 +61,7 @@
 	cfg := testConfig()
 	cfg.Gateways = n
 	update := completeUpdate("a")
-	update.Entries[0].Started = 2 * monotime.Second
+	update.Endpoints[0].Started = 2 * monotime.Second
 	var all []*Scheduler
 	for rank := range n {
 		cfg.Rank = rank
@@ -106,7 +106,7 @@
 // budget of any window.
 func TestFleetUsesEnginesWarmingUp(t *testing.T) {
 	cfg, update := largeEngineConfig(), completeUpdate("a", "b", "c")
-	update.Entries[0].Started = 2 * monotime.Second
+	update.Endpoints[0].Started = 2 * monotime.Second
 	all := newFleet(t, 80, cfg, update)
 	type sent struct {
 		at   monotime.Micros
@@ -122,7 +122,7 @@
 			}
 			id++
 			r := newRequest(id, int(id%6/5), now)
-			r.Tenant, r.Group = 0, int(id%7)
+			r.Tenant, r.TableGroup = 0, int(id%7)
 			for _, s := range startedAttempts(sched.Step(now, []Event{r})) {
 				if s.Engine == "a" {
 					c := sched.queries[s.ID].class
@@ -158,7 +158,7 @@
 // Guards against all gateways turning to an engine at the end of its warm-up, because it has had the least so far.
 func TestEngineIsNotFloodedAfterItsWarmUp(t *testing.T) {
 	update := completeUpdate("a", "b", "c", "e")
-	update.Entries[0].Started = 2 * monotime.Second
+	update.Endpoints[0].Started = 2 * monotime.Second
 	cfg := largeEngineConfig()
 	cfg.Limits.Cancel = false
 	all := newFleet(t, 80, cfg, update)
@@ -167,7 +167,7 @@
 		for rank, sched := range all {
 			id++
 			r := newRequest(id, 0, now)
-			r.Group = int(id*7+uint64(rank)) % 13
+			r.TableGroup = int(id*7+uint64(rank)) % 13
 			sched.Step(now, []Event{Timer{Token: "sweep"}})
 			for _, s := range startedAttempts(sched.Step(now, []Event{r})) {
 				if now > 12*monotime.Second {
