--- a/exercise/engine.go
+++ b/exercise/engine.go
@@ -85,7 +85,9 @@
 	a.state = attemptReceived
 	s.after(s.random.between(0, ms), func() { s.reach(executionStarted, a.process.frontEnd) })
 	if s.isDuplicate(a.IdempotencyKey) {
-		s.History.Add(history.Event{What: history.Repeat, Engine: e.name, Call: a.ID, Once: a.IdempotencyKey})
+		s.History.Add(history.Event{
+			What: history.Repeat, Engine: e.name, Call: a.ID, Once: a.IdempotencyKey,
+		})
 		s.after(s.engineResponseDelay(), func() { a.process.run(a.fail) })
 		return
 	}
--- a/internal/history/concurrency.go
+++ b/internal/history/concurrency.go
@@ -13,8 +13,9 @@
 	event Event
 }
 
-// CheckPlaces finds starts at which more units ran on all engines together than the capacity. units returns how much a
-// start takes until the execution ends, 0 if it does not count. maxInUse is the most units that ran at the same time.
+// CheckPlaces finds starts at which more units ran on all engines together than the capacity. units returns how
+// much a start takes until the execution ends, 0 if it does not count. maxInUse is the most units that ran at the same
+// time.
 func CheckPlaces(events []Event, capacity float64, units func(start Event) float64) (
 	violations []Violation, maxInUse float64,
 ) {
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -16,7 +16,7 @@
 	Asked    = "asked"    // a client has sent a whole request
 	Answered = "answered" // a client's request ended, with one of the outcomes
 	Began    = "began"    // an engine started an execution
-	Repeat   = "repeat"   // an engine dropped a start, as it executed the same idempotency key a short while ago
+	Repeat   = "repeat"   // an engine dropped a start, as it executed its idempotency key before
 	Ended    = "ended"    // an execution finished by itself
 	Deleted  = "deleted"  // an execution ended because it was canceled
 	Unasked  = "unasked"  // an execution ended because no front end polled for it
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -15,13 +15,15 @@
 
 func sent(at int64, frontEnd, call, idempotencyKey, orderKey string) history.Event {
 	return history.Event{
-		At: at * second, What: history.Asked, Front: frontEnd, Call: call, Once: idempotencyKey, Key: orderKey,
+		At: at * second, What: history.Asked,
+		Front: frontEnd, Call: call, Once: idempotencyKey, Key: orderKey,
 	}
 }
 
 func ended(at int64, call, idempotencyKey, outcome, body string) history.Event {
 	return history.Event{
-		At: at * second, What: history.Answered, Call: call, Once: idempotencyKey, Detail: outcome, Body: body,
+		At: at * second, What: history.Answered,
+		Call: call, Once: idempotencyKey, Detail: outcome, Body: body,
 	}
 }
 
@@ -150,6 +152,7 @@
 	}
 	events := []history.Event{of("1", "a"), of("2", "a"), of("3", ""), of("4", "b"), of("1", "")}
 	violation := history.Violation{Events: []history.Event{of("1", "a")}}
-	assert.Equal(t, []history.Event{of("1", "a"), of("2", "a"), of("1", "")}, history.Around(events, violation, 9))
-	assert.Equal(t, []history.Event{of("1", "")}, history.Around(events, violation, 1))
+	related := []history.Event{of("1", "a"), of("2", "a"), of("1", "")}
+	assert.Equal(t, related, history.Around(events, violation, 9))
+	assert.Equal(t, related[2:], history.Around(events, violation, 1))
 }
--- a/internal/history/violation.go
+++ b/internal/history/violation.go
@@ -21,7 +21,8 @@
 	return text.String()
 }
 
-// Around returns the last n events, at most, that have an idempotency key or an order key in common with a violation.
+// Around returns the last n events, at most, that have an idempotency key or an order key in common with a
+// violation.
 func Around(events []Event, violation Violation, n int) (related []Event) {
 	idempotencyKeys := map[string]bool{}
 	orderKeys := map[string]bool{}
