--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -22,7 +22,7 @@
 	AdminSocket    string        `json:"admin"`             // path of the operators' socket, with {name}; empty: none
 	Replicas       int           `json:"copies"`            // replicas of the log: odd, at most 7; default 3
 	LedgerMB       float64       `json:"ledger_mb"`         // for idempotent requests; default 16, at most memory_mb / 8
-	RetentionS     float64       `json:"keep_s"`            // retention of outcomes; default: what classes require and 10 s
+	RetentionS     float64       `json:"keep_s"`            // retention of outcomes; default: what classes require, 10 s
 	OrphanTimeoutS float64       `json:"orphan_s"`          // until unstarted requests of a dead owner expire; default 3
 	TickMS         float64       `json:"tick_ms"`           // unit of the elections' timeouts; default 50, at most 1000
 	HeartbeatMS    float64       `json:"beat_ms"`           // between heartbeats of members; default 100
