--- a/statement/classify/classify.go
+++ b/statement/classify/classify.go
@@ -33,26 +33,26 @@
 }
 
 // Writes says whether statements of a verb always write.
-func Writes(verb string) bool { return slices.Contains(writing, strings.ToLower(verb)) }
+func Writes(verb string) bool { return slices.Contains(writingVerbs, strings.ToLower(verb)) }
 
 // Rules are the rules in force.
 type Rules struct {
 	classes []Class
-	rules   []rule
+	rules   []compiledRule
 }
 
-type rule struct {
+type compiledRule struct {
 	Rule
-	class int
+	classIndex int
 }
 
-// writing are the verbs that always write, and reading those that never do.
+// writingVerbs are the verbs that always write, and reading those that never do.
 var (
-	writing = []string{"insert", "update", "delete", "merge", "truncate", "create", "alter", "drop", "call", "do",
+	writingVerbs = []string{"insert", "update", "delete", "merge", "truncate", "create", "alter", "drop", "call", "do",
 		"execute"}
-	reading = []string{"values", "table", "show"}
-	verbs   = append(append([]string{"select", "explain", "copy", "begin", "commit", "rollback", "set", "analyze",
-		"vacuum", "refresh", "lock", "grant", "revoke", "comment"}, writing...), reading...)
+	readingVerbs = []string{"values", "table", "show"}
+	knownVerbs   = append(append([]string{"select", "explain", "copy", "begin", "commit", "rollback", "set", "analyze",
+		"vacuum", "refresh", "lock", "grant", "revoke", "comment"}, writingVerbs...), readingVerbs...)
 )
 
 // New checks rules against the classes. An error names the rule and its key.
@@ -69,11 +69,11 @@
 			verb = strings.ToLower(verb)
 			one.Verbs[j] = verb
 			switch {
-			case !slices.Contains(verbs, verb):
+			case !slices.Contains(knownVerbs, verb):
 				return nil, fmt.Errorf("%s.verbs[%d]: unknown verb %q", key, j, verb)
-			case classes[class].Loads && slices.Contains(reading, verb):
+			case classes[class].Loads && slices.Contains(readingVerbs, verb):
 				return nil, fmt.Errorf("%s.verbs[%d]: %q only reads, and class %q loads", key, j, verb, one.Class)
-			case !classes[class].Loads && slices.Contains(writing, verb):
+			case !classes[class].Loads && slices.Contains(writingVerbs, verb):
 				return nil, fmt.Errorf("%s.verbs[%d]: %q writes, and class %q does not load", key, j, verb, one.Class)
 			}
 		}
@@ -90,28 +90,28 @@
 		if one.Threads == 0 {
 			one.Threads = max(1, classes[class].Threads)
 		}
-		r.rules = append(r.rules, rule{one, class})
+		r.rules = append(r.rules, compiledRule{one, class})
 	}
 	return r, nil
 }
 
-// Matches are the rules that a statement's text satisfies, whatever it costs: they may be kept with its shape.
-func (r *Rules) Matches(f *syntax.Facts) (list []uint16) {
+// Matching are the rules that a statement's text satisfies, whatever it costs: they may be kept with its shape.
+func (r *Rules) Matching(f *syntax.Facts) (list []uint16) {
 	for i, one := range r.rules {
-		if r.classes[one.class].Loads == f.Writes && one.verb(f) && one.table(f) {
+		if r.classes[one.classIndex].Loads == f.Writes && one.matchesVerb(f) && one.matchesTable(f) {
 			list = append(list, uint16(i))
 		}
 	}
 	return list
 }
 
-func (r *rule) verb(f *syntax.Facts) bool {
+func (r *compiledRule) matchesVerb(f *syntax.Facts) bool {
 	return len(r.Verbs) == 0 || slices.Contains(r.Verbs, f.Verb)
 }
 
-var quotes = strings.NewReplacer(`"`, "", "`", "")
+var quoteRemover = strings.NewReplacer(`"`, "", "`", "")
 
-func (r *rule) table(f *syntax.Facts) bool {
+func (r *compiledRule) matchesTable(f *syntax.Facts) bool {
 	if len(r.Tables) == 0 {
 		return true
 	}
@@ -119,7 +119,7 @@
 		if t.Role != syntax.Read && t.Role != syntax.Written {
 			continue
 		}
-		name := strings.ToLower(quotes.Replace(t.Name))
+		name := strings.ToLower(quoteRemover.Replace(t.Name))
 		for _, pattern := range r.Tables {
 			// New has checked the patterns. Names hold no slash unless quoted, so * stands for anything.
 			if ok, _ := path.Match(pattern, name); ok {
@@ -130,13 +130,13 @@
 	return false
 }
 
-// Class is the place of the class that the first of these matches gives; cost is the estimate of the statement
+// Classify is the place of the class that the first of these matches gives; cost is the estimate of the statement
 // as one of that class. It is false where no rule holds.
-func (r *Rules) Class(matches []uint16, cost func(class int) estimate.Estimate) (int, bool) {
+func (r *Rules) Classify(matches []uint16, cost func(class int) estimate.Estimate) (int, bool) {
 	for _, i := range matches {
 		one := &r.rules[i]
-		if one.CostMS == 0 || cost(one.class).High/float64(one.Threads) <= one.CostMS {
-			return one.class, true
+		if one.CostMS == 0 || cost(one.classIndex).High/float64(one.Threads) <= one.CostMS {
+			return one.classIndex, true
 		}
 	}
 	return 0, false
--- a/statement/complete.go
+++ b/statement/complete.go
@@ -46,11 +46,11 @@
 func (r *Reader) Complete(c Call) (Completion, error) {
 	reading, err := r.Read(c.Text)
 	if err != nil {
-		return r.unread(c, err)
+		return r.completeUnparsed(c, err)
 	}
 	facts := reading.entry.facts
 	out := Completion{Class: c.Class, CostMS: c.CostMS, CostHighMS: c.CostMS, MemoryMB: c.MemoryMB,
-		Group: facts.Group, reading: reading}
+		Group: facts.TableGroup, reading: reading}
 	if out.Class < 0 {
 		var ok bool
 		if out.Class, ok = r.Classify(&reading); !ok {
@@ -70,32 +70,32 @@
 	return out, nil
 }
 
-// unread decides on a statement that can't be read.
-func (r *Reader) unread(c Call, fault error) (Completion, error) {
+// completeUnparsed decides on a statement that can't be read.
+func (r *Reader) completeUnparsed(c Call, fault error) (Completion, error) {
 	out := Completion{Class: c.Class, CostMS: c.CostMS, CostHighMS: c.CostMS, MemoryMB: c.MemoryMB,
-		Group: scanGroup(string(c.Text)), Unsafe: true}
+		Group: scanTableGroup(string(c.Text)), Unsafe: true}
 	if out.Class < 0 {
-		if r.options.Unparsed == Fail {
+		if r.options.Unparsed == RejectUnparsed {
 			return Completion{}, fault
 		}
-		out.Class, out.Single = r.unparsed, true
+		out.Class, out.Single = r.unparsedClass, true
 	} else if c.Keyed && r.options.Classes[out.Class].Keyed {
 		out.Unsafe = false // whatever it does, engines discard its repeat
 	}
 	if c.CostMS == 0 {
-		cost := r.cost[out.Class].Estimate()
+		cost := r.costByClass[out.Class].Estimate()
 		out.CostMS, out.CostHighMS, out.Guessed = cost.Value, cost.High, true
 	}
 	if c.MemoryMB == 0 {
-		out.MemoryMB = r.memory[out.Class].Estimate().Value
+		out.MemoryMB = r.memoryByClass[out.Class].Estimate().Value
 	}
 	return out, nil
 }
 
 // Classify gives a statement its class by the rules; false where none holds.
 func (r *Reader) Classify(reading *Reading) (class int, ok bool) {
-	r.match(reading.entry)
-	return r.rules.Class(reading.entry.rules, func(class int) estimate.Estimate { return r.Cost(reading, class) })
+	r.updateMatchingRules(reading.entry)
+	return r.rules.Classify(reading.entry.matchingRules, func(class int) estimate.Estimate { return r.Cost(reading, class) })
 }
 
 // Cost is the work in milliseconds on one core of a statement as one of a class: by what was learned of its
@@ -104,13 +104,13 @@
 	if m := reading.entry.cost; m != nil {
 		return m.Predict(&reading.features)
 	}
-	if cost, _, ok := estimate.Prior(reading.entry.facts, r.sizes); ok {
+	if cost, _, ok := estimate.Prior(reading.entry.facts, r.tableSizes); ok {
 		return cost
 	}
-	if class < 0 || class >= len(r.cost) {
+	if class < 0 || class >= len(r.costByClass) {
 		return estimate.Estimate{}
 	}
-	return r.cost[class].Estimate()
+	return r.costByClass[class].Estimate()
 }
 
 // Memory is the memory in MB that a statement needs, found likewise.
@@ -118,16 +118,16 @@
 	if m := reading.entry.memory; m != nil {
 		return m.Predict(&reading.features)
 	}
-	if _, memory, ok := estimate.Prior(reading.entry.facts, r.sizes); ok {
+	if _, memory, ok := estimate.Prior(reading.entry.facts, r.tableSizes); ok {
 		return memory
 	}
-	if class < 0 || class >= len(r.memory) {
+	if class < 0 || class >= len(r.memoryByClass) {
 		return estimate.Estimate{}
 	}
-	return r.memory[class].Estimate()
+	return r.memoryByClass[class].Estimate()
 }
 
-func (r *Reader) sizes(name string) (estimate.Sizes, bool) {
+func (r *Reader) tableSizes(name string) (estimate.Sizes, bool) {
 	s, ok := r.options.Tables[name]
 	return s, ok
 }
@@ -142,7 +142,7 @@
 // Learn takes the outcome of a call of that class.
 func (r *Reader) Learn(c *Completion, o Outcome, now monotime.Micros) {
 	e := c.reading.entry
-	if e == nil || c.Class < 0 || c.Class >= len(r.cost) {
+	if e == nil || c.Class < 0 || c.Class >= len(r.costByClass) {
 		return
 	}
 	grown := false
@@ -156,13 +156,13 @@
 		(*m).Learn(&c.reading.features, value, min(weight, 1), now)
 		mean.Learn(value)
 	}
-	learn(&e.cost, &r.cost[c.Class], o.CostMS, o.Weight,
+	learn(&e.cost, &r.costByClass[c.Class], o.CostMS, o.Weight,
 		func() estimate.Estimate { return r.Cost(&c.reading, c.Class) })
-	learn(&e.memory, &r.memory[c.Class], o.MemoryMB, 1,
+	learn(&e.memory, &r.memoryByClass[c.Class], o.MemoryMB, 1,
 		func() estimate.Estimate { return r.Memory(&c.reading, c.Class) })
-	r.count.Learned++
+	r.counts.Learned++
 	if grown {
-		r.shapes.weigh(c.reading.fingerprint, e)
+		r.cache.updateWeight(c.reading.fingerprint, e)
 	}
 }
 
--- a/statement/corpus_test.go
+++ b/statement/corpus_test.go
@@ -78,7 +78,7 @@
 				effect = "-"
 			}
 			assert.Equal(t, []string{b.verb, b.effect}, []string{f.Verb, effect}, s)
-			assert.Equal(t, b.group, f.Group, s)
+			assert.Equal(t, b.group, f.TableGroup, s)
 			if sqltext.Group(s) == b.group {
 				oldRight++
 			}
--- a/statement/estimate/features.go
+++ b/statement/estimate/features.go
@@ -20,58 +20,58 @@
 
 // The most features of one shape.
 const (
-	MostNumbers = 4
-	MostKeys    = 2
+	MaxNumbers    = 4
+	MaxCategories = 2
 )
 
-// kind is how a number is drawn from a statement's values.
-type kind uint8
+// numberKind is how a number is drawn from a statement's values.
+type numberKind uint8
 
 const (
-	width  kind = iota // of a range: log of 1 + the distance of its bounds
-	span               // of an interval: log of 1 + its seconds
-	count              // of a list: log of its length
-	limit              // log of 1 + the number
-	rows               // of VALUES: log of their number
-	bound              // of a range open on one side: the bound itself
-	prefix             // of a LIKE pattern: characters before its first wildcard
-	kinds
+	rangeWidth     numberKind = iota // of a range: log of 1 + the distance of its bounds
+	intervalLength                   // of an interval: log of 1 + its seconds
+	listLength                       // of a list: log of its length
+	rowLimit                         // log of 1 + the number
+	insertedRows                     // of VALUES: log of their number
+	openBound                        // of a range open on one side: the bound itself
+	patternPrefix                    // of a LIKE pattern: characters before its first wildcard
+	numberKinds
 )
 
-// slopes are what a number is held to do to the log of a cost before anything was seen.
-var slopes = [kinds]float64{width: 0.5, span: 0.5, count: 0.7, limit: 0.2, rows: 0.7, prefix: -0.2}
+// priorSlopes are what a number is held to do to the log of a cost before anything was seen.
+var priorSlopes = [numberKinds]float64{rangeWidth: 0.5, intervalLength: 0.5, listLength: 0.7, rowLimit: 0.2, insertedRows: 0.7, patternPrefix: -0.2}
 
-type number struct {
-	kind     kind
-	at, upto int // values of the statement
+type numericFeature struct {
+	kind                   numberKind
+	valueIndex, upperIndex int // values of the statement
 }
 
-// Plan says which values of a shape's statements are features. It belongs to the shape.
-type Plan struct {
-	numbers []number
-	keys    []int // values whose frequent contents matter
+// FeaturePlan says which values of a shape's statements are features. It belongs to the shape.
+type FeaturePlan struct {
+	numbers    []numericFeature
+	categories []int // values whose frequent contents matter
 }
 
-// NewPlan draws up the plan of a shape with so many values.
-func NewPlan(f *syntax.Facts, values int) Plan {
-	var p Plan
-	add := func(k kind, at, upto int) {
-		if at >= 0 && at < values && upto < values && len(p.numbers) < MostNumbers {
-			p.numbers = append(p.numbers, number{k, at, upto})
+// NewFeaturePlan draws up the plan of a shape with so many values.
+func NewFeaturePlan(f *syntax.Facts, values int) FeaturePlan {
+	var p FeaturePlan
+	add := func(k numberKind, at, upto int) {
+		if at >= 0 && at < values && upto < values && len(p.numbers) < MaxNumbers {
+			p.numbers = append(p.numbers, numericFeature{k, at, upto})
 		}
 	}
 	paired := map[int]bool{}
 	for i, q := range f.Predicates { // widths first: they tell the most
 		switch q.Op {
 		case syntax.Between:
-			add(width, q.Value, q.Upper)
-		case syntax.Span:
-			add(span, q.Value, 0)
-		case syntax.Above, syntax.Below:
+			add(rangeWidth, q.Value, q.Upper)
+		case syntax.Interval:
+			add(intervalLength, q.Value, 0)
+		case syntax.Greater, syntax.Less:
 			for j, other := range f.Predicates[:i] {
 				if other.Column == q.Column && other.Op != q.Op && !paired[j] &&
-					(other.Op == syntax.Above || other.Op == syntax.Below) {
-					add(width, other.Value, q.Value)
+					(other.Op == syntax.Greater || other.Op == syntax.Less) {
+					add(rangeWidth, other.Value, q.Value)
 					paired[i], paired[j] = true, true
 					break
 				}
@@ -80,73 +80,73 @@
 	}
 	for _, q := range f.Predicates {
 		if q.Op == syntax.In {
-			add(count, q.Value, 0)
+			add(listLength, q.Value, 0)
 		}
 	}
 	if f.Verb == "insert" || f.Verb == "values" {
-		add(rows, 0, 0)
+		add(insertedRows, 0, 0)
 	}
-	add(limit, f.Limit, 0)
+	add(rowLimit, f.LimitValue, 0)
 	for i, q := range f.Predicates {
 		switch {
 		case q.Op == syntax.Like:
-			add(prefix, q.Value, 0)
-		case (q.Op == syntax.Above || q.Op == syntax.Below) && !paired[i]:
-			add(bound, q.Value, 0)
+			add(patternPrefix, q.Value, 0)
+		case (q.Op == syntax.Greater || q.Op == syntax.Less) && !paired[i]:
+			add(openBound, q.Value, 0)
 		}
-		if (q.Op == syntax.Equal || q.Op == syntax.In) && q.Value < values && len(p.keys) < MostKeys {
-			p.keys = append(p.keys, q.Value)
+		if (q.Op == syntax.Equal || q.Op == syntax.In) && q.Value < values && len(p.categories) < MaxCategories {
+			p.categories = append(p.categories, q.Value)
 		}
 	}
 	return p
 }
 
 // Size is what the plan holds, in bytes.
-func (p *Plan) Size() int { return 24*cap(p.numbers) + 8*cap(p.keys) }
+func (p *FeaturePlan) Size() int { return 24*cap(p.numbers) + 8*cap(p.categories) }
 
 // Features are what a model predicts from: numbers, which are NaN where a value is not known, and hashes of
 // contents, which are 0 there.
 type Features struct {
-	Numbers [MostNumbers]float64
-	Keys    [MostKeys]uint32
+	Numbers    [MaxNumbers]float64
+	Categories [MaxCategories]uint32
 }
 
 // Features draws the features of one statement of the plan's shape. It allocates nothing.
-func (p *Plan) Features(text string, values []shape.Value, rowCount int) (f Features) {
+func (p *FeaturePlan) Features(text string, values []shape.Value, rowCount int) (f Features) {
 	for i := range f.Numbers {
 		f.Numbers[i] = math.NaN()
 	}
 	for i, n := range p.numbers {
-		v := values[n.at]
+		v := values[n.valueIndex]
 		switch n.kind {
-		case width:
-			f.Numbers[i] = math.Log1p(math.Abs(amount(text, values[n.upto]) - amount(text, v)))
-		case span:
-			f.Numbers[i] = math.Log1p(seconds(content(text, v)))
-		case count:
+		case rangeWidth:
+			f.Numbers[i] = math.Log1p(math.Abs(numericValue(text, values[n.upperIndex]) - numericValue(text, v)))
+		case intervalLength:
+			f.Numbers[i] = math.Log1p(intervalSeconds(stringContent(text, v)))
+		case listLength:
 			f.Numbers[i] = math.Log(float64(v.Count))
-		case rows:
+		case insertedRows:
 			f.Numbers[i] = math.Log(float64(max(1, rowCount)))
-		case limit:
-			f.Numbers[i] = math.Log1p(amount(text, v))
-		case bound:
-			f.Numbers[i] = amount(text, v)
-		case prefix:
+		case rowLimit:
+			f.Numbers[i] = math.Log1p(numericValue(text, v))
+		case openBound:
+			f.Numbers[i] = numericValue(text, v)
+		case patternPrefix:
 			if v.Kind == lex.String {
-				f.Numbers[i] = float64(literalPrefix(content(text, v)))
+				f.Numbers[i] = float64(literalPrefixLength(stringContent(text, v)))
 			}
 		}
 	}
-	for i, at := range p.keys {
-		if v := values[at]; v.Kind != lex.Param && v.Count == 1 {
-			f.Keys[i] = uint32(xxhash.Sum64String(text[v.Start:v.End])) | 1
+	for i, at := range p.categories {
+		if v := values[at]; v.Kind != lex.Parameter && v.Count == 1 {
+			f.Categories[i] = uint32(xxhash.Sum64String(text[v.Start:v.End])) | 1
 		}
 	}
 	return f
 }
 
-// content is what stands between the quotes of a text, as it stands there.
-func content(text string, v shape.Value) string {
+// stringContent is what stands between the quotes of a text, as it stands there.
+func stringContent(text string, v shape.Value) string {
 	s := text[v.Start:v.End]
 	if v.Kind != lex.String {
 		return s
@@ -158,17 +158,17 @@
 	return s[open+1 : len(s)-1]
 }
 
-// amount is a value as a number: that of a date is in seconds. It is NaN for anything else.
-func amount(text string, v shape.Value) float64 {
-	if v.Kind == lex.Param {
+// numericValue is a value as a number: that of a date is in seconds. It is NaN for anything else.
+func numericValue(text string, v shape.Value) float64 {
+	if v.Kind == lex.Parameter {
 		return math.NaN()
 	}
-	s := content(text, v)
+	s := stringContent(text, v)
 	if len(s) > 40 {
 		return math.NaN()
 	}
 	if v.Kind == lex.String {
-		if x, ok := date(s); ok {
+		if x, ok := parseDate(s); ok {
 			return x
 		}
 	}
@@ -182,27 +182,27 @@
 	return x
 }
 
-// date reads YYYY-MM-DD, also with HH:MM or HH:MM:SS behind it, as seconds of Unix time.
-func date(s string) (float64, bool) {
+// parseDate reads YYYY-MM-DD, also with HH:MM or HH:MM:SS behind it, as seconds of Unix time.
+func parseDate(s string) (float64, bool) {
 	if len(s) < 10 || s[4] != '-' || s[7] != '-' {
 		return 0, false
 	}
-	y, m, d := digits(s[:4]), digits(s[5:7]), digits(s[8:10])
+	y, m, d := parseDigits(s[:4]), parseDigits(s[5:7]), parseDigits(s[8:10])
 	if y < 0 || m < 1 || d < 1 || m > 12 || d > 31 {
 		return 0, false
 	}
 	at := float64(time.Date(y, time.Month(m), d, 0, 0, 0, 0, time.UTC).Unix())
 	if len(s) >= 16 && s[13] == ':' {
-		at += float64(max(0, digits(s[11:13]))*3600 + max(0, digits(s[14:16]))*60)
+		at += float64(max(0, parseDigits(s[11:13]))*3600 + max(0, parseDigits(s[14:16]))*60)
 	}
 	if len(s) >= 19 && s[16] == ':' {
-		at += float64(max(0, digits(s[17:19])))
+		at += float64(max(0, parseDigits(s[17:19])))
 	}
 	return at, true
 }
 
-// digits is a number of digits alone, or -1.
-func digits(s string) int {
+// parseDigits is a number of digits alone, or -1.
+func parseDigits(s string) int {
 	n := 0
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
@@ -213,8 +213,8 @@
 	return n
 }
 
-// seconds reads an interval such as '7 days 3 hours'; NaN where it can't.
-func seconds(s string) float64 {
+// intervalSeconds reads an interval such as '7 days 3 hours'; NaN where it can't.
+func intervalSeconds(s string) float64 {
 	total, n := 0.0, math.NaN()
 	for word := range strings.FieldsSeq(s) {
 		if x, err := strconv.ParseFloat(word, 64); err == nil {
@@ -251,8 +251,8 @@
 	return math.Abs(total)
 }
 
-// literalPrefix is how many bytes of a LIKE pattern stand before its first wildcard.
-func literalPrefix(s string) int {
+// literalPrefixLength is how many bytes of a LIKE pattern stand before its first wildcard.
+func literalPrefixLength(s string) int {
 	if i := strings.IndexAny(s, "%_"); i >= 0 {
 		return i
 	}
--- a/statement/estimate/latency.go
+++ b/statement/estimate/latency.go
@@ -1,8 +1,8 @@
 package estimate
 
-// MostSlowdown is how many times its best latency a query may have taken and still tell of its cost. Beyond
+// MaxSlowdown is how many times its best latency a query may have taken and still tell of its cost. Beyond
 // it the wait says more of the other queries than of this one.
-const MostSlowdown = 2.0
+const MaxSlowdown = 2.0
 
 // Work is the work, in milliseconds on one core, that a served attempt's latency tells of, and how much weight
 // that has; ok is false where it tells nothing.
@@ -13,7 +13,7 @@
 // for each query, so the weight falls with its square, and there is none where load dominates.
 func Work(latencyMS float64, threads int, slowdown float64) (ms, weight float64, ok bool) {
 	slowdown = max(1, slowdown)
-	if latencyMS <= 0 || slowdown > MostSlowdown {
+	if latencyMS <= 0 || slowdown > MaxSlowdown {
 		return 0, 0, false
 	}
 	return latencyMS * float64(max(1, threads)) / slowdown, 1 / (slowdown * slowdown), true
--- a/statement/estimate/prior.go
+++ b/statement/estimate/prior.go
@@ -15,14 +15,14 @@
 // What a statement is held to do with tables of known sizes, before any was measured. They only have to be of
 // the right order: a few outcomes outweigh them.
 const (
-	scanMBPerMS  = 1.0   // one core reads a gigabyte a second
-	rowsPerMS    = 5000  // that are written
-	leastWork    = 1.0   // ms, of any statement
-	equalShare   = 0.001 // of a table that a comparison with one value leaves
-	rangeShare   = 0.1
-	workMemory   = 0.2 // of what is read, for a sort, a join or an aggregate
-	leastMemory  = 4.0 // MB
-	priorScatter = 6.0 // the bound over the figure
+	scanMBPerMS      = 1.0   // one core reads a gigabyte a second
+	rowsPerMS        = 5000  // that are written
+	minWorkMS        = 1.0   // ms, of any statement
+	equalSelectivity = 0.001 // of a table that a comparison with one value leaves
+	rangeSelectivity = 0.1
+	workMemoryShare  = 0.2 // of what is read, for a sort, a join or an aggregate
+	minMemoryMB      = 4.0 // MB
+	priorBoundFactor = 6.0 // the bound over the figure
 )
 
 // Prior is the cost in milliseconds and the memory in MB of a statement by the sizes of its tables; ok is false
@@ -51,19 +51,19 @@
 	for _, q := range f.Predicates {
 		switch q.Op {
 		case syntax.Equal, syntax.In:
-			share = min(share, equalShare)
-		case syntax.Between, syntax.Above, syntax.Below, syntax.Span, syntax.Like:
-			share = min(share, rangeShare)
+			share = min(share, equalSelectivity)
+		case syntax.Between, syntax.Greater, syntax.Less, syntax.Interval, syntax.Like:
+			share = min(share, rangeSelectivity)
 		}
 	}
 	read *= share
-	work := leastWork + read/scanMBPerMS*math.Pow(1.5, float64(min(f.Joins+f.Aggregates+f.Sorts, 6))) +
+	work := minWorkMS + read/scanMBPerMS*math.Pow(1.5, float64(min(f.Joins+f.Aggregates+f.Sorts, 6))) +
 		written*1000/rowsPerMS
-	cost = Estimate{work, work * priorScatter}
-	need := leastMemory
+	cost = Estimate{work, work * priorBoundFactor}
+	need := minMemoryMB
 	if f.Joins+f.Aggregates+f.Sorts > 0 {
-		need += workMemory * read
+		need += workMemoryShare * read
 	}
-	memory = Estimate{need, need * priorScatter}
+	memory = Estimate{need, need * priorBoundFactor}
 	return cost, memory, true
 }
--- a/statement/group.go
+++ b/statement/group.go
@@ -7,14 +7,14 @@
 	"chutechute/statement/syntax"
 )
 
-// scanGroup is the group of a text that can't be parsed: that of the first name behind a word that tables
+// scanTableGroup is the group of a text that can't be parsed: that of the first name behind a word that tables
 // follow or, without one, of the first qualified name. Strings and comments don't count.
-func scanGroup(text string) int {
+func scanTableGroup(text string) int {
 	l := lex.Lexer{Text: text, Lenient: true}
 	tables, list, fallback := false, false, 0
 	t := l.Next()
-	for t.Kind != lex.End && t.Kind != lex.Bad {
-		if t.Kind != lex.Word && t.Kind != lex.Quoted {
+	for t.Kind != lex.EOF && t.Kind != lex.Illegal {
+		if t.Kind != lex.Word && t.Kind != lex.QuotedIdentifier {
 			mark := text[t.Start:t.End]
 			tables = mark == "," && list || mark == "(" && tables
 			t = l.Next()
@@ -22,28 +22,28 @@
 		}
 		if t.Kind == lex.Word {
 			switch word := strings.ToLower(text[t.Start:t.End]); {
-			case before[word]:
+			case wordsBeforeTables[word]:
 				tables, list = true, word == "from" || word == "join" || word == "using"
 				t = l.Next()
 				continue
-			case between[word]:
+			case wordsAmongTables[word]:
 				t = l.Next()
 				continue
-			case after[word]:
+			case wordsEndingTables[word]:
 				tables, list = false, false
 				t = l.Next()
 				continue
 			}
 		}
 		schema, last := lex.Token{}, t
-		for t = l.Next(); t.Kind == lex.Op && text[t.Start:t.End] == "."; t = l.Next() {
-			if t = l.Next(); t.Kind != lex.Word && t.Kind != lex.Quoted {
+		for t = l.Next(); t.Kind == lex.Operator && text[t.Start:t.End] == "."; t = l.Next() {
+			if t = l.Next(); t.Kind != lex.Word && t.Kind != lex.QuotedIdentifier {
 				break
 			}
 			schema, last = last, t
 		}
 		if schema.End > 0 {
-			if g, ok := syntax.GroupOf(text[schema.Start:schema.End]); ok && tables {
+			if g, ok := syntax.TableGroup(text[schema.Start:schema.End]); ok && tables {
 				return g
 			} else if ok && fallback == 0 {
 				fallback = g
@@ -56,12 +56,12 @@
 
 // Words that tables follow, that may stand between, and that end a list of tables.
 var (
-	before  = words("from join into update table using copy truncate merge")
-	between = words("only lateral if exists not overwrite")
-	after   = words("select where group order having limit on set values union except intersect window")
+	wordsBeforeTables = wordSet("from join into update table using copy truncate merge")
+	wordsAmongTables  = wordSet("only lateral if exists not overwrite")
+	wordsEndingTables = wordSet("select where group order having limit on set values union except intersect window")
 )
 
-func words(list string) map[string]bool {
+func wordSet(list string) map[string]bool {
 	m := map[string]bool{}
 	for w := range strings.FieldsSeq(list) {
 		m[w] = true
--- a/statement/group_test.go
+++ b/statement/group_test.go
@@ -16,8 +16,8 @@
 	text, err := os.ReadFile("testdata/corpus.txt")
 	require.NoError(t, err)
 	for line := range strings.SplitSeq(string(text), "\n") {
-		assert.Equal(t, sqltext.Group(line), scanGroup(line), line)
+		assert.Equal(t, sqltext.Group(line), scanTableGroup(line), line)
 		other := "selec \x00 " + line + " ( $ \\"
-		assert.Equal(t, sqltext.Group(other), scanGroup(other), line)
+		assert.Equal(t, sqltext.Group(other), scanTableGroup(other), line)
 	}
 }
--- /dev/null
+++ b/statement/lex/operators.go
@@ -0,0 +1,65 @@
+package lex
+
+import "strings"
+
+// scanPunctuation returns a punctuation character as a token.
+func (l *Lexer) scanPunctuation(c byte) Token {
+	switch c {
+	case '[':
+		l.bracketDepth++
+	case ']':
+		l.bracketDepth = max(0, l.bracketDepth-1)
+	}
+	l.offset++
+	return Token{Operator, l.offset - 1, l.offset}
+}
+
+// scanOperator scans the longest operator. As in PostgreSQL, an operator of several characters does not end in a sign
+// unless it holds a character that no standard operator has: in a=-1 the sign is the number's.
+func (l *Lexer) scanOperator() Token {
+	start := l.offset
+	special := false
+	for l.offset < len(l.Text) && byteClasses[l.Text[l.offset]] == classOperator {
+		c := l.Text[l.offset]
+		if l.offset > start && (c == '-' && l.peek(1) == '-' || c == '/' && l.peek(1) == '*') {
+			break
+		}
+		special = special || strings.IndexByte("~!@#%^&|", c) >= 0
+		l.offset++
+	}
+	for !special && l.offset > start+1 && (l.Text[l.offset-1] == '+' || l.Text[l.offset-1] == '-') {
+		l.offset--
+	}
+	return Token{Operator, start, l.offset}
+}
+
+// scanColon scans ::, := or a parameter. Within brackets, a colon behind a bound separates the bounds of a slice
+// instead.
+func (l *Lexer) scanColon() Token {
+	start := l.offset
+	switch c := l.peek(1); {
+	case c == ':' || c == '=':
+		l.offset += 2
+	case !l.followsSliceBound() && (byteClasses[c] == classLetter || byteClasses[c] == classDigit):
+		for l.offset++; byteClasses[l.peek(0)] == classLetter || byteClasses[l.peek(0)] == classDigit; l.offset++ {
+		}
+		return Token{Parameter, start, l.offset}
+	default:
+		l.offset++
+	}
+	return Token{Operator, start, l.offset}
+}
+
+// followsSliceBound returns whether the current byte follows the lower bound of a slice.
+func (l *Lexer) followsSliceBound() bool {
+	if l.bracketDepth == 0 {
+		return false
+	}
+	switch l.previous.Kind {
+	case Number, Parameter:
+		return true
+	case Word, QuotedIdentifier:
+		return l.previous.End == l.offset // in [case when a then :b end] a space separates them
+	}
+	return l.previous.Kind == Operator && (l.Text[l.previous.End-1] == ')' || l.Text[l.previous.End-1] == ']')
+}
--- a/statement/property_test.go
+++ b/statement/property_test.go
@@ -26,16 +26,16 @@
 	var b strings.Builder
 	l := lex.Lexer{Text: text}
 	prev := lex.Token{}
-	for tok := l.Next(); tok.Kind != lex.End; prev, tok = tok, l.Next() {
+	for tok := l.Next(); tok.Kind != lex.EOF; prev, tok = tok, l.Next() {
 		word := text[tok.Start:tok.End]
-		joined := tok.Start == prev.End && (tok.Kind == lex.Op || prev.Kind == lex.Op)
+		joined := tok.Start == prev.End && (tok.Kind == lex.Operator || prev.Kind == lex.Operator)
 		if !joined || rapid.Bool().Draw(t, "apart") {
 			b.WriteString(gaps.Draw(t, "gap"))
 		}
 		switch {
 		case tok.Kind == lex.Word && rapid.Bool().Draw(t, "upper"):
 			b.WriteString(strings.ToUpper(word))
-		case tok.Kind == lex.String || tok.Kind == lex.Number || tok.Kind == lex.Param:
+		case tok.Kind == lex.String || tok.Kind == lex.Number || tok.Kind == lex.Parameter:
 			b.WriteString(values.Draw(t, "value"))
 		default:
 			b.WriteString(word)
@@ -45,8 +45,8 @@
 }
 
 func shapeOf(t require.TestingT, text string) string {
-	var s shape.Scan
-	require.True(t, s.Read(text), "%s: %s", s.Fault, text)
+	var s shape.Normalizer
+	require.True(t, s.Normalize(text), "%s: %s", s.ErrorMessage, text)
 	return string(s.Shape)
 }
 
@@ -141,7 +141,7 @@
 		if err != nil {
 			return
 		}
-		assert.Equal(t, reading.Facts().Group, group)
+		assert.Equal(t, reading.Facts().TableGroup, group)
 		again, err := r.Read([]byte(reading.Shape()))
 		if err == nil {
 			assert.Equal(t, reading.Shape(), again.Shape())
@@ -184,10 +184,10 @@
 	best := func(text string) time.Duration {
 		least := time.Duration(1 << 62)
 		for range 7 {
-			var s shape.Scan
+			var s shape.Normalizer
 			var p syntax.Parser
 			start := own()
-			s.Read(text)
+			s.Normalize(text)
 			_, _ = p.Parse(text)
 			least = min(least, own()-start)
 		}
--- a/statement/reader.go
+++ b/statement/reader.go
@@ -18,13 +18,13 @@
 	"chutechute/statement/syntax"
 )
 
-// Unparsed is what becomes of a statement that can't be read.
-type Unparsed int
+// UnparsedPolicy is what becomes of a statement that can't be read.
+type UnparsedPolicy int
 
 // The ways with a statement that can't be read.
 const (
-	// Fail ends its call at once with what is wrong with it.
-	Fail Unparsed = iota
+	// RejectUnparsed ends its call at once with what is wrong with it.
+	RejectUnparsed UnparsedPolicy = iota
 	// Once serves it under a class that is named, with one attempt that is never repeated.
 	Once
 )
@@ -46,7 +46,7 @@
 	Rules         []classify.Rule
 	Tables        map[string]estimate.Sizes // by name, in lower case
 	Effects       []string                  // names of functions whose call changes something
-	Unparsed      Unparsed
+	Unparsed      UnparsedPolicy
 	UnparsedClass string // for Once
 }
 
@@ -54,21 +54,21 @@
 const (
 	DefaultCacheBytes = 1 << 20
 	DefaultMaxBytes   = 64 << 10
-	leastCacheBytes   = 64 << 10
+	minCacheBytes     = 64 << 10
 )
 
 // Reader reads statements and learns what they cost.
 type Reader struct {
-	options  Options
-	unparsed int // place of UnparsedClass
-	rules    *classify.Rules
-	rulesOf  int // generation of the rules
-	shapes   shapes
-	scan     shape.Scan
-	parser   syntax.Parser
-	cost     []estimate.Mean // by class
-	memory   []estimate.Mean
-	count    Counts
+	options         Options
+	unparsedClass   int // place of UnparsedClass
+	rules           *classify.Rules
+	rulesGeneration int // generation of the rules
+	cache           shapeCache
+	normalizer      shape.Normalizer
+	parser          syntax.Parser
+	costByClass     []estimate.Mean // by class
+	memoryByClass   []estimate.Mean
+	counts          Counts
 }
 
 // Counts is what a reader has done.
@@ -95,7 +95,7 @@
 	if o.MaxBytes == 0 {
 		o.MaxBytes = DefaultMaxBytes
 	}
-	if o.CacheBytes < leastCacheBytes || o.MaxBytes < 0 || o.MaxDepth < 0 {
+	if o.CacheBytes < minCacheBytes || o.MaxBytes < 0 || o.MaxDepth < 0 {
 		return fmt.Errorf("cache_mb, max_bytes or max_depth: out of range")
 	}
 	classes := make([]classify.Class, len(o.Classes))
@@ -113,17 +113,17 @@
 	if err != nil {
 		return err
 	}
-	r.shapes.resize(o.CacheBytes)
+	r.cache.resize(o.CacheBytes)
 	if !sameClasses(o.Classes, r.options.Classes) {
-		r.cost, r.memory = nil, nil
+		r.costByClass, r.memoryByClass = nil, nil
 		for _, c := range o.Classes {
-			r.cost = append(r.cost, estimate.NewMean(c.UsualMS))
-			r.memory = append(r.memory, estimate.NewMean(c.UsualMB))
+			r.costByClass = append(r.costByClass, estimate.NewMean(c.UsualMS))
+			r.memoryByClass = append(r.memoryByClass, estimate.NewMean(c.UsualMB))
 		}
 	}
-	r.options, r.unparsed, r.rules = o, unparsed, rules
-	r.rulesOf++
-	r.parser.Depth = o.MaxDepth
+	r.options, r.unparsedClass, r.rules = o, unparsed, rules
+	r.rulesGeneration++
+	r.parser.MaxDepth = o.MaxDepth
 	return nil
 }
 
@@ -141,7 +141,7 @@
 
 // Reading is one statement that was read. It stays valid while the reader goes on.
 type Reading struct {
-	entry       *entry
+	entry       *cacheEntry
 	fingerprint uint64
 	features    estimate.Features
 }
@@ -161,56 +161,56 @@
 	// The text is not kept: a shape has a copy without its values, which the parser reads.
 	s := unsafe.String(unsafe.SliceData(text), len(text))
 	if len(s) > r.options.MaxBytes {
-		r.count.Failures++
+		r.counts.Failures++
 		return Reading{}, syntax.NewError("", 0, fmt.Sprintf("the statement is longer than %d bytes", r.options.MaxBytes))
 	}
-	if !r.scan.Read(s) {
-		r.count.Failures++
-		return Reading{}, syntax.NewError(s, r.scan.FaultAt, "found "+r.scan.Fault)
+	if !r.normalizer.Normalize(s) {
+		r.counts.Failures++
+		return Reading{}, syntax.NewError(s, r.normalizer.ErrorOffset, "found "+r.normalizer.ErrorMessage)
 	}
-	out := Reading{fingerprint: r.scan.Fingerprint()}
-	if out.entry = r.shapes.find(out.fingerprint, &r.scan); out.entry == nil {
+	out := Reading{fingerprint: r.normalizer.Fingerprint()}
+	if out.entry = r.cache.get(out.fingerprint, &r.normalizer); out.entry == nil {
 		e, err := r.parse(s)
 		if err != nil {
-			r.count.Failures++
+			r.counts.Failures++
 			return Reading{}, err
 		}
-		r.count.Misses++
-		r.shapes.keep(out.fingerprint, e)
+		r.counts.Misses++
+		r.cache.put(out.fingerprint, e)
 		out.entry = e
 	} else {
-		r.count.Hits++
+		r.counts.Hits++
 	}
-	out.features = out.entry.plan.Features(s, r.scan.Values, r.scan.Rows)
+	out.features = out.entry.plan.Features(s, r.normalizer.Values, r.normalizer.RowCount)
 	return out, nil
 }
 
 // parse parses the shape that was scanned. Where that fails the text itself is parsed, for the place of the
 // fault.
-func (r *Reader) parse(text string) (*entry, error) {
-	canonical := string(r.scan.Shape)
+func (r *Reader) parse(text string) (*cacheEntry, error) {
+	canonical := string(r.normalizer.Shape)
 	facts, err := r.parser.Parse(canonical)
 	if err != nil {
 		if facts, err = r.parser.Parse(strings.Clone(text)); err != nil {
 			return nil, err
 		}
 		// Legal with its values and not without them: the values' places are not known in the shape.
-		facts.Predicates, facts.Limit, facts.Offset = nil, -1, -1
+		facts.Predicates, facts.LimitValue, facts.OffsetValue = nil, -1, -1
 	}
 	for _, name := range facts.Functions {
 		for _, effect := range r.options.Effects {
 			facts.Writes = facts.Writes || name == effect
 		}
 	}
-	e := &entry{shape: canonical, facts: facts, plan: estimate.NewPlan(facts, len(r.scan.Values))}
-	r.match(e)
+	e := &cacheEntry{shape: canonical, facts: facts, plan: estimate.NewFeaturePlan(facts, len(r.normalizer.Values))}
+	r.updateMatchingRules(e)
 	return e, nil
 }
 
-// match finds the rules that match a shape, once for each generation of rules.
-func (r *Reader) match(e *entry) {
-	if e.rulesOf != r.rulesOf {
-		e.rules, e.rulesOf = r.rules.Matches(e.facts), r.rulesOf
+// updateMatchingRules finds the rules that match a shape, once for each generation of rules.
+func (r *Reader) updateMatchingRules(e *cacheEntry) {
+	if e.rulesGeneration != r.rulesGeneration {
+		e.matchingRules, e.rulesGeneration = r.rules.Matching(e.facts), r.rulesGeneration
 	}
 }
 
@@ -219,14 +219,14 @@
 func (r *Reader) Group(text []byte) int {
 	reading, err := r.Read(text)
 	if err != nil {
-		return scanGroup(unsafe.String(unsafe.SliceData(text), len(text)))
+		return scanTableGroup(unsafe.String(unsafe.SliceData(text), len(text)))
 	}
-	return reading.entry.facts.Group
+	return reading.entry.facts.TableGroup
 }
 
 // Counts is what the reader has done so far.
 func (r *Reader) Counts() Counts {
-	c := r.count
-	c.Shapes, c.Bytes = r.shapes.held()
+	c := r.counts
+	c.Shapes, c.Bytes = r.cache.usage()
 	return c
 }
--- a/statement/shape/shape.go
+++ b/statement/shape/shape.go
@@ -23,131 +23,131 @@
 	Count      int      // values in the list; 1 for a single one
 }
 
-// Scan is the reading of one statement's tokens. The zero value is ready; it may be used again and again.
-type Scan struct {
-	Text   string
-	Shape  []byte  // valid until the next Read
-	Values []Value // valid until the next Read
-	Rows   int     // rows of the VALUES lists, folded or not
-	Fault  string  // what was wrong with the token at FaultAt; empty where all was well
-	// FaultAt is a place in Text, in bytes.
-	FaultAt int
+// Normalizer is the reading of one statement's tokens. The zero value is ready; it may be used again and again.
+type Normalizer struct {
+	Text         string
+	Shape        []byte  // valid until the next Read
+	Values       []Value // valid until the next Read
+	RowCount     int     // rows of the VALUES lists, folded or not
+	ErrorMessage string  // what was wrong with the token at FaultAt; empty where all was well
+	// ErrorOffset is a place in Text, in bytes.
+	ErrorOffset int
 
-	l    lex.Lexer
-	prev lex.Token // the last token taken
-	sign int       // where in Shape the signs begin that may be the next value's; -1 without any
-	list list
-	rows rows
+	lexer     lex.Lexer
+	previous  lex.Token // the last token taken
+	signStart int       // where in Shape the signs begin that may be the next value's; -1 without any
+	list      valueList
+	rows      valuesRows
 }
 
-// list is a list of literals that is still open: it folds if nothing else comes before it closes.
-type list struct {
-	open   bool
-	close  byte
-	shape  int // length of Shape behind its opening mark
-	values int // length of Values there
-	count  int
+// valueList is a list of literals that is still open: it folds if nothing else comes before it closes.
+type valueList struct {
+	open        bool
+	close       byte
+	shapeLength int // length of Shape behind its opening mark
+	valueCount  int // length of Values there
+	length      int
 }
 
-// rows are the rows of a VALUES list: one that looks as the row before it is left out.
-type rows struct {
-	in         bool // within VALUES
-	depth      int  // of marks within a row; 0 between rows
-	start, end int  // of the current and behind the last row in Shape
-	first      int  // start of the last row kept
-	values     int  // length of Values before the current row
+// valuesRows are the rows of a VALUES list: one that looks as the row before it is left out.
+type valuesRows struct {
+	inside             bool // within VALUES
+	depth              int  // of marks within a row; 0 between rows
+	start, previousEnd int  // of the current and behind the last row in Shape
+	previousStart      int  // start of the last row kept
+	valueCount         int  // length of Values before the current row
 }
 
-// mostKept is how large a buffer is kept for the next statement, in bytes or values.
-const mostKept = 64 << 10
+// maxRetainedCapacity is how large a buffer is kept for the next statement, in bytes or values.
+const maxRetainedCapacity = 64 << 10
 
-// Read finds the shape of a statement. It is false where some token could not be read: Fault says why, and
+// Normalize finds the shape of a statement. It is false where some token could not be read: Fault says why, and
 // Shape holds what came before it.
-func (s *Scan) Read(text string) bool {
-	if cap(s.Shape) > mostKept || cap(s.Values) > mostKept {
+func (s *Normalizer) Normalize(text string) bool {
+	if cap(s.Shape) > maxRetainedCapacity || cap(s.Values) > maxRetainedCapacity {
 		s.Shape, s.Values = nil, nil
 	}
-	*s = Scan{Text: text, Shape: s.Shape[:0], Values: s.Values[:0], sign: -1}
-	s.l.Reset(text)
+	*s = Normalizer{Text: text, Shape: s.Shape[:0], Values: s.Values[:0], signStart: -1}
+	s.lexer.Reset(text)
 	for {
-		t := s.l.Next()
+		t := s.lexer.Next()
 		switch t.Kind {
-		case lex.End:
-			s.trim()
+		case lex.EOF:
+			s.trimSemicolons()
 			return true
-		case lex.Bad:
-			s.Fault, s.FaultAt = s.l.Fault, t.Start
+		case lex.Illegal:
+			s.ErrorMessage, s.ErrorOffset = s.lexer.ErrorMessage, t.Start
 			return false
-		case lex.String, lex.Number, lex.Param:
-			s.value(t)
+		case lex.String, lex.Number, lex.Parameter:
+			s.appendValue(t)
 		default:
-			s.other(t)
+			s.appendOther(t)
 		}
-		s.prev = t
+		s.previous = t
 	}
 }
 
 // Fingerprint is the 64-bit xxHash of the shape: the same in all processes and versions.
-func (s *Scan) Fingerprint() uint64 { return xxhash.Sum64(s.Shape) }
+func (s *Normalizer) Fingerprint() uint64 { return xxhash.Sum64(s.Shape) }
 
-// trim takes off the semicolons at the end.
-func (s *Scan) trim() {
+// trimSemicolons takes off the semicolons at the end.
+func (s *Normalizer) trimSemicolons() {
 	s.Shape = bytes.TrimRight(s.Shape, " ;")
 }
 
-// value takes a literal or a parameter.
-func (s *Scan) value(t lex.Token) {
-	if t.Kind == lex.String && s.prev.Kind == lex.String { // texts that follow one another are one
+// appendValue takes a literal or a parameter.
+func (s *Normalizer) appendValue(t lex.Token) {
+	if t.Kind == lex.String && s.previous.Kind == lex.String { // texts that follow one another are one
 		s.Values[len(s.Values)-1].End = t.End
 		return
 	}
 	v := Value{Kind: t.Kind, Start: t.Start, End: t.End, Count: 1}
-	if s.sign >= 0 {
-		v.Negative = bytes.Count(s.Shape[s.sign:], []byte{'-'})%2 == 1
-		s.Shape = s.Shape[:s.sign]
+	if s.signStart >= 0 {
+		v.Negative = bytes.Count(s.Shape[s.signStart:], []byte{'-'})%2 == 1
+		s.Shape = s.Shape[:s.signStart]
 	}
-	s.sign = -1
+	s.signStart = -1
 	s.Values = append(s.Values, v)
-	s.list.count++
-	s.gap(t)
+	s.list.length++
+	s.appendSpace(t)
 	s.Shape = append(s.Shape, '?')
 }
 
-// other takes any other token.
-func (s *Scan) other(t lex.Token) {
+// appendOther takes any other token.
+func (s *Normalizer) appendOther(t lex.Token) {
 	sign := -1
 	switch t.Kind {
 	case lex.Word:
 		s.list.open = false
-		s.gap(t)
-		s.Shape = lower(s.Shape, s.Text[t.Start:t.End])
-		s.rows.in = s.rows.in && s.rows.depth > 0
-		if s.word(t, "values") {
-			s.rows = rows{in: true}
+		s.appendSpace(t)
+		s.Shape = appendLower(s.Shape, s.Text[t.Start:t.End])
+		s.rows.inside = s.rows.inside && s.rows.depth > 0
+		if s.isWord(t, "values") {
+			s.rows = valuesRows{inside: true}
 		}
-	case lex.Quoted:
+	case lex.QuotedIdentifier:
 		s.list.open = false
-		s.gap(t)
+		s.appendSpace(t)
 		s.Shape = append(s.Shape, s.Text[t.Start:t.End]...)
-	case lex.Op:
+	case lex.Operator:
 		if t.End == t.Start+1 {
-			s.mark(s.Text[t.Start], t)
-			if c := s.Text[t.Start]; (c == '-' || c == '+') && s.sign >= 0 {
-				sign = s.sign
-			} else if (c == '-' || c == '+') && !s.operand() {
-				sign = s.before(t)
+			s.appendPunctuation(s.Text[t.Start], t)
+			if c := s.Text[t.Start]; (c == '-' || c == '+') && s.signStart >= 0 {
+				sign = s.signStart
+			} else if (c == '-' || c == '+') && !s.followsOperand() {
+				sign = s.startOfLast(t)
 			}
 		} else {
 			s.list.open = false
-			s.gap(t)
+			s.appendSpace(t)
 			s.Shape = append(s.Shape, s.Text[t.Start:t.End]...)
 		}
 	}
-	s.sign = sign
+	s.signStart = sign
 }
 
-// before is where the mark just written began, its gap included.
-func (s *Scan) before(t lex.Token) int {
+// startOfLast is where the mark just written began, its gap included.
+func (s *Normalizer) startOfLast(t lex.Token) int {
 	n := len(s.Shape) - (t.End - t.Start)
 	if n > 0 && s.Shape[n-1] == ' ' {
 		n--
@@ -155,71 +155,71 @@
 	return n
 }
 
-// mark takes a mark of one character.
-func (s *Scan) mark(c byte, t lex.Token) {
+// appendPunctuation takes a mark of one character.
+func (s *Normalizer) appendPunctuation(c byte, t lex.Token) {
 	switch c {
 	case '(', '[':
-		s.gap(t)
-		if s.rows.in {
+		s.appendSpace(t)
+		if s.rows.inside {
 			if s.rows.depth == 0 {
-				s.row()
+				s.beginRow()
 			}
 			s.rows.depth++
 		}
 		s.Shape = append(s.Shape, c)
-		s.list = list{}
-		if c == '(' && s.word(s.prev, "in") {
-			s.list = list{open: true, close: ')', shape: len(s.Shape), values: len(s.Values)}
-		} else if c == '[' && s.word(s.prev, "array") {
-			s.list = list{open: true, close: ']', shape: len(s.Shape), values: len(s.Values)}
+		s.list = valueList{}
+		if c == '(' && s.isWord(s.previous, "in") {
+			s.list = valueList{open: true, close: ')', shapeLength: len(s.Shape), valueCount: len(s.Values)}
+		} else if c == '[' && s.isWord(s.previous, "array") {
+			s.list = valueList{open: true, close: ']', shapeLength: len(s.Shape), valueCount: len(s.Values)}
 		}
 	case ')', ']':
-		if s.list.open && s.list.close == c && s.list.count > 1 {
-			s.Values[s.list.values].Count = len(s.Values) - s.list.values
-			s.Values = s.Values[:s.list.values+1]
-			s.Shape = append(s.Shape[:s.list.shape], '?')
+		if s.list.open && s.list.close == c && s.list.length > 1 {
+			s.Values[s.list.valueCount].Count = len(s.Values) - s.list.valueCount
+			s.Values = s.Values[:s.list.valueCount+1]
+			s.Shape = append(s.Shape[:s.list.shapeLength], '?')
 		}
 		s.list.open = false
 		s.Shape = append(s.Shape, c)
-		if s.rows.in && s.rows.depth > 0 {
+		if s.rows.inside && s.rows.depth > 0 {
 			if s.rows.depth--; s.rows.depth == 0 {
 				s.endRow()
 			}
 		} else {
-			s.rows.in = false
+			s.rows.inside = false
 		}
 	case ',':
 		s.Shape = append(s.Shape, ',')
 	case '-', '+':
-		s.gap(t)
+		s.appendSpace(t)
 		s.Shape = append(s.Shape, c)
 	default:
 		s.list.open = false
-		s.gap(t)
+		s.appendSpace(t)
 		s.Shape = append(s.Shape, c)
 	}
 }
 
-// row begins a row of VALUES, whose mark is about to be written.
-func (s *Scan) row() {
-	s.Rows++
+// beginRow begins a row of VALUES, whose mark is about to be written.
+func (s *Normalizer) beginRow() {
+	s.RowCount++
 	s.rows.start = len(s.Shape)
-	s.rows.values = len(s.Values)
+	s.rows.valueCount = len(s.Values)
 }
 
 // endRow ends a row of VALUES and takes it out again if it looks as the last one did.
-func (s *Scan) endRow() {
+func (s *Normalizer) endRow() {
 	r := &s.rows
 	row := s.Shape[r.start:]
-	if r.end > 0 && bytes.Equal(row, s.Shape[r.first:r.end]) && string(s.Shape[r.end:r.start]) == ", " {
-		s.Shape, s.Values = s.Shape[:r.end], s.Values[:r.values]
+	if r.previousEnd > 0 && bytes.Equal(row, s.Shape[r.previousStart:r.previousEnd]) && string(s.Shape[r.previousEnd:r.start]) == ", " {
+		s.Shape, s.Values = s.Shape[:r.previousEnd], s.Values[:r.valueCount]
 		return
 	}
-	r.first, r.end = r.start, len(s.Shape)
+	r.previousStart, r.previousEnd = r.start, len(s.Shape)
 }
 
-// word says whether a token is that word, given in lower case.
-func (s *Scan) word(t lex.Token, word string) bool {
+// isWord says whether a token is that word, given in lower case.
+func (s *Normalizer) isWord(t lex.Token, word string) bool {
 	if t.Kind != lex.Word || t.End-t.Start != len(word) {
 		return false
 	}
@@ -231,26 +231,26 @@
 	return true
 }
 
-// operand says whether the last token ends an operand, so that a sign behind it is an operator.
-func (s *Scan) operand() bool {
-	switch s.prev.Kind {
-	case lex.Quoted, lex.String, lex.Number, lex.Param:
+// followsOperand says whether the last token ends an operand, so that a sign behind it is an operator.
+func (s *Normalizer) followsOperand() bool {
+	switch s.previous.Kind {
+	case lex.QuotedIdentifier, lex.String, lex.Number, lex.Parameter:
 		return true
-	case lex.Op:
-		c := s.Text[s.prev.End-1]
+	case lex.Operator:
+		c := s.Text[s.previous.End-1]
 		return c == ')' || c == ']'
 	case lex.Word:
 		var b [16]byte
-		if s.prev.End-s.prev.Start > len(b) {
+		if s.previous.End-s.previous.Start > len(b) {
 			return true
 		}
-		return !beforeOperand[string(lower(b[:0], s.Text[s.prev.Start:s.prev.End]))]
+		return !wordsBeforeOperand[string(appendLower(b[:0], s.Text[s.previous.Start:s.previous.End]))]
 	}
 	return false
 }
 
-// beforeOperand are the words behind which an operand begins.
-var beforeOperand = func() map[string]bool {
+// wordsBeforeOperand are the words behind which an operand begins.
+var wordsBeforeOperand = func() map[string]bool {
 	m := map[string]bool{}
 	for _, w := range []string{"select", "where", "and", "or", "not", "on", "when", "then", "else", "case", "between",
 		"in", "like", "ilike", "limit", "offset", "values", "set", "by", "having", "return", "returning", "distinct",
@@ -262,34 +262,34 @@
 	return m
 }()
 
-// gap writes the space between two tokens: none behind an opening mark or round a dot, none before a closing
+// appendSpace writes the space between two tokens: none behind an opening mark or round a dot, none before a closing
 // mark, a comma or the mark of a call.
-func (s *Scan) gap(t lex.Token) {
+func (s *Normalizer) appendSpace(t lex.Token) {
 	if len(s.Shape) == 0 {
 		return
 	}
 	last := s.Shape[len(s.Shape)-1]
 	next := s.Text[t.Start]
-	if t.Kind == lex.Op && t.End == t.Start+1 {
+	if t.Kind == lex.Operator && t.End == t.Start+1 {
 		switch next {
 		case ';', '.':
 			return
 		case '(', '[':
-			if s.prev.Kind == lex.Op && (last == '(' || last == '[' || last == '.') {
+			if s.previous.Kind == lex.Operator && (last == '(' || last == '[' || last == '.') {
 				return
 			}
 			s.Shape = append(s.Shape, ' ')
 			return
 		}
 	}
-	if s.prev.Kind == lex.Op && (last == '(' || last == '[' || last == '.') {
+	if s.previous.Kind == lex.Operator && (last == '(' || last == '[' || last == '.') {
 		return
 	}
 	s.Shape = append(s.Shape, ' ')
 }
 
-// lower appends a word with its ASCII letters in lower case.
-func lower(b []byte, word string) []byte {
+// appendLower appends a word with its ASCII letters in lower case.
+func appendLower(b []byte, word string) []byte {
 	for i := range len(word) {
 		c := word[i]
 		if c >= 'A' && c <= 'Z' {
--- a/statement/syntax/call.go
+++ b/statement/syntax/call.go
@@ -1,155 +1,155 @@
 package syntax
 
-// aggregates are functions that read all rows of what they are asked of.
-var aggregates = set(`count sum avg min max array_agg string_agg json_agg jsonb_agg stddev variance percentile_cont
+// aggregateFunctions are functions that read all rows of what they are asked of.
+var aggregateFunctions = wordSet(`count sum avg min max array_agg string_agg json_agg jsonb_agg stddev variance percentile_cont
 	percentile_disc mode every bool_and bool_or corr regr_slope group_concat listagg approx_count_distinct`)
 
-// call is a function's arguments and what may follow them. The role is Function for one in the place of a
+// parseCall is a function's arguments and what may follow them. The role is Function for one in the place of a
 // table.
-func (p *Parser) call(name string, role Role) {
+func (p *Parser) parseCall(name string, role Role) {
 	if role == Function {
-		p.facts.table(name, Function)
+		p.facts.addTable(name, Function)
 	}
-	p.facts.function(name)
-	if aggregates[name] {
+	p.facts.addFunction(name)
+	if aggregateFunctions[name] {
 		p.facts.Aggregates++
 	}
-	p.enter()
-	defer p.leave()
-	p.need("(")
-	if !p.cur().op(")") {
-		if !p.special(name) {
-			p.parameters()
+	p.enterLevel()
+	defer p.leaveLevel()
+	p.expectOperator("(")
+	if !p.current().isOperator(")") {
+		if !p.parseSpecialArguments(name) {
+			p.parseArguments()
 		}
 	}
-	p.need(")")
-	if p.words("within", "group") {
-		p.need("(")
-		if p.words("order", "by") {
-			p.order()
+	p.expectOperator(")")
+	if p.acceptWords("within", "group") {
+		p.expectOperator("(")
+		if p.acceptWords("order", "by") {
+			p.parseOrderBy()
 		}
-		p.need(")")
+		p.expectOperator(")")
 	}
-	if p.cur().word("filter") && p.ahead(1).op("(") {
-		p.at += 2
-		p.needWord("where")
-		p.expr()
-		p.need(")")
+	if p.current().isWord("filter") && p.peek(1).isOperator("(") {
+		p.position += 2
+		p.expectWord("where")
+		p.parseExpr()
+		p.expectOperator(")")
 	}
-	if p.cur().word("ignore", "respect") && p.ahead(1).word("nulls") {
-		p.at += 2
+	if p.current().isWord("ignore", "respect") && p.peek(1).isWord("nulls") {
+		p.position += 2
 	}
-	if p.word("over") {
+	if p.acceptWord("over") {
 		p.facts.Aggregates++
-		if p.cur().op("(") {
-			p.window()
+		if p.current().isOperator("(") {
+			p.parseWindowDefinition()
 		} else {
-			p.name("a window")
+			p.parseName("a window")
 		}
 	}
 }
 
-// parameters are ordinary arguments.
-func (p *Parser) parameters() {
-	p.word("distinct", "all")
-	p.word("variadic")
-	if p.begins() {
+// parseArguments are ordinary arguments.
+func (p *Parser) parseArguments() {
+	p.acceptWord("distinct", "all")
+	p.acceptWord("variadic")
+	if p.atQueryStart() {
 		p.facts.Subqueries++
-		p.query(false)
+		p.parseQuery(false)
 	} else {
-		p.expr()
+		p.parseExpr()
 	}
-	for p.op(",") {
-		p.word("variadic")
-		p.expr()
-		if p.op("=>") || p.op(":=") {
-			p.expr()
+	for p.acceptOperator(",") {
+		p.acceptWord("variadic")
+		p.parseExpr()
+		if p.acceptOperator("=>") || p.acceptOperator(":=") {
+			p.parseExpr()
 		}
 	}
-	if p.words("order", "by") {
-		p.order()
+	if p.acceptWords("order", "by") {
+		p.parseOrderBy()
 	}
-	if p.word("separator") {
-		p.expr()
+	if p.acceptWord("separator") {
+		p.parseExpr()
 	}
-	if p.word("on") { // listagg's ON OVERFLOW, JSON's ON ERROR
-		p.skip()
+	if p.acceptWord("on") { // listagg's ON OVERFLOW, JSON's ON ERROR
+		p.skipUntil()
 	}
 }
 
-// special takes the arguments of functions with a syntax of their own.
-func (p *Parser) special(name string) bool {
+// parseSpecialArguments takes the arguments of functions with a syntax of their own.
+func (p *Parser) parseSpecialArguments(name string) bool {
 	switch name {
 	case "extract":
 		p.next()
-		p.needWord("from")
-		p.expr()
+		p.expectWord("from")
+		p.parseExpr()
 	case "substring", "overlay", "position":
-		p.sum()
+		p.parseArithmetic()
 		switch {
-		case p.word("in"):
-			p.sum()
-		case p.op(","):
-			p.list()
+		case p.acceptWord("in"):
+			p.parseArithmetic()
+		case p.acceptOperator(","):
+			p.parseExprList()
 		default:
-			for p.word("placing", "from", "for", "similar", "escape") {
-				p.sum()
+			for p.acceptWord("placing", "from", "for", "similar", "escape") {
+				p.parseArithmetic()
 			}
 		}
 	case "trim":
-		p.word("leading", "trailing", "both")
-		if !p.cur().word("from") {
-			p.sum()
+		p.acceptWord("leading", "trailing", "both")
+		if !p.current().isWord("from") {
+			p.parseArithmetic()
 		}
-		if p.word("from") {
-			p.sum()
+		if p.acceptWord("from") {
+			p.parseArithmetic()
 		}
-		if p.op(",") {
-			p.list()
+		if p.acceptOperator(",") {
+			p.parseExprList()
 		}
 	case "xmlelement", "xmlforest", "xmlparse", "xmltable", "json_table", "json_query", "json_value", "json_exists",
 		"json_object", "json_array", "json_objectagg", "json_arrayagg", "xmlserialize", "xmlagg":
-		p.skip()
+		p.skipUntil()
 	default:
 		return false
 	}
 	return true
 }
 
-// window is a window's definition in parentheses.
-func (p *Parser) window() {
-	p.need("(")
-	if !p.cur().op(")") && !p.cur().word("partition", "order", "rows", "range", "groups") {
-		p.name("a window")
-	}
-	if p.words("partition", "by") {
-		p.list()
-	}
-	if p.words("order", "by") {
-		p.order()
-	}
-	if p.word("rows", "range", "groups") {
-		if p.word("between") {
-			p.bound()
-			p.needWord("and")
+// parseWindowDefinition is a window's definition in parentheses.
+func (p *Parser) parseWindowDefinition() {
+	p.expectOperator("(")
+	if !p.current().isOperator(")") && !p.current().isWord("partition", "order", "rows", "range", "groups") {
+		p.parseName("a window")
+	}
+	if p.acceptWords("partition", "by") {
+		p.parseExprList()
+	}
+	if p.acceptWords("order", "by") {
+		p.parseOrderBy()
+	}
+	if p.acceptWord("rows", "range", "groups") {
+		if p.acceptWord("between") {
+			p.parseFrameBound()
+			p.expectWord("and")
 		}
-		p.bound()
-		if p.word("exclude") {
-			if !p.words("current", "row") && !p.words("no", "others") {
-				p.needWord("group", "ties")
+		p.parseFrameBound()
+		if p.acceptWord("exclude") {
+			if !p.acceptWords("current", "row") && !p.acceptWords("no", "others") {
+				p.expectWord("group", "ties")
 			}
 		}
 	}
-	p.need(")")
+	p.expectOperator(")")
 }
 
-// bound is one end of a window's frame.
-func (p *Parser) bound() {
-	if p.words("current", "row") {
+// parseFrameBound is one end of a window's frame.
+func (p *Parser) parseFrameBound() {
+	if p.acceptWords("current", "row") {
 		return
 	}
-	if !p.word("unbounded") {
-		p.sum()
+	if !p.acceptWord("unbounded") {
+		p.parseArithmetic()
 	}
-	p.needWord("preceding", "following")
+	p.expectWord("preceding", "following")
 }
--- a/statement/syntax/expr.go
+++ b/statement/syntax/expr.go
@@ -8,224 +8,224 @@
 
 // operand is what is known of an operand, as far as predicates need it.
 type operand struct {
-	column string // set where it is a column alone
-	value  int    // place of the literal or parameter that it is alone; -1 otherwise
+	column     string // set where it is a column alone
+	valueIndex int    // place of the literal or parameter that it is alone; -1 otherwise
 }
 
-var unknown = operand{value: -1}
+var opaqueOperand = operand{valueIndex: -1}
 
-// list is a list of expressions.
-func (p *Parser) list() {
+// parseExprList is a list of expressions.
+func (p *Parser) parseExprList() {
 	for {
-		p.expr()
-		if !p.op(",") {
+		p.parseExpr()
+		if !p.acceptOperator(",") {
 			return
 		}
 	}
 }
 
-// expr is an expression. Precedence counts only as far as predicates need it: AND and OR part comparisons, and
+// parseExpr is an expression. Precedence counts only as far as predicates need it: AND and OR part comparisons, and
 // these part everything else.
-func (p *Parser) expr() operand {
-	p.enter()
-	defer p.leave()
-	left := p.comparison()
-	for p.word("and", "or", "xor") {
-		p.comparison()
-		left = unknown
+func (p *Parser) parseExpr() operand {
+	p.enterLevel()
+	defer p.leaveLevel()
+	left := p.parseComparison()
+	for p.acceptWord("and", "or", "xor") {
+		p.parseComparison()
+		left = opaqueOperand
 	}
 	return left
 }
 
-// comparison is an operand and the comparisons that follow it.
-func (p *Parser) comparison() operand {
+// parseComparison is an operand and the comparisons that follow it.
+func (p *Parser) parseComparison() operand {
 	not := false
-	for p.word("not") {
+	for p.acceptWord("not") {
 		not = true
 	}
-	left := p.sum()
+	left := p.parseArithmetic()
 	for {
-		t := p.cur()
+		t := p.current()
 		switch {
-		case t.Kind == lex.Op && comparisons[t.text] != 0:
-			p.at++
-			if p.cur().word("any", "all", "some") && p.ahead(1).op("(") {
-				p.at++
-				p.arguments()
-			} else if right := p.sum(); !not {
-				p.compare(left, comparisons[t.text], right)
+		case t.Kind == lex.Operator && comparisonOperators[t.text] != 0:
+			p.position++
+			if p.current().isWord("any", "all", "some") && p.peek(1).isOperator("(") {
+				p.position++
+				p.parseParenthesizedList()
+			} else if right := p.parseArithmetic(); !not {
+				p.addComparison(left, comparisonOperators[t.text], right)
 			}
-		case t.word("is"):
-			p.at++
-			p.is()
-		case t.word("isnull", "notnull"):
-			p.at++
-		case t.word("not") && p.ahead(1).word("between", "in", "like", "ilike", "similar", "regexp", "rlike", "glob"):
-			p.at++
-			p.tested(unknown)
-		case t.word("between", "in", "like", "ilike", "similar", "regexp", "rlike", "glob"):
-			p.tested(left)
-		case t.word("overlaps"):
-			p.at++
-			p.sum()
+		case t.isWord("is"):
+			p.position++
+			p.parseIs()
+		case t.isWord("isnull", "notnull"):
+			p.position++
+		case t.isWord("not") && p.peek(1).isWord("between", "in", "like", "ilike", "similar", "regexp", "rlike", "glob"):
+			p.position++
+			p.parseRangeListOrPattern(opaqueOperand)
+		case t.isWord("between", "in", "like", "ilike", "similar", "regexp", "rlike", "glob"):
+			p.parseRangeListOrPattern(left)
+		case t.isWord("overlaps"):
+			p.position++
+			p.parseArithmetic()
 		default:
 			if not {
-				return unknown
+				return opaqueOperand
 			}
 			return left
 		}
-		left = unknown
+		left = opaqueOperand
 	}
 }
 
-// comparisons gives the operator of a predicate, or 255 for one that tells nothing.
-var comparisons = map[string]Operator{"=": Equal, "==": Equal, "<=>": Equal, "<": Below, "<=": Below, ">": Above,
-	">=": Above, "<>": 255, "!=": 255, "^=": 255}
+// comparisonOperators gives the operator of a predicate, or 255 for one that tells nothing.
+var comparisonOperators = map[string]Operator{"=": Equal, "==": Equal, "<=>": Equal, "<": Less, "<=": Less, ">": Greater,
+	">=": Greater, "<>": 255, "!=": 255, "^=": 255}
 
-func (p *Parser) compare(left operand, op Operator, right operand) {
+func (p *Parser) addComparison(left operand, op Operator, right operand) {
 	if op == 255 {
 		return
 	}
-	if left.column == "" && right.column != "" && left.value >= 0 { // 5 < a
+	if left.column == "" && right.column != "" && left.valueIndex >= 0 { // 5 < a
 		left, right = right, left
 		switch op {
-		case Above:
-			op = Below
-		case Below:
-			op = Above
+		case Greater:
+			op = Less
+		case Less:
+			op = Greater
 		}
 	}
-	if left.column != "" && right.value >= 0 {
-		p.predicate(Predicate{left.column, op, right.value, -1})
+	if left.column != "" && right.valueIndex >= 0 {
+		p.addPredicate(Predicate{left.column, op, right.valueIndex, -1})
 	}
 }
 
-func (p *Parser) predicate(q Predicate) {
-	if len(p.facts.Predicates) < mostNames {
+func (p *Parser) addPredicate(q Predicate) {
+	if len(p.facts.Predicates) < maxPredicates {
 		p.facts.Predicates = append(p.facts.Predicates, q)
 	}
 }
 
-// is follows IS: NULL, a truth value, DISTINCT FROM, a form of JSON or a document.
-func (p *Parser) is() {
-	p.word("not")
+// parseIs follows IS: NULL, a truth value, DISTINCT FROM, a form of JSON or a document.
+func (p *Parser) parseIs() {
+	p.acceptWord("not")
 	switch {
-	case p.word("null", "true", "false", "unknown", "normalized", "document"):
-	case p.words("distinct", "from"):
-		p.sum()
-	case p.word("json"):
-		p.word("value", "array", "object", "scalar")
-		if p.word("with", "without") {
-			p.needWord("unique")
-			p.word("keys")
+	case p.acceptWord("null", "true", "false", "unknown", "normalized", "document"):
+	case p.acceptWords("distinct", "from"):
+		p.parseArithmetic()
+	case p.acceptWord("json"):
+		p.acceptWord("value", "array", "object", "scalar")
+		if p.acceptWord("with", "without") {
+			p.expectWord("unique")
+			p.acceptWord("keys")
 		}
-	case p.word("of"):
-		p.group()
-	case p.cur().word("nfc", "nfd", "nfkc", "nfkd"):
-		p.at++
-		p.needWord("normalized")
+	case p.acceptWord("of"):
+		p.skipParentheses()
+	case p.current().isWord("nfc", "nfd", "nfkc", "nfkd"):
+		p.position++
+		p.expectWord("normalized")
 	default:
-		p.fail("NULL, TRUE, FALSE, UNKNOWN or DISTINCT FROM")
+		p.failExpected("NULL, TRUE, FALSE, UNKNOWN or DISTINCT FROM")
 	}
 }
 
-// tested is BETWEEN, IN, LIKE and their like behind the operand that they test.
-func (p *Parser) tested(left operand) {
+// parseRangeListOrPattern is BETWEEN, IN, LIKE and their like behind the operand that they test.
+func (p *Parser) parseRangeListOrPattern(left operand) {
 	switch word := p.next().text; word {
 	case "between":
-		p.word("symmetric", "asymmetric")
-		low := p.sum()
-		p.needWord("and")
-		high := p.sum()
-		if left.column != "" && low.value >= 0 && high.value >= 0 {
-			p.predicate(Predicate{left.column, Between, low.value, high.value})
+		p.acceptWord("symmetric", "asymmetric")
+		low := p.parseArithmetic()
+		p.expectWord("and")
+		high := p.parseArithmetic()
+		if left.column != "" && low.valueIndex >= 0 && high.valueIndex >= 0 {
+			p.addPredicate(Predicate{left.column, Between, low.valueIndex, high.valueIndex})
 		}
 	case "in":
-		if !p.cur().op("(") { // IN array or parameter
-			p.sum()
+		if !p.current().isOperator("(") { // IN array or parameter
+			p.parseArithmetic()
 			return
 		}
-		at := p.values
-		literal := p.ahead(1).literal()
-		p.arguments()
+		at := p.valueCount
+		literal := p.peek(1).isValue()
+		p.parseParenthesizedList()
 		if left.column != "" && literal {
-			p.predicate(Predicate{left.column, In, at, -1})
+			p.addPredicate(Predicate{left.column, In, at, -1})
 		}
 	default:
 		if word == "similar" {
-			p.needWord("to")
+			p.expectWord("to")
 		}
-		if p.cur().word("any", "all", "some") && p.ahead(1).op("(") {
-			p.at++
-			p.arguments()
+		if p.current().isWord("any", "all", "some") && p.peek(1).isOperator("(") {
+			p.position++
+			p.parseParenthesizedList()
 			return
 		}
-		right := p.sum()
-		if left.column != "" && right.value >= 0 && (word == "like" || word == "ilike") {
-			p.predicate(Predicate{left.column, Like, right.value, -1})
+		right := p.parseArithmetic()
+		if left.column != "" && right.valueIndex >= 0 && (word == "like" || word == "ilike") {
+			p.addPredicate(Predicate{left.column, Like, right.valueIndex, -1})
 		}
-		if p.word("escape") {
-			p.sum()
+		if p.acceptWord("escape") {
+			p.parseArithmetic()
 		}
 	}
 }
 
-// arguments are a subquery or expressions in parentheses, which may be empty.
-func (p *Parser) arguments() {
-	p.need("(")
+// parseParenthesizedList are a subquery or expressions in parentheses, which may be empty.
+func (p *Parser) parseParenthesizedList() {
+	p.expectOperator("(")
 	switch {
-	case p.cur().op(")"):
-	case p.begins():
+	case p.current().isOperator(")"):
+	case p.atQueryStart():
 		p.facts.Subqueries++
-		p.enter()
-		p.query(false)
-		p.leave()
-		if p.op(",") {
-			p.list()
+		p.enterLevel()
+		p.parseQuery(false)
+		p.leaveLevel()
+		if p.acceptOperator(",") {
+			p.parseExprList()
 		}
 	default:
-		p.list()
+		p.parseExprList()
 	}
-	p.need(")")
+	p.expectOperator(")")
 }
 
-// sum is operands with operators of any other kind between them.
-func (p *Parser) sum() operand {
-	left := p.unary()
+// parseArithmetic is operands with operators of any other kind between them.
+func (p *Parser) parseArithmetic() operand {
+	left := p.parseUnary()
 	for {
-		t := p.cur()
+		t := p.current()
 		switch {
-		case t.Kind == lex.Op && infix(t.text):
-			p.at++
+		case t.Kind == lex.Operator && isInfix(t.text):
+			p.position++
 			if t.text == ":" { // of a slice
-				if p.cur().op("]") {
-					return unknown
+				if p.current().isOperator("]") {
+					return opaqueOperand
 				}
 			}
-			p.unary()
-		case t.Kind == lex.Param && t.text == "?": // of JSON: a ? 'b', a ?| b, a ?& b
+			p.parseUnary()
+		case t.Kind == lex.Parameter && t.text == "?": // of JSON: a ? 'b', a ?| b, a ?& b
 			p.next()
-			if !p.op("|") && !p.op("||") {
-				p.op("&")
+			if !p.acceptOperator("|") && !p.acceptOperator("||") {
+				p.acceptOperator("&")
 			}
-			p.unary()
-		case t.word("operator") && p.ahead(1).op("("):
-			p.at++
-			p.group()
-			p.unary()
-		case t.word("div", "mod") && !p.ahead(1).op(")") && !p.ahead(1).op(","):
-			p.at++
-			p.unary()
+			p.parseUnary()
+		case t.isWord("operator") && p.peek(1).isOperator("("):
+			p.position++
+			p.skipParentheses()
+			p.parseUnary()
+		case t.isWord("div", "mod") && !p.peek(1).isOperator(")") && !p.peek(1).isOperator(","):
+			p.position++
+			p.parseUnary()
 		default:
 			return left
 		}
-		left = unknown
+		left = opaqueOperand
 	}
 }
 
-// infix says whether an operator stands between two operands and is no comparison.
-func infix(op string) bool {
-	if comparisons[op] != 0 {
+// isInfix says whether an operator stands between two operands and is no comparison.
+func isInfix(op string) bool {
+	if comparisonOperators[op] != 0 {
 		return false
 	}
 	switch op {
@@ -235,319 +235,319 @@
 	return true
 }
 
-// unary is an operand with its signs before it and its casts, subscripts and collation behind.
-func (p *Parser) unary() operand {
+// parseUnary is an operand with its signs before it and its casts, subscripts and collation behind.
+func (p *Parser) parseUnary() operand {
 	signed := false
-	for t := p.cur(); t.Kind == lex.Op && (t.op("+") || t.op("-") || t.op("~") || t.op("@") || t.op("|/") ||
-		t.op("||/") || t.op("!!")); t = p.cur() {
-		p.at++
+	for t := p.current(); t.Kind == lex.Operator && (t.isOperator("+") || t.isOperator("-") || t.isOperator("~") || t.isOperator("@") || t.isOperator("|/") ||
+		t.isOperator("||/") || t.isOperator("!!")); t = p.current() {
+		p.position++
 		signed = true
 	}
-	for p.word("prior", "binary") {
+	for p.acceptWord("prior", "binary") {
 	}
-	o := p.primary()
+	o := p.parsePrimary()
 	if signed && o.column != "" {
-		o = unknown
+		o = opaqueOperand
 	}
 	for {
 		switch {
-		case p.op("::"):
-			p.typeName()
-		case p.op("["):
-			if !p.cur().op("]") {
-				if p.op(":") {
-					if !p.cur().op("]") {
-						p.expr()
+		case p.acceptOperator("::"):
+			p.parseTypeName()
+		case p.acceptOperator("["):
+			if !p.current().isOperator("]") {
+				if p.acceptOperator(":") {
+					if !p.current().isOperator("]") {
+						p.parseExpr()
 					}
 				} else {
-					p.expr()
+					p.parseExpr()
 				}
 			}
-			p.need("]")
-			o = unknown
-		case p.cur().op(".") && (p.ahead(1).name() || p.ahead(1).op("*")):
-			p.at += 2
-			o = unknown
-		case p.word("collate"):
-			p.name("a collation")
-		case p.words("at", "time", "zone"):
-			p.unary()
-			o = unknown
-		case p.words("at", "local"):
-			o = unknown
+			p.expectOperator("]")
+			o = opaqueOperand
+		case p.current().isOperator(".") && (p.peek(1).isName() || p.peek(1).isOperator("*")):
+			p.position += 2
+			o = opaqueOperand
+		case p.acceptWord("collate"):
+			p.parseName("a collation")
+		case p.acceptWords("at", "time", "zone"):
+			p.parseUnary()
+			o = opaqueOperand
+		case p.acceptWords("at", "local"):
+			o = opaqueOperand
 		default:
 			return o
 		}
 	}
 }
 
-// primary is an operand alone.
-func (p *Parser) primary() operand {
-	t := p.cur()
+// parsePrimary is an operand alone.
+func (p *Parser) parsePrimary() operand {
+	t := p.current()
 	switch {
-	case t.literal():
-		value := p.values
+	case t.isValue():
+		value := p.valueCount
 		p.next()
-		for t.Kind == lex.String && p.cur().Kind == lex.String { // 'a' 'b' is one text
+		for t.Kind == lex.String && p.current().Kind == lex.String { // 'a' 'b' is one text
 			p.next()
 		}
-		return operand{value: value}
-	case t.op("("):
-		return p.parens()
-	case t.op("*"):
-		p.at++
-		return unknown
-	case t.op("{"): // {d '2024-01-01'} and {fn f()} of drivers
-		p.at++
-		p.word("d", "t", "ts", "fn")
-		o := p.expr()
-		p.need("}")
+		return operand{valueIndex: value}
+	case t.isOperator("("):
+		return p.parseParenthesized()
+	case t.isOperator("*"):
+		p.position++
+		return opaqueOperand
+	case t.isOperator("{"): // {d '2024-01-01'} and {fn f()} of drivers
+		p.position++
+		p.acceptWord("d", "t", "ts", "fn")
+		o := p.parseExpr()
+		p.expectOperator("}")
 		return o
-	case t.Kind == lex.Quoted:
-		return p.column()
+	case t.Kind == lex.QuotedIdentifier:
+		return p.parseColumnOrCall()
 	case t.Kind == lex.Word:
-		return p.keyword(t)
+		return p.parseWordOperand(t)
 	}
-	p.fail("an expression")
-	return unknown
+	p.failExpected("an expression")
+	return opaqueOperand
 }
 
-// parens is a subquery, a row or an expression in parentheses.
-func (p *Parser) parens() operand {
-	if p.begins() {
-		p.arguments()
-		return unknown
-	}
-	p.need("(")
-	if p.op(")") {
-		return unknown
-	}
-	o := p.expr()
-	for p.op(",") {
-		p.expr()
-		o = unknown
-	}
-	p.need(")")
+// parseParenthesized is a subquery, a row or an expression in parentheses.
+func (p *Parser) parseParenthesized() operand {
+	if p.atQueryStart() {
+		p.parseParenthesizedList()
+		return opaqueOperand
+	}
+	p.expectOperator("(")
+	if p.acceptOperator(")") {
+		return opaqueOperand
+	}
+	o := p.parseExpr()
+	for p.acceptOperator(",") {
+		p.parseExpr()
+		o = opaqueOperand
+	}
+	p.expectOperator(")")
 	return o
 }
 
-// keyword is an operand that begins with a word.
-func (p *Parser) keyword(t *token) operand {
+// parseWordOperand is an operand that begins with a word.
+func (p *Parser) parseWordOperand(t *token) operand {
 	switch t.text {
 	case "case":
-		p.at++
-		p.caseOf()
-		return unknown
+		p.position++
+		p.parseCase()
+		return opaqueOperand
 	case "exists", "unique":
-		if p.ahead(1).op("(") {
-			p.at++
-			p.arguments()
-			return unknown
+		if p.peek(1).isOperator("(") {
+			p.position++
+			p.parseParenthesizedList()
+			return opaqueOperand
 		}
 	case "any", "all", "some":
-		if p.ahead(1).op("(") {
-			p.at++
-			p.arguments()
-			return unknown
+		if p.peek(1).isOperator("(") {
+			p.position++
+			p.parseParenthesizedList()
+			return opaqueOperand
 		}
 	case "array":
-		p.at++
-		if p.cur().op("(") {
-			p.arguments()
-			return unknown
+		p.position++
+		if p.current().isOperator("(") {
+			p.parseParenthesizedList()
+			return opaqueOperand
 		}
-		p.elements()
-		return unknown
+		p.parseArrayElements()
+		return opaqueOperand
 	case "row":
-		if p.ahead(1).op("(") {
-			p.at++
-			p.arguments()
-			return unknown
+		if p.peek(1).isOperator("(") {
+			p.position++
+			p.parseParenthesizedList()
+			return opaqueOperand
 		}
 	case "null", "true", "false", "default":
-		p.at++
-		return unknown
+		p.position++
+		return opaqueOperand
 	case "not":
-		p.at++
-		p.comparison()
-		return unknown
+		p.position++
+		p.parseComparison()
+		return opaqueOperand
 	case "current_date", "current_time", "current_timestamp", "localtime", "localtimestamp", "current_user",
 		"session_user", "current_role", "user", "current_catalog", "current_schema", "sysdate":
-		p.at++
-		if p.cur().op("(") {
-			p.group()
+		p.position++
+		if p.current().isOperator("(") {
+			p.skipParentheses()
 		}
-		return unknown
+		return opaqueOperand
 	case "interval":
-		if p.ahead(1).literal() {
-			return p.interval()
+		if p.peek(1).isValue() {
+			return p.parseInterval()
 		}
 	case "cast", "try_cast", "convert", "treat":
-		if p.ahead(1).op("(") {
-			return p.cast()
+		if p.peek(1).isOperator("(") {
+			return p.parseCast()
 		}
 	case "left", "right": // functions too
-		if p.ahead(1).op("(") {
-			return p.column()
+		if p.peek(1).isOperator("(") {
+			return p.parseColumnOrCall()
 		}
 	}
-	if typed[t.text] {
-		if n := p.typedLiteral(); n > 0 {
-			p.at += n
-			value := p.values
+	if literalTypes[t.text] {
+		if n := p.literalTypeLength(); n > 0 {
+			p.position += n
+			value := p.valueCount
 			p.next()
-			return operand{value: value}
+			return operand{valueIndex: value}
 		}
 	}
-	if reserved[t.text] {
-		p.fail("an expression")
+	if reservedWords[t.text] {
+		p.failExpected("an expression")
 	}
-	return p.column()
+	return p.parseColumnOrCall()
 }
 
-// typed are the types that may stand before a literal.
-var typed = set("date time timestamp timestamptz timetz json jsonb uuid numeric decimal text varchar char bytea xml double bit")
+// literalTypes are the types that may stand before a literal.
+var literalTypes = wordSet("date time timestamp timestamptz timetz json jsonb uuid numeric decimal text varchar char bytea xml double bit")
 
-// typedLiteral is the number of tokens of a type's name that a literal follows; 0 where none does.
-func (p *Parser) typedLiteral() int {
+// literalTypeLength is the number of tokens of a type's name that a literal follows; 0 where none does.
+func (p *Parser) literalTypeLength() int {
 	n := 1
-	if p.ahead(1).word("precision") {
+	if p.peek(1).isWord("precision") {
 		n = 2
 	}
-	if p.ahead(n).word("with", "without") && p.ahead(n+1).word("time") && p.ahead(n+2).word("zone") {
+	if p.peek(n).isWord("with", "without") && p.peek(n+1).isWord("time") && p.peek(n+2).isWord("zone") {
 		n += 3
 	}
-	if t := p.ahead(n); t.Kind == lex.String || t.Kind == lex.Param {
+	if t := p.peek(n); t.Kind == lex.String || t.Kind == lex.Parameter {
 		return n
 	}
 	return 0
 }
 
-// interval is a literal of a length of time, which tells of a condition's width wherever it stands.
-func (p *Parser) interval() operand {
-	p.at++
-	value := p.values
+// parseInterval is a literal of a length of time, which tells of a condition's width wherever it stands.
+func (p *Parser) parseInterval() operand {
+	p.position++
+	value := p.valueCount
 	p.next()
-	p.predicate(Predicate{"", Span, value, -1})
-	if p.word(units...) {
-		if p.cur().op("(") {
-			p.group()
+	p.addPredicate(Predicate{"", Interval, value, -1})
+	if p.acceptWord(intervalUnits...) {
+		if p.current().isOperator("(") {
+			p.skipParentheses()
 		}
-		if p.word("to") {
-			p.needWord(units...)
-			if p.cur().op("(") {
-				p.group()
+		if p.acceptWord("to") {
+			p.expectWord(intervalUnits...)
+			if p.current().isOperator("(") {
+				p.skipParentheses()
 			}
 		}
 	}
-	return unknown
+	return opaqueOperand
 }
 
-var units = []string{"year", "month", "day", "hour", "minute", "second", "week", "years", "months", "days", "hours",
+var intervalUnits = []string{"year", "month", "day", "hour", "minute", "second", "week", "years", "months", "days", "hours",
 	"minutes", "seconds", "weeks"}
 
-// cast is CAST(x AS type) and its like.
-func (p *Parser) cast() operand {
-	p.at++
-	p.need("(")
-	o := p.expr()
+// parseCast is CAST(x AS type) and its like.
+func (p *Parser) parseCast() operand {
+	p.position++
+	p.expectOperator("(")
+	o := p.parseExpr()
 	switch {
-	case p.word("as"):
-		p.typeName()
-		if p.word("format") {
-			p.sum()
+	case p.acceptWord("as"):
+		p.parseTypeName()
+		if p.acceptWord("format") {
+			p.parseArithmetic()
 		}
-	case p.word("using"):
-		p.name("a character set")
-	case p.op(","):
-		p.list()
+	case p.acceptWord("using"):
+		p.parseName("a character set")
+	case p.acceptOperator(","):
+		p.parseExprList()
 	}
-	p.need(")")
+	p.expectOperator(")")
 	return o
 }
 
-// caseOf is CASE behind its first word.
-func (p *Parser) caseOf() {
-	if !p.cur().word("when") {
-		p.expr()
+// parseCase is CASE behind its first word.
+func (p *Parser) parseCase() {
+	if !p.current().isWord("when") {
+		p.parseExpr()
 	}
-	if !p.cur().word("when") {
-		p.fail("WHEN")
+	if !p.current().isWord("when") {
+		p.failExpected("WHEN")
 	}
-	for p.word("when") {
-		p.expr()
-		p.needWord("then")
-		p.expr()
+	for p.acceptWord("when") {
+		p.parseExpr()
+		p.expectWord("then")
+		p.parseExpr()
 	}
-	if p.word("else") {
-		p.expr()
+	if p.acceptWord("else") {
+		p.parseExpr()
 	}
-	p.needWord("end")
+	p.expectWord("end")
 }
 
-// elements are those of an ARRAY, in brackets that may nest.
-func (p *Parser) elements() {
-	p.enter()
-	defer p.leave()
-	p.need("[")
-	for !p.cur().op("]") {
-		if p.cur().op("[") {
-			p.elements()
+// parseArrayElements are those of an ARRAY, in brackets that may nest.
+func (p *Parser) parseArrayElements() {
+	p.enterLevel()
+	defer p.leaveLevel()
+	p.expectOperator("[")
+	for !p.current().isOperator("]") {
+		if p.current().isOperator("[") {
+			p.parseArrayElements()
 		} else {
-			p.expr()
+			p.parseExpr()
 		}
-		if !p.op(",") {
+		if !p.acceptOperator(",") {
 			break
 		}
 	}
-	p.need("]")
+	p.expectOperator("]")
 }
 
-// typeName is the name of a type with its modifiers.
-func (p *Parser) typeName() {
-	p.word("setof")
-	if p.cur().word("interval") {
-		p.at++
-		if p.word(units...) && p.word("to") {
-			p.needWord(units...)
+// parseTypeName is the name of a type with its modifiers.
+func (p *Parser) parseTypeName() {
+	p.acceptWord("setof")
+	if p.current().isWord("interval") {
+		p.position++
+		if p.acceptWord(intervalUnits...) && p.acceptWord("to") {
+			p.expectWord(intervalUnits...)
 		}
 	} else {
-		p.name("a type")
+		p.parseName("a type")
 	}
-	p.word("precision", "varying")
-	if p.cur().op("(") {
-		p.group()
+	p.acceptWord("precision", "varying")
+	if p.current().isOperator("(") {
+		p.skipParentheses()
 	}
-	if p.cur().word("with", "without") && p.ahead(1).word("time") {
-		p.at += 2
-		p.needWord("zone")
+	if p.current().isWord("with", "without") && p.peek(1).isWord("time") {
+		p.position += 2
+		p.expectWord("zone")
 	}
-	if p.cur().word("array") && !p.ahead(1).op("[") {
-		p.at++
+	if p.current().isWord("array") && !p.peek(1).isOperator("[") {
+		p.position++
 	}
-	for p.cur().op("[") {
-		p.at++
-		if p.cur().literal() {
+	for p.current().isOperator("[") {
+		p.position++
+		if p.current().isValue() {
 			p.next()
 		}
-		p.need("]")
+		p.expectOperator("]")
 	}
 }
 
-// column is a column's name, qualified or not, or a call.
-func (p *Parser) column() operand {
-	name := p.dotted()
-	if p.cur().op("(") {
-		p.call(name, "")
-		return unknown
+// parseColumnOrCall is a column's name, qualified or not, or a call.
+func (p *Parser) parseColumnOrCall() operand {
+	name := p.parseQualifiedName()
+	if p.current().isOperator("(") {
+		p.parseCall(name, "")
+		return opaqueOperand
 	}
 	if strings.IndexByte(name, '.') >= 0 {
-		p.facts.named(name)
+		p.facts.noteQualifiedName(name)
 	}
-	if p.cur().op("=>") || p.cur().op(":=") { // a named argument
-		p.at++
-		p.expr()
-		return unknown
+	if p.current().isOperator("=>") || p.current().isOperator(":=") { // a named argument
+		p.position++
+		p.parseExpr()
+		return opaqueOperand
 	}
-	return operand{column: name, value: -1}
+	return operand{column: name, valueIndex: -1}
 }
--- a/statement/syntax/facts.go
+++ b/statement/syntax/facts.go
@@ -40,10 +40,10 @@
 	Equal Operator = iota + 1
 	In
 	Between
-	Above // > and >=
-	Below // < and <=
+	Greater // > and >=
+	Less    // < and <=
 	Like
-	Span // an interval anywhere in a condition
+	Interval // an interval anywhere in a condition
 )
 
 // Predicate is a comparison of a column with values.
@@ -62,26 +62,26 @@
 	Verb   string
 	Reads  bool
 	Writes bool // what PostgreSQL refuses in a read-only transaction, row locks included
-	// Session says that the text changes the state of a session or a transaction, or runs what can't be seen
+	// ChangesSession says that the text changes the state of a session or a transaction, or runs what can't be seen
 	// here, so that a second run is not the same as one.
-	Session    bool
-	Statements int
-	Tables     []Table // in the order of the text, each with its roles once
-	Functions  []string
-	Predicates []Predicate
-	Limit      int // place of LIMIT's or FETCH's literal; -1 without one
-	Offset     int
-	Joins      int
-	Subqueries int
-	Aggregates int // GROUP BY, DISTINCT, window clauses and aggregate functions
-	Sorts      int
-	Group      int // of tables, see GroupOf; 0 without one
-
-	qualified int // group of the first qualified name that is no table
+	ChangesSession bool
+	Statements     int
+	Tables         []Table // in the order of the text, each with its roles once
+	Functions      []string
+	Predicates     []Predicate
+	LimitValue     int // place of LIMIT's or FETCH's literal; -1 without one
+	OffsetValue    int
+	Joins          int
+	Subqueries     int
+	Aggregates     int // GROUP BY, DISTINCT, window clauses and aggregate functions
+	Sorts          int
+	TableGroup     int // of tables, see GroupOf; 0 without one
+
+	fallbackGroup int // group of the first qualified name that is no table
 }
 
 // Repeatable says whether a second run of the text, as far as it can be seen here, changes nothing.
-func (f *Facts) Repeatable() bool { return !f.Writes && !f.Session }
+func (f *Facts) Repeatable() bool { return !f.Writes && !f.ChangesSession }
 
 // Error says where a text could not be read.
 type Error struct {
@@ -99,9 +99,9 @@
 	return &Error{line, column, message}
 }
 
-// GroupOf is the group of tables that a schema name gives: the number behind its last underscore, as 17 in
+// TableGroup is the group of tables that a schema name gives: the number behind its last underscore, as 17 in
 // sales_17. The schema staging, and one without a number, gives none.
-func GroupOf(schema string) (group int, ok bool) {
+func TableGroup(schema string) (group int, ok bool) {
 	if len(schema) > 1 && (schema[0] == '"' || schema[0] == '`') {
 		schema = schema[1 : len(schema)-1]
 	}
@@ -113,8 +113,8 @@
 	return int(n), err == nil
 }
 
-// groupOf is the group that a qualified name gives by the part before its last.
-func groupOf(name string) (int, bool) {
+// tableGroupOfName is the group that a qualified name gives by the part before its last.
+func tableGroupOfName(name string) (int, bool) {
 	last, quote := -1, byte(0)
 	before := -1
 	for i := range len(name) {
@@ -132,19 +132,19 @@
 	if last < 0 {
 		return 0, false
 	}
-	return GroupOf(name[before+1 : last])
+	return TableGroup(name[before+1 : last])
 }
 
-func (f *Facts) table(name string, role Role) {
-	if g, ok := groupOf(name); ok && f.Group == 0 && role != CTE && role != Derived {
-		f.Group = g
+func (f *Facts) addTable(name string, role Role) {
+	if g, ok := tableGroupOfName(name); ok && f.TableGroup == 0 && role != CTE && role != Derived {
+		f.TableGroup = g
 	}
 	for _, t := range f.Tables {
 		if t.Role == role && t.Name == name {
 			return
 		}
 	}
-	if len(f.Tables) < mostTables {
+	if len(f.Tables) < maxNames {
 		f.Tables = append(f.Tables, Table{name, role})
 	}
 	switch role {
@@ -155,28 +155,28 @@
 	}
 }
 
-// named notes a qualified name that is no table: it gives the group of a text that names none.
-func (f *Facts) named(name string) {
-	if f.qualified == 0 {
-		f.qualified, _ = groupOf(name)
+// noteQualifiedName notes a qualified name that is no table: it gives the group of a text that names none.
+func (f *Facts) noteQualifiedName(name string) {
+	if f.fallbackGroup == 0 {
+		f.fallbackGroup, _ = tableGroupOfName(name)
 	}
 }
 
-func (f *Facts) function(name string) {
-	f.named(name)
+func (f *Facts) addFunction(name string) {
+	f.noteQualifiedName(name)
 	for _, known := range f.Functions {
 		if known == name {
 			return
 		}
 	}
-	if len(f.Functions) < mostTables {
+	if len(f.Functions) < maxNames {
 		f.Functions = append(f.Functions, name)
 	}
 }
 
-// finish gives the group by another name where no table has one.
-func (f *Facts) finish() {
-	if f.Group != 0 {
+// resolveTableGroup gives the group by another name where no table has one.
+func (f *Facts) resolveTableGroup() {
+	if f.TableGroup != 0 {
 		return
 	}
 	for _, t := range f.Tables {
@@ -184,5 +184,5 @@
 			return
 		}
 	}
-	f.Group = f.qualified
+	f.TableGroup = f.fallbackGroup
 }
--- a/statement/syntax/parser.go
+++ b/statement/syntax/parser.go
@@ -8,23 +8,23 @@
 
 // Limits of what is parsed.
 const (
-	DefaultDepth = 100 // of parentheses, subqueries and CASE within one another
-	mostTables   = 256 // tables, and functions, that are told
-	mostNames    = 256 // predicates, and names of one WITH clause after another
+	DefaultMaxDepth = 100 // of parentheses, subqueries and CASE within one another
+	maxNames        = 256 // tables, and functions, that are told
+	maxPredicates   = 256 // predicates, and names of one WITH clause after another
 )
 
 // Parser parses statements, one after another; its buffers are used again.
 type Parser struct {
-	Depth int // deepest nesting; DefaultDepth where 0
+	MaxDepth int // deepest nesting; DefaultDepth where 0
 
-	text   string
-	tokens []token
-	at     int
-	depth  int
-	facts  *Facts
-	values int      // literals and parameters passed so far
-	names  []string // of the CTEs in sight
-	l      lex.Lexer
+	text        string
+	tokens      []token
+	position    int
+	depth       int
+	facts       *Facts
+	valueCount  int      // literals and parameters passed so far
+	visibleCTEs []string // of the CTEs in sight
+	lexer       lex.Lexer
 }
 
 // token is a lexer's token and its text, in lower case where it is a word.
@@ -35,20 +35,20 @@
 
 // Parse reads a text of one or more statements.
 func (p *Parser) Parse(text string) (facts *Facts, err error) {
-	p.text, p.tokens, p.at, p.depth, p.values = text, p.tokens[:0], 0, 0, 0
-	p.facts, p.names = &Facts{Limit: -1, Offset: -1}, p.names[:0]
-	p.l.Reset(text)
+	p.text, p.tokens, p.position, p.depth, p.valueCount = text, p.tokens[:0], 0, 0, 0
+	p.facts, p.visibleCTEs = &Facts{LimitValue: -1, OffsetValue: -1}, p.visibleCTEs[:0]
+	p.lexer.Reset(text)
 	for {
-		t := p.l.Next()
-		if t.Kind == lex.Bad {
-			return nil, NewError(text, t.Start, p.l.Fault)
+		t := p.lexer.Next()
+		if t.Kind == lex.Illegal {
+			return nil, NewError(text, t.Start, p.lexer.ErrorMessage)
 		}
 		word := text[t.Start:t.End]
 		if t.Kind == lex.Word {
 			word = strings.ToLower(word)
 		}
 		p.tokens = append(p.tokens, token{t, word})
-		if t.Kind == lex.End {
+		if t.Kind == lex.EOF {
 			break
 		}
 	}
@@ -63,16 +63,16 @@
 			panic(r)
 		}
 	}()
-	p.script()
-	p.facts.finish()
+	p.parseScript()
+	p.facts.resolveTableGroup()
 	return p.facts, nil
 }
 
-// fail gives the text up at the current token. It unwinds to Parse.
-func (p *Parser) fail(expected string) {
-	t := p.tokens[p.at]
+// failExpected gives the text up at the current token. It unwinds to Parse.
+func (p *Parser) failExpected(expected string) {
+	t := p.tokens[p.position]
 	found := t.text
-	if t.Kind == lex.End {
+	if t.Kind == lex.EOF {
 		found = "the end"
 	}
 	if len(found) > 40 {
@@ -81,41 +81,41 @@
 	panic(NewError(p.text, t.Start, "expected "+expected+", found "+found))
 }
 
-// enter goes one level deeper; leave returns.
-func (p *Parser) enter() {
-	if p.depth++; p.depth > p.most() {
-		panic(NewError(p.text, p.tokens[p.at].Start, "nested too deeply"))
+// enterLevel goes one level deeper; leave returns.
+func (p *Parser) enterLevel() {
+	if p.depth++; p.depth > p.maxDepth() {
+		panic(NewError(p.text, p.tokens[p.position].Start, "nested too deeply"))
 	}
 }
 
-// most is the deepest nesting.
-func (p *Parser) most() int {
-	if p.Depth == 0 {
-		return DefaultDepth
+// maxDepth is the deepest nesting.
+func (p *Parser) maxDepth() int {
+	if p.MaxDepth == 0 {
+		return DefaultMaxDepth
 	}
-	return p.Depth
+	return p.MaxDepth
 }
 
-func (p *Parser) leave() { p.depth-- }
+func (p *Parser) leaveLevel() { p.depth-- }
 
-func (p *Parser) cur() *token { return &p.tokens[p.at] }
+func (p *Parser) current() *token { return &p.tokens[p.position] }
 
-// ahead is the token n behind the current one.
-func (p *Parser) ahead(n int) *token { return &p.tokens[min(p.at+n, len(p.tokens)-1)] }
+// peek is the token n behind the current one.
+func (p *Parser) peek(n int) *token { return &p.tokens[min(p.position+n, len(p.tokens)-1)] }
 
 func (p *Parser) next() *token {
-	t := &p.tokens[p.at]
-	if t.Kind != lex.End {
-		p.at++
+	t := &p.tokens[p.position]
+	if t.Kind != lex.EOF {
+		p.position++
 	}
 	switch t.Kind {
-	case lex.String, lex.Number, lex.Param:
-		p.values++
+	case lex.String, lex.Number, lex.Parameter:
+		p.valueCount++
 	}
 	return t
 }
 
-func (t *token) word(words ...string) bool {
+func (t *token) isWord(words ...string) bool {
 	if t.Kind != lex.Word {
 		return false
 	}
@@ -127,72 +127,72 @@
 	return false
 }
 
-func (t *token) op(op string) bool { return t.Kind == lex.Op && t.text == op }
+func (t *token) isOperator(op string) bool { return t.Kind == lex.Operator && t.text == op }
 
-func (t *token) name() bool { return t.Kind == lex.Word || t.Kind == lex.Quoted }
+func (t *token) isName() bool { return t.Kind == lex.Word || t.Kind == lex.QuotedIdentifier }
 
-func (t *token) literal() bool {
-	return t.Kind == lex.String || t.Kind == lex.Number || t.Kind == lex.Param
+func (t *token) isValue() bool {
+	return t.Kind == lex.String || t.Kind == lex.Number || t.Kind == lex.Parameter
 }
 
-// word takes one of these words, if it is next.
-func (p *Parser) word(words ...string) bool {
-	if p.cur().word(words...) {
-		p.at++
+// acceptWord takes one of these words, if it is next.
+func (p *Parser) acceptWord(words ...string) bool {
+	if p.current().isWord(words...) {
+		p.position++
 		return true
 	}
 	return false
 }
 
-// words takes all of these words in turn, or none.
-func (p *Parser) words(words ...string) bool {
+// acceptWords takes all of these words in turn, or none.
+func (p *Parser) acceptWords(words ...string) bool {
 	for i, w := range words {
-		if !p.ahead(i).word(w) {
+		if !p.peek(i).isWord(w) {
 			return false
 		}
 	}
-	p.at += len(words)
+	p.position += len(words)
 	return true
 }
 
-// op takes a mark or an operator, if it is next.
-func (p *Parser) op(op string) bool {
-	if p.cur().op(op) {
-		p.at++
+// acceptOperator takes a mark or an operator, if it is next.
+func (p *Parser) acceptOperator(op string) bool {
+	if p.current().isOperator(op) {
+		p.position++
 		return true
 	}
 	return false
 }
 
-func (p *Parser) need(op string) {
-	if !p.op(op) {
-		p.fail(op)
+func (p *Parser) expectOperator(op string) {
+	if !p.acceptOperator(op) {
+		p.failExpected(op)
 	}
 }
 
-func (p *Parser) needWord(words ...string) {
-	if !p.word(words...) {
-		p.fail(strings.ToUpper(strings.Join(words, " or ")))
+func (p *Parser) expectWord(words ...string) {
+	if !p.acceptWord(words...) {
+		p.failExpected(strings.ToUpper(strings.Join(words, " or ")))
 	}
 }
 
-// name is a name with its qualifiers, as it stands in the text but for spaces and the case of words.
-func (p *Parser) name(what string) string {
-	if !p.cur().name() || p.cur().Kind == lex.Word && reserved[p.cur().text] {
-		p.fail(what)
+// parseName is a name with its qualifiers, as it stands in the text but for spaces and the case of words.
+func (p *Parser) parseName(what string) string {
+	if !p.current().isName() || p.current().Kind == lex.Word && reservedWords[p.current().text] {
+		p.failExpected(what)
 	}
-	return p.dotted()
+	return p.parseQualifiedName()
 }
 
-// dotted is the current token and the names that follow it behind dots, as in the text where that has them in one
+// parseQualifiedName is the current token and the names that follow it behind dots, as in the text where that has them in one
 // piece and in lower case.
-func (p *Parser) dotted() string {
-	first := p.at
-	p.at++
-	for p.cur().op(".") && (p.ahead(1).name() || p.ahead(1).op("*")) {
-		p.at += 2
+func (p *Parser) parseQualifiedName() string {
+	first := p.position
+	p.position++
+	for p.current().isOperator(".") && (p.peek(1).isName() || p.peek(1).isOperator("*")) {
+		p.position += 2
 	}
-	parts := p.tokens[first:p.at]
+	parts := p.tokens[first:p.position]
 	last := parts[len(parts)-1]
 	size, same := 0, true
 	for i, t := range parts {
@@ -210,53 +210,53 @@
 	return b.String()
 }
 
-// skip passes over all up to the end of the statement or one of the words at this level.
-func (p *Parser) skip(until ...string) {
+// skipUntil passes over all up to the end of the statement or one of the words at this level.
+func (p *Parser) skipUntil(until ...string) {
 	for depth := 0; ; {
-		t := p.cur()
+		t := p.current()
 		switch {
-		case t.Kind == lex.End:
+		case t.Kind == lex.EOF:
 			if depth > 0 {
-				p.fail(")")
+				p.failExpected(")")
 			}
 			return
-		case t.op("(") || t.op("["):
+		case t.isOperator("(") || t.isOperator("["):
 			depth++
-		case t.op(")") || t.op("]"):
+		case t.isOperator(")") || t.isOperator("]"):
 			if depth == 0 {
 				return
 			}
 			depth--
-		case depth == 0 && (t.op(";") || t.word(until...)):
+		case depth == 0 && (t.isOperator(";") || t.isWord(until...)):
 			return
 		}
 		p.next()
 	}
 }
 
-// group passes over a group in parentheses.
-func (p *Parser) group() {
-	p.need("(")
-	p.skip()
-	for p.cur().op(";") { // as a routine's body may hold
+// skipParentheses passes over a group in parentheses.
+func (p *Parser) skipParentheses() {
+	p.expectOperator("(")
+	p.skipUntil()
+	for p.current().isOperator(";") { // as a routine's body may hold
 		p.next()
-		p.skip()
+		p.skipUntil()
 	}
-	p.need(")")
+	p.expectOperator(")")
 }
 
-// reserved words are no names of tables or columns and no aliases.
-var reserved = set(`all and any array as asc between both by case cast check collate conflict constraint create cross
+// reservedWords words are no names of tables or columns and no aliases.
+var reservedWords = wordSet(`all and any array as asc between both by case cast check collate conflict constraint create cross
 	default desc distinct do else end except fetch for foreign from full grant group having in inner insert intersect
 	into is join lateral leading left like ilike limit natural not null offset on only or order outer primary
 	references returning right select set similar some table tablesample then to trailing true false union
 	unique using values when where window with`)
 
-// notAlias are words that may be names but follow a table or a column as something else.
-var notAlias = set(`partition range rows groups qualify escape isnull notnull nulls at overlaps update
+// nonAliasWords are words that may be names but follow a table or a column as something else.
+var nonAliasWords = wordSet(`partition range rows groups qualify escape isnull notnull nulls at overlaps update
 	use force ignore lock minus`)
 
-func set(words string) map[string]bool {
+func wordSet(words string) map[string]bool {
 	m := map[string]bool{}
 	for _, w := range strings.Fields(words) {
 		m[w] = true
@@ -264,17 +264,17 @@
 	return m
 }
 
-// alias takes an alias with AS or without, and the names of columns behind it; empty without one.
-func (p *Parser) alias() (alias string) {
-	switch t := p.cur(); {
-	case p.word("as"):
-		if t := p.cur(); !t.name() && t.Kind != lex.String && t.Kind != lex.Param && !t.op("(") {
-			p.fail("a name behind AS")
+// parseAlias takes an alias with AS or without, and the names of columns behind it; empty without one.
+func (p *Parser) parseAlias() (alias string) {
+	switch t := p.current(); {
+	case p.acceptWord("as"):
+		if t := p.current(); !t.isName() && t.Kind != lex.String && t.Kind != lex.Parameter && !t.isOperator("(") {
+			p.failExpected("a name behind AS")
 		}
-		if !p.cur().op("(") {
+		if !p.current().isOperator("(") {
 			alias = p.next().text
 		}
-	case t.Kind == lex.Quoted, t.Kind == lex.Word && !reserved[t.text] && !notAlias[t.text]:
+	case t.Kind == lex.QuotedIdentifier, t.Kind == lex.Word && !reservedWords[t.text] && !nonAliasWords[t.text]:
 		alias = p.next().text
 	}
 	return alias
--- a/statement/syntax/query.go
+++ b/statement/syntax/query.go
@@ -6,241 +6,241 @@
 	"chutechute/statement/lex"
 )
 
-// query is a SELECT, a VALUES list or TABLE name, with set operations, WITH, ORDER BY and the rest. Where main
+// parseQuery is a SELECT, a VALUES list or TABLE name, with set operations, WITH, ORDER BY and the rest. Where main
 // is set, WITH may also stand before a statement that writes. It gives the verb of its main statement.
-func (p *Parser) query(main bool) string {
-	p.enter()
-	defer p.leave()
-	seen := len(p.names)
-	defer func() { p.names = p.names[:seen] }()
-	if p.word("with") {
-		p.with()
-		if main || p.cur().word("insert", "update", "delete", "merge") {
-			if verb, ok := p.write(); ok {
+func (p *Parser) parseQuery(main bool) string {
+	p.enterLevel()
+	defer p.leaveLevel()
+	seen := len(p.visibleCTEs)
+	defer func() { p.visibleCTEs = p.visibleCTEs[:seen] }()
+	if p.acceptWord("with") {
+		p.parseWith()
+		if main || p.current().isWord("insert", "update", "delete", "merge") {
+			if verb, ok := p.parseDML(); ok {
 				return verb
 			}
 		}
 	}
-	verb := p.term()
-	for p.word("union", "intersect", "except", "minus") {
-		p.word("all", "distinct")
+	verb := p.parseQueryTerm()
+	for p.acceptWord("union", "intersect", "except", "minus") {
+		p.acceptWord("all", "distinct")
 		p.facts.Subqueries++
-		if p.words("corresponding", "by") {
-			p.group()
+		if p.acceptWords("corresponding", "by") {
+			p.skipParentheses()
 		} else {
-			p.word("corresponding")
+			p.acceptWord("corresponding")
 		}
-		p.term()
+		p.parseQueryTerm()
 	}
-	p.tail()
+	p.parseTailClauses()
 	return verb
 }
 
-// with is the list of a WITH clause. A name is in sight behind its own query, or within it too where the list
+// parseWith is the list of a WITH clause. A name is in sight behind its own query, or within it too where the list
 // is RECURSIVE.
-func (p *Parser) with() {
-	recursive := p.word("recursive")
+func (p *Parser) parseWith() {
+	recursive := p.acceptWord("recursive")
 	for {
-		if len(p.names) >= mostNames {
-			p.fail("fewer names in WITH")
+		if len(p.visibleCTEs) >= maxPredicates {
+			p.failExpected("fewer names in WITH")
 		}
-		name := p.name("a name in WITH")
-		if p.cur().op("(") {
-			p.group()
+		name := p.parseName("a name in WITH")
+		if p.current().isOperator("(") {
+			p.skipParentheses()
 		}
-		p.needWord("as")
-		if !p.words("not", "materialized") {
-			p.word("materialized")
+		p.expectWord("as")
+		if !p.acceptWords("not", "materialized") {
+			p.acceptWord("materialized")
 		}
 		if recursive {
-			p.names = append(p.names, unquoted(name))
+			p.visibleCTEs = append(p.visibleCTEs, unquote(name))
 		}
-		p.need("(")
-		if _, ok := p.write(); !ok {
-			p.query(true)
+		p.expectOperator("(")
+		if _, ok := p.parseDML(); !ok {
+			p.parseQuery(true)
 		}
-		p.need(")")
+		p.expectOperator(")")
 		if !recursive {
-			p.names = append(p.names, unquoted(name))
+			p.visibleCTEs = append(p.visibleCTEs, unquote(name))
 		}
-		if p.cur().word("search", "cycle") {
-			p.skip("select", "insert", "update", "delete", "merge", "values")
+		if p.current().isWord("search", "cycle") {
+			p.skipUntil("select", "insert", "update", "delete", "merge", "values")
 		}
-		if !p.op(",") {
+		if !p.acceptOperator(",") {
 			return
 		}
 	}
 }
 
-func unquoted(name string) string {
+func unquote(name string) string {
 	if len(name) > 1 && (name[0] == '"' || name[0] == '`') {
 		return name[1 : len(name)-1]
 	}
 	return name
 }
 
-// term is one side of a set operation.
-func (p *Parser) term() string {
+// parseQueryTerm is one side of a set operation.
+func (p *Parser) parseQueryTerm() string {
 	switch {
-	case p.op("("):
-		verb := p.query(false)
-		p.need(")")
+	case p.acceptOperator("("):
+		verb := p.parseQuery(false)
+		p.expectOperator(")")
 		return verb
-	case p.word("select"):
-		p.selection()
+	case p.acceptWord("select"):
+		p.parseSelect()
 		return "select"
-	case p.word("values"):
-		p.rows()
+	case p.acceptWord("values"):
+		p.parseValuesRows()
 		return "values"
-	case p.word("table"):
-		p.word("only")
-		p.read(p.name("a table"))
+	case p.acceptWord("table"):
+		p.acceptWord("only")
+		p.addReadTable(p.parseName("a table"))
 		return "table"
 	}
-	p.fail("SELECT, VALUES, TABLE or (")
+	p.failExpected("SELECT, VALUES, TABLE or (")
 	return ""
 }
 
-// rows are the rows of a VALUES list.
-func (p *Parser) rows() {
+// parseValuesRows are the rows of a VALUES list.
+func (p *Parser) parseValuesRows() {
 	for {
-		p.word("row")
-		p.need("(")
-		if !p.cur().op(")") {
-			p.list()
+		p.acceptWord("row")
+		p.expectOperator("(")
+		if !p.current().isOperator(")") {
+			p.parseExprList()
 		}
-		p.need(")")
-		if !p.op(",") {
+		p.expectOperator(")")
+		if !p.acceptOperator(",") {
 			return
 		}
 	}
 }
 
-// selection is a SELECT behind its first word.
-func (p *Parser) selection() {
+// parseSelect is a SELECT behind its first word.
+func (p *Parser) parseSelect() {
 	p.facts.Reads = true
-	for p.word("all", "distinct", "sql_no_cache", "straight_join") {
-		if p.tokens[p.at-1].text == "distinct" {
+	for p.acceptWord("all", "distinct", "sql_no_cache", "straight_join") {
+		if p.tokens[p.position-1].text == "distinct" {
 			p.facts.Aggregates++
-			if p.word("on") {
-				p.need("(")
-				p.list()
-				p.need(")")
+			if p.acceptWord("on") {
+				p.expectOperator("(")
+				p.parseExprList()
+				p.expectOperator(")")
 			}
 		}
 	}
-	if p.cur().word("top") && (p.ahead(1).Kind == lex.Number || p.ahead(1).Kind == lex.Param) {
-		p.at++
-		p.limit()
+	if p.current().isWord("top") && (p.peek(1).Kind == lex.Number || p.peek(1).Kind == lex.Parameter) {
+		p.position++
+		p.parseLimit()
 	}
-	if !p.cur().word("from", "into", "where") && !p.stop() {
-		p.columns()
+	if !p.current().isWord("from", "into", "where") && !p.atQueryEnd() {
+		p.parseSelectList()
 	}
-	if p.word("into") {
-		p.word("temporary", "temp", "unlogged")
-		p.word("table")
-		p.facts.table(p.name("a table behind INTO"), Written)
+	if p.acceptWord("into") {
+		p.acceptWord("temporary", "temp", "unlogged")
+		p.acceptWord("table")
+		p.facts.addTable(p.parseName("a table behind INTO"), Written)
 	}
-	if p.word("from") {
-		p.from()
+	if p.acceptWord("from") {
+		p.parseFrom()
 	}
-	if p.word("where") {
-		p.expr()
+	if p.acceptWord("where") {
+		p.parseExpr()
 	}
-	p.grouping()
+	p.parseGroupingClauses()
 }
 
-// stop says whether a statement or a subquery ends here.
-func (p *Parser) stop() bool {
-	t := p.cur()
-	return t.Kind == lex.End || t.op(")") || t.op(";") || t.word("union", "intersect", "except")
+// atQueryEnd says whether a statement or a subquery ends here.
+func (p *Parser) atQueryEnd() bool {
+	t := p.current()
+	return t.Kind == lex.EOF || t.isOperator(")") || t.isOperator(";") || t.isWord("union", "intersect", "except")
 }
 
-// columns is the list of what is selected or returned.
-func (p *Parser) columns() {
+// parseSelectList is the list of what is selected or returned.
+func (p *Parser) parseSelectList() {
 	for {
-		p.expr()
-		p.alias()
-		if !p.op(",") {
+		p.parseExpr()
+		p.parseAlias()
+		if !p.acceptOperator(",") {
 			return
 		}
 	}
 }
 
-// grouping is what may follow WHERE within one SELECT.
-func (p *Parser) grouping() {
-	if p.words("group", "by") {
+// parseGroupingClauses is what may follow WHERE within one SELECT.
+func (p *Parser) parseGroupingClauses() {
+	if p.acceptWords("group", "by") {
 		p.facts.Aggregates++
-		p.word("all", "distinct")
+		p.acceptWord("all", "distinct")
 		for {
 			switch {
-			case p.word("rollup", "cube"):
-				p.need("(")
-				p.list()
-				p.need(")")
-			case p.words("grouping", "sets"):
-				p.group()
+			case p.acceptWord("rollup", "cube"):
+				p.expectOperator("(")
+				p.parseExprList()
+				p.expectOperator(")")
+			case p.acceptWords("grouping", "sets"):
+				p.skipParentheses()
 			default:
-				p.expr()
+				p.parseExpr()
 			}
-			if !p.op(",") {
+			if !p.acceptOperator(",") {
 				break
 			}
 		}
-		p.words("with", "rollup")
+		p.acceptWords("with", "rollup")
 	}
-	if p.word("having") {
-		p.expr()
+	if p.acceptWord("having") {
+		p.parseExpr()
 	}
-	if p.word("window") {
+	if p.acceptWord("window") {
 		for {
-			p.name("a window's name")
-			p.needWord("as")
-			p.window()
-			if !p.op(",") {
+			p.parseName("a window's name")
+			p.expectWord("as")
+			p.parseWindowDefinition()
+			if !p.acceptOperator(",") {
 				break
 			}
 		}
 	}
-	if p.word("qualify") {
-		p.expr()
+	if p.acceptWord("qualify") {
+		p.parseExpr()
 	}
 }
 
-// tail is what may follow a whole query: its order, its bounds and its locks, in any order.
-func (p *Parser) tail() {
+// parseTailClauses is what may follow a whole query: its order, its bounds and its locks, in any order.
+func (p *Parser) parseTailClauses() {
 	for {
 		switch {
-		case p.words("order", "by"):
-			p.order()
-		case p.word("limit"):
-			if p.word("all") || p.word("null") {
+		case p.acceptWords("order", "by"):
+			p.parseOrderBy()
+		case p.acceptWord("limit"):
+			if p.acceptWord("all") || p.acceptWord("null") {
 				break
 			}
-			p.limit()
-			if p.op(",") { // LIMIT offset, count
-				p.facts.Offset = p.facts.Limit
-				p.limit()
+			p.parseLimit()
+			if p.acceptOperator(",") { // LIMIT offset, count
+				p.facts.OffsetValue = p.facts.LimitValue
+				p.parseLimit()
 			}
-		case p.word("offset"):
-			if p.cur().literal() {
-				p.facts.Offset = p.values
+		case p.acceptWord("offset"):
+			if p.current().isValue() {
+				p.facts.OffsetValue = p.valueCount
 			}
-			p.expr()
-			p.word("row", "rows")
-		case p.word("fetch"):
-			p.needWord("first", "next")
-			if !p.cur().word("row", "rows") {
-				p.limit()
+			p.parseExpr()
+			p.acceptWord("row", "rows")
+		case p.acceptWord("fetch"):
+			p.expectWord("first", "next")
+			if !p.current().isWord("row", "rows") {
+				p.parseLimit()
 			}
-			p.word("percent")
-			p.needWord("row", "rows")
-			if !p.word("only") && !p.words("with", "ties") {
-				p.fail("ONLY or WITH TIES")
+			p.acceptWord("percent")
+			p.expectWord("row", "rows")
+			if !p.acceptWord("only") && !p.acceptWords("with", "ties") {
+				p.failExpected("ONLY or WITH TIES")
 			}
-		case p.cur().word("for") && p.ahead(1).word("update", "share", "no", "key"):
-			p.lock()
-		case p.words("lock", "in", "share", "mode"):
+		case p.current().isWord("for") && p.peek(1).isWord("update", "share", "no", "key"):
+			p.parseRowLock()
+		case p.acceptWords("lock", "in", "share", "mode"):
 			p.facts.Writes = true
 		default:
 			return
@@ -248,201 +248,201 @@
 	}
 }
 
-// limit notes the place of a bound on the number of rows.
-func (p *Parser) limit() {
-	if p.cur().literal() {
-		p.facts.Limit = p.values
+// parseLimit notes the place of a bound on the number of rows.
+func (p *Parser) parseLimit() {
+	if p.current().isValue() {
+		p.facts.LimitValue = p.valueCount
 	}
-	p.expr()
+	p.parseExpr()
 }
 
-// lock is FOR UPDATE and its like. The locks are writes: a read-only transaction refuses them.
-func (p *Parser) lock() {
-	p.at++
-	p.words("no", "key")
-	p.word("key")
-	p.needWord("update", "share")
+// parseRowLock is FOR UPDATE and its like. The locks are writes: a read-only transaction refuses them.
+func (p *Parser) parseRowLock() {
+	p.position++
+	p.acceptWords("no", "key")
+	p.acceptWord("key")
+	p.expectWord("update", "share")
 	p.facts.Writes = true
-	if p.word("of") {
+	if p.acceptWord("of") {
 		for {
-			p.name("a table behind OF")
-			if !p.op(",") {
+			p.parseName("a table behind OF")
+			if !p.acceptOperator(",") {
 				break
 			}
 		}
 	}
-	if !p.word("nowait") {
-		p.words("skip", "locked")
+	if !p.acceptWord("nowait") {
+		p.acceptWords("skip", "locked")
 	}
 }
 
-// order is a list to sort by.
-func (p *Parser) order() {
+// parseOrderBy is a list to sort by.
+func (p *Parser) parseOrderBy() {
 	p.facts.Sorts++
 	for {
-		p.expr()
-		if p.word("using") {
+		p.parseExpr()
+		if p.acceptWord("using") {
 			p.next()
 		}
-		p.word("asc", "desc")
-		if p.word("nulls") {
-			p.needWord("first", "last")
+		p.acceptWord("asc", "desc")
+		if p.acceptWord("nulls") {
+			p.expectWord("first", "last")
 		}
-		if !p.op(",") {
+		if !p.acceptOperator(",") {
 			return
 		}
 	}
 }
 
-// from is a list of tables.
-func (p *Parser) from() {
+// parseFrom is a list of tables.
+func (p *Parser) parseFrom() {
 	for {
-		p.joined()
-		if !p.op(",") {
+		p.parseJoinedTables()
+		if !p.acceptOperator(",") {
 			return
 		}
 		p.facts.Joins++
 	}
 }
 
-// joined is a table and those joined to it.
-func (p *Parser) joined() {
-	p.source()
+// parseJoinedTables is a table and those joined to it.
+func (p *Parser) parseJoinedTables() {
+	p.parseTableSource()
 	for {
-		natural := p.word("natural")
-		cross := p.word("cross")
-		if !cross && p.word("left", "right", "full") {
-			p.word("outer")
+		natural := p.acceptWord("natural")
+		cross := p.acceptWord("cross")
+		if !cross && p.acceptWord("left", "right", "full") {
+			p.acceptWord("outer")
 		} else if !cross {
-			p.word("inner", "straight_join")
+			p.acceptWord("inner", "straight_join")
 		}
-		if !p.word("join") {
-			if cross && p.word("apply") {
-				p.source()
+		if !p.acceptWord("join") {
+			if cross && p.acceptWord("apply") {
+				p.parseTableSource()
 				continue
 			}
 			if natural || cross {
-				p.fail("JOIN")
+				p.failExpected("JOIN")
 			}
 			return
 		}
 		p.facts.Joins++
-		p.source()
+		p.parseTableSource()
 		switch {
-		case p.word("on"):
-			p.expr()
-		case p.word("using"):
-			p.group()
-			p.alias()
+		case p.acceptWord("on"):
+			p.parseExpr()
+		case p.acceptWord("using"):
+			p.skipParentheses()
+			p.parseAlias()
 		}
 	}
 }
 
-// source is one thing that rows come from.
-func (p *Parser) source() {
-	p.enter()
-	defer p.leave()
-	p.word("lateral")
+// parseTableSource is one thing that rows come from.
+func (p *Parser) parseTableSource() {
+	p.enterLevel()
+	defer p.leaveLevel()
+	p.acceptWord("lateral")
 	switch {
-	case p.cur().op("("):
-		p.parenthesized()
-	case p.words("rows", "from"):
-		p.need("(")
+	case p.current().isOperator("("):
+		p.parseParenthesizedSource()
+	case p.acceptWords("rows", "from"):
+		p.expectOperator("(")
 		for {
-			p.call(p.name("a function"), Function)
-			if p.word("as") {
-				p.group()
+			p.parseCall(p.parseName("a function"), Function)
+			if p.acceptWord("as") {
+				p.skipParentheses()
 			}
-			if !p.op(",") {
+			if !p.acceptOperator(",") {
 				break
 			}
 		}
-		p.need(")")
-		p.words("with", "ordinality")
-		p.correlation()
+		p.expectOperator(")")
+		p.acceptWords("with", "ordinality")
+		p.parseCorrelation()
 	default:
-		p.word("only")
-		name := p.name("a table")
+		p.acceptWord("only")
+		name := p.parseName("a table")
 		switch {
-		case p.cur().op("(") && !p.hint():
-			p.call(name, Function)
-			p.words("with", "ordinality")
+		case p.current().isOperator("(") && !p.atTableHint():
+			p.parseCall(name, Function)
+			p.acceptWords("with", "ordinality")
 		default:
-			p.op("*")
-			p.read(name)
+			p.acceptOperator("*")
+			p.addReadTable(name)
 		}
-		p.correlation()
+		p.parseCorrelation()
 	}
-	if p.word("tablesample") {
-		p.name("a sampling method")
-		p.group()
-		if p.word("repeatable") {
-			p.group()
+	if p.acceptWord("tablesample") {
+		p.parseName("a sampling method")
+		p.skipParentheses()
+		if p.acceptWord("repeatable") {
+			p.skipParentheses()
 		}
 	}
 }
 
-// hint says whether the parentheses here belong to a hint, as in t WITH (NOLOCK) of other engines.
-func (p *Parser) hint() bool { return p.ahead(1).word("nolock") }
+// atTableHint says whether the parentheses here belong to a hint, as in t WITH (NOLOCK) of other engines.
+func (p *Parser) atTableHint() bool { return p.peek(1).isWord("nolock") }
 
-// parenthesized is a subquery, or tables joined in parentheses.
-func (p *Parser) parenthesized() {
-	p.need("(")
-	if p.begins() {
+// parseParenthesizedSource is a subquery, or tables joined in parentheses.
+func (p *Parser) parseParenthesizedSource() {
+	p.expectOperator("(")
+	if p.atQueryStart() {
 		p.facts.Subqueries++
-		p.query(true)
-		p.need(")")
-		if alias := p.correlation(); alias != "" {
-			p.facts.table(alias, Derived)
+		p.parseQuery(true)
+		p.expectOperator(")")
+		if alias := p.parseCorrelation(); alias != "" {
+			p.facts.addTable(alias, Derived)
 		}
 		return
 	}
-	p.joined()
-	for p.op(",") {
-		p.joined()
+	p.parseJoinedTables()
+	for p.acceptOperator(",") {
+		p.parseJoinedTables()
 	}
-	p.need(")")
-	p.correlation()
+	p.expectOperator(")")
+	p.parseCorrelation()
 }
 
-// begins says whether a query begins here, behind any number of opening parentheses that may be nested.
-func (p *Parser) begins() bool {
+// atQueryStart says whether a query begins here, behind any number of opening parentheses that may be nested.
+func (p *Parser) atQueryStart() bool {
 	for n := 0; ; n++ {
-		if n > p.most() {
+		if n > p.maxDepth() {
 			return false
 		}
-		t := p.ahead(n)
-		if t.op("(") {
+		t := p.peek(n)
+		if t.isOperator("(") {
 			continue
 		}
-		if t.word("select", "with", "values") {
+		if t.isWord("select", "with", "values") {
 			return true
 		}
-		return t.word("table") && p.ahead(n+1).name()
+		return t.isWord("table") && p.peek(n+1).isName()
 	}
 }
 
-// correlation is an alias and the columns, with types or without, that it names.
-func (p *Parser) correlation() string {
-	alias := p.alias()
-	if alias != "" || p.tokens[max(0, p.at-1)].word("as") {
-		if p.cur().op("(") {
-			p.group()
+// parseCorrelation is an alias and the columns, with types or without, that it names.
+func (p *Parser) parseCorrelation() string {
+	alias := p.parseAlias()
+	if alias != "" || p.tokens[max(0, p.position-1)].isWord("as") {
+		if p.current().isOperator("(") {
+			p.skipParentheses()
 		}
 	}
 	return alias
 }
 
-// read notes a table that is read, or the CTE that the name stands for.
-func (p *Parser) read(name string) {
+// addReadTable notes a table that is read, or the CTE that the name stands for.
+func (p *Parser) addReadTable(name string) {
 	if !strings.Contains(name, ".") {
-		plain := unquoted(name)
-		for i := len(p.names) - 1; i >= 0; i-- {
-			if p.names[i] == plain {
-				p.facts.table(name, CTE)
+		plain := unquote(name)
+		for i := len(p.visibleCTEs) - 1; i >= 0; i-- {
+			if p.visibleCTEs[i] == plain {
+				p.facts.addTable(name, CTE)
 				return
 			}
 		}
 	}
-	p.facts.table(name, Read)
+	p.facts.addTable(name, Read)
 }
--- a/statement/syntax/script.go
+++ b/statement/syntax/script.go
@@ -2,130 +2,130 @@
 
 import "chutechute/statement/lex"
 
-// script is the whole text: statements with semicolons between them.
-func (p *Parser) script() {
+// parseScript is the whole text: statements with semicolons between them.
+func (p *Parser) parseScript() {
 	f := p.facts
 	writing, plain := false, false // whether the verb is of one that writes; of one that counts at all
 	for {
-		for p.op(";") {
+		for p.acceptOperator(";") {
 		}
-		if p.cur().Kind == lex.End {
+		if p.current().Kind == lex.EOF {
 			break
 		}
-		before, session := f.Writes, f.Session
-		f.Writes, f.Session = false, false
-		verb := p.statement()
+		before, session := f.Writes, f.ChangesSession
+		f.Writes, f.ChangesSession = false, false
+		verb := p.parseStatement()
 		f.Statements++
-		counts := !control[verb]
+		counts := !controlVerbs[verb]
 		if f.Statements == 1 || counts && !plain || f.Writes && !writing {
 			f.Verb = verb
 		}
 		writing, plain = writing || f.Writes, plain || counts
-		f.Writes, f.Session = f.Writes || before, f.Session || session
-		if !p.cur().op(";") && p.cur().Kind != lex.End {
-			p.fail("the end of the statement")
+		f.Writes, f.ChangesSession = f.Writes || before, f.ChangesSession || session
+		if !p.current().isOperator(";") && p.current().Kind != lex.EOF {
+			p.failExpected("the end of the statement")
 		}
-		p.names = p.names[:0]
+		p.visibleCTEs = p.visibleCTEs[:0]
 	}
 	if f.Statements == 0 {
-		p.fail("a statement")
+		p.failExpected("a statement")
 	}
 }
 
-// control are the verbs that say nothing of what a text is for.
-var control = set("begin start commit end rollback abort savepoint release set reset discard")
+// controlVerbs are the verbs that say nothing of what a text is for.
+var controlVerbs = wordSet("begin start commit end rollback abort savepoint release set reset discard")
 
-// statement is one statement; it gives its verb.
-func (p *Parser) statement() string {
-	t := p.cur()
-	if t.op("(") || t.word("select", "with", "values", "table") {
-		return p.query(true)
+// parseStatement is one statement; it gives its verb.
+func (p *Parser) parseStatement() string {
+	t := p.current()
+	if t.isOperator("(") || t.isWord("select", "with", "values", "table") {
+		return p.parseQuery(true)
 	}
-	if verb, ok := p.write(); ok {
+	if verb, ok := p.parseDML(); ok {
 		return verb
 	}
 	if t.Kind != lex.Word {
-		p.fail("a statement")
+		p.failExpected("a statement")
 	}
 	verb := t.text
-	p.at++
+	p.position++
 	switch verb {
 	case "explain":
-		p.explain()
+		p.parseExplain()
 	case "copy":
-		p.copy()
+		p.parseCopy()
 	case "create":
-		p.create()
+		p.parseCreate()
 	case "alter", "drop":
-		p.change()
+		p.parseAlterOrDrop()
 	case "truncate":
-		p.word("table")
-		p.targets()
-		p.skip()
+		p.acceptWord("table")
+		p.parseWrittenTables()
+		p.skipUntil()
 	case "call", "do", "execute", "exec":
-		p.run(verb)
+		p.parseInvocation(verb)
 	case "begin", "start", "commit", "end", "rollback", "abort", "savepoint", "release", "set", "reset", "discard",
 		"listen", "unlisten", "notify", "deallocate", "declare", "fetch", "move", "close", "use":
-		p.facts.Session = true
+		p.facts.ChangesSession = true
 		if verb == "declare" {
-			p.skip("select", "with", "values")
-			if !p.stop() {
-				p.query(true)
+			p.skipUntil("select", "with", "values")
+			if !p.atQueryEnd() {
+				p.parseQuery(true)
 			}
 		}
-		p.skip()
+		p.skipUntil()
 	case "prepare":
-		p.facts.Session = true
-		p.name("a name")
-		if p.cur().op("(") {
-			p.group()
+		p.facts.ChangesSession = true
+		p.parseName("a name")
+		if p.current().isOperator("(") {
+			p.skipParentheses()
 		}
-		p.needWord("as")
-		p.statement()
+		p.expectWord("as")
+		p.parseStatement()
 	case "show", "describe", "desc":
-		p.skip()
+		p.skipUntil()
 	case "vacuum", "analyze", "analyse", "reindex", "cluster", "refresh", "lock", "optimize":
-		p.maintain()
+		p.parseMaintenance()
 	case "grant", "revoke", "comment", "reassign", "security", "import", "checkpoint", "load":
 		p.facts.Writes = true
-		p.skip()
+		p.skipUntil()
 	default:
-		p.at--
-		p.fail("a statement")
+		p.position--
+		p.failExpected("a statement")
 	}
 	return verb
 }
 
-// explain only plans its statement, unless it is to ANALYZE it.
-func (p *Parser) explain() {
+// parseExplain only plans its statement, unless it is to ANALYZE it.
+func (p *Parser) parseExplain() {
 	runs := false
-	if p.cur().op("(") && !p.begins() {
-		p.at++
+	if p.current().isOperator("(") && !p.atQueryStart() {
+		p.position++
 		for {
 			option := p.next()
 			on := true
-			if !p.cur().op(",") && !p.cur().op(")") {
+			if !p.current().isOperator(",") && !p.current().isOperator(")") {
 				value := p.next()
-				on = !value.word("false", "off") && value.text != "0"
+				on = !value.isWord("false", "off") && value.text != "0"
 			}
-			if option.word("analyze", "analyse") {
+			if option.isWord("analyze", "analyse") {
 				runs = on
 			}
-			if !p.op(",") {
+			if !p.acceptOperator(",") {
 				break
 			}
 		}
-		p.need(")")
+		p.expectOperator(")")
 	} else {
-		for p.cur().word("analyze", "analyse", "verbose", "extended", "plan") {
-			runs = runs || p.cur().word("analyze", "analyse")
-			p.at++
+		for p.current().isWord("analyze", "analyse", "verbose", "extended", "plan") {
+			runs = runs || p.current().isWord("analyze", "analyse")
+			p.position++
 		}
-		p.word("for")
+		p.acceptWord("for")
 	}
-	p.statement()
+	p.parseStatement()
 	if !runs {
-		p.facts.Writes, p.facts.Session = false, false
+		p.facts.Writes, p.facts.ChangesSession = false, false
 		for i, t := range p.facts.Tables {
 			if t.Role == Written {
 				p.facts.Tables[i].Role, p.facts.Reads = Read, true
@@ -134,134 +134,134 @@
 	}
 }
 
-// copy is COPY behind its first word: FROM writes the table, TO reads it or a query.
-func (p *Parser) copy() {
-	p.word("binary")
-	if p.op("(") {
-		if _, ok := p.write(); !ok {
-			p.query(true)
+// parseCopy is COPY behind its first word: FROM writes the table, TO reads it or a query.
+func (p *Parser) parseCopy() {
+	p.acceptWord("binary")
+	if p.acceptOperator("(") {
+		if _, ok := p.parseDML(); !ok {
+			p.parseQuery(true)
 		}
-		p.need(")")
-		p.needWord("to")
-		p.skip()
+		p.expectOperator(")")
+		p.expectWord("to")
+		p.skipUntil()
 		return
 	}
-	name := p.name("a table or a query")
-	if p.cur().op("(") {
-		p.group()
+	name := p.parseName("a table or a query")
+	if p.current().isOperator("(") {
+		p.skipParentheses()
 	}
-	if p.word("from") {
-		p.facts.table(name, Written)
+	if p.acceptWord("from") {
+		p.facts.addTable(name, Written)
 	} else {
-		p.needWord("to")
-		p.facts.table(name, Read)
+		p.expectWord("to")
+		p.facts.addTable(name, Read)
 	}
-	if t := p.cur(); !t.literal() && !t.name() {
-		p.fail("a file, a program or a stream")
+	if t := p.current(); !t.isValue() && !t.isName() {
+		p.failExpected("a file, a program or a stream")
 	}
-	p.skip()
+	p.skipUntil()
 }
 
-// run is a call of something whose effects are not seen here.
-func (p *Parser) run(verb string) {
-	p.facts.Writes, p.facts.Session = true, true
+// parseInvocation is a call of something whose effects are not seen here.
+func (p *Parser) parseInvocation(verb string) {
+	p.facts.Writes, p.facts.ChangesSession = true, true
 	if verb != "do" {
-		name := p.name("a procedure")
-		if p.cur().op("(") {
-			p.call(name, "")
+		name := p.parseName("a procedure")
+		if p.current().isOperator("(") {
+			p.parseCall(name, "")
 		} else {
-			p.facts.function(name)
+			p.facts.addFunction(name)
 		}
 	}
-	p.skip()
+	p.skipUntil()
 }
 
-// targets are tables that are written, with commas between them.
-func (p *Parser) targets() {
+// parseWrittenTables are tables that are written, with commas between them.
+func (p *Parser) parseWrittenTables() {
 	for {
-		p.words("if", "exists")
-		p.word("only")
-		p.facts.table(p.name("a table"), Written)
-		p.op("*")
-		if !p.op(",") {
+		p.acceptWords("if", "exists")
+		p.acceptWord("only")
+		p.facts.addTable(p.parseName("a table"), Written)
+		p.acceptOperator("*")
+		if !p.acceptOperator(",") {
 			return
 		}
 	}
 }
 
-// create is CREATE behind its first word.
-func (p *Parser) create() {
+// parseCreate is CREATE behind its first word.
+func (p *Parser) parseCreate() {
 	p.facts.Writes = true
-	if p.words("or", "replace") {
-		p.word("alter")
+	if p.acceptWords("or", "replace") {
+		p.acceptWord("alter")
 	}
-	for p.word("global", "local", "temporary", "temp", "unlogged", "materialized", "recursive", "unique", "foreign",
+	for p.acceptWord("global", "local", "temporary", "temp", "unlogged", "materialized", "recursive", "unique", "foreign",
 		"external", "transient", "constraint") {
 	}
 	switch {
-	case p.word("table", "view"):
-		p.words("if", "not", "exists")
-		p.facts.table(p.name("a table"), Written)
-		p.skip("as", "like")
-		if p.word("like") {
-			p.facts.table(p.name("a table"), Read)
-		} else if p.word("as") && !p.cur().word("execute") {
-			p.query(true)
+	case p.acceptWord("table", "view"):
+		p.acceptWords("if", "not", "exists")
+		p.facts.addTable(p.parseName("a table"), Written)
+		p.skipUntil("as", "like")
+		if p.acceptWord("like") {
+			p.facts.addTable(p.parseName("a table"), Read)
+		} else if p.acceptWord("as") && !p.current().isWord("execute") {
+			p.parseQuery(true)
 		}
-	case p.word("index"):
-		p.word("concurrently")
-		p.words("if", "not", "exists")
-		if !p.cur().word("on") {
-			p.name("an index")
+	case p.acceptWord("index"):
+		p.acceptWord("concurrently")
+		p.acceptWords("if", "not", "exists")
+		if !p.current().isWord("on") {
+			p.parseName("an index")
 		}
-		p.needWord("on")
-		p.word("only")
-		p.facts.table(p.name("a table"), Written)
-	case p.cur().Kind == lex.Word:
-		p.at++
-		p.words("if", "not", "exists")
-		if p.cur().name() {
-			p.facts.named(p.next().text)
+		p.expectWord("on")
+		p.acceptWord("only")
+		p.facts.addTable(p.parseName("a table"), Written)
+	case p.current().Kind == lex.Word:
+		p.position++
+		p.acceptWords("if", "not", "exists")
+		if p.current().isName() {
+			p.facts.noteQualifiedName(p.next().text)
 		}
 	default:
-		p.fail("what is to be created")
+		p.failExpected("what is to be created")
 	}
-	p.skip()
+	p.skipUntil()
 }
 
-// change is ALTER or DROP behind its first word.
-func (p *Parser) change() {
+// parseAlterOrDrop is ALTER or DROP behind its first word.
+func (p *Parser) parseAlterOrDrop() {
 	p.facts.Writes = true
-	p.word("foreign", "materialized", "temporary", "external")
+	p.acceptWord("foreign", "materialized", "temporary", "external")
 	switch {
-	case p.word("table", "view"):
-		p.targets()
-	case p.cur().Kind == lex.Word:
-		p.at++
-		p.word("concurrently")
-		p.words("if", "exists")
-		if p.cur().name() && !reserved[p.cur().text] {
-			p.facts.named(p.name("a name"))
+	case p.acceptWord("table", "view"):
+		p.parseWrittenTables()
+	case p.current().Kind == lex.Word:
+		p.position++
+		p.acceptWord("concurrently")
+		p.acceptWords("if", "exists")
+		if p.current().isName() && !reservedWords[p.current().text] {
+			p.facts.noteQualifiedName(p.parseName("a name"))
 		}
 	default:
-		p.fail("what is to be changed")
+		p.failExpected("what is to be changed")
 	}
-	p.skip()
+	p.skipUntil()
 }
 
-// maintain is work on tables that changes no row.
-func (p *Parser) maintain() {
+// parseMaintenance is work on tables that changes no row.
+func (p *Parser) parseMaintenance() {
 	p.facts.Writes = true
-	p.word("materialized")
-	for p.word("full", "freeze", "verbose", "analyze", "concurrently", "view", "table", "index", "schema", "database",
+	p.acceptWord("materialized")
+	for p.acceptWord("full", "freeze", "verbose", "analyze", "concurrently", "view", "table", "index", "schema", "database",
 		"system") {
 	}
-	if p.cur().op("(") {
-		p.group()
+	if p.current().isOperator("(") {
+		p.skipParentheses()
 	}
-	p.word("table", "index", "schema")
-	if p.cur().name() && !reserved[p.cur().text] {
-		p.targets()
+	p.acceptWord("table", "index", "schema")
+	if p.current().isName() && !reservedWords[p.current().text] {
+		p.parseWrittenTables()
 	}
-	p.skip()
+	p.skipUntil()
 }
--- a/statement/syntax/write.go
+++ b/statement/syntax/write.go
@@ -2,220 +2,220 @@
 
 import "chutechute/statement/lex"
 
-// write is a statement that changes rows, if one begins here: INSERT, UPDATE, DELETE, MERGE or REPLACE.
-func (p *Parser) write() (verb string, ok bool) {
-	t := p.cur()
+// parseDML is a statement that changes rows, if one begins here: INSERT, UPDATE, DELETE, MERGE or REPLACE.
+func (p *Parser) parseDML() (verb string, ok bool) {
+	t := p.current()
 	switch t.text {
 	case "insert", "replace":
-		if t.Kind != lex.Word || !p.ahead(1).name() {
+		if t.Kind != lex.Word || !p.peek(1).isName() {
 			return "", false
 		}
-		p.at++
-		p.insert()
+		p.position++
+		p.parseInsert()
 		return "insert", true
 	case "update":
-		p.at++
-		p.update()
+		p.position++
+		p.parseUpdate()
 	case "delete":
-		p.at++
-		p.deletion()
+		p.position++
+		p.parseDelete()
 	case "merge":
-		p.at++
-		p.merge()
+		p.position++
+		p.parseMerge()
 	default:
 		return "", false
 	}
 	return t.text, true
 }
 
-// target is the table that a statement writes, and its alias.
-func (p *Parser) target() {
-	p.word("only")
-	p.facts.table(p.name("a table"), Written)
-	p.op("*")
-	if !p.cur().word("default", "overriding", "partition") {
-		p.alias()
+// parseTargetTable is the table that a statement writes, and its alias.
+func (p *Parser) parseTargetTable() {
+	p.acceptWord("only")
+	p.facts.addTable(p.parseName("a table"), Written)
+	p.acceptOperator("*")
+	if !p.current().isWord("default", "overriding", "partition") {
+		p.parseAlias()
 	}
 }
 
-// insert is INSERT behind its first word.
-func (p *Parser) insert() {
+// parseInsert is INSERT behind its first word.
+func (p *Parser) parseInsert() {
 	p.facts.Writes = true
-	p.word("low_priority", "delayed", "high_priority", "ignore", "or")
-	p.word("replace", "ignore", "abort", "fail", "rollback")
-	if !p.word("into") {
-		p.word("overwrite")
-		p.word("into")
+	p.acceptWord("low_priority", "delayed", "high_priority", "ignore", "or")
+	p.acceptWord("replace", "ignore", "abort", "fail", "rollback")
+	if !p.acceptWord("into") {
+		p.acceptWord("overwrite")
+		p.acceptWord("into")
 	}
-	p.word("table")
-	p.target()
-	if p.word("partition") {
-		p.group()
+	p.acceptWord("table")
+	p.parseTargetTable()
+	if p.acceptWord("partition") {
+		p.skipParentheses()
 	}
-	if p.cur().op("(") && !p.begins() {
-		p.group()
+	if p.current().isOperator("(") && !p.atQueryStart() {
+		p.skipParentheses()
 	}
-	if p.word("overriding") {
-		p.needWord("system", "user")
-		p.needWord("value")
+	if p.acceptWord("overriding") {
+		p.expectWord("system", "user")
+		p.expectWord("value")
 	}
 	switch {
-	case p.words("default", "values"):
-	case p.word("value"): // of MySQL
-		p.rows()
-	case p.word("set"):
-		p.assignments()
+	case p.acceptWords("default", "values"):
+	case p.acceptWord("value"): // of MySQL
+		p.parseValuesRows()
+	case p.acceptWord("set"):
+		p.parseAssignments()
 	default:
-		p.query(true)
+		p.parseQuery(true)
 	}
-	if p.words("on", "duplicate") {
-		p.needWord("key")
-		p.needWord("update")
-		p.assignments()
-	} else if p.words("on", "conflict") {
-		p.conflict()
+	if p.acceptWords("on", "duplicate") {
+		p.expectWord("key")
+		p.expectWord("update")
+		p.parseAssignments()
+	} else if p.acceptWords("on", "conflict") {
+		p.parseOnConflict()
 	}
-	p.returning()
+	p.parseReturning()
 }
 
-func (p *Parser) conflict() {
-	if p.cur().op("(") {
-		p.group()
-		if p.word("where") {
-			p.expr()
+func (p *Parser) parseOnConflict() {
+	if p.current().isOperator("(") {
+		p.skipParentheses()
+		if p.acceptWord("where") {
+			p.parseExpr()
 		}
-	} else if p.words("on", "constraint") {
-		p.name("a constraint")
+	} else if p.acceptWords("on", "constraint") {
+		p.parseName("a constraint")
 	}
-	p.needWord("do")
-	if p.word("nothing") {
+	p.expectWord("do")
+	if p.acceptWord("nothing") {
 		return
 	}
-	p.needWord("update")
-	p.needWord("set")
-	p.assignments()
-	if p.word("where") {
-		p.expr()
+	p.expectWord("update")
+	p.expectWord("set")
+	p.parseAssignments()
+	if p.acceptWord("where") {
+		p.parseExpr()
 	}
 }
 
-// assignments are those behind SET.
-func (p *Parser) assignments() {
+// parseAssignments are those behind SET.
+func (p *Parser) parseAssignments() {
 	for {
-		if p.cur().op("(") {
-			p.group()
+		if p.current().isOperator("(") {
+			p.skipParentheses()
 		} else {
-			p.name("a column")
-			for p.op("[") {
-				p.expr()
-				p.need("]")
+			p.parseName("a column")
+			for p.acceptOperator("[") {
+				p.parseExpr()
+				p.expectOperator("]")
 			}
 		}
-		if !p.op("=") && !p.op(":=") {
-			p.fail("=")
+		if !p.acceptOperator("=") && !p.acceptOperator(":=") {
+			p.failExpected("=")
 		}
-		p.expr()
-		if !p.op(",") {
+		p.parseExpr()
+		if !p.acceptOperator(",") {
 			return
 		}
 	}
 }
 
-func (p *Parser) returning() {
-	if p.word("returning") {
-		p.columns()
-		if p.word("into") {
-			p.list()
+func (p *Parser) parseReturning() {
+	if p.acceptWord("returning") {
+		p.parseSelectList()
+		if p.acceptWord("into") {
+			p.parseExprList()
 		}
 	}
 }
 
-func (p *Parser) update() {
+func (p *Parser) parseUpdate() {
 	p.facts.Writes = true
-	p.target()
-	for p.cur().word("join", "inner", "left", "cross") { // of MySQL
-		p.word("inner", "left", "cross")
-		p.word("outer")
-		p.needWord("join")
-		p.source()
-		if p.word("on") {
-			p.expr()
+	p.parseTargetTable()
+	for p.current().isWord("join", "inner", "left", "cross") { // of MySQL
+		p.acceptWord("inner", "left", "cross")
+		p.acceptWord("outer")
+		p.expectWord("join")
+		p.parseTableSource()
+		if p.acceptWord("on") {
+			p.parseExpr()
 		}
 	}
-	p.needWord("set")
-	p.assignments()
-	if p.word("from") {
-		p.from()
+	p.expectWord("set")
+	p.parseAssignments()
+	if p.acceptWord("from") {
+		p.parseFrom()
 	}
-	p.condition()
-	p.returning()
+	p.parseWriteCondition()
+	p.parseReturning()
 }
 
-// condition is the WHERE of a statement that writes, and what may follow it.
-func (p *Parser) condition() {
-	if p.word("where") {
-		if p.words("current", "of") {
-			p.name("a cursor")
+// parseWriteCondition is the WHERE of a statement that writes, and what may follow it.
+func (p *Parser) parseWriteCondition() {
+	if p.acceptWord("where") {
+		if p.acceptWords("current", "of") {
+			p.parseName("a cursor")
 		} else {
-			p.expr()
+			p.parseExpr()
 		}
 	}
-	p.tail()
+	p.parseTailClauses()
 }
 
-func (p *Parser) deletion() {
+func (p *Parser) parseDelete() {
 	p.facts.Writes = true
-	p.needWord("from")
-	p.target()
-	if p.word("using") {
-		p.from()
+	p.expectWord("from")
+	p.parseTargetTable()
+	if p.acceptWord("using") {
+		p.parseFrom()
 	}
-	p.condition()
-	p.returning()
+	p.parseWriteCondition()
+	p.parseReturning()
 }
 
-func (p *Parser) merge() {
+func (p *Parser) parseMerge() {
 	p.facts.Writes = true
-	p.word("into")
-	p.target()
-	p.needWord("using")
-	p.source()
-	p.needWord("on")
-	p.expr()
-	if !p.cur().word("when") {
-		p.fail("WHEN")
-	}
-	for p.word("when") {
-		p.word("not")
-		p.needWord("matched")
-		if p.word("by") {
-			p.needWord("source", "target")
+	p.acceptWord("into")
+	p.parseTargetTable()
+	p.expectWord("using")
+	p.parseTableSource()
+	p.expectWord("on")
+	p.parseExpr()
+	if !p.current().isWord("when") {
+		p.failExpected("WHEN")
+	}
+	for p.acceptWord("when") {
+		p.acceptWord("not")
+		p.expectWord("matched")
+		if p.acceptWord("by") {
+			p.expectWord("source", "target")
 		}
-		if p.word("and") {
-			p.expr()
+		if p.acceptWord("and") {
+			p.parseExpr()
 		}
-		p.needWord("then")
+		p.expectWord("then")
 		switch {
-		case p.words("do", "nothing"):
-		case p.word("delete"):
-		case p.word("update"):
-			p.needWord("set")
-			p.assignments()
-		case p.word("insert"):
-			if p.cur().op("(") {
-				p.group()
+		case p.acceptWords("do", "nothing"):
+		case p.acceptWord("delete"):
+		case p.acceptWord("update"):
+			p.expectWord("set")
+			p.parseAssignments()
+		case p.acceptWord("insert"):
+			if p.current().isOperator("(") {
+				p.skipParentheses()
 			}
-			if p.word("overriding") {
-				p.needWord("system", "user")
-				p.needWord("value")
+			if p.acceptWord("overriding") {
+				p.expectWord("system", "user")
+				p.expectWord("value")
 			}
-			if !p.words("default", "values") {
-				p.needWord("values")
-				p.rows()
+			if !p.acceptWords("default", "values") {
+				p.expectWord("values")
+				p.parseValuesRows()
 			}
 		default:
-			p.fail("INSERT, UPDATE, DELETE or DO NOTHING")
+			p.failExpected("INSERT, UPDATE, DELETE or DO NOTHING")
 		}
 	}
-	p.returning()
+	p.parseReturning()
 }
