--- a/statement/lex/bytes.go
+++ b/statement/lex/bytes.go
@@ -1,6 +1,9 @@
 package lex
 
-import "strings"
+import (
+	"strings"
+	"unicode/utf8"
+)
 
 // byteClass classifies a byte by the tokens that begin with it.
 type byteClass uint8
@@ -20,7 +23,7 @@
 		switch b := byte(c); {
 		case b <= ' ':
 			t[c] = classSpace
-		case b >= 'a' && b <= 'z', b >= 'A' && b <= 'Z', b == '_', b >= 0x80:
+		case b >= 'a' && b <= 'z', b >= 'A' && b <= 'Z', b == '_', b >= utf8.RuneSelf:
 			t[c] = classLetter
 		case b >= '0' && b <= '9':
 			t[c] = classDigit
@@ -32,3 +35,9 @@
 	}
 	return t
 }()
+
+// isLetterOrDigit returns whether a byte may stand within a word. All bytes of multi-byte characters count as letters.
+func isLetterOrDigit(c byte) bool {
+	class := byteClasses[c]
+	return class == classLetter || class == classDigit
+}
--- a/statement/lex/literals.go
+++ b/statement/lex/literals.go
@@ -1,6 +1,9 @@
 package lex
 
-import "strings"
+import (
+	"strings"
+	"unicode/utf8"
+)
 
 // scanWord scans a word, or a quoted token whose prefix looks like one, such as E'x', B'x', U&'x' or the name U&"x".
 func (l *Lexer) scanWord(c byte) Token {
@@ -17,7 +20,7 @@
 		return l.scanQuoted(start, '"', false, QuotedIdentifier)
 	}
 	for l.offset < len(l.Text) {
-		if class := byteClasses[l.Text[l.offset]]; class != classLetter && class != classDigit && l.Text[l.offset] != '$' {
+		if c := l.Text[l.offset]; !isLetterOrDigit(c) && c != '$' {
 			break
 		}
 		l.offset++
@@ -29,7 +32,7 @@
 func (l *Lexer) scanNumber() Token {
 	start := l.offset
 	if l.Text[l.offset] == '0' && strings.IndexByte("xXoObB", l.peek(1)) >= 0 && l.peek(1) != 0 {
-		for l.offset++; byteClasses[l.peek(0)] == classLetter && l.peek(0) < 0x80 || byteClasses[l.peek(0)] == classDigit; l.offset++ {
+		for l.offset++; l.peek(0) < utf8.RuneSelf && isLetterOrDigit(l.peek(0)); l.offset++ {
 		}
 		return Token{Number, start, l.offset}
 	}
@@ -66,7 +69,7 @@
 		l.skipDigits()
 		return Token{Parameter, start, l.offset}
 	}
-	for byteClasses[l.peek(0)] == classLetter || byteClasses[l.peek(0)] == classDigit {
+	for isLetterOrDigit(l.peek(0)) {
 		l.offset++
 	}
 	if l.peek(0) != '$' {
--- a/statement/lex/operators.go
+++ b/statement/lex/operators.go
@@ -40,8 +40,8 @@
 	switch c := l.peek(1); {
 	case c == ':' || c == '=':
 		l.offset += 2
-	case !l.followsSliceBound() && (byteClasses[c] == classLetter || byteClasses[c] == classDigit):
-		for l.offset++; byteClasses[l.peek(0)] == classLetter || byteClasses[l.peek(0)] == classDigit; l.offset++ {
+	case !l.followsSliceBound() && isLetterOrDigit(c):
+		for l.offset++; isLetterOrDigit(l.peek(0)); l.offset++ {
 		}
 		return Token{Parameter, start, l.offset}
 	default:
--- a/statement/syntax/call.go
+++ b/statement/syntax/call.go
@@ -1,11 +1,12 @@
 package syntax
 
-// aggregateFunctions are functions that read all rows of what they are asked of.
-var aggregateFunctions = wordSet(`count sum avg min max array_agg string_agg json_agg jsonb_agg stddev variance percentile_cont
-	percentile_disc mode every bool_and bool_or corr regr_slope group_concat listagg approx_count_distinct`)
+// aggregateFunctions are functions that read all rows of a group.
+var aggregateFunctions = wordSet(`count sum avg min max array_agg string_agg json_agg jsonb_agg stddev variance
+	percentile_cont percentile_disc mode every bool_and bool_or corr regr_slope group_concat listagg
+	approx_count_distinct`)
 
-// parseCall is a function's arguments and what may follow them. The role is Function for one in the place of a
-// table.
+// parseCall parses the arguments of a function and what may follow them. The role is Function for a function in place
+// of a table.
 func (p *Parser) parseCall(name string, role Role) {
 	if role == Function {
 		p.facts.addTable(name, Function)
@@ -17,12 +18,15 @@
 	p.enterLevel()
 	defer p.leaveLevel()
 	p.expectOperator("(")
-	if !p.current().isOperator(")") {
-		if !p.parseSpecialArguments(name) {
-			p.parseArguments()
-		}
+	if !p.current().isOperator(")") && !p.parseSpecialArguments(name) {
+		p.parseArguments()
 	}
 	p.expectOperator(")")
+	p.parseCallSuffix()
+}
+
+// parseCallSuffix parses what may follow the arguments of a function: WITHIN GROUP, FILTER, IGNORE NULLS and OVER.
+func (p *Parser) parseCallSuffix() {
 	if p.acceptWords("within", "group") {
 		p.expectOperator("(")
 		if p.acceptWords("order", "by") {
@@ -49,7 +53,7 @@
 	}
 }
 
-// parseArguments are ordinary arguments.
+// parseArguments parses ordinary arguments.
 func (p *Parser) parseArguments() {
 	p.acceptWord("distinct", "all")
 	p.acceptWord("variadic")
@@ -77,7 +81,8 @@
 	}
 }
 
-// parseSpecialArguments takes the arguments of functions with a syntax of their own.
+// parseSpecialArguments parses the arguments of functions with a syntax of their own. It returns false for other
+// functions.
 func (p *Parser) parseSpecialArguments(name string) bool {
 	switch name {
 	case "extract":
@@ -85,28 +90,9 @@
 		p.expectWord("from")
 		p.parseExpr()
 	case "substring", "overlay", "position":
-		p.parseArithmetic()
-		switch {
-		case p.acceptWord("in"):
-			p.parseArithmetic()
-		case p.acceptOperator(","):
-			p.parseExprList()
-		default:
-			for p.acceptWord("placing", "from", "for", "similar", "escape") {
-				p.parseArithmetic()
-			}
-		}
+		p.parseSubstringArguments()
 	case "trim":
-		p.acceptWord("leading", "trailing", "both")
-		if !p.current().isWord("from") {
-			p.parseArithmetic()
-		}
-		if p.acceptWord("from") {
-			p.parseArithmetic()
-		}
-		if p.acceptOperator(",") {
-			p.parseExprList()
-		}
+		p.parseTrimArguments()
 	case "xmlelement", "xmlforest", "xmlparse", "xmltable", "json_table", "json_query", "json_value", "json_exists",
 		"json_object", "json_array", "json_objectagg", "json_arrayagg", "xmlserialize", "xmlagg":
 		p.skipUntil()
@@ -116,7 +102,36 @@
 	return true
 }
 
-// parseWindowDefinition is a window's definition in parentheses.
+// parseSubstringArguments parses the arguments of SUBSTRING, OVERLAY and POSITION.
+func (p *Parser) parseSubstringArguments() {
+	p.parseArithmetic()
+	switch {
+	case p.acceptWord("in"):
+		p.parseArithmetic()
+	case p.acceptOperator(","):
+		p.parseExprList()
+	default:
+		for p.acceptWord("placing", "from", "for", "similar", "escape") {
+			p.parseArithmetic()
+		}
+	}
+}
+
+// parseTrimArguments parses the arguments of TRIM.
+func (p *Parser) parseTrimArguments() {
+	p.acceptWord("leading", "trailing", "both")
+	if !p.current().isWord("from") {
+		p.parseArithmetic()
+	}
+	if p.acceptWord("from") {
+		p.parseArithmetic()
+	}
+	if p.acceptOperator(",") {
+		p.parseExprList()
+	}
+}
+
+// parseWindowDefinition parses a window's definition in parentheses.
 func (p *Parser) parseWindowDefinition() {
 	p.expectOperator("(")
 	if !p.current().isOperator(")") && !p.current().isWord("partition", "order", "rows", "range", "groups") {
@@ -129,21 +144,24 @@
 		p.parseOrderBy()
 	}
 	if p.acceptWord("rows", "range", "groups") {
-		if p.acceptWord("between") {
-			p.parseFrameBound()
-			p.expectWord("and")
-		}
-		p.parseFrameBound()
-		if p.acceptWord("exclude") {
-			if !p.acceptWords("current", "row") && !p.acceptWords("no", "others") {
-				p.expectWord("group", "ties")
-			}
-		}
+		p.parseFrame()
 	}
 	p.expectOperator(")")
 }
 
-// parseFrameBound is one end of a window's frame.
+// parseFrame parses a window's frame behind its unit.
+func (p *Parser) parseFrame() {
+	if p.acceptWord("between") {
+		p.parseFrameBound()
+		p.expectWord("and")
+	}
+	p.parseFrameBound()
+	if p.acceptWord("exclude") && !p.acceptWords("current", "row") && !p.acceptWords("no", "others") {
+		p.expectWord("group", "ties")
+	}
+}
+
+// parseFrameBound parses one end of a window's frame.
 func (p *Parser) parseFrameBound() {
 	if p.acceptWords("current", "row") {
 		return
--- a/statement/syntax/write.go
+++ b/statement/syntax/dml.go
@@ -2,7 +2,7 @@
 
 import "chutechute/statement/lex"
 
-// parseDML is a statement that changes rows, if one begins here: INSERT, UPDATE, DELETE, MERGE or REPLACE.
+// parseDML parses a statement that changes rows, if one begins here: INSERT, UPDATE, DELETE, MERGE or REPLACE.
 func (p *Parser) parseDML() (verb string, ok bool) {
 	t := p.current()
 	switch t.text {
@@ -28,7 +28,7 @@
 	return t.text, true
 }
 
-// parseTargetTable is the table that a statement writes, and its alias.
+// parseTargetTable parses the table that a statement writes, and its alias.
 func (p *Parser) parseTargetTable() {
 	p.acceptWord("only")
 	p.facts.addTable(p.parseName("a table"), Written)
@@ -38,7 +38,7 @@
 	}
 }
 
-// parseInsert is INSERT behind its first word.
+// parseInsert parses INSERT or REPLACE behind its first word.
 func (p *Parser) parseInsert() {
 	p.facts.Writes = true
 	p.acceptWord("low_priority", "delayed", "high_priority", "ignore", "or")
@@ -55,10 +55,7 @@
 	if p.current().isOperator("(") && !p.atQueryStart() {
 		p.skipParentheses()
 	}
-	if p.acceptWord("overriding") {
-		p.expectWord("system", "user")
-		p.expectWord("value")
-	}
+	p.parseOverriding()
 	switch {
 	case p.acceptWords("default", "values"):
 	case p.acceptWord("value"): // of MySQL
@@ -78,6 +75,15 @@
 	p.parseReturning()
 }
 
+// parseOverriding parses OVERRIDING SYSTEM VALUE and its like, if it follows.
+func (p *Parser) parseOverriding() {
+	if p.acceptWord("overriding") {
+		p.expectWord("system", "user")
+		p.expectWord("value")
+	}
+}
+
+// parseOnConflict parses the target and the action of ON CONFLICT.
 func (p *Parser) parseOnConflict() {
 	if p.current().isOperator("(") {
 		p.skipParentheses()
@@ -99,7 +105,7 @@
 	}
 }
 
-// parseAssignments are those behind SET.
+// parseAssignments parses the assignments behind SET.
 func (p *Parser) parseAssignments() {
 	for {
 		if p.current().isOperator("(") {
@@ -121,6 +127,7 @@
 	}
 }
 
+// parseReturning parses RETURNING, if it follows.
 func (p *Parser) parseReturning() {
 	if p.acceptWord("returning") {
 		p.parseSelectList()
@@ -130,6 +137,7 @@
 	}
 }
 
+// parseUpdate parses UPDATE behind its first word.
 func (p *Parser) parseUpdate() {
 	p.facts.Writes = true
 	p.parseTargetTable()
@@ -151,7 +159,7 @@
 	p.parseReturning()
 }
 
-// parseWriteCondition is the WHERE of a statement that writes, and what may follow it.
+// parseWriteCondition parses the WHERE of a statement that writes, and what may follow it.
 func (p *Parser) parseWriteCondition() {
 	if p.acceptWord("where") {
 		if p.acceptWords("current", "of") {
@@ -163,6 +171,7 @@
 	p.parseTailClauses()
 }
 
+// parseDelete parses DELETE behind its first word.
 func (p *Parser) parseDelete() {
 	p.facts.Writes = true
 	p.expectWord("from")
@@ -174,6 +183,7 @@
 	p.parseReturning()
 }
 
+// parseMerge parses MERGE behind its first word.
 func (p *Parser) parseMerge() {
 	p.facts.Writes = true
 	p.acceptWord("into")
@@ -186,36 +196,65 @@
 		p.failExpected("WHEN")
 	}
 	for p.acceptWord("when") {
-		p.acceptWord("not")
-		p.expectWord("matched")
-		if p.acceptWord("by") {
-			p.expectWord("source", "target")
-		}
-		if p.acceptWord("and") {
-			p.parseExpr()
-		}
+		p.parseMergeCondition()
 		p.expectWord("then")
-		switch {
-		case p.acceptWords("do", "nothing"):
-		case p.acceptWord("delete"):
-		case p.acceptWord("update"):
-			p.expectWord("set")
-			p.parseAssignments()
-		case p.acceptWord("insert"):
-			if p.current().isOperator("(") {
-				p.skipParentheses()
-			}
-			if p.acceptWord("overriding") {
-				p.expectWord("system", "user")
-				p.expectWord("value")
-			}
-			if !p.acceptWords("default", "values") {
-				p.expectWord("values")
-				p.parseValuesRows()
-			}
-		default:
-			p.failExpected("INSERT, UPDATE, DELETE or DO NOTHING")
-		}
+		p.parseMergeAction()
 	}
 	p.parseReturning()
 }
+
+// parseMergeCondition parses the condition of one WHEN clause of MERGE.
+func (p *Parser) parseMergeCondition() {
+	p.acceptWord("not")
+	p.expectWord("matched")
+	if p.acceptWord("by") {
+		p.expectWord("source", "target")
+	}
+	if p.acceptWord("and") {
+		p.parseExpr()
+	}
+}
+
+// parseMergeAction parses the action of one WHEN clause of MERGE.
+func (p *Parser) parseMergeAction() {
+	switch {
+	case p.acceptWords("do", "nothing"):
+	case p.acceptWord("delete"):
+	case p.acceptWord("update"):
+		p.expectWord("set")
+		p.parseAssignments()
+	case p.acceptWord("insert"):
+		p.skipOptionalParentheses()
+		p.parseOverriding()
+		if !p.acceptWords("default", "values") {
+			p.expectWord("values")
+			p.parseValuesRows()
+		}
+	default:
+		p.failExpected("INSERT, UPDATE, DELETE or DO NOTHING")
+	}
+}
+
+// parseCopy parses COPY behind its first word: FROM writes the table, TO reads it or a query.
+func (p *Parser) parseCopy() {
+	p.acceptWord("binary")
+	if p.acceptOperator("(") {
+		p.parseQueryOrDML()
+		p.expectOperator(")")
+		p.expectWord("to")
+		p.skipUntil()
+		return
+	}
+	name := p.parseName("a table or a query")
+	p.skipOptionalParentheses()
+	if p.acceptWord("from") {
+		p.facts.addTable(name, Written)
+	} else {
+		p.expectWord("to")
+		p.facts.addTable(name, Read)
+	}
+	if t := p.current(); !t.isValue() && !t.isName() {
+		p.failExpected("a file, a program or a stream")
+	}
+	p.skipUntil()
+}
--- /dev/null
+++ b/statement/syntax/errors.go
@@ -0,0 +1,24 @@
+package syntax
+
+import (
+	"fmt"
+
+	"chutechute/statement/lex"
+)
+
+// Error is an error of syntax, with its place in the text.
+type Error struct {
+	Line, Column int // from 1; the column in bytes
+	Message      string
+}
+
+// Error returns the place and the message.
+func (e *Error) Error() string {
+	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Message)
+}
+
+// NewError returns an error at a byte offset of a text.
+func NewError(text string, offset int, message string) *Error {
+	line, column := lex.Position(text, offset)
+	return &Error{line, column, message}
+}
--- a/statement/syntax/expr.go
+++ b/statement/syntax/expr.go
@@ -6,15 +6,7 @@
 	"chutechute/statement/lex"
 )
 
-// operand is what is known of an operand, as far as predicates need it.
-type operand struct {
-	column     string // set where it is a column alone
-	valueIndex int    // place of the literal or parameter that it is alone; -1 otherwise
-}
-
-var opaqueOperand = operand{valueIndex: -1}
-
-// parseExprList is a list of expressions.
+// parseExprList parses a list of expressions.
 func (p *Parser) parseExprList() {
 	for {
 		p.parseExpr()
@@ -24,8 +16,15 @@
 	}
 }
 
-// parseExpr is an expression. Precedence counts only as far as predicates need it: AND and OR part comparisons, and
-// these part everything else.
+// parseExprsInParentheses parses a list of expressions in parentheses.
+func (p *Parser) parseExprsInParentheses() {
+	p.expectOperator("(")
+	p.parseExprList()
+	p.expectOperator(")")
+}
+
+// parseExpr parses an expression. Precedence matters only as far as predicates need it: AND and OR separate
+// comparisons, and comparisons separate all other operations.
 func (p *Parser) parseExpr() operand {
 	p.enterLevel()
 	defer p.leaveLevel()
@@ -37,140 +36,7 @@
 	return left
 }
 
-// parseComparison is an operand and the comparisons that follow it.
-func (p *Parser) parseComparison() operand {
-	not := false
-	for p.acceptWord("not") {
-		not = true
-	}
-	left := p.parseArithmetic()
-	for {
-		t := p.current()
-		switch {
-		case t.Kind == lex.Operator && comparisonOperators[t.text] != 0:
-			p.position++
-			if p.current().isWord("any", "all", "some") && p.peek(1).isOperator("(") {
-				p.position++
-				p.parseParenthesizedList()
-			} else if right := p.parseArithmetic(); !not {
-				p.addComparison(left, comparisonOperators[t.text], right)
-			}
-		case t.isWord("is"):
-			p.position++
-			p.parseIs()
-		case t.isWord("isnull", "notnull"):
-			p.position++
-		case t.isWord("not") && p.peek(1).isWord("between", "in", "like", "ilike", "similar", "regexp", "rlike", "glob"):
-			p.position++
-			p.parseRangeListOrPattern(opaqueOperand)
-		case t.isWord("between", "in", "like", "ilike", "similar", "regexp", "rlike", "glob"):
-			p.parseRangeListOrPattern(left)
-		case t.isWord("overlaps"):
-			p.position++
-			p.parseArithmetic()
-		default:
-			if not {
-				return opaqueOperand
-			}
-			return left
-		}
-		left = opaqueOperand
-	}
-}
-
-// comparisonOperators gives the operator of a predicate, or 255 for one that tells nothing.
-var comparisonOperators = map[string]Operator{"=": Equal, "==": Equal, "<=>": Equal, "<": Less, "<=": Less, ">": Greater,
-	">=": Greater, "<>": 255, "!=": 255, "^=": 255}
-
-func (p *Parser) addComparison(left operand, op Operator, right operand) {
-	if op == 255 {
-		return
-	}
-	if left.column == "" && right.column != "" && left.valueIndex >= 0 { // 5 < a
-		left, right = right, left
-		switch op {
-		case Greater:
-			op = Less
-		case Less:
-			op = Greater
-		}
-	}
-	if left.column != "" && right.valueIndex >= 0 {
-		p.addPredicate(Predicate{left.column, op, right.valueIndex, -1})
-	}
-}
-
-func (p *Parser) addPredicate(q Predicate) {
-	if len(p.facts.Predicates) < maxPredicates {
-		p.facts.Predicates = append(p.facts.Predicates, q)
-	}
-}
-
-// parseIs follows IS: NULL, a truth value, DISTINCT FROM, a form of JSON or a document.
-func (p *Parser) parseIs() {
-	p.acceptWord("not")
-	switch {
-	case p.acceptWord("null", "true", "false", "unknown", "normalized", "document"):
-	case p.acceptWords("distinct", "from"):
-		p.parseArithmetic()
-	case p.acceptWord("json"):
-		p.acceptWord("value", "array", "object", "scalar")
-		if p.acceptWord("with", "without") {
-			p.expectWord("unique")
-			p.acceptWord("keys")
-		}
-	case p.acceptWord("of"):
-		p.skipParentheses()
-	case p.current().isWord("nfc", "nfd", "nfkc", "nfkd"):
-		p.position++
-		p.expectWord("normalized")
-	default:
-		p.failExpected("NULL, TRUE, FALSE, UNKNOWN or DISTINCT FROM")
-	}
-}
-
-// parseRangeListOrPattern is BETWEEN, IN, LIKE and their like behind the operand that they test.
-func (p *Parser) parseRangeListOrPattern(left operand) {
-	switch word := p.next().text; word {
-	case "between":
-		p.acceptWord("symmetric", "asymmetric")
-		low := p.parseArithmetic()
-		p.expectWord("and")
-		high := p.parseArithmetic()
-		if left.column != "" && low.valueIndex >= 0 && high.valueIndex >= 0 {
-			p.addPredicate(Predicate{left.column, Between, low.valueIndex, high.valueIndex})
-		}
-	case "in":
-		if !p.current().isOperator("(") { // IN array or parameter
-			p.parseArithmetic()
-			return
-		}
-		at := p.valueCount
-		literal := p.peek(1).isValue()
-		p.parseParenthesizedList()
-		if left.column != "" && literal {
-			p.addPredicate(Predicate{left.column, In, at, -1})
-		}
-	default:
-		if word == "similar" {
-			p.expectWord("to")
-		}
-		if p.current().isWord("any", "all", "some") && p.peek(1).isOperator("(") {
-			p.position++
-			p.parseParenthesizedList()
-			return
-		}
-		right := p.parseArithmetic()
-		if left.column != "" && right.valueIndex >= 0 && (word == "like" || word == "ilike") {
-			p.addPredicate(Predicate{left.column, Like, right.valueIndex, -1})
-		}
-		if p.acceptWord("escape") {
-			p.parseArithmetic()
-		}
-	}
-}
-
-// parseParenthesizedList are a subquery or expressions in parentheses, which may be empty.
+// parseParenthesizedList parses a subquery or expressions in parentheses, which may be empty.
 func (p *Parser) parseParenthesizedList() {
 	p.expectOperator("(")
 	switch {
@@ -189,7 +55,7 @@
 	p.expectOperator(")")
 }
 
-// parseArithmetic is operands with operators of any other kind between them.
+// parseArithmetic parses operands with operators between them that are no comparisons.
 func (p *Parser) parseArithmetic() operand {
 	left := p.parseUnary()
 	for {
@@ -197,10 +63,8 @@
 		switch {
 		case t.Kind == lex.Operator && isInfix(t.text):
 			p.position++
-			if t.text == ":" { // of a slice
-				if p.current().isOperator("]") {
-					return opaqueOperand
-				}
+			if t.text == ":" && p.current().isOperator("]") { // a slice without upper bound
+				return opaqueOperand
 			}
 			p.parseUnary()
 		case t.Kind == lex.Parameter && t.text == "?": // of JSON: a ? 'b', a ?| b, a ?& b
@@ -223,7 +87,7 @@
 	}
 }
 
-// isInfix says whether an operator stands between two operands and is no comparison.
+// isInfix returns whether an operator may stand between two operands and is no comparison.
 func isInfix(op string) bool {
 	if comparisonOperators[op] != 0 {
 		return false
@@ -235,53 +99,72 @@
 	return true
 }
 
-// parseUnary is an operand with its signs before it and its casts, subscripts and collation behind.
+// isPrefixOperator returns whether the token is an operator that may stand before an operand.
+func (t *token) isPrefixOperator() bool {
+	if t.Kind != lex.Operator {
+		return false
+	}
+	switch t.text {
+	case "+", "-", "~", "@", "|/", "||/", "!!":
+		return true
+	}
+	return false
+}
+
+// parseUnary parses an operand with the signs before it and the casts, subscripts and collations behind it.
 func (p *Parser) parseUnary() operand {
 	signed := false
-	for t := p.current(); t.Kind == lex.Operator && (t.isOperator("+") || t.isOperator("-") || t.isOperator("~") || t.isOperator("@") || t.isOperator("|/") ||
-		t.isOperator("||/") || t.isOperator("!!")); t = p.current() {
+	for p.current().isPrefixOperator() {
 		p.position++
 		signed = true
 	}
 	for p.acceptWord("prior", "binary") {
 	}
-	o := p.parsePrimary()
-	if signed && o.column != "" {
-		o = opaqueOperand
+	result := p.parsePrimary()
+	if signed && result.column != "" {
+		result = opaqueOperand
 	}
+	return p.parsePostfix(result)
+}
+
+// parsePostfix parses the casts, subscripts, fields, collations and time zones behind an operand. It returns what is
+// known of the whole.
+func (p *Parser) parsePostfix(result operand) operand {
 	for {
 		switch {
 		case p.acceptOperator("::"):
 			p.parseTypeName()
 		case p.acceptOperator("["):
-			if !p.current().isOperator("]") {
-				if p.acceptOperator(":") {
-					if !p.current().isOperator("]") {
-						p.parseExpr()
-					}
-				} else {
-					p.parseExpr()
-				}
-			}
-			p.expectOperator("]")
-			o = opaqueOperand
+			p.parseSubscript()
+			result = opaqueOperand
 		case p.current().isOperator(".") && (p.peek(1).isName() || p.peek(1).isOperator("*")):
 			p.position += 2
-			o = opaqueOperand
+			result = opaqueOperand
 		case p.acceptWord("collate"):
 			p.parseName("a collation")
 		case p.acceptWords("at", "time", "zone"):
 			p.parseUnary()
-			o = opaqueOperand
+			result = opaqueOperand
 		case p.acceptWords("at", "local"):
-			o = opaqueOperand
+			result = opaqueOperand
 		default:
-			return o
+			return result
 		}
 	}
 }
 
-// parsePrimary is an operand alone.
+// parseSubscript parses a subscript or a slice behind its opening bracket.
+func (p *Parser) parseSubscript() {
+	if !p.current().isOperator("]") {
+		p.acceptOperator(":")
+		if !p.current().isOperator("]") {
+			p.parseExpr()
+		}
+	}
+	p.expectOperator("]")
+}
+
+// parsePrimary parses an operand without operators.
 func (p *Parser) parsePrimary() operand {
 	t := p.current()
 	switch {
@@ -300,9 +183,9 @@
 	case t.isOperator("{"): // {d '2024-01-01'} and {fn f()} of drivers
 		p.position++
 		p.acceptWord("d", "t", "ts", "fn")
-		o := p.parseExpr()
+		result := p.parseExpr()
 		p.expectOperator("}")
-		return o
+		return result
 	case t.Kind == lex.QuotedIdentifier:
 		return p.parseColumnOrCall()
 	case t.Kind == lex.Word:
@@ -312,7 +195,7 @@
 	return opaqueOperand
 }
 
-// parseParenthesized is a subquery, a row or an expression in parentheses.
+// parseParenthesized parses a subquery, a row or an expression in parentheses.
 func (p *Parser) parseParenthesized() operand {
 	if p.atQueryStart() {
 		p.parseParenthesizedList()
@@ -322,43 +205,27 @@
 	if p.acceptOperator(")") {
 		return opaqueOperand
 	}
-	o := p.parseExpr()
-	for p.acceptOperator(",") {
+	result := p.parseExpr()
+	for p.acceptOperator(",") { // a row
 		p.parseExpr()
-		o = opaqueOperand
+		result = opaqueOperand
 	}
 	p.expectOperator(")")
-	return o
+	return result
 }
 
-// parseWordOperand is an operand that begins with a word.
+// parseWordOperand parses an operand that begins with a word.
 func (p *Parser) parseWordOperand(t *token) operand {
 	switch t.text {
 	case "case":
 		p.position++
 		p.parseCase()
 		return opaqueOperand
-	case "exists", "unique":
-		if p.peek(1).isOperator("(") {
-			p.position++
-			p.parseParenthesizedList()
-			return opaqueOperand
-		}
-	case "any", "all", "some":
-		if p.peek(1).isOperator("(") {
-			p.position++
-			p.parseParenthesizedList()
-			return opaqueOperand
-		}
 	case "array":
 		p.position++
-		if p.current().isOperator("(") {
-			p.parseParenthesizedList()
-			return opaqueOperand
-		}
-		p.parseArrayElements()
+		p.parseArray()
 		return opaqueOperand
-	case "row":
+	case "exists", "unique", "any", "all", "some", "row":
 		if p.peek(1).isOperator("(") {
 			p.position++
 			p.parseParenthesizedList()
@@ -374,9 +241,7 @@
 	case "current_date", "current_time", "current_timestamp", "localtime", "localtimestamp", "current_user",
 		"session_user", "current_role", "user", "current_catalog", "current_schema", "sysdate":
 		p.position++
-		if p.current().isOperator("(") {
-			p.skipParentheses()
-		}
+		p.skipOptionalParentheses() // a precision
 		return opaqueOperand
 	case "interval":
 		if p.peek(1).isValue() {
@@ -392,11 +257,8 @@
 		}
 	}
 	if literalTypes[t.text] {
-		if n := p.literalTypeLength(); n > 0 {
-			p.position += n
-			value := p.valueCount
-			p.next()
-			return operand{valueIndex: value}
+		if length := p.literalTypeLength(); length > 0 {
+			return p.parseTypedLiteral(length)
 		}
 	}
 	if reservedWords[t.text] {
@@ -405,68 +267,7 @@
 	return p.parseColumnOrCall()
 }
 
-// literalTypes are the types that may stand before a literal.
-var literalTypes = wordSet("date time timestamp timestamptz timetz json jsonb uuid numeric decimal text varchar char bytea xml double bit")
-
-// literalTypeLength is the number of tokens of a type's name that a literal follows; 0 where none does.
-func (p *Parser) literalTypeLength() int {
-	n := 1
-	if p.peek(1).isWord("precision") {
-		n = 2
-	}
-	if p.peek(n).isWord("with", "without") && p.peek(n+1).isWord("time") && p.peek(n+2).isWord("zone") {
-		n += 3
-	}
-	if t := p.peek(n); t.Kind == lex.String || t.Kind == lex.Parameter {
-		return n
-	}
-	return 0
-}
-
-// parseInterval is a literal of a length of time, which tells of a condition's width wherever it stands.
-func (p *Parser) parseInterval() operand {
-	p.position++
-	value := p.valueCount
-	p.next()
-	p.addPredicate(Predicate{"", Interval, value, -1})
-	if p.acceptWord(intervalUnits...) {
-		if p.current().isOperator("(") {
-			p.skipParentheses()
-		}
-		if p.acceptWord("to") {
-			p.expectWord(intervalUnits...)
-			if p.current().isOperator("(") {
-				p.skipParentheses()
-			}
-		}
-	}
-	return opaqueOperand
-}
-
-var intervalUnits = []string{"year", "month", "day", "hour", "minute", "second", "week", "years", "months", "days", "hours",
-	"minutes", "seconds", "weeks"}
-
-// parseCast is CAST(x AS type) and its like.
-func (p *Parser) parseCast() operand {
-	p.position++
-	p.expectOperator("(")
-	o := p.parseExpr()
-	switch {
-	case p.acceptWord("as"):
-		p.parseTypeName()
-		if p.acceptWord("format") {
-			p.parseArithmetic()
-		}
-	case p.acceptWord("using"):
-		p.parseName("a character set")
-	case p.acceptOperator(","):
-		p.parseExprList()
-	}
-	p.expectOperator(")")
-	return o
-}
-
-// parseCase is CASE behind its first word.
+// parseCase parses CASE behind its first word.
 func (p *Parser) parseCase() {
 	if !p.current().isWord("when") {
 		p.parseExpr()
@@ -485,7 +286,16 @@
 	p.expectWord("end")
 }
 
-// parseArrayElements are those of an ARRAY, in brackets that may nest.
+// parseArray parses what follows ARRAY: a subquery in parentheses or elements in brackets.
+func (p *Parser) parseArray() {
+	if p.current().isOperator("(") {
+		p.parseParenthesizedList()
+		return
+	}
+	p.parseArrayElements()
+}
+
+// parseArrayElements parses the elements of an ARRAY, in brackets that may nest.
 func (p *Parser) parseArrayElements() {
 	p.enterLevel()
 	defer p.leaveLevel()
@@ -503,38 +313,7 @@
 	p.expectOperator("]")
 }
 
-// parseTypeName is the name of a type with its modifiers.
-func (p *Parser) parseTypeName() {
-	p.acceptWord("setof")
-	if p.current().isWord("interval") {
-		p.position++
-		if p.acceptWord(intervalUnits...) && p.acceptWord("to") {
-			p.expectWord(intervalUnits...)
-		}
-	} else {
-		p.parseName("a type")
-	}
-	p.acceptWord("precision", "varying")
-	if p.current().isOperator("(") {
-		p.skipParentheses()
-	}
-	if p.current().isWord("with", "without") && p.peek(1).isWord("time") {
-		p.position += 2
-		p.expectWord("zone")
-	}
-	if p.current().isWord("array") && !p.peek(1).isOperator("[") {
-		p.position++
-	}
-	for p.current().isOperator("[") {
-		p.position++
-		if p.current().isValue() {
-			p.next()
-		}
-		p.expectOperator("]")
-	}
-}
-
-// parseColumnOrCall is a column's name, qualified or not, or a call.
+// parseColumnOrCall parses a column's name, qualified or not, a call or a named argument.
 func (p *Parser) parseColumnOrCall() operand {
 	name := p.parseQualifiedName()
 	if p.current().isOperator("(") {
@@ -549,5 +328,5 @@
 		p.parseExpr()
 		return opaqueOperand
 	}
-	return operand{column: name, valueIndex: -1}
+	return operand{column: name, valueIndex: noValue}
 }
--- a/statement/syntax/facts.go
+++ b/statement/syntax/facts.go
@@ -1,23 +1,9 @@
-// Package syntax parses SQL statements far enough to know what they do: the verb, whether they read or write,
-// every table in its role, and the predicates whose values tell of a statement's cost. It is a
-// recursive-descent parser of PostgreSQL's grammar, wide enough for its neighbours; it checks neither types
-// nor names, and what it accepts an engine may still refuse.
-//
-// Depth, length and time are bounded: the time is linear in the text.
 package syntax
 
-import (
-	"fmt"
-	"strconv"
-	"strings"
-
-	"chutechute/statement/lex"
-)
-
 // Role is how a statement uses a table that it names.
 type Role string
 
-// The roles.
+// The roles of tables.
 const (
 	Read     Role = "read"
 	Written  Role = "written"
@@ -32,7 +18,7 @@
 	Role Role
 }
 
-// Operator is what a predicate asks of its column.
+// Operator is how a predicate compares its column with values.
 type Operator uint8
 
 // The operators of predicates.
@@ -50,94 +36,44 @@
 type Predicate struct {
 	Column string
 	Op     Operator
-	// Value and Upper are the places, among the statement's literals and parameters, of what the column is
-	// compared with; Upper is that of the upper bound of Between and -1 otherwise.
+	// Value and Upper are indexes, among the statement's literals and parameters, of what the column is compared
+	// with. Upper is that of the upper bound of Between, and -1 otherwise.
 	Value, Upper int
 }
 
-// Facts are what is known of a text, which may hold several statements.
+// Facts is what is known of a text, which may hold several statements.
 type Facts struct {
-	// Verb is the first word of the statement that counts: of several the first that writes, or else the
-	// first that is no transaction control. WITH gives that of its main statement.
+	// Verb is the first word of the statement that decides: of several the first that writes, or else the first
+	// that is no transaction control. Of a WITH it is that of the main statement.
 	Verb   string
 	Reads  bool
-	Writes bool // what PostgreSQL refuses in a read-only transaction, row locks included
-	// ChangesSession says that the text changes the state of a session or a transaction, or runs what can't be seen
-	// here, so that a second run is not the same as one.
+	Writes bool // whether PostgreSQL refuses the text in a read-only transaction; row locks count too
+	// ChangesSession says that the text changes the state of a session or a transaction, or runs code that can't be
+	// seen here, so that two runs differ from one.
 	ChangesSession bool
-	Statements     int
-	Tables         []Table // in the order of the text, each with its roles once
+	Statements     int     // the number of statements
+	Tables         []Table // in the order of the text, each once in each of its roles
 	Functions      []string
 	Predicates     []Predicate
-	LimitValue     int // place of LIMIT's or FETCH's literal; -1 without one
-	OffsetValue    int
+	LimitValue     int // index of the value of LIMIT or FETCH; -1 without one
+	OffsetValue    int // index of the value of OFFSET; -1 without one
 	Joins          int
 	Subqueries     int
 	Aggregates     int // GROUP BY, DISTINCT, window clauses and aggregate functions
 	Sorts          int
-	TableGroup     int // of tables, see GroupOf; 0 without one
+	TableGroup     int // see the function TableGroup; 0 without one
 
 	fallbackGroup int // group of the first qualified name that is no table
 }
 
-// Repeatable says whether a second run of the text, as far as it can be seen here, changes nothing.
+// Repeatable returns whether a second run of the text, as far as it can be seen here, changes nothing.
 func (f *Facts) Repeatable() bool { return !f.Writes && !f.ChangesSession }
 
-// Error says where a text could not be read.
-type Error struct {
-	Line, Column int // from 1; the column in bytes
-	Message      string
-}
-
-func (e *Error) Error() string {
-	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Message)
-}
-
-// NewError places a message at a byte of a text.
-func NewError(text string, at int, message string) *Error {
-	line, column := lex.Position(text, at)
-	return &Error{line, column, message}
-}
-
-// TableGroup is the group of tables that a schema name gives: the number behind its last underscore, as 17 in
-// sales_17. The schema staging, and one without a number, gives none.
-func TableGroup(schema string) (group int, ok bool) {
-	if len(schema) > 1 && (schema[0] == '"' || schema[0] == '`') {
-		schema = schema[1 : len(schema)-1]
-	}
-	i := strings.LastIndexByte(schema, '_')
-	if i < 0 {
-		return 0, false
-	}
-	n, err := strconv.ParseUint(schema[i+1:], 10, 31)
-	return int(n), err == nil
-}
-
-// tableGroupOfName is the group that a qualified name gives by the part before its last.
-func tableGroupOfName(name string) (int, bool) {
-	last, quote := -1, byte(0)
-	before := -1
-	for i := range len(name) {
-		switch c := name[i]; {
-		case quote != 0:
-			if c == quote {
-				quote = 0
-			}
-		case c == '"' || c == '`':
-			quote = c
-		case c == '.':
-			before, last = last, i
-		}
-	}
-	if last < 0 {
-		return 0, false
-	}
-	return TableGroup(name[before+1 : last])
-}
-
+// addTable records a table in a role. The first one with a group, unless it is a CTE or a subquery, gives the group of
+// the text.
 func (f *Facts) addTable(name string, role Role) {
-	if g, ok := tableGroupOfName(name); ok && f.TableGroup == 0 && role != CTE && role != Derived {
-		f.TableGroup = g
+	if group, ok := tableGroupOfName(name); ok && f.TableGroup == 0 && role != CTE && role != Derived {
+		f.TableGroup = group
 	}
 	for _, t := range f.Tables {
 		if t.Role == role && t.Name == name {
@@ -155,13 +91,25 @@
 	}
 }
 
-// noteQualifiedName notes a qualified name that is no table: it gives the group of a text that names none.
+// discardWrites makes the facts those of a statement that is planned but not run: it only reads.
+func (f *Facts) discardWrites() {
+	f.Writes, f.ChangesSession = false, false
+	for i, t := range f.Tables {
+		if t.Role == Written {
+			f.Tables[i].Role, f.Reads = Read, true
+		}
+	}
+}
+
+// noteQualifiedName records the group of a qualified name that is no table. It is the group of a text whose tables
+// have none.
 func (f *Facts) noteQualifiedName(name string) {
 	if f.fallbackGroup == 0 {
 		f.fallbackGroup, _ = tableGroupOfName(name)
 	}
 }
 
+// addFunction records the name of a function that is called.
 func (f *Facts) addFunction(name string) {
 	f.noteQualifiedName(name)
 	for _, known := range f.Functions {
@@ -174,7 +122,7 @@
 	}
 }
 
-// resolveTableGroup gives the group by another name where no table has one.
+// resolveTableGroup takes the group from another qualified name where the text names no table.
 func (f *Facts) resolveTableGroup() {
 	if f.TableGroup != 0 {
 		return
--- /dev/null
+++ b/statement/syntax/predicates.go
@@ -0,0 +1,171 @@
+package syntax
+
+import "chutechute/statement/lex"
+
+// operand is what predicates need to know of an operand.
+type operand struct {
+	column     string // its name, where it is a column alone
+	valueIndex int    // index of the literal or parameter that it is alone; noValue otherwise
+}
+
+// opaqueOperand is an operand that is neither a column alone nor a value alone.
+var opaqueOperand = operand{valueIndex: noValue}
+
+// noValue is the index of a value where there is none.
+const noValue = -1
+
+// parseComparison parses an operand and the comparisons that follow it.
+func (p *Parser) parseComparison() operand {
+	not := false
+	for p.acceptWord("not") {
+		not = true
+	}
+	left := p.parseArithmetic()
+	for {
+		t := p.current()
+		switch {
+		case t.Kind == lex.Operator && comparisonOperators[t.text] != 0:
+			p.position++
+			if p.atQuantifier() {
+				p.position++
+				p.parseParenthesizedList()
+			} else if right := p.parseArithmetic(); !not {
+				p.addComparison(left, comparisonOperators[t.text], right)
+			}
+		case t.isWord("is"):
+			p.position++
+			p.parseIs()
+		case t.isWord("isnull", "notnull"):
+			p.position++
+		case t.isWord("not") && p.peek(1).isWord(rangeListOrPatternWords...):
+			p.position++
+			p.parseRangeListOrPattern(opaqueOperand)
+		case t.isWord(rangeListOrPatternWords...):
+			p.parseRangeListOrPattern(left)
+		case t.isWord("overlaps"):
+			p.position++
+			p.parseArithmetic()
+		default:
+			if not {
+				return opaqueOperand
+			}
+			return left
+		}
+		left = opaqueOperand
+	}
+}
+
+// rangeListOrPatternWords begin the predicates that parseRangeListOrPattern parses.
+var rangeListOrPatternWords = []string{"between", "in", "like", "ilike", "similar", "regexp", "rlike", "glob"}
+
+// atQuantifier returns whether ANY, ALL or SOME with a list or a subquery in parentheses begins here.
+func (p *Parser) atQuantifier() bool {
+	return p.current().isWord("any", "all", "some") && p.peek(1).isOperator("(")
+}
+
+// comparisonOperators gives the operator of the predicate that a comparison makes.
+var comparisonOperators = map[string]Operator{
+	"=":   Equal,
+	"==":  Equal,
+	"<=>": Equal,
+	"<":   Less,
+	"<=":  Less,
+	">":   Greater,
+	">=":  Greater,
+	"<>":  notEqual,
+	"!=":  notEqual,
+	"^=":  notEqual,
+}
+
+// notEqual is the operator of comparisons that make no predicate: that values differ tells nothing of the cost.
+const notEqual Operator = 255
+
+// addComparison records the predicate of a comparison of a column with a value, on whichever side the column is.
+func (p *Parser) addComparison(left operand, op Operator, right operand) {
+	if op == notEqual {
+		return
+	}
+	if left.column == "" && right.column != "" && left.valueIndex >= 0 { // 5 < a
+		left, right = right, left
+		switch op {
+		case Greater:
+			op = Less
+		case Less:
+			op = Greater
+		}
+	}
+	if left.column != "" && right.valueIndex >= 0 {
+		p.addPredicate(Predicate{left.column, op, right.valueIndex, noValue})
+	}
+}
+
+// addPredicate records a predicate, up to maxPredicates.
+func (p *Parser) addPredicate(predicate Predicate) {
+	if len(p.facts.Predicates) < maxPredicates {
+		p.facts.Predicates = append(p.facts.Predicates, predicate)
+	}
+}
+
+// parseIs parses what follows IS: NULL, a truth value, DISTINCT FROM, a form of JSON or DOCUMENT.
+func (p *Parser) parseIs() {
+	p.acceptWord("not")
+	switch {
+	case p.acceptWord("null", "true", "false", "unknown", "normalized", "document"):
+	case p.acceptWords("distinct", "from"):
+		p.parseArithmetic()
+	case p.acceptWord("json"):
+		p.acceptWord("value", "array", "object", "scalar")
+		if p.acceptWord("with", "without") {
+			p.expectWord("unique")
+			p.acceptWord("keys")
+		}
+	case p.acceptWord("of"):
+		p.skipParentheses()
+	case p.current().isWord("nfc", "nfd", "nfkc", "nfkd"):
+		p.position++
+		p.expectWord("normalized")
+	default:
+		p.failExpected("NULL, TRUE, FALSE, UNKNOWN or DISTINCT FROM")
+	}
+}
+
+// parseRangeListOrPattern parses BETWEEN, IN, LIKE and their like behind their left operand.
+func (p *Parser) parseRangeListOrPattern(left operand) {
+	switch word := p.next().text; word {
+	case "between":
+		p.acceptWord("symmetric", "asymmetric")
+		low := p.parseArithmetic()
+		p.expectWord("and")
+		high := p.parseArithmetic()
+		if left.column != "" && low.valueIndex >= 0 && high.valueIndex >= 0 {
+			p.addPredicate(Predicate{left.column, Between, low.valueIndex, high.valueIndex})
+		}
+	case "in":
+		if !p.current().isOperator("(") { // IN array or parameter
+			p.parseArithmetic()
+			return
+		}
+		firstValue := p.valueCount
+		beginsWithValue := p.peek(1).isValue()
+		p.parseParenthesizedList()
+		if left.column != "" && beginsWithValue {
+			p.addPredicate(Predicate{left.column, In, firstValue, noValue})
+		}
+	default:
+		if word == "similar" {
+			p.expectWord("to")
+		}
+		if p.atQuantifier() {
+			p.position++
+			p.parseParenthesizedList()
+			return
+		}
+		right := p.parseArithmetic()
+		if left.column != "" && right.valueIndex >= 0 && (word == "like" || word == "ilike") {
+			p.addPredicate(Predicate{left.column, Like, right.valueIndex, noValue})
+		}
+		if p.acceptWord("escape") {
+			p.parseArithmetic()
+		}
+	}
+}
--- a/statement/syntax/script.go
+++ b/statement/syntax/script.go
@@ -2,26 +2,26 @@
 
 import "chutechute/statement/lex"
 
-// parseScript is the whole text: statements with semicolons between them.
+// parseScript parses the whole text: statements with semicolons between them.
 func (p *Parser) parseScript() {
 	f := p.facts
-	writing, plain := false, false // whether the verb is of one that writes; of one that counts at all
+	verbWrites, verbDecides := false, false // whether f.Verb is of a statement that writes; of no transaction control
 	for {
 		for p.acceptOperator(";") {
 		}
 		if p.current().Kind == lex.EOF {
 			break
 		}
-		before, session := f.Writes, f.ChangesSession
+		writes, changesSession := f.Writes, f.ChangesSession // of the statements before
 		f.Writes, f.ChangesSession = false, false
 		verb := p.parseStatement()
 		f.Statements++
-		counts := !controlVerbs[verb]
-		if f.Statements == 1 || counts && !plain || f.Writes && !writing {
+		decides := !controlVerbs[verb]
+		if f.Statements == 1 || decides && !verbDecides || f.Writes && !verbWrites {
 			f.Verb = verb
 		}
-		writing, plain = writing || f.Writes, plain || counts
-		f.Writes, f.ChangesSession = f.Writes || before, f.ChangesSession || session
+		verbWrites, verbDecides = verbWrites || f.Writes, verbDecides || decides
+		f.Writes, f.ChangesSession = f.Writes || writes, f.ChangesSession || changesSession
 		if !p.current().isOperator(";") && p.current().Kind != lex.EOF {
 			p.failExpected("the end of the statement")
 		}
@@ -32,10 +32,10 @@
 	}
 }
 
-// controlVerbs are the verbs that say nothing of what a text is for.
+// controlVerbs are verbs of sessions and transactions, which do not decide the verb of a text.
 var controlVerbs = wordSet("begin start commit end rollback abort savepoint release set reset discard")
 
-// parseStatement is one statement; it gives its verb.
+// parseStatement parses one statement and returns its verb.
 func (p *Parser) parseStatement() string {
 	t := p.current()
 	if t.isOperator("(") || t.isWord("select", "with", "values", "table") {
@@ -66,22 +66,9 @@
 		p.parseInvocation(verb)
 	case "begin", "start", "commit", "end", "rollback", "abort", "savepoint", "release", "set", "reset", "discard",
 		"listen", "unlisten", "notify", "deallocate", "declare", "fetch", "move", "close", "use":
-		p.facts.ChangesSession = true
-		if verb == "declare" {
-			p.skipUntil("select", "with", "values")
-			if !p.atQueryEnd() {
-				p.parseQuery(true)
-			}
-		}
-		p.skipUntil()
+		p.parseSessionStatement(verb)
 	case "prepare":
-		p.facts.ChangesSession = true
-		p.parseName("a name")
-		if p.current().isOperator("(") {
-			p.skipParentheses()
-		}
-		p.expectWord("as")
-		p.parseStatement()
+		p.parsePrepare()
 	case "show", "describe", "desc":
 		p.skipUntil()
 	case "vacuum", "analyze", "analyse", "reindex", "cluster", "refresh", "lock", "optimize":
@@ -96,26 +83,32 @@
 	return verb
 }
 
-// parseExplain only plans its statement, unless it is to ANALYZE it.
+// parseSessionStatement parses a statement about the session, a transaction or a cursor behind its verb.
+func (p *Parser) parseSessionStatement(verb string) {
+	p.facts.ChangesSession = true
+	if verb == "declare" {
+		p.skipUntil("select", "with", "values")
+		if !p.atQueryEnd() {
+			p.parseQuery(true)
+		}
+	}
+	p.skipUntil()
+}
+
+// parsePrepare parses PREPARE behind its first word.
+func (p *Parser) parsePrepare() {
+	p.facts.ChangesSession = true
+	p.parseName("a name")
+	p.skipOptionalParentheses()
+	p.expectWord("as")
+	p.parseStatement()
+}
+
+// parseExplain parses EXPLAIN behind its first word. The statement is only planned unless it is to ANALYZE it.
 func (p *Parser) parseExplain() {
 	runs := false
 	if p.current().isOperator("(") && !p.atQueryStart() {
-		p.position++
-		for {
-			option := p.next()
-			on := true
-			if !p.current().isOperator(",") && !p.current().isOperator(")") {
-				value := p.next()
-				on = !value.isWord("false", "off") && value.text != "0"
-			}
-			if option.isWord("analyze", "analyse") {
-				runs = on
-			}
-			if !p.acceptOperator(",") {
-				break
-			}
-		}
-		p.expectOperator(")")
+		runs = p.parseExplainOptions()
 	} else {
 		for p.current().isWord("analyze", "analyse", "verbose", "extended", "plan") {
 			runs = runs || p.current().isWord("analyze", "analyse")
@@ -125,44 +118,32 @@
 	}
 	p.parseStatement()
 	if !runs {
-		p.facts.Writes, p.facts.ChangesSession = false, false
-		for i, t := range p.facts.Tables {
-			if t.Role == Written {
-				p.facts.Tables[i].Role, p.facts.Reads = Read, true
-			}
-		}
+		p.facts.discardWrites()
 	}
 }
 
-// parseCopy is COPY behind its first word: FROM writes the table, TO reads it or a query.
-func (p *Parser) parseCopy() {
-	p.acceptWord("binary")
-	if p.acceptOperator("(") {
-		if _, ok := p.parseDML(); !ok {
-			p.parseQuery(true)
+// parseExplainOptions parses the options of EXPLAIN in parentheses and returns whether ANALYZE is on.
+func (p *Parser) parseExplainOptions() (analyze bool) {
+	p.expectOperator("(")
+	for {
+		option := p.next()
+		on := true
+		if !p.current().isOperator(",") && !p.current().isOperator(")") {
+			value := p.next()
+			on = !value.isWord("false", "off") && value.text != "0"
+		}
+		if option.isWord("analyze", "analyse") {
+			analyze = on
+		}
+		if !p.acceptOperator(",") {
+			break
 		}
-		p.expectOperator(")")
-		p.expectWord("to")
-		p.skipUntil()
-		return
-	}
-	name := p.parseName("a table or a query")
-	if p.current().isOperator("(") {
-		p.skipParentheses()
-	}
-	if p.acceptWord("from") {
-		p.facts.addTable(name, Written)
-	} else {
-		p.expectWord("to")
-		p.facts.addTable(name, Read)
-	}
-	if t := p.current(); !t.isValue() && !t.isName() {
-		p.failExpected("a file, a program or a stream")
 	}
-	p.skipUntil()
+	p.expectOperator(")")
+	return analyze
 }
 
-// parseInvocation is a call of something whose effects are not seen here.
+// parseInvocation parses a call of a procedure or a block of code, whose effects are not known.
 func (p *Parser) parseInvocation(verb string) {
 	p.facts.Writes, p.facts.ChangesSession = true, true
 	if verb != "do" {
@@ -175,93 +156,3 @@
 	}
 	p.skipUntil()
 }
-
-// parseWrittenTables are tables that are written, with commas between them.
-func (p *Parser) parseWrittenTables() {
-	for {
-		p.acceptWords("if", "exists")
-		p.acceptWord("only")
-		p.facts.addTable(p.parseName("a table"), Written)
-		p.acceptOperator("*")
-		if !p.acceptOperator(",") {
-			return
-		}
-	}
-}
-
-// parseCreate is CREATE behind its first word.
-func (p *Parser) parseCreate() {
-	p.facts.Writes = true
-	if p.acceptWords("or", "replace") {
-		p.acceptWord("alter")
-	}
-	for p.acceptWord("global", "local", "temporary", "temp", "unlogged", "materialized", "recursive", "unique", "foreign",
-		"external", "transient", "constraint") {
-	}
-	switch {
-	case p.acceptWord("table", "view"):
-		p.acceptWords("if", "not", "exists")
-		p.facts.addTable(p.parseName("a table"), Written)
-		p.skipUntil("as", "like")
-		if p.acceptWord("like") {
-			p.facts.addTable(p.parseName("a table"), Read)
-		} else if p.acceptWord("as") && !p.current().isWord("execute") {
-			p.parseQuery(true)
-		}
-	case p.acceptWord("index"):
-		p.acceptWord("concurrently")
-		p.acceptWords("if", "not", "exists")
-		if !p.current().isWord("on") {
-			p.parseName("an index")
-		}
-		p.expectWord("on")
-		p.acceptWord("only")
-		p.facts.addTable(p.parseName("a table"), Written)
-	case p.current().Kind == lex.Word:
-		p.position++
-		p.acceptWords("if", "not", "exists")
-		if p.current().isName() {
-			p.facts.noteQualifiedName(p.next().text)
-		}
-	default:
-		p.failExpected("what is to be created")
-	}
-	p.skipUntil()
-}
-
-// parseAlterOrDrop is ALTER or DROP behind its first word.
-func (p *Parser) parseAlterOrDrop() {
-	p.facts.Writes = true
-	p.acceptWord("foreign", "materialized", "temporary", "external")
-	switch {
-	case p.acceptWord("table", "view"):
-		p.parseWrittenTables()
-	case p.current().Kind == lex.Word:
-		p.position++
-		p.acceptWord("concurrently")
-		p.acceptWords("if", "exists")
-		if p.current().isName() && !reservedWords[p.current().text] {
-			p.facts.noteQualifiedName(p.parseName("a name"))
-		}
-	default:
-		p.failExpected("what is to be changed")
-	}
-	p.skipUntil()
-}
-
-// parseMaintenance is work on tables that changes no row.
-func (p *Parser) parseMaintenance() {
-	p.facts.Writes = true
-	p.acceptWord("materialized")
-	for p.acceptWord("full", "freeze", "verbose", "analyze", "concurrently", "view", "table", "index", "schema", "database",
-		"system") {
-	}
-	if p.current().isOperator("(") {
-		p.skipParentheses()
-	}
-	p.acceptWord("table", "index", "schema")
-	if p.current().isName() && !reservedWords[p.current().text] {
-		p.parseWrittenTables()
-	}
-	p.skipUntil()
-}
