--- a/statement/estimate/mean.go
+++ b/statement/estimate/mean.go
@@ -2,36 +2,42 @@
 
 import "math"
 
-// Mean is the usual figure of a class, for shapes that nothing else is known of. The zero value knows nothing.
+// Mean is the usual cost or memory of a class, with a bound: the estimate for shapes of which nothing else is known.
+// Use NewMean.
 type Mean struct {
-	log, boundWidth float64
-	typicalError    float64
-	measurements    float64
+	log          float64 // of the usual quantity
+	boundWidth   float64 // log of the bound over that
+	typicalError float64 // mean absolute error of the log
+	measurements float64 // the number of measurements so far
 }
 
+// The parameters of means; widths and errors are of logs, as in models.
 const (
-	minMeanRate           = 0.02 // weight of a new measure: about the last 50 count
-	initialMeanBoundWidth = 1.38 // log of the bound over a figure that is only supposed: just under 4 times
+	minMeanRate           = 0.02 // weight of a new measurement, at least: about the last 50 count
+	initialMeanBoundWidth = 1.38 // of an assumed quantity: the bound is just under 4 times as large
+	minMeanBoundWidth     = 0.2
+	meanBoundStep         = 0.5 // typical errors by which a measurement above the bound raises it
+	initialMeanError      = 1.0
 )
 
-// NewMean begins with a figure that is only supposed.
-func NewMean(supposed float64) Mean {
-	return Mean{log: clampedLog(supposed), boundWidth: initialMeanBoundWidth, typicalError: 1}
+// NewMean returns a mean that begins with an assumed quantity.
+func NewMean(assumed float64) Mean {
+	return Mean{log: clampedLog(assumed), boundWidth: initialMeanBoundWidth, typicalError: initialMeanError}
 }
 
-// Learn takes a measure.
+// Learn learns from a measurement.
 func (m *Mean) Learn(value float64) {
 	err := clampedLog(value) - m.log
 	rate := max(minMeanRate, 1/(m.measurements+1))
 	m.log += rate * err
-	m.typicalError += max(minMeanRate, 0.5/(m.measurements+1)) * (math.Abs(err) - m.typicalError)
+	m.typicalError += max(minMeanRate, initialErrorRate/(m.measurements+1)) * (math.Abs(err) - m.typicalError)
 	if err > m.boundWidth {
-		m.boundWidth += 0.5 * m.typicalError
+		m.boundWidth += meanBoundStep * m.typicalError
 	} else {
-		m.boundWidth = max(0.2, m.boundWidth-0.5*m.typicalError*exceedanceRate/(1-exceedanceRate))
+		m.boundWidth = max(minMeanBoundWidth, m.boundWidth-meanBoundStep*m.typicalError*exceedanceRate/(1-exceedanceRate))
 	}
 	m.measurements++
 }
 
-// Estimate is the usual figure and its bound.
+// Estimate returns the usual quantity and its bound.
 func (m *Mean) Estimate() Estimate { return Estimate{math.Exp(m.log), math.Exp(m.log + m.boundWidth)} }
--- /dev/null
+++ b/statement/estimate/values.go
@@ -0,0 +1,134 @@
+package estimate
+
+import (
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"chutechute/statement/lex"
+	"chutechute/statement/shape"
+)
+
+// stringContent returns what stands between the quotes of a string literal, with its escapes, and any other value as
+// it stands.
+func stringContent(text string, v shape.Value) string {
+	s := text[v.Start:v.End]
+	if v.Kind != lex.String {
+		return s
+	}
+	open := strings.IndexByte(s, '\'')
+	if open < 0 || open+1 >= len(s) || s[len(s)-1] != '\'' {
+		return s
+	}
+	return s[open+1 : len(s)-1]
+}
+
+// maxNumberLength is the length, in bytes, of the longest string that is parsed as a number.
+const maxNumberLength = 40
+
+// numericValue returns a value as a number; that of a date is in seconds. It is NaN for anything else.
+func numericValue(text string, v shape.Value) float64 {
+	if v.Kind == lex.Parameter {
+		return math.NaN()
+	}
+	s := stringContent(text, v)
+	if len(s) > maxNumberLength {
+		return math.NaN()
+	}
+	if v.Kind == lex.String {
+		if x, ok := parseDate(s); ok {
+			return x
+		}
+	}
+	x, err := strconv.ParseFloat(s, 64)
+	if err != nil || math.IsInf(x, 0) {
+		return math.NaN()
+	}
+	if v.Negative {
+		x = -x
+	}
+	return x
+}
+
+// parseDate parses YYYY-MM-DD, also with HH:MM or HH:MM:SS behind it, and returns it in seconds of Unix time.
+func parseDate(s string) (float64, bool) {
+	if len(s) < 10 || s[4] != '-' || s[7] != '-' {
+		return 0, false
+	}
+	year, month, day := parseDigits(s[:4]), parseDigits(s[5:7]), parseDigits(s[8:10])
+	if year < 0 || month < 1 || day < 1 || month > 12 || day > 31 {
+		return 0, false
+	}
+	at := float64(time.Date(year, time.Month(month), day, 0, 0, 0, 0, time.UTC).Unix())
+	if len(s) >= 16 && s[13] == ':' {
+		at += float64(max(0, parseDigits(s[11:13]))*3600 + max(0, parseDigits(s[14:16]))*60)
+	}
+	if len(s) >= 19 && s[16] == ':' {
+		at += float64(max(0, parseDigits(s[17:19])))
+	}
+	return at, true
+}
+
+// parseDigits parses a number of digits alone. It returns -1 for anything else.
+func parseDigits(s string) int {
+	n := 0
+	for i := range len(s) {
+		if s[i] < '0' || s[i] > '9' {
+			return -1
+		}
+		n = n*10 + int(s[i]-'0')
+	}
+	return n
+}
+
+// intervalSeconds parses an interval such as '7 days 3 hours' and returns it in seconds, without its sign. It is NaN
+// for anything else.
+func intervalSeconds(s string) float64 {
+	total, number := 0.0, math.NaN() // number is the one that has no unit yet
+	for word := range strings.FieldsSeq(s) {
+		if x, err := strconv.ParseFloat(word, 64); err == nil {
+			number = x
+			continue
+		}
+		unit, ok := unitSeconds(strings.TrimSuffix(word, "s"))
+		if !ok {
+			return math.NaN()
+		}
+		total, number = total+number*unit, 0
+	}
+	if number != 0 { // a number alone, or nothing
+		total += number
+	}
+	return math.Abs(total)
+}
+
+// unitSeconds returns a unit of intervals, in the singular, in seconds. ok is false where it is not known.
+func unitSeconds(unit string) (seconds float64, ok bool) {
+	const day = 24 * 3600
+	switch unit {
+	case "second", "sec":
+		return 1, true
+	case "minute", "min":
+		return 60, true
+	case "hour":
+		return 3600, true
+	case "day":
+		return day, true
+	case "week":
+		return 7 * day, true
+	case "month", "mon":
+		return 30 * day, true
+	case "year":
+		return 365 * day, true
+	}
+	return 0, false
+}
+
+// literalPrefixLength returns how many bytes of a LIKE pattern stand before its first wildcard.
+func literalPrefixLength(s string) int {
+	if i := strings.IndexAny(s, "%_"); i >= 0 {
+		return i
+	}
+	return len(s)
+}
