--- /dev/null
+++ b/statement/estimates.go
@@ -0,0 +1,101 @@
+package statement
+
+import (
+	"chutechute/internal/monotime"
+	"chutechute/statement/estimate"
+)
+
+// Classify returns the index of the class that the rules give a statement, and false where no rule holds.
+func (r *Reader) Classify(reading *Reading) (class int, ok bool) {
+	r.updateMatchingRules(reading.entry)
+	cost := func(class int) estimate.Estimate { return r.Cost(reading, class) }
+	return r.rules.Classify(reading.entry.matchingRules, cost)
+}
+
+// Cost estimates the work of a statement as one of a class, in milliseconds on one core: by what was learned of its
+// shape, or else by the sizes of its tables, or else by the class.
+func (r *Reader) Cost(reading *Reading, class int) estimate.Estimate {
+	if model := reading.entry.cost; model != nil {
+		return model.Predict(&reading.features)
+	}
+	if cost, _, ok := estimate.Prior(reading.entry.facts, r.tableSizes); ok {
+		return cost
+	}
+	return classEstimate(r.costByClass, class)
+}
+
+// Memory estimates the memory that a statement needs, in MB, in the same way.
+func (r *Reader) Memory(reading *Reading, class int) estimate.Estimate {
+	if model := reading.entry.memory; model != nil {
+		return model.Predict(&reading.features)
+	}
+	if _, memory, ok := estimate.Prior(reading.entry.facts, r.tableSizes); ok {
+		return memory
+	}
+	return classEstimate(r.memoryByClass, class)
+}
+
+// classEstimate returns the estimate of a class; it is 0 for an index that is out of range.
+func classEstimate(means []estimate.Mean, class int) estimate.Estimate {
+	if class < 0 || class >= len(means) {
+		return estimate.Estimate{}
+	}
+	return means[class].Estimate()
+}
+
+// tableSizes returns the configured sizes of a table.
+func (r *Reader) tableSizes(name string) (estimate.Sizes, bool) {
+	sizes, ok := r.options.Tables[name]
+	return sizes, ok
+}
+
+// Outcome is what a served query turned out to need; 0 where that is not known.
+type Outcome struct {
+	CostMS   float64 // work on one core, in milliseconds
+	Weight   float64 // of CostMS, above 0 and at most 1
+	MemoryMB float64
+}
+
+// Learn learns from the outcome of a call; now is in microseconds.
+func (r *Reader) Learn(c *Completion, o Outcome, now monotime.Micros) {
+	entry := c.reading.entry
+	if entry == nil || c.Class < 0 || c.Class >= len(r.costByClass) {
+		return
+	}
+	costModelAdded := r.learnCost(c, o, now)
+	memoryModelAdded := r.learnMemory(c, o, now)
+	r.counts.Learned++
+	if costModelAdded || memoryModelAdded {
+		r.cache.updateWeight(c.reading.fingerprint, entry)
+	}
+}
+
+// learnCost learns the cost, if it is known. It returns whether the shape has a new model.
+func (r *Reader) learnCost(c *Completion, o Outcome, now monotime.Micros) (modelAdded bool) {
+	if o.CostMS <= 0 || o.Weight <= 0 {
+		return false
+	}
+	entry := c.reading.entry
+	if entry.cost == nil {
+		entry.cost = estimate.NewModel(&entry.plan, r.Cost(&c.reading, c.Class), now)
+		modelAdded = true
+	}
+	entry.cost.Learn(&c.reading.features, o.CostMS, min(o.Weight, 1), now)
+	r.costByClass[c.Class].Learn(o.CostMS)
+	return modelAdded
+}
+
+// learnMemory learns the memory, if it is known. It returns whether the shape has a new model.
+func (r *Reader) learnMemory(c *Completion, o Outcome, now monotime.Micros) (modelAdded bool) {
+	if o.MemoryMB <= 0 {
+		return false
+	}
+	entry := c.reading.entry
+	if entry.memory == nil {
+		entry.memory = estimate.NewModel(&entry.plan, r.Memory(&c.reading, c.Class), now)
+		modelAdded = true
+	}
+	entry.memory.Learn(&c.reading.features, o.MemoryMB, 1, now)
+	r.memoryByClass[c.Class].Learn(o.MemoryMB)
+	return modelAdded
+}
