--- a/statement/bench_test.go
+++ b/statement/bench_test.go
@@ -11,11 +11,12 @@
 	"chutechute/statement/classify"
 )
 
-// usual is a look-up of about 200 bytes.
-const usual = `SELECT p.seat, p.name, b.tag, f.gate FROM ops_17.passengers p JOIN ops_17.bags b USING (booking)
+// lookupQuery is a look-up of about 190 bytes.
+const lookupQuery = `SELECT p.seat, p.name, b.tag, f.gate FROM ops_17.passengers p JOIN ops_17.bags b USING (booking)
  JOIN ops_17.flights f ON f.id = p.flight WHERE p.booking = 'X7K2QD' AND f.day >= 20261201 LIMIT 20`
 
-func reader(t testing.TB, cacheBytes int) *statement.Reader {
+// newReader returns a reader with three classes and rules for them.
+func newReader(t testing.TB, cacheBytes int) *statement.Reader {
 	r, err := statement.New(statement.Options{CacheBytes: cacheBytes, Classes: []statement.Class{
 		{Class: classify.Class{Name: "lookup", Threads: 1}, UsualMS: 100, UsualMB: 16},
 		{Class: classify.Class{Name: "report", Threads: 3}, UsualMS: 3000, UsualMB: 64},
@@ -30,8 +31,9 @@
 	return r
 }
 
+// BenchmarkHit reads a statement whose shape is cached.
 func BenchmarkHit(b *testing.B) {
-	r, text := reader(b, 0), []byte(usual)
+	r, text := newReader(b, 0), []byte(lookupQuery)
 	_, err := r.Read(text)
 	require.NoError(b, err)
 	for b.Loop() {
@@ -41,8 +43,9 @@
 	}
 }
 
-func BenchmarkComplete(b *testing.B) { // a hit with its class, cost and memory
-	r, call := reader(b, 0), statement.Call{Text: []byte(usual), Class: -1}
+// BenchmarkComplete finds the class, cost and memory of a statement whose shape is cached.
+func BenchmarkComplete(b *testing.B) {
+	r, call := newReader(b, 0), statement.Call{Text: []byte(lookupQuery), Class: -1}
 	for b.Loop() {
 		if _, err := r.Complete(call); err != nil {
 			b.Fatal(err)
@@ -50,13 +53,14 @@
 	}
 }
 
+// BenchmarkMiss reads statements of ever new shapes.
 func BenchmarkMiss(b *testing.B) {
-	r, n := reader(b, 0), 0
-	text := []byte(usual + " -- the last name differs each time\n OFFSET x0000000")
-	digits := text[len(text)-7:]
+	r, count := newReader(b, 0), 0
+	text := []byte(lookupQuery + " -- the last name differs each time\n OFFSET x0000000")
+	digits := text[len(text)-len("0000000"):]
 	for b.Loop() {
-		n++
-		for i, at := n, 6; at >= 0; i, at = i/10, at-1 {
+		count++
+		for i, at := count, len(digits)-1; at >= 0; i, at = i/10, at-1 {
 			digits[at] = byte('0' + i%10)
 		}
 		if _, err := r.Read(text); err != nil {
@@ -65,8 +69,9 @@
 	}
 }
 
+// BenchmarkFailure reads a statement that can't be parsed.
 func BenchmarkFailure(b *testing.B) {
-	r, text := reader(b, 0), []byte(usual+" LIMIT LIMIT")
+	r, text := newReader(b, 0), []byte(lookupQuery+" LIMIT LIMIT")
 	for b.Loop() {
 		if _, err := r.Read(text); err == nil {
 			b.Fatal("no error")
@@ -74,41 +79,42 @@
 	}
 }
 
-// A known shape is read without allocation, with its class and figures.
+// A statement of a cached shape is completed without allocation.
 func TestHitAllocatesNothing(t *testing.T) {
-	r, call := reader(t, 0), statement.Call{Text: []byte(usual), Class: -1}
+	r, call := newReader(t, 0), statement.Call{Text: []byte(lookupQuery), Class: -1}
 	_, err := r.Complete(call)
 	require.NoError(t, err)
 	require.Zero(t, testing.AllocsPerRun(100, func() { _, _ = r.Complete(call) }))
 }
 
-// BenchmarkScan is what was there before: a scan for the group alone.
+// BenchmarkScan is the baseline: a scan of the text for the group of tables alone.
 func BenchmarkScan(b *testing.B) {
 	for b.Loop() {
-		if sqltext.Group(usual) != 17 {
+		if sqltext.Group(lookupQuery) != 17 {
 			b.Fatal("no group")
 		}
 	}
 }
 
-// The aims of the cost of a reading, as ratios within one run: a hit is at most three times the scan that was
-// there before and allocates nothing, a miss at most twenty times. It measures, so it is no part of CI.
+// The limits of the cost of a reading, as ratios within one run: a hit takes at most three times as long as the
+// scan for the group and allocates nothing, a miss takes at most twenty times as long. It measures, so it is no
+// part of CI.
 func TestCostBesideTheScan(t *testing.T) {
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("measures: make measure")
 	}
-	best := func(f func(*testing.B)) (ns float64, allocs int64) {
-		for i := range 5 { // the least of several, as another program may have the core
+	fastest := func(f func(*testing.B)) (ns float64, allocs int64) {
+		for i := range 5 { // the fastest of several, since another program may have the core
 			r := testing.Benchmark(f)
-			if at := float64(r.NsPerOp()); i == 0 || at < ns {
-				ns, allocs = at, r.AllocsPerOp()
+			if duration := float64(r.NsPerOp()); i == 0 || duration < ns {
+				ns, allocs = duration, r.AllocsPerOp()
 			}
 		}
 		return ns, allocs
 	}
-	scan, _ := best(BenchmarkScan)
-	hit, allocs := best(BenchmarkHit)
-	miss, _ := best(BenchmarkMiss)
+	scan, _ := fastest(BenchmarkScan)
+	hit, allocs := fastest(BenchmarkHit)
+	miss, _ := fastest(BenchmarkMiss)
 	t.Logf("scan %.0f ns, hit %.2f times that, miss %.2f times", scan, hit/scan, miss/scan)
 	require.Zero(t, allocs)
 	require.Less(t, hit/scan, 3.0)
--- a/statement/corpus_test.go
+++ b/statement/corpus_test.go
@@ -11,10 +11,11 @@
 
 	"chutechute/internal/sqltext"
 	"chutechute/statement"
+	"chutechute/statement/syntax"
 )
 
-// block is the statements of one shape and what is expected of them.
-type block struct {
+// corpusBlock is the statements of one shape and what is expected of them.
+type corpusBlock struct {
 	line                int
 	class, verb, effect string
 	group               int
@@ -22,7 +23,8 @@
 	statements          []string
 }
 
-func corpus(t testing.TB) (blocks []block) {
+// readCorpus reads the blocks of the corpus.
+func readCorpus(t testing.TB) (blocks []corpusBlock) {
 	text, err := os.ReadFile("testdata/corpus.txt")
 	require.NoError(t, err)
 	for n, line := range strings.Split(string(text), "\n") {
@@ -32,7 +34,7 @@
 			f := strings.Fields(line)
 			group, err := strconv.Atoi(f[4])
 			require.NoError(t, err, "line %d", n+1)
-			blocks = append(blocks, block{line: n + 1, class: f[1], verb: f[2], effect: f[3], group: group, tables: f[5:]})
+			blocks = append(blocks, corpusBlock{line: n + 1, class: f[1], verb: f[2], effect: f[3], group: group, tables: f[5:]})
 		default:
 			b := &blocks[len(blocks)-1]
 			b.statements = append(b.statements, strings.ReplaceAll(line, `\n`, "\n"))
@@ -41,13 +43,39 @@
 	return blocks
 }
 
+// classNames are the names of the classes of newReader.
 var classNames = []string{"lookup", "report", "load"}
 
+// tableRoles returns the tables of a statement in their roles, as in the corpus.
+func tableRoles(facts *syntax.Facts) string {
+	var tables []string
+	for _, table := range facts.Tables {
+		tables = append(tables, table.Name+":"+string(table.Role))
+	}
+	return strings.Join(tables, " ")
+}
+
+// effect returns whether a statement reads or writes, as in the corpus.
+func effect(facts *syntax.Facts) string {
+	effect := ""
+	if facts.Reads {
+		effect = "r"
+	}
+	if facts.Writes {
+		effect += "w"
+	}
+	if effect == "" {
+		effect = "-"
+	}
+	return effect
+}
+
+// Each statement of the corpus has the shape, class, verb, effect, group and tables of its block.
 func TestCorpus(t *testing.T) {
-	r := reader(t, 0)
+	r := newReader(t, 0)
 	shapes := map[string]int{}
-	statements, oldRight := 0, 0
-	for _, b := range corpus(t) {
+	statements, scannedRight := 0, 0
+	for _, b := range readCorpus(t) {
 		shape := ""
 		for _, s := range b.statements {
 			statements++
@@ -62,25 +90,11 @@
 				shapes[shape] = b.line
 			}
 			assert.Equal(t, shape, reading.Shape(), "line %d: %s", b.line, s)
-			var tables []string
-			for _, table := range f.Tables {
-				tables = append(tables, table.Name+":"+string(table.Role))
-			}
-			assert.Equal(t, strings.Join(b.tables, " "), strings.Join(tables, " "), s)
-			effect := ""
-			if f.Reads {
-				effect = "r"
-			}
-			if f.Writes {
-				effect += "w"
-			}
-			if effect == "" {
-				effect = "-"
-			}
-			assert.Equal(t, []string{b.verb, b.effect}, []string{f.Verb, effect}, s)
+			assert.Equal(t, strings.Join(b.tables, " "), tableRoles(f), s)
+			assert.Equal(t, []string{b.verb, b.effect}, []string{f.Verb, effect(f)}, s)
 			assert.Equal(t, b.group, f.TableGroup, s)
 			if sqltext.Group(s) == b.group {
-				oldRight++
+				scannedRight++
 			}
 			class, ok := r.Classify(&reading)
 			if assert.True(t, ok, s) {
@@ -90,12 +104,12 @@
 	}
 	assert.GreaterOrEqual(t, statements, 300)
 	assert.GreaterOrEqual(t, len(shapes), 60)
-	t.Logf("%d statements of %d shapes; the scan that was there before has the group of %d", statements, len(shapes), oldRight)
+	t.Logf("%d statements of %d shapes; a scan of the text finds the group of %d", statements, len(shapes), scannedRight)
 }
 
-// A statement that can't be read is told of where it goes wrong.
-func TestFaults(t *testing.T) {
-	r := reader(t, 0)
+// The error of a statement that can't be parsed names the place, what was expected and what was found.
+func TestErrorsNamePlaceAndExpectation(t *testing.T) {
+	r := newReader(t, 0)
 	for text, want := range map[string]string{
 		"":                                   "line 1, column 1: expected a statement, found the end",
 		"select 1 from":                      "line 1, column 14: expected a table, found the end",
@@ -124,10 +138,9 @@
 	}
 }
 
-// What is read decides what may run twice: a statement that changes something may not, unless engines can tell
-// its repeat by the client's key.
-func TestUnsafe(t *testing.T) {
-	r := reader(t, 0)
+// A statement that changes something is unsafe to repeat unless engines recognize its repeat by the client's key.
+func TestWritesAreUnsafeWithoutKey(t *testing.T) {
+	r := newReader(t, 0)
 	complete := func(text string, class int, keyed bool) statement.Completion {
 		c, err := r.Complete(statement.Call{Text: []byte(text), Class: class, Keyed: keyed})
 		require.NoError(t, err, text)
@@ -137,9 +150,10 @@
 	assert.False(t, complete("select * from ops_1.t", -1, false).Unsafe)
 	assert.True(t, complete("insert into ops_1.t values (1)", -1, false).Unsafe)
 	assert.False(t, complete("insert into ops_1.t values (1)", -1, true).Unsafe)
-	assert.True(t, complete("insert into ops_1.t values (1)", lookup, true).Unsafe, "no engine drops repeats of that class")
+	assert.True(t, complete("insert into ops_1.t values (1)", lookup, true).Unsafe,
+		"no engine drops repeats of that class")
 	assert.True(t, complete("begin", lookup, false).Unsafe)
-	assert.True(t, complete("selec", load, false).Unsafe, "unread, it may change something")
+	assert.True(t, complete("selec", load, false).Unsafe, "unparsed, it may change something")
 	assert.False(t, complete("selec", load, true).Unsafe)
 	_, err := r.Complete(statement.Call{Text: []byte("selec"), Class: -1})
 	assert.ErrorContains(t, err, "line 1, column 1")
--- a/statement/property_test.go
+++ b/statement/property_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"math/rand/v2"
 	"runtime"
 	"strings"
@@ -18,11 +19,13 @@
 	"chutechute/statement/syntax"
 )
 
-// write writes a text's tokens anew: other values, other white space, comments between them and other letters in
-// words. What is drawn leaves the shape alone.
-func write(t *rapid.T, text string) string {
-	gaps := rapid.SampledFrom([]string{" ", "\n", "\t ", " /* from ops_99.x */ ", " -- ops_98.y\n", " /* a /* b */ 'c */ "})
-	values := rapid.SampledFrom([]string{"1", "2.5", "1e3", "'x'", "'it''s'", "$$from ops_97.z$$", "$3", ":name", "?", "E'\\''", "0"})
+// rewrite writes a text's tokens with other values, white space, comments and letter case, none of which affects the
+// shape.
+func rewrite(t *rapid.T, text string) string {
+	gaps := rapid.SampledFrom([]string{" ", "\n", "\t ", " /* from ops_99.x */ ", " -- ops_98.y\n",
+		" /* a /* b */ 'c */ "})
+	values := rapid.SampledFrom([]string{"1", "2.5", "1e3", "'x'", "'it''s'", "$$from ops_97.z$$",
+		"$3", ":name", "?", "E'\\''", "0"})
 	var b strings.Builder
 	l := lex.Lexer{Text: text}
 	prev := lex.Token{}
@@ -44,6 +47,7 @@
 	return b.String()
 }
 
+// shapeOf returns the shape of a text.
 func shapeOf(t require.TestingT, text string) string {
 	var s shape.Normalizer
 	require.True(t, s.Normalize(text), "%s: %s", s.ErrorMessage, text)
@@ -92,18 +96,19 @@
 	case 2:
 		return "delete from ops_4.t using ops_5.u where " + condition
 	case 3:
-		return "with c as (select " + e() + " as x from ops_4.t) select * from c join ops_5.u on " + condition + " order by " + e()
+		return "with c as (select " + e() + " as x from ops_4.t) select * from c join ops_5.u on " + condition +
+			" order by " + e()
 	}
 	return "select " + e() + ", " + e() + " from ops_4.t where " + condition + " group by " + e() + " limit 10"
 }
 
-// Literals, white space, comments and the case of words never change a shape, and what a shape prints parses to
-// itself: to the same shape, tables and verb.
-func TestShapeKeeps(t *testing.T) {
+// Literals, white space, comments and the case of words never affect a shape, and a shape parses to itself: to the same
+// shape, tables and verb.
+func TestShapeIgnoresValuesAndLayout(t *testing.T) {
 	var p syntax.Parser
 	check := func(t *rapid.T, text string) {
 		want := shapeOf(t, text)
-		other := write(t, text)
+		other := rewrite(t, text)
 		require.Equal(t, want, shapeOf(t, other), "%s\n%s", text, other)
 		require.Equal(t, want, shapeOf(t, want))
 		facts, err := p.Parse(text)
@@ -117,7 +122,7 @@
 		require.Equal(t, facts.Tables, written.Tables)
 	}
 	rapid.Check(t, func(t *rapid.T) { check(t, query(t)) })
-	blocks := corpus(t)
+	blocks := readCorpus(t)
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SampledFrom(blocks).Draw(t, "block")
 		text := rapid.SampledFrom(b.statements).Draw(t, "statement")
@@ -127,14 +132,15 @@
 
 // FuzzRead reads any text: it must not panic, and what can be read has a shape that is its own.
 func FuzzRead(f *testing.F) {
-	for _, b := range corpus(f) {
+	for _, b := range readCorpus(f) {
 		f.Add(b.statements[0])
 	}
-	for _, s := range []string{"", "\x00", "'", "\"", "$", "$$", "$a$", "?", ":", "::", "(((((", "))))", "--", "/*", "/*/*", "select 1..2",
-		"select [", "values", "with", "with recursive", "insert", "case when", "in (", "e'\\", "u&\"", "select \xff\xfe", "select -", "a - -", "- 1 - - 2"} {
+	for _, s := range []string{"", "\x00", "'", "\"", "$", "$$", "$a$", "?", ":", "::", "(((((", "))))", "--", "/*",
+		"/*/*", "select 1..2", "select [", "values", "with", "with recursive", "insert", "case when", "in (", "e'\\",
+		"u&\"", "select \xff\xfe", "select -", "a - -", "- 1 - - 2"} {
 		f.Add(s)
 	}
-	r := reader(f, 0)
+	r := newReader(f, 0)
 	f.Fuzz(func(t *testing.T, text string) {
 		reading, err := r.Read([]byte(text))
 		group := r.Group([]byte(text))
@@ -149,13 +155,14 @@
 	})
 }
 
-// Random texts of SQL's pieces reach further than random bytes do.
-func TestAnyPiecesAreRead(t *testing.T) {
-	pieces := strings.Fields(`select from where and or not in ( ) ( ) , . ; * = < > - + :: [ ] 'x' 1 ? $1 :n "q" ops_1.t a b as
-		with recursive values insert into update set delete using merge when matched then case else end join left on
-		union all order by group limit offset fetch first rows only for over partition between interval date exists any
-		array cast extract ( substring ( trim ( copy to create table explain analyze begin call is distinct null filter`)
-	r := reader(t, 0)
+// Random sequences of tokens are read without panic; they reach further into the grammar than random bytes.
+func TestRandomTokensAreRead(t *testing.T) {
+	pieces := strings.Fields(`select from where and or not in ( ) ( ) , . ; * = < > - + :: [ ] 'x' 1 ? $1 :n "q"
+		ops_1.t a b as with recursive values insert into update set delete using merge when matched then case else
+		end join left on union all order by group limit offset fetch first rows only for over partition between
+		interval date exists any array cast extract ( substring ( trim ( copy to create table explain analyze
+		begin call is distinct null filter`)
+	r := newReader(t, 0)
 	rng := rand.New(rand.NewPCG(7, 7))
 	read := 0
 	for range 20000 {
@@ -171,37 +178,53 @@
 }
 
 // The time of a reading grows no faster than the text: eight times the text takes far less than 64 times as long,
-// however the text is made. It is this thread's own time on a core: beside other work a long reading is set aside more often
-// than a short one, which by the clock on the wall looked like 52 times as long.
-func TestLinearTime(t *testing.T) {
+// however the text is made. It is this thread's own time on a core: beside other work a long reading is set aside
+// more often than a short one, which by the clock on the wall looked like 52 times as long.
+func TestReadingTakesLinearTime(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	own := func() time.Duration {
+	threadTime := func() time.Duration {
 		var at unix.Timespec
 		require.NoError(t, unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &at))
 		return time.Duration(at.Nano())
 	}
-	best := func(text string) time.Duration {
-		least := time.Duration(1 << 62)
+	fastest := func(text string) time.Duration {
+		duration := time.Duration(math.MaxInt64)
 		for range 7 {
 			var s shape.Normalizer
 			var p syntax.Parser
-			start := own()
+			start := threadTime()
 			s.Normalize(text)
 			_, _ = p.Parse(text)
-			least = min(least, own()-start)
+			duration = min(duration, threadTime()-start)
 		}
-		return least
+		return duration
 	}
 	for name, piece := range map[string]string{
-		"parens": "(", "brackets": "[", "commas": "a,", "rows": "(1,'x'),", "quotes": "'a' ", "comments": "/* x */ ", "dashes": "- ",
-		"ctes": "x as (select 1),", "joins": " join ops_1.t using (a)", "names": "a.", "cases": "case when ", "nots": "not ",
-		"tables": "ops_1.t, ", "semicolons": ";", "dollars": "$a$ $a$ ", "columns": "a > 1 and a < 2 and ", "unions": " union select 1",
+		"parens":     "(",
+		"brackets":   "[",
+		"commas":     "a,",
+		"rows":       "(1,'x'),",
+		"quotes":     "'a' ",
+		"comments":   "/* x */ ",
+		"dashes":     "- ",
+		"ctes":       "x as (select 1),",
+		"joins":      " join ops_1.t using (a)",
+		"names":      "a.",
+		"cases":      "case when ",
+		"nots":       "not ",
+		"tables":     "ops_1.t, ",
+		"semicolons": ";",
+		"dollars":    "$a$ $a$ ",
+		"columns":    "a > 1 and a < 2 and ",
+		"unions":     " union select 1",
 	} {
-		for _, head := range []string{"", "select ", "select * from ops_1.t", "with ", "values ", "select * from ", "select 1 where "} {
+		for _, head := range []string{
+			"", "select ", "select * from ops_1.t", "with ", "values ", "select * from ", "select 1 where ",
+		} {
 			n := 700
 			small, large := head+strings.Repeat(piece, n), head+strings.Repeat(piece, 8*n)
-			ratio := float64(best(large)) / float64(best(small)+20*time.Microsecond)
+			ratio := float64(fastest(large)) / float64(fastest(small)+20*time.Microsecond)
 			assert.Less(t, ratio, 32.0, fmt.Sprintf("%s behind %q", name, head))
 		}
 	}
--- a/statement/tablegroup_test.go
+++ b/statement/tablegroup_test.go
@@ -11,13 +11,13 @@
 	"chutechute/internal/sqltext"
 )
 
-// What can't be parsed is looked through as all statements were before: with the same answer.
-func TestScanGroup(t *testing.T) {
+// The group of a text that can't be parsed is that which package sqltext finds.
+func TestUnparsableTextHasGroupOfTextScan(t *testing.T) {
 	text, err := os.ReadFile("testdata/corpus.txt")
 	require.NoError(t, err)
 	for line := range strings.SplitSeq(string(text), "\n") {
 		assert.Equal(t, sqltext.Group(line), scanTableGroup(line), line)
-		other := "selec \x00 " + line + " ( $ \\"
-		assert.Equal(t, sqltext.Group(other), scanTableGroup(other), line)
+		unparsable := "selec \x00 " + line + " ( $ \\"
+		assert.Equal(t, sqltext.Group(unparsable), scanTableGroup(unparsable), line)
 	}
 }
