--- a/statement/syntax/parser.go
+++ b/statement/syntax/parser.go
@@ -1,3 +1,12 @@
+// Package syntax parses SQL statements far enough to know what they do: the verb, whether they read or write, every
+// table in its role, and the predicates whose values tell of a statement's cost. It is a recursive-descent parser of
+// PostgreSQL's grammar that also accepts much of the syntax of other engines. It checks neither types nor names, and
+// an engine may still refuse what it accepts.
+//
+// Depth and length are bounded, and the time is linear in the length of the text.
+//
+// A parse function, parseX, starts at the current token and moves behind X. It records what it finds in Facts and
+// fails, by a panic that Parse recovers, where X does not stand there.
 package syntax
 
 import (
@@ -6,55 +15,44 @@
 	"chutechute/statement/lex"
 )
 
-// Limits of what is parsed.
+// DefaultMaxDepth is the deepest nesting of parentheses, subqueries and CASE that is parsed unless MaxDepth says
+// otherwise.
+const DefaultMaxDepth = 100
+
+// Limits of what is recorded of a text.
 const (
-	DefaultDepth = 100 // of parentheses, subqueries and CASE within one another
-	mostTables   = 256 // tables, and functions, that are told
-	mostNames    = 256 // predicates, and names of one WITH clause after another
+	maxNames      = 256 // tables, and functions
+	maxPredicates = 256
+	maxCTEs       = 256 // that are visible at one place
 )
 
-// Parser parses statements, one after another; its buffers are used again.
-type Parser struct {
-	Depth int // deepest nesting; DefaultDepth where 0
+// maxFoundLength is how many bytes of an unexpected token an error shows.
+const maxFoundLength = 40
 
-	text   string
-	tokens []token
-	at     int
-	depth  int
-	facts  *Facts
-	values int      // literals and parameters passed so far
-	names  []string // of the CTEs in sight
-	l      lex.Lexer
-}
+// Parser parses statements, one after another, and reuses its buffers. The zero value is ready for use.
+type Parser struct {
+	MaxDepth int // the deepest nesting that is parsed; DefaultMaxDepth where 0
 
-// token is a lexer's token and its text, in lower case where it is a word.
-type token struct {
-	lex.Token
-	text string
+	lexer       lex.Lexer
+	text        string
+	tokens      []token // of the whole text; the last is EOF
+	position    int     // index of the current token
+	depth       int     // of the current nesting
+	valueCount  int     // literals and parameters before the current token
+	visibleCTEs []string
+	facts       *Facts
 }
 
-// Parse reads a text of one or more statements.
+// Parse parses a text of one or more statements. An error is an *Error.
 func (p *Parser) Parse(text string) (facts *Facts, err error) {
-	p.text, p.tokens, p.at, p.depth, p.values = text, p.tokens[:0], 0, 0, 0
-	p.facts, p.names = &Facts{Limit: -1, Offset: -1}, p.names[:0]
-	p.l.Reset(text)
-	for {
-		t := p.l.Next()
-		if t.Kind == lex.Bad {
-			return nil, NewError(text, t.Start, p.l.Fault)
-		}
-		word := text[t.Start:t.End]
-		if t.Kind == lex.Word {
-			word = strings.ToLower(word)
-		}
-		p.tokens = append(p.tokens, token{t, word})
-		if t.Kind == lex.End {
-			break
-		}
+	p.text, p.tokens, p.position, p.depth, p.valueCount = text, p.tokens[:0], 0, 0, 0
+	p.facts, p.visibleCTEs = &Facts{LimitValue: noValue, OffsetValue: noValue}, p.visibleCTEs[:0]
+	if err := p.tokenize(); err != nil {
+		return nil, err
 	}
 	defer func() {
 		p.text = ""
-		clear(p.tokens) // they hold the text
+		clear(p.tokens) // they refer to the text, which would be retained
 		switch r := recover().(type) {
 		case nil:
 		case *Error:
@@ -63,219 +61,58 @@
 			panic(r)
 		}
 	}()
-	p.script()
-	p.facts.finish()
+	p.parseScript()
+	p.facts.resolveTableGroup()
 	return p.facts, nil
 }
 
-// fail gives the text up at the current token. It unwinds to Parse.
-func (p *Parser) fail(expected string) {
-	t := p.tokens[p.at]
-	found := t.text
-	if t.Kind == lex.End {
-		found = "the end"
-	}
-	if len(found) > 40 {
-		found = found[:40] + "..."
-	}
-	panic(NewError(p.text, t.Start, "expected "+expected+", found "+found))
-}
-
-// enter goes one level deeper; leave returns.
-func (p *Parser) enter() {
-	if p.depth++; p.depth > p.most() {
-		panic(NewError(p.text, p.tokens[p.at].Start, "nested too deeply"))
-	}
-}
-
-// most is the deepest nesting.
-func (p *Parser) most() int {
-	if p.Depth == 0 {
-		return DefaultDepth
-	}
-	return p.Depth
-}
-
-func (p *Parser) leave() { p.depth-- }
-
-func (p *Parser) cur() *token { return &p.tokens[p.at] }
-
-// ahead is the token n behind the current one.
-func (p *Parser) ahead(n int) *token { return &p.tokens[min(p.at+n, len(p.tokens)-1)] }
-
-func (p *Parser) next() *token {
-	t := &p.tokens[p.at]
-	if t.Kind != lex.End {
-		p.at++
-	}
-	switch t.Kind {
-	case lex.String, lex.Number, lex.Param:
-		p.values++
-	}
-	return t
-}
-
-func (t *token) word(words ...string) bool {
-	if t.Kind != lex.Word {
-		return false
-	}
-	for _, w := range words {
-		if t.text == w {
-			return true
+// tokenize reads the tokens of the whole text.
+func (p *Parser) tokenize() error {
+	p.lexer.Reset(p.text)
+	for {
+		t := p.lexer.Next()
+		if t.Kind == lex.Illegal {
+			return NewError(p.text, t.Start, p.lexer.ErrorMessage)
 		}
-	}
-	return false
-}
-
-func (t *token) op(op string) bool { return t.Kind == lex.Op && t.text == op }
-
-func (t *token) name() bool { return t.Kind == lex.Word || t.Kind == lex.Quoted }
-
-func (t *token) literal() bool {
-	return t.Kind == lex.String || t.Kind == lex.Number || t.Kind == lex.Param
-}
-
-// word takes one of these words, if it is next.
-func (p *Parser) word(words ...string) bool {
-	if p.cur().word(words...) {
-		p.at++
-		return true
-	}
-	return false
-}
-
-// words takes all of these words in turn, or none.
-func (p *Parser) words(words ...string) bool {
-	for i, w := range words {
-		if !p.ahead(i).word(w) {
-			return false
+		word := p.text[t.Start:t.End]
+		if t.Kind == lex.Word {
+			word = strings.ToLower(word)
+		}
+		p.tokens = append(p.tokens, token{t, word})
+		if t.Kind == lex.EOF {
+			return nil
 		}
 	}
-	p.at += len(words)
-	return true
-}
-
-// op takes a mark or an operator, if it is next.
-func (p *Parser) op(op string) bool {
-	if p.cur().op(op) {
-		p.at++
-		return true
-	}
-	return false
-}
-
-func (p *Parser) need(op string) {
-	if !p.op(op) {
-		p.fail(op)
-	}
-}
-
-func (p *Parser) needWord(words ...string) {
-	if !p.word(words...) {
-		p.fail(strings.ToUpper(strings.Join(words, " or ")))
-	}
-}
-
-// name is a name with its qualifiers, as it stands in the text but for spaces and the case of words.
-func (p *Parser) name(what string) string {
-	if !p.cur().name() || p.cur().Kind == lex.Word && reserved[p.cur().text] {
-		p.fail(what)
-	}
-	return p.dotted()
 }
 
-// dotted is the current token and the names that follow it behind dots, as in the text where that has them in one
-// piece and in lower case.
-func (p *Parser) dotted() string {
-	first := p.at
-	p.at++
-	for p.cur().op(".") && (p.ahead(1).name() || p.ahead(1).op("*")) {
-		p.at += 2
-	}
-	parts := p.tokens[first:p.at]
-	last := parts[len(parts)-1]
-	size, same := 0, true
-	for i, t := range parts {
-		size += len(t.text)
-		same = same && t.text == p.text[t.Start:t.End] && (i == 0 || t.Start == parts[i-1].End)
-	}
-	if same {
-		return p.text[parts[0].Start:last.End]
-	}
-	var b strings.Builder
-	b.Grow(size)
-	for _, t := range parts {
-		b.WriteString(t.text)
+// failExpected stops parsing with an error at the current token. It panics with an *Error, which Parse recovers.
+func (p *Parser) failExpected(expected string) {
+	t := p.tokens[p.position]
+	found := t.text
+	if t.Kind == lex.EOF {
+		found = "the end"
 	}
-	return b.String()
-}
-
-// skip passes over all up to the end of the statement or one of the words at this level.
-func (p *Parser) skip(until ...string) {
-	for depth := 0; ; {
-		t := p.cur()
-		switch {
-		case t.Kind == lex.End:
-			if depth > 0 {
-				p.fail(")")
-			}
-			return
-		case t.op("(") || t.op("["):
-			depth++
-		case t.op(")") || t.op("]"):
-			if depth == 0 {
-				return
-			}
-			depth--
-		case depth == 0 && (t.op(";") || t.word(until...)):
-			return
-		}
-		p.next()
+	if len(found) > maxFoundLength {
+		found = found[:maxFoundLength] + "..."
 	}
+	panic(NewError(p.text, t.Start, "expected "+expected+", found "+found))
 }
 
-// group passes over a group in parentheses.
-func (p *Parser) group() {
-	p.need("(")
-	p.skip()
-	for p.cur().op(";") { // as a routine's body may hold
-		p.next()
-		p.skip()
+// enterLevel enters one more level of nesting, and fails where that is too deep.
+func (p *Parser) enterLevel() {
+	p.depth++
+	if p.depth > p.maxDepth() {
+		panic(NewError(p.text, p.tokens[p.position].Start, "nested too deeply"))
 	}
-	p.need(")")
 }
 
-// reserved words are no names of tables or columns and no aliases.
-var reserved = set(`all and any array as asc between both by case cast check collate conflict constraint create cross
-	default desc distinct do else end except fetch for foreign from full grant group having in inner insert intersect
-	into is join lateral leading left like ilike limit natural not null offset on only or order outer primary
-	references returning right select set similar some table tablesample then to trailing true false union
-	unique using values when where window with`)
+// leaveLevel leaves the level that enterLevel entered.
+func (p *Parser) leaveLevel() { p.depth-- }
 
-// notAlias are words that may be names but follow a table or a column as something else.
-var notAlias = set(`partition range rows groups qualify escape isnull notnull nulls at overlaps update
-	use force ignore lock minus`)
-
-func set(words string) map[string]bool {
-	m := map[string]bool{}
-	for _, w := range strings.Fields(words) {
-		m[w] = true
-	}
-	return m
-}
-
-// alias takes an alias with AS or without, and the names of columns behind it; empty without one.
-func (p *Parser) alias() (alias string) {
-	switch t := p.cur(); {
-	case p.word("as"):
-		if t := p.cur(); !t.name() && t.Kind != lex.String && t.Kind != lex.Param && !t.op("(") {
-			p.fail("a name behind AS")
-		}
-		if !p.cur().op("(") {
-			alias = p.next().text
-		}
-	case t.Kind == lex.Quoted, t.Kind == lex.Word && !reserved[t.text] && !notAlias[t.text]:
-		alias = p.next().text
+// maxDepth returns the deepest nesting that is parsed.
+func (p *Parser) maxDepth() int {
+	if p.MaxDepth == 0 {
+		return DefaultMaxDepth
 	}
-	return alias
+	return p.MaxDepth
 }
--- a/statement/syntax/query.go
+++ b/statement/syntax/query.go
@@ -1,448 +1,325 @@
 package syntax
 
-import (
-	"strings"
+import "chutechute/statement/lex"
 
-	"chutechute/statement/lex"
-)
-
-// query is a SELECT, a VALUES list or TABLE name, with set operations, WITH, ORDER BY and the rest. Where main
-// is set, WITH may also stand before a statement that writes. It gives the verb of its main statement.
-func (p *Parser) query(main bool) string {
-	p.enter()
-	defer p.leave()
-	seen := len(p.names)
-	defer func() { p.names = p.names[:seen] }()
-	if p.word("with") {
-		p.with()
-		if main || p.cur().word("insert", "update", "delete", "merge") {
-			if verb, ok := p.write(); ok {
+// parseQuery parses a SELECT, a VALUES list or TABLE name with its set operations, WITH, ORDER BY and the rest. Where
+// main is set, WITH may also stand before a statement that writes. It returns the verb of the main statement.
+func (p *Parser) parseQuery(main bool) string {
+	p.enterLevel()
+	defer p.leaveLevel()
+	visible := len(p.visibleCTEs)
+	defer func() { p.visibleCTEs = p.visibleCTEs[:visible] }()
+	if p.acceptWord("with") {
+		p.parseWith()
+		if main || p.current().isWord("insert", "update", "delete", "merge") {
+			if verb, ok := p.parseDML(); ok {
 				return verb
 			}
 		}
 	}
-	verb := p.term()
-	for p.word("union", "intersect", "except", "minus") {
-		p.word("all", "distinct")
+	verb := p.parseQueryTerm()
+	for p.acceptWord("union", "intersect", "except", "minus") {
+		p.acceptWord("all", "distinct")
 		p.facts.Subqueries++
-		if p.words("corresponding", "by") {
-			p.group()
+		if p.acceptWords("corresponding", "by") {
+			p.skipParentheses()
 		} else {
-			p.word("corresponding")
+			p.acceptWord("corresponding")
 		}
-		p.term()
+		p.parseQueryTerm()
 	}
-	p.tail()
+	p.parseTailClauses()
 	return verb
 }
 
-// with is the list of a WITH clause. A name is in sight behind its own query, or within it too where the list
+// parseQueryOrDML parses a query or a statement that changes rows.
+func (p *Parser) parseQueryOrDML() {
+	if _, ok := p.parseDML(); !ok {
+		p.parseQuery(true)
+	}
+}
+
+// parseWith parses the list of a WITH clause. A name is visible behind its own query, and within it too where the list
 // is RECURSIVE.
-func (p *Parser) with() {
-	recursive := p.word("recursive")
+func (p *Parser) parseWith() {
+	recursive := p.acceptWord("recursive")
 	for {
-		if len(p.names) >= mostNames {
-			p.fail("fewer names in WITH")
+		if len(p.visibleCTEs) >= maxCTEs {
+			p.failExpected("fewer names in WITH")
 		}
-		name := p.name("a name in WITH")
-		if p.cur().op("(") {
-			p.group()
-		}
-		p.needWord("as")
-		if !p.words("not", "materialized") {
-			p.word("materialized")
+		name := p.parseName("a name in WITH")
+		p.skipOptionalParentheses()
+		p.expectWord("as")
+		if !p.acceptWords("not", "materialized") {
+			p.acceptWord("materialized")
 		}
 		if recursive {
-			p.names = append(p.names, unquoted(name))
-		}
-		p.need("(")
-		if _, ok := p.write(); !ok {
-			p.query(true)
+			p.visibleCTEs = append(p.visibleCTEs, unquote(name))
 		}
-		p.need(")")
+		p.expectOperator("(")
+		p.parseQueryOrDML()
+		p.expectOperator(")")
 		if !recursive {
-			p.names = append(p.names, unquoted(name))
+			p.visibleCTEs = append(p.visibleCTEs, unquote(name))
 		}
-		if p.cur().word("search", "cycle") {
-			p.skip("select", "insert", "update", "delete", "merge", "values")
+		if p.current().isWord("search", "cycle") {
+			p.skipUntil("select", "insert", "update", "delete", "merge", "values")
 		}
-		if !p.op(",") {
+		if !p.acceptOperator(",") {
 			return
 		}
 	}
 }
 
-func unquoted(name string) string {
-	if len(name) > 1 && (name[0] == '"' || name[0] == '`') {
-		return name[1 : len(name)-1]
-	}
-	return name
-}
-
-// term is one side of a set operation.
-func (p *Parser) term() string {
+// parseQueryTerm parses one operand of a set operation and returns its verb.
+func (p *Parser) parseQueryTerm() string {
 	switch {
-	case p.op("("):
-		verb := p.query(false)
-		p.need(")")
+	case p.acceptOperator("("):
+		verb := p.parseQuery(false)
+		p.expectOperator(")")
 		return verb
-	case p.word("select"):
-		p.selection()
+	case p.acceptWord("select"):
+		p.parseSelect()
 		return "select"
-	case p.word("values"):
-		p.rows()
+	case p.acceptWord("values"):
+		p.parseValuesRows()
 		return "values"
-	case p.word("table"):
-		p.word("only")
-		p.read(p.name("a table"))
+	case p.acceptWord("table"):
+		p.acceptWord("only")
+		p.addReadTable(p.parseName("a table"))
 		return "table"
 	}
-	p.fail("SELECT, VALUES, TABLE or (")
+	p.failExpected("SELECT, VALUES, TABLE or (")
 	return ""
 }
 
-// rows are the rows of a VALUES list.
-func (p *Parser) rows() {
+// parseValuesRows parses the rows of a VALUES list.
+func (p *Parser) parseValuesRows() {
 	for {
-		p.word("row")
-		p.need("(")
-		if !p.cur().op(")") {
-			p.list()
+		p.acceptWord("row")
+		p.expectOperator("(")
+		if !p.current().isOperator(")") {
+			p.parseExprList()
 		}
-		p.need(")")
-		if !p.op(",") {
+		p.expectOperator(")")
+		if !p.acceptOperator(",") {
 			return
 		}
 	}
 }
 
-// selection is a SELECT behind its first word.
-func (p *Parser) selection() {
+// parseSelect parses a SELECT behind its first word, up to what may follow a whole query.
+func (p *Parser) parseSelect() {
 	p.facts.Reads = true
-	for p.word("all", "distinct", "sql_no_cache", "straight_join") {
-		if p.tokens[p.at-1].text == "distinct" {
+	for p.acceptWord("all", "distinct", "sql_no_cache", "straight_join") {
+		if p.tokens[p.position-1].text == "distinct" {
 			p.facts.Aggregates++
-			if p.word("on") {
-				p.need("(")
-				p.list()
-				p.need(")")
+			if p.acceptWord("on") {
+				p.parseExprsInParentheses()
 			}
 		}
 	}
-	if p.cur().word("top") && (p.ahead(1).Kind == lex.Number || p.ahead(1).Kind == lex.Param) {
-		p.at++
-		p.limit()
+	if p.current().isWord("top") && (p.peek(1).Kind == lex.Number || p.peek(1).Kind == lex.Parameter) {
+		p.position++
+		p.parseRowCount()
 	}
-	if !p.cur().word("from", "into", "where") && !p.stop() {
-		p.columns()
+	if !p.current().isWord("from", "into", "where") && !p.atQueryEnd() {
+		p.parseSelectList()
 	}
-	if p.word("into") {
-		p.word("temporary", "temp", "unlogged")
-		p.word("table")
-		p.facts.table(p.name("a table behind INTO"), Written)
+	if p.acceptWord("into") {
+		p.acceptWord("temporary", "temp", "unlogged")
+		p.acceptWord("table")
+		p.facts.addTable(p.parseName("a table behind INTO"), Written)
 	}
-	if p.word("from") {
-		p.from()
+	if p.acceptWord("from") {
+		p.parseFrom()
 	}
-	if p.word("where") {
-		p.expr()
+	if p.acceptWord("where") {
+		p.parseExpr()
 	}
-	p.grouping()
-}
-
-// stop says whether a statement or a subquery ends here.
-func (p *Parser) stop() bool {
-	t := p.cur()
-	return t.Kind == lex.End || t.op(")") || t.op(";") || t.word("union", "intersect", "except")
+	p.parseGroupingClauses()
 }
 
-// columns is the list of what is selected or returned.
-func (p *Parser) columns() {
-	for {
-		p.expr()
-		p.alias()
-		if !p.op(",") {
-			return
+// atQueryStart returns whether a query begins here, behind any number of opening parentheses that may be nested.
+func (p *Parser) atQueryStart() bool {
+	for n := 0; ; n++ {
+		if n > p.maxDepth() {
+			return false
 		}
-	}
-}
-
-// grouping is what may follow WHERE within one SELECT.
-func (p *Parser) grouping() {
-	if p.words("group", "by") {
-		p.facts.Aggregates++
-		p.word("all", "distinct")
-		for {
-			switch {
-			case p.word("rollup", "cube"):
-				p.need("(")
-				p.list()
-				p.need(")")
-			case p.words("grouping", "sets"):
-				p.group()
-			default:
-				p.expr()
-			}
-			if !p.op(",") {
-				break
-			}
+		t := p.peek(n)
+		if t.isOperator("(") {
+			continue
 		}
-		p.words("with", "rollup")
-	}
-	if p.word("having") {
-		p.expr()
-	}
-	if p.word("window") {
-		for {
-			p.name("a window's name")
-			p.needWord("as")
-			p.window()
-			if !p.op(",") {
-				break
-			}
+		if t.isWord("select", "with", "values") {
+			return true
 		}
+		return t.isWord("table") && p.peek(n+1).isName()
 	}
-	if p.word("qualify") {
-		p.expr()
-	}
 }
 
-// tail is what may follow a whole query: its order, its bounds and its locks, in any order.
-func (p *Parser) tail() {
+// atQueryEnd returns whether a statement or a subquery ends here.
+func (p *Parser) atQueryEnd() bool {
+	t := p.current()
+	return t.Kind == lex.EOF || t.isOperator(")") || t.isOperator(";") || t.isWord("union", "intersect", "except")
+}
+
+// parseSelectList parses the list of what is selected or returned.
+func (p *Parser) parseSelectList() {
 	for {
-		switch {
-		case p.words("order", "by"):
-			p.order()
-		case p.word("limit"):
-			if p.word("all") || p.word("null") {
-				break
-			}
-			p.limit()
-			if p.op(",") { // LIMIT offset, count
-				p.facts.Offset = p.facts.Limit
-				p.limit()
-			}
-		case p.word("offset"):
-			if p.cur().literal() {
-				p.facts.Offset = p.values
-			}
-			p.expr()
-			p.word("row", "rows")
-		case p.word("fetch"):
-			p.needWord("first", "next")
-			if !p.cur().word("row", "rows") {
-				p.limit()
-			}
-			p.word("percent")
-			p.needWord("row", "rows")
-			if !p.word("only") && !p.words("with", "ties") {
-				p.fail("ONLY or WITH TIES")
-			}
-		case p.cur().word("for") && p.ahead(1).word("update", "share", "no", "key"):
-			p.lock()
-		case p.words("lock", "in", "share", "mode"):
-			p.facts.Writes = true
-		default:
+		p.parseExpr()
+		p.parseAlias()
+		if !p.acceptOperator(",") {
 			return
 		}
 	}
 }
 
-// limit notes the place of a bound on the number of rows.
-func (p *Parser) limit() {
-	if p.cur().literal() {
-		p.facts.Limit = p.values
+// parseGroupingClauses parses what may follow WHERE within one SELECT: GROUP BY, HAVING, WINDOW and QUALIFY.
+func (p *Parser) parseGroupingClauses() {
+	if p.acceptWords("group", "by") {
+		p.parseGroupBy()
 	}
-	p.expr()
-}
-
-// lock is FOR UPDATE and its like. The locks are writes: a read-only transaction refuses them.
-func (p *Parser) lock() {
-	p.at++
-	p.words("no", "key")
-	p.word("key")
-	p.needWord("update", "share")
-	p.facts.Writes = true
-	if p.word("of") {
-		for {
-			p.name("a table behind OF")
-			if !p.op(",") {
-				break
-			}
-		}
+	if p.acceptWord("having") {
+		p.parseExpr()
+	}
+	if p.acceptWord("window") {
+		p.parseWindowClause()
 	}
-	if !p.word("nowait") {
-		p.words("skip", "locked")
+	if p.acceptWord("qualify") {
+		p.parseExpr()
 	}
 }
 
-// order is a list to sort by.
-func (p *Parser) order() {
-	p.facts.Sorts++
+// parseGroupBy parses the list behind GROUP BY.
+func (p *Parser) parseGroupBy() {
+	p.facts.Aggregates++
+	p.acceptWord("all", "distinct")
 	for {
-		p.expr()
-		if p.word("using") {
-			p.next()
-		}
-		p.word("asc", "desc")
-		if p.word("nulls") {
-			p.needWord("first", "last")
+		switch {
+		case p.acceptWord("rollup", "cube"):
+			p.parseExprsInParentheses()
+		case p.acceptWords("grouping", "sets"):
+			p.skipParentheses()
+		default:
+			p.parseExpr()
 		}
-		if !p.op(",") {
-			return
+		if !p.acceptOperator(",") {
+			break
 		}
 	}
+	p.acceptWords("with", "rollup")
 }
 
-// from is a list of tables.
-func (p *Parser) from() {
+// parseWindowClause parses the named windows behind WINDOW.
+func (p *Parser) parseWindowClause() {
 	for {
-		p.joined()
-		if !p.op(",") {
+		p.parseName("a window's name")
+		p.expectWord("as")
+		p.parseWindowDefinition()
+		if !p.acceptOperator(",") {
 			return
 		}
-		p.facts.Joins++
 	}
 }
 
-// joined is a table and those joined to it.
-func (p *Parser) joined() {
-	p.source()
+// parseTailClauses parses what may follow a whole query, in any order: its sort order, its row limits and its locks.
+func (p *Parser) parseTailClauses() {
 	for {
-		natural := p.word("natural")
-		cross := p.word("cross")
-		if !cross && p.word("left", "right", "full") {
-			p.word("outer")
-		} else if !cross {
-			p.word("inner", "straight_join")
-		}
-		if !p.word("join") {
-			if cross && p.word("apply") {
-				p.source()
-				continue
-			}
-			if natural || cross {
-				p.fail("JOIN")
-			}
-			return
-		}
-		p.facts.Joins++
-		p.source()
 		switch {
-		case p.word("on"):
-			p.expr()
-		case p.word("using"):
-			p.group()
-			p.alias()
+		case p.acceptWords("order", "by"):
+			p.parseOrderBy()
+		case p.acceptWord("limit"):
+			p.parseLimit()
+		case p.acceptWord("offset"):
+			p.parseOffset()
+		case p.acceptWord("fetch"):
+			p.parseFetch()
+		case p.current().isWord("for") && p.peek(1).isWord("update", "share", "no", "key"):
+			p.parseRowLock()
+		case p.acceptWords("lock", "in", "share", "mode"):
+			p.facts.Writes = true
+		default:
+			return
 		}
 	}
 }
 
-// source is one thing that rows come from.
-func (p *Parser) source() {
-	p.enter()
-	defer p.leave()
-	p.word("lateral")
-	switch {
-	case p.cur().op("("):
-		p.parenthesized()
-	case p.words("rows", "from"):
-		p.need("(")
-		for {
-			p.call(p.name("a function"), Function)
-			if p.word("as") {
-				p.group()
-			}
-			if !p.op(",") {
-				break
-			}
-		}
-		p.need(")")
-		p.words("with", "ordinality")
-		p.correlation()
-	default:
-		p.word("only")
-		name := p.name("a table")
-		switch {
-		case p.cur().op("(") && !p.hint():
-			p.call(name, Function)
-			p.words("with", "ordinality")
-		default:
-			p.op("*")
-			p.read(name)
-		}
-		p.correlation()
+// parseLimit parses the bounds behind LIMIT.
+func (p *Parser) parseLimit() {
+	if p.acceptWord("all") || p.acceptWord("null") {
+		return
 	}
-	if p.word("tablesample") {
-		p.name("a sampling method")
-		p.group()
-		if p.word("repeatable") {
-			p.group()
-		}
+	p.parseRowCount()
+	if p.acceptOperator(",") { // LIMIT offset, count
+		p.facts.OffsetValue = p.facts.LimitValue
+		p.parseRowCount()
 	}
 }
 
-// hint says whether the parentheses here belong to a hint, as in t WITH (NOLOCK) of other engines.
-func (p *Parser) hint() bool { return p.ahead(1).word("nolock") }
+// parseOffset parses the number of rows behind OFFSET.
+func (p *Parser) parseOffset() {
+	if p.current().isValue() {
+		p.facts.OffsetValue = p.valueCount
+	}
+	p.parseExpr()
+	p.acceptWord("row", "rows")
+}
 
-// parenthesized is a subquery, or tables joined in parentheses.
-func (p *Parser) parenthesized() {
-	p.need("(")
-	if p.begins() {
-		p.facts.Subqueries++
-		p.query(true)
-		p.need(")")
-		if alias := p.correlation(); alias != "" {
-			p.facts.table(alias, Derived)
-		}
-		return
+// parseFetch parses what follows FETCH.
+func (p *Parser) parseFetch() {
+	p.expectWord("first", "next")
+	if !p.current().isWord("row", "rows") {
+		p.parseRowCount()
 	}
-	p.joined()
-	for p.op(",") {
-		p.joined()
+	p.acceptWord("percent")
+	p.expectWord("row", "rows")
+	if !p.acceptWord("only") && !p.acceptWords("with", "ties") {
+		p.failExpected("ONLY or WITH TIES")
 	}
-	p.need(")")
-	p.correlation()
 }
 
-// begins says whether a query begins here, behind any number of opening parentheses that may be nested.
-func (p *Parser) begins() bool {
-	for n := 0; ; n++ {
-		if n > p.most() {
-			return false
-		}
-		t := p.ahead(n)
-		if t.op("(") {
-			continue
-		}
-		if t.word("select", "with", "values") {
-			return true
-		}
-		return t.word("table") && p.ahead(n+1).name()
+// parseRowCount parses the largest number of rows and records its value.
+func (p *Parser) parseRowCount() {
+	if p.current().isValue() {
+		p.facts.LimitValue = p.valueCount
 	}
+	p.parseExpr()
 }
 
-// correlation is an alias and the columns, with types or without, that it names.
-func (p *Parser) correlation() string {
-	alias := p.alias()
-	if alias != "" || p.tokens[max(0, p.at-1)].word("as") {
-		if p.cur().op("(") {
-			p.group()
+// parseRowLock parses FOR UPDATE and its like. Row locks count as writes, since a read-only transaction refuses them.
+func (p *Parser) parseRowLock() {
+	p.position++
+	p.acceptWords("no", "key")
+	p.acceptWord("key")
+	p.expectWord("update", "share")
+	p.facts.Writes = true
+	if p.acceptWord("of") {
+		for {
+			p.parseName("a table behind OF")
+			if !p.acceptOperator(",") {
+				break
+			}
 		}
 	}
-	return alias
+	if !p.acceptWord("nowait") {
+		p.acceptWords("skip", "locked")
+	}
 }
 
-// read notes a table that is read, or the CTE that the name stands for.
-func (p *Parser) read(name string) {
-	if !strings.Contains(name, ".") {
-		plain := unquoted(name)
-		for i := len(p.names) - 1; i >= 0; i-- {
-			if p.names[i] == plain {
-				p.facts.table(name, CTE)
-				return
-			}
+// parseOrderBy parses a sort order behind ORDER BY.
+func (p *Parser) parseOrderBy() {
+	p.facts.Sorts++
+	for {
+		p.parseExpr()
+		if p.acceptWord("using") {
+			p.next()
+		}
+		p.acceptWord("asc", "desc")
+		if p.acceptWord("nulls") {
+			p.expectWord("first", "last")
+		}
+		if !p.acceptOperator(",") {
+			return
 		}
 	}
-	p.facts.table(name, Read)
 }
--- a/statement/syntax/script.go
+++ b/statement/syntax/script.go
@@ -2,266 +2,157 @@
 
 import "chutechute/statement/lex"
 
-// script is the whole text: statements with semicolons between them.
-func (p *Parser) script() {
+// parseScript parses the whole text: statements with semicolons between them.
+func (p *Parser) parseScript() {
 	f := p.facts
-	writing, plain := false, false // whether the verb is of one that writes; of one that counts at all
+	verbWrites, verbDecides := false, false // whether f.Verb is of a statement that writes; of no transaction control
 	for {
-		for p.op(";") {
+		for p.acceptOperator(";") {
 		}
-		if p.cur().Kind == lex.End {
+		if p.current().Kind == lex.EOF {
 			break
 		}
-		before, session := f.Writes, f.Session
-		f.Writes, f.Session = false, false
-		verb := p.statement()
+		writes, changesSession := f.Writes, f.ChangesSession // of the statements before
+		f.Writes, f.ChangesSession = false, false
+		verb := p.parseStatement()
 		f.Statements++
-		counts := !control[verb]
-		if f.Statements == 1 || counts && !plain || f.Writes && !writing {
+		decides := !controlVerbs[verb]
+		if f.Statements == 1 || decides && !verbDecides || f.Writes && !verbWrites {
 			f.Verb = verb
 		}
-		writing, plain = writing || f.Writes, plain || counts
-		f.Writes, f.Session = f.Writes || before, f.Session || session
-		if !p.cur().op(";") && p.cur().Kind != lex.End {
-			p.fail("the end of the statement")
+		verbWrites, verbDecides = verbWrites || f.Writes, verbDecides || decides
+		f.Writes, f.ChangesSession = f.Writes || writes, f.ChangesSession || changesSession
+		if !p.current().isOperator(";") && p.current().Kind != lex.EOF {
+			p.failExpected("the end of the statement")
 		}
-		p.names = p.names[:0]
+		p.visibleCTEs = p.visibleCTEs[:0]
 	}
 	if f.Statements == 0 {
-		p.fail("a statement")
+		p.failExpected("a statement")
 	}
 }
 
-// control are the verbs that say nothing of what a text is for.
-var control = set("begin start commit end rollback abort savepoint release set reset discard")
+// controlVerbs are verbs of sessions and transactions, which do not decide the verb of a text.
+var controlVerbs = wordSet("begin start commit end rollback abort savepoint release set reset discard")
 
-// statement is one statement; it gives its verb.
-func (p *Parser) statement() string {
-	t := p.cur()
-	if t.op("(") || t.word("select", "with", "values", "table") {
-		return p.query(true)
+// parseStatement parses one statement and returns its verb.
+func (p *Parser) parseStatement() string {
+	t := p.current()
+	if t.isOperator("(") || t.isWord("select", "with", "values", "table") {
+		return p.parseQuery(true)
 	}
-	if verb, ok := p.write(); ok {
+	if verb, ok := p.parseDML(); ok {
 		return verb
 	}
 	if t.Kind != lex.Word {
-		p.fail("a statement")
+		p.failExpected("a statement")
 	}
 	verb := t.text
-	p.at++
+	p.position++
 	switch verb {
 	case "explain":
-		p.explain()
+		p.parseExplain()
 	case "copy":
-		p.copy()
+		p.parseCopy()
 	case "create":
-		p.create()
+		p.parseCreate()
 	case "alter", "drop":
-		p.change()
+		p.parseAlterOrDrop()
 	case "truncate":
-		p.word("table")
-		p.targets()
-		p.skip()
+		p.acceptWord("table")
+		p.parseWrittenTables()
+		p.skipUntil()
 	case "call", "do", "execute", "exec":
-		p.run(verb)
+		p.parseInvocation(verb)
 	case "begin", "start", "commit", "end", "rollback", "abort", "savepoint", "release", "set", "reset", "discard",
 		"listen", "unlisten", "notify", "deallocate", "declare", "fetch", "move", "close", "use":
-		p.facts.Session = true
-		if verb == "declare" {
-			p.skip("select", "with", "values")
-			if !p.stop() {
-				p.query(true)
-			}
-		}
-		p.skip()
+		p.parseSessionStatement(verb)
 	case "prepare":
-		p.facts.Session = true
-		p.name("a name")
-		if p.cur().op("(") {
-			p.group()
-		}
-		p.needWord("as")
-		p.statement()
+		p.parsePrepare()
 	case "show", "describe", "desc":
-		p.skip()
+		p.skipUntil()
 	case "vacuum", "analyze", "analyse", "reindex", "cluster", "refresh", "lock", "optimize":
-		p.maintain()
+		p.parseMaintenance()
 	case "grant", "revoke", "comment", "reassign", "security", "import", "checkpoint", "load":
 		p.facts.Writes = true
-		p.skip()
+		p.skipUntil()
 	default:
-		p.at--
-		p.fail("a statement")
+		p.position--
+		p.failExpected("a statement")
 	}
 	return verb
 }
 
-// explain only plans its statement, unless it is to ANALYZE it.
-func (p *Parser) explain() {
-	runs := false
-	if p.cur().op("(") && !p.begins() {
-		p.at++
-		for {
-			option := p.next()
-			on := true
-			if !p.cur().op(",") && !p.cur().op(")") {
-				value := p.next()
-				on = !value.word("false", "off") && value.text != "0"
-			}
-			if option.word("analyze", "analyse") {
-				runs = on
-			}
-			if !p.op(",") {
-				break
-			}
-		}
-		p.need(")")
-	} else {
-		for p.cur().word("analyze", "analyse", "verbose", "extended", "plan") {
-			runs = runs || p.cur().word("analyze", "analyse")
-			p.at++
-		}
-		p.word("for")
-	}
-	p.statement()
-	if !runs {
-		p.facts.Writes, p.facts.Session = false, false
-		for i, t := range p.facts.Tables {
-			if t.Role == Written {
-				p.facts.Tables[i].Role, p.facts.Reads = Read, true
-			}
+// parseSessionStatement parses a statement about the session, a transaction or a cursor behind its verb.
+func (p *Parser) parseSessionStatement(verb string) {
+	p.facts.ChangesSession = true
+	if verb == "declare" {
+		p.skipUntil("select", "with", "values")
+		if !p.atQueryEnd() {
+			p.parseQuery(true)
 		}
 	}
+	p.skipUntil()
 }
 
-// copy is COPY behind its first word: FROM writes the table, TO reads it or a query.
-func (p *Parser) copy() {
-	p.word("binary")
-	if p.op("(") {
-		if _, ok := p.write(); !ok {
-			p.query(true)
-		}
-		p.need(")")
-		p.needWord("to")
-		p.skip()
-		return
-	}
-	name := p.name("a table or a query")
-	if p.cur().op("(") {
-		p.group()
-	}
-	if p.word("from") {
-		p.facts.table(name, Written)
-	} else {
-		p.needWord("to")
-		p.facts.table(name, Read)
-	}
-	if t := p.cur(); !t.literal() && !t.name() {
-		p.fail("a file, a program or a stream")
-	}
-	p.skip()
+// parsePrepare parses PREPARE behind its first word.
+func (p *Parser) parsePrepare() {
+	p.facts.ChangesSession = true
+	p.parseName("a name")
+	p.skipOptionalParentheses()
+	p.expectWord("as")
+	p.parseStatement()
 }
 
-// run is a call of something whose effects are not seen here.
-func (p *Parser) run(verb string) {
-	p.facts.Writes, p.facts.Session = true, true
-	if verb != "do" {
-		name := p.name("a procedure")
-		if p.cur().op("(") {
-			p.call(name, "")
-		} else {
-			p.facts.function(name)
+// parseExplain parses EXPLAIN behind its first word. The statement is only planned unless it is to ANALYZE it.
+func (p *Parser) parseExplain() {
+	runs := false
+	if p.current().isOperator("(") && !p.atQueryStart() {
+		runs = p.parseExplainOptions()
+	} else {
+		for p.current().isWord("analyze", "analyse", "verbose", "extended", "plan") {
+			runs = runs || p.current().isWord("analyze", "analyse")
+			p.position++
 		}
+		p.acceptWord("for")
 	}
-	p.skip()
-}
-
-// targets are tables that are written, with commas between them.
-func (p *Parser) targets() {
-	for {
-		p.words("if", "exists")
-		p.word("only")
-		p.facts.table(p.name("a table"), Written)
-		p.op("*")
-		if !p.op(",") {
-			return
-		}
+	p.parseStatement()
+	if !runs {
+		p.facts.discardWrites()
 	}
 }
 
-// create is CREATE behind its first word.
-func (p *Parser) create() {
-	p.facts.Writes = true
-	if p.words("or", "replace") {
-		p.word("alter")
-	}
-	for p.word("global", "local", "temporary", "temp", "unlogged", "materialized", "recursive", "unique", "foreign",
-		"external", "transient", "constraint") {
-	}
-	switch {
-	case p.word("table", "view"):
-		p.words("if", "not", "exists")
-		p.facts.table(p.name("a table"), Written)
-		p.skip("as", "like")
-		if p.word("like") {
-			p.facts.table(p.name("a table"), Read)
-		} else if p.word("as") && !p.cur().word("execute") {
-			p.query(true)
+// parseExplainOptions parses the options of EXPLAIN in parentheses and returns whether ANALYZE is on.
+func (p *Parser) parseExplainOptions() (analyze bool) {
+	p.expectOperator("(")
+	for {
+		option := p.next()
+		on := true
+		if !p.current().isOperator(",") && !p.current().isOperator(")") {
+			value := p.next()
+			on = !value.isWord("false", "off") && value.text != "0"
 		}
-	case p.word("index"):
-		p.word("concurrently")
-		p.words("if", "not", "exists")
-		if !p.cur().word("on") {
-			p.name("an index")
+		if option.isWord("analyze", "analyse") {
+			analyze = on
 		}
-		p.needWord("on")
-		p.word("only")
-		p.facts.table(p.name("a table"), Written)
-	case p.cur().Kind == lex.Word:
-		p.at++
-		p.words("if", "not", "exists")
-		if p.cur().name() {
-			p.facts.named(p.next().text)
+		if !p.acceptOperator(",") {
+			break
 		}
-	default:
-		p.fail("what is to be created")
 	}
-	p.skip()
+	p.expectOperator(")")
+	return analyze
 }
 
-// change is ALTER or DROP behind its first word.
-func (p *Parser) change() {
-	p.facts.Writes = true
-	p.word("foreign", "materialized", "temporary", "external")
-	switch {
-	case p.word("table", "view"):
-		p.targets()
-	case p.cur().Kind == lex.Word:
-		p.at++
-		p.word("concurrently")
-		p.words("if", "exists")
-		if p.cur().name() && !reserved[p.cur().text] {
-			p.facts.named(p.name("a name"))
+// parseInvocation parses a call of a procedure or a block of code, whose effects are not known.
+func (p *Parser) parseInvocation(verb string) {
+	p.facts.Writes, p.facts.ChangesSession = true, true
+	if verb != "do" {
+		name := p.parseName("a procedure")
+		if p.current().isOperator("(") {
+			p.parseCall(name, "")
+		} else {
+			p.facts.addFunction(name)
 		}
-	default:
-		p.fail("what is to be changed")
-	}
-	p.skip()
-}
-
-// maintain is work on tables that changes no row.
-func (p *Parser) maintain() {
-	p.facts.Writes = true
-	p.word("materialized")
-	for p.word("full", "freeze", "verbose", "analyze", "concurrently", "view", "table", "index", "schema", "database",
-		"system") {
-	}
-	if p.cur().op("(") {
-		p.group()
-	}
-	p.word("table", "index", "schema")
-	if p.cur().name() && !reserved[p.cur().text] {
-		p.targets()
 	}
-	p.skip()
+	p.skipUntil()
 }
--- /dev/null
+++ b/statement/tablegroup_test.go
@@ -0,0 +1,23 @@
+package statement
+
+import (
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"chutechute/internal/sqltext"
+)
+
+// The group of a text that can't be parsed is that which package sqltext finds.
+func TestUnparsableTextHasGroupOfTextScan(t *testing.T) {
+	text, err := os.ReadFile("testdata/corpus.txt")
+	require.NoError(t, err)
+	for line := range strings.SplitSeq(string(text), "\n") {
+		assert.Equal(t, sqltext.Group(line), scanTableGroup(line), line)
+		unparsable := "selec \x00 " + line + " ( $ \\"
+		assert.Equal(t, sqltext.Group(unparsable), scanTableGroup(unparsable), line)
+	}
+}
