--- a/statement/estimate/plan.go
+++ b/statement/estimate/plan.go
@@ -46,7 +46,8 @@
 // tell most of a cost come first, since there are at most MaxNumbers.
 func NewFeaturePlan(facts *syntax.Facts, valueCount int) FeaturePlan {
 	var p FeaturePlan
-	paired := p.addWidths(facts.Predicates, valueCount)
+	paired := map[int]bool{}
+	p.addWidths(facts.Predicates, paired, valueCount)
 	for _, predicate := range facts.Predicates {
 		if predicate.Op == syntax.In {
 			p.addNumber(listLength, predicate.Value, 0, valueCount)
@@ -71,10 +72,9 @@
 	return p
 }
 
-// addWidths adds the widths of ranges and the lengths of intervals. It returns the predicates, by index, that are the
-// two bounds of one range.
-func (p *FeaturePlan) addWidths(predicates []syntax.Predicate, valueCount int) (paired map[int]bool) {
-	paired = map[int]bool{}
+// addWidths adds the widths of ranges and the lengths of intervals. It records in paired, by index, the predicates that
+// are the two bounds of one range.
+func (p *FeaturePlan) addWidths(predicates []syntax.Predicate, paired map[int]bool, valueCount int) {
 	for i, predicate := range predicates {
 		switch predicate.Op {
 		case syntax.Between:
@@ -88,7 +88,6 @@
 			}
 		}
 	}
-	return paired
 }
 
 // findOtherBound returns the index of the first predicate before a bound that is the opposite bound of the same column
