--- a/docs/expression_test.go
+++ b/docs/expression_test.go
@@ -43,7 +43,8 @@
 // units are the only bare numbers that expressions reckon with; other numbers are the x of a figure.
 var units = []float64{10, 1000, 10_000, 1_000_000}
 
-// A calculator works out the expressions of the page's figures: numbers, + - * /, brackets, the ids of earlier rows, and
+// A calculator works out the expressions of the page's figures: numbers, + - * /, brackets, the ids of earlier
+// rows, and
 //
 //	mean(file, axis, x, figure)   the mean of a file's points at x
 //	most(file, axis, x, figure)   the largest of them
@@ -311,7 +312,8 @@
 	return largest, nil
 }
 
-// fitText is how a row tells of its fit: the law, what it misses as a share of the value or in the figure's unit, and the range.
+// fitText is how a row tells of its fit: the law, what it misses as a share of the value or in the figure's unit,
+// and the range.
 func fitText(fit scale.Fit, law string, beyond float64) string {
 	line, misses := &fit.Linear, ""
 	if law == "power" {
@@ -361,8 +363,8 @@
 
 var spaces = regexp.MustCompile(`\s+`)
 
-// describe is a result file's row. Scatter is the largest difference between two runs of one size: of the figure in the middle, and of
-// the one that differs most.
+// describe is a result file's row. Scatter is the largest difference between two runs of one size: of the figure in
+// the middle, and of the one that differs most.
 func describe(name string, result *scale.Result, digest string) fileRow {
 	points, unit := len(result.Points), "points"
 	scatter := "one run"
--- a/docs/page_test.go
+++ b/docs/page_test.go
@@ -12,10 +12,10 @@
 	"chutechute/internal/scale"
 )
 
-// A capacityPage is docs/CAPACITY.md. Its text names each figure as `18.6 ms [d3]`; the table under "Figures" has a row for d3 with
-// the figure, the step that it is rounded to, the expression that works it out of the result files, and the fit where it uses one;
-// the table under "Files" has a row for each result file with a digest. Numbers without such a mark are the users' own, which stand
-// in bold in the table under "What the users ask".
+// A capacityPage is docs/CAPACITY.md. Its text names each figure as `18.6 ms [d3]`; the table under "Figures" has a
+// row for d3 with the figure, the step that it is rounded to, the expression that works it out of the result files,
+// and the fit where it uses one; the table under "Files" has a row for each result file with a digest. Numbers
+// without such a mark are the users' own, which stand in bold in the table under "What the users ask".
 type capacityPage struct {
 	text    string // all but the two tables of sources
 	figures []figureRow
