--- a/statement/complete.go
+++ b/statement/complete.go
@@ -7,28 +7,28 @@
 	"chutechute/statement/syntax"
 )
 
-// Call is a statement with what its client has told of it.
+// Call is a statement with what its client has reported of it.
 type Call struct {
 	Text     []byte
-	Class    int     // index of the class; negative: not told
+	Class    int     // index of the class; negative: not reported
 	Keyed    bool    // whether the call has an idempotency key
-	CostMS   float64 // work on one core, in milliseconds; 0: not told
-	MemoryMB float64 // 0: not told
+	CostMS   float64 // work on one core, in milliseconds; 0: not reported
+	MemoryMB float64 // 0: not reported
 }
 
-// Completion is what is known of a call once its statement was read. What the client has told takes precedence over
+// Completion is what is known of a call once its statement was read. What the client has reported takes precedence over
 // what was found.
 type Completion struct {
 	Class      int     // index of the class
 	CostMS     float64 // work on one core, in milliseconds
-	CostHighMS float64 // upper bound of CostMS; CostMS itself where that was told
+	CostHighMS float64 // upper bound of CostMS; CostMS itself where that was reported
 	MemoryMB   float64
 	Group      int // of tables; 0 without one
 	// Unsafe says that a second execution may do harm, whatever the class says.
 	Unsafe bool
 	// Single says that no second attempt may be made, even where the first is known not to have run.
 	Single bool
-	// Guessed says that CostMS is an estimate and was not told.
+	// Guessed says that CostMS is an estimate and was not reported.
 	Guessed bool
 
 	reading Reading // without an entry where the statement could not be parsed
@@ -50,12 +50,12 @@
 // ErrNoRule is the error of a call without a class to whose statement no rule gives one.
 var ErrNoRule = errors.New("op: not told, and no rule gives the statement a class")
 
-// Complete reads a call's statement and decides what its client has not told. An error, which is ErrNoRule or a
+// Complete reads a call's statement and decides what its client has not reported. An error, which is ErrNoRule or a
 // *syntax.Error, is the call's response.
 //
 // A statement that changes something is Unsafe unless engines can recognize its repeat: in a keyed class, with the
-// client's key. One that can't be parsed may be such a statement, so it is Unsafe too; if its class is told the call
-// goes on under that class, and otherwise the UnparsedPolicy decides.
+// client's key. One that can't be parsed may be such a statement, so it is Unsafe too; if its class is reported the
+// call goes on under that class, and otherwise the UnparsedPolicy decides.
 func (r *Reader) Complete(call Call) (Completion, error) {
 	reading, err := r.Read(call.Text)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return completion, nil
 }
 
-// completion returns a completion with what the client has told, and the group.
+// completion returns a completion with what the client has reported, and the group.
 func (c *Call) completion(group int) Completion {
 	return Completion{Class: c.Class, CostMS: c.CostMS, CostHighMS: c.CostMS, MemoryMB: c.MemoryMB, Group: group}
 }
--- a/statement/reader.go
+++ b/statement/reader.go
@@ -1,5 +1,5 @@
 // Package statement reads bare statements: it finds their class, what they cost and need, and the group of tables
-// that they read, so that a query can be scheduled whose client has told none of that. Statements of one shape are
+// that they read, so that a query can be scheduled whose client has reported none of that. Statements of one shape are
 // parsed once; how their values affect the cost is learned from outcomes.
 //
 // The package decides the class, the estimates and what a statement that can't be parsed may do. It leaves the
--- a/statement/shape/lists.go
+++ b/statement/shape/lists.go
@@ -37,7 +37,7 @@
 	inside        bool // whether the current token is within VALUES
 	depth         int  // of brackets within a row; 0 between rows
 	start         int  // offset in Shape of the current row
-	previousStart int  // offset in Shape of the last row that was kept
+	previousStart int  // offset in Shape of the last row that was not left out
 	previousEnd   int  // offset in Shape of the end of that row; 0 before the first
 	valueCount    int  // length of Values before the current row
 }
--- a/statement/shape/normalizer.go
+++ b/statement/shape/normalizer.go
@@ -43,7 +43,7 @@
 // noSign is the offset of the signs where there are none.
 const noSign = -1
 
-// maxRetainedCapacity is the largest capacity of a buffer that is kept for the next statement, in bytes or values.
+// maxRetainedCapacity is the largest capacity of a buffer that is retained for the next statement, in bytes or values.
 const maxRetainedCapacity = 64 << 10
 
 // Normalize finds the shape of a statement. It returns false where a token can't be scanned: ErrorMessage and
--- a/statement/syntax/facts.go
+++ b/statement/syntax/facts.go
@@ -9,7 +9,7 @@
 	Written  Role = "written"
 	CTE      Role = "cte"      // a name from a WITH clause
 	Derived  Role = "derived"  // the alias of a subquery or of a VALUES list
-	Function Role = "function" // a function in the place of a table
+	Function Role = "function" // a function in place of a table
 )
 
 // Table is a table that a statement names.
@@ -46,7 +46,7 @@
 	// Verb is the first word of the statement that decides: of several the first that writes, or else the first
 	// that is no transaction control. Of a WITH it is that of the main statement.
 	Verb   string
-	Reads  bool
+	Reads  bool // whether it reads tables
 	Writes bool // whether PostgreSQL refuses the text in a read-only transaction; row locks count too
 	// ChangesSession says that the text changes the state of a session or a transaction, or runs code that can't be
 	// seen here, so that two runs differ from one.
