--- a/statement/syntax/predicates.go
+++ b/statement/syntax/predicates.go
@@ -133,39 +133,54 @@
 func (p *Parser) parseRangeListOrPattern(left operand) {
 	switch word := p.next().text; word {
 	case "between":
-		p.acceptWord("symmetric", "asymmetric")
-		low := p.parseArithmetic()
-		p.expectWord("and")
-		high := p.parseArithmetic()
-		if left.column != "" && low.valueIndex >= 0 && high.valueIndex >= 0 {
-			p.addPredicate(Predicate{left.column, Between, low.valueIndex, high.valueIndex})
-		}
+		p.parseBetween(left)
 	case "in":
-		if !p.current().isOperator("(") { // IN array or parameter
-			p.parseArithmetic()
-			return
-		}
-		firstValue := p.valueCount
-		beginsWithValue := p.peek(1).isValue()
-		p.parseParenthesizedList()
-		if left.column != "" && beginsWithValue {
-			p.addPredicate(Predicate{left.column, In, firstValue, noValue})
-		}
+		p.parseIn(left)
 	default:
-		if word == "similar" {
-			p.expectWord("to")
-		}
-		if p.atQuantifier() {
-			p.position++
-			p.parseParenthesizedList()
-			return
-		}
-		right := p.parseArithmetic()
-		if left.column != "" && right.valueIndex >= 0 && (word == "like" || word == "ilike") {
-			p.addPredicate(Predicate{left.column, Like, right.valueIndex, noValue})
-		}
-		if p.acceptWord("escape") {
-			p.parseArithmetic()
-		}
+		p.parsePattern(left, word)
+	}
+}
+
+// parseBetween parses the bounds behind BETWEEN.
+func (p *Parser) parseBetween(left operand) {
+	p.acceptWord("symmetric", "asymmetric")
+	low := p.parseArithmetic()
+	p.expectWord("and")
+	high := p.parseArithmetic()
+	if left.column != "" && low.valueIndex >= 0 && high.valueIndex >= 0 {
+		p.addPredicate(Predicate{left.column, Between, low.valueIndex, high.valueIndex})
+	}
+}
+
+// parseIn parses what follows IN: a list or a subquery in parentheses, an array or a parameter.
+func (p *Parser) parseIn(left operand) {
+	if !p.current().isOperator("(") {
+		p.parseArithmetic()
+		return
+	}
+	firstValue := p.valueCount
+	beginsWithValue := p.peek(1).isValue()
+	p.parseParenthesizedList()
+	if left.column != "" && beginsWithValue {
+		p.addPredicate(Predicate{left.column, In, firstValue, noValue})
+	}
+}
+
+// parsePattern parses the pattern behind LIKE or a word like it.
+func (p *Parser) parsePattern(left operand, word string) {
+	if word == "similar" {
+		p.expectWord("to")
+	}
+	if p.atQuantifier() {
+		p.position++
+		p.parseParenthesizedList()
+		return
+	}
+	pattern := p.parseArithmetic()
+	if left.column != "" && pattern.valueIndex >= 0 && (word == "like" || word == "ilike") {
+		p.addPredicate(Predicate{left.column, Like, pattern.valueIndex, noValue})
+	}
+	if p.acceptWord("escape") {
+		p.parseArithmetic()
 	}
 }
