--- a/Makefile
+++ b/Makefile
@@ -23,6 +23,7 @@
 	CHUTECHUTE_LONG=1 go test -count=1 -v -run 'Accuracy|Beside|OneOff|Corpus$$' ./statement
 	go test -run XXX -bench . -benchmem ./statement
 	cd bench/parsers && go test -v -run Coverage -bench . -benchmem
+	go test -run XXX -bench . -benchmem ./scheduler ./fleet ./fleet/membership
 	CHUTECHUTE_LONG=1 go test -count=1 -v -run '^TestIdle|IdentityCost|FloodAnswerTimes' ./cmd/chutechute
 
 fleet: ## what copies and taking over cost, for docs/design/copies.md and takeover.md
