--- a/cmd/chutechute/statement.go
+++ b/cmd/chutechute/statement.go
@@ -139,7 +139,7 @@
 }
 
 func (x *explainer) explain(text []byte) explanation {
-	e := explanation{Tables: []tableRole{}, Group: x.reader.Group(text)}
+	e := explanation{Tables: []tableRole{}, Group: x.reader.TableGroup(text)}
 	reading, err := x.reader.Read(text)
 	var at *syntax.Error
 	if errors.As(err, &at) {
@@ -147,12 +147,12 @@
 		// What becomes of it may still be set: one class for all that can't be read.
 		if done, err := x.reader.Complete(statement.Call{Text: text, Class: -1}); err == nil {
 			e.Class = x.classes[done.Class].Name
-			e.CostMS, e.CostHighMS, e.MemoryMB = round(done.CostMS), round(done.CostHighMS), round(done.MemoryMB)
+			e.CostMS, e.CostHighMS, e.MemoryMB = round(done.CostMS), round(done.CostUpperBoundMS), round(done.MemoryMB)
 		}
 		return e
 	}
 	facts := reading.Facts()
-	e.Verb, e.Writes, e.Shape, e.Repeatable = facts.Verb, facts.Writes, reading.Shape(), facts.Repeatable()
+	e.Verb, e.Writes, e.Shape, e.Repeatable = facts.Verb, facts.Writes, reading.Shape(), facts.Idempotent()
 	for _, t := range facts.Tables {
 		e.Tables = append(e.Tables, tableRole{t.Name, string(t.Role)})
 	}
@@ -163,7 +163,7 @@
 		class = -1
 	}
 	cost := x.reader.Cost(&reading, class)
-	e.CostMS, e.CostHighMS = round(cost.Value), round(cost.High)
+	e.CostMS, e.CostHighMS = round(cost.Value), round(cost.UpperBound)
 	e.MemoryMB = round(x.reader.Memory(&reading, class).Value)
 	return e
 }
--- a/gateway/statements.go
+++ b/gateway/statements.go
@@ -52,7 +52,7 @@
 // where only the table group is read.
 func (s *statements) complete(call *Call, class int) (*statement.Completion, error) {
 	if !s.completesCalls {
-		call.TableGroup = s.reader.Group(call.Statement)
+		call.TableGroup = s.reader.TableGroup(call.Statement)
 		return nil, nil
 	}
 	completion, err := s.reader.Complete(statement.Call{
@@ -67,12 +67,12 @@
 	}
 	completedClass := &s.classes[completion.Class]
 	if call.IdempotencyKey == "" && completedClass.Effect == scheduler.IdempotentByKey {
-		completion.Unsafe = true // engines could not recognize its repeats
+		completion.NonIdempotent = true // engines could not recognize its repeats
 	}
 	call.reportedCostMS = float64(call.EstimatedWork) / microsPerMillisecond
 	call.reportedMemoryMB = call.MemoryMB
 	call.Class = completedClass.Name
-	call.TableGroup = completion.Group
+	call.TableGroup = completion.TableGroup
 	call.EstimatedWork = max(1, monotime.Micros(completion.CostMS*microsPerMillisecond))
 	call.MemoryMB = completion.MemoryMB
 	return &completion, nil
@@ -97,7 +97,8 @@
 	outcome := statement.Outcome{CostMS: r.reportedCostMS, Weight: 1, MemoryMB: r.reportedMemoryMB}
 	if outcome.CostMS == 0 {
 		threads := s.classes[r.completion.Class].Threads
-		outcome.CostMS, outcome.Weight, _ = estimate.Work(float64(m.Elapsed)/microsPerMillisecond, threads, m.Slowdown)
+		latencyMS := float64(m.Elapsed) / microsPerMillisecond
+		outcome.CostMS, outcome.Weight, _ = estimate.WorkFromLatency(latencyMS, threads, m.Slowdown)
 	}
 	s.reader.Learn(r.completion, outcome, now)
 }
--- a/gateway/submit.go
+++ b/gateway/submit.go
@@ -108,9 +108,9 @@
 	}
 	if r.completion != nil {
 		event.Class = r.completion.Class
-		event.NonIdempotent = r.completion.Unsafe
-		event.NoRetry = r.completion.Single
-		event.OwnEstimate = r.completion.Guessed
+		event.NonIdempotent = r.completion.NonIdempotent
+		event.NoRetry = r.completion.SingleAttempt
+		event.OwnEstimate = r.completion.CostEstimated
 		event.MeasureLatency = true
 	}
 	return event
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -33,10 +33,10 @@
 	threads := float64(class.Threads)
 	objectiveMS := float64(class.LatencyObjective) / float64(monotime.Millisecond)
 	return statement.Class{
-		Class:   classify.Class{Name: class.Name, Loads: class.LocksTableGroup, Threads: class.Threads},
-		Keyed:   class.Effect == scheduler.IdempotentByKey && class.DedupeScope == scheduler.ScopeAll,
-		UsualMS: initialObjectiveShare * objectiveMS * threads,
-		UsualMB: initialMBPerThread * threads,
+		Class:           classify.Class{Name: class.Name, LocksTables: class.LocksTableGroup, Threads: class.Threads},
+		Keyed:           class.Effect == scheduler.IdempotentByKey && class.DedupeScope == scheduler.ScopeAll,
+		AssumedCostMS:   initialObjectiveShare * objectiveMS * threads,
+		AssumedMemoryMB: initialMBPerThread * threads,
 	}
 }
 
@@ -44,7 +44,7 @@
 // if some rule gives it to a verb that writes.
 func (s *Statement) RuleClasses() (list []statement.Class) {
 	for _, rule := range s.Rules {
-		list = addClass(list, rule.Class, slices.ContainsFunc(rule.Verbs, classify.Writes))
+		list = addClass(list, rule.Class, slices.ContainsFunc(rule.Verbs, classify.AlwaysWrites))
 	}
 	if s.UnparsedClass != "" {
 		list = addClass(list, s.UnparsedClass, false)
@@ -58,11 +58,11 @@
 	if i < 0 {
 		i = len(list)
 		list = append(list, statement.Class{
-			Class:   classify.Class{Name: name, Threads: 1},
-			UsualMS: initialRunTimeMS,
-			UsualMB: initialMBPerThread,
+			Class:           classify.Class{Name: name, Threads: 1},
+			AssumedCostMS:   initialRunTimeMS,
+			AssumedMemoryMB: initialMBPerThread,
 		})
 	}
-	list[i].Loads = list[i].Loads || loads
+	list[i].LocksTables = list[i].LocksTables || loads
 	return list
 }
--- a/internal/config/statement.go
+++ b/internal/config/statement.go
@@ -80,17 +80,17 @@
 		return nil, err
 	}
 	options := &statement.Options{
-		CacheBytes:    int(s.CacheMB * (1 << 20)),
-		MaxBytes:      s.MaxBytes,
-		MaxDepth:      s.MaxDepth,
-		Classes:       classes,
-		Rules:         s.classifierRules(),
-		Tables:        s.tableSizes(),
-		Effects:       s.Effects,
-		UnparsedClass: s.UnparsedClass,
+		CacheBytes:          int(s.CacheMB * (1 << 20)),
+		MaxBytes:            s.MaxBytes,
+		MaxDepth:            s.MaxDepth,
+		Classes:             classes,
+		Rules:               s.classifierRules(),
+		TableSizes:          s.tableSizes(),
+		SideEffectFunctions: s.Effects,
+		UnparsedClass:       s.UnparsedClass,
 	}
 	if s.Unparsed == unparsedOnce {
-		options.Unparsed = statement.Once
+		options.UnparsedPolicy = statement.AttemptUnparsedOnce
 	}
 	if _, err := statement.New(*options); err != nil { // checks the rules against the classes
 		return nil, statementSection.addKey(err)
@@ -122,10 +122,10 @@
 }
 
 // tableSizes returns the sizes of tables by name in lower case.
-func (s *Statement) tableSizes() map[string]estimate.Sizes {
-	sizes := map[string]estimate.Sizes{}
+func (s *Statement) tableSizes() map[string]estimate.TableSize {
+	sizes := map[string]estimate.TableSize{}
 	for name, table := range s.Tables {
-		sizes[strings.ToLower(name)] = estimate.Sizes{Rows: table.Rows, MB: table.MB}
+		sizes[strings.ToLower(name)] = estimate.TableSize{Rows: table.Rows, MB: table.MB}
 	}
 	return sizes
 }
--- a/statement/accuracy_test.go
+++ b/statement/accuracy_test.go
@@ -133,7 +133,7 @@
 
 	latencyMS, slowdown := a.latency(template.class, costMS)
 	reportedSlowdown := slowdown * math.Exp(0.15*a.rng.NormFloat64())
-	work, weight, ok := estimate.Work(latencyMS, classThreads[template.class], reportedSlowdown)
+	work, weight, ok := estimate.WorkFromLatency(latencyMS, classThreads[template.class], reportedSlowdown)
 	if !ok {
 		return
 	}
@@ -158,8 +158,8 @@
 		phase.classMean.add(classMean.Estimate().Value, costMS)
 	}
 	phase.reported.add(costMS*math.Exp(0.35*a.rng.NormFloat64()), costMS) // by a client that estimates closely
-	phase.boundOverEstimate.add(completion.CostHighMS, completion.CostMS)
-	if costMS <= completion.CostHighMS {
+	phase.boundOverEstimate.add(completion.CostUpperBoundMS, completion.CostMS)
+	if costMS <= completion.CostUpperBoundMS {
 		phase.boundHolds++
 	}
 }
@@ -245,8 +245,8 @@
 
 // Without outcomes the sizes of tables tell what to expect, and without these the class does.
 func TestPriorsComeFromTableSizesThenClass(t *testing.T) {
-	r, err := statement.New(statement.Options{Classes: []statement.Class{{UsualMS: 77, UsualMB: 5}},
-		Tables: map[string]estimate.Sizes{"ops_1.small": {MB: 10}, "ops_1.large": {MB: 10000}}})
+	r, err := statement.New(statement.Options{Classes: []statement.Class{{AssumedCostMS: 77, AssumedMemoryMB: 5}},
+		TableSizes: map[string]estimate.TableSize{"ops_1.small": {MB: 10}, "ops_1.large": {MB: 10000}}})
 	require.NoError(t, err)
 	cost := func(text string) float64 {
 		reading, err := r.Read([]byte(text))
@@ -278,13 +278,13 @@
 
 // The work of an attempt is its latency times its threads as far as load does not explain it.
 func TestWorkDiscountsLoad(t *testing.T) {
-	ms, weight, ok := estimate.Work(100, 3, 1)
+	ms, weight, ok := estimate.WorkFromLatency(100, 3, 1)
 	assert.True(t, ok)
 	assert.Equal(t, []float64{300, 1}, []float64{ms, weight})
-	ms, weight, ok = estimate.Work(100, 3, 1.5)
+	ms, weight, ok = estimate.WorkFromLatency(100, 3, 1.5)
 	assert.True(t, ok)
 	assert.InDelta(t, 200, ms, 1e-9)
 	assert.Less(t, weight, 0.5)
-	_, _, ok = estimate.Work(100, 3, 2.1)
+	_, _, ok = estimate.WorkFromLatency(100, 3, 2.1)
 	assert.False(t, ok)
 }
--- a/statement/bench_test.go
+++ b/statement/bench_test.go
@@ -18,9 +18,12 @@
 // newReader returns a reader with three classes and rules for them.
 func newReader(t testing.TB, cacheBytes int) *statement.Reader {
 	r, err := statement.New(statement.Options{CacheBytes: cacheBytes, Classes: []statement.Class{
-		{Class: classify.Class{Name: "lookup", Threads: 1}, UsualMS: 100, UsualMB: 16},
-		{Class: classify.Class{Name: "report", Threads: 3}, UsualMS: 3000, UsualMB: 64},
-		{Class: classify.Class{Name: "load", Loads: true, Threads: 2}, Keyed: true, UsualMS: 2500, UsualMB: 48},
+		{Class: classify.Class{Name: "lookup", Threads: 1}, AssumedCostMS: 100, AssumedMemoryMB: 16},
+		{Class: classify.Class{Name: "report", Threads: 3}, AssumedCostMS: 3000, AssumedMemoryMB: 64},
+		{
+			Class: classify.Class{Name: "load", LocksTables: true, Threads: 2}, Keyed: true,
+			AssumedCostMS: 2500, AssumedMemoryMB: 48,
+		},
 	}, Rules: []classify.Rule{
 		{Class: "report", Tables: []string{"stats_*"}},
 		{Class: "lookup", Verbs: []string{"select", "values", "table", "show", "explain", "copy"}, CostMS: 1000},
--- a/statement/cache_test.go
+++ b/statement/cache_test.go
@@ -84,6 +84,7 @@
 	require.NoError(t, err)
 	assert.LessOrEqual(t, r.Counts().Bytes, 64<<10)
 	assert.ErrorContains(t, r.Apply(statement.Options{CacheBytes: 1}), "cache_mb")
-	assert.ErrorContains(t, r.Apply(statement.Options{Unparsed: statement.Once, UnparsedClass: "x"}), "unparsed_class")
+	invalid := statement.Options{UnparsedPolicy: statement.AttemptUnparsedOnce, UnparsedClass: "x"}
+	assert.ErrorContains(t, r.Apply(invalid), "unparsed_class")
 	assert.LessOrEqual(t, r.Counts().Bytes, 64<<10, "the old options stay")
 }
--- a/statement/classify/classify.go
+++ b/statement/classify/classify.go
@@ -15,9 +15,9 @@
 
 // Class is what rules need to know of a class.
 type Class struct {
-	Name    string
-	Loads   bool // whether its statements write, and hold the tables that they write
-	Threads int  // that run one of its statements
+	Name        string
+	LocksTables bool // whether its statements write, and hold the tables that they write
+	Threads     int  // that run one of its statements
 }
 
 // Rules are checked rules, ready to be applied.
@@ -36,7 +36,7 @@
 // the statement's shape alone and may be cached with it.
 func (r *Rules) Matching(facts *syntax.Facts) (indexes []uint16) {
 	for i, rule := range r.rules {
-		if r.classes[rule.classIndex].Loads == facts.Writes && rule.matchesVerb(facts) && rule.matchesTable(facts) {
+		if r.classes[rule.classIndex].LocksTables == facts.Writes && rule.matchesVerb(facts) && rule.matchesTable(facts) {
 			indexes = append(indexes, uint16(i))
 		}
 	}
@@ -49,7 +49,7 @@
 func (r *Rules) Classify(matching []uint16, cost func(class int) estimate.Estimate) (class int, ok bool) {
 	for _, i := range matching {
 		rule := &r.rules[i]
-		if rule.CostMS == 0 || cost(rule.classIndex).High/float64(rule.Threads) <= rule.CostMS {
+		if rule.CostMS == 0 || cost(rule.classIndex).UpperBound/float64(rule.Threads) <= rule.CostMS {
 			return rule.classIndex, true
 		}
 	}
--- a/statement/classify/rule.go
+++ b/statement/classify/rule.go
@@ -27,8 +27,8 @@
 		"vacuum", "refresh", "lock", "grant", "revoke", "comment"}, writingVerbs, readingVerbs)
 )
 
-// Writes returns whether all statements of a verb write.
-func Writes(verb string) bool { return slices.Contains(writingVerbs, strings.ToLower(verb)) }
+// AlwaysWrites returns whether all statements of a verb write.
+func AlwaysWrites(verb string) bool { return slices.Contains(writingVerbs, strings.ToLower(verb)) }
 
 // New checks rules against the classes. An error names the key of the faulty rule.
 func New(rules []Rule, classes []Class) (*Rules, error) {
@@ -77,9 +77,9 @@
 	switch {
 	case !slices.Contains(knownVerbs, verb):
 		return fmt.Errorf("%s: unknown verb %q", key, verb)
-	case class.Loads && slices.Contains(readingVerbs, verb):
+	case class.LocksTables && slices.Contains(readingVerbs, verb):
 		return fmt.Errorf("%s: %q only reads, and class %q loads", key, verb, class.Name)
-	case !class.Loads && slices.Contains(writingVerbs, verb):
+	case !class.LocksTables && slices.Contains(writingVerbs, verb):
 		return fmt.Errorf("%s: %q writes, and class %q does not load", key, verb, class.Name)
 	}
 	return nil
--- a/statement/complete.go
+++ b/statement/complete.go
@@ -19,17 +19,17 @@
 // Completion is what is known of a call once its statement was read. What the client has reported takes precedence over
 // what was found.
 type Completion struct {
-	Class      int     // index of the class
-	CostMS     float64 // work on one core, in milliseconds
-	CostHighMS float64 // upper bound of CostMS; CostMS itself where that was reported
-	MemoryMB   float64
-	Group      int // of tables; 0 without one
-	// Unsafe says that a second execution may do harm, whatever the class says.
-	Unsafe bool
-	// Single says that no second attempt may be made, even where the first is known not to have run.
-	Single bool
-	// Guessed says that CostMS is an estimate and was not reported.
-	Guessed bool
+	Class            int     // index of the class
+	CostMS           float64 // work on one core, in milliseconds
+	CostUpperBoundMS float64 // upper bound of CostMS; CostMS itself where that was reported
+	MemoryMB         float64
+	TableGroup       int // of tables; 0 without one
+	// NonIdempotent says that a second execution may do harm, whatever the class says.
+	NonIdempotent bool
+	// SingleAttempt says that no second attempt may be made, even where the first is known not to have run.
+	SingleAttempt bool
+	// CostEstimated says that CostMS is an estimate and was not reported.
+	CostEstimated bool
 
 	reading Reading // without an entry where the statement could not be parsed
 }
@@ -44,7 +44,7 @@
 
 // setCost sets the cost to an estimate.
 func (c *Completion) setCost(cost estimate.Estimate) {
-	c.CostMS, c.CostHighMS, c.Guessed = cost.Value, cost.High, true
+	c.CostMS, c.CostUpperBoundMS, c.CostEstimated = cost.Value, cost.UpperBound, true
 }
 
 // ErrNoRule is the error of a call without a class to whose statement no rule gives one.
@@ -70,8 +70,8 @@
 			return Completion{}, ErrNoRule
 		}
 	}
-	if !facts.Repeatable() {
-		completion.Unsafe = !r.recognizesRepeats(call, completion.Class)
+	if !facts.Idempotent() {
+		completion.NonIdempotent = !r.recognizesRepeats(call, completion.Class)
 	}
 	if call.CostMS == 0 {
 		completion.setCost(r.Cost(&reading, completion.Class))
@@ -84,7 +84,9 @@
 
 // completion returns a completion with what the client has reported, and the group.
 func (c *Call) completion(group int) Completion {
-	return Completion{Class: c.Class, CostMS: c.CostMS, CostHighMS: c.CostMS, MemoryMB: c.MemoryMB, Group: group}
+	return Completion{
+		Class: c.Class, CostMS: c.CostMS, CostUpperBoundMS: c.CostMS, MemoryMB: c.MemoryMB, TableGroup: group,
+	}
 }
 
 // recognizesRepeats returns whether engines discard repeats of a call of a class.
@@ -95,14 +97,14 @@
 // completeUnparsed completes a call whose statement can't be parsed, with the error that was found.
 func (r *Reader) completeUnparsed(call Call, err error) (Completion, error) {
 	completion := call.completion(scanTableGroup(string(call.Text)))
-	completion.Unsafe = true
+	completion.NonIdempotent = true
 	if completion.Class < 0 {
-		if r.options.Unparsed == RejectUnparsed {
+		if r.options.UnparsedPolicy == RejectUnparsed {
 			return Completion{}, err
 		}
-		completion.Class, completion.Single = r.unparsedClass, true
+		completion.Class, completion.SingleAttempt = r.unparsedClass, true
 	} else if r.recognizesRepeats(call, completion.Class) {
-		completion.Unsafe = false // whatever it does, engines discard its repeat
+		completion.NonIdempotent = false // whatever it does, engines discard its repeat
 	}
 	if call.CostMS == 0 {
 		completion.setCost(r.costByClass[completion.Class].Estimate())
--- a/statement/corpus_test.go
+++ b/statement/corpus_test.go
@@ -147,14 +147,14 @@
 		return c
 	}
 	const load, lookup = 2, 0
-	assert.False(t, complete("select * from ops_1.t", -1, false).Unsafe)
-	assert.True(t, complete("insert into ops_1.t values (1)", -1, false).Unsafe)
-	assert.False(t, complete("insert into ops_1.t values (1)", -1, true).Unsafe)
-	assert.True(t, complete("insert into ops_1.t values (1)", lookup, true).Unsafe,
+	assert.False(t, complete("select * from ops_1.t", -1, false).NonIdempotent)
+	assert.True(t, complete("insert into ops_1.t values (1)", -1, false).NonIdempotent)
+	assert.False(t, complete("insert into ops_1.t values (1)", -1, true).NonIdempotent)
+	assert.True(t, complete("insert into ops_1.t values (1)", lookup, true).NonIdempotent,
 		"no engine drops repeats of that class")
-	assert.True(t, complete("begin", lookup, false).Unsafe)
-	assert.True(t, complete("selec", load, false).Unsafe, "unparsed, it may change something")
-	assert.False(t, complete("selec", load, true).Unsafe)
+	assert.True(t, complete("begin", lookup, false).NonIdempotent)
+	assert.True(t, complete("selec", load, false).NonIdempotent, "unparsed, it may change something")
+	assert.False(t, complete("selec", load, true).NonIdempotent)
 	_, err := r.Complete(statement.Call{Text: []byte("selec"), Class: -1})
 	assert.ErrorContains(t, err, "line 1, column 1")
 }
--- a/statement/estimate/estimate.go
+++ b/statement/estimate/estimate.go
@@ -10,8 +10,8 @@
 // Estimate is an estimated quantity and its upper bound, in the unit of the quantity: milliseconds on one core for a
 // cost, MB for memory.
 type Estimate struct {
-	Value float64
-	High  float64 // the upper bound
+	Value      float64
+	UpperBound float64 // the upper bound
 }
 
 // minQuantity is the least quantity, since none is nothing.
--- a/statement/estimate/model.go
+++ b/statement/estimate/model.go
@@ -35,8 +35,8 @@
 func NewModel(plan *FeaturePlan, prior Estimate, now monotime.Micros) *Model {
 	m := &Model{plan: plan, typicalError: initialTypicalError, boundWidth: initialBoundWidth, learnedAt: now}
 	m.weights[0] = clampedLog(prior.Value)
-	if prior.High > prior.Value {
-		m.boundWidth = max(m.boundWidth, clampedLog(prior.High)-m.weights[0])
+	if prior.UpperBound > prior.Value {
+		m.boundWidth = max(m.boundWidth, clampedLog(prior.UpperBound)-m.weights[0])
 	}
 	m.covariance[0][0] = priorInterceptVariance
 	for i := range m.centers {
--- a/statement/estimate/prior.go
+++ b/statement/estimate/prior.go
@@ -6,8 +6,8 @@
 	"chutechute/statement/syntax"
 )
 
-// Sizes are an operator's figures of a table.
-type Sizes struct {
+// TableSize are an operator's figures of a table.
+type TableSize struct {
 	Rows float64
 	MB   float64
 }
@@ -30,7 +30,7 @@
 
 // Prior estimates the cost, in milliseconds on one core, and the memory, in MB, of a statement by the sizes of its
 // tables. ok is false where the size of a table is not known.
-func Prior(facts *syntax.Facts, sizes func(name string) (Sizes, bool)) (cost, memory Estimate, ok bool) {
+func Prior(facts *syntax.Facts, sizes func(name string) (TableSize, bool)) (cost, memory Estimate, ok bool) {
 	readMB, tablesAddedTo, ok := tableAccess(facts, sizes)
 	if !ok {
 		return cost, memory, false
@@ -52,7 +52,7 @@
 // tableAccess returns the MB of the tables that a statement reads or changes, and the number of those that it only adds
 // to. ok is false where the statement uses no table or the size of one is not known.
 func tableAccess(
-	facts *syntax.Facts, sizes func(name string) (Sizes, bool),
+	facts *syntax.Facts, sizes func(name string) (TableSize, bool),
 ) (readMB, tablesAddedTo float64, ok bool) {
 	tables := 0
 	for _, table := range facts.Tables {
--- a/statement/estimates.go
+++ b/statement/estimates.go
@@ -44,8 +44,8 @@
 }
 
 // tableSizes returns the configured sizes of a table.
-func (r *Reader) tableSizes(name string) (estimate.Sizes, bool) {
-	sizes, ok := r.options.Tables[name]
+func (r *Reader) tableSizes(name string) (estimate.TableSize, bool) {
+	sizes, ok := r.options.TableSizes[name]
 	return sizes, ok
 }
 
--- a/statement/options.go
+++ b/statement/options.go
@@ -16,29 +16,29 @@
 const (
 	// RejectUnparsed ends the call at once with the error.
 	RejectUnparsed UnparsedPolicy = iota
-	// Once serves it under Options.UnparsedClass, with one attempt that is never repeated.
-	Once
+	// AttemptUnparsedOnce serves it under Options.UnparsedClass, with one attempt that is never repeated.
+	AttemptUnparsedOnce
 )
 
 // Class is a class of the installation.
 type Class struct {
 	classify.Class
-	Keyed   bool    // whether engines discard repeats that carry the same idempotency key
-	UsualMS float64 // work on one core, in milliseconds, that is assumed until some was measured
-	UsualMB float64 // memory, in MB, that is assumed until some was measured
+	Keyed           bool    // whether engines discard repeats that carry the same idempotency key
+	AssumedCostMS   float64 // work on one core, in milliseconds, that is assumed until some was measured
+	AssumedMemoryMB float64 // memory, in MB, that is assumed until some was measured
 }
 
 // Options are an installation's settings. Limits of 0 take the defaults.
 type Options struct {
-	CacheBytes    int // of the cache of shapes
-	MaxBytes      int // of a statement that is parsed
-	MaxDepth      int // of the nesting that is parsed
-	Classes       []Class
-	Rules         []classify.Rule
-	Tables        map[string]estimate.Sizes // by name, in lower case
-	Effects       []string                  // names of functions whose call changes something
-	Unparsed      UnparsedPolicy
-	UnparsedClass string // for Once
+	CacheBytes          int // of the cache of shapes
+	MaxBytes            int // of a statement that is parsed
+	MaxDepth            int // of the nesting that is parsed
+	Classes             []Class
+	Rules               []classify.Rule
+	TableSizes          map[string]estimate.TableSize // by name, in lower case
+	SideEffectFunctions []string                      // names of functions whose call changes something
+	UnparsedPolicy      UnparsedPolicy
+	UnparsedClass       string // for Once
 }
 
 // Defaults and limits of Options.
@@ -70,7 +70,7 @@
 			unparsedClass = i
 		}
 	}
-	if o.Unparsed == Once && unparsedClass < 0 {
+	if o.UnparsedPolicy == AttemptUnparsedOnce && unparsedClass < 0 {
 		return -1, fmt.Errorf("unparsed_class: unknown class %q", o.UnparsedClass)
 	}
 	return unparsedClass, nil
--- a/statement/property_test.go
+++ b/statement/property_test.go
@@ -143,7 +143,7 @@
 	r := newReader(f, 0)
 	f.Fuzz(func(t *testing.T, text string) {
 		reading, err := r.Read([]byte(text))
-		group := r.Group([]byte(text))
+		group := r.TableGroup([]byte(text))
 		if err != nil {
 			return
 		}
--- a/statement/reader.go
+++ b/statement/reader.go
@@ -78,8 +78,8 @@
 func (r *Reader) resetMeans(classes []Class) {
 	r.costByClass, r.memoryByClass = nil, nil
 	for _, class := range classes {
-		r.costByClass = append(r.costByClass, estimate.NewMean(class.UsualMS))
-		r.memoryByClass = append(r.memoryByClass, estimate.NewMean(class.UsualMB))
+		r.costByClass = append(r.costByClass, estimate.NewMean(class.AssumedCostMS))
+		r.memoryByClass = append(r.memoryByClass, estimate.NewMean(class.AssumedMemoryMB))
 	}
 }
 
@@ -144,7 +144,7 @@
 		facts.Predicates, facts.LimitValue, facts.OffsetValue = nil, -1, -1
 	}
 	for _, name := range facts.Functions {
-		facts.Writes = facts.Writes || slices.Contains(r.options.Effects, name)
+		facts.Writes = facts.Writes || slices.Contains(r.options.SideEffectFunctions, name)
 	}
 	plan := estimate.NewFeaturePlan(facts, len(r.normalizer.Values))
 	entry := &cacheEntry{shape: canonical, facts: facts, plan: plan}
@@ -159,9 +159,9 @@
 	}
 }
 
-// Group returns the group of the tables that a statement names, and 0 where it names none. A statement that can't be
-// parsed is searched for the words that tables follow.
-func (r *Reader) Group(text []byte) int {
+// TableGroup returns the group of the tables that a statement names, and 0 where it names none. A statement that
+// can't be parsed is searched for the words that tables follow.
+func (r *Reader) TableGroup(text []byte) int {
 	reading, err := r.Read(text)
 	if err != nil {
 		return scanTableGroup(unsafe.String(unsafe.SliceData(text), len(text)))
--- a/statement/syntax/facts.go
+++ b/statement/syntax/facts.go
@@ -66,8 +66,8 @@
 	fallbackGroup int // group of the first qualified name that is no table
 }
 
-// Repeatable returns whether a second run of the text, as far as it can be seen here, changes nothing.
-func (f *Facts) Repeatable() bool { return !f.Writes && !f.ChangesSession }
+// Idempotent returns whether a second run of the text, as far as it can be seen here, changes nothing.
+func (f *Facts) Idempotent() bool { return !f.Writes && !f.ChangesSession }
 
 // addTable records a table in a role. The first one with a group, unless it is a CTE or a subquery, gives the group of
 // the text.
