--- a/fleet/heartbeat/report.go
+++ b/fleet/heartbeat/report.go
@@ -1,6 +1,8 @@
 package heartbeat
 
 import (
+	"google.golang.org/protobuf/encoding/protowire"
+
 	"chutechute/internal/fieldcodec"
 	"chutechute/internal/monotime"
 )
@@ -37,3 +39,24 @@
 	}
 	return r, f.Err()
 }
+
+// ReportsField is a repeated field of reports. It is fieldcodec.Messages without the indirect call of
+// Report.Fields, which would make the compiler allocate a fieldcodec.Fields for each report of each heartbeat.
+func ReportsField(f *fieldcodec.Fields, number protowire.Number, reports *[]Report) {
+	if f.Decoding(number) {
+		report, err := DecodeReport(f.Data())
+		if err != nil {
+			f.Fail(err)
+		}
+		*reports = append(*reports, report)
+	}
+	if f.Encoding() {
+		var buffer []byte // of one report, used again for the next
+		for i := range *reports {
+			nested := fieldcodec.Encode(buffer[:0])
+			(*reports)[i].Fields(&nested)
+			buffer = nested.Bytes()
+			f.AppendBytes(number, buffer)
+		}
+	}
+}
--- a/fleet/messages.go
+++ b/fleet/messages.go
@@ -17,27 +17,6 @@
 	f.Copied(number, body)
 }
 
-// reportsField is a repeated field of reports. It is fieldcodec.Messages without the indirect call of Report.Fields,
-// which would make the compiler allocate a fieldcodec.Fields for each report of each heartbeat.
-func reportsField(f *fieldcodec.Fields, number protowire.Number, reports *[]heartbeat.Report) {
-	if f.Decoding(number) {
-		report, err := heartbeat.DecodeReport(f.Data())
-		if err != nil {
-			f.Fail(err)
-		}
-		*reports = append(*reports, report)
-	}
-	if f.Encoding() {
-		var buffer []byte // of one report, used again for the next
-		for i := range *reports {
-			nested := fieldcodec.Encode(buffer[:0])
-			(*reports)[i].Fields(&nested)
-			buffer = nested.Bytes()
-			f.AppendBytes(number, buffer)
-		}
-	}
-}
-
 // controlHeartbeat is the heartbeat of a control member: the state of its replica, and whose heartbeats it receives.
 type controlHeartbeat struct {
 	Incarnation   uint64
@@ -63,7 +42,7 @@
 	fieldcodec.Uint(f, 7, &m.AppliedDigest)
 	f.Bool(8, &m.Leaving)
 	f.Bool(9, &m.Voter)
-	reportsField(f, 10, &m.Reports)
+	heartbeat.ReportsField(f, 10, &m.Reports)
 	f.Copied(11, &m.TableVersions)
 }
 
--- a/simulation/membership/controlheartbeat.go
+++ b/simulation/membership/controlheartbeat.go
@@ -1,8 +1,6 @@
 package membership
 
 import (
-	"google.golang.org/protobuf/encoding/protowire"
-
 	"chutechute/fleet/heartbeat"
 	"chutechute/internal/fieldcodec"
 	"chutechute/internal/monotime"
@@ -20,27 +18,10 @@
 func (h *controlHeartbeat) fields(f *fieldcodec.Fields) {
 	fieldcodec.Uint(f, 1, &h.incarnation)
 	f.Bool(8, &h.leaving)
-	reportsField(f, 10, &h.reports)
+	heartbeat.ReportsField(f, 10, &h.reports)
 	f.Copied(11, &h.tableVersions)
 }
 
-// reportsField is a repeated field of reports. As in package fleet it replaces fieldcodec.Messages, which
-// would allocate a fieldcodec.Fields for each report.
-func reportsField(f *fieldcodec.Fields, number protowire.Number, reports *[]heartbeat.Report) {
-	if f.Decoding(number) {
-		report, err := heartbeat.DecodeReport(f.Data())
-		if err != nil {
-			f.Fail(err)
-		}
-		*reports = append(*reports, report)
-	}
-	if f.Encoding() {
-		for i := range *reports {
-			f.AppendBytes(number, (*reports)[i].Encode())
-		}
-	}
-}
-
 func (h *controlHeartbeat) encode() []byte {
 	f := fieldcodec.Encode(nil)
 	h.fields(&f)
