--- a/fleet/heartbeat/monitor.go
+++ b/fleet/heartbeat/monitor.go
@@ -1,16 +1,16 @@
-// Package heartbeat is the failure detector among a fleet's control members: it tells which of them are alive, as this
-// front end sees it. The result steers decisions: which peer to send a request to, which replica to replace, when to
-// take over a request. Safety never rests on it alone, since silence does not prove death: a front end that is presumed
-// dead may be paused, partitioned in one direction, or only slow.
+// Package heartbeat implements the failure detector of a fleet's control members: it estimates which of them are alive,
+// as seen from this front end. The estimate guides decisions: which peer to send a message to, which replica to
+// replace, when to take over a request. Safety never depends on it alone, since silence does not prove death: a front
+// end that is presumed dead may be paused, partitioned in one direction, or only slow.
 //
 // Each front end reports to all others, in each heartbeat, how long ago it received a heartbeat from each of the rest.
 // A peer whose heartbeats do not arrive here but arrive elsewhere is therefore known to be partitioned and not dead,
-// without an extra request; and one heartbeat that arrives anywhere refutes a suspicion everywhere.
+// without an extra message; and one heartbeat that arrives anywhere refutes a suspicion everywhere.
 //
-// One thing is certain: an incarnation is dead once its name has come back with a later one. Which of two incarnations
-// is the later one does not follow from the order of their messages, as those of a dead process may still be in
-// flight. It follows from the links: a process that answered a challenge was alive after the challenge was made here,
-// and no two processes of one name are alive at once, so the one whose challenge was made later is the later one.
+// Only one conclusion is certain: an incarnation is dead once a later incarnation runs under its name. The order of
+// messages does not tell which of two incarnations is the later one, because messages of a dead process may still be in
+// flight. The handshakes tell it: a process that answered a challenge was alive after the challenge was sent from here,
+// and no two processes of one name are alive at once, so the process whose challenge was sent later is the later one.
 //
 // The package is a stepped module: it does no I/O, reads no clock, starts no goroutine and depends on no map order.
 // Times are microseconds of the caller's monotonic clock.
@@ -27,8 +27,8 @@
 type Config struct {
 	SuspectAfter monotime.Micros // without a heartbeat
 	DeadAfter    monotime.Micros // without a heartbeat at any front end
-	// PauseThreshold is a gap between two calls above which this process itself was paused: that it received no
-	// heartbeats meanwhile says nothing about its peers.
+	// PauseThreshold is the longest gap between two calls in normal operation. A longer gap shows that this process
+	// itself was paused; that it received no heartbeats in that time says nothing about its peers.
 	PauseThreshold monotime.Micros
 }
 
@@ -40,7 +40,7 @@
 	now    monotime.Micros
 }
 
-// NewMonitor returns a Monitor of the peers that the settings name, given as their zones by name.
+// NewMonitor returns a Monitor of the given peers; zones maps their names to their zones.
 func NewMonitor(cfg Config, zones map[string]string) *Monitor {
 	m := &Monitor{cfg: cfg, byName: map[string]*Peer{}}
 	for name, zone := range zones {
@@ -52,8 +52,8 @@
 	return m
 }
 
-// Observe records a heartbeat that was received over a link whose challenge was made here at challengedAt. It returns
-// false, and records nothing, if the name is not a peer's or the incarnation is not the peer's latest.
+// Observe records a heartbeat that was received over a link whose challenge was sent from here at challengedAt. It
+// returns false, and records nothing, if the name is not a peer's or the incarnation is not the peer's latest.
 func (m *Monitor) Observe(
 	now monotime.Micros, name string, incarnation uint64, challengedAt monotime.Micros, leaving bool, reports []Report,
 ) bool {
@@ -84,8 +84,8 @@
 	}
 }
 
-// advance moves the clock. After a pause of this process it moves the times of the last heartbeats by the pause, which
-// has to precede the recording of a heartbeat, whose time would otherwise be moved into the future.
+// advance moves the clock. After a pause of this process it shifts the times of the last heartbeats by the length of
+// the pause. It must be called before a heartbeat is recorded, whose time would otherwise be shifted into the future.
 func (m *Monitor) advance(now monotime.Micros) {
 	if gap := now - m.now; m.now != 0 && gap > m.cfg.PauseThreshold {
 		for _, p := range m.peers {
@@ -126,7 +126,7 @@
 // Lookup returns the peer with the name, nil if there is none.
 func (m *Monitor) Lookup(name string) *Peer { return m.byName[name] }
 
-// PresumedDead reports whether a process is presumed dead: its name has a later process, it has left, or no front end
+// PresumedDead reports whether a process is presumed dead: a later process has its name, it has left, or no front end
 // has received a heartbeat from it for DeadAfter.
 func (m *Monitor) PresumedDead(incarnation uint64) bool {
 	for _, p := range m.peers {
@@ -140,13 +140,13 @@
 	return false
 }
 
-// Superseded reports whether a process is certainly dead, as its name has come back with a later one.
+// Superseded reports whether a process is certainly dead because a later process has its name.
 func (m *Monitor) Superseded(incarnation uint64) bool {
 	return slices.ContainsFunc(m.peers, func(p *Peer) bool { return p.wasSuperseded(incarnation) })
 }
 
-// Unreachable reports whether no front end receives heartbeats from a process now. A process that is not known is
-// unreachable once all peers were seen.
+// Unreachable reports whether no front end receives heartbeats from a process now. An unknown process is unreachable
+// once a heartbeat of each peer was received.
 func (m *Monitor) Unreachable(incarnation uint64) bool {
 	allSeen := true
 	for _, p := range m.peers {
--- a/fleet/heartbeat/monitor_test.go
+++ b/fleet/heartbeat/monitor_test.go
@@ -29,8 +29,8 @@
 
 func noHeartbeats(monotime.Micros) {}
 
-// A peer whose heartbeats only others receive is partitioned, not dead; one whose heartbeats nobody receives is suspect
-// and then dead; one heartbeat refutes both.
+// A peer whose heartbeats only other peers receive is indirectly alive. One whose heartbeats no front end receives is
+// suspect and then dead. A single heartbeat makes it alive again.
 func TestSilentPeerIsIndirectlyAliveThenSuspectThenDead(t *testing.T) {
 	m := newMonitor()
 	reported := true
@@ -61,7 +61,7 @@
 	assert.False(t, m.PresumedDead(1))
 }
 
-// A process that was paused has received no heartbeats, which says nothing about its peers.
+// This process received no heartbeats while it was paused, which says nothing about its peers.
 func TestPauseOfThisProcessSuspectsNobody(t *testing.T) {
 	m := newMonitor()
 	run(m, 0, 1000*ms, func(now monotime.Micros) { m.Observe(now, "b", 1, 0, false, nil) })
@@ -69,8 +69,8 @@
 	assert.Equal(t, heartbeat.Alive, m.Lookup("b").State)
 }
 
-// A name that comes back with another process supersedes the earlier one for certain, and late heartbeats of that one
-// are ignored, in whichever order the heartbeats of the two arrive.
+// A later process of a name supersedes the earlier one, and late heartbeats of the earlier one are ignored, whichever
+// process's heartbeat arrives first.
 func TestLaterIncarnationSupersedesTheEarlierOne(t *testing.T) {
 	m := newMonitor()
 	assert.True(t, m.Observe(100*ms, "b", 1, 50*ms, false, nil))
@@ -84,7 +84,7 @@
 	assert.Equal(t, uint64(2), m.Lookup("b").Incarnation)
 }
 
-// A peer that announced that it leaves has left once it is silent, without being suspected first.
+// A peer that announced that it is leaving has left once it is silent, without being suspect first.
 func TestLeavingPeerHasLeftOnceItIsSilent(t *testing.T) {
 	m := newMonitor()
 	run(m, 0, 500*ms, func(now monotime.Micros) { m.Observe(now, "b", 1, 0, now > 300*ms, nil) })
@@ -92,9 +92,9 @@
 	assert.Equal(t, heartbeat.Left, m.Lookup("b").State)
 }
 
-// A heartbeat that was buffered while this process was paused is received before the first tick after the pause. It
-// counts from when it was received and not later: a peer that is silent from then on is suspect and dead as soon as
-// ever.
+// A heartbeat that was buffered while this process was paused is received before the first tick after the pause. Its
+// time of receipt must not be shifted by the pause: a peer that is silent from then on becomes suspect and dead after
+// the usual time.
 func TestHeartbeatRightAfterAPauseIsNotMovedIntoTheFuture(t *testing.T) {
 	m := newMonitor()
 	run(m, 0, 1000*ms, func(now monotime.Micros) { m.Observe(now, "b", 1, 0, false, nil) })
--- a/fleet/heartbeat/peer.go
+++ b/fleet/heartbeat/peer.go
@@ -30,20 +30,20 @@
 	Zone         string
 	Incarnation  uint64 // of its latest process; 0 before its first heartbeat
 	State        State
-	ChallengedAt monotime.Micros // when the first link of this incarnation was challenged here
+	ChallengedAt monotime.Micros // when the challenge of this incarnation's first link was sent from here
 
 	lastSeen         monotime.Micros // when its last heartbeat was received here
 	lastReported     monotime.Micros // when its last heartbeat was received by another peer, as far as reported
-	lastChallengedAt monotime.Micros // when the newest link of this incarnation was challenged here
+	lastChallengedAt monotime.Micros // when the challenge of this incarnation's newest link was sent from here
 	leaving          bool            // its last heartbeat announced that it leaves
-	superseded       []uint64        // earlier incarnations, oldest first; they never come back
+	superseded       []uint64        // earlier incarnations, oldest first; none of them is alive any more
 }
 
 // maxSuperseded bounds the earlier incarnations that are remembered for one name.
 const maxSuperseded = 64
 
-// isStale reports whether a heartbeat comes from an earlier process of the peer: one that is known to be superseded,
-// or one that is unknown and whose link was not challenged after that of the current process.
+// isStale reports whether a heartbeat comes from an earlier process of the peer: one that is known to be superseded, or
+// an unknown one whose link was not challenged later than the newest link of the current process.
 func (p *Peer) isStale(incarnation uint64, challengedAt monotime.Micros) bool {
 	if p.wasSuperseded(incarnation) {
 		return true
@@ -52,7 +52,7 @@
 	return restarted && challengedAt <= p.lastChallengedAt
 }
 
-// setIncarnation makes the peer's latest process the one with the incarnation.
+// setIncarnation records a new latest process of the peer, which supersedes the previous one, if any.
 func (p *Peer) setIncarnation(incarnation uint64, challengedAt monotime.Micros) {
 	if p.Incarnation != 0 {
 		p.superseded = append(p.superseded, p.Incarnation)
--- a/fleet/heartbeat/report.go
+++ b/fleet/heartbeat/report.go
@@ -40,8 +40,9 @@
 	return r, f.Err()
 }
 
-// ReportsField is a repeated field of reports. It is fieldcodec.Messages without the indirect call of
-// Report.Fields, which would make the compiler allocate a fieldcodec.Fields for each report of each heartbeat.
+// ReportsField encodes or decodes a repeated field of reports. It has the wire format of fieldcodec.Messages, but
+// avoids the indirect call of Report.Fields there, for which the compiler would allocate a fieldcodec.Fields for each
+// report of each heartbeat.
 func ReportsField(f *fieldcodec.Fields, number protowire.Number, reports *[]Report) {
 	if f.Decoding(number) {
 		report, err := DecodeReport(f.Data())
@@ -51,7 +52,7 @@
 		*reports = append(*reports, report)
 	}
 	if f.Encoding() {
-		var buffer []byte // of one report, used again for the next
+		var buffer []byte // for one encoded report, reused for the next
 		for i := range *reports {
 			nested := fieldcodec.Encode(buffer[:0])
 			(*reports)[i].Fields(&nested)
