--- a/fleet/attachednode.go
+++ b/fleet/attachednode.go
@@ -12,13 +12,14 @@
 // AttachedConfig configures an attached front end.
 type AttachedConfig struct {
 	Membership membership.Config
-	// RetryInterval is the unit of the delays after which a proposal without a response is sent again; see
+	// RetryInterval scales the delay after which a proposal without a response is sent again; see
 	// Config.RetryInterval.
 	RetryInterval monotime.Micros
 }
 
-// AttachedNode is an attached front end: one that the settings do not name. It has no replica and accepts no links; its
-// links to two control members carry messages in both directions. It is a stepped module as Node is.
+// AttachedNode is the part that an attached front end, which the settings do not name, has in the fleet. It has no
+// replica and accepts no links; its links to two control members carry messages in both directions. Like Node, it is a
+// stepped module.
 type AttachedNode struct {
 	cfg       AttachedConfig
 	client    *membership.Client
@@ -29,8 +30,8 @@
 	notify    func(topic string)
 }
 
-// NewAttachedNode returns an attached front end. It calls notify with a topic when what this front end waits for under
-// that topic may have changed.
+// NewAttachedNode returns the AttachedNode of an attached front end. It calls notify with the topic of each
+// notification from the replicated log: the state that this front end waits for under that topic may have changed.
 func NewAttachedNode(cfg AttachedConfig, notify func(topic string)) *AttachedNode {
 	a := &AttachedNode{cfg: cfg, client: membership.NewClient(cfg.Membership), notify: notify}
 	a.proposals = newProposals(a, cfg.Membership.Incarnation, cfg.RetryInterval)
@@ -40,13 +41,13 @@
 // MembershipClient returns this front end's client of package membership.
 func (a *AttachedNode) MembershipClient() *membership.Client { return a.client }
 
-// View returns the view of the front ends of both roles, as the home has sent it.
+// View returns the view of the front ends of both roles, as received from the home.
 func (a *AttachedNode) View() *membership.View { return a.client.View() }
 
 // Home returns the name of the control member that sends the view and forwards proposals, empty if there is none.
 func (a *AttachedNode) Home() string { return a.client.Home() }
 
-// Targets returns the control members to have links with now. Links to others are to be closed.
+// Targets returns the control members that this front end should have links to now. The caller closes links to others.
 func (a *AttachedNode) Targets(now monotime.Micros) []string {
 	a.now = now
 	return a.client.Targets(now)
@@ -64,8 +65,8 @@
 	a.client.LinkClosed(now, control)
 }
 
-// Receive handles a message of a control member. After an error the link is to be closed: the message is malformed, or
-// of a kind that attached front ends do not receive.
+// Receive handles a message from a control member. After an error the caller closes the link: the message is malformed,
+// or of a kind that attached front ends do not receive.
 func (a *AttachedNode) Receive(now monotime.Micros, l Link, kind transport.Kind, body []byte) error {
 	a.now = now
 	switch kind {
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// Tick moves the clock to now and does what is due.
+// Tick advances the clock to now and does the work that is due.
 func (a *AttachedNode) Tick(now monotime.Micros) {
 	a.now = now
 	if a.leaving {
@@ -95,7 +96,7 @@
 	a.proposals.tick(now)
 }
 
-// Next returns the time at which Tick has to be called at the latest.
+// Next returns the time by which Tick must be called.
 func (a *AttachedNode) Next() monotime.Micros {
 	if len(a.proposals.ids) > 0 {
 		return min(a.client.Next(), a.now+a.proposals.retargetDelay())
@@ -103,10 +104,10 @@
 	return a.client.Next()
 }
 
-// Leave has the next heartbeats announce that this front end leaves the fleet.
+// Leave makes all further heartbeats announce that this front end is leaving the fleet.
 func (a *AttachedNode) Leave() { a.leaving = true }
 
-// Actions returns the actions to carry out, and forgets them.
+// Actions returns the pending actions, which the caller carries out, and clears them.
 func (a *AttachedNode) Actions() []Action {
 	for _, m := range a.client.TakeMessages() {
 		a.sendMessage(m.To, frameKind(m.Kind), m.Bulk, m.Body)
@@ -120,14 +121,14 @@
 	a.actions = append(a.actions, Send{To: to, Kind: kind, Bulk: bulk, Body: body})
 }
 
-// Propose proposes a command for the state machine with the number kind, in a version of its commands, to the
-// replicated log, by way of the home. It calls done once with the response, from Receive, but not after Cancel. A
-// proposal that was canceled may still be committed.
+// Propose proposes a command to the replicated log through the home. The command is encoded in body, in the given
+// version of the state machine's command format. Propose calls done once with the response, from Receive, but not after
+// Cancel. A canceled proposal may still be committed.
 func (a *AttachedNode) Propose(
-	now monotime.Micros, kind, version uint32, body []byte, done func(replication.Response),
+	now monotime.Micros, stateMachineID, version uint32, body []byte, done func(replication.Response),
 ) (id uint64) {
 	a.now = now
-	return a.proposals.add(now, kind, version, body, done)
+	return a.proposals.add(now, stateMachineID, version, body, done)
 }
 
 // Cancel stops waiting for the response to a proposal.
@@ -136,7 +137,7 @@
 // Proposals returns the number of proposals that this front end has made.
 func (a *AttachedNode) Proposals() int { return int(a.proposals.lastID) }
 
-// PresumedDead reports whether a process of the fleet is presumed dead by the view.
+// PresumedDead reports whether a process of the fleet is presumed dead according to the view.
 func (a *AttachedNode) PresumedDead(incarnation uint64) bool {
 	return a.client.View().PresumedDead(incarnation)
 }
@@ -149,6 +150,6 @@
 	a.sendMessage(to, transport.Proposal, false, command.Encode())
 }
 
-// redirect implements proposalRoute. It is always true: the home has learned the leader from the response that it
-// forwarded, and will forward the proposal there.
+// redirect implements proposalRoute. It always returns true: the home learned the new leader from the response that it
+// forwarded, and will forward the proposal to that leader.
 func (a *AttachedNode) redirect(uint64, string) bool { return true }
--- a/fleet/attachednode_test.go
+++ b/fleet/attachednode_test.go
@@ -32,7 +32,7 @@
 	}
 	c.run(3 * second)
 	for _, m := range c.controlMembers {
-		assert.Equal(t, 3, m.registry.Len(), "each replica has them")
+		assert.Equal(t, 3, m.registry.Len(), "each replica has all requests")
 		assert.Zero(t, m.Undeliverable)
 	}
 	for _, a := range c.attached {
@@ -40,8 +40,8 @@
 	}
 }
 
-// Front ends of both roles see all of both roles. A process that dies is seen dead, and one that leaves is seen to have
-// left, also by the failure detector of the replicated log.
+// Front ends of each role have those of both roles in their views. A process that dies or leaves is presumed dead by
+// the views and by the failure detector of the replicated log.
 func TestFrontEndsOfBothRolesSeeOneAnother(t *testing.T) {
 	c := newCluster(t, true)
 	c.waitForLeader()
@@ -64,7 +64,7 @@
 	leaving.Leave()
 	c.run(stepInterval)
 	leaving.running = false
-	c.waitFor(8*second, "both dead", func() bool {
+	c.waitFor(8*second, "both presumed dead", func() bool {
 		return remaining.PresumedDead(dying.incarnation) && remaining.PresumedDead(leaving.incarnation)
 	})
 	entry, _ := remaining.View().Lookup("x2")
@@ -75,17 +75,18 @@
 	}
 }
 
-// The home dies while a proposal is pending: it is sent again through another, and has one response.
+// If the home dies while a proposal is pending, the proposal is sent again through another control member and gets one
+// response.
 func TestProposalSurvivesItsHome(t *testing.T) {
 	c := newCluster(t, true)
 	leader, follower := c.waitForLeader()
 	a := c.attach("x1", zones[follower.name])
 	c.waitForView(a)
-	require.Equal(t, follower.name, a.Home(), "the one of its zone")
+	require.Equal(t, follower.name, a.Home(), "the control member of its zone")
 	c.drop = func(_, to string, kind transport.Kind) bool { return kind == transport.Response && to == a.name }
 	response := c.register(a, "once")
 	c.waitFor(second, "a response that is dropped", func() bool {
-		// by its home, or directly from the leader if it has a link with that
+		// from its home, or directly from the leader if it has a link to that
 		fromHome := c.sent[messageRoute{follower.name, a.name, transport.Response}]
 		fromLeader := c.sent[messageRoute{leader.name, a.name, transport.Response}]
 		return fromHome+fromLeader > 0
@@ -97,10 +98,10 @@
 	assert.NotEqual(t, follower.name, a.Home())
 	c.run(2 * second)
 	assert.Equal(t, 1, response.count)
-	assert.Equal(t, 1, leader.registry.Len(), "a retry of the proposal is the same request")
+	assert.Equal(t, 1, leader.registry.Len(), "the proposal that is sent again registers the same request")
 }
 
-// The leader dies while a proposal is pending: the next leader responds.
+// If the leader dies while a proposal is pending, the next leader responds.
 func TestProposalSurvivesTheLeader(t *testing.T) {
 	c := newCluster(t, true)
 	leader, follower := c.waitForLeader()
@@ -114,8 +115,8 @@
 	c.waitFor(15*second, "a response", response.received)
 }
 
-// A notification of the replicated log reaches the process that it is for, through the control member that has its
-// link.
+// A notification of the replicated log reaches the process of an attached front end that it is addressed to, through a
+// control member that has a link to that process.
 func TestNotificationsReachAttachedFrontEnds(t *testing.T) {
 	c := newCluster(t, true)
 	leader, follower := c.waitForLeader()
@@ -162,8 +163,8 @@
 	assert.Positive(t, leader.Undeliverable+follower.Undeliverable)
 }
 
-// An attached front end may send heartbeats and proposals of its own only, and receives views, responses and
-// notifications only.
+// An attached front end may send only heartbeats and its own proposals, and accepts only views, responses and
+// notifications.
 func TestAttachedFrontEndsMaySendHeartbeatsAndProposalsOnly(t *testing.T) {
 	c := newCluster(t, true)
 	leader, follower := c.waitForLeader()
@@ -176,13 +177,13 @@
 		}
 		assert.ErrorIs(t, follower.Receive(c.now, link, kind, nil), transport.ErrUnknownKind, kind.String())
 	}
-	ofAnother := replication.Command{
+	otherProposer := replication.Command{
 		StateMachineID: 1,
 		Version:        1,
 		Proposer:       replication.Incarnation(leader.incarnation),
 		Sequence:       1,
 	}
-	err := follower.Receive(c.now, link, transport.Proposal, ofAnother.Encode())
+	err := follower.Receive(c.now, link, transport.Proposal, otherProposer.Encode())
 	assert.ErrorIs(t, err, fleet.ErrProposerMismatch)
 	assert.Error(t, follower.Receive(c.now, link, transport.Proposal, []byte{0xff}))
 	assert.Error(t, follower.Receive(c.now, link, transport.AttachedHeartbeat, []byte{0xff}))
@@ -207,7 +208,8 @@
 	assert.Nil(t, leader.View())
 }
 
-// A control member that forwards a proposal in another's name, or something that is none, loses its link.
+// A forwarded message is an error, after which the link is closed, if it is a proposal that does not come from its
+// proposer, is of a kind that is never forwarded, or is malformed.
 func TestForwardedMessagesAreChecked(t *testing.T) {
 	c := newCluster(t, true)
 	leader, follower := c.waitForLeader()
@@ -224,8 +226,8 @@
 	assert.Error(t, leader.Receive(c.now, link, transport.Forward, malformed))
 }
 
-// The requests that an attached front end has in flight are never offered to others: a leader that presumes its process
-// dead leaves them alone, and expires those that have not started.
+// The requests that an attached front end has in flight are never offered to other front ends. A leader that presumes
+// its process dead does not change the owner of those that have started, and expires those that have not.
 func TestRequestsOfADeadAttachedFrontEndAreNotOffered(t *testing.T) {
 	c := newCluster(t, true)
 	leader, _ := c.waitForLeader()
@@ -243,18 +245,18 @@
 		RequestID:      "call-started",
 	})
 	a.running = false
-	c.waitFor(6*second, "dead", func() bool { return leader.PresumedDead(a.incarnation) })
+	c.waitFor(6*second, "presumed dead", func() bool { return leader.PresumedDead(a.incarnation) })
 	c.run(3500 * ms)
 	records := map[string]idempotency.RecordStatus{}
 	for _, record := range leader.registry.Records() {
 		records[record.IdempotencyKey] = record
 	}
 	assert.Equal(t, "started", records["started"].Phase)
-	assert.Equal(t, started.Epoch, records["started"].Epoch, "it was offered to nobody")
+	assert.Equal(t, started.Epoch, records["started"].Epoch, "it was offered to no front end")
 	assert.NotEqual(t, "waiting", records["waiting"].Phase)
 }
 
-// A request that an attached front end transfers, as it leaves, is offered to a control member.
+// A request that an attached front end transfers while it leaves is offered to a control member.
 func TestTransferredRequestsOfAttachedFrontEndsAreOffered(t *testing.T) {
 	c := newCluster(t, true)
 	leader, _ := c.waitForLeader()
--- a/fleet/bootstrap.go
+++ b/fleet/bootstrap.go
@@ -8,8 +8,8 @@
 	"chutechute/fleet/transport"
 )
 
-// bootstrap begins a replicated log if there surely is none, and sends the bootstrap message again to those that have
-// not handled it yet.
+// bootstrap creates a replicated log if it is certain that none exists. Until a new log has a leader, each call sends
+// the bootstrap message to the control members that belong to no log yet.
 func (n *Node) bootstrap(alive []replication.Member) {
 	switch {
 	case n.pendingBootstrap != nil && n.replica.Leader() != 0:
@@ -37,7 +37,7 @@
 	return true
 }
 
-// beginBootstrap chooses the first members of a new replicated log and begins it here.
+// beginBootstrap chooses the initial members of a new replicated log and bootstraps this front end's replica with them.
 func (n *Node) beginBootstrap(alive []replication.Member) (ok bool) {
 	members := initialMembers(alive, n.cfg.Replication.Replicas)
 	m := bootstrapMessage{Group: n.cfg.NewID(), Members: replication.EncodeMembers(members)}
@@ -57,7 +57,8 @@
 	}
 }
 
-// receiveBootstrap takes part in a new replicated log, unless this front end belongs to one.
+// receiveBootstrap handles another control member's bootstrap message. It ignores the message if this front end already
+// belongs to a replicated log.
 func (n *Node) receiveBootstrap(body []byte) error {
 	m, err := decodeBootstrapMessage(body)
 	if err != nil {
@@ -74,7 +75,8 @@
 	return n.replica.Bootstrap(n.now, m.Group, members)
 }
 
-// initialMembers chooses the first members of a new replicated log: by name, and from as many zones as there are.
+// initialMembers chooses the initial members of a new replicated log. Each one comes from a zone with the fewest
+// members so far; among equals, the first by name is chosen.
 func initialMembers(alive []replication.Member, replicas int) (members []replication.Member) {
 	candidates := slices.Clone(alive)
 	slices.SortFunc(candidates, func(a, b replication.Member) int { return cmp.Compare(a.Name, b.Name) })
--- a/fleet/cluster_test.go
+++ b/fleet/cluster_test.go
@@ -30,17 +30,17 @@
 	retryInterval = 4 * tickInterval
 )
 
-// cluster is control members and attached front ends in virtual time. A message takes one step.
+// cluster runs control members and attached front ends in virtual time. A message arrives one step after it was sent.
 type cluster struct {
 	t              *testing.T
 	now            monotime.Micros
 	lastID         uint64
 	controlMembers map[string]*controlMember
 	attached       map[string]*attachedFrontEnd
-	inFlight       []func() // deliver a message each
+	inFlight       []func() // each delivers a message
 	// drop reports whether a message is dropped; nil drops none.
 	drop func(from, to string, kind transport.Kind) bool
-	sent map[messageRoute]int // messages so far, dropped ones included
+	sent map[messageRoute]int // number of messages so far, including dropped ones
 }
 
 type messageRoute struct {
@@ -60,12 +60,12 @@
 	*fleet.AttachedNode
 	name, zone    string
 	incarnation   uint64
-	links         map[string]fleet.Link // by control member, as the control member has them
+	links         map[string]fleet.Link // by the control member's name, as the control member sees them
 	notifications []string
 	running       bool
 }
 
-// zones are those of the control members, by name.
+// zones maps the names of the control members to their zones.
 var zones = map[string]string{"n1": "a", "n2": "b", "n3": "c"}
 
 func membershipControlMembers() (members []membership.ControlMember) {
@@ -163,7 +163,7 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// step delivers the messages in flight and lets one step pass.
+// step advances the time by one step, delivers the messages in flight and ticks all front ends.
 func (c *cluster) step() {
 	c.now += stepInterval
 	deliveries := c.inFlight
@@ -185,7 +185,7 @@
 	c.runActions()
 }
 
-// updateLinks opens the links that an attached front end wants and closes the others.
+// updateLinks opens links to the targets of an attached front end and closes its links to others.
 func (c *cluster) updateLinks(a *attachedFrontEnd) {
 	targets := a.Targets(c.now)
 	for _, name := range sortedKeys(a.links) {
@@ -300,22 +300,22 @@
 	})
 }
 
-// waitFor lets time pass until a condition is true, which has to be before the timeout.
+// waitFor advances the time until a condition is true. It fails the test if that takes longer than the timeout.
 func (c *cluster) waitFor(timeout monotime.Micros, description string, condition func() bool) {
 	c.t.Helper()
 	for deadline := c.now + timeout; !condition(); c.step() {
-		require.Less(c.t, c.now, deadline, "not in time: %s", description)
+		require.Less(c.t, c.now, deadline, "timed out waiting for: %s", description)
 	}
 }
 
-// run lets time pass.
+// run advances the time by a duration.
 func (c *cluster) run(duration monotime.Micros) {
 	for end := c.now + duration; c.now < end; {
 		c.step()
 	}
 }
 
-// waitForLeader returns the control member that leads the replicated log, and one that does not.
+// waitForLeader waits for a leader of the replicated log that another control member knows, and returns both.
 func (c *cluster) waitForLeader() (leader, follower *controlMember) {
 	c.t.Helper()
 	c.waitFor(20*second, "a leader that another control member knows", func() bool {
@@ -343,10 +343,10 @@
 	})
 }
 
-// pendingResponse is where the response to a registration will be.
+// pendingResponse stores the response to a registration once it arrives.
 type pendingResponse struct {
 	idempotency.Response
-	count int // of the responses so far
+	count int // number of responses so far
 }
 
 func (p *pendingResponse) received() bool { return p.count > 0 }
--- a/fleet/failuredetector.go
+++ b/fleet/failuredetector.go
@@ -7,8 +7,8 @@
 	"chutechute/fleet/replication"
 )
 
-// failureDetector is the replication.FailureDetector of a control member: by heartbeats for control members, by the
-// merged view for attached front ends.
+// failureDetector is the replication.FailureDetector of a control member. It uses the heartbeats for control members,
+// and the merged view for attached front ends.
 type failureDetector struct{ node *Node }
 
 // PresumedDead implements replication.FailureDetector.
@@ -16,8 +16,9 @@
 	return d.node.PresumedDead(uint64(i))
 }
 
-// Superseded implements replication.FailureDetector. It is certain for control members only. For attached front ends it
-// is what the merged view says; budgets, which need certainty, cannot be configured where front ends may attach.
+// Superseded implements replication.FailureDetector. The result is certain for control members only; for attached front
+// ends it comes from the merged view. Budgets need a certain result, and therefore cannot be configured where front
+// ends may attach.
 func (d failureDetector) Superseded(i replication.Incarnation) bool {
 	n := d.node
 	if n.server == nil || n.isOrWasControlMember(uint64(i)) {
@@ -26,10 +27,10 @@
 	return n.server.View().Superseded(uint64(i))
 }
 
-// Unreachable implements replication.FailureDetector. Where front ends may attach, it is false for any process that
-// is no control member's: the requests that an attached front end has in flight are not offered to others in this
-// version. They end by their own timeout, and a retry is told that the outcome is unknown. A request that an
-// attached front end transfers itself has no owner, and is offered.
+// Unreachable implements replication.FailureDetector. Where front ends may attach, it returns false for any process
+// that is not a control member's, because this version does not offer the requests that an attached front end has in
+// flight to other front ends. They end by their own time-out, and a retry gets the answer that the outcome is unknown.
+// A request that an attached front end transfers itself has no owner, and is offered.
 func (d failureDetector) Unreachable(i replication.Incarnation) bool {
 	n, incarnation := d.node, uint64(i)
 	switch {
@@ -56,8 +57,8 @@
 	return live
 }
 
-// PresumedDead reports whether a process of the fleet is presumed dead: of a control member by its heartbeats, of an
-// attached front end by the merged view.
+// PresumedDead reports whether a process of the fleet is presumed dead. It uses the heartbeats for control members, and
+// the merged view for attached front ends.
 func (n *Node) PresumedDead(incarnation uint64) bool {
 	if n.server == nil || n.isOrWasControlMember(incarnation) {
 		return n.monitor.PresumedDead(incarnation)
--- a/fleet/forward.go
+++ b/fleet/forward.go
@@ -5,13 +5,14 @@
 	"chutechute/fleet/transport"
 )
 
-// An attached front end sends its proposals by way of a control member that it has a link to, its home, and the
-// leader of the replicated log responds by way of a control member that the process has a link to by then. What is
-// for a process without a link is dropped: its proposer sends the proposal again.
+// An attached front end sends its proposals to its home, a control member that it has a link to, which forwards them
+// to the leader of the replicated log. The leader sends the response through whichever control member has a link to the
+// proposer by then. A response to a process without a link is dropped; the process then sends its proposal again.
 
-// forwardProposal passes a proposal of an attached front end on to the leader. It is dropped if no leader is known.
+// forwardProposal forwards a proposal of an attached front end to the leader. It drops the proposal if no leader is
+// known.
 func (n *Node) forwardProposal(l Link, body []byte) error {
-	command, err := decodeCommandOf(l.Incarnation, body)
+	command, err := decodeCommandFrom(l.Incarnation, body)
 	if err != nil {
 		return err
 	}
@@ -29,16 +30,17 @@
 	return nil
 }
 
-// decodeCommandOf decodes the command of a proposal that has to come from the process.
-func decodeCommandOf(process uint64, body []byte) (replication.Command, error) {
+// decodeCommandFrom decodes the command of a proposal, and returns ErrProposerMismatch if the proposer is not the given
+// process.
+func decodeCommandFrom(incarnation uint64, body []byte) (replication.Command, error) {
 	command, err := replication.DecodeCommand(body)
-	if err == nil && uint64(command.Proposer) != process {
+	if err == nil && uint64(command.Proposer) != incarnation {
 		err = ErrProposerMismatch
 	}
 	return command, err
 }
 
-// receiveForward handles a message that another control member forwards.
+// receiveForward handles a message from or to an attached front end that another control member forwards.
 func (n *Node) receiveForward(body []byte) error {
 	m, err := decodeForwardMessage(body)
 	if err != nil {
@@ -46,23 +48,23 @@
 	}
 	switch m.Kind {
 	case transport.Proposal:
-		command, err := decodeCommandOf(m.Process, m.Body)
+		command, err := decodeCommandFrom(m.Incarnation, m.Body)
 		if err != nil {
 			return err
 		}
 		n.replica.Propose(n.now, command)
 	case transport.Response:
 		n.learnLeader(m.Body)
-		n.sendToLinked(m.Process, m.Kind, m.Body)
+		n.sendToLinked(m.Incarnation, m.Kind, m.Body)
 	case transport.Notification:
-		n.sendToLinked(m.Process, m.Kind, m.Body)
+		n.sendToLinked(m.Incarnation, m.Kind, m.Body)
 	default:
 		return transport.ErrUnknownKind
 	}
 	return nil
 }
 
-// learnLeader has the next proposals go to the leader that a forwarded response names.
+// learnLeader directs further proposals to the leader that a forwarded response names.
 func (n *Node) learnLeader(body []byte) {
 	response, err := replication.DecodeResponse(body)
 	if err == nil && response.Result == replication.NotLeader && response.Leader != 0 {
@@ -70,30 +72,30 @@
 	}
 }
 
-// forwardToAttached sends a message of the replicated log to a process of an attached front end, by way of a control
+// forwardToAttached sends a message of the replicated log to a process of an attached front end, through a control
 // member that has a link to it.
-func (n *Node) forwardToAttached(process uint64, kind transport.Kind, body []byte) {
-	if process == 0 { // the leader's own command, which nobody waits for
+func (n *Node) forwardToAttached(incarnation uint64, kind transport.Kind, body []byte) {
+	if incarnation == 0 { // for a command that the leader itself proposed: no process waits for the response
 		return
 	}
-	home, ok := n.server.HomeOf(process)
+	home, ok := n.server.HomeOf(incarnation)
 	switch {
 	case !ok:
 		n.Undeliverable++
 	case home == n.cfg.Name:
-		n.sendToLinked(process, kind, body)
+		n.sendToLinked(incarnation, kind, body)
 	default:
-		m := forwardMessage{process, kind, body}
+		m := forwardMessage{incarnation, kind, body}
 		n.send(home, transport.Forward, false, m.encode())
 	}
 }
 
 // sendToLinked sends a message over this control member's own link to a process of an attached front end.
-func (n *Node) sendToLinked(process uint64, kind transport.Kind, body []byte) {
-	linked, ok := n.linked[process]
+func (n *Node) sendToLinked(incarnation uint64, kind transport.Kind, body []byte) {
+	linked, ok := n.linked[incarnation]
 	if !ok {
 		n.Undeliverable++
 		return
 	}
-	n.actions = append(n.actions, Send{To: linked.name, Incarnation: process, Kind: kind, Body: body})
+	n.actions = append(n.actions, Send{To: linked.name, Incarnation: incarnation, Kind: kind, Body: body})
 }
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	fuzzedIncarnation   = 5 // of the control member
+	controlIncarnation  = 5
 	attachedIncarnation = 7
 )
 
@@ -23,14 +23,14 @@
 	n := fleet.NewNode(fleet.Config{
 		Name:              "n1",
 		Zone:              "a",
-		Incarnation:       fuzzedIncarnation,
+		Incarnation:       controlIncarnation,
 		PeerZones:         map[string]string{"n2": "b"},
 		HeartbeatInterval: 2 * tickInterval,
 		RetryInterval:     retryInterval,
 		Membership: &membership.Config{
 			Name:           "n1",
 			Zone:           "a",
-			Incarnation:    fuzzedIncarnation,
+			Incarnation:    controlIncarnation,
 			ControlMembers: fuzzedControlMembers,
 		},
 		Replication: replication.Config{
@@ -59,8 +59,8 @@
 	}, func(string) {})
 }
 
-// FuzzReceive feeds what a remote side may send after its handshake to both roles. Nothing panics; and an attached
-// front end's message never causes one among control members, except a proposal in its own name.
+// FuzzReceive passes messages that a remote side may send after its handshake to nodes of both roles. Neither panics,
+// and no message of an attached front end, except its own proposals, causes messages between control members.
 func FuzzReceive(f *testing.F) {
 	command := replication.Command{
 		StateMachineID: 1,
@@ -92,14 +92,14 @@
 	n.LinkOpened(now, link)
 	err := n.Receive(now, link, kind, body)
 	if err == nil && kind != transport.AttachedHeartbeat && kind != transport.Proposal {
-		t.Fatalf("%s was accepted", kind)
+		t.Fatalf("%s from an attached front end was accepted", kind)
 	}
 	for _, action := range n.Actions() {
 		if sent, ok := action.(fleet.Send); ok && sent.Incarnation == 0 && kind != transport.Proposal {
-			t.Fatalf("%s has caused %s to %s", kind, sent.Kind, sent.To)
+			t.Fatalf("%s from an attached front end caused %s to %s", kind, sent.Kind, sent.To)
 		}
 	}
-	_ = n.Receive(now, fleet.Link{From: "n2", Incarnation: 6, ChallengedAt: now}, kind, body) // any error will do
+	_ = n.Receive(now, fleet.Link{From: "n2", Incarnation: 6, ChallengedAt: now}, kind, body) // an error is allowed
 	n.Tick(now + tickInterval)
 	n.Actions()
 }
@@ -109,7 +109,7 @@
 	a := newFuzzedAttachedNode()
 	a.Targets(now)
 	a.LinkOpened(now, "n2", 6)
-	_ = a.Receive(now, fleet.Link{From: "n2", Incarnation: 6}, kind, body) // any error will do
+	_ = a.Receive(now, fleet.Link{From: "n2", Incarnation: 6}, kind, body) // an error is allowed
 	a.Tick(now + tickInterval)
 	a.Actions()
 }
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -36,17 +36,17 @@
 
 func goldenHeartbeats() []golden.Message {
 	full := controlHeartbeat{
-		Incarnation:   1<<61 + 3,
-		ReplicaID:     1 << 40,
-		Group:         77,
-		Leader:        1 << 40,
-		Term:          9,
-		AppliedIndex:  1234,
-		AppliedDigest: 1<<63 + 1,
-		Leaving:       true,
-		Voter:         true,
-		Reports:       []heartbeat.Report{{Name: "n2", Incarnation: 5, Age: 100}, {Name: "n3", Age: 70_000}, {}},
-		TableVersions: []byte("versions"),
+		Incarnation:     1<<61 + 3,
+		ReplicaID:       1 << 40,
+		Group:           77,
+		Leader:          1 << 40,
+		Term:            9,
+		AppliedIndex:    1234,
+		AppliedChecksum: 1<<63 + 1,
+		Leaving:         true,
+		Voter:           true,
+		Reports:         []heartbeat.Report{{Name: "n2", Incarnation: 5, Age: 100}, {Name: "n3", Age: 70_000}, {}},
+		TableVersions:   []byte("versions"),
 	}
 	withoutLog := controlHeartbeat{Incarnation: 3, ReplicaID: 4, Reports: []heartbeat.Report{{Name: "n2"}}}
 	return []golden.Message{
--- a/fleet/heartbeats.go
+++ b/fleet/heartbeats.go
@@ -17,18 +17,18 @@
 
 // heartbeat returns this front end's heartbeat.
 func (n *Node) heartbeat() controlHeartbeat {
-	index, digest := n.replica.LastApplied()
+	index, checksum := n.replica.LastApplied()
 	m := controlHeartbeat{
-		Incarnation:   n.cfg.Incarnation,
-		ReplicaID:     n.replica.ID(),
-		Group:         n.replica.GroupID(),
-		Leader:        n.replica.Leader(),
-		Term:          n.replica.Term(),
-		AppliedIndex:  index,
-		AppliedDigest: digest,
-		Leaving:       n.leaving,
-		Voter:         n.replica.IsVoter(),
-		Reports:       n.monitor.Reports(),
+		Incarnation:     n.cfg.Incarnation,
+		ReplicaID:       n.replica.ID(),
+		Group:           n.replica.GroupID(),
+		Leader:          n.replica.Leader(),
+		Term:            n.replica.Term(),
+		AppliedIndex:    index,
+		AppliedChecksum: checksum,
+		Leaving:         n.leaving,
+		Voter:           n.replica.IsVoter(),
+		Reports:         n.monitor.Reports(),
 	}
 	if n.replica.Err() != nil {
 		m.ReplicaID = 0
@@ -39,7 +39,7 @@
 	return m
 }
 
-// receiveHeartbeat handles a heartbeat of a control member. One of an earlier process is ignored.
+// receiveHeartbeat handles a heartbeat from another control member. It ignores a heartbeat of an earlier process.
 func (n *Node) receiveHeartbeat(l Link, body []byte) error {
 	m, err := decodeControlHeartbeat(body)
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 	n.lastHeartbeats[l.From] = &m
 	if m.Group != 0 && m.Group == n.replica.GroupID() {
-		n.replica.CheckDivergence(m.AppliedIndex, m.AppliedDigest)
+		n.replica.CheckDivergence(m.AppliedIndex, m.AppliedChecksum)
 	}
 	if n.server != nil && len(m.TableVersions) > 0 {
 		if err := n.server.ReceiveVersions(n.now, l.From, l.Incarnation, m.TableVersions); err != nil {
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// aliveMembers returns the control members that are alive, this one included, and have a working replica.
+// aliveMembers returns the control members, this one included, that are alive, are not leaving and have a working
+// replica.
 func (n *Node) aliveMembers() (members []replication.Member) {
 	if n.replica.Err() == nil && !n.leaving {
 		members = append(members, replication.Member{ID: n.replica.ID(), Name: n.cfg.Name, Zone: n.cfg.Zone})
@@ -79,7 +80,7 @@
 	return members
 }
 
-// ReplicaName returns the name of the front end whose replica has the ID, empty if none is known.
+// ReplicaName returns the name of the control member whose replica has the ID, empty if none is known.
 func (n *Node) ReplicaName(id uint64) string {
 	if id == n.replica.ID() {
 		return n.cfg.Name
--- a/fleet/heartbeats_test.go
+++ b/fleet/heartbeats_test.go
@@ -14,7 +14,7 @@
 	"chutechute/internal/raftlog"
 )
 
-// sentHeartbeat returns the first heartbeat of a control member, decoded.
+// sentHeartbeat returns the decoded first heartbeat that a control member sends.
 func sentHeartbeat(t *testing.T, attached *membership.Config) controlHeartbeat {
 	t.Helper()
 	n := NewNode(Config{
@@ -47,22 +47,22 @@
 	return controlHeartbeat{}
 }
 
-// A heartbeat has the bytes that it had before front ends could attach, unless the settings allow them.
+// A heartbeat has the same encoding as before front ends could attach, unless the settings allow them to.
 func TestHeartbeatIsUnchangedUnlessFrontEndsMayAttach(t *testing.T) {
 	m := controlHeartbeat{
-		Incarnation:   0x1234567890,
-		ReplicaID:     7,
-		Group:         8,
-		Leader:        9,
-		Term:          10,
-		AppliedIndex:  11,
-		AppliedDigest: 12,
-		Leaving:       true,
-		Voter:         true,
-		Reports:       []heartbeat.Report{{Name: "n2", Incarnation: 5, Age: 1234}},
+		Incarnation:     0x1234567890,
+		ReplicaID:       7,
+		Group:           8,
+		Leader:          9,
+		Term:            10,
+		AppliedIndex:    11,
+		AppliedChecksum: 12,
+		Leaving:         true,
+		Voter:           true,
+		Reports:         []heartbeat.Report{{Name: "n2", Incarnation: 5, Age: 1234}},
 	}
-	const before = "0890f1d9a2a302100718082009280a300b380c4001480152090a026e32100518d209"
-	assert.Equal(t, before, hex.EncodeToString(m.encode()))
+	const earlierEncoding = "0890f1d9a2a302100718082009280a300b380c4001480152090a026e32100518d209"
+	assert.Equal(t, earlierEncoding, hex.EncodeToString(m.encode()))
 
 	assert.Empty(t, sentHeartbeat(t, nil).TableVersions)
 	controlMembers := []membership.ControlMember{{Name: "n1"}, {Name: "n2"}}
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -10,22 +10,22 @@
 	"chutechute/internal/monotime"
 )
 
-// Errors of a remote side that sends what its role does not allow. The link is to be closed.
+// Errors for messages that the remote side's role does not allow. The caller closes the link.
 var (
-	ErrProposerMismatch   = errors.New("fleet: proposal in the name of another process")
+	ErrProposerMismatch   = errors.New("fleet: proposer does not match the sending process")
 	ErrAttachmentDisabled = errors.New("fleet: no front ends may attach here")
 )
 
 // linkedFrontEnd is a process of an attached front end that has links to this control member.
 type linkedFrontEnd struct {
 	name  string
-	links int // number of them
+	links int // number of open links
 }
 
-// MembershipServer returns the server of the front ends that are attached here, nil if none may attach.
+// MembershipServer returns the server for the front ends that are attached here, nil if none may attach.
 func (n *Node) MembershipServer() *membership.Server { return n.server }
 
-// View returns the view of the front ends of both roles, nil if none may attach.
+// View returns the merged view of the front ends of both roles, nil if none may attach.
 func (n *Node) View() *membership.View {
 	if n.server == nil {
 		return nil
@@ -36,17 +36,17 @@
 // AttachedCount returns the number of processes of attached front ends that have a link to this control member.
 func (n *Node) AttachedCount() int { return len(n.linked) }
 
-// membershipLink converts a link of an attached front end for package membership.
+// membershipLink converts a link of an attached front end to the type of package membership.
 func (l *Link) membershipLink() membership.Link {
 	return membership.Link{From: l.From, Zone: l.Zone, Incarnation: l.Incarnation, ChallengedAt: l.ChallengedAt}
 }
 
-// attachedLink is the inverse of membershipLink.
+// attachedLink converts in the opposite direction to membershipLink.
 func attachedLink(l membership.Link) Link {
 	return Link{From: l.From, Zone: l.Zone, Incarnation: l.Incarnation, ChallengedAt: l.ChallengedAt, Attached: true}
 }
 
-// LinkOpened records that an attached front end has established a link. Other links are ignored.
+// LinkOpened records that an attached front end has established a link. It ignores links of control members.
 func (n *Node) LinkOpened(now monotime.Micros, l Link) {
 	if n.server == nil || !l.Attached {
 		return
@@ -57,7 +57,7 @@
 	n.server.LinkOpened(now, l.membershipLink())
 }
 
-// LinkClosed records that a link of an attached front end was closed. Other links are ignored.
+// LinkClosed records that a link of an attached front end was closed. It ignores links of control members.
 func (n *Node) LinkClosed(now monotime.Micros, l Link) {
 	if n.server == nil || !l.Attached {
 		return
@@ -71,13 +71,13 @@
 	n.server.LinkClosed(now, l.membershipLink())
 }
 
-// QueueFull records that queued messages to a process of an attached front end were dropped for want of capacity.
+// QueueFull records that messages to a process of an attached front end were dropped because its queue was full.
 func (n *Node) QueueFull(now monotime.Micros, name string, incarnation uint64) {
 	n.now = now
 	n.server.QueueFull(now, name, incarnation)
 }
 
-// receiveFromAttached handles a message of an attached front end, which may send heartbeats and proposals only.
+// receiveFromAttached handles a message from an attached front end, which may send only heartbeats and proposals.
 func (n *Node) receiveFromAttached(l Link, kind transport.Kind, body []byte) (err error) {
 	switch {
 	case n.server == nil:
@@ -93,7 +93,7 @@
 	return err
 }
 
-// receiveMembership handles a message of another control member that concerns attached front ends.
+// receiveMembership handles a message from another control member that concerns attached front ends.
 func (n *Node) receiveMembership(l Link, kind transport.Kind, body []byte) error {
 	switch {
 	case n.server == nil:
@@ -108,7 +108,7 @@
 	return fmt.Errorf("%w: %s from a control member", transport.ErrUnknownKind, kind)
 }
 
-// tickServer does what is due for the attached front ends.
+// tickServer passes the current states of the control members to the membership server and ticks it.
 func (n *Node) tickServer() {
 	if n.server == nil {
 		return
@@ -123,7 +123,7 @@
 	n.server.Tick(n.now, n.controlMembers)
 }
 
-// controlMember converts a peer for package membership.
+// controlMember converts a peer to the type of package membership.
 func controlMember(peer *heartbeat.Peer) membership.ControlMember {
 	return membership.ControlMember{
 		Name:            peer.Name,
@@ -135,7 +135,7 @@
 	}
 }
 
-// membershipState converts a peer's state for package membership.
+// membershipState converts a peer's state to the type of package membership.
 func membershipState(s heartbeat.State) membership.State {
 	switch s {
 	case heartbeat.Alive, heartbeat.IndirectlyAlive:
@@ -161,7 +161,7 @@
 	return transport.ViewUpdate
 }
 
-// collectServerActions turns the server's actions into this front end's.
+// collectServerActions converts the membership server's messages and links to close to actions of this node.
 func (n *Node) collectServerActions() {
 	if n.server == nil {
 		return
--- a/fleet/messages.go
+++ b/fleet/messages.go
@@ -8,7 +8,7 @@
 	"chutechute/internal/fieldcodec"
 )
 
-// bodyField is a field of bytes that is encoded even if it is empty. Decoded bytes are a copy.
+// bodyField encodes or decodes a field of bytes. It is encoded even if it is empty. Decoded bytes are a copy.
 func bodyField(f *fieldcodec.Fields, number protowire.Number, body *[]byte) {
 	if f.Encoding() {
 		f.AppendBytes(number, *body)
@@ -17,19 +17,20 @@
 	f.Copied(number, body)
 }
 
-// controlHeartbeat is the heartbeat of a control member: the state of its replica, and whose heartbeats it receives.
+// controlHeartbeat is the heartbeat of a control member. It contains the state of its replica, and the ages of the last
+// heartbeats that it received from the others.
 type controlHeartbeat struct {
-	Incarnation   uint64
-	ReplicaID     uint64 // 0 without a working replica
-	Group         uint64 // the replicated log that it belongs to; 0 for none
-	Leader        uint64 // the leader's replica ID, 0 if it is not known
-	Term          uint64
-	AppliedIndex  uint64 // of the last command that was applied
-	AppliedDigest uint64 // over the responses to all commands up to AppliedIndex
-	Leaving       bool
-	Voter         bool
-	Reports       []heartbeat.Report
-	TableVersions []byte // of the tables of attached front ends; nil if none may attach
+	Incarnation     uint64
+	ReplicaID       uint64 // 0 without a working replica
+	Group           uint64 // ID of the replicated log that it belongs to; 0 for none
+	Leader          uint64 // the leader's replica ID, 0 if it is not known
+	Term            uint64
+	AppliedIndex    uint64 // of the last command that was applied
+	AppliedChecksum uint64 // over the responses to all commands up to AppliedIndex
+	Leaving         bool
+	Voter           bool
+	Reports         []heartbeat.Report
+	TableVersions   []byte // versions of the tables of attached front ends; nil if none may attach
 }
 
 func (m *controlHeartbeat) fields(f *fieldcodec.Fields) {
@@ -39,7 +40,7 @@
 	fieldcodec.Uint(f, 4, &m.Leader)
 	fieldcodec.Uint(f, 5, &m.Term)
 	fieldcodec.Uint(f, 6, &m.AppliedIndex)
-	fieldcodec.Uint(f, 7, &m.AppliedDigest)
+	fieldcodec.Uint(f, 7, &m.AppliedChecksum)
 	f.Bool(8, &m.Leaving)
 	f.Bool(9, &m.Voter)
 	heartbeat.ReportsField(f, 10, &m.Reports)
@@ -60,7 +61,7 @@
 	return m, f.Err()
 }
 
-// bootstrapMessage begins a replicated log.
+// bootstrapMessage asks a control member to join a new replicated log.
 type bootstrapMessage struct {
 	Group   uint64
 	Members []byte // see replication.EncodeMembers
@@ -88,7 +89,7 @@
 // replicationMessage is a message between replicas of one replicated log.
 type replicationMessage struct {
 	Group   uint64
-	Message []byte // decoded, it is part of the input
+	Message []byte // after decoding, it shares the memory of the input
 }
 
 func (m *replicationMessage) fields(f *fieldcodec.Fields) {
@@ -111,7 +112,7 @@
 	return m, f.Err()
 }
 
-// relayMessage is a message between control members on its way through a third.
+// relayMessage wraps a message between two control members that is sent through a third one.
 type relayMessage struct {
 	To          string
 	From        string
@@ -143,19 +144,19 @@
 	return m, f.Err()
 }
 
-// forwardMessage is a message between an attached front end and the leader of the replicated log, on its way from one
-// control member to another.
+// forwardMessage wraps a message between an attached front end and the leader of the replicated log that one control
+// member sends to another.
 type forwardMessage struct {
-	Process uint64         // the attached front end's incarnation
-	Kind    transport.Kind // Proposal to the leader; Response or Notification from it
-	Body    []byte
+	Incarnation uint64         // the attached front end's
+	Kind        transport.Kind // Proposal to the leader; Response or Notification from it
+	Body        []byte
 }
 
-// maxKind is what larger kinds are decoded as; it is none.
+// maxKind is the value that larger kinds are decoded as. No kind of message has this value.
 const maxKind transport.Kind = 255
 
 func (m *forwardMessage) fields(f *fieldcodec.Fields) {
-	fieldcodec.Uint(f, 1, &m.Process)
+	fieldcodec.Uint(f, 1, &m.Incarnation)
 	fieldcodec.UintUpTo(f, 2, &m.Kind, maxKind)
 	bodyField(f, 3, &m.Body)
 }
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -15,17 +15,17 @@
 	Incarnation       uint64            // of this process
 	PeerZones         map[string]string // of the other control members, by name
 	Heartbeat         heartbeat.Config
-	Replication       replication.Config // its ID is the number of this front end's disk
+	Replication       replication.Config // its ID identifies this front end's disk
 	HeartbeatInterval monotime.Micros
-	// RetryInterval is the unit of the delays after which a proposal without a response is sent again: a quarter of it
-	// if the proposal has to go to another front end by now, four times it otherwise.
+	// RetryInterval scales the delay after which a proposal without a response is sent again: a quarter of it if
+	// proposals now go to another front end than the one it was sent to, and four times it otherwise.
 	RetryInterval monotime.Micros
-	Membership    *membership.Config // of the front ends that attach to this control member; nil if none may
-	// NewID returns a number that was never used, for a new replicated log.
+	Membership    *membership.Config // for the front ends attached to this control member; nil if none may attach
+	// NewID returns a unique ID for a new replicated log.
 	NewID func() uint64
 }
 
-// Node is a control member of a fleet.
+// Node is a control member's part in the fleet.
 type Node struct {
 	cfg     Config
 	monitor *heartbeat.Monitor
@@ -33,7 +33,7 @@
 	// lastHeartbeats is the last heartbeat of each other control member, by name.
 	lastHeartbeats   map[string]*controlHeartbeat
 	nextHeartbeat    monotime.Micros
-	pendingBootstrap []byte // the bootstrap message, which is sent again until there is a leader; nil otherwise
+	pendingBootstrap []byte // the bootstrap message, resent with each heartbeat until there is a leader; nil otherwise
 	leaving          bool
 
 	proposals   proposals
@@ -47,18 +47,18 @@
 	actions []Action
 	now     monotime.Micros
 
-	// Relayed counts the messages that were also sent by way of a third front end.
+	// Relayed counts the messages that were also sent through a third control member.
 	Relayed int
-	// Forwarded counts the proposals of attached front ends that were passed on to the leader.
+	// Forwarded counts the proposals of attached front ends that were forwarded to the leader.
 	Forwarded int
-	// Undeliverable counts the messages from or for attached front ends that were dropped for want of a route.
+	// Undeliverable counts the messages from or to attached front ends that were dropped because no route was known.
 	Undeliverable int
 	// OnPeerChange is called when the state of another control member changes.
 	OnPeerChange func(*heartbeat.Peer)
 }
 
-// NewNode returns a control member. It calls notify with a topic when what this front end waits for under that
-// topic may have changed.
+// NewNode returns the Node of a control member. It calls notify with the topic of each notification from the
+// replicated log: the state that this front end waits for under that topic may have changed.
 func NewNode(cfg Config, notify func(topic string)) *Node {
 	n := &Node{
 		cfg:            cfg,
@@ -77,22 +77,23 @@
 	return n
 }
 
-// Recover continues with the state that was read from this front end's disk; nil is an empty disk.
+// Recover restores the replica from the state that was read from this front end's disk. A nil state means that the
+// disk is empty.
 func (n *Node) Recover(now monotime.Micros, state *replication.PersistedState) error {
 	n.now = now
 	return n.replica.Recover(now, state)
 }
 
-// Replica returns this front end's replica of the log, which may be no member of it.
+// Replica returns this front end's replica of the log. It exists even while this front end does not belong to a log.
 func (n *Node) Replica() *replication.Replica { return n.replica }
 
 // Monitor returns the failure detector of the other control members.
 func (n *Node) Monitor() *heartbeat.Monitor { return n.monitor }
 
-// Leave has the next heartbeats announce that this front end leaves the fleet.
+// Leave makes all further heartbeats announce that this front end is leaving the fleet.
 func (n *Node) Leave() { n.leaving = true }
 
-// Actions returns the actions to carry out, and forgets them.
+// Actions returns the pending actions, which the caller carries out, and clears them.
 func (n *Node) Actions() []Action {
 	n.collectActions()
 	actions := n.actions
@@ -100,14 +101,14 @@
 	return actions
 }
 
-// Propose proposes a command for the state machine with the number kind, in a version of its commands, to the
-// replicated log. It calls done once with the response, from Receive, Tick, Persisted or Actions, but not after
-// Cancel. A proposal that was canceled may still be committed.
+// Propose proposes a command to the replicated log. The command is encoded in body, in the given version of the state
+// machine's command format. Propose calls done once with the response, from Receive, Tick, Persisted or Actions, but
+// not after Cancel. A canceled proposal may still be committed.
 func (n *Node) Propose(
-	now monotime.Micros, kind, version uint32, body []byte, done func(replication.Response),
+	now monotime.Micros, stateMachineID, version uint32, body []byte, done func(replication.Response),
 ) (id uint64) {
 	n.now = now
-	return n.proposals.add(now, kind, version, body, done)
+	return n.proposals.add(now, stateMachineID, version, body, done)
 }
 
 // Cancel stops waiting for the response to a proposal.
@@ -116,8 +117,8 @@
 // Proposals returns the number of proposals that this front end has made.
 func (n *Node) Proposals() int { return int(n.proposals.lastID) }
 
-// Receive handles a message that arrived over a link. After an error the link is to be closed: the message is
-// malformed, or one that the remote side's role does not allow.
+// Receive handles a message that arrived over a link. After an error the caller closes the link: the message is
+// malformed, or the remote side's role does not allow it.
 func (n *Node) Receive(now monotime.Micros, l Link, kind transport.Kind, body []byte) error {
 	n.now = now
 	if l.Attached {
@@ -133,15 +134,16 @@
 	case transport.Relay:
 		return n.receiveRelay(l, body)
 	}
-	if err := n.receiveRequest(l, kind, body); err != nil {
+	if err := n.receiveProposalMessage(l, kind, body); err != nil {
 		return err
 	}
 	n.collectActions()
 	return nil
 }
 
-// receiveRequest handles a message about proposals or attached front ends from a control member.
-func (n *Node) receiveRequest(l Link, kind transport.Kind, body []byte) error {
+// receiveProposalMessage handles a proposal, a response or a notification from another control member. Messages of
+// other kinds go to receiveMembership.
+func (n *Node) receiveProposalMessage(l Link, kind transport.Kind, body []byte) error {
 	switch kind {
 	case transport.Proposal:
 		return n.receiveProposal(l, body)
@@ -154,7 +156,8 @@
 	return n.receiveMembership(l, kind, body)
 }
 
-// receiveProposal handles a proposal of another control member. One in the name of another process is ignored.
+// receiveProposal handles a proposal from another control member. It ignores a proposal whose proposer is not the
+// sending process.
 func (n *Node) receiveProposal(l Link, body []byte) error {
 	command, err := replication.DecodeCommand(body)
 	if err != nil {
@@ -184,21 +187,21 @@
 	return n.replica.Receive(n.now, m.Group, m.Message)
 }
 
-// SendFailed records that messages to a front end may not arrive.
+// SendFailed records that messages to a control member may have been lost.
 func (n *Node) SendFailed(name string) {
 	if last := n.lastHeartbeats[name]; last != nil && last.ReplicaID != 0 {
 		n.replica.ReportUnreachable(last.ReplicaID)
 	}
 }
 
-// Persisted records that a replication.Save was written, or the error that prevented it.
+// Persisted records that the replication.Save with the token was written, or the error that prevented it.
 func (n *Node) Persisted(now monotime.Micros, token uint64, err error) {
 	n.now = now
 	n.replica.Persisted(now, token, err)
 	n.collectActions()
 }
 
-// Next returns the time at which Tick has to be called at the latest.
+// Next returns the time by which Tick must be called.
 func (n *Node) Next() monotime.Micros {
 	next := min(n.nextHeartbeat, n.now+n.cfg.Replication.TickInterval)
 	if n.server != nil {
@@ -207,7 +210,7 @@
 	return next
 }
 
-// Tick moves the clock to now and does what is due.
+// Tick advances the clock to now and does the work that is due.
 func (n *Node) Tick(now monotime.Micros) {
 	n.now = now
 	for _, peer := range n.monitor.Tick(now) {
@@ -225,7 +228,7 @@
 	n.collectActions()
 }
 
-// collectActions turns the actions of the server and of the replica into this front end's.
+// collectActions converts the actions of the membership server and of the replica to actions of this node.
 func (n *Node) collectActions() {
 	n.collectServerActions()
 	for _, action := range n.replica.Actions() {
@@ -240,36 +243,36 @@
 		case replication.Reply:
 			n.sendResponse(uint64(action.To), action.Response)
 		case replication.Notify:
-			if n.replica.IsLeader() { // all replicas have the same notifications; the leader's suffice
+			if n.replica.IsLeader() { // every replica produces the same notifications; only the leader sends them
 				n.sendNotification(uint64(action.To), action.Topic)
 			}
 		}
 	}
 }
 
-// sendResponse delivers the response to a proposal.
-func (n *Node) sendResponse(process uint64, response replication.Response) {
-	if process == n.cfg.Incarnation {
+// sendResponse delivers the response to a proposal to its proposer.
+func (n *Node) sendResponse(incarnation uint64, response replication.Response) {
+	if incarnation == n.cfg.Incarnation {
 		n.proposals.receive(n.now, response)
 		return
 	}
-	n.sendToProcess(process, transport.Response, response.Encode())
+	n.sendToProcess(incarnation, transport.Response, response.Encode())
 }
 
-func (n *Node) sendNotification(process uint64, topic string) {
-	if process == n.cfg.Incarnation {
+func (n *Node) sendNotification(incarnation uint64, topic string) {
+	if incarnation == n.cfg.Incarnation {
 		n.notify(topic)
 		return
 	}
-	n.sendToProcess(process, transport.Notification, []byte(topic))
+	n.sendToProcess(incarnation, transport.Notification, []byte(topic))
 }
 
-// sendToProcess sends a message of the replicated log to a process of either role. It is dropped if the process is not
-// known.
-func (n *Node) sendToProcess(process uint64, kind transport.Kind, body []byte) {
-	if to := n.nameOfProcess(process); to != "" {
+// sendToProcess sends a message of the replicated log to a process of either role. It drops the message if the process
+// is not known.
+func (n *Node) sendToProcess(incarnation uint64, kind transport.Kind, body []byte) {
+	if to := n.nameOfProcess(incarnation); to != "" {
 		n.send(to, kind, false, body)
 	} else if n.server != nil {
-		n.forwardToAttached(process, kind, body)
+		n.forwardToAttached(incarnation, kind, body)
 	}
 }
--- a/fleet/proposals.go
+++ b/fleet/proposals.go
@@ -7,20 +7,20 @@
 	"chutechute/internal/monotime"
 )
 
-// proposals sends this front end's proposals to the replicated log, again and again until each has its response. A
-// proposal may therefore be committed twice, which the commands of every state machine tolerate.
+// proposals sends this front end's proposals to the replicated log, and resends each of them until its response
+// arrives. A proposal may therefore be committed more than once, which the commands of every state machine tolerate.
 type proposals struct {
 	route         proposalRoute
 	proposer      replication.Incarnation
 	retryInterval monotime.Micros
 	lastID        uint64
 	pending       map[uint64]*pendingProposal // by ID
-	ids           []uint64                    // of the pending proposals, in order
+	ids           []uint64                    // of the pending proposals, in ascending order
 }
 
-// proposalRoute is how proposals reach the replicated log: directly, or by way of a control member.
+// proposalRoute determines how proposals reach the replicated log: directly, or through a control member.
 type proposalRoute interface {
-	// target returns the front end that proposals go to now, empty if none is known.
+	// target returns the name of the front end that proposals go to now, empty if none is known.
 	target() string
 	// send sends a proposal to a front end.
 	send(to string, command replication.Command)
@@ -35,11 +35,12 @@
 	done      func(replication.Response)
 	sentAt    monotime.Micros
 	sentTo    string // empty if no target was known
-	redirects int    // that were followed since the proposal was last sent by tick
+	redirects int    // followed since add or tick last sent the proposal
 }
 
-// maxRedirects bounds how often a proposal follows the redirects of replicas that are not the leader. Two replicas that
-// name one another, or responses that arrive twice, would otherwise cause a storm (package simulation, seed 3094).
+// maxRedirects bounds how often a proposal follows the redirects of replicas that are not the leader. Without the
+// bound, two replicas that name each other as the leader, or duplicate responses, cause a storm of messages (package
+// simulation, seed 3094).
 const maxRedirects = 2
 
 func newProposals(route proposalRoute, incarnation uint64, retryInterval monotime.Micros) proposals {
@@ -51,19 +52,19 @@
 	}
 }
 
-// retargetDelay is how long a proposal waits for a response while the target has changed.
+// retargetDelay is how long a proposal waits for a response if the target has changed since the proposal was sent.
 func (p *proposals) retargetDelay() monotime.Micros { return p.retryInterval / 4 }
 
-// retryDelay is how long a proposal waits for a response from the same target.
+// retryDelay is how long a proposal waits for a response if the target is still the same.
 func (p *proposals) retryDelay() monotime.Micros { return 4 * p.retryInterval }
 
-// add makes a proposal and sends it.
+// add creates a proposal and sends it.
 func (p *proposals) add(
-	now monotime.Micros, kind, version uint32, body []byte, done func(replication.Response),
+	now monotime.Micros, stateMachineID, version uint32, body []byte, done func(replication.Response),
 ) (id uint64) {
 	p.lastID++
 	proposal := &pendingProposal{done: done, command: replication.Command{
-		StateMachineID: kind,
+		StateMachineID: stateMachineID,
 		Version:        version,
 		Proposer:       p.proposer,
 		Sequence:       p.lastID,
@@ -113,8 +114,8 @@
 	}
 }
 
-// tick sends the proposals again that had no response in time: soon if the target has changed, and otherwise only after
-// a while, since what was sent may still be committed.
+// tick resends the proposals whose responses are overdue: after a short delay if the target has changed, and otherwise
+// after a longer one, since the earlier copy of the proposal may still be committed.
 func (p *proposals) tick(now monotime.Micros) {
 	if len(p.ids) == 0 {
 		return
@@ -125,7 +126,7 @@
 	}
 	for _, id := range slices.Clone(p.ids) {
 		proposal := p.pending[id]
-		if proposal == nil { // removed meanwhile
+		if proposal == nil { // removed since the loop began
 			continue
 		}
 		delay := p.retryDelay()
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -5,13 +5,17 @@
 	"chutechute/fleet/transport"
 )
 
-// A link may fail in one direction alone. A control member whose heartbeats arrive here and report that those of
-// this front end do not arrive there is sent messages by way of a third that it receives heartbeats from. One whose
-// heartbeats do not arrive here, but elsewhere, is sent messages both directly and by way of a third that receives
-// its heartbeats. Messages are relayed once, and small ones only. A message that arrives twice does no harm, so
-// that nothing depends on this being right.
+// A link may fail in one direction only. Messages to a control member are therefore sent both directly and through a
+// third control member, the relay, in two cases:
+//
+//   - Its heartbeats arrive here, but report that those of this front end do not arrive there. The relay is a control
+//     member that it receives heartbeats from.
+//   - Its heartbeats do not arrive here, but arrive at other control members. The relay is one of those.
+//
+// Only small messages are relayed, and a relay does not pass a message on to another relay. A message that arrives
+// twice does no harm, so no guarantee depends on whether these decisions are right.
 
-// send sends a message to a control member, and relays it too if the direct link is known to fail.
+// send sends a message to a control member, and also relays it if the direct link is known to fail.
 func (n *Node) send(to string, kind transport.Kind, bulk bool, body []byte) {
 	n.actions = append(n.actions, Send{To: to, Kind: kind, Bulk: bulk, Body: body})
 	if bulk || len(body) >= transport.MaxFrameBody {
@@ -26,14 +30,15 @@
 	n.actions = append(n.actions, Send{To: via, Kind: transport.Relay, Body: m.encode()})
 }
 
-// relayFor returns the control member by way of which messages to another are relayed, empty if none are.
+// relayFor returns the name of the control member through which messages to another one are relayed, empty if they are
+// not relayed.
 func (n *Node) relayFor(to string) string {
 	peer, last := n.monitor.Lookup(to), n.lastHeartbeats[to]
 	if peer == nil || last == nil || last.Incarnation != peer.Incarnation {
 		return ""
 	}
 	switch {
-	case peer.State == heartbeat.Alive && !n.receives(last, n.cfg.Name, n.cfg.Incarnation):
+	case peer.State == heartbeat.Alive && !n.reportsReceiptFrom(last, n.cfg.Name, n.cfg.Incarnation):
 		return n.relayReceivedBy(peer, last)
 	case peer.State == heartbeat.IndirectlyAlive:
 		return n.relayReceiving(peer)
@@ -41,8 +46,9 @@
 	return ""
 }
 
-// receives reports whether a heartbeat says that its sender has received a heartbeat from a process recently.
-func (n *Node) receives(m *controlHeartbeat, name string, incarnation uint64) bool {
+// reportsReceiptFrom reports whether, according to a heartbeat, its sender has recently received a heartbeat from a
+// process.
+func (n *Node) reportsReceiptFrom(m *controlHeartbeat, name string, incarnation uint64) bool {
 	for _, report := range m.Reports {
 		if report.Name == name {
 			return report.Incarnation == incarnation && report.Age < n.cfg.Heartbeat.SuspectAfter
@@ -51,12 +57,12 @@
 	return false
 }
 
-// relayReceivedBy returns the first other control member that a peer receives heartbeats from, by the peer's last
-// heartbeat. One that is alive is preferred.
+// relayReceivedBy returns the first other control member that a peer receives heartbeats from, according to the peer's
+// last heartbeat. It prefers one that is alive.
 func (n *Node) relayReceivedBy(peer *heartbeat.Peer, last *controlHeartbeat) string {
 	var via *heartbeat.Peer
 	for _, other := range n.monitor.Peers() {
-		if other == peer || other.Incarnation == 0 || !n.receives(last, other.Name, other.Incarnation) {
+		if other == peer || other.Incarnation == 0 || !n.reportsReceiptFrom(last, other.Name, other.Incarnation) {
 			continue
 		}
 		if via == nil || other.State == heartbeat.Alive && via.State != heartbeat.Alive {
@@ -76,14 +82,14 @@
 		if other == peer || other.State != heartbeat.Alive || last == nil {
 			continue
 		}
-		if n.receives(last, peer.Name, peer.Incarnation) {
+		if n.reportsReceiptFrom(last, peer.Name, peer.Incarnation) {
 			return other.Name
 		}
 	}
 	return ""
 }
 
-// receiveRelay handles a relayed message: it is for this front end, or to be passed on.
+// receiveRelay handles a relayed message: it processes one for this front end, and passes on one for another.
 func (n *Node) receiveRelay(l Link, body []byte) error {
 	m, err := decodeRelayMessage(body)
 	switch {
