--- a/internal/rest/query.go
+++ b/internal/rest/query.go
@@ -12,125 +12,128 @@
 )
 
 const (
-	maxPages = 64
-	maxRows  = 48000 // of one result, by the protocol
-	columns  = 3     // of each row
+	maxPages      = 64
+	maxResultSize = 48000 // bytes of all pages, set by the protocol
+	columns       = 3     // of each row
 )
 
-// Start is what an engine is told of a query; id, class, statement and once-key are the client's own.
+// Start holds what the POST that starts a query sends to the engine. ID, class, statement and idempotency key are those
+// of the client's request.
 type Start struct {
 	ID, Class, IdempotencyKey string
 	Statement                 []byte
 	Timeout                   monotime.Micros
-	GrantMB                   float64 // 0: the engine chooses
-	Priority                  int     // negative: none is told
+	GrantMB                   float64 // memory for the query; 0: the engine chooses
+	Priority                  int     // negative: not sent
 }
 
+// state is the call that is next or in flight.
 type state int
 
 const (
-	posting state = iota
-	polling
-	paging
-	dropping
-	probing
-	renicing
+	starting         state = iota // POST of the statement
+	polling                       // GET of page 0: a long poll for the end of the query
+	fetchingPages                 // GET of a further page
+	canceling                     // DELETE
+	checkingHealth                // GET of the load report
+	changingPriority              // PUT of the new priority
 )
 
-// Query is one attempt's way through an engine's calls: it is started, asked after and fetched page by
-// page, or given up. Whoever drives it writes Call, feeds Take with the answer, and goes on while Take
-// says so; after a broken connection, Resume's Call may be written on another.
+// Query is the sequence of calls of one attempt on an engine: start, polls, then the pages of the result, or a cancel.
+// Its caller writes Call to a connection and passes the response to HandleResponse, until that reports the end. After a
+// broken connection it calls Resume, and may write Call to another connection.
 type Query struct {
-	start Start
-	host  string
-	state state
-	page  int
-	pages int
-	rows  []byte
-	load  *scheduler.LoadReport
-	told  int // the priority that the engine knows
-	note  *Progress
-	cost  Cost
+	start          Start
+	host           string
+	state          state
+	page           int // the next page of the result, from 0
+	pages          int
+	rows           []byte
+	load           *scheduler.LoadReport
+	enginePriority int // the priority last sent to the engine
+	progress       *Progress
+	cost           Cost
 }
 
-// Progress is an engine's word on a running query: how far it is (the share done), that it spills (megabytes missing), or what it waits
-// for (1 for memory, 2 for a load).
+// Progress is an engine's progress report on a running query. What Value means depends on Kind; see
+// scheduler.ProgressKind.
 type Progress struct {
 	Kind  scheduler.ProgressKind
 	Value float64
 }
 
-// Cost is what an engine says that a query took; what it does not say, or says so that it can't be, is 0.
+// Cost is what a query used, as reported by its engine. A value that is missing or malformed is 0.
 type Cost struct {
 	Work     monotime.Micros
 	MemoryMB float64
 }
 
-// NewQuery begins a query at the engine with that address.
+// NewQuery returns a query for the engine at the address host.
 func NewQuery(host string, start Start) *Query {
-	return &Query{start: start, host: host, told: start.Priority}
+	return &Query{start: start, host: host, enginePriority: start.Priority}
 }
 
-// NewHealthCheck is a question for an engine's load.
-func NewHealthCheck(host string) *Query { return &Query{host: host, state: probing} }
+// NewHealthCheck returns a health check of the engine at the address host: a single call for its load report.
+func NewHealthCheck(host string) *Query { return &Query{host: host, state: checkingHealth} }
 
-// ErrStaleResponse says that an answer to a DELETE is none: a copy of an earlier answer, which has come late, says nothing of whether
-// the DELETE has arrived.
-var ErrStaleResponse = errors.New("rest: an answer to an earlier call")
+// ErrStaleResponse reports that the response to a DELETE or a PUT is a late copy of the response to an earlier call. It
+// does not show whether the DELETE or PUT has arrived.
+var ErrStaleResponse = errors.New("rest: response to an earlier call")
 
-// StartPending says whether the start has not been answered yet.
-func (q *Query) StartPending() bool { return q.state == posting }
+// StartPending reports whether the POST that starts the query has no response yet.
+func (q *Query) StartPending() bool { return q.state == starting }
 
-// Polling says whether the query is known to run and its end is awaited.
+// Polling reports whether the query is polled for its end.
 func (q *Query) Polling() bool { return q.state == polling }
 
-// Canceling says whether the query is being given up.
-func (q *Query) Canceling() bool { return q.state == dropping }
+// Canceling reports whether the query is being canceled.
+func (q *Query) Canceling() bool { return q.state == canceling }
 
-// Resume turns a query whose last call has no readable answer to one that may be asked again. A POST may not:
-// the query's news is asked for instead, which holds the answer if it has run.
+// Resume prepares a query whose last call got no valid response for another connection. The call is sent again, except
+// for a POST, which must not be repeated: a poll takes its place, and gets the result if the query has run.
 func (q *Query) Resume() {
-	if q.state == posting || q.state == renicing {
+	if q.state == starting || q.state == changingPriority {
 		q.state = polling
 	}
 }
 
-// SetPriority has the engine run the query at another priority. It is told between two questions: a call of its own could overtake the
-// start.
+// SetPriority sets the priority at which the engine is to run the query. It is sent between two polls, as a call on
+// another connection could overtake the start.
 func (q *Query) SetPriority(priority int) { q.start.Priority = priority }
 
-// Progress is the engine's word that came with the last answer, if there was one.
-func (q *Query) Progress() *Progress { return q.note }
+// Progress returns the progress report in the last response; nil without one.
+func (q *Query) Progress() *Progress { return q.progress }
 
-// Cost is what the engine says that the query took, once Take has said Done.
+// Cost returns what the query used, once HandleResponse has reported its success.
 func (q *Query) Cost() Cost { return q.cost }
 
-// Cancel turns the query to giving up: its next call is the DELETE.
-func (q *Query) Cancel() { q.state = dropping }
+// Cancel cancels the query: its next call is the DELETE.
+func (q *Query) Cancel() { q.state = canceling }
 
-// Rows is the result once Take has said Done.
+// Rows returns the result, once HandleResponse has reported the query's success.
 func (q *Query) Rows() []byte { return q.rows }
 
-// Load is the last load report that came with an answer; nil without.
+// Load returns the latest load report in a response; nil without one.
 func (q *Query) Load() *scheduler.LoadReport { return q.load }
 
-// Call is the next call in full.
+// Call returns the next call, as the bytes to write.
 func (q *Query) Call() []byte {
 	path := "/v1/store/" + q.start.ID
-	if q.state == polling && q.told != q.start.Priority {
-		q.state = renicing
+	if q.state == polling && q.enginePriority != q.start.Priority {
+		q.state = changingPriority
 	}
 	switch q.state {
-	case renicing:
+	case changingPriority:
 		body := strconv.Itoa(q.start.Priority)
-		return fmt.Appendf(nil, "PUT %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s", path, q.host, len(body), body)
+		return fmt.Appendf(nil, "PUT %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s",
+			path, q.host, len(body), body)
 	case polling:
 		return q.get(path + "/0")
-	case paging:
+	case fetchingPages:
 		return q.get(path + "/" + strconv.Itoa(q.page))
-	case dropping:
+	case canceling:
 		return fmt.Appendf(nil, "DELETE %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, q.host)
-	case probing:
+	case checkingHealth:
 		return q.get("/busy")
 	}
 	s := q.start
@@ -145,69 +148,70 @@
 	if s.Priority >= 0 {
 		b = fmt.Appendf(b, "X-Weight-Class: %d\r\n", s.Priority)
 	}
-	q.told = s.Priority
+	q.enginePriority = s.Priority
 	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(s.Statement))
 	return append(b, s.Statement...)
 }
 
+// get returns a GET call.
 func (q *Query) get(path string) []byte {
 	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, q.host)
 }
 
-// HandleResponse feeds the answer to the last call. Where the query has ended, result tells how; else Call is to
-// follow at once. An error says that the answer is spoilt: the call has no readable answer.
+// HandleResponse processes the response to the last call. If the query has ended, result is its result; otherwise the
+// next Call has to be sent at once. After an error the call counts as one without a response.
 func (q *Query) HandleResponse(r Response) (result scheduler.Result, ended bool, err error) {
 	if r.Load != "" {
-		q.load = readLoad(r.Load)
+		q.load = parseLoadReport(r.Load)
 	}
-	q.note = nil
+	q.progress = nil
 	switch {
-	case q.state == renicing && (r.Status == 200 || r.Status == 202): // says nothing of whether the PUT has arrived
+	case q.state == changingPriority && (r.Status == 200 || r.Status == 202): // the PUT may not have arrived
 		return 0, false, ErrStaleResponse
-	case q.state == renicing: // what is wrong with the query itself its news will tell
-		q.state, q.told = polling, q.start.Priority
+	case q.state == changingPriority: // whatever the status: if the query itself has failed, the next poll reports it
+		q.state, q.enginePriority = polling, q.start.Priority
 		return 0, false, nil
-	case q.state == dropping && (r.Status == 200 || r.Status == 202):
+	case q.state == canceling && (r.Status == 200 || r.Status == 202):
 		return 0, false, ErrStaleResponse
-	case q.state == dropping:
+	case q.state == canceling:
 		return scheduler.Canceled, true, nil
-	case q.state == probing && r.Status == 200:
+	case q.state == checkingHealth && r.Status == 200:
 		return scheduler.Succeeded, true, nil
-	case q.state == probing:
+	case q.state == checkingHealth:
 		return scheduler.Errored, true, nil
 	case r.NeverRan && r.Status == 504:
 		return scheduler.NotSent, true, nil
 	case r.NeverRan && r.Status == 503:
 		return scheduler.Rejected, true, nil
-	case r.Status == 202 && q.state != paging:
-		q.state, q.note = polling, r.Note
+	case r.Status == 202 && q.state != fetchingPages:
+		q.state, q.progress = polling, r.Progress
 		return 0, false, nil
 	case r.Status != 200:
 		return scheduler.Errored, true, nil
 	}
 	pages := q.pages
-	if q.state != paging {
+	if q.state != fetchingPages {
 		pages = r.Pages
 	}
 	switch {
 	case max(0, r.Page) != q.page:
-		return 0, false, fmt.Errorf("%w: page %d for page %d", ErrMalformedResponse, r.Page, q.page)
-	case pages < 1 || pages > maxPages || len(q.rows)+len(r.Body) > maxRows:
-		return 0, false, fmt.Errorf("%w: %d pages, %d bytes", ErrMalformedResponse, pages, len(q.rows)+len(r.Body))
-	case !wholeRows(r.Body):
-		return 0, false, fmt.Errorf("%w: page %d does not hold whole rows", ErrMalformedResponse, q.page)
+		return 0, false, fmt.Errorf("%w: got page %d, expected page %d", ErrMalformedResponse, r.Page, q.page)
+	case pages < 1 || pages > maxPages || len(q.rows)+len(r.Body) > maxResultSize:
+		return 0, false, fmt.Errorf("%w: %d pages, %d bytes of rows", ErrMalformedResponse, pages, len(q.rows)+len(r.Body))
+	case !hasValidRows(r.Body):
+		return 0, false, fmt.Errorf("%w: page %d has malformed rows", ErrMalformedResponse, q.page)
 	}
-	if q.state != paging {
+	if q.state != fetchingPages {
 		q.cost = r.Cost
 	}
-	q.pages, q.state = pages, paging
+	q.pages, q.state = pages, fetchingPages
 	q.rows = append(q.rows, r.Body...)
 	q.page++
 	return scheduler.Succeeded, q.page >= q.pages, nil
 }
 
-// wholeRows says whether a page holds rows of the protocol's form, to the end of the last.
-func wholeRows(page []byte) bool {
+// hasValidRows reports whether a page is a sequence of complete rows: lines of UTF-8 with tab-separated columns.
+func hasValidRows(page []byte) bool {
 	tabs := 0
 	for _, c := range page {
 		switch c {
@@ -223,8 +227,8 @@
 	return len(page) == 0 || page[len(page)-1] == '\n' && utf8.Valid(page)
 }
 
-// readLoad reads a load report; what it does not name is negative.
-func readLoad(text string) *scheduler.LoadReport {
+// parseLoadReport parses a Load-Report header. A value that is missing or malformed is -1.
+func parseLoadReport(text string) *scheduler.LoadReport {
 	load := &scheduler.LoadReport{Utilization: -1, Queue: -1, Memory: -1, Disk: -1}
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(part, ":")
--- a/internal/rest/query_test.go
+++ b/internal/rest/query_test.go
@@ -8,13 +8,14 @@
 	"chutechute/scheduler"
 )
 
-// A late copy of the answer to an earlier call is no word that a DELETE has arrived: the next of its key would start too soon.
-func TestDeleteIsNotEndedByACopy(t *testing.T) {
+// A late copy of the response to an earlier call does not show that a DELETE has arrived. If it counted as the DELETE's
+// response, the next query with the same order key would start while the canceled one may still run.
+func TestStaleResponseDoesNotConfirmDelete(t *testing.T) {
 	for status, ended := range map[int]bool{200: false, 202: false, 204: true, 500: true} {
 		q := NewQuery("h", Start{ID: "1"})
 		q.Cancel()
-		result, over, err := q.HandleResponse(Response{Status: status, Page: -1})
-		assert.Equal(t, ended, over, status)
+		result, hasEnded, err := q.HandleResponse(Response{Status: status, Page: -1})
+		assert.Equal(t, ended, hasEnded, status)
 		if ended {
 			assert.NoError(t, err)
 			assert.Equal(t, scheduler.Canceled, result)
--- a/internal/rest/response.go
+++ b/internal/rest/response.go
@@ -1,5 +1,5 @@
-// Package rest speaks to engines: HTTP/1.1 calls that start a query, ask for its news, fetch its pages
-// and give it up. It is fed bytes and knows no socket.
+// Package rest implements the protocol of the engines: HTTP/1.1 calls that start, poll and cancel a query and fetch the
+// pages of its result. It encodes calls and parses responses, and does no input or output itself.
 package rest
 
 import (
@@ -16,33 +16,33 @@
 )
 
 const (
-	protocol = "HTTP/1." // what each status line begins with
+	versionPrefix = "HTTP/1." // of each status line
 
 	maxHead = 16 << 10
-	maxBody = 6000 // of one page, by the protocol
-	// MaxResponse bounds what one answer may take up.
+	maxBody = 6000 // bytes of one page, set by the protocol
+	// MaxResponse is the maximum size of a response in bytes.
 	MaxResponse = maxHead + maxBody
 )
 
-// ErrMalformedResponse says that the stream holds no answer of ours, or a spoilt one: the connection has to end.
-var ErrMalformedResponse = errors.New("rest: unreadable answer")
+// ErrMalformedResponse reports a response that violates the protocol. The connection has to be closed.
+var ErrMalformedResponse = errors.New("rest: malformed response")
 
-// Response is one whole answer of an engine.
+// Response is a complete response of an engine.
 type Response struct {
 	Status           int
-	NeverRan         bool
-	Pages            int       // X-Batches, 0 without
-	Page             int       // X-Batch, -1 without
+	NeverRan         bool      // Never-Ran: the query has not run and will not
+	Pages            int       // X-Batches: number of pages of the result; 0 without
+	Page             int       // X-Batch: which page the body holds; -1 without
 	Load             string    // Load-Report
-	Note             *Progress // Outcome and X-Num, where they make one
-	Cost             Cost      // X-Spent and X-Wanted, as far as they can be
-	MalformedHeaders int       // notes and costs that can't be
-	Close            bool      // the engine closes the connection after it
-	Body             []byte    // valid until the buffer is fed again
+	Progress         *Progress // Outcome and X-Num; nil if missing or malformed
+	Cost             Cost      // X-Spent and X-Wanted; 0 if missing or malformed
+	MalformedHeaders int       // malformed progress reports and costs
+	Close            bool      // the engine closes the connection after this response
+	Body             []byte    // valid until the buffer is written to
 }
 
-// NextResponse takes the next whole answer from what has come; ok is false until there is one. Interim answers
-// (1xx) that come before it are passed over.
+// NextResponse removes the next response from the input buffer. ok is false while it is incomplete. Interim responses
+// (1xx) before it are skipped.
 func NextResponse(in *ring.Buffer) (r Response, ok bool, err error) {
 	data, length, end := in.Bytes(), 0, 0
 	for {
@@ -51,8 +51,8 @@
 			return r, false, fmt.Errorf("%w: head too long", ErrMalformedResponse)
 		}
 		if end < 0 {
-			// What can't become a status line is not waited for.
-			if n := min(len(data), len(protocol)); string(data[:n]) != protocol[:n] {
+			// Bytes that can't be the beginning of a status line are an error at once.
+			if n := min(len(data), len(versionPrefix)); string(data[:n]) != versionPrefix[:n] {
 				return r, false, fmt.Errorf("%w: status line %.40q", ErrMalformedResponse, data)
 			}
 			return r, false, nil
@@ -66,20 +66,21 @@
 		in.Discard(end + 4)
 		data = in.Bytes()
 	}
-	whole := end + 4 + length
-	if len(data) < whole {
+	size := end + 4 + length
+	if len(data) < size {
 		return r, false, nil
 	}
-	r.Body = data[end+4 : whole]
-	in.Discard(whole)
+	r.Body = data[end+4 : size]
+	in.Discard(size)
 	return r, true, nil
 }
 
+// parseHead parses the status line and the headers. length is the size of the body that follows.
 func parseHead(head string) (r Response, length int, err error) {
 	line, rest, _ := strings.Cut(head, "\r\n")
 	r.Page, length = -1, -1
 	var kind, number string
-	if !strings.HasPrefix(line, protocol) || len(line) < 12 || line[8] != ' ' {
+	if !strings.HasPrefix(line, versionPrefix) || len(line) < 12 || line[8] != ' ' {
 		return r, 0, fmt.Errorf("%w: status line %.40q", ErrMalformedResponse, line)
 	}
 	if r.Status, err = strconv.Atoi(line[9:12]); err != nil || r.Status < 100 || r.Status == 101 {
@@ -117,15 +118,15 @@
 		case "x-num":
 			number = value
 		case "x-spent":
-			r.Cost.Work = monotime.Micros(r.figure(value, mostSpent) * 1000)
+			r.Cost.Work = monotime.Micros(r.parseCost(value, maxCost) * 1000)
 		case "x-wanted":
-			r.Cost.MemoryMB = r.figure(value, mostSpent)
+			r.Cost.MemoryMB = r.parseCost(value, maxCost)
 		}
 		if err != nil {
 			return r, 0, fmt.Errorf("%w: %s %.40q", ErrMalformedResponse, name, value)
 		}
 	}
-	r.note(kind, number)
+	r.parseProgress(kind, number)
 	if r.Status < 200 || r.Status == 204 || r.Status == 304 {
 		length = 0
 	}
@@ -135,33 +136,35 @@
 	return r, length, nil
 }
 
-// mostSpent bounds what a query may be said to have taken, in milliseconds and in MB.
-const mostSpent = 1e9
+// maxCost is the highest valid cost, in milliseconds of work and in megabytes of memory.
+const maxCost = 1e9
 
-// figure reads a number from 0 to most; what is none counts as odd and as not said.
-func (r *Response) figure(text string, most float64) float64 {
-	x, err := decimal.Parse(text, most)
+// parseCost parses a number from 0 to limit. A malformed one is counted and returned as 0, like a missing one.
+func (r *Response) parseCost(text string, limit float64) float64 {
+	x, err := decimal.Parse(text, limit)
 	if err != nil {
 		r.MalformedHeaders++
 	}
 	return x
 }
 
-var noteKinds = map[string]struct {
-	kind scheduler.ProgressKind
-	most float64
-}{"p": {scheduler.ProgressFraction, 1}, "s": {scheduler.ProgressSpill, mostSpent}, "w": {scheduler.ProgressWaiting, 2}}
+// progressKinds lists the kinds of progress reports by their names in the protocol, with the highest valid value.
+var progressKinds = map[string]struct {
+	kind  scheduler.ProgressKind
+	limit float64
+}{"p": {scheduler.ProgressFraction, 1}, "s": {scheduler.ProgressSpill, maxCost}, "w": {scheduler.ProgressWaiting, 2}}
 
-// note reads a note, which comes with 202 only. One that can't be is as good as none: the answer is usable all the same.
-func (r *Response) note(kind, number string) {
+// parseProgress parses a progress report, which only a response with status 202 has. A malformed one is counted and
+// ignored; the response stays valid.
+func (r *Response) parseProgress(kind, number string) {
 	if kind == "" && number == "" || r.Status != 202 {
 		return
 	}
-	k, ok := noteKinds[kind]
-	x, err := decimal.Parse(number, k.most)
+	k, ok := progressKinds[kind]
+	x, err := decimal.Parse(number, k.limit)
 	if !ok || err != nil || k.kind == scheduler.ProgressWaiting && x != 1 && x != 2 {
 		r.MalformedHeaders++
 		return
 	}
-	r.Note = &Progress{k.kind, x}
+	r.Progress = &Progress{k.kind, x}
 }
