--- a/internal/thrift/fuzz_test.go
+++ b/internal/thrift/fuzz_test.go
@@ -7,9 +7,11 @@
 	"chutechute/internal/ring"
 )
 
-// Whatever comes, in whatever pieces: a message, an exception that the connection outlives, or its end, and never the same bytes twice.
+// Arbitrary bytes, split anywhere, give messages, exceptions after which parsing goes on, or an error, and no bytes are
+// parsed twice.
 func FuzzNext(f *testing.F) {
-	call := []byte("\x80\x01\x00\x01\x00\x00\x00\x04call\x00\x00\x00\x01\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01\x00\x00\x00\x02op\x00\x00\x00\x01l\x0b\x00\x02\x00\x00\x00\x01x\x00")
+	call := []byte("\x80\x01\x00\x01\x00\x00\x00\x04call\x00\x00\x00\x01\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01" +
+		"\x00\x00\x00\x02op\x00\x00\x00\x01l\x0b\x00\x02\x00\x00\x00\x01x\x00")
 	f.Add(append([]byte{0, 0, 0, byte(len(call))}, call...), 3)
 	f.Add([]byte("\x00\x00\x00\x15\x80\x01\x00\x04\x00\x00\x00\x06cancel\x00\x00\x00\x02\x08\x00\x01"), 1)
 	f.Add([]byte("\x00\x00\x00\x0cabcdefghijkl\xff\xff\xff\xff"), 100)
@@ -19,7 +21,7 @@
 		for len(data) > 0 {
 			n := min(piece, len(data))
 			if _, err := in.Write(data[:n]); err != nil {
-				return // more than a frame: its connection would not be read from
+				return // the buffer is full: a server would stop reading from the connection
 			}
 			data = data[n:]
 			for {
@@ -33,13 +35,13 @@
 					break
 				}
 				if in.Len() >= before {
-					t.Fatal("a message of no bytes")
+					t.Fatal("message consumed no bytes")
 				}
 				if err != nil {
 					exception.Reply()
 					continue
 				}
-				if m.Name == "" || len(m.Fields) > mostKeys {
+				if m.Name == "" || len(m.Fields) > maxFields {
 					t.Fatalf("%q with %d fields", m.Name, len(m.Fields))
 				}
 			}
--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -1,5 +1,5 @@
-// Package thrift reads and writes the messages of the Front service: Thrift's
-// framed transport with the strict binary protocol. It is fed bytes and knows no socket.
+// Package thrift decodes and encodes the messages of the Front service, which uses Thrift's framed transport with the
+// strict binary protocol. It does no input or output itself.
 package thrift
 
 import (
@@ -10,7 +10,7 @@
 	"chutechute/internal/ring"
 )
 
-// MaxFrame is the longest frame that is taken.
+// MaxFrame is the maximum size of a frame in bytes.
 const MaxFrame = 256 << 10
 
 // Types of messages.
@@ -39,9 +39,9 @@
 )
 
 const (
-	version  = 0x80010000
-	deepest  = 16  // structures within structures
-	mostKeys = 256 // fields of one request
+	version   = 0x80010000 // of the strict binary protocol
+	maxDepth  = 16         // nesting levels of a skipped value
+	maxFields = 256        // of one request
 )
 
 // Kinds of application exceptions.
@@ -51,8 +51,8 @@
 	ProtocolError = 7
 )
 
-// Exception is a message that can't be used on a connection that still can: its sender gets an
-// application exception.
+// Exception reports a message that can't be processed, while the frames after it can. Its sender gets an application
+// exception.
 type Exception struct {
 	Seq  int32
 	Name string
@@ -68,14 +68,14 @@
 	Seq    int32
 	Fields map[string]string // of call
 	Body   []byte            // of call
-	Target int32             // of cancel: the call that it names
+	Target int32             // of cancel: sequence number of the call to cancel
 }
 
-// ErrFrame says that the stream holds no frame of ours: the connection has to end.
+// ErrFrame reports bytes that are not a frame of the strict binary protocol. The connection has to be closed.
 var ErrFrame = errors.New("thrift: not a frame of the strict binary protocol")
 
-// Next takes the next whole message from what has come; ok is false until there is one. After an
-// *Exception the connection can go on, after any other error it can't.
+// Next removes the next message from the input buffer. ok is false while it is incomplete. After an *Exception the
+// connection stays usable; after any other error it has to be closed.
 func Next(in *ring.Buffer) (m Message, ok bool, err error) {
 	if in.Len() < 4 {
 		return m, false, nil
@@ -93,19 +93,20 @@
 	return m, err == nil, err
 }
 
+// parse parses the payload of a frame. Arguments that are unknown or of another type than expected are skipped.
 func parse(frame []byte) (Message, error) {
 	r := &reader{data: frame}
 	head := uint32(r.i32())
 	name := r.text()
 	m := Message{Name: name, Seq: r.i32()}
 	kind := head & 0xff
-	if r.bad || head&0xffffff00 != version || kind != typeCall && kind != typeOneway {
+	if r.malformed || head&0xffffff00 != version || kind != typeCall && kind != typeOneway {
 		return m, ErrFrame
 	}
-	var use func(id int16, kind byte) bool
+	var handleField func(id int16, kind byte) bool
 	switch name {
 	case "call":
-		use = func(id int16, kind byte) bool {
+		handleField = func(id int16, kind byte) bool {
 			switch {
 			case id == 1 && kind == tMap:
 				m.Fields = r.fields()
@@ -117,7 +118,7 @@
 			return true
 		}
 	case "cancel":
-		use = func(id int16, kind byte) bool {
+		handleField = func(id int16, kind byte) bool {
 			if id != 1 || kind != tI32 {
 				return false
 			}
@@ -125,26 +126,28 @@
 			return true
 		}
 	case "health":
-		use = func(int16, byte) bool { return false }
+		handleField = func(int16, byte) bool { return false }
 	default:
 		return m, &Exception{m.Seq, name, UnknownMethod, "unknown method"}
 	}
-	r.structure(deepest, use)
-	if r.bad {
+	r.structure(maxDepth, handleField)
+	if r.malformed {
 		return m, &Exception{m.Seq, name, ProtocolError, "unreadable arguments"}
 	}
 	return m, nil
 }
 
-// reader takes values off a frame; once something does not fit, bad stays set and all else is zero.
+// reader decodes the values of a frame one after the other. After the first malformed value, malformed stays set and
+// all values are zero.
 type reader struct {
-	data []byte
-	bad  bool
+	data      []byte
+	malformed bool
 }
 
+// take removes the next n bytes.
 func (r *reader) take(n int) []byte {
 	if n < 0 || n > len(r.data) {
-		r.bad, r.data = true, nil
+		r.malformed, r.data = true, nil
 		return nil
 	}
 	b := r.data[:n]
@@ -176,36 +179,38 @@
 func (r *reader) bytes() []byte { return r.take(int(r.i32())) }
 func (r *reader) text() string  { return string(r.bytes()) }
 
+// fields decodes a map of strings to strings.
 func (r *reader) fields() map[string]string {
 	key, value, n := r.byte(), r.byte(), r.i32()
-	if n < 0 || n > mostKeys || n > 0 && (key != tString || value != tString) {
-		r.bad = true
+	if n < 0 || n > maxFields || n > 0 && (key != tString || value != tString) {
+		r.malformed = true
 		return nil
 	}
 	m := make(map[string]string, n)
-	for ; n > 0 && !r.bad; n-- {
+	for ; n > 0 && !r.malformed; n-- {
 		k := r.text()
 		m[k] = r.text()
 	}
 	return m
 }
 
-// structure reads a structure's fields; what use does not take is skipped.
-func (r *reader) structure(depth int, use func(id int16, kind byte) bool) {
-	for !r.bad {
+// structure decodes the fields of a struct with handleField, which returns false for fields to skip.
+func (r *reader) structure(depth int, handleField func(id int16, kind byte) bool) {
+	for !r.malformed {
 		kind := r.byte()
-		if r.bad || kind == tStop {
+		if r.malformed || kind == tStop {
 			return
 		}
-		if id := r.i16(); use == nil || !use(id, kind) {
+		if id := r.i16(); handleField == nil || !handleField(id, kind) {
 			r.skip(kind, depth)
 		}
 	}
 }
 
+// skip skips a value that has at most depth levels of nesting.
 func (r *reader) skip(kind byte, depth int) {
 	if depth == 0 {
-		r.bad = true
+		r.malformed = true
 		return
 	}
 	switch kind {
@@ -225,16 +230,16 @@
 		r.structure(depth-1, nil)
 	case tMap:
 		k, v, n := r.byte(), r.byte(), r.i32()
-		for ; n > 0 && !r.bad; n-- {
+		for ; n > 0 && !r.malformed; n-- {
 			r.skip(k, depth-1)
 			r.skip(v, depth-1)
 		}
 	case tSet, tList:
 		k, n := r.byte(), r.i32()
-		for ; n > 0 && !r.bad; n-- {
+		for ; n > 0 && !r.malformed; n-- {
 			r.skip(k, depth-1)
 		}
 	default:
-		r.bad = true
+		r.malformed = true
 	}
 }
