--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -6,38 +6,38 @@
 	"chutechute/internal/monotime"
 )
 
-// Durations of Backoff. What the discovery service sends counts as known after 7 s, received or not, which leaves time
-// for a silence to be noticed, for a dial that fails and for two more.
+// Durations of Backoff. The discovery service takes an event as known to all front ends 7 s after it was sent, received
+// or not. Within that time a front end can detect an unresponsive connection and dial again three times.
 const (
-	minReadTimeout    = 2250 * monotime.Millisecond // a heartbeat comes each second
+	minReadTimeout    = 2250 * monotime.Millisecond // the service sends a heartbeat each second
 	readTimeoutJitter = 500 * monotime.Millisecond
 	initialDelay      = 200 * monotime.Millisecond
 	maxDelay          = 800 * monotime.Millisecond
 )
 
-// maxDoublings bounds how often the delay is doubled, before maxDelay is applied.
+// maxDoublings limits how often the delay is doubled before maxDelay is applied.
 const maxDoublings = 8
 
-// randomStream sets the random numbers of Backoff apart from others of the same seed.
+// randomStream makes the random numbers of Backoff independent of others with the same seed.
 const randomStream = 2
 
-// Backoff decides when a connection is given up as unresponsive, and when the next is dialled. All front ends lose
-// their connection at one moment, when the discovery service fails: each goes by times of its own, further apart
-// the longer it lasts.
+// Backoff sets the read timeout of a connection to the discovery service, and the delay before the next dial. When the
+// service fails, all front ends lose their connections at the same moment. Random timeouts and delays spread their
+// dials, and the delay grows with each dial.
 type Backoff struct {
 	random   *rand.Rand
 	attempts int
 }
 
-// NewBackoff returns a Backoff with random numbers of the process's own seed.
+// NewBackoff returns a Backoff. The seed differs between processes, so that their timeouts and delays differ.
 func NewBackoff(seed uint64) *Backoff {
 	return &Backoff{random: rand.New(rand.NewPCG(seed, randomStream))}
 }
 
-// Reset notes that a whole frame has come: the next delay is a short one again.
+// Reset makes the next delay a short one again. It is called for each complete frame.
 func (b *Backoff) Reset() { b.attempts = 0 }
 
-// ReadTimeout returns for how long nothing may come on the next connection.
+// ReadTimeout returns the read timeout of the next connection.
 func (b *Backoff) ReadTimeout() monotime.Micros {
 	return minReadTimeout + b.random.Int64N(readTimeoutJitter)
 }
--- a/internal/discovery/cached.go
+++ b/internal/discovery/cached.go
@@ -8,7 +8,7 @@
 	"chutechute/scheduler"
 )
 
-// CachedEvents has the events that were known when the configuration was written, in its JSON form.
+// CachedEvents holds the events that were known when the configuration was written, in its JSON form.
 type CachedEvents struct {
 	LastEvent uint64        `json:"pos"` // the number of the last event
 	Events    []cachedEvent `json:"entries"`
@@ -34,14 +34,14 @@
 	BootMS   monotime.Micros `json:"boot_ms"`
 }
 
-// stateNames are the states of engines, by their names in the configuration.
+// stateNames maps the names of engine states in the configuration to the states.
 var stateNames = map[string]scheduler.EngineState{
 	"in_service":  scheduler.Serving,
 	"terminating": scheduler.Draining,
 	"terminated":  scheduler.Removed,
 }
 
-// Parse returns the events in their order. An error names the faulty key of the configuration.
+// Parse returns the events in their order. An error names the invalid key of the configuration.
 func (c *CachedEvents) Parse() ([]Event, error) {
 	var events []Event
 	for i, entry := range c.Events {
@@ -61,7 +61,7 @@
 	return events, nil
 }
 
-// engine returns the engine. An error names the faulty key below the given one.
+// engine parses the engine. An error names the invalid key, prefixed with key.
 func (c *cachedEngine) engine(key string) (Engine, error) {
 	addr, err := netip.ParseAddrPort(c.Endpoint)
 	if err != nil || !addr.Addr().Is4() {
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -8,30 +8,30 @@
 	"chutechute/scheduler"
 )
 
-// ErrMissingEvent says that an event came whose predecessor has not: the connection has to end, and the next begins
-// from the last event known.
+// ErrMissingEvent reports an event whose predecessor was not received. The connection has to be closed, and the next
+// one resumes after the last event known.
 var ErrMissingEvent = errors.New("discovery: an event is missing")
 
-// Follower takes events in the order of their numbers, each once, over one connection after another. An event that
-// can't be taken as it stands ends its connection, since the next may bring it whole. One that comes again in the
-// same form is how the discovery service has it: it is taken as far as it can be read, or the endpoint list would
-// stand still from there on.
+// Follower accepts events in the order of their numbers, each once, over one connection after another. An event that is
+// malformed or out of sequence closes its connection, since the next one may deliver it intact. If the same event fails
+// again, the discovery service itself has it in that form. It is then accepted as far as it can be parsed, as otherwise
+// the endpoint list would never be updated again.
 type Follower struct {
 	Names     Names
-	LastEvent uint64 // the number of the last event taken
-	Malformed int    // counts the events that were taken though they were not whole
+	LastEvent uint64 // the number of the last event accepted
+	Malformed int    // number of events accepted although malformed or out of sequence
 
-	retriedEvent uint64 // the event for which a connection was ended last; 0: none
+	retriedEvent uint64 // the event that closed a connection last; 0: none
 }
 
-// Next takes the next whole frame from what has come. ok is false until there is one, and isNew is false where the
-// frame brings no event that is to be applied. An error says that the connection has to end.
+// Next removes the next frame from the input buffer. ok is false while it is incomplete. isNew is false if the frame
+// has no event to apply. After an error the connection has to be closed.
 func (f *Follower) Next(in *ring.Buffer) (event Event, isNew, ok bool, err error) {
 	event, isEvent, ok, err := f.Names.nextFrame(in)
 	if !ok || !isEvent {
 		return event, false, ok, err
 	}
-	if event.Number <= f.LastEvent { // it has been taken before
+	if event.Number <= f.LastEvent { // accepted before
 		return event, false, true, nil
 	}
 	if err == nil && event.Number > f.LastEvent+1 && event.Kind == scheduler.UpdateChanges {
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -32,18 +32,18 @@
 	return append(append(binary.BigEndian.AppendUint64(b, number), kind), payload...)
 }
 
-// followed is what a follower has taken.
+// followed is what a follower has accepted.
 type followed struct {
 	numbers     []uint64
 	engines     []string
 	connections int
 }
 
-// connectionFrames returns the frames of the n-th connection, which begins with the last event known.
+// connectionFrames returns the frames of the n-th connection, whose hello has the number of the last event known.
 type connectionFrames func(n int, last uint64) [][]byte
 
-// follow plays the discovery service over one connection after another, until one goes on without an error, or ten have
-// ended.
+// follow simulates the discovery service over one connection after another, until the follower reads one to its end
+// without an error, or ten have failed.
 func follow(t *testing.T, f *Follower, frames connectionFrames) (got followed) {
 	for got.connections = 1; got.connections <= 10; got.connections++ {
 		in := ring.New(MaxFrame, &ring.Budget{Max: 2 * MaxFrame})
@@ -51,15 +51,15 @@
 			_, err := in.Write(b)
 			require.NoError(t, err)
 		}
-		if err := got.takeAll(f, in); err == nil {
+		if err := got.acceptAll(f, in); err == nil {
 			return got
 		}
 	}
 	return got
 }
 
-// takeAll has the follower take all frames of a connection, up to the first error.
-func (f *followed) takeAll(follower *Follower, in *ring.Buffer) error {
+// acceptAll has the follower read all frames of a connection, up to the first error.
+func (f *followed) acceptAll(follower *Follower, in *ring.Buffer) error {
 	for {
 		event, isNew, ok, err := follower.Next(in)
 		if err != nil || !ok {
@@ -79,8 +79,8 @@
 	return &Follower{Names: Names{Zones: []string{"a"}, Kinds: []string{"k"}}, LastEvent: 41}
 }
 
-// Events that come again, out of order or with one missing are each taken once, in order: a drain that was skipped for
-// its successor was never known of.
+// Events that are repeated, out of order or missing on the first connection are each accepted once, in order. A
+// follower that skipped an event would never learn of its changes, such as the drain of an engine.
 func TestFollowerTakesEachEventOnceInOrder(t *testing.T) {
 	event := func(n uint64) []byte { return frame(n, changesOnWire, record(uint32(n), 1, 0)) }
 	for name, first := range map[string][][]byte{
@@ -105,8 +105,8 @@
 	}
 }
 
-// What the service sends again in the same form, with a number left out or a record that can't be read, does not keep
-// the front end from all that comes after it.
+// An event that the service repeats with the same fault, such as a gap in the numbers or a malformed record, does not
+// keep the follower from the events after it.
 func TestFollowerTakesMalformedEventWhenItComesAgain(t *testing.T) {
 	for name, malformed := range map[string][]byte{
 		"number left out":       frame(43, changesOnWire, record(7, 1, 0)),
@@ -130,20 +130,21 @@
 			assert.Equal(t, []string{"s-00000007", "s-00000009"}, got.engines, name)
 		}
 	}
-	f := newFollower() // and a stream that holds no frames is ended each time
+	f := newFollower() // a stream without valid frames fails on each connection
 	got := follow(t, f, func(int, uint64) [][]byte { return [][]byte{{0xff, 0xff, 0xff, 0xff}} })
 	assert.Equal(t, 11, got.connections)
 	assert.EqualValues(t, 41, f.LastEvent)
 }
 
-// When the discovery service fails, all front ends lose it at one moment. They dial it again apart from each other,
-// ever less often while it is away, and each is connected well before what the service sends counts as known.
+// When the discovery service fails, all front ends lose their connections at the same moment. Their dials have to be
+// spread, with growing delays during the outage, and each front end has to be connected before the service takes the
+// events sent since as known.
 func TestBackoffSpreadsReconnectsOfAFleet(t *testing.T) {
 	const frontEnds, outage = 300, 3 * monotime.Second
 	var dials []monotime.Micros
 	for seed := range uint64(frontEnds) {
 		backoff := NewBackoff(seed)
-		at := backoff.ReadTimeout() // it fell silent at 0 and is back after the outage
+		at := backoff.ReadTimeout() // the service fails at 0 and is back after the outage
 		for {
 			at += backoff.NextDelay()
 			dials = append(dials, at)
@@ -152,9 +153,9 @@
 			}
 		}
 		assert.Less(t, at, 6*monotime.Second)
-		assert.GreaterOrEqual(t, at, 2*monotime.Second, "a heartbeat that is a second late is no silence")
+		assert.GreaterOrEqual(t, at, 2*monotime.Second, "a heartbeat that is a second late closes no connection")
 		backoff.Reset()
-		assert.Less(t, backoff.NextDelay(), monotime.Second/4, "and is dialled soon once a frame has come")
+		assert.Less(t, backoff.NextDelay(), monotime.Second/4, "the delay is short again after a frame")
 	}
 	busiest := 0
 	for _, from := range dials {
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -1,5 +1,6 @@
-// Package discovery reads the events of the discovery service, which the settings call the journal: updates of the list
-// of engines, as frames of its stream and as JSON of the configuration. It is fed bytes and knows no socket.
+// Package discovery parses the events of the discovery service, which the settings call the journal. Events are updates
+// of the endpoint list: frames of the service's stream, or JSON in the configuration. The package does no input or
+// output itself.
 package discovery
 
 import (
@@ -13,7 +14,7 @@
 	"chutechute/scheduler"
 )
 
-// MaxFrame is the size in bytes of the longest frame that is taken: a list of some 38,000 engines.
+// MaxFrame is the maximum size of a frame in bytes, enough for a list of some 38,000 engines.
 const MaxFrame = 1 << 20
 
 // Sizes in a frame, in bytes.
@@ -27,7 +28,7 @@
 
 // Kinds of frames.
 const (
-	kindHeartbeat = 0 // comes each second, without records
+	kindHeartbeat = 0 // sent each second, without records
 	kindComplete  = 1
 	kindChanges   = 2
 )
@@ -47,20 +48,20 @@
 	Engines []Engine
 }
 
-// ErrMalformedFrame says that the stream holds a frame that can't be read: the connection has to end.
+// ErrMalformedFrame reports a frame that can't be parsed. The connection has to be closed.
 var ErrMalformedFrame = errors.New("discovery: malformed frame")
 
-// Names has the names of zones and kinds of engines, by the numbers that stand for them in a frame.
+// Names lists the names of zones and engine kinds, indexed by their numbers in a frame.
 type Names struct{ Zones, Kinds []string }
 
-// states are the states of engines, by the numbers that stand for them in a frame.
+// states lists the engine states, indexed by their numbers in a frame.
 var states = []scheduler.EngineState{scheduler.Serving, scheduler.Draining, scheduler.Removed}
 
-// Hello returns what a front end sends first on a connection: the number of the last event that it knows.
+// Hello returns the first message on a connection: the number of the last event that the front end knows.
 func Hello(last uint64) []byte { return binary.BigEndian.AppendUint64(nil, last) }
 
-// nextFrame takes the next whole frame from what has come. ok is false until there is one; isEvent is false for a
-// heartbeat. Records that can't be read are left out, with an error that names the first.
+// nextFrame removes the next frame from the input buffer. ok is false while it is incomplete. isEvent is false for a
+// heartbeat. Malformed records are skipped, and the error describes the first of them.
 func (n Names) nextFrame(in *ring.Buffer) (event Event, isEvent, ok bool, err error) {
 	if in.Len() < lengthSize {
 		return event, false, false, nil
@@ -85,14 +86,14 @@
 	case kindChanges:
 		event.Kind = scheduler.UpdateChanges
 	default:
-		event.Kind = scheduler.UpdateChanges // without records: a front end that goes on without it has missed it
+		event.Kind = scheduler.UpdateChanges // without engines: a follower that accepts it has missed its changes
 		return event, true, true, fmt.Errorf("%w: kind %d", ErrMalformedFrame, kind)
 	}
 	event.Engines, err = n.parseRecords(payload)
 	return event, true, true, err
 }
 
-// parseRecords reads the records of a frame. Those that can't be read are left out, with an error that names the first.
+// parseRecords parses the records of a frame. Malformed ones are skipped, and the error describes the first of them.
 func (n Names) parseRecords(payload []byte) (engines []Engine, err error) {
 	if len(payload)%recordSize != 0 {
 		err = fmt.Errorf("%w: %d bytes of records", ErrMalformedFrame, len(payload))
@@ -108,7 +109,7 @@
 	return engines, err
 }
 
-// parseRecord reads one record, of recordSize bytes.
+// parseRecord parses one record of recordSize bytes.
 func (n Names) parseRecord(record []byte) (Engine, error) {
 	state, zone, kind := int(record[10]), int(record[11]), int(record[12])
 	if state >= len(states) || zone >= len(n.Zones) || kind >= len(n.Kinds) {
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -6,7 +6,7 @@
 	"chutechute/internal/ring"
 )
 
-// Whatever the discovery service sends, in whatever pieces: events with rising numbers, or the connection's end.
+// Arbitrary bytes from the discovery service, split anywhere, give events with increasing numbers, or an error.
 func FuzzFollower(f *testing.F) {
 	f.Add(append(frame(41, heartbeatOnWire), frame(42, changesOnWire, record(7, 1, 0))...), 5)
 	f.Add(frame(44, completeOnWire, record(7, 1, 9), record(8, 3, 0)), 100)
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -1,9 +1,9 @@
-// Package monotime has the unit in which the stepped modules count time: the microseconds of one machine's
-// monotonic clock, from an arbitrary beginning. Times of two machines cannot be compared.
+// Package monotime defines the unit of time of the modules that run in steps: microseconds of one machine's monotonic
+// clock, from an arbitrary origin. Times of two machines can't be compared.
 package monotime
 
-// Micros is a time or a duration in microseconds. It is an alias, so that times of packages that know nothing of
-// one another can be used together.
+// Micros is a time or a duration in microseconds. It is an alias, so that packages that don't import one another can
+// share times without conversions.
 type Micros = int64
 
 // Durations in Micros.
