--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,5 +1,5 @@
-// Package simwire translates between the simulator's protocol, which is lines of JSON, and the scheduler's own
-// terms. It makes no decisions.
+// Package simwire translates between the simulator's protocol, which is lines of JSON, and the scheduler's events and
+// actions. It makes no decisions.
 package simwire
 
 import (
@@ -27,21 +27,21 @@
 	Config scheduler.Config
 }
 
-// Decoder reads batches; it keeps the numbered endpoint lists and each instance's settings.
+// Decoder decodes batches. It keeps the numbered endpoint lists and each instance's settings for later messages.
 type Decoder struct {
 	lists    map[int][]scheduler.Endpoint
 	settings map[int]*settings.Settings // by instance
 }
 
-// NewDecoder returns a decoder without lists and instances.
+// NewDecoder returns a decoder without endpoint lists or instances.
 func NewDecoder() *Decoder {
 	return &Decoder{lists: map[int][]scheduler.Endpoint{}, settings: map[int]*settings.Settings{}}
 }
 
-var errNoTime = errors.New("simwire: batch: no now")
+var errNoTime = errors.New("simwire: batch: now is missing")
 
-// Batch reads one line: its time and its messages in their order. An error names the message and the value that
-// can't be read; then there are no items.
+// Batch decodes one line and returns its time and its messages in their order. An error names the invalid message and
+// value, and no messages are returned with it.
 func (d *Decoder) Batch(line []byte) (monotime.Micros, []Message, error) {
 	var batch struct {
 		Now *float64            `json:"now"`
@@ -53,17 +53,17 @@
 	if batch.Now == nil {
 		return 0, nil, errNoTime
 	}
-	items := make([]Message, 0, len(batch.In))
+	messages := make([]Message, 0, len(batch.In))
 	for i, values := range batch.In {
-		item, ok, err := d.parseMessage(values)
+		message, ok, err := d.parseMessage(values)
 		if err != nil {
 			return 0, nil, fmt.Errorf("simwire: message %d: %w", i, err)
 		}
 		if ok {
-			items = append(items, item)
+			messages = append(messages, message)
 		}
 	}
-	return secondsToMicros(*batch.Now), items, nil
+	return secondsToMicros(*batch.Now), messages, nil
 }
 
 // secondsToMicros converts a time or a duration in seconds.
@@ -71,8 +71,8 @@
 	return monotime.Micros(math.Round(seconds * float64(monotime.Second)))
 }
 
-// parseMessage reads one message. ok is false for an endpoint list, which is kept for later and gives no item.
-func (d *Decoder) parseMessage(values []json.RawMessage) (item Message, ok bool, err error) {
+// parseMessage decodes one message. ok is false for an endpoint list, which is kept for later messages.
+func (d *Decoder) parseMessage(values []json.RawMessage) (message Message, ok bool, err error) {
 	f := &fields{values: values, name: "message"}
 	f.name = f.text(0)
 	if f.err == nil && f.name == "catalog" {
@@ -81,32 +81,32 @@
 		d.lists[int(list)] = endpoints
 		return Message{}, false, err
 	}
-	item.Instance = int(f.integer(1))
+	message.Instance = int(f.integer(1))
 	if f.err != nil {
-		return item, false, f.err
+		return message, false, f.err
 	}
 	switch f.name {
 	case "attach":
 		start, instanceSettings, err := parseStart(f)
-		d.settings[item.Instance] = instanceSettings
-		item.Start = start
-		return item, true, err
+		d.settings[message.Instance] = instanceSettings
+		message.Start = start
+		return message, true, err
 	case "down":
-		item.Stop = true
-		return item, true, nil
+		message.Stop = true
+		return message, true, nil
 	}
-	instanceSettings, ok := d.settings[item.Instance]
+	instanceSettings, ok := d.settings[message.Instance]
 	if !ok {
-		return item, false, fmt.Errorf("%s: instance %d was never attached", f.name, item.Instance)
+		return message, false, fmt.Errorf("%s: instance %d was never attached", f.name, message.Instance)
 	}
-	item.Event, err = d.parseEvent(f, instanceSettings)
+	message.Event, err = d.parseEvent(f, instanceSettings)
 	if err == nil {
 		err = f.err
 	}
-	return item, item.Event != nil, err
+	return message, message.Event != nil, err
 }
 
-// parseStart reads the first message to an instance.
+// parseStart decodes the first message to an instance.
 func parseStart(f *fields) (*Start, *settings.Settings, error) {
 	var text json.RawMessage
 	seed := f.id(2)
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -8,7 +8,7 @@
 	"chutechute/scheduler"
 )
 
-// Reply builds the reply to one batch, which is one line. Its zero value is an empty reply.
+// Reply encodes the reply to one batch, which is one line. Its zero value is an empty reply.
 type Reply struct {
 	buffer     []byte
 	hasActions bool
@@ -64,14 +64,14 @@
 	r.endAction()
 }
 
-// AddFailure appends that an instance can't go on, and why.
-func (r *Reply) AddFailure(instance int, what string) {
+// AddFailure appends that an instance has failed, and why.
+func (r *Reply) AddFailure(instance int, cause string) {
 	r.beginAction("broken", instance)
-	r.text(what)
+	r.text(cause)
 	r.endAction()
 }
 
-// Line returns the reply as a line, with its end, and begins the next reply.
+// Line returns the reply as a line with its newline, and begins the next reply.
 func (r *Reply) Line() []byte {
 	r.begin()
 	line := append(r.buffer, "]}\n"...)
@@ -79,14 +79,14 @@
 	return line
 }
 
-// begin writes what stands before all actions, unless it is there.
+// begin writes the opening of the line, unless it has been written.
 func (r *Reply) begin() {
 	if len(r.buffer) == 0 {
 		r.buffer = append(r.buffer, `{"cmds":[`...)
 	}
 }
 
-// beginAction writes the begin of an action, up to its instance.
+// beginAction writes an action's name and instance.
 func (r *Reply) beginAction(name string, instance int) {
 	r.begin()
 	if r.hasActions {
@@ -102,7 +102,7 @@
 // endAction writes the end of an action.
 func (r *Reply) endAction() { r.buffer = append(r.buffer, ']') }
 
-// raw writes a value that is JSON already.
+// raw writes a value that is already JSON.
 func (r *Reply) raw(value string) {
 	r.buffer = append(r.buffer, ',')
 	r.buffer = append(r.buffer, value...)
@@ -119,7 +119,7 @@
 // text writes a string.
 func (r *Reply) text(s string) {
 	b, err := json.Marshal(s)
-	if err != nil { // a string always marshals
+	if err != nil { // does not happen for a string
 		b = []byte(`""`)
 	}
 	r.raw(string(b))
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -10,7 +10,7 @@
 	"chutechute/scheduler"
 )
 
-// updateKinds are the kinds of endpoint updates, by their names in the protocol.
+// updateKinds maps names in the protocol to the kinds of endpoint updates.
 var updateKinds = map[string]scheduler.UpdateKind{
 	"Partial":   scheduler.UpdateChanges,
 	"Complete":  scheduler.UpdateComplete,
@@ -18,7 +18,7 @@
 	"Error":     scheduler.UpdateFailed,
 }
 
-// results are the results of attempts, by their names in the protocol.
+// results maps names in the protocol to the results of attempts.
 var results = map[string]scheduler.Result{
 	"completed":    scheduler.Succeeded,
 	"errored":      scheduler.Errored,
@@ -30,14 +30,14 @@
 	"superseded":   scheduler.NotSent,
 }
 
-// engineStates are the states of engines, by their names in the protocol.
+// engineStates maps names in the protocol to the states of engines.
 var engineStates = map[string]scheduler.EngineState{
 	"SERVING":  scheduler.Serving,
 	"DRAINING": scheduler.Draining,
 	"DELETED":  scheduler.Removed,
 }
 
-// parseEvent reads one event for an instance. Where f.err is set the event is of no use.
+// parseEvent decodes one event for an instance. The event is invalid if f.err is set.
 func (d *Decoder) parseEvent(f *fields, instanceSettings *settings.Settings) (scheduler.Event, error) {
 	switch f.name {
 	case "endpoints":
@@ -62,14 +62,14 @@
 	return nil, fmt.Errorf("unknown message %q", f.name)
 }
 
-// What an attempt used is one number: milliseconds of work, and below them units of memory.
+// What an attempt used is one number: milliseconds of work in the upper bits, units of memory in the lower ones.
 const (
 	memoryUnitBits = 12
 	memoryUnitMask = 1<<memoryUnitBits - 1
 	memoryUnitMB   = 4
 )
 
-// parseOutcome reads the end of an attempt.
+// parseOutcome decodes the end of an attempt.
 func parseOutcome(f *fields) scheduler.Outcome {
 	used := int64(0)
 	if f.isPresent(8) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// parseProgress reads a report of an attempt's progress.
+// parseProgress decodes a progress report.
 func parseProgress(f *fields) scheduler.ProgressReport {
 	return scheduler.ProgressReport{
 		ID:      f.id(2),
@@ -99,12 +99,12 @@
 	}
 }
 
-// parseHealthCheckResult reads the result of a health check.
+// parseHealthCheckResult decodes the result of a health check.
 func parseHealthCheckResult(f *fields) scheduler.HealthCheckResult {
 	return scheduler.HealthCheckResult{Engine: f.text(2), Result: f.result(3), Elapsed: f.time(4), Load: f.load(5)}
 }
 
-// parsePeerMessage reads a message of another front end.
+// parsePeerMessage decodes a message from another front end.
 func parsePeerMessage(f *fields) (scheduler.Event, error) {
 	body, err := base64.StdEncoding.DecodeString(f.text(3))
 	if err != nil {
@@ -113,7 +113,7 @@
 	return scheduler.PeerMessage{From: int(f.integer(2)), Body: body}, nil
 }
 
-// parseEndpointUpdate reads an update of the endpoint list, which names one of the lists that came before.
+// parseEndpointUpdate decodes an update of the endpoint list, which refers to an earlier list by its number.
 func (d *Decoder) parseEndpointUpdate(f *fields) (scheduler.Event, error) {
 	kind, ok := updateKinds[f.text(2)]
 	if !ok {
@@ -129,10 +129,10 @@
 	return scheduler.EndpointUpdate{Kind: kind, Endpoints: endpoints}, nil
 }
 
-// estimateValidFlag is the bit of a request's flags that says that its estimate of work holds.
+// estimateValidFlag is the bit of a request's flags that marks its estimate of work as valid.
 const estimateValidFlag = 1
 
-// parseRequest reads a client's request.
+// parseRequest decodes a client's request.
 func parseRequest(f *fields, instanceSettings *settings.Settings) (scheduler.Event, error) {
 	request := scheduler.Request{
 		ID:         f.id(2),
@@ -158,7 +158,7 @@
 	return request, nil
 }
 
-// parseEndpoints reads the endpoint list that stands as one value of a message.
+// parseEndpoints decodes the endpoint list in one value of a message.
 func parseEndpoints(f *fields, index int) ([]scheduler.Endpoint, error) {
 	var records [][]json.RawMessage
 	f.read(index, &records)
@@ -177,7 +177,7 @@
 	return endpoints, nil
 }
 
-// parseEndpoint reads one record of an endpoint list.
+// parseEndpoint decodes one record of an endpoint list.
 func parseEndpoint(record *fields) (scheduler.Endpoint, error) {
 	state, ok := engineStates[record.text(4)]
 	endpoint := scheduler.Endpoint{
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -9,20 +9,19 @@
 	"chutechute/scheduler"
 )
 
-// fields reads the values of one message by their index. After the first error, which stays in err, all values are
-// zero.
+// fields decodes the values of one message by their index. The first error stays in err; after it all values are zero.
 type fields struct {
 	values []json.RawMessage
 	name   string // of the message, for errors
 	err    error
 }
 
-// isPresent says whether there is a value, and it is not null.
+// isPresent reports whether there is a value other than null.
 func (f *fields) isPresent(index int) bool {
 	return index < len(f.values) && len(f.values[index]) > 0 && string(f.values[index]) != "null"
 }
 
-// read decodes a value, which has to be there.
+// read decodes a mandatory value.
 func (f *fields) read(index int, to any) {
 	if f.err != nil {
 		return
@@ -42,7 +41,7 @@
 func (f *fields) number(index int) (n float64)   { f.read(index, &n); return n }
 func (f *fields) time(index int) monotime.Micros { return secondsToMicros(f.number(index)) }
 
-// integer reads a whole number of 32 bits.
+// integer decodes a 32-bit integer.
 func (f *fields) integer(index int) int64 {
 	if f.err == nil && f.isPresent(index) {
 		text := string(f.values[index])
@@ -50,14 +49,14 @@
 		if err == nil {
 			return n
 		}
-		f.err = fmt.Errorf("%s: value %d: %s is no small whole number", f.name, index, text)
+		f.err = fmt.Errorf("%s: value %d: %s is not a 32-bit integer", f.name, index, text)
 		return 0
 	}
 	f.read(index, new(int64))
 	return 0
 }
 
-// optionalText reads a text; it is empty where there is none, or 0 in its place.
+// optionalText decodes a string; it is empty if the value is missing, null or 0.
 func (f *fields) optionalText(index int) string {
 	if !f.isPresent(index) || string(f.values[index]) == "0" {
 		return ""
@@ -65,7 +64,7 @@
 	return f.text(index)
 }
 
-// optionalNumber reads a number; it is 0 where there is none.
+// optionalNumber decodes a number; it is 0 if the value is missing or null.
 func (f *fields) optionalNumber(index int) float64 {
 	if !f.isPresent(index) {
 		return 0
@@ -73,7 +72,7 @@
 	return f.number(index)
 }
 
-// result reads the result of an attempt or a health check.
+// result decodes the result of an attempt or a health check.
 func (f *fields) result(index int) scheduler.Result {
 	result, ok := results[f.text(index)]
 	if !ok && f.err == nil {
@@ -82,10 +81,10 @@
 	return result
 }
 
-// notReported stands for a value that a load report leaves out.
+// notReported replaces a value that is missing in a load report.
 const notReported = -1
 
-// load reads an engine's load report; it is nil where there is none.
+// load decodes an engine's load report; it is nil if the value is missing or null.
 func (f *fields) load(index int) *scheduler.LoadReport {
 	if !f.isPresent(index) {
 		return nil
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -21,15 +21,15 @@
 	return []byte(`{"now":2.5,"in":[` + strings.Join(messages, ",") + "]}\n")
 }
 
-func TestStartIsReadIntoConfig(t *testing.T) {
-	now, items, err := NewDecoder().Batch(batch(attach))
-	if err != nil || now != 2_500_000 || len(items) != 1 || items[0].Start == nil {
-		t.Fatalf("%v %d %+v", err, now, items)
+func TestStartIsDecodedIntoConfig(t *testing.T) {
+	now, messages, err := NewDecoder().Batch(batch(attach))
+	if err != nil || now != 2_500_000 || len(messages) != 1 || messages[0].Start == nil {
+		t.Fatalf("%v %d %+v", err, now, messages)
 	}
-	config := items[0].Start.Config
+	config := messages[0].Start.Config
 	class := config.Classes[0]
-	if config.Gateways != 2 || config.Rank != 1 || items[0].Start.Seed != 42 {
-		t.Fatalf("%+v", items[0].Start)
+	if config.Gateways != 2 || config.Rank != 1 || messages[0].Start.Seed != 42 {
+		t.Fatalf("%+v", messages[0].Start)
 	}
 	if class.LatencyObjective != 500_000 || class.Effect != scheduler.IdempotentByKey ||
 		class.DedupeScope != scheduler.ScopeCell || !class.Ordered || class.Threads != 2 ||
@@ -42,8 +42,8 @@
 	}
 }
 
-// Every event that may come is read into the scheduler's terms; extra values are skipped.
-func TestEventsAreReadIntoSchedulerTerms(t *testing.T) {
+// Every kind of event is decoded into the scheduler's type; extra values are ignored.
+func TestEventsAreDecodedIntoSchedulerTypes(t *testing.T) {
 	for message, want := range map[string]scheduler.Event{
 		`["new_request",3,7,"c","t","key",5.5,0.25,64,9,1,"extra"]`: scheduler.Request{ID: 7, Key: "key",
 			Deadline: 5_500_000, EstimatedWork: 250_000, MemoryMB: 64, TableGroup: 9},
@@ -68,40 +68,40 @@
 		`["endpoints",3,"Error",null,null]`:   scheduler.EndpointUpdate{Kind: scheduler.UpdateFailed},
 		`["endpoints",3,"Persisted",null,41]`: nil,
 	} {
-		_, items, err := NewDecoder().Batch(batch(attach, message))
+		_, messages, err := NewDecoder().Batch(batch(attach, message))
 		if want == nil {
 			if err == nil {
 				t.Errorf("%s: no error", message)
 			}
 			continue
 		}
-		if err != nil || len(items) != 2 || !reflect.DeepEqual(items[1].Event, want) {
-			t.Errorf("%s: %v, got %+v", message, err, items)
+		if err != nil || len(messages) != 2 || !reflect.DeepEqual(messages[1].Event, want) {
+			t.Errorf("%s: %v, got %+v", message, err, messages)
 		}
 	}
 }
 
-// A list number that is reused within a batch stands for the list given last before each event.
+// If a list number is reused within a batch, an event refers to the latest list before it.
 func TestEndpointListIsTheLastOneSentUnderItsNumber(t *testing.T) {
-	_, items, err := NewDecoder().Batch(batch(attach,
+	_, messages, err := NewDecoder().Batch(batch(attach,
 		`["catalog",0,[["a","z","k",1,"SERVING",1,null]]]`,
 		`["endpoints",3,"Complete",0,1]`, `["catalog",0,[["b","z","k",2,"DRAINING",1,6.5]]]`,
 		`["endpoints",3,"Partial",0,2]`))
-	if err != nil || len(items) != 3 {
-		t.Fatal(err, items)
+	if err != nil || len(messages) != 3 {
+		t.Fatal(err, messages)
 	}
-	first, second := items[1].Event.(scheduler.EndpointUpdate), items[2].Event.(scheduler.EndpointUpdate)
+	first, second := messages[1].Event.(scheduler.EndpointUpdate), messages[2].Event.(scheduler.EndpointUpdate)
 	want := scheduler.Endpoint{Engine: "b", Zone: "z", Kind: "k", Cell: 2, State: scheduler.Draining, Started: 6_500_000}
 	if first.Endpoints[0].Engine != "a" || second.Endpoints[0] != want {
 		t.Fatalf("%+v %+v", first, second)
 	}
 }
 
-// A malformed line gives one error, of one line, that names what is wrong.
-func TestMalformedLineIsRefusedWithItsCause(t *testing.T) {
+// A malformed line gives an error of a single line that names the cause.
+func TestMalformedLineErrorNamesTheCause(t *testing.T) {
 	for line, want := range map[string]string{
 		"nonsense":                                                                "batch",
-		`{"in":[]}`:                                                               "no now",
+		`{"in":[]}`:                                                               "now is missing",
 		`{"now":1,"in":[["what",3]]}`:                                             "instance 3",
 		string(batch(attach, `["what",3]`)):                                       `unknown message "what"`,
 		string(batch(attach, `["client_gone"`)):                                   "batch",
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestActionsAreWrittenAsOneLine(t *testing.T) {
+func TestActionsAreEncodedAsOneLine(t *testing.T) {
 	var r Reply
 	if got := string(r.Line()); got != "{\"cmds\":[]}\n" {
 		t.Fatalf("empty reply %q", got)
@@ -147,20 +147,20 @@
 	}
 }
 
-// Whatever the line, the decoder gives items or an error, and replies stay JSON.
+// For any line, the decoder returns either messages or an error, and a reply is valid JSON.
 func FuzzBatch(f *testing.F) {
 	f.Add(batch(attach, `["client_gone",3,7]`))
 	f.Add(batch(`["catalog",0,[["a","z","k",1,"SERVING",1,null]]]`))
 	f.Add([]byte(`{"now":1e300,"in":[[null,1]]}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		_, items, err := NewDecoder().Batch(line)
-		if err != nil && len(items) > 0 {
-			t.Fatal("items beside an error")
+		_, messages, err := NewDecoder().Batch(line)
+		if err != nil && len(messages) > 0 {
+			t.Fatal("messages and an error")
 		}
 		var r Reply
 		r.Add(1, []scheduler.Action{scheduler.Log{Text: string(line)}})
 		if !json.Valid(r.Line()) {
-			t.Fatal("reply is no JSON")
+			t.Fatal("reply is not valid JSON")
 		}
 	})
 }
