--- a/fleet/replication/action.go
+++ b/fleet/replication/action.go
@@ -2,10 +2,10 @@
 
 import "go.etcd.io/raft/v3/raftpb"
 
-// Action is something that a Replica wants its caller to do: a Send, Save, Reply or Notify.
+// Action is an operation that a Replica requests of its caller: a Send, Save, Reply or Notify.
 type Action any
 
-// Send sends a message to another replica, which passes it to Receive. It may be lost.
+// Send sends a message to another replica, which passes it to Replica.Receive. The message may be lost.
 type Send struct {
 	// To is the ID of the other replica.
 	To uint64
@@ -15,18 +15,18 @@
 	Message []byte
 }
 
-// Save persists log entries, a hard state and a snapshot, those that it has. Saves are persisted in the order of the
-// actions, and each is reported to Persisted.
+// Save persists log entries, a hard state and a snapshot, each of which may be absent. Saves are persisted in the order
+// of the actions, and each is reported to Replica.Persisted.
 type Save struct {
-	// Token identifies the Save in the call of Persisted.
+	// Token identifies the Save in the call to Replica.Persisted.
 	Token uint64
 	// GroupID is the ID of the Raft group.
 	GroupID uint64
-	// Entries are log entries. They replace persisted ones from the first one's index on.
+	// Entries are log entries. They replace all persisted entries from the index of the first one on.
 	Entries []*raftpb.Entry
 	// HardState is the term, vote and commit index; nil if they have not changed.
 	HardState *raftpb.HardState
-	// Snapshot replaces the snapshot before and the log entries up to its index; nil if there is none.
+	// Snapshot replaces the previous snapshot and the log entries up to its own index; nil if there is none.
 	Snapshot *raftpb.Snapshot
 	// DiscardLog reports whether the snapshot came from the leader, so that all earlier log entries are discarded.
 	DiscardLog bool
@@ -36,14 +36,14 @@
 type Reply struct {
 	// To is the process that proposed the command.
 	To Incarnation
-	// Response is the response to it.
+	// Response is the response to the command.
 	Response Response
 }
 
-// Notify tells a front end that something it waits for may have changed. It may be lost.
+// Notify notifies a front end that something it waits for may have changed. The notification may be lost.
 type Notify struct {
 	// To is the process to notify.
 	To Incarnation
-	// Topic says what may have changed, in the terms of the state machine that sends it.
+	// Topic identifies what may have changed. Its meaning is defined by the state machine that sends it.
 	Topic string
 }
--- a/fleet/replication/command.go
+++ b/fleet/replication/command.go
@@ -2,18 +2,18 @@
 
 import "chutechute/internal/fieldcodec"
 
-// encodingOverhead is the space that the fields of a Command or Response other than the body usually need, in bytes.
+// encodingOverhead is the usual encoded size of the fields of a Command or Response without the body, in bytes.
 const encodingOverhead = 32
 
 // Command is a command to a state machine, and an entry of the replicated log.
 type Command struct {
 	// StateMachineID is the ID of the state machine that applies the command.
 	StateMachineID uint32
-	// Version is the version of the body's form.
+	// Version is the version of the body's encoding.
 	Version uint32
 	// Proposer is the process that proposed the command; 0 for a command that the leader proposed by itself.
 	Proposer Incarnation
-	// Sequence is the proposer's number of the proposal, which the response repeats.
+	// Sequence is the number that the proposer gave the proposal. The response repeats it.
 	Sequence uint64
 	// Body is the command in the state machine's own encoding.
 	Body []byte
@@ -47,28 +47,28 @@
 type Response struct {
 	// Sequence is the number that the proposer gave the command.
 	Sequence uint64
-	// Result is what became of the command.
+	// Result says whether the command was committed, and if not, why.
 	Result Result
-	// Leader is the ID of the leader as far as a replica that rejects the proposal knows; 0 if unknown.
+	// Leader is the ID of the leader that is known to a replica that rejects the proposal; 0 if it knows none.
 	Leader uint64
 	// Body is the state machine's response, if the command was committed.
 	Body []byte
 }
 
-// Result says what became of a proposed command.
+// Result is the result of proposing a command.
 type Result uint64
 
 // The results of a proposal.
 const (
 	// Committed is the result of a command that was committed and applied.
 	Committed Result = iota + 1
-	// NotLeader is the result of a proposal to a replica that does not lead. Nothing is known of what became of the
-	// command; another replica is to be tried.
+	// NotLeader is the result of a proposal to a replica that is not the leader. It does not say whether the command
+	// is committed; it should be proposed to another replica.
 	NotLeader
-	// Busy is the result of a command that was not accepted, since too many bytes are proposed and not committed, or
-	// since the leader is about to change.
+	// Busy is the result of a command that was not accepted, because too many proposed bytes are not committed yet or
+	// because a leader transfer is in progress.
 	Busy
-	// Unsupported is the result of a command for a state machine, or in a version, that the replica does not know.
+	// Unsupported is the result of a command for a state machine, or in a version, that the replica does not support.
 	Unsupported
 )
 
--- a/fleet/replication/compaction.go
+++ b/fleet/replication/compaction.go
@@ -5,7 +5,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// retainedEntries is how many entries before a snapshot stay in the log, for followers that lag a little.
+// retainedEntries is how many entries before a snapshot stay in the log, so that a follower that lags by fewer entries
+// needs no snapshot.
 const retainedEntries = 256
 
 // compact takes a snapshot once the log has grown by Config.SnapshotLogBytes, and compacts the log.
@@ -16,7 +17,7 @@
 	r.appliedBytes = 0
 	index := r.state.index
 	if last, err := r.log.LastIndex(); err != nil || last < index {
-		return nil // what was applied is not persisted here yet; it will be by the next time
+		return nil // the last applied entry is not persisted here yet; it will be when the log has grown again
 	}
 	snapshot, err := r.log.CreateSnapshot(index, r.confState, r.state.snapshot())
 	if err != nil {
@@ -33,14 +34,15 @@
 	return nil
 }
 
-// snapshotStorage is the log as the Raft library reads it. A snapshot for a replica that lags is taken when the
-// library needs it: an older one may not include a learner yet, which would then ignore it.
+// snapshotStorage is the log as the Raft library reads it. A snapshot for a replica that lags is taken when the library
+// requests it. An older snapshot may not include a learner that was added since, and that learner would ignore it.
 type snapshotStorage struct {
 	*raft.MemoryStorage
 	replica *Replica
 }
 
-// Snapshot returns a snapshot of the state as of the last entry that was both applied and persisted.
+// Snapshot returns a snapshot of the state as of the last applied entry, or the stored snapshot if that entry is not
+// persisted yet.
 func (s snapshotStorage) Snapshot() (*raftpb.Snapshot, error) {
 	state := s.replica.state
 	stored, err := s.MemoryStorage.Snapshot()
--- a/fleet/replication/config.go
+++ b/fleet/replication/config.go
@@ -10,14 +10,14 @@
 type Config struct {
 	// ID is the replica's ID, drawn at random with its empty disk.
 	ID uint64
-	// StateMachines are the state machines that are replicated, in the order in which snapshots have them.
+	// StateMachines are the replicated state machines, in the order in which snapshots contain them.
 	StateMachines []StateMachine
-	// Replicas is the number of voters that there should be.
+	// Replicas is the number of voters to maintain.
 	Replicas int
-	// TickInterval is the length of a Raft tick, in which the timeouts of heartbeats and elections are counted.
+	// TickInterval is the length of a Raft tick, the unit of the heartbeat and election timeouts.
 	TickInterval monotime.Micros
-	// ReplaceAfter is the time without a sign of life after which a replica is replaced, if another front end can
-	// take its place.
+	// ReplaceAfter is the time since a replica was last heard from after which it is replaced, if another front end
+	// can become a replica.
 	ReplaceAfter monotime.Micros
 	// SnapshotLogBytes is the number of bytes applied from the log after which a snapshot is taken.
 	SnapshotLogBytes int
@@ -29,7 +29,7 @@
 const (
 	electionTicks  = 8
 	heartbeatTicks = 1
-	// maxCatchUpTicks is how many ticks are made up for after the process did not run for a while.
+	// maxCatchUpTicks is how many missed ticks are made up for after the process was paused.
 	maxCatchUpTicks = 4
 )
 
@@ -37,11 +37,11 @@
 const (
 	maxMessageBytes     = 256 << 10 // of the entries in one message
 	maxApplyBytes       = 1 << 20   // of the entries that are applied at once
-	maxUncommittedBytes = 4 << 20   // of the entries that a leader has proposed and not committed
-	maxInflightMessages = 64        // to one follower, without a response
+	maxUncommittedBytes = 4 << 20   // of the entries that a leader has proposed and that are not committed
+	maxInflightMessages = 64        // that one follower has not responded to
 )
 
-// raftConfig returns the Raft library's configuration of a replica that has applied the log up to an index.
+// raftConfig returns the Raft library's configuration for a replica that has applied the log up to an index.
 func (c *Config) raftConfig(storage raft.Storage, applied uint64) *raft.Config {
 	return &raft.Config{
 		ID:                        c.ID,
--- a/fleet/replication/errors.go
+++ b/fleet/replication/errors.go
@@ -2,11 +2,11 @@
 
 import "errors"
 
-// ErrLogGap is the error of persisted state in which log entries between the snapshot and the log are missing.
-var ErrLogGap = errors.New("replication: the log does not follow the snapshot")
+// ErrLogGap says that the persisted state lacks log entries between the end of the snapshot and the start of the log.
+var ErrLogGap = errors.New("replication: log entries between the snapshot and the log are missing")
 
-// InvariantError reports that the Raft library found the state of a replica to be impossible, such as a commit index
-// beyond the end of its log. It ends the replica, but not the front end, which goes on without one.
+// InvariantError reports that the Raft library found an inconsistent state of a replica, such as a commit index beyond
+// the end of its log. It stops the replica, but not the front end, which continues without one.
 type InvariantError struct {
 	// Message is what the library reported.
 	Message string
--- a/fleet/replication/golden_test.go
+++ b/fleet/replication/golden_test.go
@@ -9,7 +9,7 @@
 	"chutechute/internal/monotime"
 )
 
-// echoMachine is a state machine that responds with the body of each command, and whose state is the last one.
+// echoMachine is a state machine that responds with the body of each command. Its state is the last body.
 type echoMachine struct{ last []byte }
 
 func (m *echoMachine) ID() uint32      { return 9 }
--- a/fleet/replication/invariant_test.go
+++ b/fleet/replication/invariant_test.go
@@ -12,29 +12,29 @@
 	"chutechute/internal/raftlog"
 )
 
-// A heartbeat with a commit index beyond the end of the log shows that the log is not what it has to be. The library
-// panics; the replica ends with what the library reported, and its process goes on.
+// The Raft library panics on a heartbeat with a commit index beyond the end of the log. The panic must stop the replica
+// with the library's message, and not the process.
 func TestImpossibleCommitIndexEndsTheReplica(t *testing.T) {
 	const (
-		now    = 1000 * monotime.Second
-		group  = 77
-		other  = 2
-		commit = 99
+		now     = 1000 * monotime.Second
+		groupID = 77
+		other   = 2
+		commit  = 99
 	)
 	replica := replication.New(replication.Config{
 		ID: 1, Replicas: 2, TickInterval: 50 * monotime.Millisecond, SnapshotLogBytes: 1 << 20, Logger: raftlog.New(),
 	})
-	require.NoError(t, replica.Bootstrap(now, group, []replication.Member{{ID: 1}, {ID: other}}))
+	require.NoError(t, replica.Bootstrap(now, groupID, []replication.Member{{ID: 1}, {ID: other}}))
 	heartbeat, err := proto.Marshal(&raftpb.Message{
 		Type: raftpb.MessageType_MsgHeartbeat.Enum(), To: proto.Uint64(1), From: proto.Uint64(other),
 		Term: proto.Uint64(1), Commit: proto.Uint64(commit),
 	})
 	require.NoError(t, err)
-	require.NoError(t, replica.Receive(now, group, heartbeat))
+	require.NoError(t, replica.Receive(now, groupID, heartbeat))
 	var invariant replication.InvariantError
 	require.ErrorAs(t, replica.Err(), &invariant)
 	require.Contains(t, invariant.Message, "commit")
 	require.Equal(t, "replication: "+invariant.Message, invariant.Error())
-	replica.Tick(now+monotime.Second, nil, nil) // it takes no part any more
+	replica.Tick(now+monotime.Second, nil, nil) // a stopped replica does nothing
 	require.Zero(t, replica.Term())
 }
--- a/fleet/replication/leadertransfer.go
+++ b/fleet/replication/leadertransfer.go
@@ -8,11 +8,11 @@
 // Thresholds of the leader transfer, in ticks of Config.TickInterval.
 const (
 	slowSaveTicks       = 4  // after which a pending Save of the leader is slow
-	leaderTransferTicks = 40 // the least time between two transfers
+	leaderTransferTicks = 40 // the minimum time between two transfers
 )
 
 // transferLeadershipIfSlow makes another replica the leader while this one's disk is slow. A leader applies no command
-// before it has persisted the command itself, so that its disk alone would slow down all front ends, although the
+// before it has persisted the command itself. Its slow disk would therefore slow down all front ends, although the
 // other replicas are a majority without it.
 func (r *Replica) transferLeadershipIfSlow() {
 	if !r.hasSlowSave() || r.now < r.lastLeaderTransfer+leaderTransferTicks*r.config.TickInterval {
@@ -36,8 +36,8 @@
 	return false
 }
 
-// leaderTransferTarget returns the active voter that has the most of the log, the one with the smallest ID among
-// equals, or 0 if there is none.
+// leaderTransferTarget returns the active voter with the longest matching log, or 0 if there is none. Among equals it
+// is the one with the smallest ID.
 func (r *Replica) leaderTransferTarget() (target uint64) {
 	var match uint64
 	r.node.WithProgress(func(id uint64, progressType raft.ProgressType, progress tracker.Progress) {
--- a/fleet/replication/member.go
+++ b/fleet/replication/member.go
@@ -4,8 +4,8 @@
 
 // Member is a replica, or a front end that may become one.
 type Member struct {
-	// ID is the replica's ID. It was drawn with an empty disk and stands for that disk: a front end that has lost its
-	// disk is another replica under the same name.
+	// ID is the replica's ID. It was drawn when the disk was empty and identifies that disk: a front end that has lost
+	// its disk is another replica with the same name.
 	ID uint64
 	// Name is the front end's name.
 	Name string
--- a/fleet/replication/membership.go
+++ b/fleet/replication/membership.go
@@ -13,14 +13,15 @@
 const (
 	// maxLearnerLag is how many entries a learner may be behind the commit index when it becomes a voter.
 	maxLearnerLag = 64
-	// membershipChangeTicks is the least time between two proposals of a change, in ticks of Config.TickInterval.
+	// membershipChangeTicks is the minimum time between two proposals of a change, in ticks of Config.TickInterval.
 	membershipChangeTicks = 10
 )
 
-// membershipManager is the leader's management of the replicas: that there are as many as configured, in different
-// zones if possible, and that one which is lost is replaced. A new replica is a learner first. It becomes a voter in
-// the same change that removes the lost one. What the leader believes to be lost only decides which changes it
-// proposes: each is committed by majorities of the old and the new voters.
+// membershipManager manages the set of replicas while this one is the leader. It maintains the configured number of
+// voters, in different zones if possible, and replaces those that are lost: unresponsive, or without their disk. A new
+// replica is a learner first. It becomes a voter in the same change that removes the lost one. The leader's belief that
+// a replica is lost only decides which changes it proposes. It is safe if it is wrong, because each change is committed
+// by majorities of the old and the new voters.
 type membershipManager struct {
 	lastSeen     map[uint64]monotime.Micros // when each replica was last heard from, since this one leads
 	leaderSince  monotime.Micros
@@ -33,30 +34,31 @@
 const (
 	healthy      replicaHealth = iota
 	unresponsive               // not heard from for Config.ReplaceAfter
-	superseded                 // its front end has come back with another disk
+	diskReplaced               // its front end runs with another disk, and so with another replica ID
 )
 
-// reset forgets everything. It is called while this replica does not lead.
+// reset clears the state. It is called while this replica is not the leader.
 func (m *membershipManager) reset() {
 	*m = membershipManager{lastSeen: map[uint64]monotime.Micros{}}
 }
 
-// changeApplied is called when a change was applied. The next one may follow at once, unless the change has two steps
-// and this was the first.
+// changeApplied is called when a change was applied. The next one may be proposed at once, unless the change uses joint
+// consensus and was only its first step.
 func (m *membershipManager) changeApplied(r *Replica) {
 	if !r.Reconfiguring() {
 		m.lastProposed = 0
 	}
 }
 
-// step proposes the next membership change, if one is needed. Present are the front ends that are heard from now.
-func (m *membershipManager) step(r *Replica, present []Member) {
-	m.recordPresent(r, present)
+// manage proposes the next membership change if one is needed. alive contains the front ends that are heard from
+// now.
+func (m *membershipManager) manage(r *Replica, alive []Member) {
+	m.recordAlive(r, alive)
 	if r.Reconfiguring() || m.proposedRecently(r) {
 		return
 	}
 	currentIDs := map[string]uint64{}
-	for _, member := range present {
+	for _, member := range alive {
 		currentIDs[member.Name] = member.ID
 	}
 	if learner := m.lostLearner(r, currentIDs); learner != 0 {
@@ -72,19 +74,19 @@
 		return
 	}
 	if len(r.confState.GetLearners()) > 0 {
-		return // it has to catch up first
+		return // the learner has to catch up first
 	}
-	if candidate := r.learnerCandidate(present, lost); candidate.ID != 0 {
+	if candidate := r.learnerCandidate(alive, lost); candidate.ID != 0 {
 		addition := singleChange(raftpb.ConfChangeType_ConfChangeAddLearnerNode, candidate.ID)
 		m.propose(r, []Member{candidate}, addition)
 	}
 }
 
-func (m *membershipManager) recordPresent(r *Replica, present []Member) {
+func (m *membershipManager) recordAlive(r *Replica, alive []Member) {
 	if m.leaderSince == 0 {
 		m.leaderSince = r.now
 	}
-	for _, member := range present {
+	for _, member := range alive {
 		m.lastSeen[member.ID] = r.now
 	}
 	m.lastSeen[r.config.ID] = r.now
@@ -94,13 +96,13 @@
 	return m.lastProposed != 0 && r.now-m.lastProposed < membershipChangeTicks*r.config.TickInterval
 }
 
-// health returns what is believed of a replica. The current IDs are those of the front ends that are heard from now,
-// by name.
+// health returns what the leader believes of a replica. currentIDs contains, by name, the replica IDs of the front ends
+// that are heard from now.
 func (m *membershipManager) health(r *Replica, id uint64, currentIDs map[string]uint64) replicaHealth {
 	currentID := currentIDs[r.state.member(id).Name]
 	switch {
 	case currentID != 0 && currentID != id:
-		return superseded
+		return diskReplaced
 	case r.now-max(m.lastSeen[id], m.leaderSince) >= r.config.ReplaceAfter:
 		return unresponsive
 	default:
@@ -118,11 +120,11 @@
 	return 0
 }
 
-// lostVoter returns the voter to replace, or 0: a superseded one rather than one that is only unresponsive.
+// lostVoter returns the voter to replace, or 0. One whose disk was replaced comes before one that is unresponsive.
 func (m *membershipManager) lostVoter(r *Replica, currentIDs map[string]uint64) (lost uint64) {
 	for _, id := range r.confState.GetVoters() {
 		switch m.health(r, id, currentIDs) {
-		case superseded:
+		case diskReplaced:
 			lost = id
 		case unresponsive:
 			if lost == 0 {
@@ -143,10 +145,10 @@
 	m.propose(r, []Member{r.state.member(learner)}, changes...)
 }
 
-// propose proposes a change. Its context has the members that it adds.
+// propose proposes a change. Its context contains the added members.
 func (m *membershipManager) propose(r *Replica, added []Member, changes ...*raftpb.ConfChangeSingle) {
 	m.lastProposed = r.now
-	// An error only says that an earlier change is not applied yet. The change is proposed again later.
+	// An error only means that an earlier change is not applied yet. The change is proposed again later.
 	_ = r.node.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes, Context: EncodeMembers(added)})
 }
 
@@ -154,7 +156,7 @@
 	return &raftpb.ConfChangeSingle{Type: changeType.Enum(), NodeId: &id}
 }
 
-// caughtUpLearner returns the first learner that has all committed entries but a few, or 0.
+// caughtUpLearner returns the first learner that lags by no more than maxLearnerLag entries, or 0.
 func (r *Replica) caughtUpLearner() uint64 {
 	for _, id := range r.confState.GetLearners() {
 		if r.isCaughtUp(id) {
@@ -174,16 +176,16 @@
 	return caughtUp
 }
 
-// learnerCandidate returns the front end that should become a learner, or a zero Member: one in the zone with the
-// fewest voters, without the lost one, and the first by name among equals.
-func (r *Replica) learnerCandidate(present []Member, lost uint64) (candidate Member) {
+// learnerCandidate returns the front end that should become a learner, or a zero Member. It is the first by name in the
+// zone with the fewest voters, not counting the lost one.
+func (r *Replica) learnerCandidate(alive []Member, lost uint64) (candidate Member) {
 	votersInZone := map[string]int{}
 	for _, id := range r.confState.GetVoters() {
 		if id != lost {
 			votersInZone[r.state.member(id).Zone]++
 		}
 	}
-	for _, member := range present {
+	for _, member := range alive {
 		if member.ID == 0 || slices.Contains(r.confState.GetVoters(), member.ID) {
 			continue
 		}
--- a/fleet/replication/messages.go
+++ b/fleet/replication/messages.go
@@ -11,24 +11,24 @@
 	"chutechute/internal/monotime"
 )
 
-// Receive processes a message of another replica in a Raft group. Messages to another ID than this replica's are
-// ignored: they are for a disk that was lost. An error says that the message is malformed or that Raft rejects it.
-func (r *Replica) Receive(now monotime.Micros, group uint64, encoded []byte) error {
+// Receive processes a message from another replica in a Raft group. Messages to another ID than this replica's are
+// ignored: they are for a disk that was lost. An error means that the message is malformed or that Raft rejects it.
+func (r *Replica) Receive(now monotime.Micros, groupID uint64, encoded []byte) error {
 	defer r.recoverFromInvariantError()
 	r.now = now
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(encoded, message); err != nil {
 		return fmt.Errorf("replication: %w", err)
 	}
-	if message.GetTo() != r.config.ID || r.failure != nil || group == 0 {
+	if message.GetTo() != r.config.ID || r.failure != nil || groupID == 0 {
 		return nil
 	}
-	if r.group == 0 {
-		if err := r.join(now, group); err != nil {
+	if r.groupID == 0 {
+		if err := r.join(now, groupID); err != nil {
 			return err
 		}
 	}
-	if group != r.group || raft.IsLocalMsg(message.GetType()) {
+	if groupID != r.groupID || raft.IsLocalMsg(message.GetType()) {
 		return nil
 	}
 	r.membership.lastSeen[message.GetFrom()] = now
@@ -43,7 +43,8 @@
 	return err
 }
 
-// ReportUnreachable reports that a message to another replica was not sent. It may have been a snapshot.
+// ReportUnreachable reports that a message to another replica could not be sent. The message may have been a snapshot,
+// so a failed snapshot is reported as well.
 func (r *Replica) ReportUnreachable(to uint64) {
 	defer r.recoverFromInvariantError()
 	if r.node != nil {
@@ -53,11 +54,11 @@
 	}
 }
 
-// deliver delivers the responses of the library's append and apply threads, to this replica or to others.
+// deliver delivers the responses of the library's append and apply threads to this replica or to others.
 func (r *Replica) deliver(responses []*raftpb.Message) {
 	for _, message := range responses {
 		if message.GetTo() == r.config.ID {
-			_ = r.node.Step(message) // a message to itself is not rejected
+			_ = r.node.Step(message) // the library does not reject a replica's messages to itself
 		} else {
 			r.send(message)
 		}
@@ -72,7 +73,7 @@
 	}
 	isSnapshot := message.GetType() == raftpb.MessageType_MsgSnap
 	r.actions = append(r.actions, Send{To: message.GetTo(), Bulk: isSnapshot, Message: encoded})
-	if isSnapshot { // if it is lost, the probe that follows finds out
+	if isSnapshot { // a lost snapshot is noticed by the probe that follows
 		r.node.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
 	}
 }
--- a/fleet/replication/persistence.go
+++ b/fleet/replication/persistence.go
@@ -9,8 +9,8 @@
 	"chutechute/internal/monotime"
 )
 
-// pendingSave is a Save that was not reported as persisted yet. What it holds becomes visible to the Raft library, and
-// its responses are delivered, once it has been persisted.
+// pendingSave is a Save that was not reported as persisted yet. Once it is, its contents become visible to the Raft
+// library and its responses are delivered.
 type pendingSave struct {
 	requestedAt monotime.Micros
 	entries     []*raftpb.Entry
@@ -20,14 +20,14 @@
 	responses   []*raftpb.Message
 }
 
-// requestSave requests that entries, hard state and snapshot are persisted, by an action Save.
+// requestSave adds a Save action and tracks it until it is reported as persisted.
 func (r *Replica) requestSave(save pendingSave) {
 	r.lastToken++
 	save.requestedAt = r.now
 	r.pendingSaves[r.lastToken] = save
 	r.actions = append(r.actions, Save{
 		Token:      r.lastToken,
-		GroupID:    r.group,
+		GroupID:    r.groupID,
 		Entries:    save.entries,
 		HardState:  save.hardState,
 		Snapshot:   save.snapshot,
@@ -35,8 +35,8 @@
 	})
 }
 
-// Persisted reports that a Save has been persisted, or why it was not. An error ends this replica at once, since
-// nobody knows what a disk holds after a failed write.
+// Persisted reports that a Save has been persisted, or why it was not. An error stops this replica at once, because the
+// contents of a disk are unknown after a failed write.
 func (r *Replica) Persisted(now monotime.Micros, token uint64, err error) {
 	defer r.recoverFromInvariantError()
 	r.now = now
@@ -56,7 +56,7 @@
 	r.processReady()
 }
 
-// addToLog makes what has been persisted visible to the Raft library.
+// addToLog makes the contents of a persisted Save visible to the Raft library.
 func (r *Replica) addToLog(save pendingSave) error {
 	if !raft.IsEmptySnap(save.snapshot) {
 		if err := r.log.ApplySnapshot(save.snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
--- a/fleet/replication/proposals.go
+++ b/fleet/replication/proposals.go
@@ -6,14 +6,14 @@
 	"chutechute/internal/monotime"
 )
 
-// Delays of the leader's own proposals, in ticks of Config.TickInterval.
+// Timing of the commands that the leader proposes by itself, in ticks of Config.TickInterval.
 const (
-	// firstDueCommandsTicks is how long a new leader waits, so that what is in progress can end by itself.
+	// firstDueCommandsTicks is how long a new leader waits, so that work in progress can first complete by itself.
 	firstDueCommandsTicks = 2 * electionTicks
-	dueCommandsTicks      = 4
+	dueCommandsTicks      = 4 // between two calls of StateMachine.DueCommands
 )
 
-// proposalTimeout is how long a proposal's response is awaited before the proposer is forgotten.
+// proposalTimeout is how long a proposal is tracked. If it is committed later, this replica sends no Reply.
 const proposalTimeout = 10 * monotime.Second
 
 // proposalKey identifies a proposal.
@@ -22,7 +22,7 @@
 	sequence uint64
 }
 
-// proposalTracker has the proposals that were made at this replica and are not answered yet.
+// proposalTracker tracks the proposals that were made at this replica and have no response yet.
 type proposalTracker struct {
 	proposedAt map[proposalKey]monotime.Micros
 	lastPrune  monotime.Micros
@@ -46,7 +46,7 @@
 	return true
 }
 
-// prune removes proposals that were never committed.
+// prune removes proposals that were not committed within proposalTimeout.
 func (t *proposalTracker) prune(now monotime.Micros) {
 	if now < t.lastPrune+proposalTimeout {
 		return
@@ -57,8 +57,8 @@
 	})
 }
 
-// Propose proposes a front end's command. A Reply follows, unless another replica takes over as leader or this one
-// fails in the meantime.
+// Propose proposes a front end's command. A Reply follows unless another replica becomes the leader, or this one fails,
+// before the command is applied.
 func (r *Replica) Propose(now monotime.Micros, command Command) {
 	defer r.recoverFromInvariantError()
 	r.now = now
@@ -80,7 +80,7 @@
 	r.actions = append(r.actions, Reply{To: command.Proposer, Response: response})
 }
 
-// proposeDueCommands proposes the commands that are due by the passing of time.
+// proposeDueCommands proposes the commands that the state machines report as due, every dueCommandsTicks.
 func (r *Replica) proposeDueCommands() {
 	if r.nextDueCommands == 0 {
 		r.nextDueCommands = r.now + firstDueCommandsTicks*r.config.TickInterval
@@ -89,10 +89,10 @@
 		return
 	}
 	r.nextDueCommands = r.now + dueCommandsTicks*r.config.TickInterval
-	for _, stateMachine := range r.state.order {
+	for _, stateMachine := range r.state.inOrder {
 		for _, body := range stateMachine.DueCommands(r.now, r.detector) {
 			command := Command{StateMachineID: stateMachine.ID(), Version: stateMachine.Version(), Body: body}
-			_ = r.node.Propose(command.Encode()) // if it is dropped, it will be due again
+			_ = r.node.Propose(command.Encode()) // a dropped command stays due and is proposed again
 		}
 	}
 }
--- a/fleet/replication/ready.go
+++ b/fleet/replication/ready.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// entryOverhead is what an entry counts towards Config.SnapshotLogBytes in addition to its data, in bytes.
+// entryOverhead is how many bytes an entry adds towards Config.SnapshotLogBytes beyond the size of its data.
 const entryOverhead = 32
 
 // processReady processes everything that the Raft library has ready.
@@ -27,7 +27,7 @@
 	}
 }
 
-// countElection counts an election that this replica has started. The state is nil if it has not changed.
+// countElection counts an election that this replica has started. state is nil if it has not changed.
 func (r *Replica) countElection(state *raft.SoftState) {
 	if state == nil {
 		return
@@ -39,8 +39,8 @@
 	r.role = state.RaftState
 }
 
-// processMessage processes a message of the Raft library: to this replica's append or apply thread, or to another
-// replica.
+// processMessage processes a message that the Raft library sends to this replica's append or apply thread, or to
+// another replica.
 func (r *Replica) processMessage(message *raftpb.Message) {
 	var err error
 	switch message.GetTo() {
@@ -56,8 +56,8 @@
 	}
 }
 
-// appendEntries requests that new entries, hard state and snapshot are persisted. A snapshot of the leader is restored
-// at once.
+// appendEntries requests that new entries, the hard state and a snapshot are persisted. A snapshot from the leader is
+// restored at once.
 func (r *Replica) appendEntries(message *raftpb.Message) error {
 	save := pendingSave{
 		entries:    message.GetEntries(),
@@ -108,7 +108,7 @@
 	}
 }
 
-// applyCommand applies an entry with a command, or the empty entry at the beginning of a leader's term.
+// applyCommand applies an entry with a command, or the empty entry with which a leader's term begins.
 func (r *Replica) applyCommand(entry *raftpb.Entry) {
 	if len(entry.GetData()) == 0 {
 		r.state.advance(entry.GetIndex(), nil)
@@ -121,7 +121,7 @@
 	}
 }
 
-// applyMembershipChange applies a change of the voters and learners. Its context has the members that it adds.
+// applyMembershipChange applies a change of the voters and learners. Its context contains the added members.
 func (r *Replica) applyMembershipChange(entry *raftpb.Entry) error {
 	change := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
--- a/fleet/replication/recovery.go
+++ b/fleet/replication/recovery.go
@@ -10,7 +10,7 @@
 	"chutechute/internal/monotime"
 )
 
-// PersistedState is what a replica had persisted when its process ended.
+// PersistedState is the state that a replica had persisted when its process ended.
 type PersistedState struct {
 	// GroupID is the ID of the Raft group; 0 if the front end was not a replica.
 	GroupID uint64
@@ -22,8 +22,8 @@
 	Entries []*raftpb.Entry
 }
 
-// Recover makes this front end the replica that it was, if persisted has one. The error is ErrLogGap, of the Raft
-// library, or of a state machine that does not know the snapshot.
+// Recover resumes the replica that persisted describes, if there is one. The error is ErrLogGap, an error of the Raft
+// library, or that of a snapshot that this build cannot restore.
 func (r *Replica) Recover(now monotime.Micros, persisted *PersistedState) error {
 	defer r.recoverFromInvariantError()
 	if persisted == nil || persisted.GroupID == 0 {
@@ -34,7 +34,7 @@
 		return ErrLogGap
 	}
 	log := raft.NewMemoryStorage()
-	if !raft.IsEmptySnap(persisted.Snapshot) { // a replica that joined and has not caught up has none
+	if !raft.IsEmptySnap(persisted.Snapshot) { // a replica that has joined and not caught up yet has none
 		if err := log.ApplySnapshot(persisted.Snapshot); err != nil {
 			return err
 		}
@@ -50,12 +50,12 @@
 	return r.start(now, persisted.GroupID, log, persisted.Snapshot)
 }
 
-// Bootstrap makes this front end one of the first replicas of a new Raft group, if it is among the members. All
-// members are to be given the same group and members.
-func (r *Replica) Bootstrap(now monotime.Micros, group uint64, members []Member) error {
+// Bootstrap makes this front end one of the first replicas of a new Raft group, if it is among the members. It must be
+// called with the same groupID and members at each of them.
+func (r *Replica) Bootstrap(now monotime.Micros, groupID uint64, members []Member) error {
 	defer r.recoverFromInvariantError()
 	isThisReplica := func(member Member) bool { return member.ID == r.config.ID }
-	if r.group != 0 || !slices.ContainsFunc(members, isThisReplica) {
+	if r.groupID != 0 || !slices.ContainsFunc(members, isThisReplica) {
 		return nil
 	}
 	snapshot := r.bootstrapSnapshot(members)
@@ -67,7 +67,7 @@
 	if err := log.SetHardState(hardState); err != nil {
 		return err
 	}
-	if err := r.start(now, group, log, snapshot); err != nil {
+	if err := r.start(now, groupID, log, snapshot); err != nil {
 		return err
 	}
 	r.requestSave(pendingSave{hardState: hardState, snapshot: snapshot, discardLog: true})
@@ -95,14 +95,14 @@
 	}
 }
 
-// join makes this front end a replica without any state, in a Raft group that has sent a message to its ID.
-func (r *Replica) join(now monotime.Micros, group uint64) error {
-	return r.start(now, group, raft.NewMemoryStorage(), nil)
+// join makes this front end a replica with an empty state, in a Raft group that has sent a message to its ID.
+func (r *Replica) join(now monotime.Micros, groupID uint64) error {
+	return r.start(now, groupID, raft.NewMemoryStorage(), nil)
 }
 
-// start starts the Raft library on a log that begins with a snapshot, or with nothing if snapshot is nil.
+// start starts the Raft library on a log that begins with a snapshot, or with the empty state if snapshot is nil.
 func (r *Replica) start(
-	now monotime.Micros, group uint64, log *raft.MemoryStorage, snapshot *raftpb.Snapshot,
+	now monotime.Micros, groupID uint64, log *raft.MemoryStorage, snapshot *raftpb.Snapshot,
 ) error {
 	r.now = now
 	if err := r.state.restore(snapshot.GetData(), now); err != nil {
@@ -114,7 +114,7 @@
 	if err != nil {
 		return fmt.Errorf("replication: %w", err)
 	}
-	r.group, r.log, r.node = group, log, node
+	r.groupID, r.log, r.node = groupID, log, node
 	r.nextTick = now + r.config.TickInterval
 	r.processReady()
 	return nil
--- a/fleet/replication/replica.go
+++ b/fleet/replication/replica.go
@@ -12,12 +12,12 @@
 // Replica is a replica of the replicated state, or a front end that may become one.
 type Replica struct {
 	config    Config
-	group     uint64              // ID of the Raft group; 0 while this is not a replica
+	groupID   uint64              // ID of the Raft group; 0 while this is not a replica
 	node      *raft.RawNode       // nil while this is not a replica, and after a failure
-	log       *raft.MemoryStorage // what has been persisted, for the library to read
+	log       *raft.MemoryStorage // the persisted log, as the Raft library reads it
 	state     *replicatedState
 	confState *raftpb.ConfState // the voters and learners as of the last applied entry
-	failure   error             // why this is not a replica any more
+	failure   error             // why this replica was stopped; nil if it was not
 
 	now      monotime.Micros
 	nextTick monotime.Micros
@@ -38,16 +38,16 @@
 	ElectionsStarted int
 	// CommandsApplied counts the committed commands that this replica applied.
 	CommandsApplied int
-	// SnapshotsTaken counts the snapshots that this replica took because its log had grown.
+	// SnapshotsTaken counts the snapshots that this replica took to compact its log.
 	SnapshotsTaken int
-	// Divergences counts how often another replica's state was found to differ from this one's.
+	// Divergences counts the checksums of other replicas that differed from this replica's.
 	Divergences int
-	// LeaderTransfers counts how often this replica gave up leadership because its disk was slow.
+	// LeaderTransfers counts the leader transfers that this replica began because its disk was slow.
 	LeaderTransfers int
 }
 
-// New returns the Replica of a front end that is not a replica yet: Recover, Bootstrap, or the first message of a
-// Raft group make it one.
+// New returns the Replica of a front end that is not a replica yet. Recover, Bootstrap, or the first message of a Raft
+// group makes it one.
 func New(config Config) *Replica {
 	r := &Replica{config: config, pendingSaves: map[uint64]pendingSave{}, proposals: newProposalTracker()}
 	r.state = newReplicatedState(config.StateMachines, func(to Incarnation, topic string) {
@@ -58,7 +58,7 @@
 }
 
 // GroupID returns the ID of the Raft group, or 0 while this is not a replica.
-func (r *Replica) GroupID() uint64 { return r.group }
+func (r *Replica) GroupID() uint64 { return r.groupID }
 
 // ID returns this replica's ID.
 func (r *Replica) ID() uint64 { return r.config.ID }
@@ -79,11 +79,11 @@
 	return r.confState != nil && slices.Contains(r.confState.GetVoters(), r.config.ID)
 }
 
-// Reconfiguring reports whether a membership change is in progress, as of the last entry that this replica applied:
-// majorities of both the old and the new voters count.
+// Reconfiguring reports whether a membership change is in progress, as of the last entry that this replica applied.
+// Until it ends, a commit takes majorities of both the old and the new voters.
 func (r *Replica) Reconfiguring() bool { return len(r.confState.GetVotersOutgoing()) > 0 }
 
-// Err returns why this is not a replica any more, or nil.
+// Err returns the error that stopped this replica, or nil.
 func (r *Replica) Err() error { return r.failure }
 
 // Members returns the voters and the learners as of the last entry that this replica applied.
@@ -108,8 +108,8 @@
 	return r.node.BasicStatus().HardState.GetTerm()
 }
 
-// CheckDivergence compares another replica's checksum at an index with this replica's, if it still knows that one.
-// It counts a difference and returns false.
+// CheckDivergence compares another replica's checksum at an index with this replica's, if that one is still stored. If
+// they differ, it counts a divergence and returns false.
 func (r *Replica) CheckDivergence(index, checksum uint64) bool {
 	if r.state.diverges(index, checksum) {
 		r.Divergences++
@@ -118,16 +118,16 @@
 	return true
 }
 
-// Actions returns the actions that have become due since the last call.
+// Actions returns the actions that were requested since the last call.
 func (r *Replica) Actions() []Action {
 	actions := r.actions
 	r.actions = nil
 	return actions
 }
 
-// Tick lets time pass. Present are the front ends that are heard from now, including this one, and detector is what
-// is known of their processes.
-func (r *Replica) Tick(now monotime.Micros, present []Member, detector FailureDetector) {
+// Tick advances the time. alive contains the front ends that are heard from now, including this one. detector reports
+// what is known about their processes.
+func (r *Replica) Tick(now monotime.Micros, alive []Member, detector FailureDetector) {
 	defer r.recoverFromInvariantError()
 	r.now, r.detector = now, detector
 	if r.node == nil {
@@ -135,7 +135,7 @@
 	}
 	r.tickNode()
 	if r.node.BasicStatus().RaftState == raft.StateLeader {
-		r.membership.step(r, present)
+		r.membership.manage(r, alive)
 		r.proposeDueCommands()
 		r.transferLeadershipIfSlow()
 	} else {
@@ -146,8 +146,8 @@
 	r.processReady()
 }
 
-// tickNode ticks the Raft library. A process that did not run for a while is given only a few of the missed ticks:
-// there may be another leader by now, whom it has to hear before it starts an election.
+// tickNode ticks the Raft library. After the process was paused, only a few of the missed ticks are made up for:
+// there may be another leader by now, and its messages must be received before an election would start.
 func (r *Replica) tickNode() {
 	r.nextTick = max(r.nextTick, r.now-maxCatchUpTicks*r.config.TickInterval)
 	for ; r.nextTick <= r.now; r.nextTick += r.config.TickInterval {
@@ -155,16 +155,16 @@
 	}
 }
 
-// Disable makes this front end no replica at all, because it has no disk that works.
+// Disable stops this replica with an error, because its disk does not work.
 func (r *Replica) Disable(err error) { r.fail(err) }
 
-// fail ends this replica. Its front end goes on without one.
+// fail stops this replica. Its front end continues without one.
 func (r *Replica) fail(err error) {
 	r.failure, r.node = err, nil
 	clear(r.pendingSaves)
 }
 
-// recoverFromInvariantError ends this replica after a panic with an InvariantError. It is to be deferred.
+// recoverFromInvariantError stops this replica after a panic with an InvariantError. It must be deferred.
 func (r *Replica) recoverFromInvariantError() {
 	switch reason := recover().(type) {
 	case nil:
--- a/fleet/replication/replicatedstate.go
+++ b/fleet/replication/replicatedstate.go
@@ -12,10 +12,10 @@
 )
 
 // replicatedState is the state that all replicas agree on: the state machines, the members, and a checksum over all
-// responses so far, by which replicas that diverge are found.
+// responses so far, which reveals replicas that diverge.
 type replicatedState struct {
-	stateMachines   map[uint32]StateMachine
-	order           []StateMachine // in the order of Config.StateMachines
+	stateMachines   map[uint32]StateMachine // by ID
+	inOrder         []StateMachine          // in the order of Config.StateMachines
 	members         map[uint64]Member
 	index           uint64               // of the last applied entry
 	checksum        uint64               // after the last applied entry
@@ -28,7 +28,7 @@
 func newReplicatedState(stateMachines []StateMachine, notify func(to Incarnation, topic string)) *replicatedState {
 	s := &replicatedState{
 		stateMachines: map[uint32]StateMachine{},
-		order:         stateMachines,
+		inOrder:       stateMachines,
 		members:       map[uint64]Member{},
 		notify:        notify,
 	}
@@ -38,7 +38,7 @@
 	return s
 }
 
-// supports reports whether this build knows the state machine and the version of a command.
+// supports reports whether this build supports the state machine and the version of a command.
 func (s *replicatedState) supports(c Command) bool {
 	stateMachine := s.stateMachines[c.StateMachineID]
 	return stateMachine != nil && c.Version <= stateMachine.Version()
@@ -65,13 +65,14 @@
 	s.recentChecksums[index%uint64(len(s.recentChecksums))] = checksumAtIndex{index, s.checksum}
 }
 
-// diverges reports whether another replica's checksum at an index differs from this one's, if that is still known.
+// diverges reports whether another replica's checksum at an index differs from this one's. It returns false if this
+// one's is no longer stored.
 func (s *replicatedState) diverges(index, checksum uint64) bool {
 	recent := s.recentChecksums[index%uint64(len(s.recentChecksums))]
 	return index != 0 && recent.index == index && recent.checksum != checksum
 }
 
-// member returns a replica's name and zone, as far as they are known.
+// member returns a replica's ID, name and zone, or only the ID if the others are unknown.
 func (s *replicatedState) member(id uint64) Member {
 	if member, ok := s.members[id]; ok {
 		return member
@@ -82,11 +83,11 @@
 // snapshot returns the encoding of the whole state.
 func (s *replicatedState) snapshot() []byte {
 	snapshot := stateSnapshot{index: s.index, checksum: s.checksum}
-	for _, stateMachine := range s.order {
+	for _, stateMachine := range s.inOrder {
 		snapshot.parts = append(snapshot.parts, snapshotPart{
-			stateMachine: uint64(stateMachine.ID()),
-			version:      uint64(stateMachine.Version()),
-			state:        stateMachine.AppendSnapshot(nil),
+			stateMachineID: uint64(stateMachine.ID()),
+			version:        uint64(stateMachine.Version()),
+			state:          stateMachine.AppendSnapshot(nil),
 		})
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
@@ -110,7 +111,7 @@
 	for _, member := range snapshot.members {
 		s.members[member.ID] = member
 	}
-	for _, stateMachine := range s.order {
+	for _, stateMachine := range s.inOrder {
 		if err := stateMachine.Restore(states[stateMachine.ID()], now); err != nil {
 			return err
 		}
@@ -118,15 +119,16 @@
 	return nil
 }
 
-// statesOf returns the encoded states in a snapshot by state machine, provided that this build knows them all.
+// statesOf returns the encoded states in a snapshot by state machine ID. It fails unless this build supports them all.
 func (s *replicatedState) statesOf(parts []snapshotPart) (map[uint32][]byte, error) {
 	states := map[uint32][]byte{}
 	for _, part := range parts {
-		id := uint32(part.stateMachine)
+		id := uint32(part.stateMachineID)
 		stateMachine := s.stateMachines[id]
 		if stateMachine == nil || part.version > uint64(stateMachine.Version()) {
-			return nil, fmt.Errorf("replication: a snapshot holds state machine %d, version %d, which this build does not know",
-				part.stateMachine, part.version)
+			return nil, fmt.Errorf(
+				"replication: snapshot contains state machine %d, version %d, which this build does not support",
+				part.stateMachineID, part.version)
 		}
 		states[id] = part.state
 	}
--- a/fleet/replication/snapshot.go
+++ b/fleet/replication/snapshot.go
@@ -12,9 +12,9 @@
 
 // snapshotPart is the state of one state machine.
 type snapshotPart struct {
-	stateMachine uint64 // its ID
-	version      uint64
-	state        []byte
+	stateMachineID uint64
+	version        uint64
+	state          []byte
 }
 
 func (s *stateSnapshot) fields(f *fieldcodec.Fields) {
@@ -25,7 +25,7 @@
 }
 
 func (p *snapshotPart) fields(f *fieldcodec.Fields) {
-	fieldcodec.Uint(f, 1, &p.stateMachine)
+	fieldcodec.Uint(f, 1, &p.stateMachineID)
 	fieldcodec.Uint(f, 2, &p.version)
 	if f.Encoding() {
 		f.AppendBytes(3, p.state) // even if it is empty
@@ -40,8 +40,8 @@
 	return f.Bytes()
 }
 
-// decodeStateSnapshot decodes a snapshot, whose states are parts of b. With an error, it returns what comes before
-// the fault.
+// decodeStateSnapshot decodes a snapshot. The states in it are parts of b. With an error, it returns what it decoded
+// before the error.
 func decodeStateSnapshot(b []byte) (s stateSnapshot, err error) {
 	f := fieldcodec.Decode(b)
 	for f.Next() {
