--- a/fleet/replication/wal/errors.go
+++ b/fleet/replication/wal/errors.go
@@ -5,14 +5,14 @@
 // Errors of Open and Store.Write.
 var (
 	// ErrLocked says that another process has the folder open.
-	ErrLocked = errors.New("wal: another process has the folder")
-	// ErrWrongOwner says that the folder is another front end's, or in another version's format.
-	ErrWrongOwner = errors.New("wal: the folder is another front end's")
-	// ErrCorrupt says that the folder holds something that was not written like that.
-	ErrCorrupt = errors.New("wal: corrupt")
-	// ErrFailed says that an earlier write failed, after which nothing is written any more.
-	ErrFailed = errors.New("wal: ended by an earlier failure")
+	ErrLocked = errors.New("wal: folder is in use by another process")
+	// ErrWrongOwner says that the folder belongs to another front end or has another format version.
+	ErrWrongOwner = errors.New("wal: folder belongs to another front end or has another format version")
+	// ErrCorrupt says that a file of the folder is missing or does not have the contents that were written.
+	ErrCorrupt = errors.New("wal: folder is corrupt")
+	// ErrFailed says that an earlier write failed. Nothing is written after it.
+	ErrFailed = errors.New("wal: disabled by an earlier write error")
 )
 
-// errTorn says that the bytes end within a record.
+// errTorn says that the input ends within a record.
 var errTorn = errors.New("wal: torn record")
--- a/fleet/replication/wal/format.go
+++ b/fleet/replication/wal/format.go
@@ -12,7 +12,7 @@
 // formatVersion is the version of the folder's format.
 const formatVersion = 1
 
-// metadata is the content of the metadata file.
+// metadata is the contents of the metadata file.
 type metadata struct {
 	formatVersion uint64
 	owner         string // the site and name of the front end
@@ -39,9 +39,9 @@
 	return m, f.Err()
 }
 
-// logRecord is the content of a record of the log: a Save without its token and snapshot.
+// logRecord is the contents of a record of the log: a replication.Save without its token and snapshot.
 type logRecord struct {
-	group      uint64
+	groupID    uint64
 	hardState  *raftpb.HardState
 	discardLog bool
 	entries    []*raftpb.Entry
@@ -49,16 +49,16 @@
 
 func newLogRecord(save replication.Save) logRecord {
 	return logRecord{
-		group:      save.GroupID,
+		groupID:    save.GroupID,
 		hardState:  save.HardState,
 		discardLog: save.DiscardLog,
 		entries:    save.Entries,
 	}
 }
 
-// fields lists the fields in the order of their bytes, which is not that of their numbers.
+// fields lists the fields in the order in which they are encoded, which is not that of their numbers.
 func (r *logRecord) fields(f *fieldcodec.Fields) {
-	fieldcodec.Uint(f, 1, &r.group)
+	fieldcodec.Uint(f, 1, &r.groupID)
 	if f.Decoding(2) {
 		r.hardState = &raftpb.HardState{}
 		decodeMessage(f, r.hardState)
@@ -91,7 +91,7 @@
 	f.AppendBytes(number, encoded)
 }
 
-// appendTo appends the log record to b, with its header.
+// appendTo appends the encoded record to b, with its header.
 func (r *logRecord) appendTo(b []byte) ([]byte, error) {
 	f := fieldcodec.Encode(nil)
 	r.fields(&f)
--- a/fleet/replication/wal/golden_test.go
+++ b/fleet/replication/wal/golden_test.go
@@ -25,14 +25,14 @@
 	owner        = "legon/n1"
 	frontEnd     = "n1"
 	zone         = "a"
-	group        = 77
-	// earlierFolder is a folder as an earlier version wrote it.
+	groupID      = 77
+	// earlierFolder is a folder that an earlier version wrote.
 	earlierFolder = "testdata/earlier-version"
-	// tornBytes is how many bytes of the last record are missing in it.
+	// tornBytes is how many bytes of the last record are missing in earlierFolder.
 	tornBytes = 7
 )
 
-// singleReplica is the only replica of a Raft group, with a folder.
+// singleReplica is the only replica of a Raft group, with its store.
 type singleReplica struct {
 	t         *testing.T
 	now       monotime.Micros
@@ -44,7 +44,7 @@
 	sequence  uint64
 }
 
-// allLive is a failure detector to which all processes are live.
+// allLive is a failure detector that reports no process as dead or unreachable.
 type allLive struct{}
 
 func (allLive) PresumedDead(replication.Incarnation) bool { return false }
@@ -81,7 +81,7 @@
 	return r
 }
 
-// perform performs actions until there are none left.
+// perform performs the replica's actions until there are none left.
 func (r *singleReplica) perform() {
 	for {
 		actions := r.replica.Actions()
@@ -105,8 +105,8 @@
 	return replication.Member{ID: r.store.ReplicaID(), Name: frontEnd, Zone: zone}
 }
 
-// pass lets time pass.
-func (r *singleReplica) pass(duration monotime.Micros) {
+// advance advances the time by a duration, tick by tick.
+func (r *singleReplica) advance(duration monotime.Micros) {
 	for until := r.now + duration; r.now < until; r.now += tickInterval {
 		r.replica.Tick(r.now, []replication.Member{r.member()}, allLive{})
 		r.perform()
@@ -132,7 +132,7 @@
 	return response
 }
 
-// describe returns all that the replica holds, in lines.
+// describe returns the whole state of the replica, as lines.
 func (r *singleReplica) describe() []string {
 	index, checksum := r.replica.LastApplied()
 	voters, learners := r.replica.Members()
@@ -165,8 +165,8 @@
 	}).Epoch
 }
 
-// run registers a request and authorizes its attempt. Every third request is completed.
-func (r *singleReplica) run(i int) {
+// runRequest registers a request and authorizes its attempt. Every third request is completed.
+func (r *singleReplica) runRequest(i int) {
 	idempotencyKey := fmt.Sprintf("once-%02d", i)
 	proposer := replication.Incarnation(5 + i%3)
 	epoch := r.register(proposer, idempotencyKey, fmt.Sprintf("key-%d", i%4))
@@ -189,7 +189,7 @@
 	}
 }
 
-// leaseHolder returns a holder of leases on two budgets that the replica's authority divides.
+// leaseHolder returns a lease holder for two budgets of the replica's authority.
 func (r *singleReplica) leaseHolder() *budget.LeaseHolder {
 	set := &budget.Set{Version: 3, Lease: 2 * monotime.Second, MaxFrontEnds: 5, Specs: []budget.Spec{
 		{
@@ -211,19 +211,19 @@
 	return budget.NewLeaseHolder(config, budgetProposer{r}, constantDemand{})
 }
 
-// writeFolder writes a folder with a snapshot, a log after it and a torn record. It wrote earlierFolder, once.
+// writeFolder writes a folder with a snapshot, a log after it and a torn record. It created earlierFolder.
 func writeFolder(t *testing.T, folder string) {
 	r := openReplica(t, folder)
-	require.NoError(t, r.replica.Bootstrap(r.now, group, []replication.Member{r.member()}))
+	require.NoError(t, r.replica.Bootstrap(r.now, groupID, []replication.Member{r.member()}))
 	r.perform()
-	r.pass(3 * monotime.Second)
+	r.advance(3 * monotime.Second)
 	holder := r.leaseHolder()
 	holder.Start(r.now)
 	for i := range 20 {
-		r.run(i)
+		r.runRequest(i)
 		holder.Tick(r.now)
 		r.perform()
-		r.pass(monotime.Second / 2)
+		r.advance(monotime.Second / 2)
 	}
 	require.NoError(t, r.store.Close())
 	files, err := filepath.Glob(filepath.Join(folder, "log*"))
@@ -246,7 +246,7 @@
 
 func (budgetProposer) Cancel(uint64) {}
 
-// constantDemand is a consumer that always wants the same of both budgets.
+// constantDemand is a consumer whose demand for both budgets does not change.
 type constantDemand struct{}
 
 func (constantDemand) BudgetDemands(monotime.Micros) []scheduler.BudgetDemand {
@@ -255,8 +255,8 @@
 
 func (constantDemand) GrantBudgets(monotime.Micros, budget.Grant) {}
 
-// The folder of a front end as an earlier version wrote it has a snapshot, a log, commands of both state machines,
-// and a torn record at the end. All of it is there after it is opened, and the replica goes on.
+// A folder that an earlier version wrote must stay readable. It has a snapshot, a log with commands of both state
+// machines, and a torn record at the end. The whole state is restored, and the replica continues as the leader.
 func TestFolderOfAnEarlierVersion(t *testing.T) {
 	if _, err := os.Stat(earlierFolder); os.IsNotExist(err) && os.Getenv("CHUTECHUTE_GOLDEN_CREATE") != "" {
 		require.NoError(t, os.MkdirAll(earlierFolder, 0o700))
@@ -268,7 +268,7 @@
 	require.Empty(t, r.store.QuarantinedPath)
 	lines := append([]string{fmt.Sprintf("cut off %d bytes", r.store.TruncatedBytes)}, r.describe()...)
 	golden.Lines(t, "testdata/earlier-version.txt", lines)
-	r.pass(3 * monotime.Second)
+	r.advance(3 * monotime.Second)
 	require.True(t, r.replica.IsLeader())
 	inspect := idempotency.Command{Op: idempotency.Inspect, IdempotencyKey: "once-00"}
 	require.Equal(t, idempotency.Served, r.proposeRequest(99, inspect).Phase)
--- a/fleet/replication/wal/logstate.go
+++ b/fleet/replication/wal/logstate.go
@@ -2,18 +2,18 @@
 
 import "go.etcd.io/raft/v3/raftpb"
 
-// logState is what the records of the log add up to. The next log begins with it.
+// logState is the state that results from all records of the log. The next log begins with it.
 type logState struct {
-	group         uint64
+	groupID       uint64
 	hardState     *raftpb.HardState
 	entries       []*raftpb.Entry // after the snapshot
 	snapshotIndex uint64
 }
 
-// apply adds a record.
+// apply applies a record of the log.
 func (s *logState) apply(record logRecord) {
-	if s.group == 0 {
-		s.group = record.group
+	if s.groupID == 0 {
+		s.groupID = record.groupID
 	}
 	if record.hardState != nil {
 		s.hardState = record.hardState
@@ -32,7 +32,7 @@
 	}
 }
 
-// truncateFrom removes the entries from an index on, which entries of another term replace.
+// truncateFrom removes the entries from an index on, because entries of another term replace them.
 func (s *logState) truncateFrom(index uint64) {
 	n := len(s.entries)
 	for n > 0 && s.entries[n-1].GetIndex() >= index {
@@ -41,7 +41,7 @@
 	s.entries = s.entries[:n]
 }
 
-// record returns the first record of the next log.
+// record returns the first record of the next log, which contains the whole state.
 func (s *logState) record() logRecord {
-	return logRecord{group: s.group, hardState: s.hardState, entries: s.entries}
+	return logRecord{groupID: s.groupID, hardState: s.hardState, entries: s.entries}
 }
--- a/fleet/replication/wal/record.go
+++ b/fleet/replication/wal/record.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A record is a header and a payload. The header has the payload's length (4 bytes), a checksum of the length (4) and
-// a checksum of length and payload (8), all in big-endian order.
+// A record is a header and a payload. The header has the payload's length (4 bytes), a checksum of the length (4 bytes)
+// and a checksum of length and payload (8 bytes), all in big-endian order.
 const (
 	lengthChecksumOffset = 4
 	checksumOffset       = 8
@@ -25,8 +25,8 @@
 	return append(b, payload...)
 }
 
-// readRecord verifies the record at the beginning of b and returns its payload, a part of b, and what follows the
-// record. The error is errTorn if b ends within the record, and otherwise ErrCorrupt.
+// readRecord verifies the record at the beginning of b. It returns the record's payload and the bytes after the record,
+// both parts of b. The error is errTorn if b ends within the record, and otherwise ErrCorrupt.
 func readRecord(b []byte) (payload, rest []byte, err error) {
 	if len(b) < headerBytes {
 		return nil, nil, errTorn
@@ -46,7 +46,8 @@
 	return payload, b[headerBytes+n:], nil
 }
 
-// lengthChecksum tells a true length from one with a flipped bit, which could make a corrupt record look torn.
+// lengthChecksum returns the checksum of the length alone. Without it, a flipped bit in the length could make a corrupt
+// record look torn.
 func lengthChecksum(length uint32) uint32 {
 	return uint32(xxhash.Sum64(binary.BigEndian.AppendUint32(nil, length)))
 }
@@ -58,8 +59,8 @@
 	return digest.Sum64()
 }
 
-// isTorn reports whether a record for which readRecord returned an error is a write that was not completed: the file
-// ends within it, or has only zeros from there on, which were never overwritten.
+// isTorn reports whether b, for which readRecord returned an error, is an incomplete write: the file ends within the
+// record, or has only zeros from there on, because the data never reached the disk.
 func isTorn(b []byte, readErr error) bool { return errors.Is(readErr, errTorn) || allZero(b) }
 
 func allZero(b []byte) bool {
--- a/fleet/replication/wal/recovery.go
+++ b/fleet/replication/wal/recovery.go
@@ -12,7 +12,7 @@
 	"chutechute/fleet/replication"
 )
 
-// readFolder reads what an earlier process has persisted.
+// readFolder reads the state that an earlier process has persisted.
 func (s *Store) readFolder(owner string, metadataFile []byte) (*replication.PersistedState, error) {
 	if err := s.readMetadata(owner, metadataFile); err != nil {
 		return nil, err
@@ -26,10 +26,10 @@
 		return nil, err
 	}
 	if len(s.state.entries) > 0 && s.state.entries[0].GetIndex() > s.state.snapshotIndex+1 {
-		return nil, fmt.Errorf("%w: a gap behind the snapshot", ErrCorrupt)
+		return nil, fmt.Errorf("%w: log entries after the snapshot are missing", ErrCorrupt)
 	}
 	return &replication.PersistedState{
-		GroupID:   s.state.group,
+		GroupID:   s.state.groupID,
 		HardState: s.state.hardState,
 		Snapshot:  snapshot,
 		Entries:   s.state.entries,
@@ -47,7 +47,7 @@
 		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if content.owner != owner || content.formatVersion != formatVersion {
-		return fmt.Errorf("%w: of %q, format version %d", ErrWrongOwner, content.owner, content.formatVersion)
+		return fmt.Errorf("%w: owner %q, format version %d", ErrWrongOwner, content.owner, content.formatVersion)
 	}
 	s.replicaID = content.replicaID
 	return nil
@@ -74,7 +74,7 @@
 func (s *Store) replayLog() error {
 	log, err := os.ReadFile(s.path(logName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("%w: no %s", ErrCorrupt, logName)
+		return fmt.Errorf("%w: %s is missing", ErrCorrupt, logName)
 	}
 	if err != nil {
 		return err
@@ -94,10 +94,11 @@
 	return nil
 }
 
-// truncateTornRecord truncates the log at the offset of a record that readRecord could not read, if the record is torn.
+// truncateTornRecord truncates the log at the offset of a record for which readRecord returned an error. A record that
+// is not torn makes the folder corrupt.
 func (s *Store) truncateTornRecord(record []byte, offset int64, readErr error) error {
 	if !isTorn(record, readErr) {
-		return fmt.Errorf("%w: %s at %d", ErrCorrupt, logName, offset)
+		return fmt.Errorf("%w: %s at offset %d", ErrCorrupt, logName, offset)
 	}
 	s.TruncatedBytes = int64(len(record))
 	return os.Truncate(s.path(logName), offset)
--- a/fleet/replication/wal/store.go
+++ b/fleet/replication/wal/store.go
@@ -20,7 +20,7 @@
 	metadataName = "meta"
 	logName      = "log"
 	snapshotName = "snapshot"
-	newSuffix    = ".new" // of a file until it is complete and replaces the one before
+	newSuffix    = ".new" // of a file that is written, until it replaces the previous one
 )
 
 const (
@@ -30,7 +30,7 @@
 	quarantineSuffix = ".spoilt-"
 )
 
-// Store is an open folder. It is not safe for use by several goroutines.
+// Store is an open folder. It is not safe for concurrent use.
 type Store struct {
 	folder    string
 	lockFile  *os.File
@@ -41,13 +41,13 @@
 
 	// QuarantinedPath is the path to which a corrupt folder was moved; empty if there was none.
 	QuarantinedPath string
-	// TruncatedBytes is the size of the torn record that was truncated at the end of the log.
+	// TruncatedBytes is the size of the torn record that was truncated at the end of the log; 0 if there was none.
 	TruncatedBytes int64
 }
 
-// Open opens the folder of a front end, its owner, and returns what the folder holds. An empty folder gets the replica
-// ID that newReplicaID returns. A corrupt folder is quarantined and replaced by an empty one. The error is ErrLocked,
-// ErrWrongOwner, or that of a file operation.
+// Open opens the folder of a front end, its owner, and returns the state that the folder contains. An empty folder gets
+// the replica ID that newReplicaID returns. A corrupt folder is quarantined, by renaming it, and replaced by an empty
+// one. The error is ErrLocked, ErrWrongOwner, or that of a file operation.
 func Open(
 	folder, owner string, newReplicaID func() uint64,
 ) (*Store, *replication.PersistedState, error) {
@@ -76,7 +76,7 @@
 	store := &Store{folder: folder}
 	persisted, err := store.load(owner, newReplicaID)
 	if err != nil {
-		_ = store.Close() // what failed before counts
+		_ = store.Close() // the earlier error is returned
 		return nil, nil, err
 	}
 	return store, persisted, nil
@@ -102,7 +102,7 @@
 	return persisted, err
 }
 
-// lock makes sure that no other process has the folder open, until the lock file is closed.
+// lock locks the folder against other processes until the lock file is closed.
 func (s *Store) lock() (err error) {
 	s.lockFile, err = os.OpenFile(s.path(lockName), os.O_RDWR|os.O_CREATE, filePermissions)
 	if err != nil {
@@ -120,11 +120,11 @@
 
 func (s *Store) path(name string) string { return filepath.Join(s.folder, name) }
 
-// initialize begins with an empty folder. A log or snapshot without metadata cannot be used.
+// initialize sets up an empty folder. A folder with a log or snapshot but no metadata is corrupt.
 func (s *Store) initialize(owner string, newReplicaID func() uint64) (err error) {
 	for _, name := range []string{logName, snapshotName} {
 		if _, err := os.Stat(s.path(name)); err == nil {
-			return fmt.Errorf("%w: %s is there and %s is not", ErrCorrupt, name, metadataName)
+			return fmt.Errorf("%w: %s exists but %s does not", ErrCorrupt, name, metadataName)
 		}
 	}
 	s.replicaID = newReplicaID()
@@ -138,7 +138,7 @@
 	return s.replaceFile(metadataName, appendRecord(nil, content.encode()))
 }
 
-// ReplicaID returns the ID of the replica that the folder stands for.
+// ReplicaID returns the replica ID that the folder was initialized with.
 func (s *Store) ReplicaID() uint64 { return s.replicaID }
 
 // Close closes the folder's files and unlocks it.
--- a/fleet/replication/wal/store_test.go
+++ b/fleet/replication/wal/store_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { os.Exit(testharness.RunWithFixedSeed(m)) }
 
-// entries returns the entries of a term from one index to another.
+// entries returns entries of a term, for the indexes from one to another.
 func entries(term, from, to uint64) (list []*raftpb.Entry) {
 	for i := from; i <= to; i++ {
 		list = append(list, &raftpb.Entry{Index: &i, Term: &term, Data: []byte{byte(i), byte(term)}})
@@ -28,13 +28,13 @@
 	return &raftpb.HardState{Term: &term, Commit: &commit}
 }
 
-// countingIDs returns a function that returns 1, 2 and so on.
+// countingIDs returns a function that returns 1, 2, 3 and so on.
 func countingIDs() func() uint64 {
 	n := uint64(0)
 	return func() uint64 { n++; return n }
 }
 
-// lastIndex returns the index of the last entry that was persisted, in the log or in the snapshot.
+// lastIndex returns the index of the last persisted entry, in the log or in the snapshot.
 func lastIndex(persisted *replication.PersistedState) uint64 {
 	if n := len(persisted.Entries); n > 0 {
 		return persisted.Entries[n-1].GetIndex()
@@ -42,7 +42,7 @@
 	return persisted.Snapshot.GetMetadata().GetIndex()
 }
 
-// modelStore is a Store beside the log that it should hold.
+// modelStore is a Store together with a model of its expected contents.
 type modelStore struct {
 	store         *Store
 	folder        string
@@ -59,7 +59,7 @@
 	m := &modelStore{folder: filepath.Join(parent, "disk"), newReplicaID: countingIDs(), term: 1}
 	require.NoError(t, os.Mkdir(m.folder, 0o700))
 	persisted := m.open(t)
-	require.Zero(t, lastIndex(persisted), "a new folder holds nothing")
+	require.Zero(t, lastIndex(persisted), "a new folder is empty")
 	m.replicaID = m.store.ReplicaID()
 	return m
 }
@@ -117,8 +117,9 @@
 	}
 }
 
-// What was written is there after any number of openings, whatever the order of appends, overwrites and snapshots. A
-// cut at any byte of the last write loses that write alone, and a flipped bit anywhere is found and never served.
+// All writes are restored when the folder is opened again, for random sequences of appends, overwrites, snapshots and
+// reopenings. If the log is truncated at any byte of the last write, only that write is lost. A flipped bit anywhere
+// before it makes the folder corrupt: the folder is quarantined, and the new one has no state and a new replica ID.
 func TestReopenedStoreHasWhatWasWritten(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		model := newModelStore(t)
@@ -154,10 +155,10 @@
 		if len(before) == 0 {
 			return
 		}
-		flipped := append([]byte(nil), log...)
+		corrupted := append([]byte(nil), log...)
 		bit := rapid.IntRange(0, len(before)*8-1).Draw(rt, "bit")
-		flipped[bit/8] ^= 1 << (bit % 8)
-		require.NoError(t, os.WriteFile(model.logPath(), flipped, 0o600))
+		corrupted[bit/8] ^= 1 << (bit % 8)
+		require.NoError(t, os.WriteFile(model.logPath(), corrupted, 0o600))
 		persisted = model.open(t)
 		assert.NotEmpty(t, model.store.QuarantinedPath)
 		assert.NotEqual(t, model.replicaID, model.store.ReplicaID(), "a corrupt disk must not vote under its old ID")
@@ -166,7 +167,7 @@
 	})
 }
 
-// A folder that another process has open, another front end's folder and a missing one cannot be opened.
+// A folder that is already open, a folder of another front end and a missing folder cannot be opened.
 func TestOpenFailsOnLockedForeignAndMissingFolders(t *testing.T) {
 	folder := t.TempDir()
 	store, _, err := Open(folder, "site/n1", countingIDs())
@@ -180,7 +181,7 @@
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// After a write that failed nothing more is written, even where the disk would take it again.
+// After a failed write nothing more is written, even if the disk works again.
 func TestNothingIsWrittenAfterAFailedWrite(t *testing.T) {
 	store, _, err := Open(t.TempDir(), "site/n1", countingIDs())
 	require.NoError(t, err)
--- a/fleet/replication/wal/write.go
+++ b/fleet/replication/wal/write.go
@@ -10,8 +10,8 @@
 	"chutechute/fleet/replication"
 )
 
-// Write persists a batch of saves in their order. It takes one sync, and a few more for each snapshot among them. After
-// an error, all further calls return ErrFailed.
+// Write persists a batch of saves in their order, with one sync and a few more for each snapshot among them. After an
+// error, all further calls return ErrFailed.
 func (s *Store) Write(batch []replication.Save) error {
 	if s.failed {
 		return ErrFailed
@@ -53,8 +53,8 @@
 	return fsync(s.logFile)
 }
 
-// writeSnapshot replaces the snapshot and begins a new log after it. The old log has only entries that the new
-// snapshot covers, so the folder can be read whichever of the two steps was the last that was completed.
+// writeSnapshot replaces the snapshot and then the log. A process that ends between the two steps leaves the new
+// snapshot with the old log, which is readable: entries that the snapshot covers are skipped.
 func (s *Store) writeSnapshot(save replication.Save) error {
 	encoded, err := proto.Marshal(save.Snapshot)
 	if err != nil {
@@ -69,14 +69,14 @@
 		return err
 	}
 	s.state.snapshotIndex = save.Snapshot.GetMetadata().GetIndex()
-	s.state.apply(logRecord{group: save.GroupID, hardState: save.HardState, entries: save.Entries})
+	s.state.apply(logRecord{groupID: save.GroupID, hardState: save.HardState, entries: save.Entries})
 	return s.replaceLog()
 }
 
-// discardLog records that earlier entries of the log are void, so that entries after the snapshot are not taken for
-// its continuation.
+// discardLog writes a record that discards all earlier entries of the log. Otherwise entries with a higher index than
+// the snapshot would be taken for its continuation.
 func (s *Store) discardLog(save replication.Save) error {
-	discard := logRecord{group: save.GroupID, hardState: save.HardState, discardLog: true}
+	discard := logRecord{groupID: save.GroupID, hardState: save.HardState, discardLog: true}
 	record, err := discard.appendTo(nil)
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// replaceLog begins a new log with one record, of what is not covered by the snapshot.
+// replaceLog begins a new log. Its first record has the hard state and the entries that the snapshot does not cover.
 func (s *Store) replaceLog() error {
 	first := s.state.record()
 	record, err := first.appendTo(nil)
@@ -105,7 +105,7 @@
 	return oldFile.Close()
 }
 
-// replaceFile replaces a file atomically: the new one is written beside it, synced and renamed, and the folder synced.
+// replaceFile replaces a file atomically: it writes and syncs a new file, renames it, and syncs the folder.
 func (s *Store) replaceFile(name string, content []byte) error {
 	newPath := s.path(name + newSuffix)
 	file, err := os.OpenFile(newPath, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, filePermissions)
--- a/fleet/replication/wal/writer.go
+++ b/fleet/replication/wal/writer.go
@@ -6,8 +6,8 @@
 	"chutechute/fleet/replication"
 )
 
-// Writer writes saves to a Store in a goroutine of its own, so that no sync delays the event loop. Saves that are
-// queued while a sync runs are written together with the next one: a group commit.
+// Writer writes saves to a Store in a goroutine of its own, so that syncs do not delay the event loop. Saves that are
+// queued during a sync are written in one batch with the next sync (group commit).
 type Writer struct {
 	store       *Store
 	onPersisted func(token uint64, err error)
@@ -16,7 +16,7 @@
 	queue   []replication.Save
 	closing bool
 
-	wake    chan struct{} // has an element if the queue or closing may have changed
+	wake    chan struct{} // has an element if queue or closing may have changed
 	stopped chan struct{} // closed when the goroutine has ended
 }
 
@@ -33,8 +33,8 @@
 	return w
 }
 
-// Enqueue queues a save. The queue needs no limit, since a replica accepts a limited number of bytes that are not
-// persisted.
+// Enqueue queues a save. The queue needs no limit, because a replica accepts only a limited number of bytes that are
+// not persisted yet.
 func (w *Writer) Enqueue(save replication.Save) {
 	w.mu.Lock()
 	w.queue = append(w.queue, save)
@@ -46,7 +46,7 @@
 func (w *Writer) signal() {
 	select {
 	case w.wake <- struct{}{}:
-	default: // it will wake up anyway
+	default: // a wake-up is already pending
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 }
 
-// Close writes what is queued, ends the goroutine, and closes the Store.
+// Close writes the queued saves, ends the goroutine, and closes the Store.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	w.closing = true
