--- a/internal/fieldcodec/fieldcodec.go
+++ b/internal/fieldcodec/fieldcodec.go
@@ -21,9 +21,9 @@
 //		return r, f.Err()
 //	}
 //
-// Decoding calls the method once for each field of the input, and only the line with that field's number takes it.
-// A field with an unknown number is skipped, so that a later version may add fields. Fields with a zero value are
-// left out, unless a method says otherwise. The wire format is that of
+// Decoding calls the method once for each field of the input, and only the line with that field's number decodes it.
+// A field with an unknown number is skipped, so that a later version may add fields. Fields with a zero value are not
+// encoded, unless a function's documentation says otherwise. The wire format is that of
 // https://protobuf.dev/programming-guides/encoding/.
 package fieldcodec
 
@@ -33,56 +33,56 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// ErrMalformed is the error of bytes that are not a protobuf message.
+// ErrMalformed says that the input is not a protobuf message.
 var ErrMalformed = errors.New("fieldcodec: malformed message")
 
-// Unsigned is the types that are encoded as an unsigned number.
+// Unsigned is a constraint for types that are encoded as an unsigned number.
 type Unsigned interface {
 	~uint8 | ~uint32 | ~uint64
 }
 
-// Integer is the types of numbers that are never negative on the wire, such as times and amounts.
+// Integer is a constraint for signed types whose values are never negative on the wire, such as times and amounts.
 type Integer interface {
 	~int | ~int64
 }
 
 // Fields is the field list of one message while it is encoded or decoded.
 //
-// While a message is decoded, its methods are called for every field each time that one field is read. So their test of
-// the number is short enough to be inlined, and what encodes is kept out of line.
+// While a message is decoded, the methods for all of its fields are called each time that one field is read. They are
+// therefore small enough to be inlined: they compare the number and leave encoding to functions that are not inlined.
 type Fields struct {
 	encoding bool
 	output   []byte           // encoding: the bytes so far
 	input    []byte           // decoding: the whole message
-	next     int              // decoding: where in input the next field begins
-	number   protowire.Number // decoding: of the current field; encoding: 0, which is no field's
-	value    uint64           // decoding: the current field, if it is a number
-	start    int              // decoding: where in input the current field's bytes begin; 0 if it is a number
-	end      int              // decoding: where they end
+	next     int              // decoding: the offset of the next field in input
+	number   protowire.Number // decoding: of the current field; encoding: 0, which no field has
+	value    uint64           // decoding: the value of the current field, if it is a number
+	start    int              // decoding: the offset of the current field's bytes in input; 0 if it is a number
+	end      int              // decoding: the offset of the end of these bytes
 	err      error
 }
 
-// Encode begins a message whose fields are appended to b.
+// Encode begins to encode a message. Its fields are appended to b.
 func Encode(b []byte) Fields { return Fields{encoding: true, output: b} }
 
-// Decode begins to read a message. Next moves to its fields.
+// Decode begins to decode a message. Next moves to its first field.
 func Decode(b []byte) Fields { return Fields{input: b} }
 
 // Bytes returns the encoded message.
 func (f *Fields) Bytes() []byte { return f.output }
 
-// Err returns what was wrong with the message: ErrMalformed, or the error that Fail was given.
+// Err returns ErrMalformed, the error that was passed to Fail, or nil.
 func (f *Fields) Err() error { return f.err }
 
-// Fail ends decoding with an error. The first error counts.
+// Fail sets the error that Err returns, unless it is already set, and so ends decoding.
 func (f *Fields) Fail(err error) {
 	if f.err == nil {
 		f.err = err
 	}
 }
 
-// Next moves to the next field of the input. It returns false at the end and after an error. It stores positions and no
-// slices: a pointer that is stored costs more while the garbage collector marks.
+// Next moves to the next field of the input. It returns false at the end and after an error. It stores offsets instead
+// of slices, because storing a pointer costs more while the garbage collector is marking.
 func (f *Fields) Next() bool {
 	for f.next < len(f.input) && f.err == nil {
 		number, kind, size := consumeTag(f.input[f.next:])
@@ -117,7 +117,7 @@
 	return false
 }
 
-// consumeTag is protowire.ConsumeTag with a short way for tags of one byte, which are those of the numbers up to 15.
+// consumeTag is protowire.ConsumeTag with a fast path for tags of one byte, which are those of field numbers up to 15.
 func consumeTag(b []byte) (protowire.Number, protowire.Type, int) {
 	const maxOneByte = 0x7f
 	if tag := b[0]; tag <= maxOneByte && tag>>3 >= byte(protowire.MinValidNumber) {
@@ -126,8 +126,8 @@
 	return protowire.ConsumeTag(b)
 }
 
-// Decoding reports whether the message is being decoded and the current field has the number: for a field whose
-// decoding needs more than the methods offer.
+// Decoding reports whether the message is being decoded and the current field has the number. It is for fields that the
+// other methods cannot decode.
 func (f *Fields) Decoding(number protowire.Number) bool { return f.number == number }
 
 // Encoding reports whether the message is being encoded.
@@ -136,12 +136,12 @@
 // Number returns the number of the current field of a message that is being decoded.
 func (f *Fields) Number() protowire.Number { return f.number }
 
-// Value returns the current field's value, 0 for a field of bytes.
+// Value returns the current field's value, or 0 if it is a field of bytes.
 func (f *Fields) Value() uint64 { return f.value }
 
-// Data returns the current field's bytes, nil for a number. They are part of the input.
+// Data returns the current field's bytes, or nil if it is a number. They are part of the input.
 func (f *Fields) Data() []byte {
-	if f.start == 0 { // a field of bytes has its tag before it
+	if f.start == 0 { // the bytes of a field come after its tag, so never at 0
 		return nil
 	}
 	return f.input[f.start:f.end]
@@ -152,7 +152,7 @@
 	f.output = protowire.AppendVarint(protowire.AppendTag(f.output, number, protowire.VarintType), v)
 }
 
-// AppendBytes encodes bytes, even if there are none.
+// AppendBytes encodes bytes, even if v is empty.
 func (f *Fields) AppendBytes(number protowire.Number, v []byte) {
 	f.output = protowire.AppendBytes(protowire.AppendTag(f.output, number, protowire.BytesType), v)
 }
@@ -166,7 +166,7 @@
 	}
 }
 
-// encodeBool encodes a truth value unless it is false.
+// encodeBool encodes a boolean unless it is false.
 //
 //go:noinline
 func (f *Fields) encodeBool(number protowire.Number, v bool) {
@@ -175,7 +175,7 @@
 	}
 }
 
-// encodeString encodes a text unless it is empty.
+// encodeString encodes a string unless it is empty.
 //
 //go:noinline
 func (f *Fields) encodeString(number protowire.Number, v string) {
@@ -193,7 +193,7 @@
 //go:noinline
 func (f *Fields) decodeShared(v *[]byte) { *v = f.Data() }
 
-// encodeBytes encodes bytes unless there are none.
+// encodeBytes encodes bytes unless v is empty.
 //
 //go:noinline
 func (f *Fields) encodeBytes(number protowire.Number, v []byte) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// Uint is a field of an unsigned number. A decoded number is cut to the type's width.
+// Uint is an unsigned number. A decoded number is truncated to the width of its type.
 func Uint[T Unsigned](f *Fields, number protowire.Number, v *T) {
 	if f.number == number {
 		*v = T(f.value)
@@ -211,7 +211,7 @@
 	}
 }
 
-// UintUpTo is a field of an unsigned number of which larger ones are decoded as limit.
+// UintUpTo is an unsigned number. A number above limit is decoded as limit.
 func UintUpTo[T Unsigned](f *Fields, number protowire.Number, v *T, limit T) {
 	if f.number == number {
 		*v = T(min(f.value, uint64(limit)))
@@ -220,7 +220,8 @@
 	}
 }
 
-// IntUpTo is a field of a number that is encoded as 0 if it is negative, and of which larger ones are decoded as limit.
+// IntUpTo is a number that is never negative on the wire. A negative number is encoded as 0, and a number above limit
+// is decoded as limit.
 func IntUpTo[T Integer](f *Fields, number protowire.Number, v *T, limit T) {
 	if f.number == number {
 		*v = T(min(f.value, uint64(limit)))
@@ -229,7 +230,7 @@
 	}
 }
 
-// ZigZag is a field of a signed number. A decoded one is brought within -limit to limit.
+// ZigZag is a signed number. A decoded number is clamped to the range from -limit to limit.
 func (f *Fields) ZigZag(number protowire.Number, v *int64, limit int64) {
 	if f.number == number {
 		*v = min(max(protowire.DecodeZigZag(f.value), -limit), limit)
@@ -238,7 +239,7 @@
 	}
 }
 
-// Bool is a field of a truth value.
+// Bool is a boolean field.
 func (f *Fields) Bool(number protowire.Number, v *bool) {
 	if f.number == number {
 		*v = f.value != 0
@@ -247,7 +248,7 @@
 	}
 }
 
-// String is a field of text.
+// String is a string field.
 func (f *Fields) String(number protowire.Number, v *string) {
 	if f.number == number {
 		f.decodeString(v)
@@ -256,7 +257,7 @@
 	}
 }
 
-// Strings is a repeated field of texts; empty ones are left out.
+// Strings is a repeated field of strings. Empty strings are not encoded.
 func (f *Fields) Strings(number protowire.Number, list *[]string) {
 	if f.Decoding(number) {
 		*list = append(*list, string(f.Data()))
@@ -268,7 +269,7 @@
 	}
 }
 
-// Copied is a field of bytes; decoded ones are a copy.
+// Copied is a field of bytes. Decoded bytes are a copy of the input.
 func (f *Fields) Copied(number protowire.Number, v *[]byte) {
 	if f.number == number {
 		f.decodeCopy(v)
@@ -277,7 +278,7 @@
 	}
 }
 
-// Shared is a field of bytes; decoded ones are part of the input, which must not change while they are used.
+// Shared is a field of bytes. Decoded bytes are part of the input, which must not change while they are used.
 func (f *Fields) Shared(number protowire.Number, v *[]byte) {
 	if f.number == number {
 		f.decodeShared(v)
@@ -286,7 +287,7 @@
 	}
 }
 
-// Message is a field of one message, which is encoded even if it is empty.
+// Message is a field with one nested message, which is encoded even if it is empty.
 func Message[T any](f *Fields, number protowire.Number, v *T, fields func(*T, *Fields)) {
 	if f.Decoding(number) {
 		nested := Decode(f.Data())
@@ -304,8 +305,8 @@
 	}
 }
 
-// Messages is a repeated field of messages. A list that grows beyond limit while it is decoded fails with tooMany;
-// 0 is no limit.
+// Messages is a repeated field of nested messages. Decoding more than limit of them fails with tooMany; a limit of 0
+// means no limit.
 func Messages[T any](
 	f *Fields, number protowire.Number, list *[]T, limit int, tooMany error, fields func(*T, *Fields),
 ) {
@@ -331,14 +332,14 @@
 	return len(f.output)
 }
 
-// endNested writes the length of the nested message that began at start, and moves the message where that takes
-// more bytes.
+// endNested writes the length of the nested message that began at start. If the length takes more than one byte, the
+// message is moved to make room.
 func (f *Fields) endNested(start int) {
 	length := len(f.output) - start
-	more := protowire.SizeVarint(uint64(length)) - 1
-	for range more {
+	extraBytes := protowire.SizeVarint(uint64(length)) - 1
+	for range extraBytes {
 		f.output = append(f.output, 0)
 	}
-	copy(f.output[start+more:], f.output[start:start+length])
+	copy(f.output[start+extraBytes:], f.output[start:start+length])
 	protowire.AppendVarint(f.output[:start-1], uint64(length))
 }
--- a/internal/fieldcodec/fieldcodec_test.go
+++ b/internal/fieldcodec/fieldcodec_test.go
@@ -29,8 +29,8 @@
 	Flag   bool
 	Text   string
 	Texts  []string
-	Copy   []byte
-	Share  []byte
+	Copied []byte
+	Shared []byte
 	One    inner
 	Many   []inner
 }
@@ -45,8 +45,8 @@
 	f.Bool(5, &m.Flag)
 	f.String(6, &m.Text)
 	f.Strings(7, &m.Texts)
-	f.Copied(8, &m.Copy)
-	f.Shared(9, &m.Share)
+	f.Copied(8, &m.Copied)
+	f.Shared(9, &m.Shared)
 	Message(f, 10, &m.One, (*inner).fields)
 	Messages(f, 11, &m.Many, 5, errTooMany, (*inner).fields)
 }
@@ -65,21 +65,25 @@
 	return m, f.Err()
 }
 
-// What is encoded is decoded to the same values, whatever the lengths of nested messages.
+// Decoding an encoded message gives the same values, also if the length of a nested message takes several bytes.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		long := func(length int) string { return strings.Repeat("x", length) }
 		names := rapid.SampledFrom([]string{"", "n1", long(126), long(127), long(20_000)})
 		m := outer{
-			Number: rapid.Uint64().Draw(rt, "number"), Small: rapid.Uint8Range(0, 200).Draw(rt, "small"),
-			Limit: rapid.Int64Range(0, 1<<40).Draw(rt, "limit"), Signed: rapid.Int64Range(-1<<40, 1<<40).Draw(rt, "signed"),
-			Flag: rapid.Bool().Draw(rt, "flag"), Text: names.Draw(rt, "text"), One: inner{names.Draw(rt, "name"), 1 << 50},
+			Number: rapid.Uint64().Draw(rt, "number"),
+			Small:  rapid.Uint8Range(0, 200).Draw(rt, "small"),
+			Limit:  rapid.Int64Range(0, 1<<40).Draw(rt, "limit"),
+			Signed: rapid.Int64Range(-1<<40, 1<<40).Draw(rt, "signed"),
+			Flag:   rapid.Bool().Draw(rt, "flag"),
+			Text:   names.Draw(rt, "text"),
+			One:    inner{names.Draw(rt, "name"), 1 << 50},
 		}
 		for range rapid.IntRange(0, 5).Draw(rt, "many") {
 			m.Many = append(m.Many, inner{names.Draw(rt, "names"), rapid.Uint64().Draw(rt, "n")})
 		}
 		if rapid.Bool().Draw(rt, "lists") {
-			m.Texts, m.Copy, m.Share = []string{"a", "b"}, []byte{1}, []byte{2, 3}
+			m.Texts, m.Copied, m.Shared = []string{"a", "b"}, []byte{1}, []byte{2, 3}
 		}
 		got, err := decodeOuter(m.encode())
 		require.NoError(t, err)
@@ -114,23 +118,23 @@
 			assert.ErrorIs(t, err, ErrMalformed)
 		}
 	}
-	_, err := decodeOuter([]byte{0x5a, 1, 0xff}) // a nested message that is none
+	_, err := decodeOuter([]byte{0x5a, 1, 0xff}) // the nested message is malformed
 	assert.ErrorIs(t, err, ErrMalformed)
 	_, err = decodeOuter((&outer{Many: make([]inner, 6)}).encode())
 	assert.ErrorIs(t, err, errTooMany)
 }
 
-// Decoded bytes are a copy where the field says so, and part of the input where it does not.
+// Decoded bytes are a copy for a Copied field, and part of the input for a Shared field.
 func TestCopiedAndShared(t *testing.T) {
-	b := (&outer{Copy: []byte{1}, Share: []byte{2}}).encode()
+	b := (&outer{Copied: []byte{1}, Shared: []byte{2}}).encode()
 	m, err := decodeOuter(b)
 	require.NoError(t, err)
 	clear(b)
-	assert.Equal(t, []byte{1}, m.Copy)
-	assert.Equal(t, []byte{0}, m.Share)
+	assert.Equal(t, []byte{1}, m.Copied)
+	assert.Equal(t, []byte{0}, m.Shared)
 }
 
-// A message without nested ones is encoded and decoded with no allocation but its strings and its output.
+// Encoding and decoding a message without nested messages allocates only the output and the decoded strings.
 func TestAllocations(t *testing.T) {
 	m := inner{"n1", 1 << 50}
 	b := make([]byte, 0, 64)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what a test produces with files under testdata. The files were written once and are never
-// written over: what they hold is the form in which other processes, disks and operators already have it.
+// Package golden compares the output of tests with golden files under testdata. A golden file is created once and never
+// overwritten, because other processes, disks and operators already depend on the format that it records.
 package golden
 
 import (
@@ -18,16 +18,16 @@
 // createVariable is the environment variable that lets a missing file be created; an existing one is never replaced.
 const createVariable = "CHUTECHUTE_GOLDEN_CREATE"
 
-// Message is one encoded message: its bytes as the encoder gives them, and a function that decodes bytes of its
-// kind and encodes what it read again.
+// Message is an encoded message, with its name in the file and a function that decodes such a message and encodes it
+// again.
 type Message struct {
 	Name    string
 	Encoded []byte
 	Recode  func([]byte) ([]byte, error)
 }
 
-// Messages requires that the messages have the bytes that the file records, and that those bytes come through Recode
-// unchanged. The file has one message a line: its name and its bytes in hexadecimal.
+// Messages requires that the messages have the bytes that the file records, and that Recode returns those bytes
+// unchanged; a nil Recode is not called. The file has one message per line: its name and its bytes in hexadecimal.
 func Messages(t testing.TB, path string, messages []Message) {
 	t.Helper()
 	var lines []string
@@ -43,21 +43,21 @@
 		if m.Recode == nil {
 			continue
 		}
-		old, err := hex.DecodeString(digits)
+		recordedBytes, err := hex.DecodeString(digits)
 		require.NoError(t, err, name)
-		again, err := m.Recode(old)
+		recoded, err := m.Recode(recordedBytes)
 		require.NoError(t, err, name)
-		require.Equal(t, digits, hex.EncodeToString(again), "%s, decoded and encoded again", name)
+		require.Equal(t, digits, hex.EncodeToString(recoded), "%s, decoded and encoded again", name)
 	}
 }
 
-// Lines requires that the lines are those that the file records.
+// Lines requires that the lines are equal to those of the file.
 func Lines(t testing.TB, path string, lines []string) {
 	t.Helper()
 	require.Equal(t, recordedLines(t, path, lines), lines, "%s", path)
 }
 
-// Entry requires that the file records a value under a name. The file has one entry a line: its name and its value.
+// Entry requires that the file records a value under a name. The file has one entry per line: its name and its value.
 func Entry(t testing.TB, path, name, value string) {
 	t.Helper()
 	if os.Getenv(createVariable) != "" {
--- a/internal/raftlog/raftlog.go
+++ b/internal/raftlog/raftlog.go
@@ -1,6 +1,6 @@
-// Package raftlog passes the log messages of the Raft library to the program's structured log. Most are logged at debug
-// level, since operators see leaders and elections in 'fleet status'; errors are logged as such. A fatal message or a
-// panic of the library ends the replica with a replication.InvariantError.
+// Package raftlog passes the log messages of the Raft library to the program's structured log. Errors are logged at
+// error level. Warnings and information are logged at debug level, because operators see leaders and elections in
+// 'fleet status'. A fatal message or a panic of the library stops the replica with a replication.InvariantError.
 package raftlog
 
 import (
@@ -10,14 +10,14 @@
 	"chutechute/fleet/replication"
 )
 
-// Log messages and the key of their attribute.
+// Log messages and their attribute key.
 const (
 	debugMessage = "raft library message"
 	errorMessage = "raft library error"
 	detailKey    = "detail"
 )
 
-// Logger is a raft.Logger over slog's default logger.
+// Logger is a raft.Logger that logs to slog's default logger.
 type Logger struct{}
 
 // New returns a Logger.
@@ -25,7 +25,7 @@
 
 func debug(detail string) { slog.Debug(debugMessage, slog.String(detailKey, detail)) }
 
-func fail(detail string) { panic(replication.InvariantError{Message: detail}) }
+func panicWith(detail string) { panic(replication.InvariantError{Message: detail}) }
 
 // Debug logs at debug level.
 func (Logger) Debug(v ...any) { debug(fmt.Sprint(v...)) }
@@ -53,14 +53,14 @@
 	slog.Error(errorMessage, slog.String(detailKey, fmt.Sprintf(format, v...)))
 }
 
-// Fatal panics with a replication.InvariantError, which ends the replica that called.
-func (Logger) Fatal(v ...any) { fail(fmt.Sprint(v...)) }
+// Fatal panics with a replication.InvariantError, which stops the calling replica.
+func (Logger) Fatal(v ...any) { panicWith(fmt.Sprint(v...)) }
 
-// Fatalf panics with a replication.InvariantError, which ends the replica that called.
-func (Logger) Fatalf(format string, v ...any) { fail(fmt.Sprintf(format, v...)) }
+// Fatalf panics with a replication.InvariantError, which stops the calling replica.
+func (Logger) Fatalf(format string, v ...any) { panicWith(fmt.Sprintf(format, v...)) }
 
-// Panic panics with a replication.InvariantError, which ends the replica that called.
-func (Logger) Panic(v ...any) { fail(fmt.Sprint(v...)) }
+// Panic panics with a replication.InvariantError, which stops the calling replica.
+func (Logger) Panic(v ...any) { panicWith(fmt.Sprint(v...)) }
 
-// Panicf panics with a replication.InvariantError, which ends the replica that called.
-func (Logger) Panicf(format string, v ...any) { fail(fmt.Sprintf(format, v...)) }
+// Panicf panics with a replication.InvariantError, which stops the calling replica.
+func (Logger) Panicf(format string, v ...any) { panicWith(fmt.Sprintf(format, v...)) }
