--- a/fleet/membership/changelog.go
+++ b/fleet/membership/changelog.go
@@ -3,21 +3,22 @@
 import "slices"
 
 const (
-	// maxLogBatches bounds a log: at 20 batches a second nearly a minute of steady change, far more than a heartbeat's
-	// interval.
+	// maxLogBatches limits the batches in a log. At 20 batches a second they cover nearly a minute of continuous
+	// changes, far more than the heartbeat interval.
 	maxLogBatches = 1024
-	// maxLogNames bounds the names in a log; a full view's names fit, and more would cost more than a snapshot.
+	// maxLogNames limits the names in a log. The names of a full view fit; sending more than those would cost more than
+	// a snapshot.
 	maxLogNames = 16384
 )
 
-// logBatch is one batch: the names that it changed, and the digest after it.
+// logBatch holds the names that a batch changed and the digest after the batch.
 type logBatch struct {
 	names  []string
 	digest uint64
 }
 
-// changeLog is the last batches of changes, for receivers that missed some. It has names only, as what is sent is the
-// present state of those names.
+// changeLog holds the last batches of changes, for receivers that missed some. It stores only names, since a receiver
+// is sent the current entries of those names.
 type changeLog struct {
 	baseSequence uint64 // the sequence before the oldest batch
 	baseDigest   uint64 // the digest at baseSequence
@@ -25,7 +26,7 @@
 	nameCount    int
 }
 
-// add appends a batch, whose sequence is one more than the last.
+// add appends a batch, which has the next sequence.
 func (l *changeLog) add(names []string, digest uint64) {
 	l.batches = append(l.batches, logBatch{names, digest})
 	l.nameCount += len(names)
@@ -42,7 +43,7 @@
 	l.baseSequence++
 }
 
-// digestAt returns the digest after the batch of a sequence; ok is false if the log does not have it.
+// digestAt returns the digest at a sequence; ok is false if the log does not cover it.
 func (l *changeLog) digestAt(sequence uint64) (digest uint64, ok bool) {
 	switch {
 	case sequence < l.baseSequence || sequence > l.baseSequence+uint64(len(l.batches)):
@@ -53,8 +54,8 @@
 	return l.batches[sequence-l.baseSequence-1].digest, true
 }
 
-// changedSince returns the names changed after a sequence, sorted and each once; ok is false if the log does not reach
-// back to it.
+// changedSince returns the names that changed after a sequence, sorted and without duplicates; ok is false if the log
+// does not cover the sequence.
 func (l *changeLog) changedSince(sequence uint64) (names []string, ok bool) {
 	if _, ok := l.digestAt(sequence); !ok {
 		return nil, false
--- a/fleet/membership/client.go
+++ b/fleet/membership/client.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	// firstLinkTimeout is how long a client at its start waits for a link to the first slot's control member before it
-	// takes the view from the second.
+	// firstLinkTimeout is how long a client that starts waits for the link of the first slot before it chooses the
+	// second slot's control member as its home.
 	firstLinkTimeout = 2 * monotime.Second
-	// homeFailbackDelay is how long the first slot's control member has to respond before the view is taken from it
-	// again.
+	// homeFailbackDelay is how long the first slot's control member must have responded without a gap before it becomes
+	// the home again.
 	homeFailbackDelay = 3 * monotime.Second
 )
 
-// Client is the part of an attached front end: it chooses the control members to keep links with, renews its leases
-// with them, and follows the view of one of them, its home. It is not safe for concurrent use.
+// Client implements membership for an attached front end. It chooses the control members to keep links with, renews its
+// leases there, and follows the view of one of them, its home. It is not safe for concurrent use.
 type Client struct {
 	// Counters may be read at any time.
 	Counters Counters
 
 	cfg          Config
 	now          monotime.Micros
-	tickDeadline monotime.Micros // when a call was due at the latest
+	tickDeadline monotime.Micros // when the next call is due; a much later one shows a pause
 	started      bool
 	startedAt    monotime.Micros
 	random       splitMix64
 	leaving      bool
 
-	peers       []*controlPeer // by name
+	peers       []*controlPeer // sorted by name
 	peersByName map[string]*controlPeer
 	slots       [2]linkSlot
 
-	home           *controlPeer // nil without one
+	home           *controlPeer // nil if there is none
 	view           *View
-	epoch          uint64 // the control member's process whose version the view has; 0 for none
-	sequence       uint64
-	digestFailures int             // updates of the home in a row whose digest did not agree
-	needsSnapshot  bool            // only a snapshot can repair the view
-	conflictSince  monotime.Micros // since when the home shows a superseded process; 0 if it does not
+	epoch          uint64          // incarnation of the control member that sent the view; 0 if none did yet
+	sequence       uint64          // of the view at that control member
+	digestFailures int             // consecutive updates of the home whose digest did not match
+	needsSnapshot  bool            // a repair by buckets failed; only a snapshot can help
+	conflictSince  monotime.Micros // since when the home shows a superseded process; 0 if it shows none
 	decompressor   decompressor
 
 	outgoing []Message
@@ -64,9 +64,8 @@
 	return c
 }
 
-// advanceClock sets the time. A call that is much later than due shows that this process was stopped: what was not
-// received in that time proves nothing about the control members, and the view is as old as the gap until it is
-// confirmed.
+// advanceClock sets the time. A call that is much later than due shows that this process was paused. The pause does not
+// count as time without messages from the control members, but it does count towards the age of the view.
 func (c *Client) advanceClock(now monotime.Micros) {
 	if !c.started {
 		c.started, c.startedAt, c.now = true, now, now
@@ -81,10 +80,10 @@
 	c.now = max(c.now, now)
 }
 
-// updateTickDeadline notes when the next call is due.
+// updateTickDeadline records when the next call is due.
 func (c *Client) updateTickDeadline() { c.tickDeadline = c.Next() }
 
-// Tick advances the time. It is to be called no later than Next returns, and may be called more often.
+// Tick advances the time. It must be called no later than the time that Next returns, and may be called more often.
 func (c *Client) Tick(now monotime.Micros) {
 	c.advanceClock(now)
 	defer c.updateTickDeadline()
@@ -93,7 +92,7 @@
 	c.sendDueHeartbeats()
 }
 
-// Next returns when Tick has something to do.
+// Next returns when Tick must be called next.
 func (c *Client) Next() monotime.Micros {
 	next := c.now + c.cfg.HeartbeatInterval
 	for i := range c.slots {
@@ -111,7 +110,7 @@
 	return max(next, c.now)
 }
 
-// nextTimeout returns when a peer's next heartbeat or timeout is due; math.MaxInt64 if none is.
+// nextTimeout returns when a peer's next heartbeat or time-out is due, or math.MaxInt64 if none is.
 func (c *Client) nextTimeout(p *controlPeer) monotime.Micros {
 	next := monotime.Micros(math.MaxInt64)
 	if p.linked {
@@ -125,7 +124,7 @@
 	return next
 }
 
-// LinkOpened reports that a link to that process of a control member is open.
+// LinkOpened tells the client that a link to that process of a control member is open.
 func (c *Client) LinkOpened(now monotime.Micros, control string, incarnation uint64) {
 	c.advanceClock(now)
 	defer c.updateTickDeadline()
@@ -136,13 +135,13 @@
 	p.open(c.now, incarnation)
 	c.chooseHome()
 	c.sendDueHeartbeats()
-	// The next heartbeats of front ends that started together are spread over the interval.
+	// Front ends that start together spread their next heartbeats over half of the interval.
 	halfInterval := c.cfg.HeartbeatInterval / 2
 	p.nextHeartbeat = c.now + halfInterval + c.random.between(0, halfInterval)
 }
 
-// LinkClosed reports that the link to a control member is closed, or could not be opened. A control member that closes
-// the link before it has sent anything does not admit this front end, and counts as unreachable.
+// LinkClosed tells the client that the link to a control member was closed or could not be opened. A control member
+// that closes the link before it has sent a message does not admit this front end; it is treated as unreachable.
 func (c *Client) LinkClosed(now monotime.Micros, control string) {
 	c.advanceClock(now)
 	defer c.updateTickDeadline()
@@ -151,14 +150,14 @@
 		return
 	}
 	if slices.Contains(c.targetPeers(), p) {
-		c.loseLink(p, !p.linked || !p.responded)
+		c.dropPeer(p, !p.linked || !p.responded)
 	}
 	p.linked = false
 	c.chooseHome()
 	c.sendDueHeartbeats()
 }
 
-// chooseHome takes the view from the first slot's control member, and at once from the second's if the first is lost.
+// chooseHome makes the first slot's control member the home, or the second slot's as soon as the first one is lost.
 func (c *Client) chooseHome() {
 	first, second := c.slots[0].current, c.slots[1].current
 	usable := c.home != nil && c.home.linked && (c.home == first || c.home == second)
@@ -176,13 +175,13 @@
 	}
 }
 
-// shouldFailBack reports whether the view is to be taken from the first slot's control member again. A replacement does
-// not get it back: that is one change of home less to be published to the whole fleet.
+// shouldFailBack reports whether the first slot's control member should become the home again in place of a responsive
+// one. A replacement of the preferred one should not, which saves publishing one change of home to the whole fleet.
 func (c *Client) shouldFailBack(first *controlPeer) bool {
 	return first == c.slots[0].preferred && c.now-first.stableSince >= homeFailbackDelay
 }
 
-// awaitsFirstLink reports whether the first slot may yet get its first link.
+// awaitsFirstLink reports whether the client is starting and the first slot may still get its first link.
 func (c *Client) awaitsFirstLink() bool {
 	preferred := c.slots[0].preferred
 	starting := c.now-c.startedAt < firstLinkTimeout && c.epoch == 0
@@ -204,7 +203,7 @@
 	}
 }
 
-// Home returns the control member that serves this front end's view and forwards its requests; empty without one.
+// Home returns the control member that serves this front end's view and forwards its requests, or "" if there is none.
 func (c *Client) Home() string {
 	if c.home == nil {
 		return ""
@@ -212,10 +211,10 @@
 	return c.home.name
 }
 
-// View returns the view as last received. It changes with the calls of the client's other methods.
+// View returns the view as last received. Calls to other methods of the client may change it.
 func (c *Client) View() *View { return c.view }
 
-// Leave announces that this front end ends as planned.
+// Leave announces the planned shutdown of this front end.
 func (c *Client) Leave() {
 	if c.leaving {
 		return
@@ -228,7 +227,6 @@
 	}
 }
 
-// sendDueHeartbeats sends the heartbeats that are due.
 func (c *Client) sendDueHeartbeats() {
 	for _, p := range c.targetPeers() {
 		if p.linked && c.now >= p.nextHeartbeat {
@@ -249,7 +247,7 @@
 	}
 }
 
-// describeView sets how far the view is, and what is needed to follow the home.
+// describeView adds to a heartbeat which version of the view this client has, and what it needs to follow the home.
 func (c *Client) describeView(p *controlPeer, h *heartbeat) {
 	h.resume = p.viewBehind || p.needsBucketDigests || c.epoch != p.incarnation
 	switch {
@@ -266,7 +264,7 @@
 	}
 }
 
-// TakeMessages returns the messages that are to be sent, and removes them from the client.
+// TakeMessages returns the messages to send and removes them from the client.
 func (c *Client) TakeMessages() []Message {
 	messages := c.outgoing
 	c.outgoing = nil
--- a/fleet/membership/clockoffset.go
+++ b/fleet/membership/clockoffset.go
@@ -2,20 +2,22 @@
 
 import "chutechute/internal/monotime"
 
-// offsetWindow is for how long the least difference of two clocks counts at least: two drift apart by some 50 us a
-// second, and the least delay of 600 messages is a better estimate than that of the last.
+// offsetWindow is the least time for which the smallest observed difference of two clocks is used. The smallest
+// difference of some 600 messages is a better estimate than that of the last message, while two clocks drift apart by
+// only about 50 microseconds per second.
 const offsetWindow = 60 * monotime.Second
 
-// clockOffset estimates how far this side's clock is ahead of another's: the least difference between when a
-// message was received and when it was sent. It is too great by the least delay, and never too small but for drift.
+// clockOffset estimates how far this process's clock is ahead of another one's: it is the smallest difference between
+// the receive time and the send time of a message. The estimate is too large by the smallest message delay, and too
+// small only by drift.
 type clockOffset struct {
 	known           bool
-	minimum         monotime.Micros // in this window
-	previousMinimum monotime.Micros // in the window before
+	minimum         monotime.Micros // in the current window
+	previousMinimum monotime.Micros // in the previous window
 	windowStart     monotime.Micros
 }
 
-// observe takes a message's times of receiving and of sending.
+// observe updates the estimate from a message that is received now.
 func (o *clockOffset) observe(now, sentAt monotime.Micros) {
 	difference := now - sentAt
 	switch {
@@ -28,7 +30,8 @@
 	}
 }
 
-// toLocal returns a time of the other's clock by this side's clock; nil stands for this side's.
+// toLocal converts a time of the other clock to this process's clock. A nil clockOffset is that of this process's own
+// clock.
 func (o *clockOffset) toLocal(remote monotime.Micros) monotime.Micros {
 	if o == nil {
 		return remote
--- a/fleet/membership/compression.go
+++ b/fleet/membership/compression.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// compressionThreshold is the size, in bytes, from which compression saves more than its framing costs.
+	// compressionThreshold is the size, in bytes, above which compression saves more than its framing costs.
 	compressionThreshold = 300
-	// maxEntrySize bounds the bytes of one uncompressed entry: three names, a number, and tags.
+	// maxEntrySize limits the size of one uncompressed entry, in bytes: three names, plus numbers and field tags.
 	maxEntrySize = 3*maxNameLength + 64
 )
 
-// compressor compresses entries. It keeps its tables, which take about a megabyte.
+// compressor compresses entries. It reuses one flate.Writer, whose tables take about a megabyte.
 type compressor struct{ writer *flate.Writer }
 
-// compress returns b compressed, or b itself if that is small or compression gains nothing.
+// compress returns b compressed, or b itself if b is small or compression does not make it smaller.
 func (c *compressor) compress(b []byte) (output []byte, compressed bool) {
 	if len(b) <= compressionThreshold {
 		return b, false
@@ -36,7 +36,7 @@
 	return buffer.Bytes(), true
 }
 
-// reset makes the writer write to output.
+// reset prepares the writer to write to output.
 func (c *compressor) reset(output io.Writer) (err error) {
 	if c.writer != nil {
 		c.writer.Reset(output)
@@ -46,10 +46,10 @@
 	return err
 }
 
-// decompressor decompresses what compressor wrote.
+// decompressor decompresses the output of a compressor.
 type decompressor struct{ reader io.ReadCloser }
 
-// decompress returns at most limit bytes; more are an ErrTooManyEntries.
+// decompress returns b decompressed, or an error that wraps ErrTooManyEntries if that has more than limit bytes.
 func (d *decompressor) decompress(b []byte, limit int) ([]byte, error) {
 	input := bytes.NewReader(b)
 	if d.reader == nil {
--- a/fleet/membership/config.go
+++ b/fleet/membership/config.go
@@ -2,36 +2,36 @@
 
 import "chutechute/internal/monotime"
 
-// Config configures a Server or a Client. Durations and limits that are 0 get their defaults.
+// Config configures a Server or a Client. Durations and limits that are zero or negative get their defaults.
 type Config struct {
 	Name        string
 	Zone        string
 	Incarnation uint64
-	// ControlMembers are all control members that the settings name, with name and zone, including this one if it is
-	// one.
+	// ControlMembers lists all control members that the settings name, by name and zone. Whether a control member lists
+	// itself makes no difference.
 	ControlMembers    []ControlMember
-	HeartbeatInterval monotime.Micros // between two heartbeats of an attached front end
-	SuspectAfter      monotime.Micros // without a heartbeat
-	DeadAfter         monotime.Micros // without a heartbeat
-	// PauseThreshold is how late a call has to be to show that this process was stopped. What it did not receive in
-	// that time proves nothing.
+	HeartbeatInterval monotime.Micros // time between two heartbeats of an attached front end over one link
+	SuspectAfter      monotime.Micros // time without a message from the other side until it is Suspect
+	DeadAfter         monotime.Micros // time without a message from the other side until it is Dead
+	// PauseThreshold is the delay of a call above which this process is taken to have been paused. That it received
+	// nothing during a pause does not count against others.
 	PauseThreshold monotime.Micros
-	BatchDelay     monotime.Micros // how long changes are collected before they are published
-	MaxEntries     int             // entries that a view may have
-	Seed           uint64          // of the jitter; runs with the same seed are the same
+	BatchDelay     monotime.Micros // time between two published batches of changes
+	MaxEntries     int             // limit on the entries of a view
+	Seed           uint64          // seeds the jitter; the same seed and input give the same output
 }
 
-// Defaults of a Config's durations and limits.
+// Default durations and limits of a Config.
 const (
 	DefaultHeartbeatInterval = monotime.Second
 	DefaultSuspectAfter      = 2_500 * monotime.Millisecond
 	DefaultDeadAfter         = 4 * monotime.Second
 	DefaultPauseThreshold    = 600 * monotime.Millisecond
 	DefaultBatchDelay        = 50 * monotime.Millisecond
-	DefaultMaxEntries        = 8192 // entries
+	DefaultMaxEntries        = 8192
 )
 
-// withDefaults returns the configuration with defaults for what was left out.
+// withDefaults returns the configuration with defaults for unset durations and limits.
 func (c Config) withDefaults() Config {
 	setDefault(&c.HeartbeatInterval, DefaultHeartbeatInterval)
 	setDefault(&c.SuspectAfter, DefaultSuspectAfter)
@@ -42,7 +42,7 @@
 	return c
 }
 
-// setDefault sets a value that was left out.
+// setDefault replaces a value that is zero or negative by its default.
 func setDefault[T int | monotime.Micros](value *T, defaultValue T) {
 	if *value <= 0 {
 		*value = defaultValue
--- a/fleet/membership/controlpeer.go
+++ b/fleet/membership/controlpeer.go
@@ -2,34 +2,34 @@
 
 import "chutechute/internal/monotime"
 
-// controlPeer is a control member as a client sees it.
+// controlPeer is the state that a Client keeps of one control member.
 type controlPeer struct {
 	name, zone         string
 	linked             bool
-	responded          bool // something was received over the link
-	incarnation        uint64
-	dialedAt           monotime.Micros // since when a link to it is requested
-	lastSeen           monotime.Micros // the last sign of life over the link
-	stableSince        monotime.Micros // since when it is linked and responds without a gap
-	leaving            bool
+	responded          bool            // a message was received over the current link
+	incarnation        uint64          // of its process at the other end of the link
+	dialedAt           monotime.Micros // when the link was requested
+	lastSeen           monotime.Micros // when the link was opened or last delivered a message
+	stableSince        monotime.Micros // since when it is linked and has responded without a gap
+	leaving            bool            // it announced its shutdown
 	nextHeartbeat      monotime.Micros // when the next heartbeat to it is due
-	backoffUntil       monotime.Micros // until when it is not dialed
-	dialFailures       int             // in a row
-	needsBucketDigests bool            // it can't repair this view without the bucket digests
-	viewBehind         bool            // it reported a later view than was received by then
-	lastResume         monotime.Micros // the last request of what is missing
-	clock              clockOffset
+	backoffUntil       monotime.Micros // it is not dialed before
+	dialFailures       int             // consecutive failures
+	needsBucketDigests bool            // it cannot repair this client's view without the bucket digests
+	viewBehind         bool            // it reported a later version of the view than the client has
+	lastResume         monotime.Micros // when missing updates were last requested
+	clock              clockOffset     // offset to its clock
 	lastAnswer         answerState
 }
 
-// answerState is the last answer to a heartbeat: how far the home's view was after the heartbeat was sent.
+// answerState describes the last answer to a heartbeat: the home had that sequence after the heartbeat was sent.
 type answerState struct {
 	received        bool
 	sequence        uint64
 	heartbeatSentAt monotime.Micros
 }
 
-// open takes a new link to a process of the control member.
+// open resets the state for a new link to a process of the control member.
 func (p *controlPeer) open(now monotime.Micros, incarnation uint64) {
 	if p.incarnation != incarnation {
 		p.clock, p.lastAnswer = clockOffset{}, answerState{}
@@ -42,20 +42,23 @@
 // respondedSinceDial reports whether the control member is linked and was seen since the link was requested.
 func (p *controlPeer) respondedSinceDial() bool { return p.linked && p.lastSeen > p.dialedAt }
 
-// isResponsive reports whether a control member was seen recently; nil was not.
+// isResponsive reports whether a control member is linked, not leaving, and was seen within SuspectAfter. It is false
+// for nil.
 func (c *Client) isResponsive(p *controlPeer) bool {
 	return p != nil && p.linked && !p.leaving && c.now-p.lastSeen < c.cfg.SuspectAfter
 }
 
-// silence returns for how long a control member that is dialed or linked was not seen.
-func (c *Client) silence(p *controlPeer) monotime.Micros { return c.now - max(p.lastSeen, p.dialedAt) }
+// sinceLastSeen returns the time since a control member was last seen or dialed.
+func (c *Client) sinceLastSeen(p *controlPeer) monotime.Micros {
+	return c.now - max(p.lastSeen, p.dialedAt)
+}
 
-// isUnresponsive reports whether a control member that is dialed or linked is to be given up.
+// isUnresponsive reports whether a control member that is dialed or linked should be dropped.
 func (c *Client) isUnresponsive(p *controlPeer) bool {
-	return p.leaving || c.silence(p) >= c.cfg.DeadAfter
+	return p.leaving || c.sinceLastSeen(p) >= c.cfg.DeadAfter
 }
 
-// requestLink begins the time in which a control member has to respond.
+// requestLink starts the time-out within which a control member that is not linked yet has to respond.
 func (c *Client) requestLink(p *controlPeer) {
 	if !p.linked {
 		p.dialedAt, p.leaving = c.now, false
--- a/fleet/membership/encoding.go
+++ b/fleet/membership/encoding.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// maxNameLength bounds names and zones, in bytes.
+	// maxNameLength limits the length of names and zones, in bytes.
 	maxNameLength = 128
-	// maxWireTime bounds times in messages, so that sums of them do not overflow. Times of before the sender's clock
-	// began are negative.
+	// maxWireTime limits the magnitude of times in messages, so that sums of them do not overflow. Times before the
+	// start of the sender's clock are negative.
 	maxWireTime monotime.Micros = 1 << 60
-	// maxHeartbeatTime bounds a heartbeat's time of sending.
+	// maxHeartbeatTime limits the send time of a heartbeat.
 	maxHeartbeatTime monotime.Micros = 1 << 62
-	// nestedCapacity is the bytes that suffice for most encoded changes and table entries.
+	// nestedCapacity is a buffer size that most encoded changes and table entries fit into, in bytes.
 	nestedCapacity = 96
 )
 
-// isValidName reports whether a front end may have the name.
+// isValidName reports whether a name is not empty and not too long.
 func isValidName(name string) bool { return name != "" && len(name) <= maxNameLength }
 
-// decodingError makes the codec's error of malformed bytes an ErrMalformed; other errors are this package's already.
+// decodingError wraps fieldcodec.ErrMalformed in this package's ErrMalformed. Other errors are returned as they are.
 func decodingError(err error) error {
 	if errors.Is(err, fieldcodec.ErrMalformed) {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
--- a/fleet/membership/errors.go
+++ b/fleet/membership/errors.go
@@ -2,21 +2,21 @@
 
 import "errors"
 
-// Errors of a peer whose messages are malformed, or are not what its link has been authenticated for. The link is to be
-// closed. Receive methods return errors that wrap one of these.
+// Errors of the methods that receive messages, which may wrap them. Each means that a message is invalid or does not
+// match the identity for which its link was authenticated; the link must be closed.
 var (
-	// ErrMalformed is the error of bytes that are not a valid message.
+	// ErrMalformed is returned for a message that cannot be decoded or is invalid.
 	ErrMalformed = errors.New("membership: malformed message")
-	// ErrUnexpectedKind is the error of a kind of message that this side does not receive.
+	// ErrUnexpectedKind is returned for a message of a kind that the receiver does not handle.
 	ErrUnexpectedKind = errors.New("membership: unexpected kind of message")
-	// ErrNameMismatch is the error of a name that is not the link's, or that may not attach.
+	// ErrNameMismatch is returned for a name that does not match the link, or that may not attach.
 	ErrNameMismatch = errors.New("membership: name does not match the link")
-	// ErrUnknownHome is the error of a control member that the settings do not name.
+	// ErrUnknownHome is returned for a control member that is not in the settings.
 	ErrUnknownHome = errors.New("membership: unknown control member")
-	// ErrSuperseded is the error of a process whose name has a later one.
-	ErrSuperseded = errors.New("membership: process superseded by a later one of its name")
-	// ErrTooManyEntries is the error of more entries than a view may have.
+	// ErrSuperseded is returned for a process that a later one of its name has superseded.
+	ErrSuperseded = errors.New("membership: process superseded by a later one of the same name")
+	// ErrTooManyEntries is returned for more entries than a view may have.
 	ErrTooManyEntries = errors.New("membership: too many entries")
-	// ErrDigestMismatch is the error of digests that do not agree even after repairs.
-	ErrDigestMismatch = errors.New("membership: digests never agree")
+	// ErrDigestMismatch is returned if digests still differ after repairs.
+	ErrDigestMismatch = errors.New("membership: persistent digest mismatch")
 )
--- a/fleet/membership/hash.go
+++ b/fleet/membership/hash.go
@@ -1,6 +1,7 @@
 package membership
 
-// fnvHash is FNV-1a over strings and numbers, with a finalizer so that sums of hashes are spread evenly.
+// fnvHash is the state of an FNV-1a hash over strings and numbers. A finalizer is applied to the result so that sums of
+// hashes are evenly distributed.
 type fnvHash uint64
 
 const (
@@ -12,7 +13,7 @@
 	for i := range len(s) {
 		h = (h ^ fnvHash(s[i])) * fnvPrime
 	}
-	return (h ^ 0xff) * fnvPrime // marks the end of the string
+	return (h ^ 0xff) * fnvPrime // end-of-string marker
 }
 
 func (h fnvHash) addUint64(v uint64) fnvHash {
@@ -23,7 +24,7 @@
 	return h
 }
 
-// finalize is the finalizer of splitmix64.
+// finalize applies the finalizer of SplitMix64.
 func (h fnvHash) finalize() uint64 {
 	x := uint64(h)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -31,14 +32,15 @@
 	return x ^ x>>31
 }
 
-// digest returns an entry's share of a view's digest, which is the sum over all entries: a change updates it at
-// constant cost.
+// digest returns the hash of an entry. A view's digest is the sum of the hashes of its entries, so that a change
+// updates it in constant time.
 func (e *Entry) digest() uint64 {
 	h := fnvOffset.addString(e.Name).addString(e.Zone).addString(e.Home)
 	return h.addUint64(e.Incarnation).addUint64(uint64(e.Role)<<8 | uint64(e.State)).finalize()
 }
 
-// digest returns an entry's share of a table's digest. Times are left out, as they differ by the delay of messages.
+// digest returns the hash of an entry. A table's digest is the sum of the hashes of its entries. Times are left out,
+// since each control member's estimate of them differs by message delays.
 func (e *tableEntry) digest() uint64 {
 	h := fnvOffset.addString(e.name).addString(e.zone).addUint64(e.incarnation).addUint64(uint64(e.state))
 	if e.servesView {
@@ -50,8 +52,8 @@
 	return h.finalize()
 }
 
-// rendezvousWeight orders control members for one front end (rendezvous hashing): each front end has an order of its
-// own, and a control member that comes or goes moves only the front ends that had it first.
+// rendezvousWeight returns the weight by which a front end ranks a control member (rendezvous hashing). Each front end
+// has its own order, and adding or removing a control member moves only the front ends that rank it first.
 func rendezvousWeight(name, control string, salt uint64) uint64 {
 	return fnvOffset.addString(name).addString(control).addUint64(salt).finalize()
 }
--- a/fleet/membership/heartbeat.go
+++ b/fleet/membership/heartbeat.go
@@ -8,26 +8,26 @@
 	"chutechute/internal/monotime"
 )
 
-// heartbeat is what an attached front end sends over each of its links. It renews the lease, and says how far the front
-// end's view is.
+// heartbeat is the message that an attached front end regularly sends over each of its links. It renews the lease, and
+// to the home it also reports which version of the view the front end has.
 type heartbeat struct {
 	name      string
 	sentAt    monotime.Micros // by the sender's clock; the answer returns it
-	leaving   bool
-	subscribe bool // the view is requested from this control member
-	resume    bool // the front end has not followed this control member so far, or has lost something
-	epoch     uint64
-	sequence  uint64
-	digest    uint64
-	// bucketDigests are the digests of all buckets, cut to 32 bits; there are none for an empty view, or if the log may
-	// still reach back to the view's sequence.
+	leaving   bool            // the front end is shutting down
+	subscribe bool            // the front end requests the view from this control member
+	resume    bool            // the view is from another control member or process, or updates were lost
+	epoch     uint64          // incarnation of the receiver if the view is from it; 0 if not, or with bucketDigests
+	sequence  uint64          // of the view; 0 if epoch is
+	digest    uint64          // of the view
+	// bucketDigests are the low 32 bits of the digests of all buckets. They are left out if the view is empty, or if
+	// the receiver's log may still reach back to the view's sequence.
 	bucketDigests []uint32
 }
 
-// bucketDigestSize is the bytes of one bucket's digest in a heartbeat.
+// bucketDigestSize is the size of a bucket digest in a heartbeat, in bytes.
 const bucketDigestSize = 4
 
-// fields lists the message's fields.
+// fields encodes or decodes the message's fields.
 func (h *heartbeat) fields(f *fieldcodec.Fields) {
 	f.String(1, &h.name)
 	fieldcodec.IntUpTo(f, 2, &h.sentAt, maxHeartbeatTime)
@@ -55,7 +55,7 @@
 
 func (h *heartbeat) decodeBucketDigests(b []byte) error {
 	if len(b) != bucketDigestSize*bucketCount {
-		return fmt.Errorf("%w: %d bytes of bucket digests", ErrMalformed, len(b))
+		return fmt.Errorf("%w: bucket digests have %d bytes", ErrMalformed, len(b))
 	}
 	h.bucketDigests = make([]uint32, bucketCount)
 	for i := range h.bucketDigests {
--- a/fleet/membership/incarnationset.go
+++ b/fleet/membership/incarnationset.go
@@ -1,13 +1,13 @@
 package membership
 
-// maxIncarnations bounds the incarnations that a set remembers: at 3,000 restarts a day those of two days and more.
+// maxIncarnations limits the size of a set. At 3,000 restarts a day it covers more than two days.
 const maxIncarnations = 8192
 
-// incarnationSet is a bounded set of incarnations that have ended; the oldest is dropped first.
+// incarnationSet is a bounded set of incarnations. When it is full, a new one replaces the oldest.
 type incarnationSet struct {
-	indexes map[uint64]int // index in ring
+	indexes map[uint64]int // indexes in ring
 	ring    []uint64
-	next    int // the index that is overwritten next
+	next    int // index to overwrite next
 }
 
 func (s *incarnationSet) contains(incarnation uint64) bool {
--- a/fleet/membership/lease.go
+++ b/fleet/membership/lease.go
@@ -8,34 +8,34 @@
 	"chutechute/internal/monotime"
 )
 
-// lease is the lease of a front end that is attached here.
+// lease is the lease of an attached front end at this control member.
 type lease struct {
 	name              string
 	zone              string
 	incarnation       uint64
-	firstChallengedAt monotime.Micros // when its process answered its first challenge here
-	lastChallengedAt  monotime.Micros // when its process answered its newest challenge here
-	lastSeen          monotime.Micros
-	leaving           bool
-	links             []Link
-	superseded        []uint64 // the last few earlier processes of its name
+	firstChallengedAt monotime.Micros // challenge time of its process's first link here
+	lastChallengedAt  monotime.Micros // challenge time of its process's latest link here
+	lastSeen          monotime.Micros // when it last sent a heartbeat or opened a link
+	leaving           bool            // it announced its shutdown
+	links             []Link          // open links, the oldest first
+	superseded        []uint64        // the last maxReportedSuperseded earlier processes of its name
 
 	state        State
-	suspectUntil monotime.Micros // until when it stays Suspect because of self-suspicion; 0 without one
+	suspectUntil monotime.Micros // it stays Suspect until then because of self-suspicion; 0 if there is none
 	endedAt      monotime.Micros // when it became Dead or Left
 	dirty        bool            // is in Server.dirtyLeases
-	damping      damping         // of its changes
+	damping      damping         // limits the rate of its published changes
 
 	snapshotDue  monotime.Micros // state of snapshotRateLimit
 	subscription subscription
 }
 
-// maxLinksPerProcess bounds the links of one process; further ones close the oldest.
+// maxLinksPerProcess limits the links of one process. A further link closes the oldest one.
 const maxLinksPerProcess = 3
 
-// renewLease records a sign of life over a link, and decides between the processes of a name: no two processes of one
-// name run at once, and one that answered a challenge was running after the challenge was made, so the process with the
-// later challenge is the later one.
+// renewLease renews the lease of the front end that was seen over a link, and decides which of two processes of its
+// name is the later one. No two processes of one name run at the same time, and a process that answered a challenge was
+// running after the challenge was sent, so the process with the later challenge is the later one.
 func (s *Server) renewLease(link Link) (*lease, error) {
 	if err := s.checkLink(link); err != nil {
 		return nil, err
@@ -64,12 +64,12 @@
 	return l, nil
 }
 
-// checkLink checks that the link's front end may attach.
+// checkLink checks that the front end of a link may attach.
 func (s *Server) checkLink(link Link) error {
 	validName := isValidName(link.From) && len(link.Zone) <= maxNameLength
 	if !validName || s.membersByName[link.From] != nil || link.Incarnation == 0 {
 		s.Counters.NameMismatches++
-		return fmt.Errorf("%w: %q may not attach", ErrNameMismatch, link.From)
+		return fmt.Errorf("%w: front end %q may not attach", ErrNameMismatch, link.From)
 	}
 	if s.superseded.contains(link.Incarnation) {
 		s.Counters.LateOfSuperseded++
@@ -88,14 +88,14 @@
 
 func compareLeaseName(l *lease, name string) int { return strings.Compare(l.name, name) }
 
-// beginProcess makes the lease that of the link's process.
+// beginProcess assigns the lease to the process of a link.
 func (l *lease) beginProcess(link Link) {
 	l.zone, l.incarnation = link.Zone, link.Incarnation
 	l.firstChallengedAt, l.lastChallengedAt = link.ChallengedAt, link.ChallengedAt
 	l.leaving, l.suspectUntil, l.subscription = false, 0, subscription{}
 }
 
-// supersede ends a lease's process: its name has come back with another.
+// supersede records that the process of a lease is superseded by a later one of its name, and closes its links.
 func (s *Server) supersede(l *lease) {
 	s.Counters.Superseded++
 	s.superseded.add(l.incarnation)
@@ -107,7 +107,7 @@
 	l.links = nil
 }
 
-// recordSeen records a sign of life of a lease's process over a link.
+// recordSeen records that the process of a lease was seen over a link.
 func (s *Server) recordSeen(l *lease, link Link) {
 	l.lastSeen, l.suspectUntil = s.now, 0
 	if !slices.Contains(l.links, link) {
@@ -120,7 +120,7 @@
 	s.setLeaseState(l, Alive)
 }
 
-// markLeaseDirty notes that a lease's table entry may have to change.
+// markLeaseDirty records that the table entry of a lease may have to change.
 func (s *Server) markLeaseDirty(l *lease) {
 	if !l.dirty {
 		l.dirty = true
@@ -128,7 +128,7 @@
 	}
 }
 
-// LinkOpened reports that an attached front end has authenticated itself over a new link.
+// LinkOpened tells the server that an attached front end has authenticated itself over a new link.
 func (s *Server) LinkOpened(now monotime.Micros, link Link) {
 	s.advanceClock(now)
 	if _, err := s.renewLease(link); err != nil {
@@ -136,8 +136,8 @@
 	}
 }
 
-// LinkClosed reports that such a link is closed. The lease continues, since a broken link alone does not prove that the
-// front end is dead.
+// LinkClosed tells the server that a link of an attached front end is closed. The lease stays in force, since a broken
+// link alone does not prove that the front end is dead.
 func (s *Server) LinkClosed(now monotime.Micros, link Link) {
 	s.advanceClock(now)
 	l := s.leasesByName[link.From]
@@ -150,8 +150,8 @@
 	}
 }
 
-// expireLeases ends the leases of front ends that were not seen for long. A home that loses many at once suspects
-// itself instead.
+// expireLeases ends the leases of front ends that were not seen for DeadAfter. If more than a third of the front ends,
+// and more than three, are Suspect when a lease expires, this home suspects itself instead.
 func (s *Server) expireLeases() {
 	scan := s.scanLeases()
 	if len(scan.expired) > 0 && scan.suspects > max(3, scan.current/3) {
@@ -172,14 +172,14 @@
 	current  int // front ends that are Alive or Suspect
 }
 
-// scanLeases updates the states of all leases, but for those that have expired.
+// scanLeases updates the states of all leases, except that it only collects those that have expired.
 func (s *Server) scanLeases() (scan leaseScan) {
 	for _, l := range s.leases {
-		silence := s.now - l.lastSeen
+		sinceLastSeen := s.now - l.lastSeen
 		switch {
 		case l.state == Dead || l.state == Left:
 			continue
-		case silence < s.cfg.SuspectAfter:
+		case sinceLastSeen < s.cfg.SuspectAfter:
 			s.setLeaseState(l, Alive)
 		case l.leaving:
 			s.setLeaseState(l, Left)
@@ -187,7 +187,7 @@
 		default:
 			s.setLeaseState(l, Suspect)
 			scan.suspects++
-			if silence >= s.cfg.DeadAfter && s.now >= l.suspectUntil {
+			if sinceLastSeen >= s.cfg.DeadAfter && s.now >= l.suspectUntil {
 				scan.expired = append(scan.expired, l)
 			}
 		}
@@ -196,8 +196,8 @@
 	return scan
 }
 
-// suspectSelf is what a home does that loses many front ends at once: it is more likely that the home is cut off than
-// that all of them are dead. They stay Suspect for longer, so that they can attach elsewhere.
+// suspectSelf handles the loss of many front ends at once. It is more likely that this home is cut off from them than
+// that all are dead, so they stay Suspect for longer, which gives them time to attach elsewhere.
 func (s *Server) suspectSelf() {
 	extended := false
 	for _, l := range s.leases {
@@ -223,7 +223,7 @@
 	s.markLeaseDirty(l)
 }
 
-// removeEndedLeases removes the leases that ended long ago.
+// removeEndedLeases removes the leases that ended at least retentionTime ago.
 func (s *Server) removeEndedLeases() {
 	s.leases = slices.DeleteFunc(s.leases, func(l *lease) bool {
 		ended := l.state == Dead || l.state == Left
--- a/fleet/membership/member.go
+++ b/fleet/membership/member.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// absentHomeTimeout is how long the table entries of an absent home count as Suspect before they are Dead: its
-	// front ends may have a lease elsewhere by then.
+	// absentHomeTimeout is how long the table entries of an absent home count as Suspect before they count as Dead. It
+	// gives the front ends of that home time to get a lease at another one.
 	absentHomeTimeout = 10 * monotime.Second
-	// maxTablesPerHome bounds the tables that are retained of one home's processes.
+	// maxTablesPerHome limits the retained tables of one home, which has one for each of its processes.
 	maxTablesPerHome = 3
 )
 
-// memberState is what a control member knows of a control member of the settings.
+// memberState is the state that a Server keeps of one control member, itself included.
 type memberState struct {
 	ControlMember
-	presentSince     monotime.Micros // when its process was first seen, or seen again
-	lastAlive        monotime.Micros // when its process was last Alive
-	tables           []*table        // of its processes, the newest last
-	supersededEpochs incarnationSet
-	clock            *clockOffset                // of its process
-	pullAnswersDue   map[string]*monotime.Micros // states of answerRateLimit for answers to it, by home
+	presentSince     monotime.Micros             // when its process was first seen, or seen again after an absence
+	lastAlive        monotime.Micros             // when its process was last Alive
+	tables           []*table                    // one for each of its processes, the latest last
+	supersededEpochs incarnationSet              // incarnations of its earlier processes
+	clock            *clockOffset                // offset to the clock of its current process
+	pullAnswersDue   map[string]*monotime.Micros // states of answerRateLimit for answers to its pulls, by home
 }
 
-// table returns the table of a process of this control member; nil if there is none.
+// table returns the table of the process with that incarnation, or nil if there is none.
 func (m *memberState) table(epoch uint64) *table {
 	for _, t := range m.tables {
 		if t.epoch == epoch {
@@ -36,17 +36,17 @@
 	return nil
 }
 
-// isPresent reports whether the control member's process is there, as package heartbeat sees it.
+// isPresent reports whether package heartbeat sees the control member as Alive or Suspect.
 func (m *memberState) isPresent() bool { return m.State == Alive || m.State == Suspect }
 
-// recordAlive records that a control member is Alive now, if it is.
+// recordAlive updates lastAlive if the control member is Alive.
 func (m *memberState) recordAlive(now monotime.Micros) {
 	if m.State == Alive {
 		m.lastAlive = now
 	}
 }
 
-// pullAnswerDue returns the state of the rate limit of answers to this control member about a home's table.
+// pullAnswerDue returns the rate limit state for answers to this control member's pulls of a home's table.
 func (m *memberState) pullAnswerDue(home string) *monotime.Micros {
 	if m.pullAnswersDue == nil {
 		m.pullAnswersDue = map[string]*monotime.Micros{}
@@ -66,7 +66,7 @@
 	return m
 }
 
-// updateMember takes how package heartbeat sees another control member now.
+// updateMember records how package heartbeat currently sees another control member.
 func (s *Server) updateMember(seen *ControlMember) {
 	m := s.membersByName[seen.Name]
 	if m == nil || m == s.self || seen.Incarnation == 0 {
@@ -94,7 +94,7 @@
 	m.recordAlive(s.now)
 }
 
-// setHomePresent sets whether a table's home is present, on which the evidence of its entries rests.
+// setHomePresent sets whether a table's home is present. The entries of an absent home count less as evidence.
 func (s *Server) setHomePresent(t *table, present bool) {
 	if t.homePresent == present {
 		return
@@ -104,7 +104,7 @@
 	s.markTableDirty(t)
 }
 
-// expireTables expires the evidence of absent homes, and drops tables that are not needed any more.
+// expireTables expires the evidence of absent homes and removes tables that are no longer needed.
 func (s *Server) expireTables() {
 	for _, m := range s.members {
 		for len(m.tables) > 0 {
@@ -122,7 +122,7 @@
 	}
 }
 
-// expireTable lets the evidence of an absent home count less with time.
+// expireTable updates how much the entries of an absent home count, which is less the longer the home is absent.
 func (s *Server) expireTable(t *table) {
 	unresponsive := !t.homePresent && s.now-t.homeLastAlive >= s.cfg.DeadAfter
 	expired := !t.homePresent && s.now-t.homeAbsentSince >= absentHomeTimeout
@@ -132,8 +132,8 @@
 	}
 }
 
-// senderOf returns the control member that a message comes from. It is nil without an error if its process is not the
-// one that package heartbeat knows of: what the message says will be sent again.
+// senderOf returns the control member that sent a message. The result is nil without an error if the message is from
+// another process than the one known from package heartbeat; it can be dropped, since its content will be sent again.
 func (s *Server) senderOf(from string, incarnation uint64) (*memberState, error) {
 	m := s.membersByName[from]
 	switch {
@@ -147,7 +147,6 @@
 	return nil, nil
 }
 
-// compareMemberName orders control members by name.
 func compareMemberName(a, b *memberState) int { return cmp.Compare(a.Name, b.Name) }
 
 // hasOtherMember reports whether a control member other than this one satisfies a condition.
--- a/fleet/membership/membership.go
+++ b/fleet/membership/membership.go
@@ -1,45 +1,48 @@
-// Package membership lets a fleet have more front ends than could all exchange heartbeats with one another. Control
-// members are the front ends that the settings name; among them package heartbeat works as in a small fleet. An
-// attached front end keeps links to two control members, sends a heartbeat over each, holds a lease with both, and
-// receives the view, which lists all front ends of both roles, from one of them.
+// Package membership tracks the members of a fleet that is too large for all front ends to exchange heartbeats with one
+// another. Control members are the front ends that the settings name; they exchange heartbeats by package heartbeat, as
+// all front ends of a small fleet do. An attached front end keeps links to two control members, sends heartbeats over
+// both, holds a lease at each, and receives the view, which lists all front ends of both roles, from one of them.
 //
-// Each control member is the home of the front ends attached to it. It keeps a table of them by leases on its own
-// clock, replicates the table to all control members, merges all tables into one view, and serves that view as a
-// snapshot and numbered changes. Versions and digests in the heartbeats show what was lost; gaps are filled from
-// bounded logs, else by sending the parts that differ (anti-entropy).
+// Each control member is the home of the front ends attached to it. It tracks their leases by its own clock in a table,
+// replicates that table to all control members, merges the tables of all homes into one view, and serves the view as a
+// snapshot and numbered batches of changes. Heartbeats carry versions and digests, by which a receiver detects lost
+// messages. What it lacks is resent from a bounded log or, if the log does not reach back far enough, by sending the
+// parts that differ (anti-entropy).
 //
-// The view steers decisions: which front end to ask, which to replace, when to take over a request. Safety never rests
-// on it, since silence does not prove death. One thing is certain: of two processes of one name, the one that answered
-// the later challenge is the later one.
+// The view guides decisions: which front end to send a message to, which one to replace, when to take over a request.
+// Safety never depends on it, since a process that sends nothing may still be running. Only one fact is certain: of two
+// processes of one name, the one that answered the later challenge is the later one.
 //
-// Which of two processes of one name is the later is certain where one control member has challenged both. Otherwise it
-// follows from the times of their challenges, which are reported by the sender's clock; each side estimates how far its
-// own clock is ahead by the least difference seen between receiving and sending. A side that has a later process in its
-// view shows an earlier one as Dead, even if a control member that missed the later one still reports the earlier.
+// This order is known for sure where one control member has challenged both processes. Otherwise it is derived from the
+// times of their challenges, which are reported by the sender's clock. Each side estimates the offset between the two
+// clocks as the smallest difference seen between the receive and send times of a message. A side whose view has a later
+// process shows an earlier one as Dead, even if a control member that missed the later one still reports the earlier
+// one as alive.
 //
-// A control member that has restarted knows of front ends that died before only what the tables of the others' present
-// processes contain: until those entries are removed, ten minutes after their end, its view may lack some that are Dead
-// or have Left elsewhere.
+// Of the front ends that ended before a control member restarted, it learns only those that are still in the tables of
+// the other control members' current processes. Until those entries are removed, ten minutes after the front ends
+// ended, its view may lack some that are Dead or Left in other views.
 //
 // The caller that drives a Server or Client
-//   - sends the messages that Actions returned before it sends the heartbeat that Versions goes into,
-//   - closes the links that LinksToClose returns, and those over which a message was received that caused an error,
-//   - reports the end of each link by LinkClosed with the same Link, and at a client each failed dial too, and
-//   - drops what is queued for a process that it calls QueueFull for.
+//   - sends the messages from TakeMessages before it sends the heartbeat that carries the result of Versions,
+//   - closes the links from LinksToClose, and each link over which it received a message that Receive,
+//     ReceiveFromControl or ReceiveVersions rejected with an error,
+//   - calls LinkClosed for each closed link, with the same Link at a Server, and at a Client also for each failed dial,
+//   - drops all messages that are queued for a process when it calls QueueFull for that process.
 //
-// The package is a stepped module without I/O, clock, goroutines or dependence on map order. All times are of this
+// The package does no I/O, reads no clock, starts no goroutines and does not depend on map order. All times are of this
 // process's monotonic clock.
 package membership
 
 import "chutechute/internal/monotime"
 
-// Role is what a front end is in the fleet.
+// Role is the role of a front end in the fleet.
 type Role uint8
 
 // The roles.
 const (
-	Control  Role = iota // named in the settings: takes part in the replicated record, and serves the view
-	Attached             // not named: keeps links to two control members
+	Control  Role = iota // named in the settings; takes part in the replicated log and serves the view
+	Attached             // not named in the settings; keeps links to two control members
 )
 
 // String returns the role's name as operators see it.
@@ -50,15 +53,15 @@
 	return [...]string{"control", "attached"}[r]
 }
 
-// State is how a front end is seen.
+// State is the state of a front end as seen by others.
 type State uint8
 
 // The states.
 const (
 	Alive   State = iota // seen recently
-	Suspect              // not seen anywhere for a while, or its home is absent
-	Dead                 // not seen anywhere for long
-	Left                 // announced that it leaves, and was not seen since
+	Suspect              // not seen by any home for a while, or its home is absent
+	Dead                 // not seen by any home for longer
+	Left                 // announced its shutdown and was not seen afterwards
 )
 
 // String returns the state's name as operators see it.
@@ -69,18 +72,18 @@
 	return [...]string{"alive", "suspect", "dead", "left"}[s]
 }
 
-// strength orders the states by how much they count where homes report different ones: a process that is alive at any
-// home is alive, and one is dead only if no home reports another state.
-func (s State) strength() int { return [...]int{Alive: 3, Left: 2, Suspect: 1, Dead: 0}[s] }
+// precedence ranks the states for merging different reports about one process; the highest wins. A process that is
+// Alive at any home is Alive, and it is Dead only if no home reports another state.
+func (s State) precedence() int { return [...]int{Alive: 3, Left: 2, Suspect: 1, Dead: 0}[s] }
 
 // Entry is one front end in the view.
 type Entry struct {
 	Name        string
 	Zone        string
 	Role        Role
-	Incarnation uint64 // identifies the process; a restart has another
+	Incarnation uint64 // identifies the process; each restart gets a new one
 	State       State
-	Home        string // the control member that serves its view; for a control member its own name
+	Home        string // the control member that serves its view; a control member is its own home
 }
 
 // ControlMember is a control member as package heartbeat sees it.
@@ -88,9 +91,9 @@
 	Name            string
 	Zone            string
 	Incarnation     uint64          // 0: never seen
-	State           State           // also Alive if only other control members receive its heartbeats
+	State           State           // Alive also if only other control members receive its heartbeats
 	IndirectlyAlive bool            // Alive, but only other control members receive its heartbeats
-	ChallengedAt    monotime.Micros // when its process answered its first challenge here; 0 if not known
+	ChallengedAt    monotime.Micros // when its process answered its first challenge from this side; 0 if not known
 }
 
 // Link is an authenticated link of an attached front end to this control member.
@@ -98,18 +101,18 @@
 	From         string
 	Zone         string
 	Incarnation  uint64
-	ChallengedAt monotime.Micros // when this side challenged it
+	ChallengedAt monotime.Micros // when this side sent the challenge for the link
 }
 
-// Kind is the kind of a message; package transport gives each a kind of frame.
+// Kind is the kind of a message. Package transport has a frame kind for each.
 type Kind uint8
 
 // The kinds.
 const (
-	Heartbeat   Kind = iota + 1 // attached to control
-	ViewUpdate                  // control to attached: an answer to a heartbeat, changes or a snapshot
-	TablePull                   // control to control: requests a table
-	TableUpdate                 // control to control: changes or a snapshot of a table
+	Heartbeat   Kind = iota + 1 // from an attached front end to a control member
+	ViewUpdate                  // from a control member to an attached front end: an answer, changes or full buckets
+	TablePull                   // between control members: requests a table or its changes
+	TableUpdate                 // between control members: changes or a snapshot of a table
 )
 
 // String returns the kind's name as operators see it.
@@ -120,15 +123,15 @@
 	return [...]string{"", "heartbeat", "view", "pull", "table"}[k]
 }
 
-// Message is a message to be sent. Its body may be shared with other messages and must not be changed.
+// Message is a message to send. Its body may be shared with other messages and must not be modified.
 type Message struct {
-	To          string // the receiver's name
-	Incarnation uint64 // 0: to a control member; else to that process of an attached front end
+	To          string // name of the receiver
+	Incarnation uint64 // 0 if To is a control member, else the receiving process of an attached front end
 	Kind        Kind
-	Bulk        bool // may wait behind others
+	Bulk        bool // may be sent after messages that are not bulk
 	Body        []byte
 }
 
-// maxQueuedMessages bounds the messages that wait to be taken by Actions. Further ones are dropped; the versions in
-// later messages show the loss.
+// maxQueuedMessages limits the messages that wait for TakeMessages. Further ones are dropped; receivers detect the loss
+// by the versions in later messages.
 const maxQueuedMessages = 1 << 16
--- a/fleet/membership/merge.go
+++ b/fleet/membership/merge.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// recompareTimeout is for how long after a change two processes of one name are compared again with each batch: the
-	// estimate of another member's clock gets better with each message.
+	// recompareTimeout is how long after a change the processes of a contested name are compared again with each batch,
+	// since the estimated offset to another control member's clock improves with each message.
 	recompareTimeout = 5 * monotime.Second
-	// tableAwaitTimeout is how long the table of a control member that has come back is awaited before the others'
-	// reports that a front end is dead count without it: longer than it takes, and so short that a control member which
-	// never sends its table does not delay deaths for long.
+	// tableAwaitTimeout is how long to wait for the table of a control member that has come back. Until it arrives,
+	// other tables' reports that a front end is dead are withheld. The time-out is longer than the table normally
+	// takes, but short enough that a control member that never sends its table does not delay reports of deaths for
+	// long.
 	tableAwaitTimeout = 3 * monotime.Second
 )
 
-// mergedName is what all homes' tables report of one name, and the state of merging that into the view.
+// mergedName holds the entries of one name in all homes' tables, and the state of merging them into the view.
 type mergedName struct {
 	name           string
-	entries        []*tableEntry   // by home and epoch
+	entries        []*tableEntry   // sorted by home and epoch
 	dirty          bool            // is in Server.dirtyNames
 	watched        bool            // is in Server.watchedNames
-	laterDeadSince monotime.Micros // since when the later process is dead and another is alive; 0 if that is not so
-	deathWithheld  bool            // it is Dead by the tables that were received, and another is awaited
-	contested      bool            // there are two processes that may each be the later
-	recompareUntil monotime.Micros // until when they are compared again
-	damping        damping         // of its changes
+	laterDeadSince monotime.Micros // since when the later process is Dead or Left and another is Alive; 0 if neither
+	deathWithheld  bool            // Dead by the received tables, but shown as Suspect while another table is awaited
+	contested      bool            // an earlier process is not known for sure to be superseded
+	recompareUntil monotime.Micros // until when the processes of a contested name are compared again
+	damping        damping         // limits the rate of its published changes
 }
 
-// mergedName returns the state of a name, and creates it if there is none yet.
+// mergedName returns the state of a name, creating it if necessary.
 func (s *Server) mergedName(name string) *mergedName {
 	n := s.names[name]
 	if n == nil {
@@ -40,7 +41,7 @@
 	return n
 }
 
-// replaceEntry replaces one entry by another; either may be nil.
+// replaceEntry replaces an entry by another. Either may be nil, to add or remove an entry.
 func (n *mergedName) replaceEntry(old, current *tableEntry) {
 	if old != nil {
 		n.entries = slices.DeleteFunc(n.entries, func(e *tableEntry) bool { return e == old })
@@ -57,7 +58,7 @@
 	return cmp.Or(cmp.Compare(a.table.home, b.table.home), cmp.Compare(a.table.epoch, b.table.epoch))
 }
 
-// markNameDirty notes that a name is to be merged with the next batch.
+// markNameDirty schedules a name to be merged with the next batch.
 func (s *Server) markNameDirty(n *mergedName) {
 	if !n.dirty {
 		n.dirty = true
@@ -65,14 +66,14 @@
 	}
 }
 
-// markTableDirty notes that all names of a table are to be merged.
+// markTableDirty schedules all names of a table to be merged with the next batch.
 func (s *Server) markTableDirty(t *table) {
 	for _, name := range t.sortedNames() {
 		s.markNameDirty(s.mergedName(name))
 	}
 }
 
-// mergedEntry returns how a name is to be shown; ok is false if it is not to be shown.
+// mergedEntry returns the entry that the view should have for a name; ok is false if it should have none.
 func (s *Server) mergedEntry(n *mergedName) (e change, ok bool) {
 	if m := s.membersByName[n.name]; m != nil {
 		return m.viewChange(), m.Incarnation != 0
@@ -81,7 +82,7 @@
 		return e, false
 	}
 	chosen := s.chooseProcess(n)
-	entry := chosen.strongest
+	entry := chosen.bestEntry
 	e.Entry = Entry{
 		Name:        entry.name,
 		Zone:        entry.zone,
@@ -98,23 +99,23 @@
 	return e, true
 }
 
-// viewChange returns how a control member is to be shown.
+// viewChange returns the entry that the view should have for a control member.
 func (m *memberState) viewChange() change {
 	e := Entry{Name: m.Name, Zone: m.Zone, Role: Control, Incarnation: m.Incarnation, State: m.State, Home: m.Name}
 	return change{Entry: e, challengedAt: m.ChallengedAt}
 }
 
-// isShownDead reports whether the view already shows that process as Dead.
+// isShownDead reports whether the view already shows the entry's process as Dead.
 func (s *Server) isShownDead(e *Entry) bool {
 	old := s.view.byName[e.Name]
 	return old != nil && old.Incarnation == e.Incarnation && old.State == Dead
 }
 
-// allTablesReceived reports whether the tables of all present control members were received, as far as they were
-// announced. A control member that was never seen may be present as long as this process has only just begun.
+// allTablesReceived reports whether no table of another control member is awaited any more.
 func (s *Server) allTablesReceived() bool { return !s.hasOtherMember(s.isTableAwaited) }
 
-// isTableAwaited reports whether the table of another control member is still to be received.
+// isTableAwaited reports whether the latest announced table of another control member has not been received yet and may
+// still arrive in time. Shortly after this process has started, that includes control members that were never seen.
 func (s *Server) isTableAwaited(m *memberState) bool {
 	switch {
 	case m.Incarnation == 0:
@@ -126,7 +127,8 @@
 	return t == nil || !t.upToDate
 }
 
-// mergeDirtyNames returns the changes of the view, sorted by name, as far as the rate limit of each name allows.
+// mergeDirtyNames returns the changes that the dirty names make to the view, sorted by name. Names over their rate
+// limit stay dirty.
 func (s *Server) mergeDirtyNames() (changes []change) {
 	s.tablesComplete = s.allTablesReceived()
 	s.recheckWatchedNames()
@@ -157,7 +159,7 @@
 	return changes
 }
 
-// recheckWatchedNames marks the watched names dirty, and stops watching those that need it no more.
+// recheckWatchedNames marks all watched names dirty and stops watching those that no longer need it.
 func (s *Server) recheckWatchedNames() {
 	s.watchedNames = slices.DeleteFunc(s.watchedNames, func(n *mergedName) bool {
 		s.markNameDirty(n)
@@ -173,13 +175,13 @@
 	}
 }
 
-// needsRecheck reports whether a name is to be merged again without a change of its entries.
+// needsRecheck reports whether a name must be merged again even if its entries do not change.
 func (s *Server) needsRecheck(n *mergedName) bool {
 	return n.laterDeadSince != 0 || n.deathWithheld || n.contested && s.now < n.recompareUntil
 }
 
-// viewChange returns the change that brings the view up to date with a name, if there is one. capacity is how many more
-// attached front ends the view may have.
+// viewChange returns the change that brings the view up to date for a name; differs is false if none is needed or the
+// view is full. capacity is how many more attached front ends the view may have.
 func (s *Server) viewChange(n *mergedName, capacity int) (c change, differs bool) {
 	e, shown := s.mergedEntry(n)
 	old := s.view.byName[n.name]
@@ -197,7 +199,7 @@
 	return e, true
 }
 
-// removeUnused removes the state of a name that no table has.
+// removeUnused removes the state of a name that is in no table and is not a control member.
 func (s *Server) removeUnused(n *mergedName) {
 	if len(n.entries) == 0 && s.membersByName[n.name] == nil {
 		delete(s.names, n.name)
--- a/fleet/membership/process.go
+++ b/fleet/membership/process.go
@@ -7,20 +7,20 @@
 	"chutechute/internal/monotime"
 )
 
-// reinstateDelay is for how long a process must be alive beside a later one of its name that is dead before it is shown
-// instead.
+// reinstateDelay is how long a process must be Alive while a later one of its name is Dead or Left before it is shown
+// in place of the later one.
 const reinstateDelay = 10 * monotime.Second
 
-// process is one process of a name, merged over its table entries.
+// process is what the table entries report about one process of a name.
 type process struct {
 	incarnation  uint64
-	challengedAt monotime.Micros // the latest of its entries'
-	strongest    *tableEntry     // the entry that counts most
-	superseded   bool
+	challengedAt monotime.Micros // the latest time in its entries
+	bestEntry    *tableEntry     // the entry that takes precedence
+	superseded   bool            // a home has seen a later process of the name
 }
 
-// isLaterThan orders two processes of one name: by what a home has seen of both, else by when they were challenged,
-// then by number.
+// isLaterThan orders two processes of one name: by whether one of them is superseded, then by the times of their
+// challenges, then by incarnation.
 func (p *process) isLaterThan(other *process) bool {
 	if p.superseded != other.superseded {
 		return other.superseded
@@ -29,8 +29,8 @@
 	return cmp.Or(byTime, cmp.Compare(p.incarnation, other.incarnation)) > 0
 }
 
-// processes returns the processes of a name that its entries report. Entries are sorted by home, so that the first of
-// equals stays.
+// processes returns the processes that the entries of a name report. Of entries with the same precedence the first one,
+// by home, is used.
 func (s *Server) processes(n *mergedName) (list []process) {
 	for _, e := range n.entries {
 		index := slices.IndexFunc(list, func(p process) bool { return p.incarnation == e.incarnation })
@@ -41,24 +41,24 @@
 		}
 		p := &list[index]
 		p.challengedAt = max(p.challengedAt, e.localChallengedAt())
-		if p.strongest.isOverruled(n.entries) || e.outranks(p.strongest) && !e.isOverruled(n.entries) {
-			p.strongest = e
+		if p.bestEntry.isOverruled(n.entries) || e.outranks(p.bestEntry) && !e.isOverruled(n.entries) {
+			p.bestEntry = e
 		}
 	}
 	return list
 }
 
-// chooseProcess returns the process to be shown. The order of processes is an estimate if no home has seen both, so a
-// process that stays alive beside a dead later one is shown in the end.
+// chooseProcess returns the process to show. The order of two processes is only an estimate if no home has seen both. A
+// process that stays Alive while a supposedly later one is Dead or Left is therefore shown after reinstateDelay.
 func (s *Server) chooseProcess(n *mergedName) process {
 	list := s.processes(n)
-	newest := newestProcess(list, func(*process) bool { return true })
-	alive := newestProcess(list, func(p *process) bool { return !p.superseded && p.strongest.currentState() == Alive })
-	n.contested = slices.ContainsFunc(list, func(p process) bool { return p != list[newest] && !p.superseded })
-	state := list[newest].strongest.currentState()
-	if alive < 0 || alive == newest || state != Dead && state != Left {
+	latest := latestProcess(list, func(*process) bool { return true })
+	alive := latestProcess(list, func(p *process) bool { return !p.superseded && p.bestEntry.currentState() == Alive })
+	n.contested = slices.ContainsFunc(list, func(p process) bool { return p != list[latest] && !p.superseded })
+	state := list[latest].bestEntry.currentState()
+	if alive < 0 || alive == latest || state != Dead && state != Left {
 		n.laterDeadSince = 0
-		return list[newest]
+		return list[latest]
 	}
 	if n.laterDeadSince == 0 {
 		n.laterDeadSince = s.now
@@ -66,16 +66,16 @@
 	if s.now-n.laterDeadSince >= reinstateDelay {
 		return list[alive]
 	}
-	return list[newest]
+	return list[latest]
 }
 
-// newestProcess returns the index of the latest of the processes that satisfy a condition; -1 if none does.
-func newestProcess(list []process, condition func(*process) bool) int {
-	newest := -1
+// latestProcess returns the index of the latest process that satisfies a condition, or -1 if none does.
+func latestProcess(list []process, condition func(*process) bool) int {
+	latest := -1
 	for i := range list {
-		if condition(&list[i]) && (newest < 0 || list[i].isLaterThan(&list[newest])) {
-			newest = i
+		if condition(&list[i]) && (latest < 0 || list[i].isLaterThan(&list[latest])) {
+			latest = i
 		}
 	}
-	return newest
+	return latest
 }
--- a/fleet/membership/ratelimit.go
+++ b/fleet/membership/ratelimit.go
@@ -2,8 +2,8 @@
 
 import "chutechute/internal/monotime"
 
-// rateLimit bounds how often something happens: burst times at once, and then once in each interval. It is the generic
-// cell rate algorithm, whose whole state is when the next event would be due if all came evenly.
+// rateLimit limits events to a burst and then one in each interval. It uses the generic cell rate algorithm (GCRA),
+// whose only state is the time at which the next event would be due if all events were evenly spaced.
 type rateLimit struct {
 	interval monotime.Micros
 	burst    int
@@ -11,23 +11,23 @@
 
 // The rate limits.
 var (
-	// changeRateLimit is of changes published about one name: twenty at once, then six a minute. A crash and the start
-	// after it are up to five changes: suspect, dead, alive at one home, alive at the other, and served by it. So four
-	// of them in a row are published without delay.
+	// changeRateLimit limits the published changes of one name to a burst of twenty and then six a minute. A crash and
+	// restart take up to five changes: Suspect, Dead, Alive at one home, Alive at the other, and served by that one. So
+	// four restarts in a row are published without delay.
 	changeRateLimit = rateLimit{10 * monotime.Second, 20}
-	// repairRateLimit is of snapshots and repairs to one link.
+	// repairRateLimit limits the snapshots and digest repairs sent to one process.
 	repairRateLimit = rateLimit{3 * monotime.Second, 4}
-	// catchUpRateLimit is of changes from the log to one link.
+	// catchUpRateLimit limits the updates from the log sent to one process.
 	catchUpRateLimit = rateLimit{500 * monotime.Millisecond, 8}
-	// pullRateLimit is of pulls of one table: an answer that is not lost takes less than the interval.
+	// pullRateLimit limits the pulls of one table. An answer that is not lost arrives within the interval.
 	pullRateLimit = rateLimit{200 * monotime.Millisecond, 1}
-	// answerRateLimit is of answers to pulls of one table by one control member.
+	// answerRateLimit limits the answers to one control member's pulls of one table.
 	answerRateLimit = rateLimit{200 * monotime.Millisecond, 3}
-	// mismatchRateLimit is of pulls of one table because its digest differs.
+	// mismatchRateLimit limits the pulls of one table that are made because its digest differs.
 	mismatchRateLimit = rateLimit{5 * monotime.Second, 2}
 )
 
-// allow reports whether the event may happen now, and counts it if so. due is the state, 0 at first.
+// allow reports whether an event may happen now, and counts it if so. due is the state, initially 0.
 func (r rateLimit) allow(now monotime.Micros, due *monotime.Micros) bool {
 	if *due-now > r.interval*monotime.Micros(r.burst-1) {
 		return false
@@ -36,13 +36,13 @@
 	return true
 }
 
-// damping bounds the published changes of one name.
+// damping limits the published changes of one name.
 type damping struct {
 	due     monotime.Micros // state of changeRateLimit
-	delayed bool            // a change waits
+	delayed bool            // a change is waiting
 }
 
-// allow reports whether a change may be published now. damped counts the changes that have to wait.
+// allow reports whether a change may be published now. damped is incremented when a change starts to wait.
 func (d *damping) allow(now monotime.Micros, damped *int) bool {
 	allowed := changeRateLimit.allow(now, &d.due)
 	if !allowed && !d.delayed {
@@ -52,25 +52,25 @@
 	return allowed
 }
 
-// clear notes that no change waits any more.
+// clear records that no change is waiting any more.
 func (d *damping) clear() { d.delayed = false }
 
-// snapshotRateLimit is of the bytes of snapshots to one name, whichever its process, so that a front end that restarts
-// again and again does not make its home send a large view each time. It is half of the 11 KB a second that a front end
-// may receive and send.
+// snapshotRateLimit limits the bytes of the snapshots sent to one name, over all its processes, so that a front end
+// that restarts repeatedly does not make its home send a large view each time. It is about half of the 11 KB per second
+// that a front end may receive and send.
 var snapshotRateLimit = byteRateLimit{bytesPerSecond: 5_000, burstWindow: 5 * monotime.Second}
 
-// byteRateLimit bounds bytes: so many a second, and those of a window at once. What is larger is allowed if nothing
-// else was sent recently.
+// byteRateLimit limits bytes to a rate with bursts. An item of any size is allowed as long as the bytes already
+// recorded are at most burstWindow ahead of the rate.
 type byteRateLimit struct {
 	bytesPerSecond int64
 	burstWindow    monotime.Micros
 }
 
-// allows reports whether something may be sent now. due is the state, 0 at first.
+// allows reports whether an item may be sent now. due is the state, initially 0.
 func (r byteRateLimit) allows(now, due monotime.Micros) bool { return due-now <= r.burstWindow }
 
-// record counts what is sent.
+// record counts a sent item.
 func (r byteRateLimit) record(now monotime.Micros, bytes int, due *monotime.Micros) {
 	*due = max(*due, now) + monotime.Micros(bytes)*monotime.Second/r.bytesPerSecond
 }
--- a/fleet/membership/server.go
+++ b/fleet/membership/server.go
@@ -8,14 +8,16 @@
 )
 
 const (
-	// selfSuspicionTimeout is how much longer a home that suspects itself keeps unresponsive front ends Suspect.
+	// selfSuspicionTimeout is how much longer a home that suspects itself to be cut off keeps unresponsive front ends
+	// Suspect.
 	selfSuspicionTimeout = 10 * monotime.Second
-	// retentionTime is how long a front end that is Dead or Left, and the table of a home's past process, are retained.
+	// retentionTime is how long the lease of a front end that is Dead or Left is retained, and the table of a home's
+	// process that is absent or superseded.
 	retentionTime = 600 * monotime.Second
 )
 
-// Server is the part of a control member: the home of the front ends attached to it, a replica of all other homes'
-// tables, and the source of the view for its subscribers. It is not safe for concurrent use.
+// Server implements membership for a control member. It is the home of the front ends attached to it, replicates the
+// tables of all other homes, and serves the view to its subscribers. It is not safe for concurrent use.
 type Server struct {
 	// Counters may be read at any time.
 	Counters Counters
@@ -25,34 +27,34 @@
 	started bool
 	leaving bool
 
-	maxAttached       int             // entries of attached front ends that the view may have
-	attachedCount     int             // entries of attached front ends that the view has
-	lastBatchAt       monotime.Micros // when the last batch was made
-	allVersionsSentAt monotime.Micros // when the versions of all tables were sent
+	maxAttached       int             // limit on the view's entries of attached front ends
+	attachedCount     int             // the view's entries of attached front ends
+	lastBatchAt       monotime.Micros // when the last batch was published
+	allVersionsSentAt monotime.Micros // when the versions of all tables were last sent
 
-	members       []*memberState // by name, including this one
+	members       []*memberState // sorted by name, including this one
 	membersByName map[string]*memberState
 	self          *memberState
 
 	ownTable           *table
-	leases             []*lease // by name
+	leases             []*lease // sorted by name
 	leasesByName       map[string]*lease
-	dirtyLeases        []*lease        // whose table entry may have to change
-	removedNames       []string        // whose table entry is to be removed
+	dirtyLeases        []*lease        // their table entries may have to change
+	removedNames       []string        // their table entries are to be removed
 	selfSuspicionUntil monotime.Micros // when the last self-suspicion ends
 
-	tablesComplete bool // no table is awaited that might report as alive a process that is dead by the others
+	tablesComplete bool // no awaited table could still show that a process reported as dead is alive
 
 	names        map[string]*mergedName
 	dirtyNames   []*mergedName  // to be merged with the next batch
 	watchedNames []*mergedName  // to be merged again with each batch
-	superseded   incarnationSet // processes that have certainly ended
+	superseded   incarnationSet // processes that a home has seen superseded, which have ended for certain
 
 	view       *View
-	sequence   uint64 // of the view's batches
-	log        changeLog
+	sequence   uint64    // number of the view's last batch
+	log        changeLog // of the view
 	compressor compressor
-	snapshot   []byte // of the full view at the sequence; nil if it is not made
+	snapshot   []byte // encoded snapshot of the view at that sequence; nil until it is needed
 
 	outgoing     []Message
 	linksToClose []Link
@@ -85,14 +87,14 @@
 			s.addMember(ControlMember{Name: c.Name, Zone: c.Zone, State: Dead})
 		}
 	}
-	// Attached front ends leave room for the control members.
+	// Entries are reserved for the control members.
 	s.maxAttached = cfg.MaxEntries - len(s.members) - 1
 	s.self = s.addMember(ControlMember{Name: cfg.Name, Zone: cfg.Zone, Incarnation: cfg.Incarnation, State: Alive})
 	slices.SortFunc(s.members, compareMemberName)
 }
 
-// advanceClock sets the time. A gap above the PauseThreshold shows that this process was stopped: the leases are
-// extended by it.
+// advanceClock sets the time. A gap above PauseThreshold shows that this process was paused; the leases are extended by
+// the gap.
 func (s *Server) advanceClock(now monotime.Micros) {
 	if gap := now - s.now; s.started && gap > s.cfg.PauseThreshold {
 		s.Counters.Pauses++
@@ -100,13 +102,13 @@
 	}
 	if !s.started {
 		s.self.presentSince = now
-		s.self.ChallengedAt = cmp.Or(now, zeroTimeSubstitute) // it began before any other challenges it
+		s.self.ChallengedAt = cmp.Or(now, zeroTimeSubstitute) // it started before any other process could challenge it
 	}
 	s.started = true
 	s.now = max(s.now, now)
 }
 
-// extendLeases extends all leases, and what depends on the absence of homes, by the time that this process was stopped.
+// extendLeases extends all leases, and the time-outs of absent homes, by the time that this process was paused.
 func (s *Server) extendLeases(gap monotime.Micros) {
 	for _, l := range s.leases {
 		l.lastSeen += gap
@@ -122,8 +124,8 @@
 	}
 }
 
-// Tick advances the time; controls are the other control members as package heartbeat sees them now. It is to be called
-// at least every PauseThreshold, and every BatchDelay if changes are to be published in time.
+// Tick advances the time; controls are the other control members as package heartbeat currently sees them. It must be
+// called at least every PauseThreshold, and every BatchDelay for changes to be published in time.
 func (s *Server) Tick(now monotime.Micros, controls []ControlMember) {
 	s.advanceClock(now)
 	for i := range controls {
@@ -139,7 +141,7 @@
 	s.publishView()
 }
 
-// Leave announces that this control member ends as planned, so that its attached front ends go elsewhere.
+// Leave announces the planned shutdown of this control member, so that its attached front ends move to others.
 func (s *Server) Leave() {
 	if s.leaving {
 		return
@@ -154,7 +156,7 @@
 	}
 }
 
-// send queues a message. Beyond the limit it is dropped.
+// send queues a message, or drops it if the queue is full.
 func (s *Server) send(m Message) {
 	if len(s.outgoing) < maxQueuedMessages {
 		s.outgoing = append(s.outgoing, m)
@@ -166,15 +168,15 @@
 	s.send(Message{To: l.name, Incarnation: l.incarnation, Kind: ViewUpdate, Bulk: bulk, Body: body})
 }
 
-// TakeMessages returns the messages that are to be sent, and removes them from the server.
+// TakeMessages returns the messages to send and removes them from the server.
 func (s *Server) TakeMessages() []Message {
 	messages := s.outgoing
 	s.outgoing = nil
 	return messages
 }
 
-// LinksToClose returns the links that are to be closed, and removes them from the server: those of superseded processes
-// or of front ends that may not attach, and surplus ones of a process.
+// LinksToClose returns the links to close and removes them from the server: links of superseded processes, links of
+// front ends that may not attach, and links of a process above the limit.
 func (s *Server) LinksToClose() []Link {
 	links := s.linksToClose
 	s.linksToClose = nil
@@ -182,11 +184,11 @@
 	return links
 }
 
-// View returns the merged view. It changes with the calls of the server's other methods.
+// View returns the merged view. Calls to other methods of the server may change it.
 func (s *Server) View() *View { return s.view }
 
-// HomeOf returns the control member that has a link to that process of an attached front end now; ok is false if none
-// is known here.
+// HomeOf returns a control member that, as far as is known here, has a link to that process of an attached front end:
+// this one if it has, else preferably the home in the view. ok is false if there is none.
 func (s *Server) HomeOf(incarnation uint64) (control string, ok bool) {
 	e := s.view.byIncarnation[incarnation]
 	if e == nil || e.Role != Attached {
--- a/fleet/membership/subscription.go
+++ b/fleet/membership/subscription.go
@@ -8,42 +8,44 @@
 )
 
 const (
-	// maxRepairsInARow is how many repairs a subscriber gets without ever agreeing; then its link is closed.
-	maxRepairsInARow = 6
-	// snapshotThreshold is the number of differing buckets from which the shared snapshot of all is cheaper.
+	// maxConsecutiveRepairs is the number of repairs that a subscriber gets while its view never matches. Instead of a
+	// further one, its link is closed.
+	maxConsecutiveRepairs = 6
+	// snapshotThreshold is the number of differing buckets from which a snapshot, which all subscribers share, is
+	// cheaper than the buckets.
 	snapshotThreshold = 40
 )
 
-// subscriptionState is whether an attached front end gets the view from here.
+// subscriptionState tells whether an attached front end receives the view from this control member.
 type subscriptionState uint8
 
 // The states of a subscription.
 const (
 	unsubscribed subscriptionState = iota
-	lagging                        // it has missed batches, or is not known to have all
-	streaming                      // it is sent each batch, and was sent all before
+	lagging                        // it has missed batches, or is not known to have all of them
+	streaming                      // it has been sent all batches so far, and is sent each new one
 )
 
-// subscription is what is known of an attached front end as a subscriber to the view.
+// subscription is the state of an attached front end as a subscriber to the view.
 type subscription struct {
-	state         subscriptionState
-	repairsInARow int             // since its view last agreed
-	repairDue     monotime.Micros // state of repairRateLimit
-	catchUpDue    monotime.Micros // state of catchUpRateLimit
+	state              subscriptionState
+	consecutiveRepairs int             // repairs since its view last matched
+	repairDue          monotime.Micros // state of repairRateLimit
+	catchUpDue         monotime.Micros // state of catchUpRateLimit
 }
 
 // isActive reports whether the front end subscribes to the view.
 func (s *subscription) isActive() bool { return s.state != unsubscribed }
 
-// interrupt notes that the front end may miss a batch.
+// interrupt records that the front end may have missed a batch.
 func (s *subscription) interrupt() {
 	if s.state == streaming {
 		s.state = lagging
 	}
 }
 
-// publishView makes one batch of what changed in the merged view, and pushes it to the subscribers that have all
-// before.
+// publishView applies the changes of the merged view as one batch and pushes it to the subscribers that have all
+// earlier batches.
 func (s *Server) publishView() {
 	changes := s.mergeDirtyNames()
 	if len(changes) == 0 {
@@ -68,7 +70,7 @@
 	}
 }
 
-// versionMessage returns a message of the view's version.
+// versionMessage returns a message with the version of the view and no entries.
 func (s *Server) versionMessage() viewMessage {
 	return viewMessage{
 		epoch:    s.cfg.Incarnation,
@@ -93,7 +95,7 @@
 	return m.encode()
 }
 
-// snapshotMessage returns the snapshot of the view as it is, made once and shared.
+// snapshotMessage returns a snapshot of the current view, which is encoded once for all subscribers.
 func (s *Server) snapshotMessage() []byte {
 	if s.snapshot == nil {
 		s.snapshot = s.bucketsMessage(allBuckets)
@@ -101,8 +103,8 @@
 	return s.snapshot
 }
 
-// Receive takes a message of an attached front end. Its errors wrap ErrUnexpectedKind, ErrMalformed, ErrNameMismatch,
-// ErrSuperseded, ErrTooManyEntries or ErrDigestMismatch; the link is to be closed.
+// Receive handles a message from an attached front end. Its errors wrap ErrUnexpectedKind, ErrMalformed,
+// ErrNameMismatch, ErrSuperseded, ErrTooManyEntries or ErrDigestMismatch; the caller must then close the link.
 func (s *Server) Receive(now monotime.Micros, link Link, kind Kind, body []byte) error {
 	s.advanceClock(now)
 	if kind != Heartbeat {
@@ -115,7 +117,7 @@
 	}
 	if h.name != link.From {
 		s.Counters.NameMismatches++
-		return fmt.Errorf("%w: %q over the link of %q", ErrNameMismatch, h.name, link.From)
+		return fmt.Errorf("%w: heartbeat of %q over the link of %q", ErrNameMismatch, h.name, link.From)
 	}
 	l, err := s.renewLease(link)
 	if err != nil {
@@ -127,7 +129,7 @@
 	return s.answer(l, &h)
 }
 
-// setSubscribed takes whether a front end subscribes to the view.
+// setSubscribed records whether a front end subscribes to the view.
 func (s *Server) setSubscribed(l *lease, subscribed bool) {
 	if l.subscription.isActive() == subscribed {
 		return
@@ -139,13 +141,13 @@
 	s.markLeaseDirty(l)
 }
 
-// answer sends the view's version, and to a subscriber what it lacks.
+// answer answers a heartbeat with the version of the view, and sends a subscriber what its view lacks.
 func (s *Server) answer(l *lease, h *heartbeat) error {
 	answer := s.versionMessage()
 	answer.isAnswer, answer.heartbeatSentAt = true, h.sentAt
-	agrees := s.knowsView(h)
+	agrees := s.isKnownVersion(h)
 	if agrees {
-		l.subscription.repairsInARow = 0
+		l.subscription.consecutiveRepairs = 0
 	}
 	var update []byte
 	if h.subscribe {
@@ -162,21 +164,22 @@
 	return nil
 }
 
-// knowsView reports whether a front end's view is one that this control member has had, as far back as the log reaches.
-func (s *Server) knowsView(h *heartbeat) bool {
+// isKnownVersion reports whether a front end's view is the current or an earlier version of the view here, as far back
+// as the log reaches.
+func (s *Server) isKnownVersion(h *heartbeat) bool {
 	digest, ok := s.log.digestAt(h.sequence)
 	return ok && h.epoch == s.cfg.Incarnation && digest == h.digest
 }
 
-// missingUpdate returns what a subscriber lacks: nothing, changes from the log, or the buckets that differ.
-// needsDigests is set if the subscriber has to send its bucket digests first.
+// missingUpdate returns the message that brings a subscriber up to date: none, changes from the log, or the buckets
+// that differ. needsDigests is set if the subscriber has to send its bucket digests first.
 func (s *Server) missingUpdate(l *lease, h *heartbeat, agrees bool) (body []byte, needsDigests bool, err error) {
 	switch {
 	case agrees && h.sequence == s.sequence:
 		l.subscription.state = streaming
 		return nil, false, nil
 	case l.subscription.state == streaming && !h.resume:
-		return nil, false, nil // what it lacks is on its way
+		return nil, false, nil // the missing batches have been sent already
 	case agrees:
 		return s.catchUp(l, h), false, nil
 	case h.bucketDigests == nil && h.digest != 0:
@@ -187,7 +190,7 @@
 	return body, false, err
 }
 
-// catchUp returns the changes since the subscriber's version from the log, at a limited rate.
+// catchUp returns the changes since the subscriber's version, from the log. Its rate is limited.
 func (s *Server) catchUp(l *lease, h *heartbeat) []byte {
 	if !catchUpRateLimit.allow(s.now, &l.subscription.catchUpDue) {
 		s.Counters.RateLimited++
@@ -199,7 +202,7 @@
 	return s.changesMessage(h.sequence, s.view.changesOf(names))
 }
 
-// repairView returns the buckets of the view whose digests differ, at a limited rate.
+// repairView returns the buckets whose digests differ, or a snapshot if they are many. Its rate is limited.
 func (s *Server) repairView(l *lease, h *heartbeat) (body []byte, err error) {
 	mask := s.differingBuckets(h)
 	snapshot := bits.OnesCount64(mask) >= snapshotThreshold
@@ -208,9 +211,9 @@
 		s.Counters.RateLimited++
 		return nil, nil
 	}
-	if l.subscription.repairsInARow++; l.subscription.repairsInARow > maxRepairsInARow {
-		l.subscription.repairsInARow = 0 // its next link begins anew; the rate stays limited
-		return nil, fmt.Errorf("%w: after %d repairs of %q", ErrDigestMismatch, maxRepairsInARow, l.name)
+	if l.subscription.consecutiveRepairs++; l.subscription.consecutiveRepairs > maxConsecutiveRepairs {
+		l.subscription.consecutiveRepairs = 0 // the count starts again on its next link; the rate stays limited
+		return nil, fmt.Errorf("%w: after %d repairs of %q", ErrDigestMismatch, maxConsecutiveRepairs, l.name)
 	}
 	l.subscription.state = streaming
 	if !snapshot {
@@ -226,8 +229,8 @@
 	return body, nil
 }
 
-// differingBuckets returns the buckets whose digests are not those here; all if the heartbeat has no digests, and none
-// for the same view.
+// differingBuckets returns the mask of the buckets whose digests differ from those of the view here. It is all buckets
+// if the heartbeat has no bucket digests, and 0 if the views are the same.
 func (s *Server) differingBuckets(h *heartbeat) (mask uint64) {
 	if h.bucketDigests == nil {
 		return allBuckets
@@ -238,13 +241,13 @@
 		}
 	}
 	if mask == 0 && h.digest != s.view.Digest() {
-		return allBuckets // they differ where 32 bits don't show it
+		return allBuckets // some bucket differs only in bits above the 32 that are sent
 	}
 	return mask
 }
 
-// QueueFull reports that the queue of the link to that process was full. What is queued there is to be dropped; the
-// process resumes by its next heartbeat.
+// QueueFull tells the server that the outgoing queue of the link to that process was full. The caller must drop what is
+// queued there; the process resumes with its next heartbeat.
 func (s *Server) QueueFull(now monotime.Micros, name string, incarnation uint64) {
 	s.advanceClock(now)
 	s.Counters.FullQueues++
--- a/fleet/membership/subscription_test.go
+++ b/fleet/membership/subscription_test.go
@@ -229,7 +229,7 @@
 	}
 	require.ErrorIs(t, err, ErrDigestMismatch)
 	repairs += p.server.Counters.Snapshots + p.server.Counters.DigestRepairs
-	require.Equal(t, maxRepairsInARow, repairs)
+	require.Equal(t, maxConsecutiveRepairs, repairs)
 	p.server.LinkClosed(p.now, l)
 	l.ChallengedAt = p.now
 	p.server.LinkOpened(p.now, l)
@@ -246,7 +246,7 @@
 func TestSuccessfulRepairsDoNotCountAgainstASubscriber(t *testing.T) {
 	p := newServerAndClient(t, 20)
 	l := Link{From: "odd", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
-	for range 3 * maxRepairsInARow {
+	for range 3 * maxConsecutiveRepairs {
 		p.now += 10 * second
 		p.server.now = p.now // no pause
 		h := heartbeat{name: "odd", subscribe: true, resume: true}
--- a/fleet/membership/table.go
+++ b/fleet/membership/table.go
@@ -14,22 +14,24 @@
 	zone        string
 	incarnation uint64
 	state       State
-	servesView  bool // the home serves its view
-	// challengedAt is when it answered a challenge at its home, by the reporter's clock; clock is nil for this side's.
+	servesView  bool // the home serves it the view
+	// challengedAt is when its process first answered a challenge at its home, by the clock of the control member that
+	// sent the entry. clock is the offset to that clock, or nil if it is this process's own.
 	challengedAt monotime.Micros
 	clock        *clockOffset
-	// supersededIncarnations are the last few earlier processes of its name, in the order of challenges at its home.
+	// supersededIncarnations are the last few earlier processes of its name, in the order of their challenges at its
+	// home.
 	supersededIncarnations []uint64
-	removed                bool // in messages: the table has no such entry any more
+	removed                bool // only in messages: the entry was removed from the table
 
-	table     *table
-	deadSince monotime.Micros // when it was first Dead here
+	table     *table          // the table that contains the entry
+	deadSince monotime.Micros // when it was first received as Dead
 }
 
-// localChallengedAt returns when it answered its challenge, by this side's clock.
+// localChallengedAt returns challengedAt converted to this process's clock.
 func (e *tableEntry) localChallengedAt() monotime.Micros { return e.clock.toLocal(e.challengedAt) }
 
-// currentState returns the state that the entry is evidence for now.
+// currentState returns the entry's state, adjusted for the absence of its home.
 func (e *tableEntry) currentState() State {
 	switch {
 	case e.table.homePresent || e.state == Dead || e.state == Left:
@@ -40,13 +42,13 @@
 	return Suspect
 }
 
-// outranks reports whether an entry counts more for its process than another: by its state, then whether its home is
-// present, then whether its home serves the view.
+// outranks reports whether an entry takes precedence over another of the same process: by its state, then by whether
+// its home is present, then by whether its home serves the front end's view.
 func (e *tableEntry) outranks(other *tableEntry) bool {
-	strength, otherStrength := e.currentState().strength(), other.currentState().strength()
+	precedence, otherPrecedence := e.currentState().precedence(), other.currentState().precedence()
 	switch {
-	case strength != otherStrength:
-		return strength > otherStrength
+	case precedence != otherPrecedence:
+		return precedence > otherPrecedence
 	case e.table.homePresent != other.table.homePresent:
 		return e.table.homePresent
 	case e.servesView != other.servesView:
@@ -55,35 +57,35 @@
 	return false
 }
 
-// isOverruled reports whether a present home reports the end of a lease after this entry's home, which is absent, was
-// last alive. A lease that ended before proves nothing: that process may have moved to this entry's home, and may be
-// moving now.
+// isOverruled reports whether this entry, whose home is absent, is overruled by a present home that reported the end of
+// a lease of the same process after this entry's home was last Alive. A lease that ended earlier proves nothing: the
+// process may have moved from there to this entry's home, and may now be moving to another.
 func (e *tableEntry) isOverruled(all []*tableEntry) bool {
 	return e.currentState() == Suspect && e.table.homeUnresponsive && slices.ContainsFunc(all, e.isOverruledBy)
 }
 
-// isOverruledBy reports whether another entry of the process is such evidence.
+// isOverruledBy reports whether one other entry overrules this one.
 func (e *tableEntry) isOverruledBy(other *tableEntry) bool {
 	return other.incarnation == e.incarnation && other.table.homePresent && other.state == Dead &&
 		other.deadSince > e.table.homeLastAlive
 }
 
-// table is the front ends that are attached to one process of a home.
+// table lists the front ends that are attached to one process of a home.
 type table struct {
 	home          string
-	epoch         uint64 // the incarnation of the home's process
-	sequence      uint64 // of batches
-	contentDigest uint64 // over the entries
-	entries       map[string]*tableEntry
-	log           changeLog
-
-	announcedSequence uint64          // the latest sequence that was reported
-	upToDate          bool            // an announced sequence was reached once
-	homePresent       bool            // the home's process is Alive or Suspect, as package heartbeat sees it
-	homeLastAlive     monotime.Micros // when it was last Alive, if it is absent
-	homeAbsentSince   monotime.Micros
-	homeUnresponsive  bool // absent, and not seen for so long that a later Dead of another home counts more
-	evidenceExpired   bool // absent for so long that its entries are no evidence of life any more
+	epoch         uint64                 // the incarnation of the home's process
+	sequence      uint64                 // number of the last batch
+	contentDigest uint64                 // digest of all entries
+	entries       map[string]*tableEntry // by name
+	log           changeLog              // has no batches at a replica
+
+	announcedSequence uint64          // the latest sequence reported by a control member
+	upToDate          bool            // the table has once reached the announced sequence
+	homePresent       bool            // package heartbeat sees the home's process as Alive or Suspect
+	homeLastAlive     monotime.Micros // when the home was last Alive, if it is absent
+	homeAbsentSince   monotime.Micros // when it became absent
+	homeUnresponsive  bool            // absent, and last Alive so long ago that another home's later Dead overrules
+	evidenceExpired   bool            // absent for so long that its entries count as Dead
 
 	pullDue     monotime.Micros // state of pullRateLimit
 	mismatchDue monotime.Micros // state of mismatchRateLimit
@@ -93,7 +95,6 @@
 	return &table{home: home, epoch: epoch, entries: map[string]*tableEntry{}}
 }
 
-// version returns the table's version.
 func (t *table) version() tableVersion {
 	return tableVersion{t.home, t.epoch, t.sequence, t.contentDigest}
 }
@@ -101,7 +102,7 @@
 // sortedNames returns the names of the entries, sorted.
 func (t *table) sortedNames() []string { return slices.Sorted(maps.Keys(t.entries)) }
 
-// digestAfter returns the digest that the table would have after changes, which have each name once.
+// digestAfter returns the digest that the table would have after the changes, which contain each name only once.
 func (t *table) digestAfter(changes []tableEntry) uint64 {
 	digest := t.contentDigest
 	for i := range changes {
@@ -115,7 +116,7 @@
 	return digest
 }
 
-// changesTo returns the changes after which the table has just the entries, which are sorted by name.
+// changesTo returns the changes that make the table contain exactly the given entries, which are sorted by name.
 func (t *table) changesTo(entries []tableEntry) []tableEntry {
 	changes := slices.Clone(entries)
 	for _, name := range t.sortedNames() {
@@ -128,7 +129,7 @@
 
 func compareEntryName(e tableEntry, name string) int { return strings.Compare(e.name, name) }
 
-// put sets or removes one entry, and returns the old and the new one; nil for none.
+// put sets or removes one entry. It returns the old and the current entry, which are nil if there is none.
 func (t *table) put(e tableEntry) (old, current *tableEntry) {
 	old = t.entries[e.name]
 	if old != nil {
@@ -145,7 +146,7 @@
 	return old, current
 }
 
-// entriesOf returns the entries of names; names that the table lacks are marked as removed.
+// entriesOf returns the entries of the names. Names that are not in the table are marked as removed.
 func (t *table) entriesOf(names []string) []tableEntry {
 	entries := make([]tableEntry, 0, len(names))
 	for _, name := range names {
@@ -158,7 +159,8 @@
 	return entries
 }
 
-// messageSince returns the changes after a sequence if the log reaches back to it, else the full table.
+// messageSince returns a message with the changes after a sequence, or with the full table if that is requested or the
+// log does not reach back to the sequence.
 func (t *table) messageSince(sequence uint64, full bool) *tableMessage {
 	if names, ok := t.log.changedSince(sequence); ok && !full {
 		return &tableMessage{tableVersion: t.version(), baseSequence: sequence, entries: t.entriesOf(names)}
--- a/fleet/membership/tablemessage.go
+++ b/fleet/membership/tablemessage.go
@@ -7,21 +7,21 @@
 	"chutechute/internal/monotime"
 )
 
-// maxReportedSuperseded bounds the superseded incarnations that a table's entry reports.
+// maxReportedSuperseded limits the superseded incarnations that a table entry reports.
 const maxReportedSuperseded = 4
 
-// versionCapacity is the bytes that suffice for most encoded versions.
+// versionCapacity is a buffer size that most encoded versions fit into, in bytes.
 const versionCapacity = 64
 
-// tableVersion is a version of a home's table.
+// tableVersion identifies a version of a home's table.
 type tableVersion struct {
 	home     string
 	epoch    uint64 // the incarnation of the home's process
 	sequence uint64
-	digest   uint64 // over the entries
+	digest   uint64 // of all entries
 }
 
-// fields lists the version's fields, which stand first in a tableMessage too.
+// fields encodes or decodes the version's fields, which are also the first fields of a tableMessage.
 func (v *tableVersion) fields(f *fieldcodec.Fields) {
 	f.String(1, &v.home)
 	fieldcodec.Uint(f, 2, &v.epoch)
@@ -29,15 +29,15 @@
 	fieldcodec.Uint(f, 4, &v.digest)
 }
 
-// versionsMessage is the part of a control member's heartbeat that carries versions of tables.
+// versionsMessage holds the versions of tables that a control member's heartbeat carries.
 type versionsMessage struct {
-	sentAt   monotime.Micros // by the sender's clock, from which others estimate the offset between clocks
+	sentAt   monotime.Micros // by the sender's clock; receivers use it to estimate the offset between the clocks
 	versions []tableVersion
-	limit    int // of decoded versions
+	limit    int // maximum number of versions to decode
 }
 
-// fields lists the message's fields. The versions are not a fieldcodec.Messages, whose function value would cost a
-// heartbeat two allocations more.
+// fields encodes or decodes the message's fields. The versions do not use fieldcodec.Messages, because its function
+// value would cost two more allocations per heartbeat.
 func (m *versionsMessage) fields(f *fieldcodec.Fields) {
 	f.ZigZag(2, &m.sentAt, maxWireTime)
 	if f.Encoding() {
@@ -52,7 +52,7 @@
 	}
 }
 
-// encode encodes the version into the buffer b, which it overwrites.
+// encode encodes the version into b, overwriting its content, and returns the result.
 func (v *tableVersion) encode(b []byte) []byte {
 	f := fieldcodec.Encode(b[:0])
 	v.fields(&f)
@@ -73,7 +73,7 @@
 	return f.Err()
 }
 
-// encodeVersions encodes versions with the time of sending.
+// encodeVersions encodes a versionsMessage.
 func encodeVersions(sentAt monotime.Micros, versions []tableVersion) []byte {
 	f := fieldcodec.Encode(make([]byte, 0, versionCapacity*len(versions)))
 	m := versionsMessage{sentAt: sentAt, versions: versions}
@@ -81,7 +81,7 @@
 	return f.Bytes()
 }
 
-// decodeVersions decodes at most limit versions.
+// decodeVersions decodes a versionsMessage of at most limit versions.
 func decodeVersions(b []byte, limit int) (sentAt monotime.Micros, versions []tableVersion, err error) {
 	f := fieldcodec.Decode(b)
 	m := versionsMessage{limit: limit}
@@ -91,15 +91,15 @@
 	return m.sentAt, m.versions, decodingError(f.Err())
 }
 
-// pullMessage requests the changes of a table after a sequence, or all of the table.
+// pullMessage requests the changes to a table since a sequence, or the full table.
 type pullMessage struct {
 	home     string
-	epoch    uint64
-	sequence uint64
-	full     bool
+	epoch    uint64 // the incarnation of the home's process
+	sequence uint64 // of the requester's replica
+	full     bool   // the full table is requested
 }
 
-// fields lists the message's fields.
+// fields encodes or decodes the message's fields.
 func (p *pullMessage) fields(f *fieldcodec.Fields) {
 	f.String(1, &p.home)
 	fieldcodec.Uint(f, 2, &p.epoch)
@@ -121,16 +121,16 @@
 	return p, decodingError(f.Err())
 }
 
-// tableMessage is changes of a table, or all of it. Its entries are sorted by name.
+// tableMessage carries changes to a table, or the full table. Its entries are sorted by name.
 type tableMessage struct {
 	tableVersion
 	full         bool
-	baseSequence uint64          // of changes: the sequence that they follow
-	sentAt       monotime.Micros // by the sender's clock, as are the entries' times
+	baseSequence uint64          // of changes: the sequence to which they apply
+	sentAt       monotime.Micros // by the sender's clock, like the times in the entries
 	entries      []tableEntry
 }
 
-// fields lists the message's fields; at most limit entries are decoded.
+// fields encodes or decodes the message's fields. It decodes at most limit entries.
 func (m *tableMessage) fields(f *fieldcodec.Fields, limit int) {
 	m.tableVersion.fields(f)
 	f.Bool(5, &m.full)
@@ -148,7 +148,7 @@
 	f.ZigZag(8, &m.sentAt, maxWireTime)
 }
 
-// decodeEntry decodes and checks the next entry of the message.
+// decodeEntry decodes, validates and appends the next entry of the message.
 func (m *tableMessage) decodeEntry(b []byte, limit int) error {
 	if len(m.entries) == limit {
 		return ErrTooManyEntries
@@ -158,7 +158,7 @@
 		return err
 	}
 	if last := len(m.entries) - 1; last >= 0 && m.entries[last].name >= e.name {
-		return fmt.Errorf("%w: %q after %q", ErrMalformed, e.name, m.entries[last].name)
+		return fmt.Errorf("%w: table entry %q follows %q", ErrMalformed, e.name, m.entries[last].name)
 	}
 	m.entries = append(m.entries, e)
 	return nil
@@ -170,7 +170,7 @@
 	return f.Bytes()
 }
 
-// decodeTableMessage decodes a table of at most limit entries.
+// decodeTableMessage decodes a tableMessage of at most limit entries.
 func decodeTableMessage(b []byte, limit int) (m tableMessage, err error) {
 	f := fieldcodec.Decode(b)
 	for f.Next() {
@@ -179,7 +179,7 @@
 	return m, decodingError(f.Err())
 }
 
-// fields lists the entry's fields; a removed entry has its name only.
+// fields encodes or decodes the entry's fields. A removed entry has only its name.
 func (e *tableEntry) fields(f *fieldcodec.Fields) {
 	f.String(1, &e.name)
 	f.Bool(7, &e.removed)
@@ -190,7 +190,7 @@
 	fieldcodec.Uint(f, 3, &e.incarnation)
 	fieldcodec.UintUpTo(f, 4, &e.state, 255)
 	f.Bool(5, &e.servesView)
-	challengedAt := e.localChallengedAt() // the sender's clock is this side's while encoding
+	challengedAt := e.localChallengedAt() // the sender encodes all times by its own clock
 	f.ZigZag(6, &challengedAt, maxWireTime)
 	if f.Decoding(6) {
 		e.challengedAt = challengedAt
@@ -198,7 +198,7 @@
 	e.supersededField(f)
 }
 
-// supersededField is the repeated field of the superseded incarnations.
+// supersededField encodes or decodes the repeated field of the superseded incarnations.
 func (e *tableEntry) supersededField(f *fieldcodec.Fields) {
 	if f.Encoding() {
 		for i := range e.supersededIncarnations {
@@ -215,14 +215,14 @@
 	e.supersededIncarnations = append(e.supersededIncarnations, f.Value())
 }
 
-// encode encodes the entry into the buffer b, which it overwrites.
+// encode encodes the entry into b, overwriting its content, and returns the result.
 func (e *tableEntry) encode(b []byte) []byte {
 	f := fieldcodec.Encode(b[:0])
 	e.fields(&f)
 	return f.Bytes()
 }
 
-// decodeTableEntry decodes and checks one entry.
+// decodeTableEntry decodes and validates one entry.
 func decodeTableEntry(b []byte) (e tableEntry, err error) {
 	f := fieldcodec.Decode(b)
 	for f.Next() {
@@ -233,7 +233,7 @@
 	}
 	validName := isValidName(e.name) && len(e.zone) <= maxNameLength
 	if !validName || e.state > Left || !e.removed && e.incarnation == 0 {
-		return e, fmt.Errorf("%w: the table entry %q", ErrMalformed, e.name)
+		return e, fmt.Errorf("%w: invalid table entry %q", ErrMalformed, e.name)
 	}
 	return e, nil
 }
--- a/fleet/membership/tablesync.go
+++ b/fleet/membership/tablesync.go
@@ -8,11 +8,11 @@
 	"chutechute/internal/monotime"
 )
 
-// allVersionsInterval is how often the versions of all tables are sent.
+// allVersionsInterval is the least time between two heartbeats that carry the versions of all tables.
 const allVersionsInterval = monotime.Second
 
-// publishTable makes one batch of what changed among the front ends attached here, and pushes it to all control
-// members.
+// publishTable applies the changes of the leases to this home's table as one batch, and pushes it to all present
+// control members.
 func (s *Server) publishTable() {
 	entries := s.changedEntries()
 	if len(entries) == 0 {
@@ -37,8 +37,8 @@
 	}
 }
 
-// changedEntries returns what differs between the leases and the table, sorted by name, as far as the rate limit of
-// each name allows.
+// changedEntries returns the table entries that the leases change, sorted by name. Leases over their rate limit stay
+// dirty.
 func (s *Server) changedEntries() []tableEntry {
 	var entries []tableEntry
 	var delayed []*lease
@@ -79,7 +79,7 @@
 	}
 }
 
-// applyEntries puts entries into a table, and marks the names that they change.
+// applyEntries puts entries into a table and marks the names that they change as dirty.
 func (s *Server) applyEntries(t *table, entries []tableEntry) {
 	for _, e := range entries {
 		old, current := t.put(e)
@@ -106,9 +106,9 @@
 	}
 }
 
-// Versions returns what goes into the next heartbeat to the other control members: the version of this one's table, and
-// once a second the versions of all tables that it has. The messages that Actions returned before are to be sent before
-// that heartbeat, or others pull them needlessly.
+// Versions returns the data that the next heartbeat to the other control members must carry: the version of this
+// home's table, and once a second the versions of all current tables. Messages from earlier calls of TakeMessages must
+// be sent before that heartbeat; otherwise the receivers pull changes that are already on their way.
 func (s *Server) Versions(now monotime.Micros) []byte {
 	s.advanceClock(now)
 	versions := []tableVersion{s.ownTable.version()}
@@ -127,8 +127,8 @@
 	return encodeVersions(s.now, versions)
 }
 
-// ReceiveVersions takes what Versions returned at another control member, and pulls what is missing here. Its
-// errors wrap ErrUnknownHome, ErrTooManyEntries or ErrMalformed; the link is to be closed.
+// ReceiveVersions handles the data that Versions returned at another control member, and pulls the changes that are
+// missing here. Its errors wrap ErrUnknownHome, ErrTooManyEntries or ErrMalformed; the caller must then close the link.
 func (s *Server) ReceiveVersions(now monotime.Micros, from string, incarnation uint64, b []byte) error {
 	s.advanceClock(now)
 	sender, err := s.senderOf(from, incarnation)
@@ -146,8 +146,8 @@
 		if home == nil {
 			return s.Counters.unknownHome(v.home)
 		}
-		// A home whose heartbeats are received here reports its own version; others are pulled from only for homes whose
-		// heartbeats are not.
+		// A home whose heartbeats arrive here reports its version itself. What others report about a table is used only
+		// if its home's heartbeats do not arrive here.
 		directlyAlive := home.State == Alive && !home.IndirectlyAlive
 		if home == s.self || home != sender && directlyAlive {
 			continue
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// compareVersion pulls a home's table from the sender if that has a newer one, or one with another digest at the same
-// sequence.
+// compareVersion pulls a home's table from the sender of a version if the version is newer than the replica here, or
+// has the same sequence and another digest.
 func (s *Server) compareVersion(home, sender *memberState, v tableVersion) {
 	if v.epoch != home.Incarnation {
 		if home.supersededEpochs.contains(v.epoch) {
@@ -177,7 +177,7 @@
 	}
 }
 
-// replica returns the table of a home's process, and creates it if there is none yet.
+// replica returns the replica of the table of a home's current process, creating it if necessary.
 func (s *Server) replica(home *memberState) *table {
 	if t := home.table(home.Incarnation); t != nil {
 		return t
@@ -188,7 +188,7 @@
 	return t
 }
 
-// pullTable requests what a table lacks, at a limited rate.
+// pullTable requests the changes that a replica lacks, or the full table. Its rate is limited.
 func (s *Server) pullTable(t *table, from *memberState, full bool) {
 	if !pullRateLimit.allow(s.now, &t.pullDue) {
 		s.Counters.RateLimited++
@@ -199,7 +199,7 @@
 	s.send(Message{To: from.Name, Kind: TablePull, Body: message.encode()})
 }
 
-// pullFullTable requests a full table since this side's differs at the same sequence.
+// pullFullTable requests the full table because the digest of a replica differs. Its rate is limited.
 func (s *Server) pullFullTable(t *table, from *memberState) {
 	if !mismatchRateLimit.allow(s.now, &t.mismatchDue) {
 		s.Counters.RateLimited++
@@ -209,8 +209,8 @@
 	s.pullTable(t, from, true)
 }
 
-// ReceiveFromControl takes a TablePull or TableUpdate of a control member. Its errors wrap ErrUnknownHome,
-// ErrUnexpectedKind, ErrNameMismatch, ErrTooManyEntries or ErrMalformed; the link is to be closed.
+// ReceiveFromControl handles a TablePull or TableUpdate from a control member. Its errors wrap ErrUnknownHome,
+// ErrUnexpectedKind, ErrNameMismatch, ErrTooManyEntries or ErrMalformed; the caller must then close the link.
 func (s *Server) ReceiveFromControl(
 	now monotime.Micros, from string, incarnation uint64, kind Kind, body []byte,
 ) error {
@@ -228,7 +228,7 @@
 	return fmt.Errorf("%w: %s", ErrUnexpectedKind, kind)
 }
 
-// receivePull answers a pull, at a limited rate.
+// receivePull answers a pull. Its rate is limited.
 func (s *Server) receivePull(sender *memberState, body []byte) error {
 	p, err := decodePullMessage(body)
 	if err != nil {
@@ -257,7 +257,7 @@
 	return nil
 }
 
-// receiveTable checks and applies a message of a table.
+// receiveTable validates and applies a tableMessage.
 func (s *Server) receiveTable(sender *memberState, body []byte) error {
 	m, err := decodeTableMessage(body, s.cfg.MaxEntries)
 	if err != nil {
@@ -270,7 +270,7 @@
 		return s.Counters.unknownHome(m.home)
 	case home == s.self:
 		s.Counters.NameMismatches++
-		return fmt.Errorf("%w: a table of this control member", ErrNameMismatch)
+		return fmt.Errorf("%w: update of this control member's own table", ErrNameMismatch)
 	case m.epoch != home.Incarnation:
 		s.Counters.StaleEpochs++
 		return nil
@@ -278,7 +278,7 @@
 	isMember := func(e tableEntry) bool { return s.membersByName[e.name] != nil }
 	if index := slices.IndexFunc(m.entries, isMember); index >= 0 {
 		s.Counters.NameMismatches++
-		return fmt.Errorf("%w: the control member %q is attached", ErrNameMismatch, m.entries[index].name)
+		return fmt.Errorf("%w: control member %q in a table of attached front ends", ErrNameMismatch, m.entries[index].name)
 	}
 	sender.clock.observe(s.now, m.sentAt)
 	for i := range m.entries {
@@ -287,8 +287,9 @@
 	return s.applyTableMessage(s.replica(home), sender, &m)
 }
 
-// applyTableMessage brings a table to a message's version, if the message follows on the table's. If the digest would
-// not agree, the table stays as it is.
+// applyTableMessage updates a replica to the version of a message if the message applies to the replica's version. If
+// the resulting digest would differ from the message's, the replica stays as it is; the full table is pulled then, but
+// a full table that does not match its own digest is an error.
 func (s *Server) applyTableMessage(t *table, sender *memberState, m *tableMessage) error {
 	changes := m.entries
 	switch {
@@ -307,7 +308,7 @@
 		s.Counters.DigestMismatches++
 		if m.full {
 			s.Counters.Malformed++
-			return fmt.Errorf("%w: the entries of %q do not have their digest", ErrMalformed, t.home)
+			return fmt.Errorf("%w: entries of the table of %q do not match its digest", ErrMalformed, t.home)
 		}
 		s.pullFullTable(t, sender)
 		return nil
@@ -315,7 +316,7 @@
 	s.applyEntries(t, changes)
 	t.sequence = m.sequence
 	t.upToDate = t.upToDate || t.sequence >= t.announcedSequence
-	// A replica has no log: a pull from it is answered by the full table.
+	// A replica keeps no batches in its log: it answers pulls with the full table.
 	t.log = changeLog{baseSequence: t.sequence, baseDigest: t.contentDigest}
 	return nil
 }
--- a/fleet/membership/viewmessage.go
+++ b/fleet/membership/viewmessage.go
@@ -10,7 +10,7 @@
 	"chutechute/internal/monotime"
 )
 
-// contentKind is what a viewMessage carries besides the view's version.
+// contentKind tells what a viewMessage carries besides the version of the view.
 type contentKind uint64
 
 // The kinds of content.
@@ -20,28 +20,28 @@
 	fullBuckets              // all entries of some buckets
 )
 
-// viewMessage is what a control member sends to an attached front end: the version of its view and, if it carries
-// entries, how the receiver's view gets to that version.
+// viewMessage is the message that a control member sends to an attached front end: the version of its view and, if
+// needed, the entries that bring the receiver's view to that version.
 type viewMessage struct {
-	epoch              uint64 // the incarnation of the sender
-	sequence           uint64 // of the view after it
-	digest             uint64 // of the view after it
-	isAnswer           bool
-	heartbeatSentAt    monotime.Micros // of the heartbeat that is answered, by the receiver's clock
-	leaving            bool
-	needsBucketDigests bool // the log does not reach back to the heartbeat's sequence: its bucket digests are needed
+	epoch              uint64          // the incarnation of the sender
+	sequence           uint64          // of the sender's view
+	digest             uint64          // of the sender's view
+	isAnswer           bool            // the message answers a heartbeat
+	heartbeatSentAt    monotime.Micros // of answers: when the heartbeat was sent, by the receiver's clock
+	leaving            bool            // the sender is shutting down
+	needsBucketDigests bool            // the sender's log lacks the heartbeat's version; bucket digests are needed
 	content            contentKind
-	baseSequence       uint64 // of changes: the sequence that they follow
-	bucketMask         uint64 // of buckets: those that are carried in full
-	compressed         bool
+	baseSequence       uint64          // of changes: the sequence to which they apply
+	bucketMask         uint64          // of buckets: those that the entries contain in full
+	compressed         bool            // the entries are compressed
 	entries            []byte          // encoded changes
-	sentAt             monotime.Micros // by the sender's clock, as are the entries' times
+	sentAt             monotime.Micros // by the sender's clock, like the times in the entries
 }
 
-// viewMessageOverhead is the bytes that suffice for the fields of most messages besides the entries.
+// viewMessageOverhead is a buffer size that most messages without their entries fit into, in bytes.
 const viewMessageOverhead = 64
 
-// fields lists the message's fields.
+// fields encodes or decodes the message's fields.
 func (m *viewMessage) fields(f *fieldcodec.Fields) {
 	fieldcodec.Uint(f, 1, &m.epoch)
 	fieldcodec.Uint(f, 2, &m.sequence)
@@ -69,7 +69,7 @@
 	return f.Bytes()
 }
 
-// decodeViewMessage decodes a message whose entries are part of b.
+// decodeViewMessage decodes a viewMessage. Its entries share memory with b.
 func decodeViewMessage(b []byte) (m viewMessage, err error) {
 	f := fieldcodec.Decode(b)
 	for f.Next() {
@@ -79,29 +79,30 @@
 		return m, decodingError(err)
 	}
 	if m.content > fullBuckets {
-		return m, fmt.Errorf("%w: content %d", ErrMalformed, m.content)
+		return m, fmt.Errorf("%w: unknown content kind %d", ErrMalformed, m.content)
 	}
 	return m, nil
 }
 
-// change is one entry that a view gets, or that it loses.
+// change sets or removes one entry of a view.
 type change struct {
 	Entry
 	removed bool
-	// challengedAt is when the entry's process answered a challenge, by this side's clock; 0 if that was not reported.
-	// Messages carry it by the sender's clock in milliseconds, and digests leave it out.
+	// challengedAt is when the entry's process answered a challenge, by this process's clock; 0 if not reported.
+	// Messages carry it in milliseconds by the sender's clock. Digests leave it out.
 	challengedAt monotime.Micros
 }
 
 const (
 	microsPerMilli = monotime.Millisecond
-	// maxChallengeTime bounds an entry's time of challenge, in milliseconds.
+	// maxChallengeTime limits the challenge time of a received entry, in milliseconds.
 	maxChallengeTime = 1 << 50
-	// zeroTimeSubstitute stands for a time of exactly 0, since 0 means that no time is known.
+	// zeroTimeSubstitute replaces a time of exactly 0, since 0 stands for an unknown time.
 	zeroTimeSubstitute monotime.Micros = -1
 )
 
-// fields lists the fields of a change; a removed entry has its name only. clock is the sender's, for decoding.
+// fields encodes or decodes the fields of a change. A removed entry has only its name. clock is the offset to the
+// sender's clock, used for decoding.
 func (c *change) fields(f *fieldcodec.Fields, clock *clockOffset) {
 	f.String(1, &c.Name)
 	f.Bool(7, &c.removed)
@@ -122,14 +123,14 @@
 	}
 }
 
-// encode encodes the change into the buffer b, which it overwrites.
+// encode encodes the change into b, overwriting its content, and returns the result.
 func (c *change) encode(b []byte) []byte {
 	f := fieldcodec.Encode(b[:0])
 	c.fields(&f, nil)
 	return f.Bytes()
 }
 
-// decodeChange decodes and checks one change.
+// decodeChange decodes and validates one change.
 func decodeChange(clock *clockOffset, b []byte) (c change, err error) {
 	f := fieldcodec.Decode(b)
 	for f.Next() {
@@ -140,12 +141,12 @@
 	}
 	validName := isValidName(c.Name) && len(c.Zone) <= maxNameLength
 	if !validName || c.Role > Attached || c.State > Left || !c.removed && c.Incarnation == 0 {
-		return c, fmt.Errorf("%w: the entry %q", ErrMalformed, c.Name)
+		return c, fmt.Errorf("%w: invalid view entry %q", ErrMalformed, c.Name)
 	}
 	return c, nil
 }
 
-// changesField is the number of the field that a list of changes has for each of them.
+// changesField is the number of the repeated field of a list of changes.
 const changesField = 1
 
 // encodeChanges encodes changes that are sorted by name.
@@ -159,7 +160,8 @@
 	return f.Bytes()
 }
 
-// decodeChanges decodes at most limit changes, which are sorted by name and have each name once. clock is the sender's.
+// decodeChanges decodes at most limit changes, which must be sorted by name and contain each name only once. clock is
+// the offset to the sender's clock.
 func decodeChanges(clock *clockOffset, b []byte, limit int) (changes []change, err error) {
 	f := fieldcodec.Decode(b)
 	for f.Next() {
@@ -174,7 +176,7 @@
 			return changes, decodingError(err)
 		}
 		if last := len(changes) - 1; last >= 0 && changes[last].Name >= c.Name {
-			return changes, fmt.Errorf("%w: %q after %q", ErrMalformed, c.Name, changes[last].Name)
+			return changes, fmt.Errorf("%w: view entry %q follows %q", ErrMalformed, c.Name, changes[last].Name)
 		}
 		changes = append(changes, c)
 	}
--- a/fleet/membership/viewsync.go
+++ b/fleet/membership/viewsync.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// minResumeInterval is between two requests of what is missing, beside the regular heartbeats.
+	// minResumeInterval is the least time between two requests for missing updates that are sent in addition to the
+	// regular heartbeats.
 	minResumeInterval = 300 * monotime.Millisecond
-	// conflictTimeout is for how long a home has to show a process alive before that counts more than that another home
-	// reported a later one. It is longer than the evidence of any absent home.
+	// conflictTimeout is how long a home must show a superseded process before a client accepts that it is alive,
+	// although another home reported a later one. It is longer than the evidence of any absent home lasts.
 	conflictTimeout = 30 * monotime.Second
-	// maxDigestFailures is how many updates in a row may have a digest that does not agree before the link is closed.
+	// maxDigestFailures is how many consecutive updates may fail the digest check before the link is closed.
 	maxDigestFailures = 6
 )
 
-// Receive takes a message of a control member. Its errors wrap ErrUnknownHome, ErrUnexpectedKind, ErrMalformed,
-// ErrTooManyEntries or ErrDigestMismatch; the link is to be closed.
+// Receive handles a message from a control member. Its errors wrap ErrUnknownHome, ErrUnexpectedKind, ErrMalformed,
+// ErrTooManyEntries or ErrDigestMismatch; the caller must then close the link.
 func (c *Client) Receive(now monotime.Micros, control string, incarnation uint64, kind Kind, body []byte) error {
 	c.advanceClock(now)
 	defer c.updateTickDeadline()
@@ -38,7 +39,7 @@
 		return nil
 	}
 	if !p.linked {
-		return nil // it was given up
+		return nil // its link has been closed or dropped
 	}
 	c.recordSeen(p, &m)
 	if p != c.home {
@@ -47,7 +48,7 @@
 	return c.receiveUpdate(p, &m)
 }
 
-// recordSeen records a sign of life of a control member, and whether it leaves.
+// recordSeen records that a control member has sent a message, and whether it is leaving.
 func (c *Client) recordSeen(p *controlPeer, m *viewMessage) {
 	if c.now-p.lastSeen >= c.cfg.SuspectAfter {
 		p.stableSince = c.now
@@ -61,7 +62,7 @@
 	}
 }
 
-// receiveUpdate takes what the home sends about the view.
+// receiveUpdate handles a message about the view from the home.
 func (c *Client) receiveUpdate(p *controlPeer, m *viewMessage) error {
 	switch m.content {
 	case changesSince:
@@ -81,7 +82,8 @@
 	return nil
 }
 
-// receiveAnswer takes the answer to a heartbeat: the view is confirmed, or it is behind, which the next heartbeat says.
+// receiveAnswer handles the answer to a heartbeat. The answer confirms the view, or shows that the view is behind,
+// which the next heartbeat reports.
 func (c *Client) receiveAnswer(p *controlPeer, m *viewMessage) {
 	if m.heartbeatSentAt <= c.now {
 		p.lastAnswer = answerState{received: true, sequence: m.sequence, heartbeatSentAt: m.heartbeatSentAt}
@@ -104,29 +106,28 @@
 	}
 }
 
-// confirmView confirms the view if it is as far as the last answer said.
+// confirmView confirms the view if it has reached the sequence of the last answer.
 func (c *Client) confirmView(p *controlPeer) {
 	if p.lastAnswer.received && c.sequence >= p.lastAnswer.sequence {
 		c.view.confirm(p.lastAnswer.heartbeatSentAt)
 	}
 }
 
-// resolveConflicts accepts a home's report in the end if it continues to show a process alive that is superseded in
-// this view.
+// resolveConflicts accepts the home's report if it has shown superseded processes for conflictTimeout.
 func (c *Client) resolveConflicts() {
 	if !c.view.hasConflict {
 		return
 	}
-	lastedLong := c.conflictSince != 0 && c.now-c.conflictSince >= conflictTimeout
-	switch left := c.view.resolveConflicts(lastedLong); {
-	case !left:
+	timedOut := c.conflictSince != 0 && c.now-c.conflictSince >= conflictTimeout
+	switch remaining := c.view.resolveConflicts(timedOut); {
+	case !remaining:
 		c.conflictSince = 0
 	case c.conflictSince == 0:
 		c.conflictSince = c.now
 	}
 }
 
-// requestMissing requests what is missing without waiting for the next heartbeat, at a limited rate.
+// requestMissing requests missing updates by a heartbeat that is sent at once. Its rate is limited.
 func (c *Client) requestMissing(p *controlPeer) {
 	if c.now-p.lastResume < minResumeInterval {
 		return
@@ -135,7 +136,7 @@
 	c.sendHeartbeat(p)
 }
 
-// receiveChanges takes changes, if they follow on the view's sequence.
+// receiveChanges applies changes that reach back to the view's sequence. After a gap it requests the missing updates.
 func (c *Client) receiveChanges(p *controlPeer, m *viewMessage) error {
 	switch {
 	case c.epoch != p.incarnation || m.sequence <= c.sequence:
@@ -153,7 +154,7 @@
 	return c.applyUpdate(p, m, changes)
 }
 
-// receiveBuckets takes full buckets: a repair, or a snapshot of all.
+// receiveBuckets applies full buckets: a repair of some, or a snapshot of all.
 func (c *Client) receiveBuckets(p *controlPeer, m *viewMessage) error {
 	if c.epoch == p.incarnation && m.sequence < c.sequence {
 		return nil
@@ -165,7 +166,7 @@
 	for i := range entries {
 		if entries[i].removed || m.bucketMask&(1<<bucketOf(entries[i].Name)) == 0 {
 			c.Counters.Malformed++
-			return fmt.Errorf("%w: %q is not in the message's buckets", ErrMalformed, entries[i].Name)
+			return fmt.Errorf("%w: view entry %q outside the buckets of the message", ErrMalformed, entries[i].Name)
 		}
 	}
 	if m.isSnapshot() {
@@ -178,7 +179,7 @@
 	return c.applyUpdate(p, m, c.view.changesTo(m.bucketMask, entries))
 }
 
-// decodeEntries decodes and checks the entries that a message carries.
+// decodeEntries decodes and validates the entries of a message.
 func (c *Client) decodeEntries(p *controlPeer, m *viewMessage) ([]change, error) {
 	changes, err := c.decompressEntries(p, m)
 	if err != nil {
@@ -205,8 +206,8 @@
 	return decodeChanges(&p.clock, encoded, c.cfg.MaxEntries)
 }
 
-// applyUpdate applies changes if the view then has the message's digest; else the view stays as it is, and a repair is
-// requested.
+// applyUpdate applies changes if the resulting view has the message's digest. Otherwise the view stays as it is and a
+// repair is requested.
 func (c *Client) applyUpdate(p *controlPeer, m *viewMessage, changes []change) error {
 	if c.view.lenAfter(changes) > c.cfg.MaxEntries {
 		c.Counters.Oversized++
@@ -231,13 +232,13 @@
 	return nil
 }
 
-// requestRepair requests the buckets that differ, and a snapshot if buckets did not help.
+// requestRepair requests the buckets that differ, or a snapshot if an update by buckets failed the digest check.
 func (c *Client) requestRepair(p *controlPeer, m *viewMessage) error {
 	c.Counters.DigestMismatches++
 	c.digestFailures++
 	if m.isSnapshot() || c.digestFailures > maxDigestFailures {
 		c.Counters.Malformed++
-		return fmt.Errorf("%w: updates of %q", ErrDigestMismatch, p.name)
+		return fmt.Errorf("%w: updates from %q", ErrDigestMismatch, p.name)
 	}
 	c.needsSnapshot = m.content == fullBuckets
 	p.needsBucketDigests = true
--- a/fleet/membership/viewupdate.go
+++ b/fleet/membership/viewupdate.go
@@ -2,17 +2,16 @@
 
 import "slices"
 
-// changeSource is where changes of a view come from.
+// changeSource tells where changes to a view come from.
 type changeSource uint8
 
 // The sources.
 const (
-	fromMerge       changeSource = iota // a control member's own merge, which is sure which process is the later
-	fromHomeChanges                     // the home's changes
-	fromHomeBuckets                     // full buckets of the home, which may lack what another home reported before
+	fromMerge       changeSource = iota // this control member's merge, which decides the order of processes
+	fromHomeChanges                     // changes sent by the home
+	fromHomeBuckets                     // full buckets sent by the home, which may lack entries of an earlier home
 )
 
-// apply applies changes.
 func (v *View) apply(changes []change, source changeSource) {
 	for i := range changes {
 		if changes[i].removed {
@@ -23,8 +22,8 @@
 	}
 }
 
-// put sets one entry. It may be reported by a control member that missed the later process: then this side's order of
-// the two counts.
+// put sets one entry. A home that missed a later process may report an earlier one; the process then stays superseded
+// in this view.
 func (v *View) put(c *change, source changeSource) {
 	e := &viewEntry{c.Entry, c.challengedAt}
 	e.Zone, e.Home = v.intern(e.Zone), v.intern(e.Home)
@@ -46,8 +45,8 @@
 	v.hasConflict = v.hasConflict || v.superseded.contains(e.Incarnation)
 }
 
-// recordOrder records which of two processes of one name is superseded: the one known before, unless the other answered
-// an earlier challenge.
+// recordOrder records which of two processes of one name is superseded: the one that was known before, unless a home
+// reports the new one with an earlier challenge.
 func (v *View) recordOrder(old, e *viewEntry, source changeSource) {
 	bothKnown := old.challengedAt != 0 && e.challengedAt != 0
 	switch {
@@ -79,8 +78,8 @@
 	v.updateDigests(old, 1)
 }
 
-// remove removes the entry of a name. Its process has ended if the home removed the entry; a home that lacks the entry
-// may only have missed it.
+// remove removes the entry of a name. A removal that is sent as a change shows that the process has ended. A home whose
+// buckets lack the entry may only have missed it, so the entry is remembered in missingAtHome.
 func (v *View) remove(name string, source changeSource) {
 	index, found := v.search(name)
 	if !found {
@@ -113,14 +112,14 @@
 	}
 }
 
-// updateDigests adds an entry to the digests if sign is 1, and removes it if sign is -1.
+// updateDigests adds an entry to the digests if sign is 1, or subtracts it if sign is -1.
 func (v *View) updateDigests(e *viewEntry, sign int) {
-	share := e.digest() * uint64(sign)
-	v.bucketDigests[bucketOf(e.Name)] += share
-	v.digest += share
+	delta := e.digest() * uint64(sign)
+	v.bucketDigests[bucketOf(e.Name)] += delta
+	v.digest += delta
 }
 
-// intern returns a string that is shared by all entries with the same one.
+// intern returns the shared copy of a zone or home name.
 func (v *View) intern(s string) string {
 	if interned, ok := v.internedStrings[s]; ok {
 		return interned
@@ -131,20 +130,20 @@
 	return s
 }
 
-// resolveConflicts ends the conflicts of processes that the home shows alive if that has lasted long enough, and
-// reports whether any conflict is left.
-func (v *View) resolveConflicts(lastedLong bool) bool {
-	left := false
+// resolveConflicts reports whether the view still contains superseded processes. If timedOut is set, it first accepts
+// the home's report for those that the home shows as Alive: they no longer count as superseded.
+func (v *View) resolveConflicts(timedOut bool) bool {
+	remaining := false
 	for _, e := range v.entries {
 		if !v.superseded.contains(e.Incarnation) {
 			continue
 		}
-		if lastedLong && e.State == Alive {
+		if timedOut && e.State == Alive {
 			v.superseded.remove(e.Incarnation)
 			continue
 		}
-		left = true
+		remaining = true
 	}
-	v.hasConflict = left
-	return left
+	v.hasConflict = remaining
+	return remaining
 }
