--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -6,7 +6,8 @@
 	"chutechute/internal/monotime"
 )
 
-// Rule 1: a query that no engine can take is answered before its client times out, by the sweep alone.
+// Rule 1: a query that no engine can take is answered before its client times out, even if the sweep timer is the only
+// event.
 func TestQueuedQueryIsRejectedBeforeItsClientTimesOut(t *testing.T) {
 	sched := newTestScheduler(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
 	now := monotime.Second
@@ -16,21 +17,21 @@
 		actions = sched.Step(now, []Event{Timer{Token: "sweep"}})
 	}
 	if now >= 5*monotime.Second {
-		t.Fatalf("no answer by %d", now)
+		t.Fatalf("no answer by time %d", now)
 	}
 	if got := startedAttempts(sched.Step(now+1, []Event{completeUpdate("a")})); len(got) != 0 {
-		t.Fatalf("sent after the answer: %v", got)
+		t.Fatalf("attempts after the final answer: %v", got)
 	}
 }
 
-// Guards against leaving a request that arrives just before its client times out in the queue until the next sweep, too
-// late for any answer (incident i347ad8).
+// Guards against queueing a request that arrives just before its client times out: at the next sweep it is too late for
+// any answer (incident i347ad8).
 func TestQueryThatWouldExpireBeforeTheNextSweepIsRejectedAtOnce(t *testing.T) {
 	sched := newTestScheduler(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
 	r := newRequest(1, 0, monotime.Second)
 	r.Deadline = monotime.Second + 5000
 	if got := rejectedIDs(sched.Step(monotime.Second, []Event{r})); len(got) != 1 {
-		t.Fatalf("rejected %v, want the query at once", got)
+		t.Fatalf("rejected %v, want query 1 at once", got)
 	}
 }
 
@@ -47,24 +48,26 @@
 	}
 }
 
-// Guards against an overload in which slots go to retries whose latency objective has passed (incident id2e2b5).
+// Guards against an overload in which clients' retries whose latency objective has passed take the concurrency slots
+// (incident id2e2b5).
 func TestRetryPastItsLatencyObjectiveGoesLast(t *testing.T) {
 	sched := newTestScheduler(t, testConfig(), completeUpdate("a"))
-	sched.lastRejectedAt = 2 * monotime.Second // pressure
+	sched.lastRejectedAt = 2 * monotime.Second // puts the scheduler under pressure
 	usage := &sched.endpoints.engines[0].usage
 	usage.attempts, usage.threads = 9, 9
 	retry := newRequest(2, 0, 2*monotime.Second)
-	retry.Deadline -= 2 * monotime.Second // its client first asked two seconds ago
+	retry.Deadline -= 2 * monotime.Second // its client first sent the query two seconds ago
 	now := 2 * monotime.Second
 	sched.Step(now, []Event{newRequest(1, 0, now), retry, newRequest(3, 0, now)})
 	usage.attempts, usage.threads = 0, 0
 	first := sched.nextQuery()
 	if first == nil || first.ID == 2 || !sched.queries[2].deprioritized || sched.queries[3].deprioritized {
-		t.Fatalf("%+v goes first", first)
+		t.Fatalf("first pick %+v, want query 1 or 3, and only query 2 deprioritized", first)
 	}
 }
 
-// Guards against taking requests of clients with short timeouts for retries; a late retry still goes last.
+// Guards against treating requests of clients with short timeouts as retries. A retry past its latency objective still
+// goes last.
 func TestShortClientTimeoutIsNotTakenForARetry(t *testing.T) {
 	sched := newTestScheduler(t, testConfig(), EndpointUpdate{Kind: UpdateComplete})
 	shortTimeout, retry := newRequest(2, 0, monotime.Second), newRequest(3, 0, monotime.Second)
@@ -77,7 +80,8 @@
 	}
 }
 
-// Where a gateway's share of a tenant's quota is below one query a second, its queries are still within it.
+// Where a front end's share of a tenant's quota is below one query a second, queries that arrive slowly enough are
+// still within quota.
 func TestQuotaBelowOneQueryASecondStillLetsQueriesThrough(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways, cfg.Tenants = 200, []Tenant{{Name: "t", Share: 1, Quota: 70}}
@@ -88,7 +92,7 @@
 		r.Tenant = 0
 		sched.Step(now, []Event{r})
 		if sched.queries[i].deprioritized {
-			t.Fatalf("query %d, ten seconds after the last, counts as over quota", i)
+			t.Fatalf("query %d, ten seconds after the previous one, counts as over quota", i)
 		}
 	}
 }
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -7,7 +7,7 @@
 	"chutechute/internal/monotime"
 )
 
-// BenchmarkRequest shows how the cost of a query and its outcome grows with the number of engines.
+// BenchmarkRequest measures how the cost of a query and its outcome grows with the number of engines.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{6, 60} {
 		b.Run(fmt.Sprintf("%d engines", n), func(b *testing.B) {
--- a/scheduler/budgets_test.go
+++ b/scheduler/budgets_test.go
@@ -9,8 +9,8 @@
 	"chutechute/internal/monotime"
 )
 
-// newTestSchedulerWithBudget returns a scheduler with one budget in force, with the amount leased to it of each
-// subject.
+// newTestSchedulerWithBudget returns a scheduler with one budget in force, of which it has a lease of the amount for
+// each subject, or for the whole budget if no subjects are named.
 func newTestSchedulerWithBudget(
 	t *testing.T, cfg Config, update EndpointUpdate, rule BudgetRule, amount account.Amount, subjects ...string,
 ) *Scheduler {
@@ -27,12 +27,12 @@
 	return sched
 }
 
-// lease returns a grant of one budget without subjects, leased until a time.
+// lease returns a grant of the rules, with a lease of one budget without subjects that expires at until.
 func lease(until monotime.Micros, budget string, amount account.Amount, rules ...BudgetRule) BudgetGrant {
 	return BudgetGrant{Rules: rules, Until: until, Leased: []BudgetAmount{{budget, "", amount}}}
 }
 
-// newRequests returns n requests of a class, with IDs from first on.
+// newRequests returns n requests of a class, with consecutive IDs from first on.
 func newRequests(first uint64, n, class int, now monotime.Micros) (list []Event) {
 	for i := range n {
 		list = append(list, newRequest(first+uint64(i), class, now))
@@ -40,7 +40,7 @@
 	return list
 }
 
-// A gateway that is granted amounts without rules decides exactly as one without a grant.
+// A front end with a lease but no budget rules decides exactly as one without a grant.
 func TestGrantWithoutRulesChangesNothing(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "x", Share: 1, Quota: 40}}
@@ -69,39 +69,39 @@
 		grant := lease(now+monotime.Second, "x", account.Amount{Capacity: 1})
 		got := granted.Step(now, append([]Event{grant}, events...))
 		if !reflect.DeepEqual(got, want) {
-			t.Fatalf("at %d: %v instead of %v", now, got, want)
+			t.Fatalf("at %d: actions %v, want %v", now, got, want)
 		}
 		inFlight = append(inFlight, startedAttempts(want)...)
 	}
 }
 
-// What a rate has no capacity for is rejected at once, each with a time of its own at which there will be some, and a
-// retry at that time is served.
+// Queries beyond a rate budget are rejected at once, each with a different Retry-After, and a retry at that time is
+// served.
 func TestRateBudgetRejectsWithRetryAfter(t *testing.T) {
 	rule := BudgetRule{Name: "r", Kind: account.Rate, Class: -1, Tenant: -1}
-	amount := account.Amount{Capacity: 2000, Rate: 10_100} // 9.999 by a clock that may be fast
+	amount := account.Amount{Capacity: 2000, Rate: 10_100} // 9.999 queries a second after the allowance for clock drift
 	sched := newTestSchedulerWithBudget(t, testConfig(), completeUpdate("a", "b"), rule, amount)
 	sched.Step(monotime.Second, nil)
 	actions := sched.Step(2*monotime.Second, newRequests(1, 5, 0, 2*monotime.Second))
 	if n := len(startedAttempts(actions)); n != 2 {
-		t.Fatalf("%d sends of a burst of 2", n)
+		t.Fatalf("%d attempts, want the burst of 2", n)
 	}
 	var after []monotime.Micros
 	for _, a := range actions {
 		if r, ok := a.(Reject); ok {
 			after = append(after, r.RetryAfter)
 			if r.Budget != "r" {
-				t.Errorf("rejected for %q", r.Budget)
+				t.Errorf("rejected for budget %q, want budget r", r.Budget)
 			}
 		}
 	}
 	if len(after) != 3 {
-		t.Fatalf("rejected %v", after)
+		t.Fatalf("rejected with Retry-After %v, want three rejections", after)
 	}
 	now := 2 * monotime.Second
 	for i, a := range after {
 		if want := monotime.Micros(i+1) * monotime.Second / 10; a < want || a > want+want/50 {
-			t.Errorf("retry-after %d is %d, not about %d", i, a, want)
+			t.Errorf("Retry-After %d is %d, want about %d", i, a, want)
 		}
 		if n := len(startedAttempts(sched.Step(now+a, newRequests(uint64(20+i), 1, 0, now+a)))); n != 1 {
 			t.Errorf("the retry after %d was not served", a)
@@ -109,12 +109,12 @@
 	}
 	for _, s := range startedAttempts(actions) {
 		if s.StartBy != 2*monotime.Second+maxStartDelay {
-			t.Errorf("may be started by %d", s.StartBy)
+			t.Errorf("StartBy is %d, want maxStartDelay after the attempt was decided", s.StartBy)
 		}
 	}
 }
 
-// Nothing is spent of a lease that has expired; the static amount stays.
+// Nothing is spent from an expired lease; the static amount remains available.
 func TestExpiredLeaseLeavesTheStaticAmount(t *testing.T) {
 	rule := BudgetRule{Name: "r", Kind: account.Rate, Class: -1, Tenant: -1}
 	sched := newTestScheduler(t, testConfig(), completeUpdate("a", "b"))
@@ -122,41 +122,41 @@
 	grant.Static = []BudgetAmount{{"r", "", account.Amount{Capacity: 1000, Rate: 1000}}}
 	sched.Step(0, []Event{grant})
 	if n := len(startedAttempts(sched.Step(5*monotime.Second-1, newRequests(1, 20, 0, 5*monotime.Second)))); n != 10 {
-		t.Errorf("%d sends before the lease expired", n)
+		t.Errorf("%d attempts before the lease expired, want 10", n)
 	}
 	if n := len(startedAttempts(sched.Step(7*monotime.Second, newRequests(30, 20, 0, 7*monotime.Second)))); n != 1 {
-		t.Errorf("%d sends without a lease", n)
+		t.Errorf("%d attempts without a lease, want 1", n)
 	}
 }
 
-// A concurrency slot is released at the outcome of its attempt, and a query that waits for one goes then.
+// The outcome of an attempt releases its concurrency slot, and a queued query starts in the same step.
 func TestConcurrencySlotsAreReleasedAtTheOutcome(t *testing.T) {
 	rule := BudgetRule{Name: "p", Kind: account.Concurrency, Class: 0, Tenant: -1, Overflow: QueueOverflow,
 		MaxAttemptDuration: 3 * monotime.Second}
 	sched := newTestSchedulerWithBudget(t, testConfig(), completeUpdate("a", "b"), rule, account.Amount{Capacity: 2000})
 	got := startedAttempts(sched.Step(monotime.Second, newRequests(1, 4, 0, monotime.Second)))
 	if len(got) != 2 || got[0].Timeout == 0 || got[0].Timeout > 3*monotime.Second {
-		t.Fatalf("sends %v of two slots", got)
+		t.Fatalf("attempts %v, want two that time out within MaxAttemptDuration", got)
 	}
 	if n := sched.BudgetDemands(monotime.Second); len(n) != 1 || n[0].Demand != 4000 || n[0].InUse != 2000 {
-		t.Errorf("demand %v", n)
+		t.Errorf("demands %v, want one of 4000 with 2000 in use", n)
 	}
 	if n := len(startedAttempts(sched.Step(monotime.Second+1000, newRequests(9, 1, 1, monotime.Second)))); n != 1 {
-		t.Errorf("%d sends of a class that takes no slots", n)
+		t.Errorf("%d attempts of a class that does not count towards the budget, want 1", n)
 	}
 	sched.Step(monotime.Second+2000, []Event{lease(1000*monotime.Second, "p", account.Amount{Capacity: 1000})})
 	first := newOutcome(got[0].ID, 0, got[0].Engine, Succeeded, 1000)
 	if n := len(startedAttempts(sched.Step(monotime.Second+3000, []Event{first}))); n != 0 {
-		t.Errorf("%d sends while all slots that are left are in use", n)
+		t.Errorf("%d attempts while all slots of the reduced lease are in use, want 0", n)
 	}
 	second := newOutcome(got[1].ID, 0, got[1].Engine, TimedOut, 1000)
 	if n := len(startedAttempts(sched.Step(monotime.Second+4000, []Event{second}))); n != 1 {
-		t.Errorf("%d sends with a free slot", n)
+		t.Errorf("%d attempts with a free slot, want 1", n)
 	}
 }
 
-// A budget that is not in force yet holds nothing back, and counts what runs, so that it is known when it comes into
-// force.
+// A budget that is not in force yet allows every attempt, but counts those in flight, so that they use its slots when
+// it comes into force.
 func TestCountOnlyBudgetCountsWithoutBinding(t *testing.T) {
 	rule := BudgetRule{Name: "p", Kind: account.Concurrency, Class: -1, Tenant: -1, Overflow: QueueOverflow,
 		CountOnly: true}
@@ -164,21 +164,21 @@
 	sched.Step(0, []Event{BudgetGrant{Rules: []BudgetRule{rule}}})
 	got := startedAttempts(sched.Step(monotime.Second, newRequests(1, 4, 0, monotime.Second)))
 	if len(got) != 4 {
-		t.Fatalf("%d sends of 4", len(got))
+		t.Fatalf("%d attempts, want 4", len(got))
 	}
 	rule.CountOnly = false
 	sched.Step(monotime.Second+1000, []Event{lease(1000*monotime.Second, "p", account.Amount{Capacity: 4000}, rule)})
 	if n := len(startedAttempts(sched.Step(monotime.Second+2000, newRequests(9, 1, 0, monotime.Second)))); n != 0 {
-		t.Errorf("%d sends with all slots in use", n)
+		t.Errorf("%d attempts with all slots in use, want 0", n)
 	}
 	first := newOutcome(got[0].ID, 0, got[0].Engine, Succeeded, 1000)
 	if n := len(startedAttempts(sched.Step(monotime.Second+3000, []Event{first}))); n != 1 {
-		t.Errorf("%d sends with a free slot", n)
+		t.Errorf("%d attempts with a free slot, want 1", n)
 	}
 }
 
-// A budget divides the threads of each engine: beyond the amount of one, queries go to another, and the estimate of
-// this gateway's share of the traffic does not bind.
+// With a budget that divides the threads of each engine, queries beyond the amount for one engine go to another, and
+// the bound from this front end's estimated share of the traffic does not apply.
 func TestThreadBudgetOfEachEngine(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 40
@@ -191,12 +191,12 @@
 		count[s.Engine]++
 	}
 	if count["a"] != 4 || count["b"] != 4 {
-		t.Errorf("sends %v, of 4 threads each", count)
+		t.Errorf("attempts by engine %v, want 4 on each", count)
 	}
 }
 
-// A budget divides what an engine takes during its warm-up: it gets the amount of this gateway, and neither work credit
-// nor turns bind.
+// With a budget that divides the work for an engine that is warming up, this front end sends up to its amount, and
+// neither work credit nor turns apply.
 func TestWarmUpWindowBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 40
@@ -218,7 +218,7 @@
 			started = append(started[1:], startedAttempts(sched.Step(now, []Event{outcome}))...)
 		}
 	}
-	maxUse := 0.0 // of the amount of a window
+	maxUse := 0.0 // largest part of the amount that was sent in a window
 	for from := range spent {
 		sum := monotime.Micros(0)
 		for at, n := range spent {
@@ -226,37 +226,37 @@
 				sum += n
 			}
 		}
-		// The amount is that of the start; it grows as the engine warms up.
+		// The leased amount is for the capacity at the engine's start; it grows with the capacity.
 		amount := 3 * float64(monotime.Second) * capacityAfter(cfg.Rules, from) / cfg.Rules.InitialCapacity
 		maxUse = max(maxUse, float64(sum)/amount)
 	}
 	if maxUse > 1 || maxUse < 0.6 {
-		t.Errorf("%.2f of the amount within a window", maxUse)
+		t.Errorf("%.2f of the amount sent within a window, want 0.6 to 1", maxUse)
 	}
 }
 
-// A budget of retries bounds retries and no first attempts.
+// A retry budget of the fleet bounds retries but not first attempts.
 func TestRetryBudgetOfTheFleet(t *testing.T) {
 	rule := BudgetRule{Name: "f", Kind: account.Rate, Class: -1, Tenant: -1, Retries: true, Overflow: QueueOverflow}
 	amount := account.Amount{Capacity: 2000, Rate: 1}
 	sched := newTestSchedulerWithBudget(t, testConfig(), completeUpdate("a", "b", "c"), rule, amount)
-	now := 20000 * monotime.Second // the burst is full, although the rate is nearly nothing
+	now := 20000 * monotime.Second // late enough for the burst to be full in spite of the tiny rate
 	sched.Step(now, []Event{lease(now+1000*monotime.Second, "f", account.Amount{Capacity: 2000, Rate: 1000})})
 	now += 3 * monotime.Second
 	first := startedAttempts(sched.Step(now, newRequests(1, 6, 0, now)))
 	if len(first) != 6 {
-		t.Fatalf("%d first attempts", len(first))
+		t.Fatalf("%d first attempts, want 6", len(first))
 	}
 	var events []Event
 	for _, s := range first {
 		events = append(events, newOutcome(s.ID, 0, s.Engine, Errored, 1000))
 	}
 	if n := len(startedAttempts(sched.Step(now+1000, events))); n != 2 {
-		t.Errorf("%d retries of 2", n)
+		t.Errorf("%d retries, want 2", n)
 	}
 }
 
-// Where a budget bounds which of a tenant's queries come first, those over it go last and are not rejected.
+// A tenant's queries over a budget with DeprioritizeOverflow go last and are not rejected.
 func TestDeprioritizedQueriesGoLast(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "x", Share: 1, Quota: 1}}
@@ -271,7 +271,7 @@
 		events = append(events, r)
 	}
 	if n := len(rejectedIDs(sched.Step(2*monotime.Second, events))); n != 0 {
-		t.Errorf("%d rejected", n)
+		t.Errorf("%d rejected, want 0", n)
 	}
 	over := 0
 	for _, q := range sched.queries {
@@ -280,11 +280,11 @@
 		}
 	}
 	if over != 2 {
-		t.Errorf("%d go last of 5 where 3 are within the budget", over)
+		t.Errorf("%d of 5 queries deprioritized, want the 2 over the budget of 3", over)
 	}
 }
 
-// A budget of health checks bounds these.
+// A budget for health checks bounds how many are sent.
 func TestHealthCheckBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.HealthChecks = true
@@ -302,12 +302,12 @@
 			}
 		}
 		if checked != want {
-			t.Errorf("a rate of %d: checked %v", rate, checked)
+			t.Errorf("rate %d: health check sent %v", rate, checked)
 		}
 	}
 }
 
-// BenchmarkAfford shows the cost of spending from a budget, which takes no allocation.
+// BenchmarkAfford measures the cost of spending from a budget, which allocates no memory.
 func BenchmarkAfford(b *testing.B) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "x", Share: 1, Quota: 1}}
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -13,7 +13,7 @@
 	"chutechute/internal/scale"
 )
 
-// The size of the fleet that users name, as one front end sees it.
+// The size of the fleet that users specify, and the traffic at each front end.
 const (
 	fleetFrontEnds = 2700
 	fleetEngines   = 34000
@@ -23,7 +23,8 @@
 	tableGroups    = 97
 )
 
-// newLargeScheduler returns a scheduler that knows so many engines, among front ends in the ratio of the users' fleet.
+// newLargeScheduler returns a scheduler that knows the given number of engines. The ratio of front ends to engines is
+// that of the users' fleet.
 func newLargeScheduler(t *testing.T, engines int) *Scheduler {
 	cfg := testConfig()
 	cfg.Gateways, cfg.Zone = max(1, engines*fleetFrontEnds/fleetEngines), "z0"
@@ -38,16 +39,16 @@
 	return sched
 }
 
-// playAtRate plays so many queries, one each queryInterval and each served after queryDuration, and the sweeps that are
-// due between them. It returns the time at the end and the number of attempts.
-func playAtRate(t *testing.T, sched *Scheduler, now monotime.Micros, first, count int) (monotime.Micros, int) {
+// simulateQueries sends the scheduler count queries, one every queryInterval and each served after queryDuration, and
+// the sweep timers that are due in between. It returns the time at the end and the number of attempts.
+func simulateQueries(t *testing.T, sched *Scheduler, now monotime.Micros, first, count int) (monotime.Micros, int) {
 	type running struct {
 		attempt StartAttempt
 		endsAt  monotime.Micros
 	}
 	var inFlight []running
 	sent, sweepAt := 0, monotime.Micros(0)
-	carryOut := func(actions []Action) {
+	perform := func(actions []Action) {
 		for _, action := range actions {
 			switch action := action.(type) {
 			case StartAttempt:
@@ -58,35 +59,36 @@
 			}
 		}
 	}
-	end := func(a StartAttempt) {
-		carryOut(sched.Step(now, []Event{newOutcome(a.ID, 0, a.Engine, Succeeded, queryDuration)}))
+	finish := func(a StartAttempt) {
+		perform(sched.Step(now, []Event{newOutcome(a.ID, 0, a.Engine, Succeeded, queryDuration)}))
 	}
 	for i := range count {
 		now += queryInterval
 		if sweepAt > 0 && now >= sweepAt {
 			sweepAt = 0
-			carryOut(sched.Step(now, []Event{Timer{Token: "sweep"}}))
+			perform(sched.Step(now, []Event{Timer{Token: "sweep"}}))
 		}
 		for len(inFlight) > 0 && inFlight[0].endsAt <= now {
 			done := inFlight[0]
 			inFlight = inFlight[1:]
-			end(done.attempt)
+			finish(done.attempt)
 		}
-		query := newRequest(uint64(first+i), 0, now)
-		query.TableGroup = (first + i) % tableGroups
-		carryOut(sched.Step(now, []Event{query}))
+		request := newRequest(uint64(first+i), 0, now)
+		request.TableGroup = (first + i) % tableGroups
+		perform(sched.Step(now, []Event{request}))
 	}
 	for _, r := range inFlight {
 		now = r.endsAt
-		end(r.attempt)
+		finish(r.attempt)
 	}
 	return now, sent
 }
 
-// What a query and its outcome cost by the number of engines, and the memory that the scheduler takes; long.
+// Measures the processor time of a query and its outcome, and the memory of the scheduler, by the number of engines. It
+// runs for a long time.
 func TestCapacityOfDecisions(t *testing.T) {
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
-		t.Skip("measures: make scale-full")
+		t.Skip("measurement, run by make scale-full")
 	}
 	result := procstat.NewResult("decisions",
 		"One query, its outcome and its part of the 20 ms sweeps, 1,000 queries a second, each of 20 ms; "+
@@ -97,17 +99,17 @@
 			before := procstat.HeapInUse()
 			sched := newLargeScheduler(t, engines)
 			began := procstat.OwnProcessorTime()
-			now, _ := playAtRate(t, sched, monotime.Second, 0, tableGroups) // each finds its engines
+			now, _ := simulateQueries(t, sched, monotime.Second, 0, tableGroups) // each builds its hash order
 			first := float64((procstat.OwnProcessorTime() - began).Nanoseconds()) / 1000 / tableGroups
 			count := max(200, min(20_000, 4_000_000/engines))
 			began = procstat.OwnProcessorTime()
-			now, sent := playAtRate(t, sched, now, 1000, count)
+			now, sent := simulateQueries(t, sched, now, 1000, count)
 			each := float64((procstat.OwnProcessorTime() - began).Nanoseconds()) / 1000 / float64(count)
 			heap := procstat.HeapInUse() - before
 			runtime.KeepAlive(sched)
 			t.Logf("%5d engines: %8.1f us, the first of a table group %8.1f us, %9.0f bytes of heap, %d of %d sent in %d s",
 				engines, each, first, heap, sent, count, now/monotime.Second)
-			require.Greater(t, sent, count*9/10, "so few were sent that it measures something else")
+			require.Greater(t, sent, count*9/10, "too few queries were sent for the figures to be valid")
 			result.Points = append(result.Points, scale.Point{Axis: "engines", X: float64(engines),
 				Figures: map[string]float64{"query us": each, "first query of a group us": first, "heap bytes": heap}})
 		}
--- a/scheduler/config_test.go
+++ b/scheduler/config_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// New returns an error for a configuration without gateways, classes or threads.
+// New returns an error for a configuration without front ends, classes or threads.
 func TestNewRejectsInvalidConfig(t *testing.T) {
 	noThreads := testConfig()
 	noThreads.Classes[0].Threads = 0
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -17,12 +17,12 @@
 		now := monotime.Second
 		got := startedAttempts(sched.Step(now, []Event{update, newRequest(1, 0, now), newRequest(2, 0, now)}))
 		if len(got) != 2 || got[0].Engine != "b" || got[1].Engine != "b" {
-			t.Errorf("%s: sends %v, want both to b", name, got)
+			t.Errorf("%s: attempts %v, want both on b", name, got)
 		}
 	}
 }
 
-// Where updates come only after a Subscribe, a failed one is repeated though nothing else happens at an idle gateway.
+// Where endpoint updates come only after a Subscribe, a timer repeats a failed subscription, even at an idle front end.
 func TestFailedSubscriptionIsRetriedByTimer(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollEndpoints, cfg.Rules.ResponseTimeout = true, 10*monotime.Second
--- a/scheduler/estimate_test.go
+++ b/scheduler/estimate_test.go
@@ -10,7 +10,7 @@
 	"chutechute/internal/monotime"
 )
 
-// Guards against an overload that goes unseen because nothing in it ends: timeouts count as measurements.
+// Guards against an overload that goes undetected because no attempt in it succeeds: timeouts count as measurements.
 func TestTimeoutRaisesTheExecutionTimeEstimate(t *testing.T) {
 	sched := newTestScheduler(t, testConfig(), completeUpdate("a"))
 	sched.Step(monotime.Second, []Event{newRequest(1, 0, monotime.Second)})
@@ -19,11 +19,11 @@
 	before := c.meanLatency
 	sched.Step(5*monotime.Second, []Event{newOutcome(1, 0, "a", TimedOut, 4*monotime.Second)})
 	if c.meanLatency <= before {
-		t.Fatalf("mean latency went from %.0f to %.0f", before, c.meanLatency)
+		t.Fatalf("mean latency went from %.0f to %.0f, want a rise", before, c.meanLatency)
 	}
 }
 
-// Guards against an execution time that stays inflated after an overload because no attempt measures it.
+// Guards against an estimated execution time that stays inflated after an overload because no attempt measures it.
 func TestInflatedEstimateDecaysWithoutMeasurements(t *testing.T) {
 	sched := newTestScheduler(t, testConfig(), completeUpdate("a"))
 	sched.Step(0, []Event{newRequest(1, 0, 0)})
@@ -38,8 +38,9 @@
 	}
 }
 
-// An attempt that takes longer than the class's usual error of the estimate is slow: early where estimates are good.
-func TestMaxAttemptTimeFollowsTheEstimateError(t *testing.T) {
+// The timeout factor, from which on an attempt counts as slow, follows the usual error of the class's estimates: it is
+// small where estimates are good.
+func TestTimeoutFactorFollowsTheEstimateError(t *testing.T) {
 	timeoutFactor := func(err monotime.Micros) float64 {
 		sched := newTestScheduler(t, testConfig(), completeUpdate("a"))
 		now := monotime.Second
@@ -58,13 +59,14 @@
 	}
 }
 
-// A LatencyMeasurement follows a served attempt where it is wanted; its slowdown is the class's ratio over its best.
+// A LatencyMeasurement follows a served attempt if the request asks for one. Its slowdown is the class's ratio of
+// latency to estimate over the best such ratio.
 func TestLatencyMeasurementIsSentOnRequest(t *testing.T) {
 	sched := newTestScheduler(t, testConfig(), completeUpdate("a"))
-	measure := func(id uint64, took monotime.Micros, wanted bool) (list []LatencyMeasurement) {
+	measure := func(id uint64, took monotime.Micros, requested bool) (list []LatencyMeasurement) {
 		now := monotime.Second * monotime.Micros(id)
 		r := newRequest(id, 0, now)
-		r.EstimatedWork, r.MeasureLatency = monotime.Second/10, wanted
+		r.EstimatedWork, r.MeasureLatency = monotime.Second/10, requested
 		sched.Step(now, []Event{r})
 		for _, a := range sched.Step(now+took, []Event{newOutcome(id, 0, "a", Succeeded, took)}) {
 			if m, ok := a.(LatencyMeasurement); ok {
@@ -74,7 +76,7 @@
 		return list
 	}
 	if got := measure(1, monotime.Second/10, false); len(got) != 0 {
-		t.Errorf("not wanted: %v", got)
+		t.Errorf("not requested: %v", got)
 	}
 	for id := uint64(2); id < 40; id++ {
 		measure(id, monotime.Second/10, true)
@@ -91,8 +93,8 @@
 	}
 }
 
-// Guards against corrected estimates that look like load: the best ratio has a lower bound where estimates are this
-// gateway's own.
+// Guards against mistaking the correction of estimates that were too high for load: where estimates are this front
+// end's own, the best ratio has a lower bound.
 func TestCorrectedOwnEstimatesAreNotTakenForPressure(t *testing.T) {
 	for _, own := range []bool{false, true} {
 		sched := newTestScheduler(t, testConfig(), completeUpdate("a"))
@@ -112,8 +114,8 @@
 	}
 }
 
-// The work that engines report corrects the estimates of its class, and of that class alone. Without a report estimates
-// stand; the correction is bounded.
+// The work that engines report corrects the estimates of its class only. Without reports the estimates stay as they
+// are, and the correction is bounded.
 func TestReportedWorkCorrectsEstimates(t *testing.T) {
 	for name, c := range map[string]struct {
 		reported float64 // times the estimate
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -7,9 +7,9 @@
 	"chutechute/scheduler"
 )
 
-// A gateway learns of one engine and starts the first query on it.
+// A front end learns of one engine and starts its first query there.
 func ExampleScheduler_Step() {
-	gateway, err := scheduler.New(scheduler.Config{
+	sched, err := scheduler.New(scheduler.Config{
 		Gateways: 1,
 		Kinds:    []scheduler.EngineKind{{Name: "small", Cores: 4}},
 		Classes: []scheduler.Class{{
@@ -26,7 +26,7 @@
 		Endpoints: []scheduler.Endpoint{{Engine: "e1", Kind: "small"}},
 	}
 	query := scheduler.Request{ID: 7, Tenant: -1, Deadline: 5 * monotime.Second}
-	for _, action := range gateway.Step(0, []scheduler.Event{update, query}) {
+	for _, action := range sched.Step(0, []scheduler.Event{update, query}) {
 		if start, ok := action.(scheduler.StartAttempt); ok {
 			fmt.Println("query", start.ID, "to", start.Engine)
 		}
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -7,7 +7,7 @@
 	"chutechute/internal/monotime"
 )
 
-// An ejected engine gets one probation request after the backoff, and its response brings it back.
+// An ejected engine gets one probation request after its backoff, and a response to that ends the ejection.
 func TestEjectedEngineReturnsAfterOneProbationRequest(t *testing.T) {
 	sched := newTestScheduler(t, testConfig(), completeUpdate("a"))
 	sched.Step(0, []Event{completeUpdate("a", "b")})
@@ -29,7 +29,7 @@
 				defer func(id uint64) {
 					sched.Step(now+1000, []Event{newOutcome(id, 0, "b", Succeeded, 1000)})
 					if sched.endpoints.byName["b"].health.ejected {
-						t.Error("a response did not bring the engine back")
+						t.Error("a response did not end the ejection")
 					}
 				}(s.ID)
 			}
@@ -40,7 +40,8 @@
 	}
 }
 
-// Guards against each gateway trying each engine of a lost zone with queries that clients wait for.
+// Guards against every front end trying every engine of a lost zone with clients' queries: the whole zone is ejected
+// once two of its engines are unresponsive, and health checks find out when it is back.
 func TestZoneIsEjectedAfterTwoUnresponsiveEngines(t *testing.T) {
 	update := EndpointUpdate{Kind: UpdateComplete}
 	for i := range 6 {
@@ -58,11 +59,11 @@
 	}
 	sched.Step(2*monotime.Second, []Event{EngineUnresponsive{Engine: "e0"}})
 	if ejected("x") != 1 {
-		t.Fatalf("%d ejected after one was unresponsive", ejected("x"))
+		t.Fatalf("%d ejected after one was unresponsive, want 1", ejected("x"))
 	}
 	sched.Step(2*monotime.Second+1000, []Event{EngineUnresponsive{Engine: "e2"}})
 	if ejected("x") != 3 || ejected("y") != 0 {
-		t.Fatalf("%d of the lost zone ejected, %d of the other", ejected("x"), ejected("y"))
+		t.Fatalf("%d engines of the lost zone ejected, want 3, and %d of the other, want 0", ejected("x"), ejected("y"))
 	}
 	checks := map[string]int{}
 	for now := 2*monotime.Second + 2000; now < 3*monotime.Second; now += sweepInterval {
@@ -73,25 +74,25 @@
 		}
 	}
 	if len(checks) == 0 || len(checks) > 3 {
-		t.Fatalf("health checks %v in a second", checks)
+		t.Fatalf("health checks by engine %v in a second, want 1 to 3 engines", checks)
 	}
 	for name := range checks {
 		sched.Step(4*monotime.Second, []Event{HealthCheckResult{Engine: name, Result: Succeeded}})
 		e := sched.endpoints.byName[name]
 		if e.health.ejected || e.warmUp.state != warmUpAssumed {
-			t.Fatalf("an engine that is back after two seconds: ejected %v, warm-up state %v",
+			t.Fatalf("engine that responds after two seconds: ejected %v, warm-up state %v",
 				e.health.ejected, e.warmUp.state)
 		}
 	}
 	sched.Step(4*monotime.Second+maxDiscoveryDelay, []Event{Timer{Token: "sweep"}})
 	for _, e := range sched.endpoints.engines {
 		if e.warmUp.active() {
-			t.Fatal("still warming up when discovery would have reported a restart")
+			t.Fatal("still warming up at a time by which discovery would have reported a restart")
 		}
 	}
 }
 
-// A zone with an engine that responds beside others that do not is not lost.
+// A zone with two unresponsive engines is not ejected while another of its engines responds.
 func TestZoneWithAResponsiveEngineIsNotEjected(t *testing.T) {
 	sched := newTestScheduler(t, largeEngineConfig(), completeUpdate("a", "b", "c", "e"))
 	sched.Step(2*monotime.Second, []Event{EngineUnresponsive{Engine: "a"}, newRequest(1, 0, 2*monotime.Second)})
@@ -105,7 +106,8 @@
 	}
 }
 
-// Guards against an engine that fails at once and so looks idle: errors raise its outlier score, so that it gets less.
+// Guards against an engine that fails queries at once, therefore looks idle, and attracts more of them: errors raise
+// its outlier score, so that it counts for fewer cores.
 func TestErrorsRaiseTheOutlierScore(t *testing.T) {
 	sched := newTestScheduler(t, largeEngineConfig(), completeUpdate("a", "b"))
 	e := sched.endpoints.byName["a"]
@@ -114,6 +116,6 @@
 		sched.learnFromOutcome(q, &q.attempts[0], Outcome{Result: Errored})
 	}
 	if sched.survey(); sched.size(e) > 0.6*e.cores {
-		t.Fatalf("counts for %.1f of %.0f cores", sched.size(e), e.cores)
+		t.Fatalf("counts for %.1f of %.0f cores, want at most 0.6 of them", sched.size(e), e.cores)
 	}
 }
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -6,7 +6,8 @@
 	"chutechute/internal/monotime"
 )
 
-// testConfig returns a small site: two gateways, engines of four cores, a short and a long class.
+// testConfig returns the configuration of a small site: two front ends, engines with four cores, and a short and a
+// long query class.
 func testConfig() Config {
 	return Config{
 		Gateways: 2,
@@ -26,7 +27,7 @@
 	}
 }
 
-// keyedClassConfig returns testConfig with a long class that is idempotent by key; the short one is idempotent.
+// keyedClassConfig returns testConfig with its long class idempotent by key; the short class stays idempotent.
 func keyedClassConfig() Config {
 	cfg := testConfig()
 	long := &cfg.Classes[1]
@@ -34,8 +35,8 @@
 	return cfg
 }
 
-// largeEngineConfig returns a site of large engines. A long query takes most of what an engine that starts can do in a
-// second.
+// largeEngineConfig returns testConfig with engines of eight cores and short latency objectives. A long query takes
+// most of the work that an engine can do in a second at the start of its warm-up.
 func largeEngineConfig() Config {
 	cfg := testConfig()
 	cfg.Kinds[0].Cores = 8
@@ -45,7 +46,7 @@
 	return cfg
 }
 
-// completeUpdate returns an update that lists just the named engines, all serving.
+// completeUpdate returns a complete update that lists the named engines as serving.
 func completeUpdate(names ...string) EndpointUpdate {
 	update := EndpointUpdate{Kind: UpdateComplete}
 	for _, n := range names {
@@ -54,7 +55,7 @@
 	return update
 }
 
-// newTestScheduler returns a scheduler that knows the engines of the update at time 0.
+// newTestScheduler returns a scheduler that has received the update at time 0.
 func newTestScheduler(t *testing.T, cfg Config, update EndpointUpdate) *Scheduler {
 	t.Helper()
 	sched, err := New(cfg, 7)
@@ -65,7 +66,8 @@
 	return sched
 }
 
-// newFleet returns n gateways of one site: tests feed all of them and look at the sum of what they send.
+// newFleet returns the schedulers of the n front ends of one site. Tests feed events to all of them and check the total
+// of what they send.
 func newFleet(t *testing.T, n int, cfg Config, update EndpointUpdate) []*Scheduler {
 	t.Helper()
 	cfg.Gateways = n
@@ -82,12 +84,12 @@
 	return all
 }
 
-// newRequest returns a request whose client waits for four seconds.
+// newRequest returns a request whose client times out after four seconds.
 func newRequest(id uint64, class int, now monotime.Micros) Request {
 	return Request{ID: id, Class: class, Tenant: -1, Deadline: now + 4*monotime.Second}
 }
 
-// newOutcome returns an outcome; a success is final.
+// newOutcome returns the outcome of an attempt. A success is the final answer to its request.
 func newOutcome(id uint64, attempt int, engine string, result Result, elapsed monotime.Micros) Outcome {
 	return Outcome{ID: id, Attempt: attempt, Engine: engine, Result: result, Elapsed: elapsed, Final: result == Succeeded}
 }
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -7,7 +7,7 @@
 	"chutechute/internal/monotime"
 )
 
-// Rule 6: a class that is bound to zones waits or is rejected rather than go elsewhere.
+// Rule 6: a query of a class that is restricted to zones is queued or rejected, but never sent to another zone.
 func TestZoneConstraintIsKeptWithoutAnEngineInTheZone(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Zones = []string{"north"}
@@ -17,13 +17,14 @@
 	}
 }
 
-// A table group stays on the first two engines of its order, and spills past 1.25 times the mean plus one query.
+// A table group's queries go to the first two engines of its hash order. They spill to the next engine when the load of
+// both exceeds 1.25 times the mean plus one query.
 func TestGroupStaysOnItsHomeEnginesAndSpillsUnderLoad(t *testing.T) {
 	sched := newTestScheduler(t, testConfig(), completeUpdate("a", "b", "c", "e"))
 	order := sched.placement.hashOrder(0, sched.endpoints.engines)
 	q := &query{class: sched.classes[0]}
 	if got := sched.choose(q); got != order[0] {
-		t.Fatalf("an idle order gives %s, want the first, %s", got.Engine, order[0].Engine)
+		t.Fatalf("with idle engines got %s, want the first, %s", got.Engine, order[0].Engine)
 	}
 	order[0].usage.threads = 1
 	if got := sched.choose(q); got != order[1] {
@@ -35,7 +36,7 @@
 	}
 }
 
-// A class that waits for locks passes over an engine on which this gateway has its table group locked.
+// Queries of a class that waits for locks avoid an engine on which a query of this front end locks their table group.
 func TestLockWaitersAvoidEnginesThatHoldTheLock(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].WaitsForTableGroup, cfg.Classes[1].LocksTableGroup = true, true
@@ -52,8 +53,8 @@
 	}
 }
 
-// Guards against releasing the whole queue at once when estimates have sunk, and pressure with them, because nothing
-// ended for a second: twice the share binds without pressure.
+// Guards against starting the whole queue at once. When no attempt ends for a second, estimates decay and no pressure
+// is detected; then attempts are still bounded by twice this front end's share.
 func TestTwiceTheShareBindsWithoutPressure(t *testing.T) {
 	sched := newTestScheduler(t, testConfig(), completeUpdate("a"))
 	var events []Event
@@ -66,7 +67,8 @@
 	}
 }
 
-// Without pressure the share does not bind; a rejection by an engine is pressure.
+// Attempts are bounded by this front end's share under pressure, and by twice the share otherwise. A rejection by an
+// engine counts as pressure.
 func TestRejectionByAnEngineMakesTheShareBind(t *testing.T) {
 	sched := newTestScheduler(t, testConfig(), completeUpdate("a"))
 	share := int(math.Ceil(pressuredThreadsPerCore * 4 / 2))
@@ -80,11 +82,11 @@
 	sched.Step(monotime.Second+1000, []Event{newOutcome(0, 0, "a", Rejected, 1000)})
 	now := monotime.Second + 2000
 	if got := startedAttempts(sched.Step(now, []Event{newRequest(99, 0, now)})); len(got) != 0 {
-		t.Fatalf("sent %v past the share under pressure", got)
+		t.Fatalf("sent %v beyond the share under pressure", got)
 	}
 }
 
-// Guards against one long query that fills a gateway's share and holds up its short ones.
+// Guards against one long query that uses up a front end's share and delays its short queries.
 func TestLongQueriesTakeNoSlotsFromShortOnes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways = 50
@@ -98,17 +100,18 @@
 	sched.Step(monotime.Second, []Event{long})
 	got := startedAttempts(sched.Step(monotime.Second, []Event{secondLong, newRequest(3, 0, monotime.Second)}))
 	if len(got) != 1 || got[0].ID != 3 {
-		t.Fatalf("sends %v, want the short query alone", got)
+		t.Fatalf("attempts %v, want only the short query", got)
 	}
 }
 
-// Guards against slots that are divided evenly, so that busy gateways reject what the fleet has capacity for.
+// Guards against dividing concurrency slots evenly: busy front ends would reject queries that the fleet has capacity
+// for.
 func TestConcurrencySlotsFollowTheShareOfTraffic(t *testing.T) {
 	cfg := largeEngineConfig()
 	cfg.Gateways = 50
 	sched := newTestScheduler(t, cfg, completeUpdate("a", "b", "c", "e"))
 	now := monotime.Second
-	for id := range uint64(1000) { // half of all that quotas allow
+	for id := range uint64(1000) { // half of what quotas allow in total
 		now += monotime.Second / 100
 		for _, s := range startedAttempts(sched.Step(now, []Event{newRequest(id, 0, now)})) {
 			sched.Step(now, []Event{newOutcome(s.ID, 0, s.Engine, Succeeded, 1000)})
@@ -116,11 +119,11 @@
 	}
 	even := unpressuredFactor * pressuredThreadsPerCore * 4 * 8 / 50
 	if sched.placement.slots < 5*even {
-		t.Fatalf("%.1f slots for half of the traffic, %.1f for an even share", sched.placement.slots, even)
+		t.Fatalf("%.1f slots for half of the traffic, want five times the even share of %.1f", sched.placement.slots, even)
 	}
 }
 
-// Guards against attempts on unresponsive engines that take the slots of queries for those that respond.
+// Guards against attempts on unresponsive engines that take up the concurrency slots for responsive ones.
 func TestEjectedEnginesTakeNoConcurrencySlots(t *testing.T) {
 	cfg := largeEngineConfig()
 	cfg.Gateways = 50
@@ -138,13 +141,13 @@
 			sched.endpoints.byName[a.engine.Engine].health.ejected = a.engine.Engine == "a"
 		}
 	}
-	lost := sched.endpoints.byName["a"].usage.threads
-	if again := fill(100, monotime.Second+2); lost == 0 || again == 0 {
-		t.Fatalf("%d started, %d of them on the lost engine, then %d", before, lost, again)
+	unresponsive := sched.endpoints.byName["a"].usage.threads
+	if after := fill(100, monotime.Second+2); unresponsive == 0 || after == 0 {
+		t.Fatalf("%d started, with %d threads on the unresponsive engine, then %d", before, unresponsive, after)
 	}
 }
 
-// Two hundred gateways that start together do not send their first queries of a group to one engine.
+// Two hundred front ends that start together do not all send their first query of a table group to the same engine.
 func TestFirstQueriesOfAFleetAreSpread(t *testing.T) {
 	count := map[string]int{}
 	now := 2 * monotime.Second
@@ -158,6 +161,6 @@
 		largest = max(largest, n)
 	}
 	if largest > 140 {
-		t.Fatalf("one engine got %d of 200 first queries", largest)
+		t.Fatalf("one engine got %d of 200 first queries, want at most 140", largest)
 	}
 }
--- a/scheduler/popularity_test.go
+++ b/scheduler/popularity_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// A table group has two home engines, and one more for each engine's part of the traffic that it has.
+// A table group has two home engines, and one more for each average engine's part of all traffic that the group has.
 func TestPopularGroupHasMoreHomeEngines(t *testing.T) {
 	p := newPopularity()
 	if got := p.homeEngines(1, 30); got != 2 {
-		t.Fatalf("%d home engines for a group never seen", got)
+		t.Fatalf("%d home engines for a group never seen, want 2", got)
 	}
 	for i := range 5000 {
 		group := 100 + i%50
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -9,7 +9,8 @@
 	"chutechute/internal/monotime"
 )
 
-// Rule 2: what follows an outcome that leaves open whether the query ran depends on its effect.
+// Rule 2: after an outcome that leaves open whether the query ran, its effect decides whether it is retried, rejected
+// or failed.
 func TestRetryAfterResetDependsOnTheEffect(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -53,15 +54,15 @@
 	}
 }
 
-// allResults is each result of an attempt, and whether it proves that the attempt never ran.
+// allResults maps each result of an attempt to whether it proves that the attempt never ran.
 var allResults = map[Result]bool{
 	Succeeded: false, Errored: false, Rejected: true, TimedOut: false,
 	NoConnection: true, Reset: false, Canceled: false, NotSent: true,
 }
 
-// Over every result of an attempt and every effect of a class: what may have run is neither retried where a second
-// execution does harm, nor rejected; what never ran is retried whatever the effect; and no request has two attempts in
-// flight.
+// For every result of an attempt, effect and dedupe scope: where a second execution would do harm, a query that may
+// have run is neither retried nor rejected; a query that never ran is retried whatever its effect; and no request has
+// two attempts in flight.
 func TestRetriesByEffectAndResult(t *testing.T) {
 	for result, neverRan := range allResults {
 		assert.Equal(t, neverRan, result.NeverRan(), "%d", result)
@@ -87,7 +88,7 @@
 					}
 					step := sched.Step(now, events)
 					if now < monotime.Second+monotime.Second/10 {
-						require.Empty(t, startedAttempts(step), "a second attempt beside the first")
+						require.Empty(t, startedAttempts(step), "a second attempt while the first is in flight")
 					}
 					retries, actions = append(retries, startedAttempts(step)...), append(actions, step...)
 				}
@@ -120,8 +121,8 @@
 	}
 }
 
-// The window in which engines discard a duplicate counts from the first attempt that may have run, not from the last,
-// and it bounds the write as well as the decision.
+// The dedupe window counts from the first attempt that may have run, not from the last. It bounds when an attempt may
+// be written to the engine as well as when it may be decided.
 func TestDedupeWindowCountsFromTheFirstAttemptThatMayHaveRun(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.MaxAttempts, cfg.Limits.HealthChecks = 9, true
@@ -132,7 +133,7 @@
 	require.Len(t, s, 1)
 	assert.Zero(t, s[0].StartBy)
 	s = startedAttempts(sched.Step(11*tenth, []Event{newOutcome(1, 0, s[0].Engine, NoConnection, tenth)}))
-	require.Len(t, s, 1, "the first never ran: this one counts as the first")
+	require.Len(t, s, 1, "the first attempt never ran, so the window counts from this one")
 	assert.Zero(t, s[0].StartBy)
 	s = startedAttempts(sched.Step(16*tenth, []Event{newOutcome(1, 1, s[0].Engine, Errored, 5*tenth)}))
 	require.Len(t, s, 1)
@@ -149,8 +150,8 @@
 	}
 }
 
-// A non-idempotent query is not retried once it may have run, whatever its class says, and it fails then instead of
-// being rejected. Where it never ran it may go elsewhere, unless its client allows no retry.
+// A non-idempotent query that may have run fails, whatever the effect of its class: it is neither retried nor rejected.
+// One that never ran is retried, unless its client allows no retry.
 func TestNonIdempotentAndNoRetryRequests(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
@@ -173,7 +174,7 @@
 		{"no retry, reset", 0, true, true, Reset, false, false},
 	} {
 		sched := newTestScheduler(t, keyedClassConfig(), completeUpdate("a", "b", "c"))
-		for id := uint64(100); id < 150; id++ { // the estimate comes down to what queries take
+		for id := uint64(100); id < 150; id++ { // lowers the estimate to the actual execution time
 			sched.Step(monotime.Second/2, []Event{newRequest(id, c.class, monotime.Second/2)})
 			e := sched.queries[id].attempts[0].engine.Engine
 			sched.Step(monotime.Second/2, []Event{newOutcome(id, 0, e, Succeeded, monotime.Second/20)})
@@ -182,7 +183,7 @@
 		r.NonIdempotent, r.NoRetry = c.nonIdempotent, c.noRetry
 		first := startedAttempts(sched.Step(monotime.Second, []Event{r}))
 		if len(first) != 1 {
-			t.Fatalf("%s: sends %v", c.name, first)
+			t.Fatalf("%s: attempts %v, want 1", c.name, first)
 		}
 		var retries []StartAttempt
 		var rejected, failed []uint64
@@ -203,7 +204,7 @@
 	}
 }
 
-// A non-idempotent attempt has no timeout of its own: as it can't be canceled it may run on.
+// An attempt of a non-idempotent query has no timeout of its own: it can't be canceled, so it might run on after one.
 func TestNonIdempotentAttemptsHaveNoTimeout(t *testing.T) {
 	cfg := keyedClassConfig()
 	cfg.Limits.Cancel = false
@@ -213,12 +214,12 @@
 		r.NonIdempotent = nonIdempotent
 		s := startedAttempts(sched.Step(monotime.Second, []Event{r}))
 		if len(s) != 1 || s[0].Timeout > 0 == nonIdempotent {
-			t.Errorf("non-idempotent %v: sends %v", nonIdempotent, s)
+			t.Errorf("non-idempotent %v: attempts %v, want 1 with a timeout only if idempotent", nonIdempotent, s)
 		}
 	}
 }
 
-// Where attempts can't be canceled, that of an idempotent query times out and is retried elsewhere.
+// Where attempts can't be canceled, an attempt of an idempotent query times out and is retried on another engine.
 func TestAttemptsThatCannotBeCanceledHaveATimeout(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.Cancel = false
@@ -226,16 +227,16 @@
 	sched.classes[0].meanLatency, sched.classes[0].meanEstimate = 50_000, 1
 	first := startedAttempts(sched.Step(monotime.Second, []Event{newRequest(1, 0, monotime.Second)}))[0]
 	if first.Timeout <= 50_000 || first.Timeout >= 4*monotime.Second {
-		t.Fatalf("timeout %d", first.Timeout)
+		t.Fatalf("timeout %d, want one between the execution time and the client's timeout", first.Timeout)
 	}
 	now := monotime.Second + first.Timeout
 	next := startedAttempts(sched.Step(now, []Event{newOutcome(1, 0, first.Engine, TimedOut, first.Timeout)}))
 	if len(next) != 1 || next[0].Engine == first.Engine {
-		t.Fatalf("then %v", next)
+		t.Fatalf("attempts after the timeout %v, want 1 on the other engine", next)
 	}
 }
 
-// Rule 7: retries stay within the retry budget.
+// Rule 7: this front end's retries stay within its retry budget.
 func TestRetriesStayWithinTheRetryBudget(t *testing.T) {
 	cfg := testConfig()
 	rules := &cfg.Rules
@@ -256,8 +257,8 @@
 	}
 }
 
-// A slow query gets a hedged request where that is allowed and a second execution does no harm: one, on another engine,
-// and the first of the two to succeed serves it. Else nothing goes beside the first attempt.
+// A slow query gets one hedged request, on another engine, where that is allowed and a second execution does no harm.
+// The first of the two attempts to succeed serves the query. Otherwise the first attempt stays the only one.
 func TestHedgedRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		allowed, ordered bool
@@ -276,7 +277,7 @@
 		class.Effect, class.DedupeWindow, class.Ordered = c.effect, 25*monotime.Second, c.ordered
 		class.ClientTimeout = 40 * monotime.Second
 		sched := newTestScheduler(t, cfg, completeUpdate("a", "b"))
-		for n := range uint64(20) { // a usual one takes 0.1 s
+		for n := range uint64(20) { // a typical query takes 0.1 s
 			now, elapsed := monotime.Micros(n+1)*monotime.Second, monotime.Second/10
 			s := startedAttempts(sched.Step(now, []Event{newRequest(n, 0, now)}))
 			require.Len(t, s, 1)
@@ -300,7 +301,7 @@
 		canceled := newOutcome(100, 0, first[0].Engine, Canceled, 6*monotime.Second)
 		canceled.Final = true
 		assert.Empty(t, rejectedIDs(sched.Step(36*monotime.Second, []Event{canceled})))
-		assert.Empty(t, sched.queries, "nothing of it is left")
+		assert.Empty(t, sched.queries, "the query is closed")
 		assert.Empty(t, sched.queue.queries)
 	}
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -7,8 +7,8 @@
 	"chutechute/internal/monotime"
 )
 
-// The same events call for the same actions, also with another instance stepped in between.
-func TestSameEventsCallForTheSameActions(t *testing.T) {
+// The same events lead to the same actions, even if another Scheduler is stepped in between.
+func TestSameEventsLeadToTheSameActions(t *testing.T) {
 	run := func(between bool) (all []Action) {
 		sched := newTestScheduler(t, testConfig(), completeUpdate("a", "b", "c"))
 		other := newTestScheduler(t, testConfig(), completeUpdate("x", "y"))
@@ -30,6 +30,6 @@
 		return all
 	}
 	if one, two := run(false), run(true); !reflect.DeepEqual(one, two) || len(one) < 300 {
-		t.Fatalf("%d actions, then %d, or they differ", len(one), len(two))
+		t.Fatalf("%d and %d actions, want the same actions twice and at least 300", len(one), len(two))
 	}
 }
--- a/scheduler/sequences_test.go
+++ b/scheduler/sequences_test.go
@@ -13,7 +13,7 @@
 	"chutechute/internal/monotime"
 )
 
-// sequence feeds a scheduler random events and digests the actions that they call for.
+// sequence feeds random events to a scheduler and computes a digest of the resulting actions.
 type sequence struct {
 	rng          *rand.Rand
 	scheduler    *Scheduler
@@ -29,7 +29,7 @@
 	digest       hash.Hash
 }
 
-// sentAttempt is an attempt that an engine has.
+// sentAttempt is an attempt in flight on an engine.
 type sentAttempt struct {
 	id       uint64
 	number   int
@@ -38,9 +38,10 @@
 	canceled bool
 }
 
-// sequenceConfig returns a site that differs with the seed: each feature of the scheduler is there with some seeds.
+// sequenceConfig returns a configuration that depends on the seed: each feature of the scheduler is on with some seeds
+// and off with others.
 func sequenceConfig(seed uint64) Config {
-	has := func(bit uint) bool { return seed>>bit&1 == 1 }
+	enabled := func(bit uint) bool { return seed>>bit&1 == 1 }
 	cfg := Config{
 		Gateways: 1 + int(seed%4)*20, Rank: int(seed % 3), Zone: "a",
 		Kinds: []EngineKind{{Name: "small", Cores: 4, MemoryMB: 8000}, {Name: "large", Cores: 16, MemoryMB: 64000}},
@@ -48,11 +49,11 @@
 			{Name: "lookup", LatencyObjective: monotime.Second / 2, ObjectiveStretch: 1.5,
 				ClientTimeout: 4 * monotime.Second, PriorityWeight: 1, LateWeight: 0.2, Threads: 1, WaitsForTableGroup: true},
 			{Name: "report", LatencyObjective: 4 * monotime.Second, ClientTimeout: 20 * monotime.Second,
-				PriorityWeight: 5, Threads: 2, Streaming: has(0)},
+				PriorityWeight: 5, Threads: 2, Streaming: enabled(0)},
 			{Name: "load", LatencyObjective: 3 * monotime.Second, ObjectiveStretch: 2,
 				ClientTimeout: 25 * monotime.Second, PriorityWeight: 4, LateWeight: 0.5, Threads: 1,
 				Effect: IdempotentByKey, DedupeScope: DedupeScope(seed % 3), DedupeWindow: 20 * monotime.Second,
-				Ordered: has(1), LocksTableGroup: true},
+				Ordered: enabled(1), LocksTableGroup: true},
 			{Name: "change", LatencyObjective: monotime.Second, ClientTimeout: 8 * monotime.Second,
 				PriorityWeight: 2, Threads: 1, Effect: NonIdempotent},
 			{Name: "zonal", LatencyObjective: monotime.Second, ClientTimeout: 6 * monotime.Second,
@@ -60,20 +61,20 @@
 		},
 		Tenants: []Tenant{{Name: "desk", Share: 0.7, Quota: 60}, {Name: "batch", Share: 0.3, Quota: 25}},
 		Limits: Limits{
-			Cancel: !has(2), HealthChecks: has(3), HedgedRequests: has(4), RetryAfter: !has(1),
+			Cancel: !enabled(2), HealthChecks: enabled(3), HedgedRequests: enabled(4), RetryAfter: !enabled(1),
 			MaxAttempts: 2 + int(seed%4), MaxRetryAfter: 2 * monotime.Second,
 		},
 		Rules: Rules{
 			ResponseTimeout: monotime.Second, WarmUp: 8 * monotime.Second, InitialCapacity: 0.3,
 			OverloadWindow: monotime.Second, OverloadMultiple: 2, DrainGrace: monotime.Second / 2,
 			AnswerSlack: monotime.Second / 20, KeyQuietPeriod: monotime.Second,
-			RetryBudget: has(2), MinRetries: 2, RetryRatio: 0.2, RetryBudgetWindow: 10 * monotime.Second,
+			RetryBudget: enabled(2), MinRetries: 2, RetryRatio: 0.2, RetryBudgetWindow: 10 * monotime.Second,
 		},
-		PollEndpoints: has(3), MemoryGrants: has(0), Priorities: has(1), MaxGrantShare: 0.5, ReportsCost: has(2),
-		HealthCheckCost: 0.01, CrossZoneCost: 0.1, OverQuotaWeight: 0.4,
-		LoadReportsOnHealthChecks: has(3), LoadReportsOnResponses: has(0),
+		PollEndpoints: enabled(3), MemoryGrants: enabled(0), Priorities: enabled(1), MaxGrantShare: 0.5,
+		ReportsCost: enabled(2), HealthCheckCost: 0.01, CrossZoneCost: 0.1, OverQuotaWeight: 0.4,
+		LoadReportsOnHealthChecks: enabled(3), LoadReportsOnResponses: enabled(0),
 	}
-	if has(4) {
+	if enabled(4) {
 		cfg.ProgressInterval = monotime.Second / 4
 	}
 	return cfg
@@ -103,13 +104,13 @@
 	}
 }
 
-// chance is true so many times in a hundred.
+// chance returns true with the given probability in percent.
 func (s *sequence) chance(percent int) bool { return s.rng.IntN(100) < percent }
 
-// span returns a random span below a limit.
-func (s *sequence) span(limit monotime.Micros) monotime.Micros { return s.rng.Int64N(limit) }
+// randomBelow returns a random number from 0 to below the limit.
+func (s *sequence) randomBelow(limit monotime.Micros) monotime.Micros { return s.rng.Int64N(limit) }
 
-// step feeds events and digests the actions.
+// step feeds events to the scheduler, adds the actions to the digest, and records attempts, health checks and timers.
 func (s *sequence) step(events ...Event) {
 	s.events += len(events)
 	for _, a := range s.scheduler.Step(s.now, events) {
@@ -144,14 +145,14 @@
 			s.timers = append(s.timers, a)
 		case LatencyMeasurement:
 			tag = 10
-		case Log: // no decision
+		case Log: // not a decision
 			continue
 		}
 		fmt.Fprintf(s.digest, "%d %d %v\n", s.now, tag, a)
 	}
 }
 
-// dueTimers returns the events of the timers that are due, in their order.
+// dueTimers returns the events of the timers that are due, in order of time.
 func (s *sequence) dueTimers() (events []Event) {
 	slices.SortStableFunc(s.timers, func(a, b SetTimer) int { return int(a.At - b.At) })
 	for len(s.timers) > 0 && s.timers[0].At <= s.now {
@@ -166,14 +167,14 @@
 	class := s.rng.IntN(len(s.cfg.Classes))
 	r := Request{
 		ID: s.nextID, Class: class, Tenant: s.rng.IntN(3) - 1, TableGroup: s.rng.IntN(9),
-		Deadline:      s.now + s.span(s.cfg.Classes[class].ClientTimeout),
+		Deadline:      s.now + s.randomBelow(s.cfg.Classes[class].ClientTimeout),
 		NonIdempotent: s.chance(3), NoRetry: s.chance(3), MeasureLatency: s.chance(10),
 	}
 	if class == 2 {
 		r.Key = fmt.Sprintf("key-%d", s.rng.IntN(6))
 	}
 	if s.chance(40) {
-		r.EstimatedWork, r.OwnEstimate = s.span(monotime.Second), s.chance(50)
+		r.EstimatedWork, r.OwnEstimate = s.randomBelow(monotime.Second), s.chance(50)
 	}
 	if s.chance(20) {
 		r.MemoryMB = float64(s.rng.IntN(4000))
@@ -188,7 +189,7 @@
 	return &LoadReport{Utilization: s.rng.Float64(), Queue: float64(s.rng.IntN(20)), Memory: s.rng.Float64(), Disk: -1}
 }
 
-// outcome ends one of the attempts in flight; every fourth engine does worse.
+// outcome ends a random attempt in flight. Every fourth engine fails more often.
 func (s *sequence) outcome() (events []Event) {
 	if len(s.inFlight) == 0 {
 		return nil
@@ -207,7 +208,7 @@
 	case s.chance(good):
 		o.Final = true
 		if s.cfg.ReportsCost {
-			o.WorkUsed, o.MemoryUsedMB = s.span(monotime.Second), float64(s.rng.IntN(3000))
+			o.WorkUsed, o.MemoryUsedMB = s.randomBelow(monotime.Second), float64(s.rng.IntN(3000))
 		}
 	default:
 		o.Result = Result(1 + s.rng.IntN(int(NotSent)))
@@ -215,7 +216,7 @@
 	return []Event{o}
 }
 
-// endpointUpdate changes an engine or repeats them all.
+// endpointUpdate returns a failed update, a list of all engines, or a change of one engine.
 func (s *sequence) endpointUpdate() Event {
 	i := s.rng.IntN(len(s.engines))
 	switch s.rng.IntN(8) {
@@ -230,12 +231,12 @@
 	case 5:
 		s.engines[i].State = Removed
 	default:
-		s.engines[i] = s.engine(i, s.now-s.span(monotime.Second))
+		s.engines[i] = s.engine(i, s.now-s.randomBelow(monotime.Second))
 	}
 	return EndpointUpdate{Kind: UpdateChanges, Endpoints: []Endpoint{s.engines[i]}}
 }
 
-// rules returns budgets of each kind, as the settings allow them.
+// rules returns random budget rules of each kind that the settings allow.
 func (s *sequence) rules() []BudgetRule {
 	list := []BudgetRule{
 		{Name: "attempts", Kind: account.Rate, Class: s.rng.IntN(6) - 1, Tenant: -1,
@@ -259,10 +260,10 @@
 	return list
 }
 
-// budgetGrant puts budgets into force and leases some of each.
+// budgetGrant returns a grant of random rules, with a lease of each and static amounts of some.
 func (s *sequence) budgetGrant() Event {
-	ev := BudgetGrant{Rules: s.rules(), Until: s.now + s.span(6*monotime.Second)}
-	for _, r := range ev.Rules {
+	grant := BudgetGrant{Rules: s.rules(), Until: s.now + s.randomBelow(6*monotime.Second)}
+	for _, r := range grant.Rules {
 		subjects := []string{""}
 		switch {
 		case r.PerEngine:
@@ -274,18 +275,18 @@
 			subjects = []string{s.cfg.Tenants[0].Name, s.cfg.Tenants[1].Name}
 		}
 		for _, subject := range subjects {
-			amount := account.Amount{Capacity: s.span(40_000), Rate: s.span(40_000)}
-			ev.Leased = append(ev.Leased, BudgetAmount{r.Name, subject, amount})
+			amount := account.Amount{Capacity: s.randomBelow(40_000), Rate: s.randomBelow(40_000)}
+			grant.Leased = append(grant.Leased, BudgetAmount{r.Name, subject, amount})
 		}
 		if s.chance(50) {
-			amount := account.Amount{Capacity: s.span(4_000), Rate: s.span(2_000)}
-			ev.Static = append(ev.Static, BudgetAmount{r.Name, "", amount})
+			amount := account.Amount{Capacity: s.randomBelow(4_000), Rate: s.randomBelow(2_000)}
+			grant.Static = append(grant.Static, BudgetAmount{r.Name, "", amount})
 		}
 	}
-	return ev
+	return grant
 }
 
-// randomEvents draws the next events.
+// randomEvents returns the next events, drawn at random.
 func (s *sequence) randomEvents() []Event {
 	switch n := s.rng.IntN(200); {
 	case n < 80:
@@ -299,7 +300,7 @@
 		s.healthChecks = s.healthChecks[1:]
 		return []Event{HealthCheckResult{
 			Engine: engine, Result: Result(s.rng.IntN(2) * s.rng.IntN(int(NotSent))),
-			Elapsed: s.span(monotime.Second / 10), Load: s.loadReport(),
+			Elapsed: s.randomBelow(monotime.Second / 10), Load: s.loadReport(),
 		}}
 	case n < 182:
 		return []Event{EngineUnresponsive{Engine: s.engines[s.rng.IntN(len(s.engines))].Engine}}
@@ -313,21 +314,22 @@
 			Kind: ProgressKind(1 + s.rng.IntN(3)), Value: s.rng.Float64() * 3,
 		}}
 	case n < 194 && s.nextID > 0:
-		return []Event{ClientDisconnected{ID: s.nextID - uint64(s.span(min(int64(s.nextID), 40))), AnswerDue: s.chance(50)}}
+		return []Event{ClientDisconnected{ID: s.nextID - uint64(s.randomBelow(min(int64(s.nextID), 40))),
+			AnswerDue: s.chance(50)}}
 	case n < 196 && s.now > 20*monotime.Second:
 		return []Event{s.budgetGrant()}
 	}
 	return s.dueTimers()
 }
 
-// The digest of all actions that random sequences of events call for: a change of names or of structure changes
-// none of them.
+// Compares a digest of all actions on random sequences of events with the recorded one, so that renaming and
+// restructuring code change no decision.
 func TestDecisionsOnRandomSequences(t *testing.T) {
-	const eventsEach = 6500
+	const eventsPerSequence = 6500
 	for seed := range uint64(16) {
 		s := newSequence(t, seed)
-		for s.events < eventsEach {
-			s.now += s.span(30_000)
+		for s.events < eventsPerSequence {
+			s.now += s.randomBelow(30_000)
 			events := s.dueTimers()
 			for range 1 + s.rng.IntN(3) {
 				events = append(events, s.randomEvents()...)
@@ -337,8 +339,8 @@
 				fmt.Fprintln(s.digest, s.scheduler.BudgetDemands(s.now))
 			}
 		}
-		for _, spending := range s.scheduler.BudgetStatuses(s.now) {
-			fmt.Fprintln(s.digest, spending)
+		for _, status := range s.scheduler.BudgetStatuses(s.now) {
+			fmt.Fprintln(s.digest, status)
 		}
 		golden.Entry(t, "testdata/sequences.txt", fmt.Sprint("seed-", seed), fmt.Sprintf("%x", s.digest.Sum(nil)))
 	}
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -17,22 +17,22 @@
 	scenarioLength = 30 * monotime.Second
 )
 
-// warmUpScenario is a day on which engines start under a whole fleet, in virtual time.
+// warmUpScenario describes a simulation, in virtual time, of a fleet of front ends under load while engines start.
 type warmUpScenario struct {
 	frontEnds, warmEngines, newEngines int
-	skew                               float64         // exponent of Zipf's law of traffic over front ends; 0: even
-	load                               float64         // of what the warm engines can do
-	maxUpdateDelay                     monotime.Micros // by which updates of some front ends are late
-	restarts                           bool            // all front ends restart in the middle, a tenth at a time
+	skew                               float64         // Zipf exponent of the traffic over front ends; 0: even
+	load                               float64         // traffic, as a part of the capacity of the warm engines
+	maxUpdateDelay                     monotime.Micros // upper bound of the random delay of endpoint updates
+	restarts                           bool            // all front ends restart during the simulation, a tenth at a time
 	seed                               uint64
 }
 
-// scenarioClasses is the classes with their part of the traffic and their work.
+// scenarioClasses are the query classes, with their share of the traffic and the log-normal distribution of their work.
 var scenarioClasses = []struct {
 	class  Class
 	share  float64
 	work   float64 // mean, in core milliseconds
-	spread float64 // sigma of its logarithm
+	spread float64 // standard deviation of its logarithm
 }{
 	{Class{Name: "look", LatencyObjective: monotime.Second, ObjectiveStretch: 1.5, ClientTimeout: 5 * monotime.Second,
 		PriorityWeight: 1, Threads: 1}, 0.79, 180, 0.8},
@@ -43,11 +43,11 @@
 		DedupeWindow: 25 * monotime.Second, Ordered: true, LocksTableGroup: true}, 0.06, 3800, 0.6},
 }
 
-// scenarioEventKind is what happens to a front end.
+// scenarioEventKind is the kind of an event at a front end.
 type scenarioEventKind int
 
 const (
-	deliverEvent scenarioEventKind = iota // an event of the scheduler
+	deliverEvent scenarioEventKind = iota // the event is for the scheduler
 	restartFrontEnd
 	queryArrives
 )
@@ -57,10 +57,10 @@
 	kind       scenarioEventKind
 	frontEnd   int
 	event      Event
-	generation int // of the front end: what was on its way to an earlier one is lost
+	generation int // of the front end's process; events for an earlier process are dropped
 }
 
-// scenarioQueue is a heap of events by time.
+// scenarioQueue is a heap of events, ordered by time.
 type scenarioQueue []scenarioEvent
 
 func (q scenarioQueue) Len() int { return len(q) }
@@ -77,14 +77,15 @@
 	return last
 }
 
-// scenarioResult is what a day came to: the most that an engine was sent in a window of its warm-up, as a part of what
-// is allowed, and the weight of the queries served in time by engines in their warm-up and by others, of all requested.
+// scenarioResult is the result of a simulation: the most work that an engine was sent in a window of its warm-up, as a
+// part of what is allowed, and the priority weight of the queries that engines in their warm-up served in time, that
+// other engines served in time, and that were requested.
 type scenarioResult struct {
 	maxBudgetUse                           float64
 	servedWarmingUp, servedWarm, requested float64
 }
 
-// scenarioRun is a day that is being played.
+// scenarioRun is the state of a running simulation.
 type scenarioRun struct {
 	warmUpScenario
 	rng         *rand.Rand
@@ -115,19 +116,19 @@
 	work float64 // core milliseconds
 }
 
-func (day warmUpScenario) newRun() *scenarioRun {
+func (scenario warmUpScenario) newRun() *scenarioRun {
 	r := &scenarioRun{
-		warmUpScenario: day,
-		rng:            rand.New(rand.NewPCG(day.seed, 9)),
+		warmUpScenario: scenario,
+		rng:            rand.New(rand.NewPCG(scenario.seed, 9)),
 		startedAt:      map[string]monotime.Micros{},
-		schedulers:     make([]*Scheduler, day.frontEnds),
-		generations:    make([]int, day.frontEnds),
+		schedulers:     make([]*Scheduler, scenario.frontEnds),
+		generations:    make([]int, scenario.frontEnds),
 		queries:        map[uint64]scenarioQuery{},
 		busyThreads:    map[string]float64{},
 		sent:           map[string][]sentWork{},
 	}
 	r.cfg = Config{
-		Gateways: day.frontEnds,
+		Gateways: scenario.frontEnds,
 		Kinds:    []EngineKind{{Name: "k", Cores: scenarioCores, MemoryMB: 1 << 20}},
 		Limits:   Limits{HealthChecks: true, MaxAttempts: 5, MaxRetryAfter: 2 * monotime.Second},
 		Rules: Rules{
@@ -139,12 +140,12 @@
 		r.cfg.Classes = append(r.cfg.Classes, c.class)
 		r.meanWork += c.share * c.work
 	}
-	r.rate = day.load * float64(day.warmEngines) * scenarioCores * 1000 / r.meanWork
+	r.rate = scenario.load * float64(scenario.warmEngines) * scenarioCores * 1000 / r.meanWork
 	r.cfg.Tenants = []Tenant{{Name: "t", Share: 1, Quota: r.rate / 0.82 * 0.9}}
-	for i := range day.warmEngines + day.newEngines {
+	for i := range scenario.warmEngines + scenario.newEngines {
 		e := Endpoint{Engine: fmt.Sprintf("s-%d", i), Kind: "k"}
-		if i >= day.warmEngines {
-			e.Started = 4*monotime.Second + monotime.Micros(i-day.warmEngines)*monotime.Second/2
+		if i >= scenario.warmEngines {
+			e.Started = 4*monotime.Second + monotime.Micros(i-scenario.warmEngines)*monotime.Second/2
 			r.startedAt[e.Engine] = e.Started
 		}
 		r.engines = append(r.engines, e)
@@ -153,7 +154,7 @@
 	return r
 }
 
-// planFrontEnds starts all front ends and draws their updates, restarts and arrivals.
+// planFrontEnds starts all front ends and schedules their endpoint updates, restarts and random arrivals of queries.
 func (r *scenarioRun) planFrontEnds() {
 	weights, sum := make([]float64, r.frontEnds), 0.0
 	for i := range weights {
@@ -182,7 +183,7 @@
 
 func (r *scenarioRun) push(e scenarioEvent) { heap.Push(&r.events, e) }
 
-// startFrontEnd starts a front end with an empty memory and gives it the list of the engines as they are then.
+// startFrontEnd starts a front end that has learned nothing yet and sends it the engines that have started by then.
 func (r *scenarioRun) startFrontEnd(i int, now monotime.Micros) {
 	r.cfg.Rank = i
 	sched, err := New(r.cfg, r.seed<<20|uint64(r.generations[i])<<10|uint64(i))
@@ -199,10 +200,10 @@
 	r.push(scenarioEvent{at: now, frontEnd: i, event: update, generation: r.generations[i]})
 }
 
-// play runs the day. An engine has cores for the threads that it runs and slows down beyond; in its warm-up it has
-// fewer.
-func (day warmUpScenario) play() scenarioResult {
-	r := day.newRun()
+// run runs the simulation. An engine slows down in proportion when it runs more threads than it has cores; during its
+// warm-up it has fewer cores.
+func (scenario warmUpScenario) run() scenarioResult {
+	r := scenario.newRun()
 	for len(r.events) > 0 && r.events[0].at < scenarioLength {
 		next := heap.Pop(&r.events).(scenarioEvent)
 		event := next.event
@@ -212,7 +213,7 @@
 			r.startFrontEnd(next.frontEnd, next.at)
 			continue
 		case next.kind == queryArrives:
-			event = r.arrive(next.at)
+			event = r.randomQuery(next.at)
 		case next.generation != r.generations[next.frontEnd]:
 			if o, ok := event.(Outcome); ok {
 				r.busyThreads[o.Engine] -= float64(scenarioClasses[r.queries[o.ID].class].class.Threads)
@@ -220,18 +221,18 @@
 			continue
 		}
 		if o, ok := event.(Outcome); ok {
-			r.end(o, next.at)
+			r.finish(o, next.at)
 		}
 		for _, action := range r.schedulers[next.frontEnd].Step(next.at, []Event{event}) {
-			r.carryOut(action, next.at, next.frontEnd)
+			r.perform(action, next.at, next.frontEnd)
 		}
 	}
 	r.measureBudgetUse()
 	return r.result
 }
 
-// arrive draws a query.
-func (r *scenarioRun) arrive(now monotime.Micros) Request {
+// randomQuery returns a random query that arrives now.
+func (r *scenarioRun) randomQuery(now monotime.Micros) Request {
 	x, class := r.rng.Float64(), 0
 	for x > scenarioClasses[class].share && class < 2 {
 		x -= scenarioClasses[class].share
@@ -248,8 +249,8 @@
 	}
 }
 
-// end ends an attempt at its engine and counts it if it is in time.
-func (r *scenarioRun) end(o Outcome, now monotime.Micros) {
+// finish ends an attempt on its engine and counts its query if it met the latency objective.
+func (r *scenarioRun) finish(o Outcome, now monotime.Micros) {
 	q := r.queries[o.ID]
 	class := scenarioClasses[q.class].class
 	r.busyThreads[o.Engine] -= float64(class.Threads)
@@ -264,8 +265,8 @@
 	}
 }
 
-// carryOut carries out an action of a front end.
-func (r *scenarioRun) carryOut(action Action, now monotime.Micros, frontEnd int) {
+// perform executes an action of a front end.
+func (r *scenarioRun) perform(action Action, now monotime.Micros, frontEnd int) {
 	deliver := func(at monotime.Micros, event Event) {
 		r.push(scenarioEvent{at: at, frontEnd: frontEnd, event: event, generation: r.generations[frontEnd]})
 	}
@@ -288,12 +289,14 @@
 	}
 }
 
-// capacity returns the part of its capacity that a new engine has at an age.
+// capacity returns the part of its full capacity that a new engine has at an age.
 func (r *scenarioRun) capacity(age monotime.Micros) float64 {
 	return min(1, 0.32+0.68*float64(age)/float64(r.cfg.Rules.WarmUp))
 }
 
-// measureBudgetUse compares what new engines were sent in each window with what is allowed and its scatter.
+// measureBudgetUse compares the work that new engines were sent in each window with what is allowed. Both are counted
+// in queries of mean work. For random variation the bound is raised by two standard deviations of the number of
+// allowed queries, and by two queries.
 func (r *scenarioRun) measureBudgetUse() {
 	rules := r.cfg.Rules
 	for engine, list := range r.sent {
@@ -314,25 +317,26 @@
 	}
 }
 
-// What all front ends together send to an engine within a window of its warm-up stays within what the rules allow
-// it then and the scatter of that, however many and uneven they are, with empty memories and late updates; and such
-// engines serve queries all the same.
+// The work that all front ends together send to an engine in any window of its warm-up stays within what the rules
+// allow, plus random variation. That holds for any number of front ends, for uneven traffic, after restarts that lose
+// what front ends have learned, and with late endpoint updates. The engines still serve queries during their warm-up.
 func TestFleetKeepsToWarmUpBudgets(t *testing.T) {
 	for _, frontEnds := range []int{3, 20, 30, 80, 300} {
 		for _, skew := range []float64{0, 0.9} {
 			for _, restarts := range []bool{false, true} {
 				for seed := range uint64(2) {
-					day := warmUpScenario{
+					scenario := warmUpScenario{
 						frontEnds: frontEnds, warmEngines: max(6, frontEnds/10), newEngines: max(2, frontEnds/30),
 						skew: skew, load: 0.9, maxUpdateDelay: 3 * monotime.Second, restarts: restarts, seed: seed + 1,
 					}
-					t.Run(fmt.Sprintf("%+v", day), func(t *testing.T) {
+					t.Run(fmt.Sprintf("%+v", scenario), func(t *testing.T) {
 						t.Parallel()
-						res := day.play()
+						res := scenario.run()
 						warmingUp, warm := res.servedWarmingUp/res.requested, res.servedWarm/res.requested
-						t.Logf("%.2f of the bound, served of all %.3f in warm-ups, %.3f else", res.maxBudgetUse, warmingUp, warm)
+						t.Logf("%.2f of the bound; served of all requested: %.3f by engines in warm-up, %.3f by others",
+							res.maxBudgetUse, warmingUp, warm)
 						assert.LessOrEqual(t, res.maxBudgetUse, 1.0)
-						// They have 0.05 of all cores, and half of that in their warm-up.
+						// Engines that start have 0.05 of all cores, and half of that during their warm-up.
 						assert.Greater(t, warmingUp, 0.015)
 						assert.Greater(t, (res.servedWarmingUp+res.servedWarm)/res.requested, 0.7)
 					})
