--- a/fleet/membership/cost_test.go
+++ b/fleet/membership/cost_test.go
@@ -11,15 +11,14 @@
 	"chutechute/internal/monotime"
 )
 
-// fullFleetControls is the number of control members of a full fleet.
+// fullFleetControls is the number of control members of a full-size fleet.
 const fullFleetControls = 53
 
-// fullFleetServer returns a control member with 2,700 front ends in its view, of which as many are attached to it as to
-// each of 53.
+// fullFleetServer returns a control member whose view has some 2,700 attached front ends, 51 of each control member.
 func fullFleetServer(t testing.TB) (s *Server, now monotime.Micros) { return serverOfFleet(t, 51) }
 
-// serverOfFleet returns one of 53 control members to each of which so many front ends are attached.
-func serverOfFleet(t testing.TB, each int) (s *Server, now monotime.Micros) {
+// serverOfFleet returns one of 53 control members, each of which has attachedPerControl attached front ends.
+func serverOfFleet(t testing.TB, attachedPerControl int) (s *Server, now monotime.Micros) {
 	now = 100 * second
 	var controls []ControlMember
 	for i := range fullFleetControls {
@@ -34,7 +33,7 @@
 	s.Tick(now, controls)
 	for i := 1; i < fullFleetControls; i++ {
 		var entries []tableEntry
-		for j := range each {
+		for j := range attachedPerControl {
 			name := fmt.Sprintf("front-%02d-%03d", i, j)
 			entries = append(entries, tableEntry{
 				name: name, zone: controls[i].Zone, incarnation: rendezvousWeight(name, "", 2), servesView: true, challengedAt: now,
@@ -44,7 +43,7 @@
 		m.digest = newTable("", 0).digestAfter(entries)
 		require.NoError(t, s.ReceiveFromControl(now, controls[i].Name, controls[i].Incarnation, TableUpdate, m.encode()))
 	}
-	for i := range each {
+	for i := range attachedPerControl {
 		heartbeatTo(t, s, now, i, true)
 	}
 	now += 50 * ms
@@ -53,7 +52,8 @@
 	return s, now
 }
 
-// heartbeatTo sends an attached front end's heartbeat; current says whether its view is that of the server.
+// heartbeatTo sends the server a heartbeat of its attached front end i; current is whether that front end has the
+// server's current view.
 func heartbeatTo(t testing.TB, s *Server, now monotime.Micros, i int, current bool) {
 	name := fmt.Sprintf("front-00-%03d", i)
 	h := heartbeat{
@@ -67,7 +67,7 @@
 	require.NoError(t, s.Receive(now, link, Heartbeat, h.encode()))
 }
 
-// clientWithView returns a front end that has received a snapshot from its home.
+// clientWithView returns a client that has received a snapshot from its home.
 func clientWithView(t testing.TB, s *Server, now monotime.Micros, body []byte) *Client {
 	c := NewClient(Config{Name: "front-00-000", Zone: "zone-00", Incarnation: 5, ControlMembers: s.cfg.ControlMembers})
 	c.Tick(now)
@@ -77,7 +77,8 @@
 	return c
 }
 
-// The bytes of a full view and of one change, and what a client needs to store it.
+// Checks the size of a snapshot of the full view and of one change, and what it costs a client to store the view and to
+// apply the change.
 func TestCostsOfAFullView(t *testing.T) {
 	s, now := fullFleetServer(t)
 	require.Equal(t, 2756, s.View().Len())
@@ -93,7 +94,7 @@
 	require.Equal(t, 2756, c.View().Len())
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	t.Logf("a client stores it in %d bytes", after.HeapAlloc-before.HeapAlloc)
+	t.Logf("the client's view takes %d bytes of heap", after.HeapAlloc-before.HeapAlloc)
 	assert.Less(t, after.HeapAlloc-before.HeapAlloc, uint64(2<<20))
 	runtime.KeepAlive(c)
 
@@ -110,7 +111,7 @@
 	allocations := testing.AllocsPerRun(1, func() {
 		require.NoError(t, c.Receive(now+second, s.cfg.Name, s.cfg.Incarnation, ViewUpdate, change.Body))
 	})
-	assert.Less(t, allocations, 60.0, "a change does not cost as much as the view")
+	assert.Less(t, allocations, 60.0, "allocations for one change, far fewer than for the whole view")
 	require.Equal(t, s.View().Digest(), c.View().Digest())
 }
 
@@ -132,14 +133,14 @@
 	}
 }
 
-// BenchmarkServerSecond is a second of a control member at rest: ticks, a heartbeat of each attached front end, and the
-// versions of all other members.
+// BenchmarkServerSecond measures one second of a control member at rest: its ticks, a heartbeat of each attached front
+// end, and the table versions from all other control members.
 func BenchmarkServerSecond(b *testing.B) {
 	s, now := fullFleetServer(b)
 	versions := make([][]byte, len(s.members))
-	var all []tableVersion
+	var allVersions []tableVersion
 	for _, c := range s.members {
-		all = append(all, c.tables[0].version())
+		allVersions = append(allVersions, c.tables[0].version())
 	}
 	for i, c := range s.members {
 		versions[i] = encodeVersions(now, []tableVersion{c.tables[0].version()})
@@ -157,7 +158,7 @@
 			for range 9 {
 				_ = s.ReceiveVersions(now, c.Name, c.Incarnation, versions[i+1])
 			}
-			_ = s.ReceiveVersions(now, c.Name, c.Incarnation, encodeVersions(now, all))
+			_ = s.ReceiveVersions(now, c.Name, c.Incarnation, encodeVersions(now, allVersions))
 		}
 		s.Versions(now)
 		s.TakeMessages()
--- a/fleet/membership/failures_test.go
+++ b/fleet/membership/failures_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A front end that dies is Suspect and then Dead everywhere within 5 s; one that restarts is Alive at once, and its
-// earlier process has certainly ended.
+// A front end that dies is shown everywhere as Suspect and, within 5 s, as Dead. Within 2 s of its restart it is Alive
+// again, and its earlier process is known to be superseded.
 func TestDeathAndRestartOfAFrontEnd(t *testing.T) {
-	r := fleet(t, 2, 12)
-	r.run(8 * second)
-	c := r.client("f003")
+	f := newThreeZoneFleet(t, 2, 12)
+	f.run(8 * second)
+	c := f.client("f003")
 	before := c.cfg.Incarnation
-	r.halt(c)
-	r.run(3500 * ms)
-	for _, o := range r.clients {
+	f.stopClient(c)
+	f.run(3500 * ms)
+	for _, o := range f.clients {
 		if o != c {
 			e, _ := o.View().Lookup("f003")
 			require.Equal(t, Suspect, e.State, o.cfg.Name)
@@ -26,17 +26,17 @@
 			require.False(t, o.View().Alive(before))
 		}
 	}
-	r.run(1500 * ms)
-	for _, o := range r.clients {
+	f.run(1500 * ms)
+	for _, o := range f.clients {
 		if o != c {
 			require.True(t, o.View().PresumedDead(before), o.cfg.Name)
-			require.False(t, o.View().Superseded(before), "silence alone is not certain")
+			require.False(t, o.View().Superseded(before), "silence does not prove that the process has ended")
 		}
 	}
-	r.restart(c)
-	r.run(2 * second)
-	r.requireAgreement()
-	for _, o := range r.clients {
+	f.restartClient(c)
+	f.run(2 * second)
+	f.requireAgreement()
+	for _, o := range f.clients {
 		if o != c {
 			require.True(t, o.View().Superseded(before), o.cfg.Name)
 			require.True(t, o.View().Alive(c.cfg.Incarnation))
@@ -44,272 +44,278 @@
 	}
 }
 
-// A front end that crashes and restarts a few times a minute is reported in time each time: its death in 5 s, its
-// restart in 3 s.
+// Three crashes and restarts of a front end within half a minute are not delayed by the rate limit of changes: each
+// death is shown within 5 s, each restart within 3 s.
 func TestRepeatedCrashesAreReportedInTime(t *testing.T) {
-	r := fleet(t, 2, 12)
-	r.run(8 * second)
-	c := r.client("f003")
-	everyone := func(check func(v *View) bool, what string) {
+	f := newThreeZoneFleet(t, 2, 12)
+	f.run(8 * second)
+	c := f.client("f003")
+	requireAtAll := func(check func(v *View) bool, description string) {
 		t.Helper()
-		for _, s := range r.servers {
-			require.True(t, check(s.View()), "%s at %s", what, s.cfg.Name)
+		for _, s := range f.servers {
+			require.True(t, check(s.View()), "%s at %s", description, s.cfg.Name)
 		}
-		for _, o := range r.clients {
-			require.True(t, o == c || check(o.View()), "%s at %s", what, o.cfg.Name)
+		for _, o := range f.clients {
+			require.True(t, o == c || check(o.View()), "%s at %s", description, o.cfg.Name)
 		}
 	}
 	for i := range 3 {
 		before := c.cfg.Incarnation
-		r.halt(c)
-		r.run(5 * second)
-		everyone(func(v *View) bool { return v.PresumedDead(before) }, fmt.Sprint("death ", i))
-		r.restart(c)
-		r.run(3 * second)
-		everyone(func(v *View) bool { return v.Alive(c.cfg.Incarnation) }, fmt.Sprint("start ", i))
-		r.run(2 * second)
-	}
-	r.requireAgreement()
+		f.stopClient(c)
+		f.run(5 * second)
+		requireAtAll(func(v *View) bool { return v.PresumedDead(before) }, fmt.Sprint("death ", i))
+		f.restartClient(c)
+		f.run(3 * second)
+		requireAtAll(func(v *View) bool { return v.Alive(c.cfg.Incarnation) }, fmt.Sprint("start ", i))
+		f.run(2 * second)
+	}
+	f.requireAgreement()
 }
 
-// Front ends whose home dies are seen alive all the time, as they have another lease; their view continues from the
-// second slot without a snapshot; and they spread over all control members instead of all going to one.
+// When a home dies, its front ends stay Alive since they have a second lease. They take the view from the second slot
+// without a snapshot, and find replacements among all control members of the other zones rather than at a single one.
 func TestDeadHomeIsReplacedWithoutSnapshots(t *testing.T) {
-	r := fleet(t, 3, 60)
-	r.run(10 * second)
-	r.requireAgreement()
-	home := r.names["m00"]
-	var moved []*rigClient
-	for _, c := range r.clients {
+	f := newThreeZoneFleet(t, 3, 60)
+	f.run(10 * second)
+	f.requireAgreement()
+	home := f.serversByName["m00"]
+	var moved []*testClient
+	for _, c := range f.clients {
 		if c.Home() == "m00" {
 			moved = append(moved, c)
 		}
 	}
 	require.Greater(t, len(moved), 4)
 	snapshots := 0
-	for _, c := range r.clients {
+	for _, c := range f.clients {
 		snapshots -= c.Counters.Snapshots
 	}
-	dead := 0
-	r.check = func() {
-		for _, s := range r.servers[1:] {
-			for _, c := range r.clients {
+	notAlive := 0
+	f.check = func() {
+		for _, s := range f.servers[1:] {
+			for _, c := range f.clients {
 				if !s.View().Alive(c.cfg.Incarnation) {
-					dead++
+					notAlive++
 				}
 			}
 		}
 	}
-	r.stop(home)
-	r.run(10 * second)
-	r.requireAgreement()
-	assert.Zero(t, dead, "a front end that was not seen alive")
-	for _, c := range r.clients {
+	f.stopServer(home)
+	f.run(10 * second)
+	f.requireAgreement()
+	assert.Zero(t, notAlive, "times that a front end was not shown as Alive")
+	for _, c := range f.clients {
 		snapshots += c.Counters.Snapshots
 		if slices.Contains(moved, c) {
-			assert.Equal(t, 2, c.Counters.HomeChanges, "its first, and one")
+			assert.Equal(t, 2, c.Counters.HomeChanges, "its first home, and one change")
 		}
 	}
-	assert.Zero(t, snapshots, "the view is resumed by its digest")
-	to := map[string]int{}
+	assert.Zero(t, snapshots, "the view is resumed from its digest, without a snapshot")
+	targetCounts := map[string]int{}
 	for _, c := range moved {
-		require.Len(t, c.Targets(r.now), 2)
-		for _, name := range c.Targets(r.now) {
-			to[name]++
+		require.Len(t, c.Targets(f.now), 2)
+		for _, name := range c.Targets(f.now) {
+			targetCounts[name]++
 		}
-		require.NotContains(t, c.Targets(r.now), "m01", "the zone's other one is spared")
+		require.NotContains(t, c.Targets(f.now), "m01", "the zone's other control member is no replacement")
 	}
-	assert.Len(t, to, 4, "spread over all of the other zones")
+	assert.Len(t, targetCounts, 4, "all control members of the other zones are used")
 
-	r.check = func() {}
-	requireReturn(t, r, home, moved)
+	f.check = func() {}
+	requireFailback(t, f, home, moved)
 }
 
-// requireReturn starts a home again and checks that its front ends return to it, spread over time.
-func requireReturn(t *testing.T, r *rig, home *rigServer, moved []*rigClient) {
+// requireFailback starts a home again, and checks that its front ends return to it after failbackDelay and a jitter,
+// and not earlier.
+func requireFailback(t *testing.T, f *testFleet, home *testServer, moved []*testClient) {
 	t.Helper()
-	r.start(home)
-	r.run(8 * second)
+	f.startServer(home)
+	f.run(8 * second)
 	for _, c := range moved {
-		require.NotContains(t, c.Targets(r.now), "m00", "only once it is back for a while")
+		require.NotContains(t, c.Targets(f.now), "m00", "clients return only after failbackDelay")
 	}
-	r.run(failbackDelay + failbackJitter + 10*second)
-	r.requireAgreement()
+	f.run(failbackDelay + failbackJitter + 10*second)
+	f.requireAgreement()
 	for _, c := range moved {
 		require.Equal(t, "m00", c.Home(), c.cfg.Name)
-		require.Len(t, c.Targets(r.now), 2)
+		require.Len(t, c.Targets(f.now), 2)
 	}
 }
 
-// A control member that is cut off from all its front ends, and not from the rest, suspects itself: those that have no
-// other lease are Suspect, not Dead, and have the time to attach elsewhere.
+// A control member that is partitioned from all its front ends, but not from the other control members, suspects
+// itself. Front ends without another lease then become Suspect instead of Dead, and have time to attach elsewhere.
 func TestHomeThatIsCutOffSuspectsItself(t *testing.T) {
-	r := newRig(t, 4, "za", "zb", "zc")
+	f := newTestFleet(t, 4, "za", "zb", "zc")
 	for i := range 12 {
-		r.attach(fmt.Sprintf("f%03d", i), []string{"za", "zb", "zc"}[i%3])
+		f.attach(fmt.Sprintf("f%03d", i), []string{"za", "zb", "zc"}[i%3])
 	}
-	r.run(8 * second)
-	r.requireAgreement()
-	// Both control members of the front ends of za are cut off from them at once.
-	cut := map[string]bool{}
-	for _, c := range r.clients {
+	f.run(8 * second)
+	f.requireAgreement()
+	// The front ends of za lose both of their control members at once.
+	isolated := map[string]bool{}
+	for _, c := range f.clients {
 		if c.cfg.Zone == "za" {
-			cut[c.cfg.Name] = true
+			isolated[c.cfg.Name] = true
 		}
 	}
-	r.cut = func(from, to string) bool { return cut[from] || cut[to] }
-	r.check = func() {
-		for _, s := range r.servers {
-			for _, c := range r.clients {
-				require.False(t, s.View().PresumedDead(c.cfg.Incarnation), "%s at %s after %d ms", c.cfg.Name, s.cfg.Name, r.now/ms)
+	f.partitioned = func(from, to string) bool { return isolated[from] || isolated[to] }
+	f.check = func() {
+		for _, s := range f.servers {
+			for _, c := range f.clients {
+				require.False(t, s.View().PresumedDead(c.cfg.Incarnation), "%s at %s after %d ms", c.cfg.Name, s.cfg.Name, f.now/ms)
 			}
 		}
 	}
-	r.run(4500 * ms)
-	r.cut = func(from, to string) bool { return (cut[from] || cut[to]) && (from == "m00" || to == "m00") }
-	r.run(12 * second)
-	require.NotZero(t, r.names["m00"].Counters.SelfSuspicions)
-	r.check = func() {}
-	r.cut = func(_, _ string) bool { return false }
-	r.run(60 * second)
-	r.requireAgreement()
+	f.run(4500 * ms)
+	f.partitioned = func(from, to string) bool {
+		return (isolated[from] || isolated[to]) && (from == "m00" || to == "m00")
+	}
+	f.run(12 * second)
+	require.NotZero(t, f.serversByName["m00"].Counters.SelfSuspicions)
+	f.check = func() {}
+	f.partitioned = func(_, _ string) bool { return false }
+	f.run(60 * second)
+	f.requireAgreement()
 }
 
-// One or two front ends that die are no reason for self-suspicion; and self-suspicion ends.
+// The death of one of ten front ends does not make their home suspect itself. That of seven more does, and the
+// self-suspicion ends after selfSuspicionTimeout.
 func TestSelfSuspicionEnds(t *testing.T) {
-	r := newRig(t, 5, "za", "zb")
+	f := newTestFleet(t, 5, "za", "zb")
 	for i := range 10 {
-		r.attach(fmt.Sprintf("f%03d", i), "za")
+		f.attach(fmt.Sprintf("f%03d", i), "za")
 	}
-	r.run(6 * second)
-	r.halt(r.clients[0])
-	r.run(5 * second)
-	require.True(t, r.servers[0].View().PresumedDead(r.clients[0].cfg.Incarnation))
-	for _, c := range r.clients[1:8] {
-		r.halt(c)
+	f.run(6 * second)
+	f.stopClient(f.clients[0])
+	f.run(5 * second)
+	require.True(t, f.servers[0].View().PresumedDead(f.clients[0].cfg.Incarnation))
+	for _, c := range f.clients[1:8] {
+		f.stopClient(c)
 	}
-	r.run(6 * second)
-	for _, c := range r.clients[1:8] {
-		require.False(t, r.servers[0].View().PresumedDead(c.cfg.Incarnation), "the home suspects itself")
+	f.run(6 * second)
+	for _, c := range f.clients[1:8] {
+		require.False(t, f.servers[0].View().PresumedDead(c.cfg.Incarnation), "the home suspects itself")
 	}
-	r.run(selfSuspicionTimeout)
-	for _, c := range r.clients[1:8] {
-		require.True(t, r.servers[0].View().PresumedDead(c.cfg.Incarnation), "the self-suspicion has ended")
+	f.run(selfSuspicionTimeout)
+	for _, c := range f.clients[1:8] {
+		require.True(t, f.servers[0].View().PresumedDead(c.cfg.Incarnation), "the self-suspicion has ended")
 	}
-	require.Equal(t, 1, r.servers[0].Counters.SelfSuspicions)
+	require.Equal(t, 1, f.servers[0].Counters.SelfSuspicions)
 }
 
-// The table entries of a dead home expire: they are Suspect at first, and Dead after a further timeout, unless another
-// home has them.
+// The table entries of an absent home count as Suspect at first, and as Dead after absentHomeTimeout unless another
+// home has a lease with the front end.
 func TestEvidenceOfAnAbsentHomeExpires(t *testing.T) {
-	r := newRig(t, 6, "za", "zb", "zc")
-	c := r.attach("f000", "za")
-	r.run(5 * second)
-	r.requireAgreement()
-	home := r.names[c.Home()]
-	other := r.servers[slices.IndexFunc(r.servers, func(s *rigServer) bool { return s.leasesByName["f000"] == nil })]
-	for _, s := range r.servers {
+	f := newTestFleet(t, 6, "za", "zb", "zc")
+	c := f.attach("f000", "za")
+	f.run(5 * second)
+	f.requireAgreement()
+	home := f.serversByName[c.Home()]
+	other := f.servers[slices.IndexFunc(f.servers, func(s *testServer) bool { return s.leasesByName["f000"] == nil })]
+	for _, s := range f.servers {
 		if s != other {
-			r.stop(s)
+			f.stopServer(s)
 		}
 	}
-	r.halt(c)
-	r.run(second)
+	f.stopClient(c)
+	f.run(second)
 	e, _ := other.View().Lookup("f000")
-	require.Equal(t, Suspect, e.State, "the evidence of %s", home.cfg.Name)
-	r.run(absentHomeTimeout - 2*second)
+	require.Equal(t, Suspect, e.State, "by the table entry of the absent home %s", home.cfg.Name)
+	f.run(absentHomeTimeout - 2*second)
 	e, _ = other.View().Lookup("f000")
 	require.Equal(t, Suspect, e.State)
-	r.run(2 * second)
+	f.run(2 * second)
 	e, _ = other.View().Lookup("f000")
 	require.Equal(t, Dead, e.State)
 }
 
-// If a zone is lost with its control members, the other homes' reports that its front ends are Dead count more than
-// the last reports of the lost homes.
+// When a zone is lost with its control members, the reports of the remaining homes that its front ends are Dead count
+// more than the last reports of the lost homes, which show them Alive.
 func TestFrontEndsOfALostZoneAreReportedDead(t *testing.T) {
-	r := newRig(t, 11, "za", "za", "zb", "zc")
+	f := newTestFleet(t, 11, "za", "za", "zb", "zc")
 	for i := range 6 { // too few for self-suspicion
-		r.attach(fmt.Sprintf("f%03d", i), []string{"za", "zb"}[i%2])
+		f.attach(fmt.Sprintf("f%03d", i), []string{"za", "zb"}[i%2])
 	}
-	r.run(8 * second)
-	r.requireAgreement()
-	r.stop(r.servers[0])
-	r.stop(r.servers[1])
-	for _, c := range r.clients {
+	f.run(8 * second)
+	f.requireAgreement()
+	f.stopServer(f.servers[0])
+	f.stopServer(f.servers[1])
+	for _, c := range f.clients {
 		if c.cfg.Zone == "za" {
-			r.halt(c)
+			f.stopClient(c)
 		}
 	}
-	r.run(5 * second)
-	for _, s := range r.servers[2:] {
-		for _, c := range r.clients {
+	f.run(5 * second)
+	for _, s := range f.servers[2:] {
+		for _, c := range f.clients {
 			require.Equal(t, c.cfg.Zone == "za", s.View().PresumedDead(c.cfg.Incarnation), "%s at %s", c.cfg.Name, s.cfg.Name)
 		}
 	}
 }
 
-// A lease that ended before the later homes were lost proves nothing: that front end may be moving.
+// A lease that ended before the front end's other homes were lost does not prove that it is Dead: it had moved to one
+// of them, and may be moving again.
 func TestLeaseEndedBeforeTheHomeWasLostProvesNothing(t *testing.T) {
-	r := newRig(t, 12, "za", "zb", "zc")
-	c := r.attach("f000", "za")
-	r.run(8 * second)
-	first := r.names[c.Targets(r.now)[1]]
-	r.cut = func(from, to string) bool { return from == "f000" && to == first.cfg.Name }
-	r.run(20 * second)
+	f := newTestFleet(t, 12, "za", "zb", "zc")
+	c := f.attach("f000", "za")
+	f.run(8 * second)
+	first := f.serversByName[c.Targets(f.now)[1]]
+	f.partitioned = func(from, to string) bool { return from == "f000" && to == first.cfg.Name }
+	f.run(20 * second)
 	require.Equal(t, Dead, first.leasesByName["f000"].state)
 	require.True(t, first.View().Alive(c.cfg.Incarnation))
-	r.cut = func(from, to string) bool { return from == "f000" || to == "f000" }
-	for _, s := range r.servers {
+	f.partitioned = func(from, to string) bool { return from == "f000" || to == "f000" }
+	for _, s := range f.servers {
 		if s != first {
-			r.stop(s)
+			f.stopServer(s)
 		}
 	}
-	r.run(7 * second)
+	f.run(7 * second)
 	e, _ := first.View().Lookup("f000")
 	require.Equal(t, Suspect, e.State)
-	r.run(absentHomeTimeout)
+	f.run(absentHomeTimeout)
 	require.True(t, first.View().PresumedDead(c.cfg.Incarnation))
 }
 
-// A front end that its other home has not seen for long has, since its home was lost, as much time as any before it is
-// Dead.
+// When a home is lost, its front ends have the full timeout before they are Dead, even if their other home has not
+// received a heartbeat for some time.
 func TestLostHomeGivesTheFullTimeoutBeforeDeath(t *testing.T) {
-	r := newRig(t, 13, "za", "zb", "zc")
-	c := r.attach("f000", "za")
-	r.run(8 * second)
-	home, other := r.names[c.Targets(r.now)[0]], r.names[c.Targets(r.now)[1]]
-	r.cut = func(from, to string) bool { return from == "f000" && to == other.cfg.Name }
-	r.run(2 * second)
-	r.cut = func(from, to string) bool { return from == "f000" || to == "f000" }
-	r.stop(home)
-	r.run(3 * second)
+	f := newTestFleet(t, 13, "za", "zb", "zc")
+	c := f.attach("f000", "za")
+	f.run(8 * second)
+	home, other := f.serversByName[c.Targets(f.now)[0]], f.serversByName[c.Targets(f.now)[1]]
+	f.partitioned = func(from, to string) bool { return from == "f000" && to == other.cfg.Name }
+	f.run(2 * second)
+	f.partitioned = func(from, to string) bool { return from == "f000" || to == "f000" }
+	f.stopServer(home)
+	f.run(3 * second)
 	require.Equal(t, Dead, other.leasesByName["f000"].state)
 	e, _ := other.View().Lookup("f000")
 	require.Equal(t, Suspect, e.State)
-	r.run(1200 * ms)
+	f.run(1200 * ms)
 	require.True(t, other.View().PresumedDead(c.cfg.Incarnation))
 }
 
-// A front end that leaves is Alive while it is seen, and Left once it is silent, without being Suspect first.
+// A front end that announced that it leaves stays Alive while its heartbeats arrive, and is Left once it is silent,
+// without being Suspect first.
 func TestLeavingFrontEndIsNeverSuspected(t *testing.T) {
-	r := fleet(t, 7, 6)
-	r.run(6 * second)
-	c := r.client("f001")
+	f := newThreeZoneFleet(t, 7, 6)
+	f.run(6 * second)
+	c := f.client("f001")
 	c.Leave()
-	r.run(3 * second)
-	for _, s := range r.servers {
+	f.run(3 * second)
+	for _, s := range f.servers {
 		require.True(t, s.View().Alive(c.cfg.Incarnation))
 	}
-	r.check = func() {
-		for _, s := range r.servers {
+	f.check = func() {
+		for _, s := range f.servers {
 			e, _ := s.View().Lookup("f001")
 			require.Contains(t, []State{Alive, Left}, e.State)
 		}
 	}
-	r.halt(c)
-	r.run(4 * second)
-	for _, o := range r.clients {
+	f.stopClient(c)
+	f.run(4 * second)
+	for _, o := range f.clients {
 		if o != c {
 			e, _ := o.View().Lookup("f001")
 			require.Equal(t, Left, e.State, o.cfg.Name)
@@ -318,75 +324,75 @@
 	}
 }
 
-// A control member that leaves announces it to its front ends, which go elsewhere before it ends.
+// A control member that leaves announces it to its front ends, which attach elsewhere before it ends.
 func TestFrontEndsMoveFromALeavingControlMember(t *testing.T) {
-	r := fleet(t, 8, 24)
-	r.run(8 * second)
-	home := r.names["m02"]
+	f := newThreeZoneFleet(t, 8, 24)
+	f.run(8 * second)
+	home := f.serversByName["m02"]
 	home.Leave()
-	r.flushServer(home)
-	r.run(3 * second)
-	for _, c := range r.clients {
-		require.NotContains(t, c.Targets(r.now), "m02")
+	f.flushServer(home)
+	f.run(3 * second)
+	for _, c := range f.clients {
+		require.NotContains(t, c.Targets(f.now), "m02")
 		require.NotEqual(t, "m02", c.Home())
-		require.Len(t, c.Targets(r.now), 2)
+		require.Len(t, c.Targets(f.now), 2)
 	}
-	for _, c := range r.clients {
-		require.True(t, r.servers[0].View().Alive(c.cfg.Incarnation))
+	for _, c := range f.clients {
+		require.True(t, f.servers[0].View().Alive(c.cfg.Incarnation))
 	}
 }
 
-// A control member that was stopped received nothing, which proves nothing about its front ends; the same holds at
-// those that saw it stopped.
+// A control member whose process was paused extends its leases by the pause: it received no heartbeats in that time,
+// which proves nothing about its front ends.
 func TestPausedServerExtendsTheLeases(t *testing.T) {
-	r := newRig(t, 9, "za", "zb")
+	f := newTestFleet(t, 9, "za", "zb")
 	for i := range 3 { // too few for self-suspicion
-		r.attach(fmt.Sprintf("f%03d", i), "za")
+		f.attach(fmt.Sprintf("f%03d", i), "za")
 	}
-	r.run(6 * second)
-	s := r.servers[0]
+	f.run(6 * second)
+	s := f.servers[0]
 	s.paused = true
-	r.run(20 * second)
-	for _, c := range r.clients {
-		r.halt(c)
+	f.run(20 * second)
+	for _, c := range f.clients {
+		f.stopClient(c)
 	}
-	r.run(second)
-	s.backlog = nil // what came meanwhile is lost
+	f.run(second)
+	s.backlog = nil // what arrived during the pause is lost
 	s.paused = false
-	r.run(2 * second)
+	f.run(2 * second)
 	require.Equal(t, 1, s.Counters.Pauses)
 	for _, l := range s.leases {
 		require.NotEqual(t, Dead, l.state, l.name)
 	}
-	r.run(5 * second)
+	f.run(5 * second)
 	for _, l := range s.leases {
 		require.Equal(t, Dead, l.state, l.name)
 	}
 }
 
-// An attached front end that was stopped knows by its own clock that its view is old, whatever is in its queues, until
-// its home has answered a heartbeat that was sent since.
+// An attached front end whose process was paused knows by its own clock that its view is old, whatever is in its
+// queues. Only the answer to a heartbeat that was sent after the pause makes the view current again.
 func TestPausedClientKnowsThatItsViewIsOld(t *testing.T) {
-	r := fleet(t, 10, 6)
-	r.run(6 * second)
-	r.requireAgreement()
-	c := r.clients[0]
+	f := newThreeZoneFleet(t, 10, 6)
+	f.run(6 * second)
+	f.requireAgreement()
+	c := f.clients[0]
 	c.paused = true
-	r.run(30 * second)
-	other := r.clients[1]
-	r.restart(other)
-	r.run(5 * second)
-	require.Less(t, 30*second, c.View().Age(r.now))
-	// What is queued is received before anything is sent: none of it makes the view current.
-	list := c.backlog
+	f.run(30 * second)
+	other := f.clients[1]
+	f.restartClient(other)
+	f.run(5 * second)
+	require.Less(t, 30*second, c.View().Age(f.now))
+	// The queued messages are received before anything is sent; none of them makes the view current.
+	backlog := c.backlog
 	c.backlog = nil
 	c.paused = false
-	for _, do := range list {
+	for _, do := range backlog {
 		do()
 	}
 	require.Equal(t, 1, c.Counters.Pauses)
-	require.Less(t, 30*second, c.View().Age(r.now))
-	r.run(8 * second)
-	r.requireAgreement()
-	require.Zero(t, c.Counters.LostControlMembers, "its control members were not silent")
+	require.Less(t, 30*second, c.View().Age(f.now))
+	f.run(8 * second)
+	f.requireAgreement()
+	require.Zero(t, c.Counters.LostControlMembers, "the pause does not count as silence of the control members")
 }
--- a/fleet/membership/fuzz_test.go
+++ b/fleet/membership/fuzz_test.go
@@ -8,7 +8,7 @@
 	"chutechute/internal/monotime"
 )
 
-// fuzzServer is a control member with a table of another's and front ends of its own.
+// fuzzServer returns a control member with two attached front ends, f and g, that sees two other control members.
 func fuzzServer() (*Server, monotime.Micros) {
 	now := 100 * second
 	s := NewServer(Config{Name: "m0", Zone: "za", Incarnation: 1000, ControlMembers: threeControls, MaxEntries: 50})
@@ -24,20 +24,20 @@
 	return s, now + second
 }
 
-// requireInvariants checks what has to hold of a control member whatever it has received.
+// requireInvariants checks what has to hold at a control member after any input.
 func requireInvariants(t *testing.T, s *Server) {
 	require.LessOrEqual(t, s.View().Len(), s.cfg.MaxEntries)
 	requireViewInvariants(t, s.View())
 	for _, c := range s.members {
 		require.LessOrEqual(t, len(c.tables), maxTablesPerHome+1)
 		for _, table := range c.tables {
-			var sum uint64
+			var digest uint64
 			for name, r := range table.entries {
 				require.Equal(t, name, r.name)
-				require.Nil(t, s.membersByName[name], "a control member is attached")
-				sum += r.digest()
+				require.Nil(t, s.membersByName[name], "a control member is listed as attached")
+				digest += r.digest()
 			}
-			require.Equal(t, sum, table.contentDigest)
+			require.Equal(t, digest, table.contentDigest)
 		}
 	}
 	for _, name := range []string{"m0", "m1", "m2"} {
@@ -47,21 +47,21 @@
 	}
 }
 
-// requireViewInvariants checks that a view's indexes and sums are those of its entries.
+// requireViewInvariants checks that a view's indexes and digests are those of its entries.
 func requireViewInvariants(t *testing.T, v *View) {
-	other := newView()
+	rebuilt := newView()
 	for i, e := range v.entries {
 		require.True(t, i == 0 || v.entries[i-1].Name < e.Name)
 		require.Same(t, e, v.byName[e.Name])
-		other.put(&change{Entry: e.Entry}, fromMerge)
+		rebuilt.put(&change{Entry: e.Entry}, fromMerge)
 	}
 	require.Len(t, v.byName, len(v.entries))
 	require.LessOrEqual(t, len(v.byIncarnation), len(v.entries))
-	require.Equal(t, other.digest, v.digest)
-	require.Equal(t, other.bucketDigests, v.bucketDigests)
+	require.Equal(t, rebuilt.digest, v.digest)
+	require.Equal(t, rebuilt.bucketDigests, v.bucketDigests)
 }
 
-// Whatever is received over the link of an attached front end changes the entry of that front end only.
+// Whatever arrives over the link of an attached front end changes the entry of that front end only.
 func FuzzServerReceive(f *testing.F) {
 	resuming := heartbeat{name: "f", sentAt: 5, subscribe: true, resume: true}
 	withDigests := heartbeat{
@@ -91,11 +91,11 @@
 	})
 }
 
-// oneSecond is a second where a message is named second.
+// oneSecond is a second, for functions in which a message is named second.
 const oneSecond = second
 
-// Whatever a control member sends: no front end of this one's changes, no control member is listed as attached, and
-// all digests are right.
+// Whatever another control member sends, this one's own table stays as it is, no control member is listed as attached,
+// and all digests match their entries.
 func FuzzControlReceive(f *testing.F) {
 	entries := []tableEntry{
 		{name: "h", zone: "zb", incarnation: 9, servesView: true, challengedAt: 5, supersededIncarnations: []uint64{3}},
@@ -131,7 +131,8 @@
 	})
 }
 
-// Whatever a home sends: the view gets all that was sent, with its digest, or stays as it was.
+// Whatever a home sends is either applied as a whole, so that the view has the message's digest, or leaves the view as
+// it is.
 func FuzzClientReceive(f *testing.F) {
 	entries := []change{
 		{Entry: Entry{Name: "f", Zone: "za", Role: Attached, Incarnation: 7, Home: "m0"}, challengedAt: 5 * ms},
@@ -169,8 +170,8 @@
 		for _, body := range [][]byte{first, second} {
 			before, sequence := c.View().Digest(), c.sequence
 			err := c.Receive(now+oneSecond, "m0", 1000, ViewUpdate, body)
-			received, bad := decodeViewMessage(body)
-			require.True(t, bad == nil || err != nil)
+			received, decodeErr := decodeViewMessage(body)
+			require.True(t, decodeErr == nil || err != nil)
 			if after := c.View().Digest(); after != before {
 				require.NoError(t, err)
 				require.Equal(t, received.digest, after)
--- a/fleet/membership/heartbeat_test.go
+++ b/fleet/membership/heartbeat_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// benchmarkHeartbeats are a heartbeat at rest, and one that requests a repair.
+// benchmarkHeartbeats returns a heartbeat at rest and one that requests a repair.
 func benchmarkHeartbeats() map[string]*heartbeat {
 	atRest := heartbeat{
 		name: "front-17-042", sentAt: 77_000_000, subscribe: true, epoch: 1 << 60, sequence: 4711, digest: 1 << 63,
@@ -43,7 +43,7 @@
 	}
 }
 
-// benchmarkAnswer is the answer to a heartbeat at rest.
+// benchmarkAnswer returns the answer to a heartbeat at rest.
 func benchmarkAnswer() viewMessage {
 	return viewMessage{
 		epoch: 1 << 60, sequence: 4711, digest: 1 << 63,
@@ -69,7 +69,8 @@
 	}
 }
 
-// Versions go into each heartbeat among control members.
+// BenchmarkVersionsEncode measures the encoding of a table's version, which goes into each heartbeat between control
+// members.
 func BenchmarkVersionsEncode(b *testing.B) {
 	versions := []tableVersion{{"front-control-01", 1 << 60, 12, 1 << 63}}
 	b.ReportAllocs()
--- a/fleet/membership/limits_test.go
+++ b/fleet/membership/limits_test.go
@@ -10,7 +10,8 @@
 	"chutechute/internal/monotime"
 )
 
-// A front end that is Dead for long is removed by its home and from the view, and may come back.
+// A front end that has been Dead for retentionTime is removed from its home's table and from all views, and may attach
+// again.
 func TestEndedFrontEndsAreRemovedAndMayReturn(t *testing.T) {
 	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
@@ -33,7 +34,7 @@
 	require.False(t, r.servers["m1"].View().PresumedDead(7))
 }
 
-// A control member that restarts again and again leaves a bounded number of tables.
+// However often a control member restarts, the others retain a bounded number of its tables.
 func TestTablesOfARestartingHomeAreBounded(t *testing.T) {
 	r := newThreeServers(t)
 	for i := range uint64(20) {
@@ -48,7 +49,7 @@
 	require.True(t, s.View().Alive(119))
 }
 
-// Pulls are answered at a limited rate for each control member and table.
+// Answers to pulls are rate limited for each control member and table.
 func TestPullAnswersAreRateLimited(t *testing.T) {
 	r := newThreeServers(t)
 	s := r.servers["m0"]
@@ -60,11 +61,11 @@
 	}
 	require.Len(t, s.TakeMessages(), 3)
 	require.NoError(t, s.ReceiveFromControl(r.now, "m2", 1002, TablePull, p.encode()))
-	require.Len(t, s.TakeMessages(), 1, "another is not delayed")
+	require.Len(t, s.TakeMessages(), 1, "another control member is not delayed")
 }
 
-// One name gets a limited number of bytes of snapshots, however many processes it has, and the last of them gets one
-// in the end.
+// The bytes of snapshots that are sent to one name are rate limited over all its processes, and its last process gets a
+// snapshot in the end.
 func TestSnapshotBytesOfANameAreLimited(t *testing.T) {
 	p := newServerAndClient(t, 2000)
 	before := p.server.Counters
@@ -73,14 +74,14 @@
 		h := heartbeat{name: "odd", sentAt: p.now, subscribe: true, resume: true}
 		require.NoError(t, p.server.Receive(p.now, l, Heartbeat, h.encode()))
 	}
-	const processes, every = 40, 200 * ms
+	const processes, interval = 40, 200 * ms
 	for i := range uint64(processes) {
 		subscribe(5000 + i)
-		p.run(every)
+		p.run(interval)
 	}
 	size := len(p.server.snapshotMessage())
-	bound := int(snapshotRateLimit.bytesPerSecond*(snapshotRateLimit.burstWindow+processes*every)/second) + size
-	require.Greater(t, processes*size, 2*bound, "else it doesn't show")
+	bound := int(snapshotRateLimit.bytesPerSecond*(snapshotRateLimit.burstWindow+processes*interval)/second) + size
+	require.Greater(t, processes*size, 2*bound, "without the limit the bound would be exceeded")
 	require.LessOrEqual(t, p.server.Counters.SnapshotBytes-before.SnapshotBytes, bound)
 	before = p.server.Counters
 	for seconds := 0; p.server.Counters.Snapshots == before.Snapshots; seconds++ {
@@ -90,7 +91,7 @@
 	}
 }
 
-// Small views are sent to each process of a name at once.
+// Snapshots of a small view are sent to every process of a name without delay.
 func TestSmallSnapshotsAreNotDelayed(t *testing.T) {
 	p := newServerAndClient(t, 5)
 	before := p.server.Counters.Snapshots
@@ -103,11 +104,11 @@
 	require.Equal(t, 20, p.server.Counters.Snapshots-before)
 }
 
-// What the log has is sent at a limited rate too.
+// Changes from the log are rate limited too.
 func TestCatchUpsAreRateLimited(t *testing.T) {
 	p := newServerAndClient(t, 3)
 	sequence, digest := p.server.sequence, p.server.View().Digest()
-	p.heartbeatOf(9, 9)
+	p.sendHeartbeatOf(9, 9)
 	p.run(100 * ms)
 	l := Link{From: "odd", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
 	before := p.server.Counters.CatchUps
@@ -118,11 +119,12 @@
 	require.Equal(t, 8, p.server.Counters.CatchUps-before)
 }
 
-// The table entry of a name with many processes reports the last few, and others take them.
+// The table entry of a name lists the last maxReportedSuperseded of its superseded processes; the other control members
+// remember all that it has listed.
 func TestTableEntryReportsTheLastSupersededProcesses(t *testing.T) {
 	r := newThreeServers(t)
 	for i := range uint64(10) {
-		r.now += 20 * second // beyond damping
+		r.now += 20 * second // long enough for the rate limit of changes
 		for _, c := range threeControls {
 			r.servers[c.Name].now = r.now
 		}
@@ -137,7 +139,7 @@
 	}
 }
 
-// A process has a bounded number of links; the oldest are closed.
+// A process may have maxLinksPerProcess links; a further one closes the oldest.
 func TestLinksOfAProcessAreBounded(t *testing.T) {
 	p := newServerAndClient(t, 0)
 	closed := 0
@@ -151,7 +153,7 @@
 	require.Len(t, p.server.leasesByName["f"].links, maxLinksPerProcess)
 }
 
-// Messages that nobody takes are bounded.
+// The messages that wait to be taken are bounded.
 func TestQueuedMessagesAreBounded(t *testing.T) {
 	p := newServerAndClient(t, 0)
 	for range maxQueuedMessages + 10 {
@@ -160,7 +162,7 @@
 	require.Len(t, p.server.TakeMessages(), maxQueuedMessages)
 }
 
-// The order of two processes of one name becomes right as soon as messages give a better estimate of the clocks'
+// Two processes of one name are shown in the right order as soon as a message improves the estimate of the clocks'
 // offset, without any change of their table entries.
 func TestProcessOrderFollowsTheClockEstimates(t *testing.T) {
 	r := newThreeServers(t)
@@ -172,7 +174,7 @@
 		m.digest = m.entries[0].digest()
 		require.NoError(t, s.ReceiveFromControl(r.now, home, epoch, TableUpdate, m.encode()))
 	}
-	// The earlier process is reported in a message that took 10 s.
+	// The message about the earlier process took 10 s, so that its challenge seems to be the later one.
 	push("m0", 1000, 9, r.now-10*second, r.now-10*second-100*ms)
 	push("m1", 1001, 5, r.now, r.now-second)
 	s.Tick(r.now+50*ms, nil)
@@ -184,19 +186,19 @@
 	require.Equal(t, uint64(5), e.Incarnation)
 }
 
-// An empty slot leaves the preferred control member of the other empty slot to that slot.
+// While both slots are empty, the first to be filled does not take the preferred control member of the other.
 func TestEmptySlotLeavesTheOtherItsPreferredMember(t *testing.T) {
 	controls := []ControlMember{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z2"}, {Name: "c", Zone: "z2"}}
 	for i := range 50 {
 		c := NewClient(Config{Name: fmt.Sprint("f", i), Zone: "z1", Incarnation: 7, ControlMembers: controls})
 		c.Tick(0)
-		second := c.slots[1].preferred
-		first := c.slots[0].preferred
-		first.backoffUntil = 1 << 60
+		secondPreferred := c.slots[1].preferred
+		firstPreferred := c.slots[0].preferred
+		firstPreferred.backoffUntil = 1 << 60
 		c.slots[0].fillAt, c.slots[1].fillAt = 1, 2
 		c.Tick(1)
-		assert.NotEqual(t, second, c.slots[0].current)
+		assert.NotEqual(t, secondPreferred, c.slots[0].current)
 		c.Tick(2)
-		assert.Equal(t, second, c.slots[1].current)
+		assert.Equal(t, secondPreferred, c.slots[1].current)
 	}
 }
--- a/fleet/membership/member_restart_test.go
+++ b/fleet/membership/member_restart_test.go
@@ -10,31 +10,32 @@
 	"chutechute/internal/monotime"
 )
 
-// twoHomes is a front end with links to two control members, m0 and m1, of which the test determines how each sees a
-// third, m2.
+// twoHomes is a front end with links to two control members, m0 and m1. The test sets how each of them sees a third
+// one, m2.
 type twoHomes struct {
-	t       *testing.T
-	now     monotime.Micros
-	servers map[string]*Server
-	sees    map[string]ControlMember // how each sees m2
-	client  *Client
-	link    Link
+	t        *testing.T
+	now      monotime.Micros
+	servers  map[string]*Server
+	m2SeenBy map[string]ControlMember // m2, by the name of the control member that sees it so
+	client   *Client
+	link     Link
 }
 
-// The processes of m2, and when each answered its first challenge.
+// Two processes of m2. The later one has the smaller incarnation, so that only the times of their challenges give the
+// right order.
 var (
 	earlierProcess = ControlMember{Name: "m2", Zone: "zc", Incarnation: 21, State: Alive, ChallengedAt: 90 * second}
 	laterProcess   = ControlMember{Name: "m2", Zone: "zc", Incarnation: 20, State: Alive, ChallengedAt: 101 * second}
 )
 
-// newTwoHomes returns control members that each see such a process of m2 first, and a front end that follows m0.
+// newTwoHomes returns a front end whose home is m0; at first m0 and m1 see the given processes of m2.
 func newTwoHomes(t *testing.T, atM0, atM1 ControlMember) *twoHomes {
 	controls := []ControlMember{{Name: "m0", Zone: "za"}, {Name: "m1", Zone: "zb"}, {Name: "m2", Zone: "zc"}}
 	r := &twoHomes{
-		t:       t,
-		now:     100 * second,
-		servers: map[string]*Server{},
-		sees:    map[string]ControlMember{"m0": atM0, "m1": atM1},
+		t:        t,
+		now:      100 * second,
+		servers:  map[string]*Server{},
+		m2SeenBy: map[string]ControlMember{"m0": atM0, "m1": atM1},
 	}
 	for i, name := range []string{"m0", "m1"} {
 		cfg := Config{Name: name, Zone: controls[i].Zone, Incarnation: uint64(i + 1), ControlMembers: controls}
@@ -57,18 +58,19 @@
 	return r
 }
 
+// run advances the time in ticks of 50 ms; all messages arrive at once.
 func (r *twoHomes) run(span monotime.Micros) {
 	for end := r.now + span; r.now < end; {
 		r.now += 50 * ms
 		for name, server := range r.servers {
-			server.Tick(r.now, []ControlMember{r.sees[name]})
+			server.Tick(r.now, []ControlMember{r.m2SeenBy[name]})
 		}
 		r.client.Tick(r.now)
-		r.carry()
+		r.deliver()
 	}
 }
 
-func (r *twoHomes) carry() {
+func (r *twoHomes) deliver() {
 	for _, m := range r.client.TakeMessages() {
 		require.NoError(r.t, r.servers[m.To].Receive(r.now, r.link, m.Kind, m.Body))
 	}
@@ -81,41 +83,43 @@
 	}
 }
 
-func (r *twoHomes) shows(incarnation uint64, state State) {
+// assertM2 checks how the client's view shows m2.
+func (r *twoHomes) assertM2(incarnation uint64, state State) {
 	r.t.Helper()
 	e, ok := r.client.View().Lookup("m2")
 	require.True(r.t, ok)
 	assert.Equal(r.t, Entry{Name: "m2", Zone: "zc", Role: Control, Incarnation: incarnation, State: state, Home: "m2"}, e)
 }
 
-// A home that does not know of the later process of a control member does not bring the earlier one back at a front
-// end that has seen the later; the later one is shown Alive as soon as that home reports it.
+// A front end that has seen the later process of a control member gets a new home that still reports the earlier one.
+// The earlier one is shown as Dead, and the later one as Alive as soon as the new home reports it.
 func TestLaggingHomeDoesNotRestoreAnEarlierProcess(t *testing.T) {
 	r := newTwoHomes(t, earlierProcess, earlierProcess)
-	r.shows(earlierProcess.Incarnation, Alive)
-	r.sees["m0"] = laterProcess
+	r.assertM2(earlierProcess.Incarnation, Alive)
+	r.m2SeenBy["m0"] = laterProcess
 	r.run(second)
-	r.shows(laterProcess.Incarnation, Alive)
+	r.assertM2(laterProcess.Incarnation, Alive)
 
 	r.client.LinkClosed(r.now, "m0")
 	require.Equal(t, "m1", r.client.Home())
 	r.run(second)
-	r.shows(earlierProcess.Incarnation, Dead)
+	r.assertM2(earlierProcess.Incarnation, Dead)
 	assert.False(t, r.client.View().Alive(earlierProcess.Incarnation))
 
-	r.sees["m1"] = laterProcess
+	r.m2SeenBy["m1"] = laterProcess
 	r.run(200 * ms)
-	r.shows(laterProcess.Incarnation, Alive)
+	r.assertM2(laterProcess.Incarnation, Alive)
 	assert.True(t, r.client.View().Alive(laterProcess.Incarnation))
 }
 
-// The same holds if the front end has only ever seen the later process.
+// A front end that has only ever seen the later process of a control member still shows the earlier one, which a
+// lagging home reports, as Dead.
 func TestEarlierProcessNotSeenBeforeIsShownDead(t *testing.T) {
 	r := newTwoHomes(t, laterProcess, earlierProcess)
-	r.shows(laterProcess.Incarnation, Alive)
+	r.assertM2(laterProcess.Incarnation, Alive)
 	r.client.LinkClosed(r.now, "m0")
 	r.run(second)
-	r.shows(earlierProcess.Incarnation, Dead)
+	r.assertM2(earlierProcess.Incarnation, Dead)
 	assert.False(t, r.client.View().Alive(earlierProcess.Incarnation))
 	assert.False(t, r.client.View().Superseded(laterProcess.Incarnation))
 }
--- a/fleet/membership/property_test.go
+++ b/fleet/membership/property_test.go
@@ -8,95 +8,97 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is lost, late, duplicated, cut, stopped and restarted: after the faults have ended all views are the same
-// and right, and at no time does a view show an incarnation again that a later process of its name has superseded.
+// Random faults are injected: lost, delayed and duplicated messages, full queues, partitions, pauses and restarts.
+// After they have ended, all views are the same and right. At no time does a view show an incarnation again that a
+// later process of its name has superseded.
 func TestViewsConvergeAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		servers, clients := rapid.IntRange(3, 5).Draw(t, "servers"), rapid.IntRange(5, 30).Draw(t, "clients")
-		history(t, seed, servers, clients, func(i int) int {
+		runWithFaults(t, seed, servers, clients, func(i int) int {
 			return rapid.IntRange(int(changeLoss), int(fillQueues)).Draw(t, fmt.Sprint("fault", i))
 		})
 	})
 }
 
-// tb is a testing.TB that reports to a rapid.T, with the methods that the rig uses.
-type tb struct {
+// rapidTB is a testing.TB that reports to a rapid.T. It has only the methods that a testFleet uses.
+type rapidTB struct {
 	testing.TB
 	rapid *rapid.T
 }
 
-func (t tb) Errorf(format string, args ...any) { t.rapid.Errorf(format, args...) }
-func (t tb) FailNow()                          { t.rapid.FailNow() }
-func (t tb) Name() string                      { return "history" }
-func (t tb) Helper()                           { t.rapid.Helper() }
+func (t rapidTB) Errorf(format string, args ...any) { t.rapid.Errorf(format, args...) }
+func (t rapidTB) FailNow()                          { t.rapid.FailNow() }
+func (t rapidTB) Name() string                      { return "history" }
+func (t rapidTB) Helper()                           { t.rapid.Helper() }
 
-// steps is how many faults a history has.
-const steps = 12
+// faultCount is the number of faults in one run.
+const faultCount = 12
 
-func history(t *rapid.T, seed uint64, servers, clients int, fault func(int) int) {
+// runWithFaults injects faults of the kinds that drawFault returns, and checks the views meanwhile and in the end.
+func runWithFaults(t *rapid.T, seed uint64, servers, clients int, drawFault func(int) int) {
 	zones := []string{"za", "zb", "za", "zc", "zb"}
-	r := newRig(tb{rapid: t}, seed, zones[:servers]...)
+	f := newTestFleet(rapidTB{rapid: t}, seed, zones[:servers]...)
 	for i := range clients {
-		r.attach(fmt.Sprintf("f%02d", i), zones[i%servers])
+		f.attach(fmt.Sprintf("f%02d", i), zones[i%servers])
 	}
-	observers := map[any]*observer{}
-	r.check = func() { r.checkNoReturn(t, observers) }
-	for i := range steps {
-		r.fault(faultKind(fault(i)))
-		r.run(r.random.between(100*ms, 6*second))
+	observedViews := map[any]*observedView{}
+	f.check = func() { f.checkSupersededStayHidden(t, observedViews) }
+	for i := range faultCount {
+		f.injectFault(faultKind(drawFault(i)))
+		f.run(f.random.between(100*ms, 6*second))
 	}
-	r.endFaults()
-	r.run(120 * second)
-	r.requireAgreement()
+	f.endFaults()
+	f.run(120 * second)
+	f.requireAgreement()
 }
 
-// observer is what was seen in one view.
-type observer struct {
-	digest     uint64
-	last       map[string]uint64 // by name
-	superseded map[uint64]bool
+// observedView is what one view has shown so far.
+type observedView struct {
+	digest           uint64
+	lastIncarnations map[string]uint64 // the last incarnation of each name
+	superseded       map[uint64]bool
 }
 
-// checkNoReturn checks that no server's or client's view shows a superseded incarnation again. At a client one that is
-// Dead does not count: a home on the other side of a cut may know of nothing later, and its front ends then show the
-// earlier one as Dead.
-func (r *rig) checkNoReturn(t *rapid.T, observers map[any]*observer) {
-	observe := func(who string, key any, v *View, strict bool) {
-		o := observers[key]
+// checkSupersededStayHidden checks that no view shows a superseded incarnation again. A client may show one as Dead: a
+// home on the other side of a partition may not know of the later process, and its front ends then show the earlier one
+// as Dead.
+func (f *testFleet) checkSupersededStayHidden(t *rapid.T, observedViews map[any]*observedView) {
+	observe := func(owner string, key any, v *View, strict bool) {
+		o := observedViews[key]
 		if o == nil {
-			o = &observer{last: map[string]uint64{}, superseded: map[uint64]bool{}}
-			observers[key] = o
+			o = &observedView{lastIncarnations: map[string]uint64{}, superseded: map[uint64]bool{}}
+			observedViews[key] = o
 		}
 		if o.digest == v.Digest() {
 			return
 		}
 		o.digest = v.Digest()
 		for _, e := range v.Entries() {
-			before := o.last[e.Name]
+			before := o.lastIncarnations[e.Name]
 			if before == e.Incarnation || !strict && v.PresumedDead(e.Incarnation) {
 				continue
 			}
 			o.superseded[before] = true
-			o.last[e.Name] = e.Incarnation
+			o.lastIncarnations[e.Name] = e.Incarnation
 			if o.superseded[e.Incarnation] {
-				t.Fatalf("%s shows %d of %s again after %d, at %d ms", who, e.Incarnation, e.Name, before, r.now/ms)
+				t.Fatalf("%s shows incarnation %d of %s again after %d, at %d ms", owner, e.Incarnation, e.Name, before, f.now/ms)
 			}
 		}
 	}
-	for _, s := range r.servers {
+	for _, s := range f.servers {
 		if s.up {
 			observe(s.cfg.Name, s.Server, s.View(), true)
 		}
 	}
-	for _, c := range r.clients {
+	for _, c := range f.clients {
 		if c.up {
 			observe(c.cfg.Name, c.Client, c.View(), false)
 		}
 	}
 }
 
-// faultKind is a kind of fault in a history.
+// faultKind is a kind of fault to inject.
 type faultKind int
 
 // The kinds of faults.
@@ -107,67 +109,71 @@
 	restartManyClients
 	restartServer
 	stopOrStartServer
-	cutOff
-	cutOneWay
+	partition
+	partitionOneWay
 	pauseOrResumeClient
 	pauseOrResumeServer
 	fillQueues
 )
 
-// fault causes one of the faults, at a server or client that the seed chooses.
-func (r *rig) fault(kind faultKind) {
-	s := r.servers[r.random.next()%uint64(len(r.servers))]
-	c := r.clients[r.random.next()%uint64(len(r.clients))]
-	draw := r.random.next()
+// injectFault injects a fault of a kind. The seed determines at which server or client.
+func (f *testFleet) injectFault(kind faultKind) {
+	s := f.servers[f.random.next()%uint64(len(f.servers))]
+	c := f.clients[f.random.next()%uint64(len(f.clients))]
+	randomBits := f.random.next()
 	switch kind {
 	case changeLoss:
-		r.lostPerThousand = int(r.random.next() % 300)
+		f.lostPerThousand = int(f.random.next() % 300)
 	case changeDelays:
-		r.duplicatedPerThousand, r.maxDelay = int(r.random.next()%300), r.random.between(5*ms, second)
+		f.duplicatedPerThousand, f.maxDelay = int(f.random.next()%300), f.random.between(5*ms, second)
 	case restartClient:
-		r.restart(c)
+		f.restartClient(c)
 	case restartManyClients:
-		for i := range r.clients {
-			if (draw>>(i%64))&3 == 0 {
-				r.restart(r.clients[i])
+		for i := range f.clients {
+			if (randomBits>>(i%64))&3 == 0 {
+				f.restartClient(f.clients[i])
 			}
 		}
 	case restartServer:
 		if s.up && !s.paused {
-			r.stop(s)
-			r.start(s)
+			f.stopServer(s)
+			f.startServer(s)
 		}
 	case stopOrStartServer:
-		if s.up && !s.paused && r.upServers() > 1 {
-			r.stop(s)
+		if s.up && !s.paused && f.runningServers() > 1 {
+			f.stopServer(s)
 		} else if !s.up {
-			r.start(s)
+			f.startServer(s)
 		}
-	case cutOff:
-		r.cut = func(from, to string) bool { return side(draw, from) != side(draw, to) }
-	case cutOneWay:
-		r.cut = func(from, to string) bool { return from == s.cfg.Name && side(draw, to) == 0 }
+	case partition:
+		f.partitioned = func(from, to string) bool { return partitionSide(randomBits, from) != partitionSide(randomBits, to) }
+	case partitionOneWay:
+		f.partitioned = func(from, to string) bool { return from == s.cfg.Name && partitionSide(randomBits, to) == 0 }
 	case pauseOrResumeClient:
 		if c.paused {
-			r.resumeClient(c)
+			f.resumeClient(c)
 		} else {
 			c.paused = true
 		}
 	case pauseOrResumeServer:
 		if s.paused {
-			r.resumeServer(s)
-		} else if s.up && r.upServers() > 1 {
+			f.resumeServer(s)
+		} else if s.up && f.runningServers() > 1 {
 			s.paused = true
 		}
 	case fillQueues:
-		r.queueFull = func(c *rigClient) bool { return side(draw, c.cfg.Name) == 0 && r.random.next()%3 == 0 } // slow readers
+		f.queueFull = func(c *testClient) bool { // slow readers
+			return partitionSide(randomBits, c.cfg.Name) == 0 && f.random.next()%3 == 0
+		}
 	}
 }
 
-func side(seed uint64, name string) uint64 { return rendezvousWeight(name, "", seed) % 2 }
+// partitionSide returns on which of the two sides of a partition a name is.
+func partitionSide(seed uint64, name string) uint64 { return rendezvousWeight(name, "", seed) % 2 }
 
-func (r *rig) upServers() (n int) {
-	for _, s := range r.servers {
+// runningServers returns the number of servers that are up and not paused.
+func (f *testFleet) runningServers() (n int) {
+	for _, s := range f.servers {
 		if s.up && !s.paused {
 			n++
 		}
@@ -175,42 +181,42 @@
 	return n
 }
 
-// endFaults ends all faults.
-func (r *rig) endFaults() {
-	r.lostPerThousand, r.duplicatedPerThousand, r.maxDelay = 0, 0, 5*ms
-	r.cut = func(_, _ string) bool { return false }
-	r.queueFull = func(*rigClient) bool { return false }
-	for _, s := range r.servers {
+// endFaults ends all faults: the network delivers everything again, stopped servers start, and paused processes resume.
+func (f *testFleet) endFaults() {
+	f.lostPerThousand, f.duplicatedPerThousand, f.maxDelay = 0, 0, 5*ms
+	f.partitioned = func(_, _ string) bool { return false }
+	f.queueFull = func(*testClient) bool { return false }
+	for _, s := range f.servers {
 		switch {
 		case !s.up:
-			r.start(s)
+			f.startServer(s)
 		case s.paused:
-			r.resumeServer(s)
+			f.resumeServer(s)
 		}
 	}
-	for _, c := range r.clients {
+	for _, c := range f.clients {
 		if c.paused {
-			r.resumeClient(c)
+			f.resumeClient(c)
 		}
 	}
 }
 
-// The same seed gives the same run, message by message.
+// Runs with the same seed end with the same counters, byte counts and views.
 func TestSameSeedSameRun(t *testing.T) {
 	run := func() string {
-		r := fleet(t, 11, 20)
+		f := newThreeZoneFleet(t, 11, 20)
 		for i := range 10 {
-			r.fault(faultKind(i))
-			r.run(3 * second)
+			f.injectFault(faultKind(i))
+			f.run(3 * second)
 		}
-		text := ""
-		for _, s := range r.servers {
-			text += fmt.Sprintf("%+v %d %d\n", s.Counters, s.bytesOut, s.View().Digest())
+		summary := ""
+		for _, s := range f.servers {
+			summary += fmt.Sprintf("%+v %d %d\n", s.Counters, s.bytesOut, s.View().Digest())
 		}
-		for _, c := range r.clients {
-			text += fmt.Sprintf("%+v %d %d %d\n", c.Counters, c.bytesIn, c.bytesOut, c.View().Digest())
+		for _, c := range f.clients {
+			summary += fmt.Sprintf("%+v %d %d %d\n", c.Counters, c.bytesIn, c.bytesOut, c.View().Digest())
 		}
-		return text
+		return summary
 	}
 	first := run()
 	for range 3 {
--- a/fleet/membership/rig_test.go
+++ b/fleet/membership/rig_test.go
@@ -16,159 +16,166 @@
 	second                 = 1000 * ms
 )
 
-// event is something that happens at a time in the rig; events at equal times happen in the order of scheduling.
+// event is a function to be called at a virtual time. Events at the same time are called in the order of scheduling.
 type event struct {
 	at    monotime.Micros
 	order int
 	do    func()
 }
 
-type events []event
+// eventQueue is a heap of events; the first is the next to be called.
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// messageOverhead is the bytes that framing adds to a message.
+// messageOverhead is the number of bytes that framing adds to a message.
 const messageOverhead = 50
 
-// rigLink is an open link of a client to a server, as both sides know it.
-type rigLink struct {
-	client             *rigClient
-	server             *rigServer
+// testLink is a link of a client to a server.
+type testLink struct {
+	client             *testClient
+	server             *testServer
 	link               Link
 	controlIncarnation uint64 // the server's incarnation
 	closed             bool
 }
 
-type rigServer struct {
+// testServer is a control member of a testFleet. Each start replaces its Server.
+type testServer struct {
 	challengedAt monotime.Micros // when its process answered its first challenge
 	*Server
 	cfg      Config
 	up       bool
 	paused   bool
-	backlog  []func()
-	bytesOut int // sent to clients
+	backlog  []func() // what arrived while it was paused
+	bytesOut int      // sent to clients
 }
 
-type rigClient struct {
+// testClient is an attached front end of a testFleet. Each restart replaces its Client.
+type testClient struct {
 	*Client
 	cfg               Config
 	up                bool
 	paused            bool
-	backlog           []func()
-	links             map[string]*rigLink
+	backlog           []func() // what arrived while it was paused
+	links             map[string]*testLink
 	dialing           map[string]bool
 	bytesIn, bytesOut int
 }
 
-// rig is servers and clients over a network that may lose, delay and duplicate messages. Links are opened by a dial
-// that takes a while; a message is lost with its link. Everything is determined by the seed.
-type rig struct {
+// testFleet runs servers and clients in virtual time over a network that may lose, delay and duplicate messages, and
+// that may be partitioned. Opening a link takes some time, and a message is lost if its link is closed before it
+// arrives. The seed determines everything.
+type testFleet struct {
 	t                     testing.TB
 	now                   monotime.Micros
-	queue                 events
+	queue                 eventQueue
 	order                 int
 	random                splitMix64
-	servers               []*rigServer
-	clients               []*rigClient
-	names                 map[string]*rigServer
-	byName                map[string]*rigClient
+	servers               []*testServer
+	clients               []*testClient
+	serversByName         map[string]*testServer
+	clientsByName         map[string]*testClient
 	lostPerThousand       int // messages
 	duplicatedPerThousand int // messages
 	maxDelay              monotime.Micros
-	cut                   func(from, to string) bool
-	next                  uint64 // incarnation
+	partitioned           func(from, to string) bool // whether messages from one to the other are lost
+	lastIncarnation       uint64                     // the last process's, without its random bits
 	controls              []ControlMember
-	queueFull             func(c *rigClient) bool // the queue to it is full
-	check                 func()
-	errors                []error
-}
-
-func newRig(t testing.TB, seed uint64, zones ...string) *rig {
-	r := &rig{
-		t:         t,
-		random:    splitMix64(seed),
-		names:     map[string]*rigServer{},
-		byName:    map[string]*rigClient{},
-		next:      100,
-		maxDelay:  5 * ms,
-		cut:       func(_, _ string) bool { return false },
-		queueFull: func(*rigClient) bool { return false },
-		check:     func() {},
+	queueFull             func(c *testClient) bool // whether servers' queues to it are full
+	check                 func()                   // called after each tick
+	errors                []error                  // of received messages
+}
+
+func newTestFleet(t testing.TB, seed uint64, zones ...string) *testFleet {
+	f := &testFleet{
+		t:               t,
+		random:          splitMix64(seed),
+		serversByName:   map[string]*testServer{},
+		clientsByName:   map[string]*testClient{},
+		lastIncarnation: 100,
+		maxDelay:        5 * ms,
+		partitioned:     func(_, _ string) bool { return false },
+		queueFull:       func(*testClient) bool { return false },
+		check:           func() {},
 	}
 	for i, zone := range zones {
-		r.controls = append(r.controls, ControlMember{Name: fmt.Sprintf("m%02d", i), Zone: zone})
+		f.controls = append(f.controls, ControlMember{Name: fmt.Sprintf("m%02d", i), Zone: zone})
 	}
-	for _, c := range r.controls {
-		s := &rigServer{cfg: Config{Name: c.Name, Zone: c.Zone, ControlMembers: r.controls, Seed: seed}}
-		r.servers = append(r.servers, s)
-		r.names[c.Name] = s
-		r.start(s)
+	for _, c := range f.controls {
+		s := &testServer{cfg: Config{Name: c.Name, Zone: c.Zone, ControlMembers: f.controls, Seed: seed}}
+		f.servers = append(f.servers, s)
+		f.serversByName[c.Name] = s
+		f.startServer(s)
 	}
-	for _, s := range r.servers {
-		r.every(50*ms, func() { r.tickServer(s) })
-		r.every(100*ms, func() { r.sendVersions(s) })
+	for _, s := range f.servers {
+		f.every(50*ms, func() { f.tickServer(s) })
+		f.every(100*ms, func() { f.sendVersions(s) })
 	}
-	return r
+	return f
 }
 
-func (r *rig) schedule(delay monotime.Micros, do func()) {
-	r.order++
-	heap.Push(&r.queue, event{r.now + delay, r.order, do})
+func (f *testFleet) schedule(delay monotime.Micros, do func()) {
+	f.order++
+	heap.Push(&f.queue, event{f.now + delay, f.order, do})
 }
 
-func (r *rig) every(delay monotime.Micros, do func()) {
+// every calls a function at a fixed interval, the first time after a random part of it.
+func (f *testFleet) every(interval monotime.Micros, do func()) {
 	var again func()
 	again = func() {
 		do()
-		r.schedule(delay, again)
+		f.schedule(interval, again)
 	}
-	r.schedule(r.random.between(0, delay), again)
+	f.schedule(f.random.between(0, interval), again)
 }
 
-// run advances the time.
-func (r *rig) run(delay monotime.Micros) {
-	end := r.now + delay
-	for len(r.queue) > 0 && r.queue[0].at <= end {
-		e := heap.Pop(&r.queue).(event)
-		r.now = e.at
+// run advances the time by a span, and calls the events that are due.
+func (f *testFleet) run(span monotime.Micros) {
+	end := f.now + span
+	for len(f.queue) > 0 && f.queue[0].at <= end {
+		e := heap.Pop(&f.queue).(event)
+		f.now = e.at
 		e.do()
 	}
-	r.now = end
+	f.now = end
 }
 
-func (r *rig) incarnation() uint64 {
-	r.next++
-	return r.next<<20 | r.random.next()>>44
+// newIncarnation returns an incarnation greater than all before.
+func (f *testFleet) newIncarnation() uint64 {
+	f.lastIncarnation++
+	return f.lastIncarnation<<20 | f.random.next()>>44
 }
 
-// start begins a server's next process.
-func (r *rig) start(s *rigServer) {
-	s.cfg.Incarnation = r.incarnation()
-	s.Server, s.up, s.challengedAt = NewServer(s.cfg), true, r.now+r.maxDelay
+// startServer starts a new process of a server.
+func (f *testFleet) startServer(s *testServer) {
+	s.cfg.Incarnation = f.newIncarnation()
+	s.Server, s.up, s.challengedAt = NewServer(s.cfg), true, f.now+f.maxDelay
 }
 
-func (r *rig) stop(s *rigServer) {
+// stopServer ends a server's process; its links break.
+func (f *testFleet) stopServer(s *testServer) {
 	s.up = false
-	for _, c := range r.clients {
+	for _, c := range f.clients {
 		if l := c.links[s.cfg.Name]; l != nil {
-			r.closeLink(l)
+			f.closeLink(l)
 		}
 	}
 }
 
-// membersSeenBy is the control members as one of them sees them: without a cut as they are.
-func (r *rig) membersSeenBy(s *rigServer) (list []ControlMember) {
-	for _, other := range r.servers {
+// membersSeenBy returns the other control members as package heartbeat reports them to one of them.
+func (f *testFleet) membersSeenBy(s *testServer) (list []ControlMember) {
+	for _, other := range f.servers {
 		if other == s {
 			continue
 		}
@@ -179,14 +186,15 @@
 			State:        Alive,
 			ChallengedAt: other.challengedAt,
 		}
-		switch cut := r.cut(other.cfg.Name, s.cfg.Name); {
+		switch partitioned := f.partitioned(other.cfg.Name, s.cfg.Name); {
 		case !other.up || other.paused:
 			m.State = Dead
-		case cut && slices.ContainsFunc(r.servers, func(via *rigServer) bool {
-			return via != other && via != s && via.up && !r.cut(other.cfg.Name, via.cfg.Name) && !r.cut(via.cfg.Name, s.cfg.Name)
+		case partitioned && slices.ContainsFunc(f.servers, func(via *testServer) bool {
+			return via != other && via != s && via.up &&
+				!f.partitioned(other.cfg.Name, via.cfg.Name) && !f.partitioned(via.cfg.Name, s.cfg.Name)
 		}):
 			m.IndirectlyAlive = true
-		case cut:
+		case partitioned:
 			m.State = Dead
 		}
 		list = append(list, m)
@@ -194,26 +202,26 @@
 	return list
 }
 
-func (r *rig) tickServer(s *rigServer) {
+func (f *testFleet) tickServer(s *testServer) {
 	if !s.up || s.paused {
 		return
 	}
-	s.Tick(r.now, r.membersSeenBy(s))
-	r.flushServer(s)
-	r.check()
+	s.Tick(f.now, f.membersSeenBy(s))
+	f.flushServer(s)
+	f.check()
 }
 
-func (r *rig) sendVersions(s *rigServer) {
+func (f *testFleet) sendVersions(s *testServer) {
 	if !s.up || s.paused {
 		return
 	}
-	body, incarnation := s.Versions(r.now), s.cfg.Incarnation
-	for _, other := range r.servers {
+	body, incarnation := s.Versions(f.now), s.cfg.Incarnation
+	for _, other := range f.servers {
 		if other != s {
-			r.transmit(s.cfg.Name, other.cfg.Name, func() {
-				r.atServer(other, func() {
-					if err := other.ReceiveVersions(r.now, s.cfg.Name, incarnation, body); err != nil {
-						r.errors = append(r.errors, err)
+			f.transmit(s.cfg.Name, other.cfg.Name, func() {
+				f.runAtServer(other, func() {
+					if err := other.ReceiveVersions(f.now, s.cfg.Name, incarnation, body); err != nil {
+						f.errors = append(f.errors, err)
 					}
 				})
 			})
@@ -221,57 +229,61 @@
 	}
 }
 
-// transmit delivers a message, perhaps late, twice or not at all.
-func (r *rig) transmit(from, to string, do func()) {
-	times := 1
-	if int(r.random.next()%1000) < r.duplicatedPerThousand {
-		times = 2
+// transmit sends a message, which may arrive late, twice or not at all.
+func (f *testFleet) transmit(from, to string, do func()) {
+	copies := 1
+	if int(f.random.next()%1000) < f.duplicatedPerThousand {
+		copies = 2
 	}
-	for range times {
-		if r.cut(from, to) || int(r.random.next()%1000) < r.lostPerThousand {
+	for range copies {
+		if f.partitioned(from, to) || int(f.random.next()%1000) < f.lostPerThousand {
 			continue
 		}
-		r.schedule(r.random.between(ms/2, r.maxDelay), do)
+		f.schedule(f.random.between(ms/2, f.maxDelay), do)
 	}
 }
 
-func (r *rig) atServer(s *rigServer, do func()) {
+// runAtServer calls a function at a server and sends the messages that result. A paused server calls it when it
+// resumes, a stopped one never.
+func (f *testFleet) runAtServer(s *testServer, do func()) {
 	switch {
 	case !s.up:
 	case s.paused:
 		s.backlog = append(s.backlog, do)
 	default:
 		do()
-		r.flushServer(s)
+		f.flushServer(s)
 	}
 }
 
-func (r *rig) atClient(c *rigClient, do func()) {
+// runAtClient is runAtServer for a client.
+func (f *testFleet) runAtClient(c *testClient, do func()) {
 	switch {
 	case !c.up:
 	case c.paused:
 		c.backlog = append(c.backlog, do)
 	default:
 		do()
-		r.flushClient(c)
+		f.flushClient(c)
 	}
 }
 
-func (r *rig) flushServer(s *rigServer) {
+// flushServer sends the messages of a server, and closes the links that it requests to close.
+func (f *testFleet) flushServer(s *testServer) {
 	incarnation := s.cfg.Incarnation
 	for _, m := range s.TakeMessages() {
 		if m.Incarnation == 0 {
-			other := r.names[m.To]
-			r.transmit(s.cfg.Name, m.To, func() {
-				r.atServer(other, func() {
-					if err := other.ReceiveFromControl(r.now, s.cfg.Name, incarnation, m.Kind, m.Body); err != nil {
-						r.errors = append(r.errors, err)
+			other := f.serversByName[m.To]
+			f.transmit(s.cfg.Name, m.To, func() {
+				f.runAtServer(other, func() {
+					if err := other.ReceiveFromControl(f.now, s.cfg.Name, incarnation, m.Kind, m.Body); err != nil {
+						f.errors = append(f.errors, err)
 					}
 				})
 			})
 			continue
 		}
-		c := r.byName[m.To]
+		c := f.clientsByName[m.To]
 		if c == nil {
 			continue
 		}
@@ -279,197 +291,200 @@
 		if c.cfg.Incarnation != m.Incarnation || l == nil || l.closed {
 			continue
 		}
-		if r.queueFull(c) {
-			s.QueueFull(r.now, m.To, m.Incarnation)
+		if f.queueFull(c) {
+			s.QueueFull(f.now, m.To, m.Incarnation)
 			continue
 		}
 		s.bytesOut += len(m.Body) + messageOverhead
 		c.bytesIn += len(m.Body) + messageOverhead
-		r.transmit(s.cfg.Name, c.cfg.Name, func() { r.deliver(c, l, m) })
+		f.transmit(s.cfg.Name, c.cfg.Name, func() { f.deliver(c, l, m) })
 	}
 	for _, l := range s.LinksToClose() {
-		if c := r.byName[l.From]; c != nil {
+		if c := f.clientsByName[l.From]; c != nil {
 			if other := c.links[s.cfg.Name]; other != nil && other.link == l {
-				r.closeLink(other)
+				f.closeLink(other)
 			}
 		}
 	}
 }
 
-func (r *rig) deliver(c *rigClient, l *rigLink, m Message) {
-	r.atClient(c, func() {
+func (f *testFleet) deliver(c *testClient, l *testLink, m Message) {
+	f.runAtClient(c, func() {
 		if l.closed || c.Client == nil {
 			return
 		}
-		if err := c.Receive(r.now, l.server.cfg.Name, l.controlIncarnation, m.Kind, m.Body); err != nil {
-			r.errors = append(r.errors, err)
-			r.closeLink(l)
+		if err := c.Receive(f.now, l.server.cfg.Name, l.controlIncarnation, m.Kind, m.Body); err != nil {
+			f.errors = append(f.errors, err)
+			f.closeLink(l)
 		}
 	})
 }
 
-func (r *rig) closeLink(l *rigLink) {
+func (f *testFleet) closeLink(l *testLink) {
 	if l.closed {
 		return
 	}
 	l.closed = true
 	delete(l.client.links, l.name())
-	r.schedule(ms, func() {
+	f.schedule(ms, func() {
 		if l.server.cfg.Incarnation == l.controlIncarnation {
-			r.atServer(l.server, func() { l.server.LinkClosed(r.now, l.link) })
+			f.runAtServer(l.server, func() { l.server.LinkClosed(f.now, l.link) })
 		}
 		if l.client.cfg.Incarnation == l.link.Incarnation {
-			r.atClient(l.client, func() { l.client.LinkClosed(r.now, l.server.cfg.Name) })
+			f.runAtClient(l.client, func() { l.client.LinkClosed(f.now, l.server.cfg.Name) })
 		}
 	})
 }
 
-func (l *rigLink) name() string { return l.server.cfg.Name }
+func (l *testLink) name() string { return l.server.cfg.Name }
 
-// attach adds a client.
-func (r *rig) attach(name, zone string) *rigClient {
-	c := &rigClient{cfg: Config{Name: name, Zone: zone, ControlMembers: r.controls, Seed: 1}}
-	r.clients = append(r.clients, c)
-	r.byName[name] = c
-	r.restart(c)
+// attach adds a client and starts it.
+func (f *testFleet) attach(name, zone string) *testClient {
+	c := &testClient{cfg: Config{Name: name, Zone: zone, ControlMembers: f.controls, Seed: 1}}
+	f.clients = append(f.clients, c)
+	f.clientsByName[name] = c
+	f.restartClient(c)
 	return c
 }
 
-// restart begins a client's next process; the links of the one before break.
-func (r *rig) restart(c *rigClient) {
-	r.halt(c)
-	c.cfg.Incarnation = r.incarnation()
+// restartClient starts a new process of a client; the links of the previous one break.
+func (f *testFleet) restartClient(c *testClient) {
+	f.stopClient(c)
+	c.cfg.Incarnation = f.newIncarnation()
 	c.Client, c.up, c.paused, c.backlog = NewClient(c.cfg), true, false, nil
-	c.links, c.dialing = map[string]*rigLink{}, map[string]bool{}
-	r.tickClient(c, c.cfg.Incarnation)
+	c.links, c.dialing = map[string]*testLink{}, map[string]bool{}
+	f.tickClient(c, c.cfg.Incarnation)
 }
 
-func (r *rig) halt(c *rigClient) {
+// stopClient ends a client's process, without announcing it; its links break.
+func (f *testFleet) stopClient(c *testClient) {
 	c.up = false
-	for _, s := range r.servers {
+	for _, s := range f.servers {
 		if l := c.links[s.cfg.Name]; l != nil {
-			r.closeLink(l)
+			f.closeLink(l)
 		}
 	}
 }
 
-// tickClient ticks a client whenever it is due.
-func (r *rig) tickClient(c *rigClient, incarnation uint64) {
+// tickClient ticks a client whenever that is due, until its process ends.
+func (f *testFleet) tickClient(c *testClient, incarnation uint64) {
 	if !c.up || c.cfg.Incarnation != incarnation {
 		return
 	}
 	if !c.paused {
-		c.Tick(r.now)
-		r.flushClient(c)
-		r.check()
+		c.Tick(f.now)
+		f.flushClient(c)
+		f.check()
 	}
-	r.schedule(max(ms, min(c.Next()-r.now, 100*ms)), func() { r.tickClient(c, incarnation) })
+	f.schedule(max(ms, min(c.Next()-f.now, 100*ms)), func() { f.tickClient(c, incarnation) })
 }
 
-func (r *rig) flushClient(c *rigClient) {
-	r.dial(c)
+// flushClient dials the targets of a client, and sends its messages.
+func (f *testFleet) flushClient(c *testClient) {
+	f.dial(c)
 	for _, m := range c.TakeMessages() {
 		l := c.links[m.To]
 		if l == nil || l.closed {
 			continue
 		}
 		c.bytesOut += len(m.Body) + messageOverhead
-		r.transmit(c.cfg.Name, m.To, func() {
+		f.transmit(c.cfg.Name, m.To, func() {
 			if l.closed || l.server.cfg.Incarnation != l.controlIncarnation {
 				return
 			}
-			r.atServer(l.server, func() {
-				if err := l.server.Receive(r.now, l.link, m.Kind, m.Body); err != nil {
-					r.errors = append(r.errors, err)
-					r.closeLink(l)
+			f.runAtServer(l.server, func() {
+				if err := l.server.Receive(f.now, l.link, m.Kind, m.Body); err != nil {
+					f.errors = append(f.errors, err)
+					f.closeLink(l)
 				}
 			})
 		})
 	}
 }
 
-// dial opens the links that a client wants, and closes those that it doesn't.
-func (r *rig) dial(c *rigClient) {
-	targets := c.Targets(r.now)
-	for _, s := range r.servers {
+// dial opens links to the targets of a client that it has no link to, and closes its links to other servers.
+func (f *testFleet) dial(c *testClient) {
+	targets := c.Targets(f.now)
+	for _, s := range f.servers {
 		name := s.cfg.Name
 		wanted := slices.Contains(targets, name)
 		if l := c.links[name]; l != nil && !wanted {
-			r.closeLink(l)
+			f.closeLink(l)
 		}
 		if !wanted || c.links[name] != nil || c.dialing[name] {
 			continue
 		}
 		c.dialing[name] = true
 		incarnation := c.cfg.Incarnation
-		r.schedule(r.random.between(ms, 4*ms), func() { r.finishDial(c, s, incarnation) })
+		f.schedule(f.random.between(ms, 4*ms), func() { f.finishDial(c, s, incarnation) })
 	}
 }
 
-func (r *rig) finishDial(c *rigClient, s *rigServer, incarnation uint64) {
+func (f *testFleet) finishDial(c *testClient, s *testServer, incarnation uint64) {
 	if c.cfg.Incarnation != incarnation || !c.up {
 		return
 	}
 	name := s.cfg.Name
 	delete(c.dialing, name)
-	if !s.up || s.paused || c.paused || r.cut(c.cfg.Name, name) || r.cut(name, c.cfg.Name) {
-		r.atClient(c, func() { c.LinkClosed(r.now, name) })
+	if !s.up || s.paused || c.paused || f.partitioned(c.cfg.Name, name) || f.partitioned(name, c.cfg.Name) {
+		f.runAtClient(c, func() { c.LinkClosed(f.now, name) })
 		return
 	}
-	l := &rigLink{client: c, server: s, controlIncarnation: s.cfg.Incarnation,
-		link: Link{From: c.cfg.Name, Zone: c.cfg.Zone, Incarnation: incarnation, ChallengedAt: r.now - ms/2}}
+	l := &testLink{client: c, server: s, controlIncarnation: s.cfg.Incarnation,
+		link: Link{From: c.cfg.Name, Zone: c.cfg.Zone, Incarnation: incarnation, ChallengedAt: f.now - ms/2}}
 	c.links[name] = l
-	r.atServer(s, func() { s.LinkOpened(r.now, l.link) })
+	f.runAtServer(s, func() { s.LinkOpened(f.now, l.link) })
 	if !l.closed {
-		r.atClient(c, func() { c.LinkOpened(r.now, name, l.controlIncarnation) })
+		f.runAtClient(c, func() { c.LinkOpened(f.now, name, l.controlIncarnation) })
 	}
 }
 
-// resumeClient continues a client that was stopped as by SIGSTOP, with all that was queued meanwhile.
-func (r *rig) resumeClient(c *rigClient) {
+// resumeClient resumes a paused client, as SIGCONT does after SIGSTOP. What arrived meanwhile is received first.
+func (f *testFleet) resumeClient(c *testClient) {
 	c.paused = false
-	list := c.backlog
+	backlog := c.backlog
 	c.backlog = nil
-	for _, do := range list {
-		r.atClient(c, do)
+	for _, do := range backlog {
+		f.runAtClient(c, do)
 	}
 }
 
-func (r *rig) resumeServer(s *rigServer) {
+func (f *testFleet) resumeServer(s *testServer) {
 	s.paused = false
-	list := s.backlog
+	backlog := s.backlog
 	s.backlog = nil
-	for _, do := range list {
-		r.atServer(s, do)
+	for _, do := range backlog {
+		f.runAtServer(s, do)
 	}
 }
 
-func (r *rig) client(name string) *rigClient { return r.byName[name] }
+func (f *testFleet) client(name string) *testClient { return f.clientsByName[name] }
 
-// requireAgreement checks that all views are the same and show every running process Alive, under its incarnation.
-func (r *rig) requireAgreement() {
-	r.t.Helper()
-	first := r.servers[slices.IndexFunc(r.servers, func(s *rigServer) bool { return s.up })].View()
-	for _, s := range r.servers {
+// requireAgreement checks that all views are the same, that clients' views were confirmed recently, and that every
+// running client is shown Alive with its incarnation and home.
+func (f *testFleet) requireAgreement() {
+	f.t.Helper()
+	first := f.servers[slices.IndexFunc(f.servers, func(s *testServer) bool { return s.up })].View()
+	for _, s := range f.servers {
 		if s.up {
-			r.requireSame(first, s.View(), "server "+s.cfg.Name)
+			f.requireSameView(first, s.View(), "server "+s.cfg.Name)
 		}
 	}
-	for _, c := range r.clients {
+	for _, c := range f.clients {
 		if !c.up {
 			continue
 		}
-		r.requireSame(first, c.View(), "client "+c.cfg.Name)
-		require.Less(r.t, c.View().Age(r.now), 3*second, c.cfg.Name)
+		f.requireSameView(first, c.View(), "client "+c.cfg.Name)
+		require.Less(f.t, c.View().Age(f.now), 3*second, c.cfg.Name)
 		e, _ := first.Lookup(c.cfg.Name)
-		require.Equal(r.t, c.cfg.Incarnation, e.Incarnation, c.cfg.Name)
-		require.Equal(r.t, Alive, e.State, c.cfg.Name)
-		require.Equal(r.t, c.Home(), e.Home, c.cfg.Name)
+		require.Equal(f.t, c.cfg.Incarnation, e.Incarnation, c.cfg.Name)
+		require.Equal(f.t, Alive, e.State, c.cfg.Name)
+		require.Equal(f.t, c.Home(), e.Home, c.cfg.Name)
 	}
 }
 
-func (r *rig) requireSame(a, b *View, who string) {
-	r.t.Helper()
-	require.Equal(r.t, a.Entries(), b.Entries(), who)
-	require.Equal(r.t, a.Digest(), b.Digest(), who)
+func (f *testFleet) requireSameView(a, b *View, owner string) {
+	f.t.Helper()
+	require.Equal(f.t, a.Entries(), b.Entries(), owner)
+	require.Equal(f.t, a.Digest(), b.Digest(), owner)
 }
--- a/fleet/membership/slots_test.go
+++ b/fleet/membership/slots_test.go
@@ -11,7 +11,7 @@
 	"chutechute/internal/monotime"
 )
 
-// controlsInZones returns control members in zones: perZone of each.
+// controlsInZones returns perZone control members in each of several zones.
 func controlsInZones(zones, perZone int) (list []ControlMember) {
 	for i := range zones {
 		for j := range perZone {
@@ -21,10 +21,10 @@
 	return list
 }
 
-// linkedClients returns clients that have links to their targets, and a view that shows all control members Alive.
-func linkedClients(zones, each int, controls []ControlMember) (clients []*Client, now monotime.Micros) {
-	for i := range zones * each {
-		clients = append(clients, NewClient(Config{Name: fmt.Sprintf("f%04d", i), Zone: fmt.Sprintf("z%02d", i/each),
+// linkedClients returns perZone clients in each of several zones, which have links to their targets, and the time.
+func linkedClients(zones, perZone int, controls []ControlMember) (clients []*Client, now monotime.Micros) {
+	for i := range zones * perZone {
+		clients = append(clients, NewClient(Config{Name: fmt.Sprintf("f%04d", i), Zone: fmt.Sprintf("z%02d", i/perZone),
 			Incarnation: uint64(1000 + i), ControlMembers: controls}))
 	}
 	for now = 0; now < 2*second; now += 50 * ms {
@@ -35,7 +35,7 @@
 	return clients, now
 }
 
-// serveClient opens the links that a client wants, and answers each heartbeat.
+// serveClient opens links to the targets of a client, and answers each of its heartbeats.
 func serveClient(c *Client, now monotime.Micros) {
 	for _, name := range c.Targets(now) {
 		if member := c.peersByName[name]; !member.linked {
@@ -53,8 +53,8 @@
 	}
 }
 
-// At the size of the fleet each control member gets its share: first links only from its zone, second ones from all
-// others.
+// In a full-size fleet each control member gets its share of the links: first links only from its own zone, second
+// links only from other zones.
 func TestPreferredMembersAreSpread(t *testing.T) {
 	controls := controlsInZones(23, 2)
 	clients, now := linkedClients(23, 117, controls)
@@ -75,8 +75,8 @@
 	}
 }
 
-// Front ends of a lost control member go to all others, spread over time, and none of its zone to the zone's other
-// one; each keeps its other link, and the view is taken from the second slot at once.
+// The front ends of a lost control member find replacements among all others, spread over time; none of its zone moves
+// to the zone's other control member. Each keeps its other link, and takes the view from that at once.
 func TestFrontEndsOfALostMemberSpreadOverAll(t *testing.T) {
 	controls := controlsInZones(23, 2)
 	clients, now := linkedClients(23, 117, controls)
@@ -98,7 +98,7 @@
 		otherLink[c] = other
 	}
 	require.Greater(t, len(moved), 80)
-	when, replaced := map[monotime.Micros]int{}, map[*Client]bool{}
+	replacedInWindow, replaced := map[monotime.Micros]int{}, map[*Client]bool{}
 	for end := now + 4*second; now < end; now += 50 * ms {
 		for _, c := range moved {
 			if slices.Contains(c.Targets(now), lost) {
@@ -111,47 +111,48 @@
 			bothLinked := len(list) == 2 && c.peersByName[list[0]].linked && c.peersByName[list[1]].linked
 			if bothLinked && !replaced[c] {
 				replaced[c] = true
-				when[now/(200*ms)]++
+				replacedInWindow[now/(200*ms)]++
 			}
 		}
 	}
-	to := map[string]int{}
+	targetCounts := map[string]int{}
 	for _, c := range moved {
 		list := c.Targets(now)
 		require.Len(t, list, 2, c.cfg.Name)
 		require.NotContains(t, list, lost)
 		for _, name := range list {
 			if name != otherLink[c] {
-				to[name]++
+				targetCounts[name]++
 			}
 			if c.cfg.Zone == "z05" {
 				assert.NotEqual(t, "m05-1", name)
 			}
 		}
 	}
-	assert.Greater(t, len(to), 30, "over all of the others")
-	for name, n := range to {
+	assert.Greater(t, len(targetCounts), 30, "spread over the other control members")
+	for name, n := range targetCounts {
 		assert.Less(t, n, len(moved)/8, name)
 	}
-	for span, n := range when {
-		assert.Less(t, n, len(moved)/3, "at %d", span)
+	for window, n := range replacedInWindow {
+		assert.Less(t, n, len(moved)/3, "in window %d", window)
 	}
 }
 
-// A link that breaks while its control member is up is opened again to the same one.
+// When a link breaks while its control member is up, the same control member is dialed again.
 func TestBrokenLinkIsDialedAgain(t *testing.T) {
 	clients, now := linkedClients(3, 1, controlsInZones(3, 2))
 	c := clients[0]
 	list := c.Targets(now)
 	c.LinkClosed(now, list[0])
-	require.Equal(t, list[1:], c.Targets(now), "after a pause")
+	require.Equal(t, list[1:], c.Targets(now), "it is dialed again after a delay")
 	for end := now + second; now < end; now += 50 * ms {
 		serveClient(c, now)
 	}
 	require.Equal(t, list, c.Targets(now))
 }
 
-// A control member whose link is open and that is unresponsive is given up: first as the home, and then its slot.
+// A control member that is unresponsive over an open link is replaced: as the home after SuspectAfter, and in its slot
+// after DeadAfter.
 func TestUnresponsiveMemberIsReplaced(t *testing.T) {
 	clients, now := linkedClients(3, 1, controlsInZones(3, 2))
 	c := clients[0]
@@ -162,28 +163,28 @@
 		require.NoError(t, c.Receive(now, name, member.incarnation, ViewUpdate, m.encode()))
 	}
 	answer(list[0])
-	began := now
-	var left, replaced monotime.Micros
-	for ; now < began+10*second && replaced == 0; now += 50 * ms {
+	start := now
+	var homeLeftAfter, replacedAfter monotime.Micros
+	for ; now < start+10*second && replacedAfter == 0; now += 50 * ms {
 		c.Tick(now)
 		for _, name := range c.Targets(now) {
 			if name != list[0] && c.peersByName[name].linked {
 				answer(name)
 			}
 		}
-		if left == 0 && c.Home() == list[1] {
-			left = now - began
+		if homeLeftAfter == 0 && c.Home() == list[1] {
+			homeLeftAfter = now - start
 		}
 		if !slices.Contains(c.Targets(now), list[0]) {
-			replaced = now - began
+			replacedAfter = now - start
 		}
 	}
-	assert.InDelta(t, 2500*ms, left, float64(100*ms))
-	assert.InDelta(t, 4*second, replaced, float64(100*ms))
+	assert.InDelta(t, 2500*ms, homeLeftAfter, float64(100*ms))
+	assert.InDelta(t, 4*second, replacedAfter, float64(100*ms))
 }
 
-// A front end whose control members are all unresponsive tries others before its leases with them end, and keeps links
-// to those from then on.
+// A front end whose control members are all unresponsive dials others before its leases end, and keeps links to those
+// that respond.
 func TestCandidatesAreTriedBesideUnresponsiveMembers(t *testing.T) {
 	clients, now := linkedClients(6, 2, controlsInZones(6, 2))
 	for _, c := range clients {
@@ -204,13 +205,13 @@
 				homeAfter = at - now
 			}
 		}
-		require.InDelta(t, 2*second, dialedAfter, float64(600*ms), "2.5 s after the last sign")
+		require.InDelta(t, 2*second, dialedAfter, float64(600*ms), "2.5 s after the last sign of life")
 		require.InDelta(t, 2*second, homeAfter, float64(600*ms), "as soon as the home is unresponsive too")
 		require.Len(t, c.Targets(now+4*second), 2)
 	}
 }
 
-// answerHeartbeatsTo answers the heartbeats to some control members.
+// answerHeartbeatsTo answers a client's heartbeats to the named control members.
 func answerHeartbeatsTo(c *Client, now monotime.Micros, names []string) {
 	for _, m := range c.TakeMessages() {
 		if member := c.peersByName[m.To]; slices.Contains(names, m.To) && member.linked {
@@ -240,11 +241,11 @@
 	}
 }
 
-// A front end that loses its only link dials at once, and one that has another link after a longer delay, as many may
-// do so.
+// A front end that loses its only link dials within maxIsolatedDelay. One that still has another link waits longer, as
+// many front ends may have lost the same control member.
 func TestIsolatedFrontEndDialsSoon(t *testing.T) {
 	clients, now := linkedClients(6, 20, controlsInZones(6, 2))
-	var slow int
+	var waitLonger int
 	for _, c := range clients {
 		list := c.Targets(now)
 		c.LinkClosed(now, list[0])
@@ -253,16 +254,16 @@
 		require.NotNil(t, c.slots[1].current, c.cfg.Name)
 		require.LessOrEqual(t, c.slots[1].fillAt, now+maxIsolatedDelay)
 		if c.slots[0].fillAt > now+maxIsolatedDelay {
-			slow++
+			waitLonger++
 		}
 	}
-	require.Greater(t, slow, len(clients)*3/4, "the first was lost beside another")
+	require.Greater(t, waitLonger, len(clients)*3/4, "when the first link was lost there was another")
 }
 
-// Control members that close each link after its hello, as those do that know of a later process of the name, are
-// dialed rarely; if only one does so it is replaced.
+// Control members that close each link after the hello, as those do that know of a later process of the name, are
+// dialed rarely. If only one does so, it is replaced.
 func TestMembersThatCloseAfterTheHelloAreDialedRarely(t *testing.T) {
-	for _, refusing := range []int{1, 6} {
+	for _, closingMembers := range []int{1, 6} {
 		controls := controlsInZones(3, 2)
 		c := NewClient(Config{Name: "f", Zone: "z00", Incarnation: 7, ControlMembers: controls})
 		c.Tick(second)
@@ -270,7 +271,7 @@
 		hellos := 0
 		for now := second; now < 120*second; now += 50 * ms {
 			for _, name := range c.Targets(now) {
-				if member := c.peersByName[name]; refusing == 6 || name == first {
+				if member := c.peersByName[name]; closingMembers == 6 || name == first {
 					hellos++
 					c.LinkOpened(now, name, 1)
 					c.LinkClosed(now, name)
@@ -280,9 +281,9 @@
 			}
 			answerHeartbeatsTo(c, now, c.Targets(now))
 		}
-		require.Less(t, hellos, 10*refusing)
+		require.Less(t, hellos, 10*closingMembers)
 		require.NotZero(t, hellos)
-		if refusing == 1 {
+		if closingMembers == 1 {
 			require.NotEmpty(t, c.Home())
 			require.NotContains(t, c.Targets(120*second), first)
 			require.Len(t, c.Targets(120*second), 2)
@@ -290,24 +291,24 @@
 	}
 }
 
-// If nobody can be reached dials become rare, and continue for ever.
+// If no control member is reachable, dials become rare but never stop.
 func TestUnreachableMembersAreDialedRarely(t *testing.T) {
 	c := NewClient(Config{Name: "f", Zone: "z00", Incarnation: 7, ControlMembers: controlsInZones(3, 2)})
-	dials, late := 0, 0
+	dials, lateDials := 0, 0
 	for now := monotime.Micros(0); now < 1200*second; now += 50 * ms {
 		for _, name := range c.Targets(now) {
 			dials++
 			if now > 1000*second {
-				late++
+				lateDials++
 			}
 			c.LinkClosed(now, name)
 		}
 	}
 	assert.Less(t, dials, 250)
-	assert.NotZero(t, late)
+	assert.NotZero(t, lateDials)
 }
 
-// With one control member, or none outside the zone, those that there are are used.
+// With at most two control members, all in the clients' zone, clients have links to all of them.
 func TestFewMembersAreAllUsed(t *testing.T) {
 	for n := range 3 {
 		clients, now := linkedClients(1, 4, controlsInZones(1, n))
@@ -319,7 +320,8 @@
 	}
 }
 
-// However control members come and go, the two slots never have the same one, and all is as preferred in the end.
+// While control members go down and come back at random, the two slots never have the same one. In the end each slot
+// has its preferred one again.
 func TestSlotsNeverShareAMember(t *testing.T) {
 	for seed := range 20 {
 		controls := controlsInZones(2, 2)
@@ -329,25 +331,25 @@
 			e := Entry{Name: member.Name, Zone: member.Zone, Home: member.Name, Incarnation: incarnation}
 			c.view.apply([]change{{Entry: e}}, fromHomeChanges)
 		}
-		down := splitMix64(seed)
+		downSeed := splitMix64(seed)
 		var preferred []string
 		for now := monotime.Micros(0); now < 1000*second; now += 100 * ms {
-			mask := uint64(0)
+			downMask := uint64(0)
 			if now > 5*second && now < 600*second {
-				mask = rendezvousWeight("down", fmt.Sprint(now/(20*second)), uint64(down))
+				downMask = rendezvousWeight("down", fmt.Sprint(now/(20*second)), uint64(downSeed))
 			}
 			for i, member := range controls {
-				if mask>>i&1 == 1 && slices.Contains(c.Targets(now), member.Name) {
+				if downMask>>i&1 == 1 && slices.Contains(c.Targets(now), member.Name) {
 					c.LinkClosed(now, member.Name)
 				}
 			}
 			for _, name := range c.Targets(now) {
 				i := slices.IndexFunc(controls, func(member ControlMember) bool { return member.Name == name })
-				if mask>>i&1 == 0 && !c.peersByName[name].linked {
+				if downMask>>i&1 == 0 && !c.peersByName[name].linked {
 					c.LinkOpened(now, name, 1+rendezvousWeight(name, "", 0)%1000)
 				}
 			}
-			answerHeartbeatsExcept(c, now, mask, controls)
+			answerHeartbeatsExcept(c, now, downMask, controls)
 			a, b := c.slots[0].current, c.slots[1].current
 			require.True(t, a == nil || a != b, "at %d ms", now/ms)
 			if now == 4*second {
@@ -359,12 +361,12 @@
 	}
 }
 
-// answerHeartbeatsExcept answers the heartbeats to the control members that are not in mask.
-func answerHeartbeatsExcept(c *Client, now monotime.Micros, mask uint64, controls []ControlMember) {
+// answerHeartbeatsExcept answers a client's heartbeats to the control members whose bit is not set in downMask.
+func answerHeartbeatsExcept(c *Client, now monotime.Micros, downMask uint64, controls []ControlMember) {
 	for _, m := range c.TakeMessages() {
 		member := c.peersByName[m.To]
 		i := slices.IndexFunc(controls, func(member ControlMember) bool { return member.Name == m.To })
-		if mask>>i&1 == 1 || !member.linked {
+		if downMask>>i&1 == 1 || !member.linked {
 			continue
 		}
 		h, _ := decodeHeartbeat(m.Body)
--- a/fleet/membership/startup_test.go
+++ b/fleet/membership/startup_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A control member that has just started does not show a front end as Dead, by the table of an earlier home of it,
-// before the table of its present home has arrived, even if that home was not seen yet.
+// A control member that has just started does not show a front end as Dead by the table of its former home before the
+// table of its current home has arrived, even if it has not seen the current home yet.
 func TestStartingServerWithholdsDeathsUntilTablesArrive(t *testing.T) {
-	for _, from := range []struct{ noTable, neverSeen bool }{
+	for _, tt := range []struct{ noTable, neverSeen bool }{
 		{}, {noTable: true}, {neverSeen: true}, {noTable: true, neverSeen: true},
 	} {
 		r := newThreeServers(t)
@@ -21,15 +21,15 @@
 		r.requireState("f", 7, Alive)
 		r.startProcess("m2", 2000)
 		r.drop = func(sender, to string, kind Kind) bool {
-			return sender == "m1" && to == "m2" && (from.noTable || kind == TableUpdate)
+			return sender == "m1" && to == "m2" && (tt.noTable || kind == TableUpdate)
 		}
-		r.neverSeen = func(name, by string) bool { return from.neverSeen && name == "m1" && by == "m2" }
+		r.neverSeen = func(name, by string) bool { return tt.neverSeen && name == "m1" && by == "m2" }
 		r.run(second)
 		s := r.servers["m2"]
 		e, ok := s.View().Lookup("f")
 		require.True(t, ok)
-		require.Equal(t, Suspect, e.State, "by m0 it is Dead")
-		if from.noTable { // death is reported in the end if that table does not arrive
+		require.Equal(t, Suspect, e.State, "m0 reports it as Dead, and m1's table has not arrived")
+		if tt.noTable { // the death is shown after a time-out
 			r.run(tableAwaitTimeout)
 			require.True(t, s.View().PresumedDead(7))
 			continue
@@ -41,7 +41,7 @@
 	}
 }
 
-// What is Dead already stays so while another control member starts.
+// A front end that is already shown as Dead stays so while another control member starts.
 func TestDeadStaysDeadWhileAnotherServerStarts(t *testing.T) {
 	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
--- a/fleet/membership/subscription_test.go
+++ b/fleet/membership/subscription_test.go
@@ -11,17 +11,17 @@
 	"chutechute/internal/monotime"
 )
 
-// serverAndClient is one control member and one front end whose messages the test delivers by hand; others attach
-// without a Client.
+// serverAndClient is one control member and one attached front end whose messages the test delivers. Of further front
+// ends there are only heartbeats, which the test sends.
 type serverAndClient struct {
 	t        *testing.T
 	now      monotime.Micros
 	server   *Server
 	client   *Client
 	link     Link
-	others   int
-	drop     func(Message) bool // of those to the client
-	received []Message          // all to the client
+	others   int                // the number of further front ends
+	drop     func(Message) bool // whether to lose a message to the client
+	received []Message          // by the client
 	errors   []error
 }
 
@@ -32,7 +32,7 @@
 	p.server = NewServer(Config{Name: "m0", Zone: "za", Incarnation: 1, ControlMembers: oneControl})
 	p.client = NewClient(Config{Name: "f", Zone: "za", Incarnation: 2, ControlMembers: oneControl})
 	p.link = Link{From: "f", Zone: "za", Incarnation: 2, ChallengedAt: p.now}
-	p.heartbeatsOfOthers()
+	p.sendHeartbeatsOfOthers()
 	p.run(second)
 	p.server.LinkOpened(p.now, p.link)
 	p.client.LinkOpened(p.now, "m0", 1)
@@ -42,18 +42,20 @@
 	return p
 }
 
-func (p *serverAndClient) heartbeatOf(i int, incarnation uint64) {
+// sendHeartbeatOf sends a heartbeat of the further front end i, as a process with that incarnation.
+func (p *serverAndClient) sendHeartbeatOf(i int, incarnation uint64) {
 	name := fmt.Sprintf("o%04d", i)
 	l := Link{From: name, Zone: "za", Incarnation: incarnation, ChallengedAt: p.now}
 	h := heartbeat{name: name, sentAt: p.now}
 	require.NoError(p.t, p.server.Receive(p.now, l, Heartbeat, h.encode()))
 }
 
+// run advances the time in ticks of 50 ms, and sends the heartbeats of the further front ends each second.
 func (p *serverAndClient) run(span monotime.Micros) {
 	for end := p.now + span; p.now < end; {
 		p.now += 50 * ms
 		if p.now%second == 0 {
-			p.heartbeatsOfOthers()
+			p.sendHeartbeatsOfOthers()
 		}
 		p.server.Tick(p.now, nil)
 		p.client.Tick(p.now)
@@ -63,10 +65,10 @@
 	}
 }
 
-// heartbeatsOfOthers sends a heartbeat of each front end that attached without a Client.
-func (p *serverAndClient) heartbeatsOfOthers() {
+// sendHeartbeatsOfOthers sends a heartbeat of each further front end.
+func (p *serverAndClient) sendHeartbeatsOfOthers() {
 	for i := range p.others {
-		p.heartbeatOf(i, uint64(100+i))
+		p.sendHeartbeatOf(i, uint64(100+i))
 	}
 }
 
@@ -101,7 +103,8 @@
 	return v.content
 }
 
-// A lost batch of the view shows by the next one, or by the version in the next answer, and is sent from the log.
+// A lost batch of changes of the view is detected by the version in the next answer or by the next batch, and is then
+// sent from the log.
 func TestLostBatchIsSentFromTheLog(t *testing.T) {
 	p := newServerAndClient(t, 50)
 	lost := 0
@@ -112,35 +115,35 @@
 		}
 		return false
 	}
-	p.heartbeatOf(60, 60)
+	p.sendHeartbeatOf(60, 60)
 	p.run(2500 * ms)
 	require.Equal(t, 1, lost)
 	p.requireAgreement()
 	require.Equal(t, 1, p.server.Counters.CatchUps)
-	require.Equal(t, 1, p.client.Counters.Snapshots, "the first")
+	require.Equal(t, 1, p.client.Counters.Snapshots, "only the first")
 
 	lost = 0
-	p.heartbeatOf(61, 61)
+	p.sendHeartbeatOf(61, 61)
 	p.run(100 * ms)
-	p.heartbeatOf(62, 62)
+	p.sendHeartbeatOf(62, 62)
 	p.run(200 * ms)
 	require.Equal(t, 1, p.client.Counters.Gaps)
 	p.requireAgreement()
 	require.Equal(t, 2, p.server.Counters.CatchUps)
 }
 
-// If the log does not reach back, the digests of 64 buckets show what differs, and only that is sent.
+// If the log does not reach back far enough, the digests of the 64 buckets show which differ, and only those are sent.
 func TestBeyondTheLogOnlyDifferingBucketsAreSent(t *testing.T) {
 	p := newServerAndClient(t, 400)
 	snapshotBytes := p.client.Counters.SnapshotBytes
 	p.drop = func(Message) bool { return true }
 	for i := range maxLogBatches + 10 {
-		p.heartbeatOf(1000+i%6, uint64(5000+i))
-		p.heartbeatOf(1000+i%6, uint64(5000+i))
+		p.sendHeartbeatOf(1000+i%6, uint64(5000+i))
+		p.sendHeartbeatOf(1000+i%6, uint64(5000+i))
 		p.server.publishTable()
 		p.server.publishView()
-		p.now += 20 * second // beyond damping
-		p.heartbeatsOfOthers()
+		p.now += 20 * second // long enough for the rate limit of changes
+		p.sendHeartbeatsOfOthers()
 		h := heartbeat{name: "f", sentAt: 1, subscribe: true}
 		p.recordError(p.server.Receive(p.now, p.link, Heartbeat, h.encode()))
 		p.server.Tick(p.now, nil)
@@ -155,8 +158,8 @@
 	require.Less(t, p.client.Counters.RepairBytes, snapshotBytes/3)
 }
 
-// A front end that does not read gets nothing more until its next heartbeat, and then from the log; others are not
-// delayed.
+// A subscriber whose queue is full gets no further batches until its next heartbeat, and then those that it missed from
+// the log. Other subscribers are not delayed.
 func TestSubscriberWithAFullQueueResumesFromTheLog(t *testing.T) {
 	p := newServerAndClient(t, 20)
 	quick := Link{From: "quick", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
@@ -166,12 +169,12 @@
 	p.server.QueueFull(p.now, "f", 2)
 	p.run(1500 * ms)
 	p.requireAgreement()
-	require.Zero(t, p.server.Counters.CatchUps, "nothing was missed")
+	require.Zero(t, p.server.Counters.CatchUps, "no batch was missed")
 	p.server.QueueFull(p.now, "f", 2)
 	require.Equal(t, 2, p.server.Counters.FullQueues)
 	to := map[string]int{}
 	for i := range 5 {
-		p.heartbeatOf(100+i, uint64(1000+i))
+		p.sendHeartbeatOf(100+i, uint64(1000+i))
 		p.now += 50 * ms
 		p.server.Tick(p.now, nil)
 		for _, m := range p.server.TakeMessages() {
@@ -215,7 +218,7 @@
 	assert.Same(t, &bodies[0][0], &bodies[3][0])
 }
 
-// A front end whose digests never agree gets repairs at a limited rate, and its link is closed in the end.
+// A subscriber whose digests never agree gets repairs at a limited rate, and its link is eventually closed.
 func TestSubscriberThatNeverAgreesLosesItsLink(t *testing.T) {
 	p := newServerAndClient(t, 20)
 	l := Link{From: "odd", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
@@ -236,19 +239,19 @@
 	for range 100 {
 		p.now += 100 * ms
 		h := heartbeat{name: "odd", subscribe: true, resume: true}
-		require.NoError(t, p.server.Receive(p.now, l, Heartbeat, h.encode()), "over its next link it is not closed at once")
+		require.NoError(t, p.server.Receive(p.now, l, Heartbeat, h.encode()), "a new link is not closed at once")
 	}
-	require.Greater(t, heartbeats, 80, "over 8 s at least")
+	require.Greater(t, heartbeats, 80, "the link is closed after 8 s or later")
 	require.Greater(t, p.server.Counters.RateLimited, 70)
 }
 
-// Repairs that succeeded are not counted against a subscriber.
+// Repairs after which the view agreed do not count towards the limit that closes a subscriber's link.
 func TestSuccessfulRepairsDoNotCountAgainstASubscriber(t *testing.T) {
 	p := newServerAndClient(t, 20)
 	l := Link{From: "odd", Zone: "za", Incarnation: 3, ChallengedAt: p.now}
 	for range 3 * maxRepairsInARow {
 		p.now += 10 * second
-		p.server.now = p.now // no pause
+		p.server.now = p.now // not taken for a pause
 		h := heartbeat{name: "odd", subscribe: true, resume: true}
 		require.NoError(t, p.server.Receive(p.now, l, Heartbeat, h.encode()))
 		h = heartbeat{name: "odd", subscribe: true, epoch: 1, sequence: p.server.sequence, digest: p.server.View().Digest()}
@@ -256,8 +259,8 @@
 	}
 }
 
-// An answer to a heartbeat from before the process was stopped does not make the view current, however late it is
-// read.
+// The answer to a heartbeat that was sent before a pause does not make the view current when it is read after the
+// pause.
 func TestAnswerFromBeforeAPauseConfirmsNothingLater(t *testing.T) {
 	p := newServerAndClient(t, 3)
 	var dropped []Message
@@ -277,7 +280,7 @@
 	require.Less(t, p.client.View().Age(p.now), second)
 }
 
-// A client's view is bounded over many messages too.
+// The limit of a client's view also applies to the entries that changes add.
 func TestClientViewIsBounded(t *testing.T) {
 	p := newServerAndClient(t, 4)
 	p.client.cfg.MaxEntries = p.client.View().Len()
@@ -291,7 +294,8 @@
 	p.requireAgreement()
 }
 
-// A name that is not the link's, another kind, and garbage close the link and change nothing.
+// A heartbeat with another name than the link's, a message of another kind, and malformed bytes are rejected and change
+// nothing.
 func TestInvalidHeartbeatsAreRejected(t *testing.T) {
 	p := newServerAndClient(t, 3)
 	l := Link{From: "g", Zone: "za", Incarnation: 9, ChallengedAt: p.now}
@@ -306,30 +310,32 @@
 	require.False(t, ok)
 }
 
-// viewWith makes a message of the server's to the client with the view as it is but for what change does to it.
-func (p *serverAndClient) viewWith(mask uint64, entries []change, set func(*viewMessage)) []byte {
+// viewUpdateWith encodes a message from the server with full buckets of the current version of the view, after modify
+// has changed the message.
+func (p *serverAndClient) viewUpdateWith(mask uint64, entries []change, modify func(*viewMessage)) []byte {
 	m := p.server.versionMessage()
 	m.content, m.bucketMask, m.entries = fullBuckets, mask, encodeChanges(entries)
-	set(&m)
+	modify(&m)
 	return m.encode()
 }
 
-// Whatever a home sends that is not valid is rejected and counted, and the view stays as it was.
+// Invalid messages from a home are rejected and counted, and leave the view as it is.
 func TestInvalidViewMessagesAreRejected(t *testing.T) {
 	p := newServerAndClient(t, 20)
 	list := p.server.View().entriesIn(allBuckets)
-	nothing := func(*viewMessage) {}
-	with := func(e Entry) []change {
-		out := slices.Clone(list)
-		at := slices.IndexFunc(out, func(c change) bool { return c.Name > e.Name })
-		return slices.Insert(out, at, change{Entry: e})
+	unmodified := func(*viewMessage) {}
+	withEntry := func(e Entry) []change {
+		entries := slices.Clone(list)
+		at := slices.IndexFunc(entries, func(c change) bool { return c.Name > e.Name })
+		return slices.Insert(entries, at, change{Entry: e})
 	}
-	unknownHome := with(Entry{Name: "n", Zone: "za", Role: Attached, Incarnation: 77, Home: "mx"})
+	unknownHome := withEntry(Entry{Name: "n", Zone: "za", Role: Attached, Incarnation: 77, Home: "mx"})
 	bomb, compressed := (&compressor{}).compress(make([]byte, 8192*maxEntrySize+1000))
 	require.True(t, compressed)
-	many := make([]change, DefaultMaxEntries+1)
-	for i := range many {
-		many[i] = change{Entry: Entry{Name: fmt.Sprintf("x%05d", i), Role: Attached, Incarnation: uint64(i + 1), Home: "m0"}}
+	tooMany := make([]change, DefaultMaxEntries+1)
+	for i := range tooMany {
+		tooMany[i] = change{Entry: Entry{
+			Name: fmt.Sprintf("x%05d", i), Role: Attached, Incarnation: uint64(i + 1), Home: "m0"}}
 	}
 	reversed := slices.Clone(list)
 	slices.Reverse(reversed)
@@ -340,20 +346,21 @@
 		target error
 		body   []byte
 	}{
-		{"an unknown home", &c.Counters.UnknownHomes, ErrUnknownHome, p.viewWith(allBuckets, unknownHome, nothing)},
-		{"more than the limit", &c.Counters.Oversized, ErrTooManyEntries, p.viewWith(allBuckets, many, nothing)},
+		{"an unknown home", &c.Counters.UnknownHomes, ErrUnknownHome, p.viewUpdateWith(allBuckets, unknownHome, unmodified)},
+		{"more than the limit", &c.Counters.Oversized, ErrTooManyEntries, p.viewUpdateWith(allBuckets, tooMany, unmodified)},
 		{"decompressed more than the limit", &c.Counters.Oversized, ErrTooManyEntries,
-			p.viewWith(allBuckets, nil, func(m *viewMessage) { m.entries, m.compressed = bomb, true })},
+			p.viewUpdateWith(allBuckets, nil, func(m *viewMessage) { m.entries, m.compressed = bomb, true })},
 		{"not compressed", &c.Counters.Malformed, ErrMalformed,
-			p.viewWith(allBuckets, list, func(m *viewMessage) { m.compressed = true })},
-		{"out of order", &c.Counters.Malformed, ErrMalformed, p.viewWith(allBuckets, reversed, nothing)},
+			p.viewUpdateWith(allBuckets, list, func(m *viewMessage) { m.compressed = true })},
+		{"out of order", &c.Counters.Malformed, ErrMalformed, p.viewUpdateWith(allBuckets, reversed, unmodified)},
 		{"not in the buckets", &c.Counters.Malformed, ErrMalformed,
-			p.viewWith(1<<(1+bucketOf("m0"))%bucketCount, list[:1], nothing)},
+			p.viewUpdateWith(1<<(1+bucketOf("m0"))%bucketCount, list[:1], unmodified)},
 		{"an unknown content", &c.Counters.Malformed, ErrMalformed,
-			p.viewWith(allBuckets, list, func(m *viewMessage) { m.content = 9 })},
-		{"another digest", &c.Counters.DigestMismatches, ErrDigestMismatch, p.viewWith(allBuckets, list[1:], nothing)},
+			p.viewUpdateWith(allBuckets, list, func(m *viewMessage) { m.content = 9 })},
+		{"another digest", &c.Counters.DigestMismatches, ErrDigestMismatch,
+			p.viewUpdateWith(allBuckets, list[1:], unmodified)},
 		{"a snapshot of an empty view", &c.Counters.DigestMismatches, ErrDigestMismatch,
-			p.viewWith(allBuckets, nil, nothing)},
+			p.viewUpdateWith(allBuckets, nil, unmodified)},
 	} {
 		before, view := *step.count, c.View().Entries()
 		err := c.Receive(p.now, "m0", 1, ViewUpdate, step.body)
@@ -363,7 +370,7 @@
 	}
 	require.ErrorIs(t, c.Receive(p.now, "mx", 1, ViewUpdate, nil), ErrUnknownHome)
 	require.ErrorIs(t, c.Receive(p.now, "m0", 1, Heartbeat, nil), ErrUnexpectedKind)
-	otherEpoch := p.viewWith(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })
+	otherEpoch := p.viewUpdateWith(allBuckets, nil, func(m *viewMessage) { m.epoch = 7 })
 	require.NoError(t, c.Receive(p.now, "m0", 1, ViewUpdate, otherEpoch))
 	require.NoError(t, c.Receive(p.now, "m0", 7, ViewUpdate, otherEpoch))
 	require.Equal(t, 2, c.Counters.StaleEpochs)
@@ -372,51 +379,51 @@
 	p.requireAgreement()
 }
 
-// Changes whose digest does not agree are not applied: the buckets that differ are requested, and a snapshot if that
-// does not help; a home that never agrees loses its link.
+// Changes that do not lead to the message's digest are not applied. The buckets that differ are requested, and a
+// snapshot if that does not help. The link to a home whose digests never agree is closed.
 func TestHomeThatNeverAgreesLosesItsLink(t *testing.T) {
 	p := newServerAndClient(t, 20)
 	e := Entry{Name: "n", Zone: "za", Role: Attached, Incarnation: 77, Home: "m0"}
-	wrong := func() []byte {
+	wrongUpdate := func() []byte {
 		m := p.server.versionMessage()
 		m.sequence++
 		m.content, m.baseSequence, m.entries = changesSince, p.client.sequence, encodeChanges([]change{{Entry: e}})
 		return m.encode()
 	}
-	require.NoError(t, p.client.Receive(p.now, "m0", 1, ViewUpdate, wrong()))
+	require.NoError(t, p.client.Receive(p.now, "m0", 1, ViewUpdate, wrongUpdate()))
 	_, ok := p.client.View().Lookup("n")
 	require.False(t, ok)
 	p.run(2 * second)
 	p.requireAgreement()
 	require.Equal(t, 1, p.client.Counters.DigestMismatches)
 	var err error
-	tries := 0
-	for ; err == nil && tries < 100; tries++ {
-		err = p.client.Receive(p.now, "m0", 1, ViewUpdate, wrong())
+	updates := 0
+	for ; err == nil && updates < 100; updates++ {
+		err = p.client.Receive(p.now, "m0", 1, ViewUpdate, wrongUpdate())
 	}
 	require.ErrorIs(t, err, ErrDigestMismatch)
-	require.Equal(t, maxDigestFailures+1, tries)
+	require.Equal(t, maxDigestFailures+1, updates)
 	heartbeats := len(p.client.TakeMessages())
-	require.LessOrEqual(t, heartbeats, 1, "its requests are limited too")
+	require.LessOrEqual(t, heartbeats, 1, "requests for repairs are rate limited")
 }
 
-// A front end that flaps changes the view at a limited rate, and is shown right in the end.
+// A front end that restarts all the time changes the view at a limited rate, and its last process is eventually shown.
 func TestFlappingFrontEndIsDamped(t *testing.T) {
 	p := newServerAndClient(t, 5)
 	p.run(second)
 	changes, batches := p.server.Counters.Changes, p.server.ownTable.sequence
-	for i := range 600 { // a process a tenth of a second
+	for i := range 600 { // a new process every 100 ms
 		p.now += 50 * ms
-		p.heartbeatOf(77, uint64(10_000+i))
+		p.sendHeartbeatOf(77, uint64(10_000+i))
 		p.run(50 * ms)
 	}
 	changes = p.server.Counters.Changes - changes
 	assert.GreaterOrEqual(t, changes, 20)
 	assert.LessOrEqual(t, changes, 20+6+1, "in a minute")
-	assert.LessOrEqual(t, p.server.ownTable.sequence-batches, uint64(20+6+1), "to the other control members too")
+	assert.LessOrEqual(t, p.server.ownTable.sequence-batches, uint64(20+6+1), "the table's batches are limited too")
 	assert.NotZero(t, p.server.Counters.Damped)
 	for range 25 {
-		p.heartbeatOf(77, 10_599)
+		p.sendHeartbeatOf(77, 10_599)
 		p.run(second)
 	}
 	e, _ := p.client.View().Lookup("o0077")
--- a/fleet/membership/table_test.go
+++ b/fleet/membership/table_test.go
@@ -10,14 +10,14 @@
 	"chutechute/internal/monotime"
 )
 
-// threeServers is three control members whose messages the test delivers by hand.
+// threeServers is three control members whose messages the test delivers.
 type threeServers struct {
 	t             *testing.T
 	now           monotime.Micros
 	servers       map[string]*Server
-	epochs        map[string]uint64
-	drop          func(from, to string, kind Kind) bool
-	neverSeen     func(name, by string) bool // the other has never seen that control member
+	epochs        map[string]uint64                     // the incarnation of each one's process
+	drop          func(from, to string, kind Kind) bool // whether to lose a message; kind is 0 for versions
+	neverSeen     func(name, by string) bool            // whether by has never seen name
 	messageCounts map[Kind]int
 	errors        []error
 }
@@ -46,6 +46,7 @@
 	r.servers[name] = NewServer(Config{Name: name, Incarnation: epoch, ControlMembers: threeControls, MaxEntries: 500})
 }
 
+// membersSeenBy returns the other control members as package heartbeat reports them to one of them.
 func (r *threeServers) membersSeenBy(by string) (list []ControlMember) {
 	for _, c := range threeControls {
 		switch {
@@ -59,7 +60,7 @@
 	return list
 }
 
-// run advances the time in ticks; all messages between control members arrive at once.
+// run advances the time in ticks of 50 ms; all messages between control members arrive at once.
 func (r *threeServers) run(span monotime.Micros) {
 	for end := r.now + span; r.now < end; {
 		r.now += 50 * ms
@@ -104,6 +105,7 @@
 	return r.servers[server].Receive(r.now, l, Heartbeat, h.encode())
 }
 
+// requireState checks that all control members show a front end with an incarnation and a state.
 func (r *threeServers) requireState(name string, incarnation uint64, state State) {
 	r.t.Helper()
 	for _, c := range threeControls {
@@ -118,8 +120,8 @@
 	return Link{From: name, Zone: "za", Incarnation: incarnation, ChallengedAt: r.now}
 }
 
-// Of two processes of one name at one home the one challenged later is the later one, whichever is seen first. The
-// earlier has ended for ever; its links are closed and its late messages are rejected.
+// Of two processes of one name at one home, the one challenged later supersedes the other, whichever is seen first. The
+// links of the superseded one are closed, and its late messages are rejected.
 func TestLaterChallengeSupersedesAtOneHome(t *testing.T) {
 	r := newThreeServers(t)
 	earlier := r.link("f", 9)
@@ -134,14 +136,14 @@
 	assert.Equal(t, []Link{earlier}, s.LinksToClose())
 	require.ErrorIs(t, r.sendHeartbeat("m0", earlier), ErrSuperseded)
 	r.now += ms
-	require.ErrorIs(t, r.sendHeartbeat("m0", r.link("f", 9)), ErrSuperseded, "over a new link, at once")
+	require.ErrorIs(t, r.sendHeartbeat("m0", r.link("f", 9)), ErrSuperseded, "over a new link too")
 	r.run(100 * ms)
 	r.requireState("f", 5, Alive)
 	for _, c := range threeControls {
 		assert.True(t, r.servers[c.Name].View().Superseded(9))
 		assert.True(t, r.servers[c.Name].View().PresumedDead(9))
 	}
-	// It dials again, here and at another home, which knows it from here.
+	// It dials again, here and at another home, which knows from m0's table that it is superseded.
 	for _, home := range []string{"m0", "m1"} {
 		again := r.link("f", 9)
 		r.servers[home].LinkOpened(r.now, again)
@@ -151,7 +153,7 @@
 	r.run(100 * ms)
 	r.requireState("f", 5, Alive)
 
-	// The later one is seen first.
+	// The later process is seen first.
 	earlier = r.link("g", 19)
 	r.run(100 * ms)
 	later = r.link("g", 15)
@@ -163,31 +165,32 @@
 }
 
 // Of two processes of one name at two homes, neither of which has seen both, the one whose reported challenge is later
-// is the later one, whichever home's table arrives first, and whichever incarnation is greater.
+// supersedes the other, whichever home's table arrives first and whichever incarnation is greater.
 func TestLaterChallengeSupersedesAcrossHomes(t *testing.T) {
-	for _, first := range []string{"m0", "m1"} {
-		for _, later := range []uint64{5, 9} {
+	for _, firstHome := range []string{"m0", "m1"} {
+		for _, laterIncarnation := range []uint64{5, 9} {
 			r := newThreeServers(t)
-			latest := map[string]string{"m0": "m1", "m1": "m0"}[first]
+			lastHome := map[string]string{"m0": "m1", "m1": "m0"}[firstHome]
 			earlier := Link{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: r.now - 3*ms}
-			latter := Link{From: "f", Zone: "za", Incarnation: later, ChallengedAt: r.now - ms}
+			later := Link{From: "f", Zone: "za", Incarnation: laterIncarnation, ChallengedAt: r.now - ms}
 			r.servers["m0"].LinkOpened(r.now, earlier)
-			r.servers["m1"].LinkOpened(r.now, latter)
-			r.drop = func(from, _ string, _ Kind) bool { return from == latest }
+			r.servers["m1"].LinkOpened(r.now, later)
+			r.drop = func(from, _ string, _ Kind) bool { return from == lastHome }
 			r.run(500 * ms)
 			r.drop = func(string, string, Kind) bool { return false }
 			for range 8 {
 				require.NoError(t, r.sendHeartbeat("m0", earlier))
-				require.NoError(t, r.sendHeartbeat("m1", latter))
+				require.NoError(t, r.sendHeartbeat("m1", later))
 				r.run(second)
 			}
-			r.requireState("f", later, Alive)
+			r.requireState("f", laterIncarnation, Alive)
 			assert.False(t, r.servers["m2"].View().Alive(7))
 		}
 	}
 }
 
-// With equal times of challenge the greater incarnation is the later one, everywhere.
+// Of two processes with equal times of challenge, the one with the greater incarnation is the later one at all control
+// members.
 func TestEqualChallengeTimesAreOrderedByIncarnation(t *testing.T) {
 	for _, homes := range [][]string{{"m0", "m1"}, {"m1", "m0"}} {
 		r := newThreeServers(t)
@@ -198,16 +201,16 @@
 	}
 }
 
-// Times of challenges are reported with an error. A process that is alive for long beside a later one that is dead is
-// shown in the end.
+// The times of challenges are estimates, so the order of two processes may be wrong. A process that stays alive while
+// the supposedly later one is dead is shown after reinstateDelay.
 func TestAliveProcessIsReinstatedOverADeadLaterOne(t *testing.T) {
 	r := newThreeServers(t)
-	wrong := Link{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: r.now}
-	right := Link{From: "f", Zone: "za", Incarnation: 9, ChallengedAt: r.now - second}
-	r.servers["m0"].LinkOpened(r.now, wrong)
-	r.servers["m1"].LinkOpened(r.now, right)
+	dead := Link{From: "f", Zone: "za", Incarnation: 7, ChallengedAt: r.now}
+	alive := Link{From: "f", Zone: "za", Incarnation: 9, ChallengedAt: r.now - second}
+	r.servers["m0"].LinkOpened(r.now, dead)
+	r.servers["m1"].LinkOpened(r.now, alive)
 	for i := range 20 {
-		require.NoError(t, r.sendHeartbeat("m1", right))
+		require.NoError(t, r.sendHeartbeat("m1", alive))
 		r.run(second)
 		if i == 10 {
 			r.requireState("f", 7, Dead)
@@ -216,7 +219,8 @@
 	r.requireState("f", 9, Alive)
 }
 
-// A lost push shows by the version in the next heartbeat, and is pulled from the log, not as a snapshot.
+// A lost table update is detected by the version in the next heartbeat. Its changes are pulled from the log, without a
+// snapshot.
 func TestLostPushIsPulledFromTheLog(t *testing.T) {
 	r := newThreeServers(t)
 	for i := range 20 {
@@ -239,7 +243,7 @@
 	assert.Zero(t, r.servers["m0"].Counters.TableSnapshots)
 }
 
-// Changes that do not follow on the table's version are a gap, which is pulled; they are not applied as they are.
+// Changes that do not follow on the table's version are not applied; what is missing is pulled.
 func TestGapInTableChangesIsPulled(t *testing.T) {
 	r := newThreeServers(t)
 	r.drop = func(from, to string, _ Kind) bool { return from == "m0" && to == "m1" }
@@ -254,7 +258,7 @@
 	r.requireState("g", 8, Alive)
 }
 
-// Changes of one name that homes report without a limit are published at a limited rate.
+// Changes of one name are published at a limited rate even if its home reports them without a limit.
 func TestFlapsReportedByAHomeAreDamped(t *testing.T) {
 	r := newThreeServers(t)
 	s := r.servers["m2"]
@@ -279,8 +283,8 @@
 	require.Equal(t, m.entries[0].state, e.State)
 }
 
-// A gap that the log does not reach back over is repaired by one snapshot.
-func TestLongCutIsRepairedByOneSnapshot(t *testing.T) {
+// If a partition has lasted for more batches than fit into the log, the table is repaired by one snapshot.
+func TestLongPartitionIsRepairedByOneSnapshot(t *testing.T) {
 	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 50))
 	r.run(200 * ms)
@@ -296,16 +300,16 @@
 	assert.LessOrEqual(t, len(r.servers["m0"].ownTable.log.batches), maxLogBatches)
 }
 
-// If a cut keeps a home's messages away, its table is pulled from another control member that receives them.
+// If a partition keeps a home's messages away, its table is pulled from another control member that receives them.
 func TestTableIsPulledFromAThirdMember(t *testing.T) {
 	r := newThreeServers(t)
-	cut := func(a, b string) bool { return a == "m0" && b == "m1" || a == "m1" && b == "m0" }
-	r.drop = func(from, to string, _ Kind) bool { return cut(from, to) }
+	partitioned := func(a, b string) bool { return a == "m0" && b == "m1" || a == "m1" && b == "m0" }
+	r.drop = func(from, to string, _ Kind) bool { return partitioned(from, to) }
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
 	r.run(2 * second)
 	_, ok := r.servers["m1"].View().Lookup("f")
-	require.False(t, ok, "as long as m1 sees m0 it pulls from nobody else")
-	// Package heartbeat sees the cut.
+	require.False(t, ok, "while m1 sees m0 alive it pulls the table from no other")
+	// Package heartbeat now reports that m0 is only indirectly alive.
 	for range 30 {
 		r.now += 50 * ms
 		seen := r.membersSeenBy("m1")
@@ -327,27 +331,28 @@
 	m := tableMessage{tableVersion: tableVersion{"m0", r.epochs["m0"], 50, 0}, full: true}
 	m.entries = []tableEntry{{name: "late", zone: "za", incarnation: 3, challengedAt: r.now}}
 	m.digest = m.entries[0].digest()
-	old := r.epochs["m0"]
+	oldEpoch := r.epochs["m0"]
 	r.startProcess("m0", 2000)
 	r.run(200 * ms)
 	s := r.servers["m1"]
-	require.NoError(t, s.ReceiveFromControl(r.now, "m0", old, TableUpdate, m.encode()))
+	require.NoError(t, s.ReceiveFromControl(r.now, "m0", oldEpoch, TableUpdate, m.encode()))
 	require.Equal(t, 1, s.Counters.StaleEpochs)
 	require.NoError(t, s.ReceiveFromControl(r.now, "m2", r.epochs["m2"], TableUpdate, m.encode()))
 	require.Equal(t, 2, s.Counters.StaleEpochs)
-	require.NoError(t, s.ReceiveVersions(r.now, "m0", old, encodeVersions(r.now, []tableVersion{{"m0", old, 99, 1}})))
+	require.NoError(t, s.ReceiveVersions(r.now, "m0", oldEpoch,
+		encodeVersions(r.now, []tableVersion{{"m0", oldEpoch, 99, 1}})))
 	require.Equal(t, 3, s.Counters.StaleEpochs)
 	seen := r.membersSeenBy("m1")
 	seen[0].IndirectlyAlive = true
 	s.Tick(r.now, seen)
-	oldVersion := encodeVersions(r.now, []tableVersion{{"m0", old, 99, 1}})
+	oldVersion := encodeVersions(r.now, []tableVersion{{"m0", oldEpoch, 99, 1}})
 	require.NoError(t, s.ReceiveVersions(r.now, "m2", r.epochs["m2"], oldVersion))
 	require.Equal(t, 4, s.Counters.StaleEpochs)
 	r.run(200 * ms)
 	_, ok := s.View().Lookup("late")
 	require.False(t, ok)
 	assert.Zero(t, s.Counters.Pulls)
-	// The entries of the earlier process expire at the members that had them, and are removed in the end.
+	// The entries of the earlier process's table expire at the control members that have it, and are removed in the end.
 	state := func() State {
 		e, _ := s.View().Lookup("f")
 		return e.State
@@ -359,10 +364,10 @@
 	_, ok = s.View().Lookup("f")
 	require.False(t, ok)
 	require.True(t, s.View().PresumedDead(7))
-	require.Len(t, s.names, 3, "nothing is retained of it")
+	require.Len(t, s.names, 3, "nothing is retained of the removed front end")
 }
 
-// Messages that are not valid cause errors that are counted, and change nothing.
+// Invalid messages from control members are rejected and counted, and leave the view as it is.
 func TestInvalidControlMessagesAreRejected(t *testing.T) {
 	r := newThreeServers(t)
 	s := r.servers["m1"]
@@ -377,9 +382,9 @@
 		}
 		return m.encode()
 	}
-	many := make([]tableEntry, 501)
-	for i := range many {
-		many[i] = entries(fmt.Sprintf("f%03d", i))[0]
+	tooMany := make([]tableEntry, 501)
+	for i := range tooMany {
+		tooMany[i] = entries(fmt.Sprintf("f%03d", i))[0]
 	}
 	pull := pullMessage{home: "mx", epoch: 1}
 	for _, c := range []struct {
@@ -393,10 +398,11 @@
 		{"unknown home", &s.Counters.UnknownHomes, ErrUnknownHome, "m0", TableUpdate, table("mx", 1, entries("f"))},
 		{"unknown home", &s.Counters.UnknownHomes, ErrUnknownHome, "m0", TablePull, pull.encode()},
 		{"unknown sender", &s.Counters.UnknownHomes, ErrUnknownHome, "mx", TableUpdate, table("m0", 1000, entries("f"))},
-		{"this one's table", &s.Counters.NameMismatches, ErrNameMismatch, "m0", TableUpdate, table("m1", 1001, entries("f"))},
+		{"the receiver's table", &s.Counters.NameMismatches, ErrNameMismatch, "m0", TableUpdate,
+			table("m1", 1001, entries("f"))},
 		{"a control member attached", &s.Counters.NameMismatches, ErrNameMismatch, "m0", TableUpdate,
 			table("m0", 1000, entries("m2"))},
-		{"too many entries", &s.Counters.Oversized, ErrTooManyEntries, "m0", TableUpdate, table("m0", 1000, many)},
+		{"too many entries", &s.Counters.Oversized, ErrTooManyEntries, "m0", TableUpdate, table("m0", 1000, tooMany)},
 		{"entries out of order", &s.Counters.Malformed, ErrMalformed, "m0", TableUpdate,
 			table("m0", 1000, append(entries("g"), entries("f")...))},
 		{"garbage", &s.Counters.Malformed, ErrMalformed, "m0", TableUpdate, []byte("garbage")},
@@ -415,8 +421,8 @@
 	require.Equal(t, digest, s.View().Digest())
 }
 
-// A table whose digest differs at the same version is replaced by a snapshot, at a limited rate; changes whose digest
-// would not agree are not applied.
+// A table whose digest differs at the same sequence is replaced by a snapshot, at a limited rate. Changes that would
+// not lead to the message's digest are not applied.
 func TestTableWithAnotherDigestIsRepaired(t *testing.T) {
 	r := newThreeServers(t)
 	r.servers["m0"].LinkOpened(r.now, r.link("f", 7))
@@ -454,7 +460,8 @@
 	assert.Greater(t, s.Counters.RateLimited, 500)
 }
 
-// No front end attaches under a control member's name, nor do more than a view may have.
+// No front end may attach under a control member's name, without a name or without an incarnation, nor may more attach
+// than a view can have entries.
 func TestNamesAndNumberOfAttachedAreChecked(t *testing.T) {
 	r := newThreeServers(t)
 	s := r.servers["m0"]
@@ -477,7 +484,7 @@
 	}
 }
 
-// HomeOf returns a control member that has a link to a process now.
+// HomeOf returns a control member that currently has a link to a process.
 func TestHomeOfReturnsAMemberWithALink(t *testing.T) {
 	r := newThreeServers(t)
 	l := r.link("f", 7)
--- a/fleet/membership/view_test.go
+++ b/fleet/membership/view_test.go
@@ -11,22 +11,23 @@
 	"chutechute/internal/monotime"
 )
 
-// reported is the change that a home's report of a front end causes.
-func reported(name string, incarnation uint64, state State, challengedAt monotime.Micros) []change {
+// reportedChange returns the change that a home's report of a front end causes.
+func reportedChange(name string, incarnation uint64, state State, challengedAt monotime.Micros) []change {
 	e := Entry{Name: name, Role: Attached, Incarnation: incarnation, State: state, Home: "m0"}
 	return []change{{Entry: e, challengedAt: challengedAt}}
 }
 
-// A home that missed a later process reports the earlier one: that is stored as reported, and shown as Dead.
+// If a home that missed the later process of a name reports the earlier one, that is stored as reported and shown as
+// Dead.
 func TestReportedEarlierProcessIsShownDead(t *testing.T) {
-	for _, between := range []string{"", "a home that lacks both"} {
+	for _, homeBetween := range []string{"", "a home that lacks both"} {
 		v := newView()
-		v.apply(reported("f", 9, Alive, 100*second), fromHomeChanges)
-		if between != "" {
+		v.apply(reportedChange("f", 9, Alive, 100*second), fromHomeChanges)
+		if homeBetween != "" {
 			v.apply([]change{{Entry: Entry{Name: "f"}, removed: true}}, fromHomeBuckets)
-			require.False(t, v.PresumedDead(9), "it was only missed")
+			require.False(t, v.PresumedDead(9), "a home that lacks the process may only have missed it")
 		}
-		v.apply(reported("f", 5, Alive, 50*second), fromHomeBuckets)
+		v.apply(reportedChange("f", 5, Alive, 50*second), fromHomeBuckets)
 		e, _ := v.Lookup("f")
 		require.Equal(t, uint64(5), e.Incarnation)
 		require.Equal(t, Dead, e.State)
@@ -35,28 +36,28 @@
 		require.True(t, v.PresumedDead(5))
 		require.True(t, v.Superseded(5))
 		require.False(t, v.PresumedDead(9))
-		v.apply(reported("f", 9, Alive, 101*second), fromHomeChanges)
-		require.True(t, v.Alive(9), "the home knows of it")
+		v.apply(reportedChange("f", 9, Alive, 101*second), fromHomeChanges)
+		require.True(t, v.Alive(9), "the home reports the later process")
 		require.True(t, v.Superseded(5))
 	}
 }
 
-// The process of an entry that the home removed is presumed dead, until it is reported again.
+// The process of an entry that the home removed is presumed dead until it is reported again.
 func TestRemovedEntryIsPresumedDeadUntilReportedAgain(t *testing.T) {
 	v := newView()
-	v.apply(reported("f", 9, Dead, 100*second), fromHomeChanges)
+	v.apply(reportedChange("f", 9, Dead, 100*second), fromHomeChanges)
 	v.apply([]change{{Entry: Entry{Name: "f"}, removed: true}}, fromHomeChanges)
 	require.Zero(t, v.Len())
 	require.Zero(t, v.Digest())
 	require.True(t, v.PresumedDead(9))
 	require.False(t, v.Superseded(9))
-	v.apply(reported("f", 9, Alive, 100*second), fromHomeChanges)
+	v.apply(reportedChange("f", 9, Alive, 100*second), fromHomeChanges)
 	require.True(t, v.Alive(9))
 	require.False(t, v.PresumedDead(9))
 }
 
-// If a home continues to show a process alive that was taken for superseded, its report is accepted after a timeout,
-// and not before.
+// If a home continues to report a process as Alive that this view has as superseded, its report is accepted after
+// conflictTimeout, and not before.
 func TestConflictWithTheHomeEndsAfterATimeout(t *testing.T) {
 	p := newServerAndClient(t, 3)
 	e, _ := p.client.View().Lookup("o0001")
@@ -69,35 +70,35 @@
 	require.False(t, p.client.View().hasConflict)
 }
 
-// The incarnations that are remembered are bounded, and the oldest is dropped first; so are the entries that a home
-// lacks.
+// An incarnationSet is bounded, and drops the oldest incarnation first. The entries that a home lacks are bounded too.
 func TestIncarnationSetIsBounded(t *testing.T) {
-	var p incarnationSet
+	var set incarnationSet
 	for i := range uint64(maxIncarnations + 100) {
-		p.add(i + 1)
-		p.add(i + 1)
+		set.add(i + 1)
+		set.add(i + 1)
 	}
-	require.Len(t, p.ring, maxIncarnations)
-	require.Len(t, p.indexes, maxIncarnations)
-	require.False(t, p.contains(100))
-	require.True(t, p.contains(101))
-	p.remove(101)
-	require.False(t, p.contains(101))
+	require.Len(t, set.ring, maxIncarnations)
+	require.Len(t, set.indexes, maxIncarnations)
+	require.False(t, set.contains(100))
+	require.True(t, set.contains(101))
+	set.remove(101)
+	require.False(t, set.contains(101))
 	for i := range uint64(maxIncarnations) {
-		p.add(1_000_000 + i)
+		set.add(1_000_000 + i)
 	}
-	require.Len(t, p.indexes, maxIncarnations)
-	require.False(t, p.contains(0))
+	require.Len(t, set.indexes, maxIncarnations)
+	require.False(t, set.contains(0))
 
 	v := newView()
 	for i := range maxMissingAtHome + 10 {
-		v.apply(reported(fmt.Sprint(i), uint64(i+1), Alive, second), fromHomeChanges)
+		v.apply(reportedChange(fmt.Sprint(i), uint64(i+1), Alive, second), fromHomeChanges)
 		v.apply([]change{{Entry: Entry{Name: fmt.Sprint(i)}, removed: true}}, fromHomeBuckets)
 	}
 	require.LessOrEqual(t, len(v.missingAtHome), maxMissingAtHome)
 }
 
-// A log is bounded by batches and by names.
+// The change log is bounded by its number of names, and has no changes since a sequence that is too old or not yet
+// reached.
 func TestChangeLogIsBounded(t *testing.T) {
 	var l changeLog
 	for i := range 100 {
@@ -111,10 +112,10 @@
 	require.True(t, ok)
 	require.Equal(t, l.baseSequence-1, digest)
 	_, ok = l.changedSince(101)
-	require.False(t, ok, "it has not been")
+	require.False(t, ok, "that sequence has not been reached")
 }
 
-// The least delay that was observed determines the offset of two clocks; what is older than two windows does not
+// The message with the least delay determines the offset of two clocks. Observations older than two windows do not
 // count, as clocks drift.
 func TestClockOffsetIsTheLeastDifference(t *testing.T) {
 	var o clockOffset
@@ -130,7 +131,7 @@
 	require.Equal(t, second, own.toLocal(second))
 }
 
-// The limit allows a burst, and then one event in each interval.
+// A rate limit allows a burst, and then one event in each interval.
 func TestRateLimitAllowsABurstThenOneAnInterval(t *testing.T) {
 	var due monotime.Micros
 	allowed := 0
@@ -143,7 +144,7 @@
 	require.True(t, (rateLimit{10 * second, 6}).allow(200*second, &due))
 }
 
-// What would decompress to more than the limit is not decompressed beyond it.
+// Data that would decompress to more than the limit is not decompressed beyond it.
 func TestDecompressionIsBounded(t *testing.T) {
 	bomb, compressed := (&compressor{}).compress(make([]byte, 64<<20))
 	require.True(t, compressed)
--- a/fleet/membership/wireformat_test.go
+++ b/fleet/membership/wireformat_test.go
@@ -10,7 +10,8 @@
 	"chutechute/internal/golden"
 )
 
-// The bytes of all messages are those of earlier versions, and are the same after decoding and encoding.
+// The encoded messages are byte for byte those of earlier versions, and decoding and encoding them gives the same
+// bytes.
 func TestWireFormat(t *testing.T) {
 	golden.Messages(t, "testdata/messages.txt", slices.Concat(
 		goldenHeartbeats(),
