--- a/fleet/budget/allocation.go
+++ b/fleet/budget/allocation.go
@@ -9,24 +9,24 @@
 	"chutechute/internal/monotime"
 )
 
-// grantPair is the amount that a lease holder has confirmed to be in force, and the one that it was granted since.
-type grantPair struct{ previous, current Amount }
+// grantPair is the amount that a lease holder has confirmed to be in force, and the one that it was last granted.
+type grantPair struct{ confirmed, granted Amount }
 
-// outstanding returns what may be in force at the lease holder: the larger of the two.
-func (p *grantPair) outstanding() Amount { return p.previous.Max(p.current) }
+// outstanding returns the larger of the two amounts, as either may be in force at the lease holder.
+func (p *grantPair) outstanding() Amount { return p.confirmed.Max(p.granted) }
 
-// subjectBudget is the budget of one subject.
+// subjectBudget is the authority's state of one subject's budget.
 type subjectBudget struct {
 	key         subjectKey
 	kind        account.Kind
-	drainTime   monotime.Micros // how long what was spent under a lease counts after the lease has expired
+	drainTime   monotime.Micros // for how long expenses under a lease count after the lease has expired
 	outstanding Amount          // the sum over the allocations
-	released    int64           // what became available since others were last notified of it
-	allocations []*allocation   // by incarnation
+	released    int64           // what was released since lease holders were last notified of it
+	allocations []*allocation   // sorted by incarnation
 	changedAt   uint64          // the log index at which a change may last have affected its division
 }
 
-// quantity returns what of an amount is divided: the rate, or the capacity of other kinds.
+// quantity returns the field of an amount that is divided: the rate of a rate budget, otherwise the capacity.
 func (s *subjectBudget) quantity(amount Amount) int64 {
 	if s.kind == account.Rate {
 		return amount.Rate
@@ -34,34 +34,34 @@
 	return amount.Capacity
 }
 
-// allocation is what one lease holder has of one subject's budget.
+// allocation is the part of one subject's budget that is granted to one lease holder.
 type allocation struct {
 	key     subjectKey
 	holder  *holderRecord
 	subject *subjectBudget
 	grantPair
-	inUse     int64
-	demand    int64
-	listedIn  uint64 // the last report that listed it
-	dividedAt uint64 // the log index at which it was last computed
-	rotation  uint64 // the rotation of indivisible remainders in which it was last computed
+	inUse      int64
+	demand     int64
+	listedIn   uint64 // the last report that listed it
+	computedAt uint64 // the log index at which it was last computed
+	rotation   uint64 // the number of the rotation (see subjectBudget.rotation) in which it was last computed
 }
 
-// outstanding returns what counts against the total: what may be in force and what is in use, whichever is more.
-func (o *allocation) outstanding() Amount {
-	amount := o.grantPair.outstanding()
-	amount.Capacity = max(amount.Capacity, o.inUse)
+// outstanding returns what counts against the total: the larger of what may be in force and what is in use.
+func (alloc *allocation) outstanding() Amount {
+	amount := alloc.grantPair.outstanding()
+	amount.Capacity = max(amount.Capacity, alloc.inUse)
 	return amount
 }
 
-func (o *allocation) compareKey(key subjectKey) int { return o.key.compare(key) }
+func (alloc *allocation) compareKey(key subjectKey) int { return alloc.key.compare(key) }
 
-func (o *allocation) compareIncarnation(incarnation replication.Incarnation) int {
-	return cmp.Compare(o.holder.incarnation, incarnation)
+func (alloc *allocation) compareIncarnation(incarnation replication.Incarnation) int {
+	return cmp.Compare(alloc.holder.incarnation, incarnation)
 }
 
-// findOrAddAllocation returns a lease holder's allocation of a subject's budget. It returns nil if there is no such
-// budget, or no capacity for another subject.
+// findOrAddAllocation returns a lease holder's allocation of a subject's budget. It returns nil if the budget does not
+// exist, the subject's name is too long, or there are too many subjects already.
 func (a *Authority) findOrAddAllocation(h *holderRecord, key subjectKey) *allocation {
 	i, found := slices.BinarySearchFunc(h.allocations, key, (*allocation).compareKey)
 	if found {
@@ -71,11 +71,11 @@
 	if subject == nil {
 		return nil
 	}
-	o := &allocation{key: key, holder: h, subject: subject}
-	h.allocations = slices.Insert(h.allocations, i, o)
+	alloc := &allocation{key: key, holder: h, subject: subject}
+	h.allocations = slices.Insert(h.allocations, i, alloc)
 	j, _ := slices.BinarySearchFunc(subject.allocations, h.incarnation, (*allocation).compareIncarnation)
-	subject.allocations = slices.Insert(subject.allocations, j, o)
-	return o
+	subject.allocations = slices.Insert(subject.allocations, j, alloc)
+	return alloc
 }
 
 func (a *Authority) findOrAddSubject(key subjectKey) *subjectBudget {
@@ -95,44 +95,44 @@
 	return subject
 }
 
-// updateAll changes all allocations of a lease holder.
+// updateAll calls update for all allocations of a lease holder.
 func (a *Authority) updateAll(h *holderRecord, change func(*allocation)) {
-	for _, o := range h.allocations {
-		a.update(o, func() { change(o) })
+	for _, alloc := range h.allocations {
+		a.update(alloc, func() { change(alloc) })
 	}
 }
 
-// update changes an allocation and keeps the subject's sums.
-func (a *Authority) update(o *allocation, change func()) {
-	before := o.outstanding()
+// update changes an allocation, and updates the sums of its subject.
+func (a *Authority) update(alloc *allocation, change func()) {
+	before := alloc.outstanding()
 	change()
-	after := o.outstanding()
+	after := alloc.outstanding()
 	if after == before {
 		return
 	}
-	s := o.subject
+	s := alloc.subject
 	s.outstanding, s.changedAt = s.outstanding.Add(after).Sub(before), a.index
 	if released := s.quantity(before) - s.quantity(after); released > 0 {
 		s.released += released
-		a.notifyOfRelease(o)
+		a.notifyOfRelease(alloc)
 	}
 }
 
-// setDemand records the demand of a lease holder.
-func (a *Authority) setDemand(o *allocation, demand int64) {
-	if demand != o.demand {
-		o.demand, o.subject.changedAt = demand, a.index
+// setDemand sets the demand for an allocation.
+func (a *Authority) setDemand(alloc *allocation, demand int64) {
+	if demand != alloc.demand {
+		alloc.demand, alloc.subject.changedAt = demand, a.index
 	}
 }
 
-// removeUnused removes the allocations of a lease holder of which nothing is outstanding or in demand.
+// removeUnused removes a lease holder's allocations that have nothing outstanding and no demand.
 func (a *Authority) removeUnused(h *holderRecord) {
-	h.allocations = slices.DeleteFunc(h.allocations, func(o *allocation) bool {
-		if o.outstanding() != (Amount{}) || o.demand != 0 && !h.expired {
+	h.allocations = slices.DeleteFunc(h.allocations, func(alloc *allocation) bool {
+		if alloc.outstanding() != (Amount{}) || alloc.demand != 0 && !h.expired {
 			return false
 		}
-		s := o.subject
-		s.allocations = slices.DeleteFunc(s.allocations, func(other *allocation) bool { return other == o })
+		s := alloc.subject
+		s.allocations = slices.DeleteFunc(s.allocations, func(other *allocation) bool { return other == alloc })
 		if len(s.allocations) == 0 {
 			delete(a.subjects, s.key)
 		}
--- a/fleet/budget/authority.go
+++ b/fleet/budget/authority.go
@@ -9,60 +9,60 @@
 	"chutechute/internal/monotime"
 )
 
-// Options are the limits of an Authority. All replicas of one group have the same.
+// Options are the limits of an Authority. All replicas of a group must have the same options.
 type Options struct {
-	MaxSubjects int // how many subjects' budgets may have allocations at a time
+	MaxSubjects int // how many subjects may have allocations at a time, over all budgets
 }
 
-// MaxSubjects is the limit for Options.Instances that the program uses.
+// MaxSubjects is the value of Options.MaxSubjects that the program uses.
 const MaxSubjects = 1 << 16
 
-// NotificationTopic is the topic of notifications to lease holders whose share may have changed.
+// NotificationTopic is the topic under which lease holders are notified that their share may have changed.
 const NotificationTopic = "\x00budget"
 
-// Authority is the replicated state machine that records who has been granted what, and divides budgets anew with each
-// report. It implements replication.StateMachine.
+// Authority is the replicated state machine that records the grants of all lease holders. With each report it
+// recomputes the allocations of the lease holder that sent it. It implements replication.StateMachine.
 type Authority struct {
 	options    Options
 	set        *Set   // in force; nil before the first report
-	encodedSet []byte // as it was received
+	encodedSet []byte // the set as it was received
 	budgets    map[string]*budgetState
-	holders    []*holderRecord // by incarnation
+	holders    []*holderRecord // sorted by incarnation
 	subjects   map[subjectKey]*subjectBudget
-	notify     map[replication.Incarnation]bool // whom to notify after the current command
-	now        monotime.Micros                  // by this machine's clock; no part of the replicated state
+	notify     map[replication.Incarnation]bool // lease holders to notify after the command
+	now        monotime.Micros                  // by this machine's clock; not part of the replicated state
 	index      uint64                           // the log index of the current command
 }
 
-// subjectKey names one subject's budget. The subject is empty where the budget has only one.
+// subjectKey identifies one subject's budget. The subject is empty if the budget is not divided by subject.
 type subjectKey struct{ budget, subject string }
 
 func (k subjectKey) compare(other subjectKey) int {
 	return cmp.Or(cmp.Compare(k.budget, other.budget), cmp.Compare(k.subject, other.subject))
 }
 
-// subjectKeys returns the keys of all subjects' budgets, in order.
+// subjectKeys returns the sorted keys of all subjects' budgets.
 func (a *Authority) subjectKeys() []subjectKey {
 	return slices.SortedFunc(maps.Keys(a.subjects), subjectKey.compare)
 }
 
-// sortedKeys returns the keys of a map in order, so that nothing depends on the map's.
+// sortedKeys returns the sorted keys of a map, so that nothing depends on its iteration order.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// budgetState is the state of a budget that its subjects have in common.
+// budgetState is the state of a budget that all its subjects share.
 type budgetState struct {
 	name string
-	// open is whether the budget is granted at all; see Authority.openAfter.
+	// open is whether parts of the budget may be granted; see Authority.openAfter.
 	open bool
-	// addedInService is whether the budget came with a later set than the authority's first one. Nobody enforces such
-	// a budget before it is open.
+	// addedInService is whether the budget was added by a later set than the authority's first one. Front ends do not
+	// enforce such a budget until it is open.
 	addedInService bool
 	changedAt      uint64 // the log index at which its total or its static allocations last changed
 
-	knownSince        monotime.Micros // by this machine's clock; no part of the replicated state
-	inForceSince      monotime.Micros // by the leader's clock: since when the total is kept to; 0 while it is not
-	staticReserved    Amount          // for static allocations, whether they are assigned or not
-	staticOutstanding Amount          // the static allocations that may be in force
+	knownSince        monotime.Micros // by this machine's clock; not part of the replicated state
+	inForceSince      monotime.Micros // by the leader's clock: since when the total is not exceeded; 0 while it is
+	staticReserved    Amount          // reserved for static allocations, assigned or not
+	staticOutstanding Amount          // the sum of static allocations that may be in force
 }
 
 // NewAuthority returns an authority with no settings and no lease holders.
@@ -75,7 +75,7 @@
 	}
 }
 
-// ID returns the state machine's number in commands and snapshots.
+// ID returns the number that identifies the state machine in commands and snapshots.
 func (a *Authority) ID() uint32 { return stateMachineID }
 
 // Name returns the state machine's name.
@@ -92,8 +92,8 @@
 	return a.set.Version
 }
 
-// Apply applies a committed command. It returns the response to a report, and nil for other commands and for malformed
-// ones, which have no effect.
+// Apply applies a committed command. It returns the response to a report, and nil for other commands. A malformed
+// command has no effect.
 func (a *Authority) Apply(at replication.ApplyContext, proposer replication.Incarnation, body []byte) []byte {
 	c, err := decodeCommand(body)
 	if err != nil {
@@ -122,14 +122,14 @@
 	return nil
 }
 
-// notifyAll has all lease holders notified after the current command.
+// notifyAll marks all lease holders for notification after the current command.
 func (a *Authority) notifyAll() {
 	for _, h := range a.holders {
 		a.notify[h.incarnation] = true
 	}
 }
 
-// sendNotifications notifies the lease holders whose share may have changed.
+// sendNotifications notifies the lease holders that the current command has marked.
 func (a *Authority) sendNotifications(at replication.ApplyContext) {
 	if len(a.notify) == 0 {
 		return
--- a/fleet/budget/authority_settings.go
+++ b/fleet/budget/authority_settings.go
@@ -2,8 +2,8 @@
 
 import "chutechute/fleet/budget/account"
 
-// adoptSettings takes over a report's settings if they are newer than the authority's, and has the response say where
-// the two differ.
+// adoptSettings installs a report's settings if they are newer than the authority's. It sets the fields of the response
+// that tell the lease holder how its settings differ from those in force.
 func (a *Authority) adoptSettings(report *command, response *reportResponse) {
 	if len(report.Set) > 0 && (a.set == nil || report.Version > a.set.Version) {
 		set, err := DecodeSet(report.Set)
@@ -45,8 +45,9 @@
 	return true
 }
 
-// replaceableBy reports whether another set can replace this one in service. What a budget limits cannot change while
-// parts of it are allocated. The number of front ends cannot fall, as there may be static allocations for as many.
+// replaceableBy reports whether another set can replace this one in service. The kind, the window and the smallest
+// allocation of a budget cannot change while parts of it are allocated. MaxFrontEnds cannot decrease, because static
+// allocations may be assigned to that many front ends.
 func (s *Set) replaceableBy(next *Set) bool {
 	for i := range next.Specs {
 		spec := &next.Specs[i]
@@ -58,8 +59,8 @@
 	return next.MaxFrontEnds >= s.MaxFrontEnds
 }
 
-// install puts a set into force. A budget that is new in it stays closed for a while, as an earlier authority may have
-// granted parts of it.
+// install puts a set into force. A new budget is not open at first, because an earlier authority may have granted parts
+// of it; see openAfter.
 func (a *Authority) install(set *Set, encoded []byte) {
 	budgets := map[string]*budgetState{}
 	for i := range set.Specs {
--- a/fleet/budget/doc.go
+++ b/fleet/budget/doc.go
@@ -1,37 +1,39 @@
-// Package budget divides what the whole fleet may spend among its front ends, and divides it anew as their demand
-// changes and as they come and go. Authority is the replicated state machine that records who has been granted what.
-// LeaseHolder is one front end's side of it, which spends from memory (package account). Both are stepped: no I/O, no
-// clock, no goroutines, and nothing depends on the order of a map.
+// Package budget divides budgets that apply to the whole fleet among its front ends. It updates the division as their
+// demand changes and as front ends join and leave. Authority is the replicated state machine that records all grants.
+// LeaseHolder runs in each front end and receives its grants; spending needs no messages (see package account). Both
+// are stepped: no I/O, no clock, no goroutines, and nothing depends on the iteration order of a map.
 //
-// What is guaranteed, at all times, for every budget, in terms of what engines see in true time (w is any time span;
-// an expense counts when the scheduler makes it, at most a quarter of a second and the transmission time before the
-// engine has it):
+// The following limits hold at all times for every budget, as seen by the engines in true time. w is any time span. An
+// expense counts when the scheduler makes it. It reaches the engine at most a quarter of a second plus the transmission
+// time later.
 //
 //   - Rate of r per second with a burst of b: all front ends together spend at most r·w + b.
-//   - Concurrency limit of n: at every instant at most n are in use, those of lost front ends included, until what uses
-//     them has finished or can run no more.
-//   - Total within a window: at most that is spent within any window.
+//   - Concurrency limit of n: at every instant at most n are in use. What a lost front end had in use counts until it
+//     has finished or cannot run any more.
+//   - Total within a window: at most the total is spent within any window.
 //
-// It holds through lost, stopped, partitioned and new front ends, lost disks, delayed, duplicated and reordered
-// messages, changes of leader, two replicas that both believe to lead, and a total that is lowered in service. What it
-// rests on:
+// The limits hold when front ends crash, pause, are partitioned or join, when disks are lost, when messages are
+// delayed, duplicated or reordered, when the leader changes, when two replicas both believe that they are the leader,
+// and when a total is lowered in service. They rely on the following:
 //
-//  1. The sum of what front ends may hold is part of the replicated state, and only a committed command adds to it. An
-//     allocation that was granted counts until its lease holder has confirmed, in a report that was committed, that
-//     another one is in force there; or until its lease has certainly expired.
-//  2. Time spans, each measured on one machine's clock. A lease holder counts a lease from before it requested it; the
-//     leader that lets it expire counts from after the command was applied, and adds the drift and a margin. So clocks
-//     may differ by anything and drift by one part in account.ClockDriftDivisor. Beyond that (a machine whose
-//     monotonic clock runs slower) a lease holder may spend for as long as its clock is behind; it stops with the first
-//     response, which says that its lease has expired.
-//  3. What moves from one front end to another moves empty: tokens are gone on one side before the first comes on the
-//     other, a part of a concurrency limit is released when what used it has finished, and what was spent within a
-//     window is available again a window later.
+//  1. The sum of what front ends may spend is part of the replicated state, and only a committed command increases it.
+//     A granted allocation counts until its lease holder has confirmed, in a committed report, that a later one is in
+//     force there, or until its lease has certainly expired.
+//  2. Every time span is measured on one machine's clock. A lease holder counts a lease from before it requested it.
+//     The leader that expires the lease counts from after the command was applied, and adds the drift and a margin. So
+//     clocks may differ by any offset and drift by one part in account.ClockDriftDivisor. If a machine's monotonic
+//     clock runs slower than that, its lease holder may overspend for as long as its clock lags behind. It stops with
+//     the first response, which reports that its lease has expired.
+//  3. What moves from one front end to another moves without anything left to spend: tokens are discarded on one side
+//     before the first accumulates on the other, a part of a concurrency limit is released when what used it has
+//     finished, and what was spent within a window is available again a window later.
 //  4. What a lost lease holder had in use of a concurrency limit is released only once its lease has expired and
-//     everything it may have started has finished: the longest that it polls for an attempt (Spec.MaxAttemptDuration),
-//     and the time after which engines cancel what nobody polls (replication.AbandonTimeout). Where its name has come
-//     back with another incarnation, which the handshakes of connections establish for certain, the latter alone.
-//  5. No two incarnations of one name live at once.
+//     everything that it may have started has finished. That takes the longest time for which it polls for an attempt
+//     (Spec.MaxAttemptDuration) plus the time after which engines cancel what nobody polls for
+//     (replication.AbandonTimeout). It takes only the latter if a newer incarnation of the front end exists, which the
+//     handshakes of connections establish with certainty.
+//  5. Two incarnations of one front end never run at the same time.
 //
-// It does not rest on the absence of messages, on wall clocks, on an order of messages or on who believes to lead.
+// They do not rely on missing messages, wall clocks, the order of messages, or on which replica believes that it is the
+// leader.
 package budget
--- a/fleet/budget/due.go
+++ b/fleet/budget/due.go
@@ -8,8 +8,8 @@
 	"chutechute/internal/monotime"
 )
 
-// DueCommands returns the commands that are due by this machine's clock: budgets to open, leases to expire, and work to
-// release. The leader proposes them. Commands that are proposed twice, or late, do no harm.
+// DueCommands returns the commands that are due by this machine's clock: those that open budgets, expire leases and
+// release the work of expired lease holders. The leader proposes them. It is safe to propose one late or twice.
 func (a *Authority) DueCommands(now monotime.Micros, seen replication.FailureDetector) (commands [][]byte) {
 	if a.set == nil {
 		return nil
@@ -20,7 +20,7 @@
 			open := command{Operation: opOpen, Budget: name, Version: a.set.Version}
 			commands = append(commands, open.encode())
 		}
-		a.watchTotal(now, b)
+		a.updateInForceSince(now, b)
 	}
 	for _, h := range a.holders {
 		if h.supersededSince == 0 && seen.Superseded(h.incarnation) {
@@ -33,14 +33,14 @@
 	return commands
 }
 
-// openAfter returns how long a new authority holds a budget back: until then, what an earlier authority granted of it
-// may be in force.
+// openAfter returns how long a new authority waits before it grants parts of a budget. Until then, grants of an earlier
+// authority may still be in force.
 func (a *Authority) openAfter(budget string) monotime.Micros {
 	return withMargin(a.set.Lease) + withMargin(a.set.Lookup(budget).drainTime())
 }
 
-// watchTotal notes, for operators, since when a budget's total has been kept to.
-func (a *Authority) watchTotal(now monotime.Micros, b *budgetState) {
+// updateInForceSince records and logs since when a budget has been in force, which is shown to operators.
+func (a *Authority) updateInForceSince(now monotime.Micros, b *budgetState) {
 	if a.exceedsTotal(a.set.Lookup(b.name)) {
 		b.inForceSince = 0
 		return
@@ -51,8 +51,8 @@
 	}
 }
 
-// exceedsTotal reports whether more may be outstanding of some subject than the total: the total was lowered, and
-// earlier leases have neither been given back nor expired.
+// exceedsTotal reports whether more than the total may be outstanding for a subject. That is so after the total was
+// lowered, until enough has been given back or earlier leases have expired.
 func (a *Authority) exceedsTotal(spec *Spec) bool {
 	static := a.budgets[spec.Name].staticOutstanding
 	exceeds := func(amount Amount) bool {
@@ -69,7 +69,7 @@
 	return false
 }
 
-// dueCommand returns what is due for one lease holder.
+// dueCommand returns the command that is due for one lease holder, if any.
 func (a *Authority) dueCommand(now monotime.Micros, h *holderRecord) (c command, due bool) {
 	switch {
 	case !h.expired && (now >= h.leaseExpiresAt || h.supersededSince != 0):
@@ -92,13 +92,13 @@
 	}
 }
 
-// hasDrained reports whether something of an expired lease holder can be released after a time.
+// hasDrained reports whether anything of an expired lease holder can be released after the elapsed time.
 func (a *Authority) hasDrained(h *holderRecord, elapsed monotime.Micros, superseded bool) bool {
 	drained := func(drainTime monotime.Micros, kind account.Kind) bool {
 		return elapsed >= withMargin(effectiveDrainTime(drainTime, kind, superseded))
 	}
-	for _, o := range h.allocations {
-		if drained(o.subject.drainTime, o.subject.kind) {
+	for _, alloc := range h.allocations {
+		if drained(alloc.subject.drainTime, alloc.subject.kind) {
 			return true
 		}
 	}
--- a/fleet/budget/fairshare.go
+++ b/fleet/budget/fairshare.go
@@ -9,23 +9,23 @@
 // claim is one lease holder's claim to a pool.
 type claim struct {
 	demand int64
-	floor  int64 // what it gets before others get more
+	floor  int64 // up to this, demand is met before the rest of the pool is divided
 	weight int64
 }
 
-// waterLevelUnit is the resolution in which claims are compared by demand per weight.
+// waterLevelUnit is the fixed-point unit for demand per weight, by which claims are compared.
 const waterLevelUnit = 1 << 20
 
-// divide returns each claim's share of a pool, max-min fair by weight (water-filling): first the floors, as far as
-// there is demand for them; then the rest by weight to those with more demand; and what is left by weight as room
-// to grow. The shares add up to no more than the pool, and to all of it but what rounding leaves, if there is any
-// demand.
+// divide returns each claim's share of a pool. The division is weighted max-min fair (water-filling). First each claim
+// gets its floor, up to its demand. The rest is divided by weight among claims with more demand. What is left after all
+// demand is met is divided by weight among the claims with demand, so that they can grow. The shares add up to no more
+// than the pool; if there is any demand, only a remainder from rounding is left.
 func divide(pool int64, claims []claim) []int64 {
 	shares := make([]int64, len(claims))
 	if pool <= 0 {
 		return shares
 	}
-	order := make([]int, 0, len(claims)) // of the claims with demand
+	order := make([]int, 0, len(claims)) // indexes of the claims with demand
 	totalWeight := int64(0)
 	for i, c := range claims {
 		if c.demand <= 0 {
@@ -36,7 +36,7 @@
 		totalWeight += c.weight
 		order = append(order, i)
 	}
-	slices.SortStableFunc(order, func(i, j int) int { // by the water level at which a claim is met
+	slices.SortStableFunc(order, func(i, j int) int { // by the water level at which the demand is met
 		a, b := claims[i], claims[j]
 		levelOfA := mulDiv(a.demand-shares[i], waterLevelUnit, a.weight)
 		levelOfB := mulDiv(b.demand-shares[j], waterLevelUnit, b.weight)
@@ -61,8 +61,8 @@
 	return shares
 }
 
-// roundShares rounds shares down to multiples of the smallest part. What that leaves goes to those with more demand,
-// one part each, beginning with another one in each rotation.
+// roundShares rounds shares down to multiples of the smallest part. The remainder goes to claims with more demand, one
+// part each, starting at a different claim in each rotation.
 func roundShares(pool, minPart int64, rotation uint64, claims []claim, shares []int64) {
 	left := pool
 	for i := range shares {
@@ -82,11 +82,11 @@
 	}
 }
 
-// maxQuotient bounds the result of mulDiv.
+// maxQuotient is the largest result of mulDiv.
 const maxQuotient = 1 << 62
 
-// mulDiv returns a·b/c, rounded down and maxQuotient at most, without overflow. It takes a negative a as 0 and returns
-// 0 if c is not positive; b must not be negative.
+// mulDiv returns a·b/c without overflow, rounded down and at most maxQuotient. A negative a counts as 0; b must not be
+// negative. The result is 0 if c is not positive.
 func mulDiv(a, b, c int64) int64 {
 	if c <= 0 {
 		return 0
--- a/fleet/budget/holder_record.go
+++ b/fleet/budget/holder_record.go
@@ -9,34 +9,34 @@
 	"chutechute/internal/monotime"
 )
 
-// maxHoldersPerFrontEnd bounds the incarnations per front end, lost ones among them, that are recorded at a time.
+// maxHoldersPerFrontEnd limits the number of records to this many incarnations per front end, including lost ones.
 const maxHoldersPerFrontEnd = 4
 
-// holderRecord is what the authority records of one lease holder, which is one incarnation of a front end.
+// holderRecord is the authority's record of one lease holder, which is one incarnation of a front end.
 type holderRecord struct {
 	incarnation   replication.Incarnation
 	name          string
 	lastReport    uint64 // the number of the last report that was applied
 	grant         uint64 // the log index of the grant in the last response
-	previousGrant uint64 // the grant that this one replaces
+	previousGrant uint64 // the grant that it replaced
 	expired       bool   // the lease has expired; what was spent under it may still be in use
 	hasStatic     bool   // static allocations are assigned to it
 	staticGrant   uint64 // the log index of the grant of static allocations in the last response
 	longestLease  monotime.Micros
 	statics       map[string]*staticAllocation
-	allocations   []*allocation // by budget and subject
+	allocations   []*allocation // sorted by budget and subject
 
-	// By this machine's clock, no part of the replicated state.
+	// By this machine's clock, not part of the replicated state.
 	leaseExpiresAt  monotime.Micros // when the lease has certainly expired
-	expiredSince    monotime.Micros // since when it has
-	supersededSince monotime.Micros // since when the incarnation is known to be superseded; 0 while it is not
+	expiredSince    monotime.Micros // when the lease was recorded as expired
+	supersededSince monotime.Micros // since when the incarnation is known to be superseded; 0 if it is not
 }
 
 func (h *holderRecord) compareIncarnation(incarnation replication.Incarnation) int {
 	return cmp.Compare(h.incarnation, incarnation)
 }
 
-// holderIndex returns the position of a lease holder in the list, or where it is to be inserted.
+// holderIndex returns the index of a lease holder in the list, or the index at which to insert it.
 func (a *Authority) holderIndex(incarnation replication.Incarnation) (index int, found bool) {
 	return slices.BinarySearchFunc(a.holders, incarnation, (*holderRecord).compareIncarnation)
 }
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// addHolder returns a record for a lease holder that has none. It returns nil if its report says that it had one, or if
-// there are too many.
+// addHolder adds a record for a lease holder. It returns nil if the report names a grant or the lease holder leaves,
+// since only one that was recorded before can do so, and if there are too many records.
 func (a *Authority) addHolder(incarnation replication.Incarnation, report *command) *holderRecord {
 	if report.Grant != 0 || report.StaticGrant != 0 || report.Leaving {
 		return nil
@@ -70,30 +70,31 @@
 	}
 }
 
-// removeIfDone removes an expired lease holder of which nothing is left.
+// removeIfDone removes an expired lease holder that has no allocations left.
 func (a *Authority) removeIfDone(h *holderRecord) {
 	if h.expired && len(h.allocations) == 0 && !h.hasStatic {
 		a.removeHolder(h)
 	}
 }
 
-// expire ends a lease. Rates are available again at once; for other kinds what may be in use stays outstanding.
+// expire ends a lease. Rates are available again at once. For other kinds, what may be in use stays outstanding until
+// release is called.
 func (a *Authority) expire(h *holderRecord) {
 	h.expired, h.grant, h.previousGrant = true, 0, 0
 	h.expiredSince = a.now
-	a.updateAll(h, func(o *allocation) {
-		draining := o.outstanding()
-		if o.subject.kind == account.Rate {
+	a.updateAll(h, func(alloc *allocation) {
+		draining := alloc.outstanding()
+		if alloc.subject.kind == account.Rate {
 			draining = Amount{}
 		}
-		o.grantPair, o.inUse, o.demand = grantPair{previous: draining}, 0, 0
+		alloc.grantPair, alloc.inUse, alloc.demand = grantPair{confirmed: draining}, 0, 0
 	})
 	a.removeUnused(h)
 	a.removeIfDone(h)
 }
 
-// effectiveDrainTime returns how long work may go on after its lease has expired. What uses a concurrency limit ends
-// sooner if its incarnation has certainly ended, because nobody polls for it any more.
+// effectiveDrainTime returns how long work may go on after its lease has expired. Work under a concurrency limit ends
+// sooner if its incarnation has certainly ended, because engines cancel what nobody polls for.
 func effectiveDrainTime(drainTime monotime.Micros, kind account.Kind, superseded bool) monotime.Micros {
 	if superseded && kind == account.Concurrency {
 		return min(drainTime, replication.AbandonTimeout)
@@ -101,12 +102,12 @@
 	return drainTime
 }
 
-// release releases what an expired lease holder had in use with a drain time of no more than elapsed. If the
-// incarnation is superseded, that applies to its static allocations as well.
+// release releases what an expired lease holder had in use, if its drain time is at most elapsed. If the incarnation is
+// superseded, its static allocations are released likewise.
 func (a *Authority) release(h *holderRecord, elapsed monotime.Micros, superseded bool) {
-	a.updateAll(h, func(o *allocation) {
-		if effectiveDrainTime(o.subject.drainTime, o.subject.kind, superseded) <= elapsed {
-			o.grantPair, o.inUse = grantPair{}, 0
+	a.updateAll(h, func(alloc *allocation) {
+		if effectiveDrainTime(alloc.subject.drainTime, alloc.subject.kind, superseded) <= elapsed {
+			alloc.grantPair, alloc.inUse = grantPair{}, 0
 		}
 	})
 	a.removeUnused(h)
--- a/fleet/budget/lease_holder.go
+++ b/fleet/budget/lease_holder.go
@@ -8,21 +8,21 @@
 	"chutechute/scheduler"
 )
 
-// Proposer proposes commands to the replicated state machine; see fleet.Node.
+// Proposer proposes commands for a replicated state machine; see fleet.Node.
 type Proposer interface {
-	// Propose proposes a command and calls done with the response, if there is one. The id is never 0.
+	// Propose proposes a command and calls done with the response, if there is one. The returned id is never 0.
 	Propose(
 		now monotime.Micros, stateMachine, version uint32, body []byte, done func(replication.Response),
 	) (id uint64)
-	// Cancel abandons a proposal: done is not called any more. The command may still be committed.
+	// Cancel abandons a proposal, so that done is not called for it. The command may still be committed.
 	Cancel(id uint64)
 }
 
-// Consumer spends budgets: the gateway, by way of package enforce.
+// Consumer spends budgets. In a front end, it is the gateway, behind an enforce.Enforcer.
 type Consumer interface {
-	// BudgetDemands returns the demand for all subjects' budgets and what is in use.
+	// BudgetDemands returns the demand for all subjects' budgets and what is in use of them.
 	BudgetDemands(now monotime.Micros) []scheduler.BudgetDemand
-	// GrantBudgets sets what may be spent. It has to be in force before the consumer starts anything more.
+	// GrantBudgets sets what may be spent. The consumer must enforce the grant before it starts any more work.
 	GrantBudgets(now monotime.Micros, g Grant)
 }
 
@@ -31,8 +31,8 @@
 	Set            *Set                     // the budgets, if they or NotInForce have changed; nil otherwise
 	NotInForce     []string                 // budgets of the set that are not in force yet
 	LeaseExpiresAt monotime.Micros          // when the lease expires
-	Leased         []scheduler.BudgetAmount // by budget and subject
-	Static         []scheduler.BudgetAmount // without a lease; nil: as before
+	Leased         []scheduler.BudgetAmount // leased amounts, sorted by budget and subject
+	Static         []scheduler.BudgetAmount // static allocations; nil: unchanged
 }
 
 // LeaseHolderConfig configures a LeaseHolder.
@@ -42,17 +42,18 @@
 	MinReportInterval monotime.Micros // the shortest time between two reports
 }
 
-// leaseHolderPhase is whether a LeaseHolder uses its budgets.
+// leaseHolderPhase is the phase of a LeaseHolder's life.
 type leaseHolderPhase int
 
 const (
 	phaseActive    leaseHolderPhase = iota
-	phaseReleasing                  // everything is given back, and the authority has not confirmed it yet
+	phaseReleasing                  // it has stopped spending, and the authority has not confirmed that yet
 	phaseReleased
 )
 
-// LeaseHolder is one front end's side of the division. It counts a lease from before it requested it, drops it when it
-// expires by its own clock, and ignores responses to reports from before that.
+// LeaseHolder is one front end's part in the division of budgets. It reports demand to the authority, and has the
+// consumer enforce what is granted. A lease counts from before it was requested and ends when it expires by this
+// machine's clock. Responses to reports from before it ended are ignored.
 type LeaseHolder struct {
 	config   LeaseHolderConfig
 	proposer Proposer
@@ -60,10 +61,10 @@
 	now      monotime.Micros
 	phase    leaseHolderPhase
 
-	set              *Set // in force: the authority's, once it is known
+	set              *Set // in force: the authority's, once known
 	encodedSet       []byte
-	notInForce       []string // budgets of the set
-	settingsAccepted bool     // the authority has this front end's settings
+	notInForce       []string // budgets of the set that are not in force yet
+	settingsAccepted bool     // the authority has accepted this front end's settings
 
 	grant             uint64 // the grant in force; 0 without a lease
 	leaseExpiresAt    monotime.Micros
@@ -72,23 +73,23 @@
 	statics           []scheduler.BudgetAmount
 	reportNumber      uint64 // of the last report
 	oldestValidReport uint64 // responses to earlier reports are ignored
-	baseReport        uint64 // the last report if it was answered, otherwise 0
+	baseReport        uint64 // the last report if its response has arrived, otherwise 0
 	reported          map[subjectKey]subjectDemand
 	reportedNothing   bool // the last report had no demand, and nothing was leased
 	reportedAt        monotime.Micros
 	reportDue         bool
-	pendingProposal   uint64 // the report without a response; 0 if there is none
+	pendingProposal   uint64 // the proposal of a report without a response; 0 if there is none
 	demandCheckedAt   monotime.Micros
 
-	Reports          int  // reports so far
-	ChangedGrants    int  // grants that changed something
-	ExpiredLeases    int  // leases that expired without another one
-	LateResponses    int  // responses whose lease had expired when they came
-	SettingsConflict bool // this front end's settings have the authority's version but differ
+	Reports          int  // reports sent
+	ChangedGrants    int  // responses that changed a grant or extended the lease
+	ExpiredLeases    int  // leases that expired before they were renewed
+	LateResponses    int  // responses whose lease had expired when they arrived
+	SettingsConflict bool // the authority has rejected this front end's settings, see reportResponse
 	SettingsOutdated bool // the authority's settings have a newer version than this front end's
 }
 
-// NewLeaseHolder returns a lease holder that may spend nothing yet.
+// NewLeaseHolder returns a lease holder to which nothing has been granted yet.
 func NewLeaseHolder(config LeaseHolderConfig, proposer Proposer, consumer Consumer) *LeaseHolder {
 	h := &LeaseHolder{
 		config:   config,
@@ -101,25 +102,26 @@
 	return h
 }
 
-// Start gives the consumer the budgets, of which it may spend nothing yet.
+// Start has the consumer enforce the budgets, without any amounts to spend yet.
 func (h *LeaseHolder) Start(now monotime.Micros) {
 	h.now = now
 	h.enforce(h.set)
 }
 
-// SetNow sets the time for what is called before the next Tick.
+// SetNow sets the current time, for methods that do not take it and for responses that arrive before the next Tick.
 func (h *LeaseHolder) SetNow(now monotime.Micros) { h.now = now }
 
-// Reload changes this front end's own settings. They come into force once the authority has accepted them.
+// Reload replaces this front end's own settings. They come into force once the authority has accepted them.
 func (h *LeaseHolder) Reload(now monotime.Micros, set *Set) {
 	h.now, h.config.Set, h.reportDue = now, set, true
 	h.SettingsConflict, h.settingsAccepted = false, false
 }
 
-// Notify has the lease holder report, as its share may have changed.
+// Notify makes a report due, because the lease holder's share may have changed.
 func (h *LeaseHolder) Notify(now monotime.Micros) { h.now, h.reportDue = now, true }
 
-// Release gives everything back: nothing may be spent any more. Released reports when the authority knows it.
+// Release gives back all allocations, so that nothing more may be spent. Released reports whether the authority has
+// confirmed it.
 func (h *LeaseHolder) Release(now monotime.Micros) {
 	h.now = now
 	if h.phase != phaseActive {
@@ -132,10 +134,10 @@
 	h.dropLease()
 }
 
-// Released reports whether the authority knows that everything was given back, or there was never anything.
+// Released reports whether the authority has confirmed the release, or no report was ever sent.
 func (h *LeaseHolder) Released() bool { return h.phase == phaseReleased || h.reportNumber == 0 }
 
-// Tick advances the time: a lease may expire, or a report be due.
+// Tick advances the time. It ends an expired lease and sends a report if one is due.
 func (h *LeaseHolder) Tick(now monotime.Micros) {
 	h.now = now
 	if h.grant != 0 && now >= h.leaseExpiresAt {
@@ -150,7 +152,7 @@
 		if now-h.reportedAt < h.set.Lease/2 {
 			return
 		}
-		h.cancelProposal() // the next report has everything that this one had
+		h.cancelProposal() // the next report contains everything that this one did
 		h.reportDue = true
 	}
 	if now-h.reportedAt < h.minReportInterval() {
@@ -171,14 +173,14 @@
 	}
 }
 
-// dropLease ends the lease here. Responses to reports so far are ignored.
+// dropLease ends the lease. Responses to the reports sent so far will be ignored.
 func (h *LeaseHolder) dropLease() {
 	h.grant, h.leaseExpiresAt, h.oldestValidReport = 0, h.now, h.reportNumber+1
 	clear(h.leased)
 	h.consumer.GrantBudgets(h.now, Grant{LeaseExpiresAt: h.now, Static: h.statics})
 }
 
-// leasedAmounts returns everything that is leased, by budget and subject.
+// leasedAmounts returns all leased amounts, sorted by budget and subject.
 func (h *LeaseHolder) leasedAmounts() (list []scheduler.BudgetAmount) {
 	for key, amount := range h.leased {
 		list = append(list, scheduler.BudgetAmount{Budget: key.budget, Subject: key.subject, Amount: amount})
@@ -191,7 +193,7 @@
 
 func (h *LeaseHolder) setSettings(set *Set) { h.set, h.encodedSet = set, set.Encode() }
 
-// enforce has the consumer enforce another set. What is leased stays in force, as the authority has granted it.
+// enforce has the consumer enforce another set. Leased amounts and static allocations stay in force as granted.
 func (h *LeaseHolder) enforce(set *Set) {
 	h.setSettings(set)
 	h.consumer.GrantBudgets(h.now, Grant{
@@ -205,12 +207,12 @@
 
 // LeaseStatus is the state of a front end's lease, for operators.
 type LeaseStatus struct {
-	Version             uint64          `json:"version"`       // of the settings in force
-	ConfiguredVersion   uint64          `json:"own_version"`   // of this front end's settings
+	Version             uint64          `json:"version"`       // the version of the settings in force
+	ConfiguredVersion   uint64          `json:"own_version"`   // the version of this front end's settings
 	SettingsConflict    bool            `json:"differs"`       // see LeaseHolder.SettingsConflict
 	Grant               uint64          `json:"grant"`         // the log index of the grant in force; 0 without a lease
-	LeaseRemainingUS    monotime.Micros `json:"lease_left_us"` // until the lease expires, in microseconds
-	Reports             int             `json:"reports"`       // see LeaseHolder.Reports and the next fields
+	LeaseRemainingUS    monotime.Micros `json:"lease_left_us"` // the time until the lease expires
+	Reports             int             `json:"reports"`       // see the fields of LeaseHolder, also for the next three
 	ChangedGrants       int             `json:"moved"`
 	ExpiredLeases       int             `json:"lapsed"`
 	LateResponses       int             `json:"too_late"`
--- a/fleet/budget/lease_holder_report.go
+++ b/fleet/budget/lease_holder_report.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// demandCheckInterval is the shortest time between two checks whether demand has changed.
+	// demandCheckInterval is the shortest time between two checks for changed demand.
 	demandCheckInterval = monotime.Second / 20
-	// reportIntervalPerDemand lengthens the interval between reports by the number of demands, so that thousands of
-	// budgets do not cause a storm of reports.
+	// reportIntervalPerDemand lengthens the shortest interval between reports for each reported demand. Without it,
+	// thousands of budgets would cause a flood of large reports.
 	reportIntervalPerDemand monotime.Micros = 100
-	// reportsPerLease is how many reports there are in the duration of a lease that is in use.
+	// reportsPerLease is how many times a lease that is in use is renewed within its duration.
 	reportsPerLease = 4
-	// demandChangeDivisor is the change of demand that counts beside its noise, as one part in so many.
+	// demandChangeDivisor sets which change of demand is reported: one by more than the reported demand divided by it,
+	// plus noise.
 	demandChangeDivisor = 4
 )
 
@@ -25,7 +26,7 @@
 	return h.config.MinReportInterval + monotime.Micros(len(h.reported))*reportIntervalPerDemand
 }
 
-// checkReportDue has a report made in time to renew the lease, and sooner if demand has changed.
+// checkReportDue makes a report due in time to renew the lease, and earlier if demand has changed.
 func (h *LeaseHolder) checkReportDue() {
 	interval := h.set.Lease / reportsPerLease
 	if h.reportedNothing {
@@ -48,16 +49,16 @@
 	}
 }
 
-// demandChanged reports whether demand differs from what was reported by more than a quarter and the noise of its
-// measurement; see account.Account.Demand.
+// demandChanged reports whether demand differs from the reported demand by more than a quarter plus the noise of the
+// measurement (see account.Account.Demand), or has ended.
 func demandChanged(reported, demand int64) bool {
 	tolerance := reported/demandChangeDivisor + int64(math.Sqrt(float64(reported)*account.Unit))
 	ended := demand == 0 && reported != 0
 	return demand > reported+tolerance || demand < reported-tolerance || ended
 }
 
-// report proposes a report. Until it is answered, it is unknown what the authority has recorded, so that the next one
-// lists everything.
+// report proposes a report. While there is no response, it is unknown what the authority has recorded, so a next report
+// would list everything.
 func (h *LeaseHolder) report() {
 	h.reportNumber++
 	h.Reports++
@@ -99,8 +100,8 @@
 	h.pendingProposal = h.proposer.Propose(h.now, stateMachineID, commandVersion, report.encode(), done)
 }
 
-// changedDemands returns the demands that have changed since the base report, or all of them without one, by budget and
-// subject. What is in use is listed only if the lease does not cover it.
+// changedDemands returns the demands that have changed since the base report, or all demands without a base report.
+// They are sorted by budget and subject. What is in use is listed only if it exceeds the leased amount.
 func (h *LeaseHolder) changedDemands() (changes []subjectDemand) {
 	if h.baseReport == 0 {
 		clear(h.reported)
--- a/fleet/budget/lease_holder_response.go
+++ b/fleet/budget/lease_holder_response.go
@@ -8,7 +8,7 @@
 	"chutechute/scheduler"
 )
 
-// handleResponse puts into force what a response grants. The lease counts from the time of the report.
+// handleResponse puts the grants of a response into force. The lease counts from the time of the report.
 func (h *LeaseHolder) handleResponse(reportedAt monotime.Micros, response *reportResponse) {
 	if h.phase != phaseActive {
 		if response.Report >= h.oldestValidReport && !response.OutOfOrder {
@@ -49,7 +49,7 @@
 	}
 }
 
-// handleExpiredLease drops a lease that has expired according to the authority.
+// handleExpiredLease handles the response that the lease has expired according to the authority.
 func (h *LeaseHolder) handleExpiredLease(response *reportResponse) {
 	if h.grant != 0 {
 		h.ExpiredLeases++
@@ -61,8 +61,8 @@
 	h.dropLease()
 }
 
-// updateLease puts a newer grant into force, or extends the lease of the one in force. It reports whether either has
-// happened. A new grant is confirmed by a report at once, above all for the sake of what it takes away.
+// updateLease puts a newer grant into force, or extends the lease of the one in force. It reports whether it did
+// either. A new grant is confirmed by a report at once, because others can have what it takes away only after that.
 func (h *LeaseHolder) updateLease(expiresAt monotime.Micros, response *reportResponse) (changed bool) {
 	switch {
 	case response.Grant > h.grant:
@@ -91,7 +91,7 @@
 	}
 }
 
-// updateStatic puts newer static allocations into force, and reports whether there are any.
+// updateStatic puts the static allocations of a response into force if they are newer, and reports whether they are.
 func (h *LeaseHolder) updateStatic(response *reportResponse) (changed bool) {
 	if response.StaticGrant <= h.staticGrant {
 		return false
@@ -106,7 +106,7 @@
 	return true
 }
 
-// handleSettings enforces the authority's settings if they or the budgets in force have changed.
+// handleSettings has the authority's settings enforced if they, or the budgets that are in force, have changed.
 func (h *LeaseHolder) handleSettings(response *reportResponse) {
 	h.compareSettings(response)
 	set := h.config.Set
@@ -130,7 +130,7 @@
 func (h *LeaseHolder) compareSettings(response *reportResponse) {
 	ownVersion := h.config.Set.Version
 	if response.SettingsConflict && !h.SettingsConflict {
-		// they have the version in force, or change what a budget limits
+		// the same version with other content, or not compatible with the settings in force
 		slog.Error("budget settings conflict with those in force", slog.Uint64("version", response.Version))
 	}
 	h.SettingsConflict = response.SettingsConflict
--- a/fleet/budget/message.go
+++ b/fleet/budget/message.go
@@ -16,37 +16,38 @@
 type operation uint64
 
 const (
-	opReport  operation = iota + 1 // a lease holder reports its demand and the grant that is in force there
+	opReport  operation = iota + 1 // a lease holder reports its demand and the grant in force at it
 	opExpire                       // by the leader: a lease has certainly expired
 	opRelease                      // by the leader: what a lease holder had in use has certainly finished
-	opOpen                         // by the leader: nothing that an earlier authority granted of a budget is in force
+	opOpen                         // by the leader: no grant of a budget by an earlier authority is in force any more
 )
 
-// command is one entry of the replicated log. Each operation has its own fields.
+// command is a command in the replicated log. Each operation uses only some of the fields.
 type command struct {
 	Operation operation
 
-	// Of opReport; Report also of opExpire and opRelease, where it is the last report that was applied.
+	// Fields of opReport. opExpire and opRelease set Report too: they only take effect if that was the last report
+	// from the lease holder.
 	Name        string // of the front end
-	Report      uint64 // the report's number, higher with each
-	Grant       uint64 // the grant that is in force at the lease holder; 0: it has no lease
-	StaticGrant uint64 // the grant of the static allocations that is in force at the lease holder
-	BaseReport  uint64 // the report to which this one lists the changes; 0: it lists everything
-	Leaving     bool   // the lease holder spends nothing any more, of its static allocations neither
-	Version     uint64 // of the lease holder's settings; of opOpen the authority's
-	Set         []byte // the lease holder's settings, if they may be newer than the authority's
+	Report      uint64 // the report's number, which increases
+	Grant       uint64 // the grant in force at the lease holder; 0: it has no lease
+	StaticGrant uint64 // the grant of static allocations in force at the lease holder
+	BaseReport  uint64 // the report relative to which this one lists changes; 0: it lists everything
+	Leaving     bool   // the lease holder has stopped spending, from its static allocations too
+	Version     uint64 // of the lease holder's settings; for opOpen of the authority's
+	Set         []byte // the lease holder's encoded settings, if they may be newer than the authority's
 	Demands     []subjectDemand
 
-	// Of opExpire and opRelease.
+	// Fields of opExpire and opRelease.
 	Holder     replication.Incarnation
-	DrainTime  monotime.Micros // of opRelease: work with at most this drain time has finished
-	Superseded bool            // of opRelease: the incarnation has ended, so its static allocations are released too
+	DrainTime  monotime.Micros // opRelease: work with at most this drain time has finished
+	Superseded bool            // opRelease: the incarnation has ended, so its static allocations are released too
 
-	// Of opOpen.
+	// Field of opOpen.
 	Budget string
 }
 
-// subjectDemand is what a report says of one subject's budget, in thousandths of a unit.
+// subjectDemand is the part of a report about one subject's budget, in thousandths of a unit.
 type subjectDemand struct {
 	Budget, Subject string
 	Demand          int64 // per second for rates
@@ -55,7 +56,8 @@
 
 func (d *subjectDemand) key() subjectKey { return subjectKey{d.Budget, d.Subject} }
 
-// Bytes to make room for when a message is encoded: for all of it but its lists, and for each entry of a list.
+// Estimated sizes of encoded messages in bytes, for the capacity of buffers: of a message without its lists, and of a
+// list entry.
 const (
 	messageSizeHint = 64
 	entrySizeHint   = 32
@@ -102,20 +104,20 @@
 // reportResponse is the response to a report.
 type reportResponse struct {
 	Report           uint64 // the report's number
-	OutOfOrder       bool   // a later report was applied before it, or not its base: it was ignored
-	LeaseExpired     bool   // the lease of the grant that the report names has expired and must not be used
-	UnknownHolder    bool   // the authority has no record of the lease holder: its static allocations have ended too
+	OutOfOrder       bool   // ignored: a later report was applied already, or the base report was not the last one
+	LeaseExpired     bool   // the lease of the grant in the report has expired and must not be used
+	UnknownHolder    bool   // the authority has no record of the lease holder: its static allocations are void too
 	Grant            uint64 // the log index of the grant
 	StaticGrant      uint64 // the log index of the grant of the static allocations
 	Lease            monotime.Micros
 	Version          uint64          // of the authority's settings
-	Set              []byte          // the authority's settings, if they are not the lease holder's
-	SettingsConflict bool            // the lease holder's settings have the authority's version but differ
-	Amounts          []grantedAmount // the leased ones that differ from the grant in the report; all static ones
-	NotInForce       []string        // the budgets that were added in service and are not in force yet
+	Set              []byte          // the authority's settings, if they differ from the lease holder's
+	SettingsConflict bool            // the lease holder's settings are incompatible, or differ under the same version
+	Amounts          []grantedAmount // leased amounts that differ from the grant in the report; all static ones
+	NotInForce       []string        // budgets that were added in service and are not in force yet
 }
 
-// grantedAmount is what a lease holder may spend of one subject's budget, or of its static allocation of a budget.
+// grantedAmount is what a lease holder may spend of one subject's budget, by lease or as a static allocation.
 type grantedAmount struct {
 	Budget, Subject string
 	Static          bool
@@ -136,7 +138,7 @@
 	return r, f.Err()
 }
 
-// fields lists the fields in the order in which they have always been encoded, which is not that of their numbers.
+// fields lists the fields in encoding order, which has to stay as it is and is not that of the field numbers.
 func (r *reportResponse) fields(f *fieldcodec.Fields) {
 	fieldcodec.Uint(f, 1, &r.Report)
 	f.Bool(2, &r.OutOfOrder)
--- a/fleet/budget/plan.go
+++ b/fleet/budget/plan.go
@@ -6,18 +6,18 @@
 	"chutechute/internal/monotime"
 )
 
-// Plan is what the settings of a budget come to, for who writes them. Amounts are in units, per second for rates.
+// Plan shows operators how the settings of a budget divide its total. Amounts are in units, per second for rates.
 type Plan struct {
 	Name            string  `json:"name"`
 	Kind            string  `json:"kind"`
 	Total           float64 `json:"whole"`
-	Divided         float64 `json:"divided"`   // by demand
-	Static          float64 `json:"static"`    // of each front end
-	NewcomerReserve float64 `json:"newcomers"` // reserved for who has no allocation yet
-	MaxRecoveryTime string  `json:"lost"`      // how long what a lost front end had is unavailable, at most
+	Divided         float64 `json:"divided"`   // the part that is divided by demand
+	Static          float64 `json:"static"`    // the static allocation of each front end
+	NewcomerReserve float64 `json:"newcomers"` // reserved for front ends without an allocation
+	MaxRecoveryTime string  `json:"lost"`      // the longest time until what a lost front end had is available again
 }
 
-// Plan returns what the settings of all budgets come to.
+// Plan returns the plans of all budgets.
 func (s *Set) Plan() (plans []Plan) {
 	for i := range s.Specs {
 		plans = append(plans, s.Specs[i].plan(s))
--- a/fleet/budget/report.go
+++ b/fleet/budget/report.go
@@ -5,7 +5,7 @@
 	"chutechute/fleet/replication"
 )
 
-// applyReport records what a lease holder reports, and grants it its share anew.
+// applyReport records a report of a lease holder and updates its grant.
 func (a *Authority) applyReport(incarnation replication.Incarnation, report *command) (response reportResponse) {
 	response.Report = report.Report
 	a.adoptSettings(report, &response)
@@ -52,24 +52,24 @@
 	return response
 }
 
-// confirmation is what a report says of the last grant.
+// confirmation is what a report shows about the last grant.
 type confirmation int
 
 const (
-	grantExpired   confirmation = iota // the report names a grant whose lease has expired
+	grantExpired   confirmation = iota // the lease of the grant in the report has expired
 	grantPending                       // the lease holder has not received the last grant yet
-	grantConfirmed                     // the last grant is in force at the lease holder, or nothing is
+	grantConfirmed                     // the last grant is in force at the lease holder, or it has no lease
 )
 
 // confirmGrant records which grant is in force at a lease holder.
 func (a *Authority) confirmGrant(h *holderRecord, report *command) confirmation {
 	switch {
-	case report.Grant == 0: // its lease has ended, and only what is in use counts
+	case report.Grant == 0: // it has no lease, so only what is in use counts
 		h.expired, h.grant, h.previousGrant = false, 0, 0
-		a.updateAll(h, func(o *allocation) { o.grantPair = grantPair{} })
+		a.updateAll(h, func(alloc *allocation) { alloc.grantPair = grantPair{} })
 		return grantConfirmed
 	case report.Grant == h.grant && !h.expired:
-		a.updateAll(h, func(o *allocation) { o.previous = o.current })
+		a.updateAll(h, func(alloc *allocation) { alloc.confirmed = alloc.granted })
 		return grantConfirmed
 	case report.Grant == h.previousGrant && !h.expired:
 		return grantPending
@@ -77,31 +77,32 @@
 	return grantExpired
 }
 
-// recordDemands records the demand and what is in use according to a report.
+// recordDemands records the demand and the use of a report. A report without a base report lists everything, so what it
+// does not list is zero.
 func (a *Authority) recordDemands(h *holderRecord, report *command) {
 	for _, d := range report.Demands {
-		o := a.findOrAddAllocation(h, d.key())
-		if o == nil {
+		alloc := a.findOrAddAllocation(h, d.key())
+		if alloc == nil {
 			continue
 		}
-		o.listedIn = report.Report
-		a.setDemand(o, d.Demand)
-		if o.subject.kind != account.Rate {
-			a.update(o, func() { o.inUse = d.InUse })
+		alloc.listedIn = report.Report
+		a.setDemand(alloc, d.Demand)
+		if alloc.subject.kind != account.Rate {
+			a.update(alloc, func() { alloc.inUse = d.InUse })
 		}
 	}
 	if report.BaseReport != 0 {
 		return
 	}
-	for _, o := range h.allocations {
-		if o.listedIn != report.Report {
-			a.setDemand(o, 0)
-			a.update(o, func() { o.inUse = 0 })
+	for _, alloc := range h.allocations {
+		if alloc.listedIn != report.Report {
+			a.setDemand(alloc, 0)
+			a.update(alloc, func() { alloc.inUse = 0 })
 		}
 	}
 }
 
-// leave records that a lease holder has given everything back. Its record stays while something is in use.
+// leave records that a lease holder has stopped spending. Its record stays while something is in use.
 func (a *Authority) leave(h *holderRecord) {
 	a.returnStatic(h)
 	a.removeUnused(h)
@@ -110,13 +111,13 @@
 	}
 }
 
-// grant computes all allocations of a lease holder, and numbers the grant if something has changed.
+// grant recomputes all allocations of a lease holder. If one has changed, the grant gets a new number.
 func (a *Authority) grant(h *holderRecord) {
 	changed := h.grant == 0
-	for _, o := range h.allocations {
-		if amount := a.allocate(o); amount != o.current {
+	for _, alloc := range h.allocations {
+		if amount := a.allocate(alloc); amount != alloc.granted {
 			changed = true
-			a.update(o, func() { o.current = amount })
+			a.update(alloc, func() { alloc.granted = amount })
 		}
 	}
 	if changed {
@@ -124,18 +125,19 @@
 	}
 }
 
-// addGrants adds what a lease holder may spend to a response: of the leased amounts those that it has not confirmed.
+// addGrants adds what a lease holder may spend to a response: all static allocations, and the leased amounts that it
+// has not confirmed yet.
 func (a *Authority) addGrants(h *holderRecord, response *reportResponse) {
 	response.Grant, response.StaticGrant = h.grant, h.staticGrant
 	response.Lease, response.Version = a.set.Lease, a.set.Version
-	for _, o := range h.allocations {
-		if o.current != o.previous {
+	for _, alloc := range h.allocations {
+		if alloc.granted != alloc.confirmed {
 			response.Amounts = append(response.Amounts,
-				grantedAmount{Budget: o.key.budget, Subject: o.key.subject, Amount: o.current})
+				grantedAmount{Budget: alloc.key.budget, Subject: alloc.key.subject, Amount: alloc.granted})
 		}
 	}
 	for _, name := range sortedKeys(h.statics) {
 		response.Amounts = append(response.Amounts,
-			grantedAmount{Budget: name, Static: true, Amount: h.statics[name].current})
+			grantedAmount{Budget: name, Static: true, Amount: h.statics[name].granted})
 	}
 }
--- a/fleet/budget/snapshot.go
+++ b/fleet/budget/snapshot.go
@@ -11,7 +11,7 @@
 	"chutechute/internal/monotime"
 )
 
-// AppendSnapshot appends the whole state to b. Nothing is appended before the first report.
+// AppendSnapshot appends the encoded state to b. Before the first report it appends nothing.
 func (a *Authority) AppendSnapshot(b []byte) []byte {
 	if a.set == nil {
 		return b
@@ -21,8 +21,8 @@
 	return f.Bytes()
 }
 
-// Restore replaces the state by a snapshot's. Time spans start again now, so that nothing expires or opens early. The
-// error wraps fieldcodec.ErrMalformed or ErrInvalidSet; the state is undefined after it.
+// Restore replaces the state with that of a snapshot. All time spans are counted from now, so that nothing expires or
+// opens early. The error wraps fieldcodec.ErrMalformed or ErrInvalidSet; after an error the state is undefined.
 func (a *Authority) Restore(b []byte, now monotime.Micros) error {
 	*a = *NewAuthority(a.options)
 	a.now = now
@@ -45,7 +45,8 @@
 	return nil
 }
 
-// restoreStaticSums computes the sums of static allocations, which are not part of a snapshot. It is no change.
+// restoreStaticSums computes the sums of static allocations, which are not part of a snapshot. It leaves changedAt as
+// it was, because nothing has changed.
 func (a *Authority) restoreStaticSums() {
 	changedAt := map[string]uint64{}
 	for name, b := range a.budgets {
@@ -57,7 +58,7 @@
 	}
 }
 
-// fields lists the parts of a snapshot. Later parts refer to earlier ones.
+// fields lists the parts of a snapshot. The order matters, because later parts refer to earlier ones.
 func (a *Authority) fields(f *fieldcodec.Fields) {
 	f.Copied(1, &a.encodedSet)
 	if f.Decoding(1) {
@@ -70,8 +71,8 @@
 	records(f, 4, slices.Values(a.holders), (*holderRecord).fields, a.restoreHolder)
 }
 
-// records is a repeated field of records that are referred to by pointers. Encoding takes all of them; decoding gives
-// each one to restore.
+// records encodes or decodes a repeated field whose records are kept as pointers. Encoding iterates over all of them;
+// decoding passes each decoded record to restore.
 func records[T any](
 	f *fieldcodec.Fields, number protowire.Number, all iter.Seq[*T],
 	fields func(*T, *fieldcodec.Fields), restore func(*T) error,
@@ -88,7 +89,7 @@
 	}
 }
 
-// inOrder returns the values of a map in the order of its keys, which is computed only when it is iterated over.
+// inOrder returns the values of a map in the order of its keys. The order is only computed on iteration.
 func inOrder[K comparable, V any](m map[K]V, keys func(map[K]V) []K) iter.Seq[V] {
 	return func(yield func(V) bool) {
 		for _, key := range keys(m) {
@@ -115,16 +116,16 @@
 	return nil
 }
 
-// restoreHolder adds a lease holder, and its allocations to the subjects' sums. As lease holders come in the order of
-// their incarnations, so do the subjects' allocations.
+// restoreHolder adds a lease holder, and adds its allocations to their subjects. Lease holders are restored in the
+// order of their incarnations, so each subject's allocations are in that order too.
 func (a *Authority) restoreHolder(h *holderRecord) error {
-	for _, o := range h.allocations {
-		if o.subject = a.subjects[o.key]; o.subject == nil {
+	for _, alloc := range h.allocations {
+		if alloc.subject = a.subjects[alloc.key]; alloc.subject == nil {
 			return fieldcodec.ErrMalformed
 		}
-		o.holder = h
-		o.subject.allocations = append(o.subject.allocations, o)
-		o.subject.outstanding = o.subject.outstanding.Add(o.outstanding())
+		alloc.holder = h
+		alloc.subject.allocations = append(alloc.subject.allocations, alloc)
+		alloc.subject.outstanding = alloc.subject.outstanding.Add(alloc.outstanding())
 	}
 	h.expiredSince = a.now
 	h.leaseExpiresAt = a.now + withMargin(h.longestLease)
@@ -149,7 +150,7 @@
 }
 
 func (h *holderRecord) fields(f *fieldcodec.Fields) {
-	if h.statics == nil { // a new record, which is decoded
+	if h.statics == nil { // a new record for decoding
 		h.statics = map[string]*staticAllocation{}
 	}
 	fieldcodec.Uint(f, 1, &h.incarnation)
@@ -170,8 +171,8 @@
 	return nil
 }
 
-func (h *holderRecord) restoreAllocation(o *allocation) error {
-	h.allocations = append(h.allocations, o)
+func (h *holderRecord) restoreAllocation(alloc *allocation) error {
+	h.allocations = append(h.allocations, alloc)
 	return nil
 }
 
@@ -180,20 +181,20 @@
 	s.grantPair.fields(f)
 }
 
-func (o *allocation) fields(f *fieldcodec.Fields) {
-	f.String(1, &o.key.budget)
-	f.String(2, &o.key.subject)
-	o.grantPair.fields(f)
-	fieldcodec.IntUpTo(f, 7, &o.inUse, maxNumber)
-	fieldcodec.IntUpTo(f, 8, &o.demand, maxNumber)
-	fieldcodec.Uint(f, 9, &o.listedIn)
-	fieldcodec.Uint(f, 10, &o.dividedAt)
-	fieldcodec.Uint(f, 11, &o.rotation)
+func (alloc *allocation) fields(f *fieldcodec.Fields) {
+	f.String(1, &alloc.key.budget)
+	f.String(2, &alloc.key.subject)
+	alloc.grantPair.fields(f)
+	fieldcodec.IntUpTo(f, 7, &alloc.inUse, maxNumber)
+	fieldcodec.IntUpTo(f, 8, &alloc.demand, maxNumber)
+	fieldcodec.Uint(f, 9, &alloc.listedIn)
+	fieldcodec.Uint(f, 10, &alloc.computedAt)
+	fieldcodec.Uint(f, 11, &alloc.rotation)
 }
 
 func (p *grantPair) fields(f *fieldcodec.Fields) {
-	fieldcodec.IntUpTo(f, 3, &p.previous.Capacity, maxNumber)
-	fieldcodec.IntUpTo(f, 4, &p.previous.Rate, maxNumber)
-	fieldcodec.IntUpTo(f, 5, &p.current.Capacity, maxNumber)
-	fieldcodec.IntUpTo(f, 6, &p.current.Rate, maxNumber)
+	fieldcodec.IntUpTo(f, 3, &p.confirmed.Capacity, maxNumber)
+	fieldcodec.IntUpTo(f, 4, &p.confirmed.Rate, maxNumber)
+	fieldcodec.IntUpTo(f, 5, &p.granted.Capacity, maxNumber)
+	fieldcodec.IntUpTo(f, 6, &p.granted.Rate, maxNumber)
 }
--- a/fleet/budget/spec.go
+++ b/fleet/budget/spec.go
@@ -14,29 +14,29 @@
 // Amount is a part of a budget; see package account.
 type Amount = account.Amount
 
-// Spec is the configuration of one budget. Where its scope names many subjects (every tenant, every engine), each of
-// them has the total for itself.
+// Spec is the configuration of one budget. If its scope covers many subjects (every tenant or every engine), the total
+// applies to each of them separately.
 type Spec struct {
 	Name               string
 	Kind               account.Kind
-	Total              Amount          // of all front ends
+	Total              Amount          // of all front ends together
 	Window             monotime.Micros // the length of the sliding window; of Window budgets only
-	MaxAttemptDuration monotime.Micros // the longest that a front end polls for what uses a concurrency limit
+	MaxAttemptDuration monotime.Micros // Concurrency: the longest time for which an attempt is polled
 	StaticShare        int64           // thousandths of the total that are divided evenly as static allocations
-	NewcomerReserve    int64           // thousandths of the total that are reserved for who has no allocation yet
+	NewcomerReserve    int64           // thousandths of the total reserved for front ends without an allocation
 	Floor              int64           // thousandths of the total that each front end with demand gets first
-	MinAllocation      int64           // the smallest allocation that is of use, in thousandths of a unit
+	MinAllocation      int64           // the smallest usable allocation, in thousandths of a unit
 	Weights            []Weight
-	Scope              []byte // what the budget applies to, as in the settings; it plays no part in the division
+	Scope              []byte // what the budget applies to, as in the settings; the division ignores it
 }
 
 // Weight gives a front end a larger or a smaller share.
 type Weight struct {
-	FrontEnd    string // of the front end
-	Thousandths int64  // thousandths of the default
+	FrontEnd    string // the front end's name
+	Thousandths int64  // thousandths of the default weight
 }
 
-// drainTime returns how long what was spent under a lease counts after the lease has expired, in microseconds.
+// drainTime returns for how long expenses under a lease still count after the lease has expired.
 func (s *Spec) drainTime() monotime.Micros {
 	switch s.Kind {
 	case account.Concurrency:
@@ -47,7 +47,7 @@
 	return 0
 }
 
-// permille is all of something, in thousandths.
+// permille is a whole in thousandths, which is the unit of shares.
 const permille = 1000
 
 // thousandths returns n thousandths of an amount.
@@ -55,10 +55,10 @@
 	return Amount{Capacity: amount.Capacity * n / permille, Rate: amount.Rate * n / permille}
 }
 
-// newcomerReserve returns what of the total is reserved for who has no allocation yet.
+// newcomerReserve returns the part of the total that is reserved for front ends without an allocation.
 func (s *Spec) newcomerReserve() Amount { return thousandths(s.Total, s.NewcomerReserve) }
 
-// staticAllocation returns the static allocation of one front end of as many as there may be.
+// staticAllocation returns the static allocation of each front end if there are maxFrontEnds of them.
 func (s *Spec) staticAllocation(maxFrontEnds int) Amount {
 	n := int64(maxFrontEnds)
 	amount := thousandths(s.Total, s.StaticShare)
@@ -82,12 +82,12 @@
 	return permille
 }
 
-// Set is all budgets of one version of the settings.
+// Set is one version of the settings of all budgets.
 type Set struct {
 	Version      uint64
 	Lease        monotime.Micros // the duration of leases
-	MaxFrontEnds int             // how many front ends there may be at a time
-	Specs        []Spec          // by name
+	MaxFrontEnds int             // the largest number of front ends at a time
+	Specs        []Spec          // sorted by name
 }
 
 // MaxSpecs is the largest number of budgets in a Set.
@@ -106,10 +106,10 @@
 	maxWeight      = 1_000_000 // thousandths
 )
 
-// ErrInvalidSet is the error of a Set that cannot be used.
+// ErrInvalidSet is returned for a Set that cannot be used.
 var ErrInvalidSet = errors.New("budget: invalid set of budgets")
 
-// Check returns an error that wraps ErrInvalidSet and says what of the set cannot be used, or nil.
+// Check returns nil for a valid set, and otherwise an error that wraps ErrInvalidSet and describes the problem.
 func (s *Set) Check() error {
 	valid := s.Version != 0 && s.Lease >= minLease && s.Lease <= maxLease &&
 		s.MaxFrontEnds >= 1 && s.MaxFrontEnds <= maxFrontEnds && len(s.Specs) <= MaxSpecs
@@ -127,13 +127,13 @@
 	return nil
 }
 
-// valid reports whether a budget can be divided among as many front ends as there may be.
+// valid reports whether a budget can be divided among up to maxFrontEnds front ends.
 func (s *Spec) valid(maxFrontEnds int) bool {
 	return s.Name != "" && len(s.Name) <= maxNameLength && len(s.Scope) <= maxScopeLength &&
 		s.validLimit() && s.validShares(maxFrontEnds) && s.validWeights(maxFrontEnds)
 }
 
-// validLimit reports whether the total and the time spans are within bounds and fit the kind.
+// validLimit reports whether the total and the time spans are within their limits and match the budget's kind.
 func (s *Spec) validLimit() bool {
 	return s.Kind >= account.Rate && s.Kind <= account.Window &&
 		s.Total.Capacity >= 1 && s.Total.Capacity <= maxTotal &&
@@ -142,7 +142,7 @@
 		s.MaxAttemptDuration >= 0 && s.MaxAttemptDuration <= maxAttempt
 }
 
-// validShares reports whether what is reserved in one way or another is no more than the total.
+// validShares reports whether static allocations, newcomer reserve and floors add up to no more than the total.
 func (s *Spec) validShares(maxFrontEnds int) bool {
 	return s.StaticShare >= 0 && s.NewcomerReserve >= 0 && s.Floor >= 0 && s.MinAllocation >= 1 &&
 		s.StaticShare+s.NewcomerReserve+s.Floor*int64(maxFrontEnds) <= permille
@@ -154,7 +154,7 @@
 	})
 }
 
-// Lookup returns the budget with a name, or nil.
+// Lookup returns the named budget, or nil if there is none.
 func (s *Set) Lookup(name string) *Spec {
 	i, ok := slices.BinarySearchFunc(s.Specs, name, func(spec Spec, name string) int {
 		return cmp.Compare(spec.Name, name)
--- a/fleet/budget/spec_codec.go
+++ b/fleet/budget/spec_codec.go
@@ -2,7 +2,7 @@
 
 import "chutechute/internal/fieldcodec"
 
-// maxNumber is the limit to which larger decoded numbers are cut, so that sums and products of them cannot overflow.
+// maxNumber is the largest decoded number. Larger ones are reduced to it, so that sums and products cannot overflow.
 const maxNumber = 1 << 56
 
 // Encode returns the set's bytes. The encoding is deterministic: equal sets have equal bytes.
--- a/fleet/budget/static.go
+++ b/fleet/budget/static.go
@@ -2,14 +2,14 @@
 
 import "chutechute/internal/monotime"
 
-// staticAllocation is a lease holder's static allocation of one budget, which it has for each subject of the budget.
+// staticAllocation is a lease holder's static allocation of one budget. It applies to each subject of the budget.
 type staticAllocation struct {
 	budget string
 	grantPair
 }
 
-// assignStatic assigns static allocations to a lease holder, unless as many front ends as there may be have them. What
-// others have not given back yet of a budget cannot be assigned.
+// assignStatic assigns static allocations to a lease holder, unless MaxFrontEnds lease holders have them already. What
+// others have not given back yet cannot be assigned.
 func (a *Authority) assignStatic(h *holderRecord) {
 	if !h.hasStatic && a.holdersWithStatic() >= a.set.MaxFrontEnds {
 		return
@@ -32,10 +32,10 @@
 	return n
 }
 
-// grantStatic brings a lease holder's static allocations to the settings, as far as parts are available. It reports
-// whether something changed.
+// grantStatic sets a lease holder's static allocations as the settings require, as far as enough is available. It
+// reports whether an allocation changed.
 func (a *Authority) grantStatic(h *holderRecord) (changed bool) {
-	var leased map[string]Amount // computed when it is first needed
+	var leased map[string]Amount // computed when first needed
 	for i := range a.set.Specs {
 		spec := &a.set.Specs[i]
 		b := a.budgets[spec.Name]
@@ -48,26 +48,26 @@
 			h.statics[spec.Name] = allocation
 		}
 		target := spec.staticAllocation(a.set.MaxFrontEnds)
-		if target == allocation.current {
+		if target == allocation.granted {
 			continue
 		}
 		if leased == nil {
 			leased = a.maxLeased()
 		}
 		available := spec.Total.Sub(leased[spec.Name]).Sub(b.staticOutstanding).Max(Amount{})
-		target = target.Min(allocation.previous.Add(available))
+		target = target.Min(allocation.confirmed.Add(available))
 		if target.Capacity < spec.MinAllocation {
 			target = Amount{}
 		}
-		if target != allocation.current {
-			allocation.current, changed = target, true
+		if target != allocation.granted {
+			allocation.granted, changed = target, true
 			a.sumStaticAllocations()
 		}
 	}
 	return changed
 }
 
-// maxLeased returns, for each budget, the most that is leased of one subject.
+// maxLeased returns, for each budget, the largest amount that is leased for one subject.
 func (a *Authority) maxLeased() map[string]Amount {
 	leased := map[string]Amount{}
 	for _, s := range a.subjects {
@@ -76,37 +76,37 @@
 	return leased
 }
 
-// withdrawRemovedStatic withdraws a lease holder's static allocations of budgets that have been removed. It reports
-// whether there are any.
+// withdrawRemovedStatic withdraws a lease holder's static allocations of budgets that are no longer in the settings. It
+// reports whether there were any.
 func (a *Authority) withdrawRemovedStatic(h *holderRecord) (changed bool) {
 	for name, allocation := range h.statics {
-		if a.set.Lookup(name) == nil && allocation.current != (Amount{}) {
-			allocation.current, changed = Amount{}, true
+		if a.set.Lookup(name) == nil && allocation.granted != (Amount{}) {
+			allocation.granted, changed = Amount{}, true
 		}
 	}
 	return changed
 }
 
-// confirmStatic records that a lease holder has the static allocations in force that it was last granted.
+// confirmStatic records that the last grant of static allocations is in force at a lease holder.
 func (a *Authority) confirmStatic(h *holderRecord) {
 	changed := false
 	for _, allocation := range h.statics {
-		changed = changed || allocation.previous != allocation.current
-		allocation.previous = allocation.current
+		changed = changed || allocation.confirmed != allocation.granted
+		allocation.confirmed = allocation.granted
 	}
 	if changed {
 		a.sumStaticAllocations()
 	}
 }
 
-// returnStatic records that a lease holder has given back its static allocations.
+// returnStatic records that a lease holder has given its static allocations back.
 func (a *Authority) returnStatic(h *holderRecord) {
 	clear(h.statics)
 	h.hasStatic = false
 	a.sumStaticAllocations()
 }
 
-// releaseStatic releases the static allocations of a superseded incarnation with a drain time of no more than elapsed.
+// releaseStatic releases the static allocations of a superseded incarnation whose drain time is at most elapsed.
 func (a *Authority) releaseStatic(h *holderRecord, elapsed monotime.Micros) {
 	for name := range h.statics {
 		spec := a.set.Lookup(name)
@@ -133,8 +133,8 @@
 	}
 }
 
-// staticSums returns what may be in force of a budget's static allocations, and what is reserved for them: also for
-// those that are not assigned.
+// staticSums returns the sum of a budget's static allocations that may be in force, and what is reserved for static
+// allocations, including those that are not assigned yet.
 func (a *Authority) staticSums(spec *Spec) (outstanding, reserved Amount) {
 	each := spec.staticAllocation(a.set.MaxFrontEnds)
 	unassigned := int64(a.set.MaxFrontEnds)
--- a/fleet/budget/status.go
+++ b/fleet/budget/status.go
@@ -7,20 +7,20 @@
 	"chutechute/internal/monotime"
 )
 
-// Status is the state of a budget, for operators. Amounts are in units: queries, threads or milliseconds of work, per
-// second for rates.
+// Status is the state of a budget, shown to operators. Amounts are in units: queries, threads or milliseconds of work,
+// per second for rates.
 type Status struct {
 	Name            string          `json:"name"`
 	Kind            string          `json:"kind"`
 	Total           float64         `json:"whole"`
 	Burst           float64         `json:"burst,omitempty"`
 	WindowMS        int64           `json:"window_ms,omitempty"`
-	StaticReserve   float64         `json:"reserve"`     // for static allocations, whether they are assigned or not
-	NewcomerReserve float64         `json:"newcomers"`   // reserved for who has no allocation yet
-	Open            bool            `json:"open"`        // granted: a new authority waits for earlier grants to expire
-	InForce         bool            `json:"in_force"`    // no more is outstanding than the total
+	StaticReserve   float64         `json:"reserve"`     // reserved for static allocations, assigned or not
+	NewcomerReserve float64         `json:"newcomers"`   // reserved for front ends without an allocation
+	Open            bool            `json:"open"`        // false: a new authority waits for earlier grants to expire
+	InForce         bool            `json:"in_force"`    // no more than the total is outstanding
 	InForceMS       int64           `json:"in_force_ms"` // for how long it has been in force, by this replica's clock
-	Subjects        []SubjectStatus `json:"subjects"`    // maxShownSubjects at most
+	Subjects        []SubjectStatus `json:"subjects"`    // at most maxShownSubjects
 }
 
 // SubjectStatus is the division of one subject's budget.
@@ -34,18 +34,18 @@
 // HolderStatus is one lease holder's allocation of a subject's budget.
 type HolderStatus struct {
 	Name        string  `json:"name"`    // of the front end
-	Incarnation string  `json:"process"` // the incarnation, hexadecimal
-	Demand      float64 `json:"want"`    // demand
+	Incarnation string  `json:"process"` // the incarnation in hexadecimal
+	Demand      float64 `json:"want"`    // the reported demand
 	Granted     float64 `json:"granted"`
-	Outstanding float64 `json:"counted"` // outstanding: what may be in force, or in use
+	Outstanding float64 `json:"counted"` // what counts against the total: what may be in force, or is in use
 	InUse       float64 `json:"in_use"`
 	Expired     bool    `json:"lapsed"` // the lease has expired; what was spent under it may still be in use
 }
 
-// maxShownSubjects bounds the subjects of a budget in its Status.
+// maxShownSubjects is the largest number of a budget's subjects in its Status.
 const maxShownSubjects = 100
 
-// units returns the quantity of an amount in units, per second for rates.
+// units returns in units the rate of an amount for rate budgets, and otherwise its capacity.
 func (s *Spec) units(amount Amount) float64 {
 	if s.Kind == account.Rate {
 		return inUnits(amount.Rate)
@@ -55,7 +55,7 @@
 
 func inUnits(thousandths int64) float64 { return float64(thousandths) / account.Unit }
 
-// Status returns the state of the budget with a name, or of all budgets if the name is empty. now is the time of this
+// Status returns the state of the named budget, or of all budgets if the name is empty. now is the time by this
 // replica's clock.
 func (a *Authority) Status(now monotime.Micros, name string) []Status {
 	list := []Status{}
@@ -105,15 +105,15 @@
 		Free:    spec.units(spec.Total.Sub(s.outstanding).Sub(b.staticReserved)),
 		Holders: []HolderStatus{},
 	}
-	for _, o := range s.allocations {
+	for _, alloc := range s.allocations {
 		status.Holders = append(status.Holders, HolderStatus{
-			Name:        o.holder.name,
-			Incarnation: fmt.Sprintf("%016x", uint64(o.holder.incarnation)),
-			Demand:      inUnits(o.demand),
-			Granted:     spec.units(o.current),
-			Outstanding: spec.units(o.outstanding()),
-			InUse:       inUnits(o.inUse),
-			Expired:     o.holder.expired,
+			Name:        alloc.holder.name,
+			Incarnation: fmt.Sprintf("%016x", uint64(alloc.holder.incarnation)),
+			Demand:      inUnits(alloc.demand),
+			Granted:     spec.units(alloc.granted),
+			Outstanding: spec.units(alloc.outstanding()),
+			InUse:       inUnits(alloc.inUse),
+			Expired:     alloc.holder.expired,
 		})
 	}
 	return status
