--- a/fleet/budget/account/account.go
+++ b/fleet/budget/account/account.go
@@ -1,47 +1,48 @@
-// Package account is one front end's balance of one budget: what it may spend of the total, by a lease that expires and
-// by a static allocation that does not, and what it has spent. It is plain state without I/O, clock or goroutines,
-// and spending takes no message, lock or allocation.
+// Package account keeps one front end's accounts of budgets: what it may spend, under a lease that expires and from a
+// static allocation that does not, and what it has spent. An account is plain state without I/O, clock or goroutines.
+// Spending sends no messages, takes no locks and allocates no memory.
 //
-// In terms of true time, for the amounts that are set and as long as this machine's clock runs no faster than
-// ClockDriftDivisor allows:
+// For the amounts that are set, an account keeps the following limits in true time, as long as this machine's clock
+// runs no faster than ClockDriftDivisor allows:
 //
-//   - Rate: what is spent within any time span w is at most Rate·w + Capacity. An amount that grows brings no tokens
-//     with it, and one that shrinks takes them away, so tokens that move between front ends are gone from one before
-//     the other has them.
-//   - Concurrency: at every instant at most Capacity is in use under the amounts. An amount that shrinks below what is
-//     in use takes nothing away, and lets nothing start until enough has been released.
-//   - Window: within any time span of the window's length at most Capacity is spent.
-//   - Nothing is spent from an expired lease.
+//   - Rate: within any time span w, at most Rate·w + Capacity is spent. An increase adds no tokens, and a decrease
+//     removes those above the new burst. So when a rate moves between front ends, one has lost its tokens before the
+//     other gets any.
+//   - Concurrency: at every instant, at most Capacity is in use. If Capacity is reduced below what is in use, nothing
+//     is interrupted, but nothing more can start until enough has been released.
+//   - Window: within any time span of the window's length, at most Capacity is spent.
+//   - Nothing is spent under an expired lease.
 package account
 
 import "chutechute/internal/monotime"
 
-// windowSlots is the resolution of a sliding window: an expense counts until the end of its slot is a window ago.
+// windowSlots is the number of slots of a sliding window. An expense counts until a window has passed since the end of
+// its slot.
 const windowSlots = 32
 
-// noDeadline is the deadline of what is spent without a lease.
-const noDeadline monotime.Micros = 1 << 62
+// noExpiry is what Spend returns if nothing was spent from the lease, so that the work may start at any time.
+const noExpiry monotime.Micros = 1 << 62
 
-// Account is one front end's balance of one subject's budget.
+// Account is one front end's account of one subject's budget.
 type Account struct {
 	kind           Kind
-	window         monotime.Micros // by this clock, with the drift
+	window         monotime.Micros // the window's length, extended by the drift of this machine's clock
 	leaseExpiresAt monotime.Micros
 	lease          tokenBucket
 	static         tokenBucket
 
-	earned      int64 // of a rate: earned here and not spent yet, in thousandths
-	inUse       int64 // in use now, or spent within the window
+	earned      int64 // of a rate: earned with Earn and not spent yet, in thousandths of a unit
+	inUse       int64 // in use now, or spent within the window, in thousandths of a unit
 	spentInSlot [windowSlots + 1]int64
 	currentSlot int64
 	demand      demand
 
-	// promisedUntil is the time up to which future tokens were promised to rejected requests by RetryAfter.
+	// promisedUntil is the time until which RetryAfter has assigned future tokens to rejected requests.
 	promisedUntil monotime.Micros
 
-	// Spent is what was spent over the account's life, in thousandths of a unit.
+	// Spent is the total that was spent from the account, in thousandths of a unit.
 	Spent int64
-	// Denied is the number of requests that were rejected over the account's life; the owner counts it.
+	// Denied is the number of requests that were rejected. The owner of the account counts them.
 	Denied int
 }
 
@@ -50,30 +51,33 @@
 	return &Account{kind: kind, window: window + window/ClockDriftDivisor}
 }
 
-// slowed returns the amount with the rate that is safe by a clock that may run fast by the bound on drift.
-func (a *Account) slowed(amount Amount) Amount {
+// withDriftMargin returns the amount with a rate that is lower by the drift, so that it is kept even if this machine's
+// clock runs fast.
+func (a *Account) withDriftMargin(amount Amount) Amount {
 	amount.Rate -= (amount.Rate + ClockDriftDivisor - 1) / ClockDriftDivisor
 	return amount
 }
 
-// SetLease sets the leased amount, and when the lease expires.
+// SetLease sets the leased amount and the time at which the lease expires.
 func (a *Account) SetLease(now monotime.Micros, amount Amount, until monotime.Micros) {
 	a.expireLease(now)
-	a.lease.set(now, a.slowed(amount))
+	a.lease.set(now, a.withDriftMargin(amount))
 	a.leaseExpiresAt = until
 }
 
-// SetStatic sets the amount that needs no lease.
-func (a *Account) SetStatic(now monotime.Micros, amount Amount) { a.static.set(now, a.slowed(amount)) }
+// SetStatic sets the amount that can be spent without a lease.
+func (a *Account) SetStatic(now monotime.Micros, amount Amount) {
+	a.static.set(now, a.withDriftMargin(amount))
+}
 
-// expireLease drops the lease if it has expired. The tokens of the next lease start at zero.
+// expireLease removes the lease if it has expired. The next lease starts without tokens.
 func (a *Account) expireLease(now monotime.Micros) {
 	if now >= a.leaseExpiresAt && a.lease.Amount != (Amount{}) {
 		a.lease = tokenBucket{filledAt: now}
 	}
 }
 
-// advance brings the balance to the present: it expires the lease, fills token buckets and moves the window.
+// advance brings the account up to date: it expires the lease, fills the token buckets and moves the window.
 func (a *Account) advance(now monotime.Micros) {
 	a.expireLease(now)
 	switch a.kind {
@@ -85,7 +89,7 @@
 	}
 }
 
-// advanceWindow moves the sliding window's end to now and forgets what was spent before its start.
+// advanceWindow moves the end of the sliding window to now and drops what was spent before its start.
 func (a *Account) advanceWindow(now monotime.Micros) {
 	slot := now / (a.window/windowSlots + 1)
 	if slot-a.currentSlot > windowSlots {
@@ -100,10 +104,11 @@
 	}
 }
 
-// affords reports whether n is available: for a rate in one of its parts, otherwise in all of them together.
-func (a *Account) affords(n int64) bool {
+// isAvailable reports whether n thousandths of a unit are available. For a rate, a single one of the earned amount, the
+// static bucket and the leased bucket must cover it; for other kinds, the static and leased amounts count together.
+func (a *Account) isAvailable(n int64) bool {
 	if a.kind == Rate {
-		return a.earned >= n || a.lease.tokens >= n*tokensPerAmount || a.static.tokens >= n*tokensPerAmount
+		return a.earned >= n || a.lease.tokens >= n*tokensPerThousandth || a.static.tokens >= n*tokensPerThousandth
 	}
 	return a.inUse+n <= a.lease.Capacity+a.static.Capacity
 }
@@ -111,25 +116,26 @@
 // CanSpend reports whether n thousandths of a unit may be spent now.
 func (a *Account) CanSpend(now monotime.Micros, n int64) bool {
 	a.advance(now)
-	return a.affords(n)
+	return a.isAvailable(n)
 }
 
-// Spend spends n thousandths of a unit if they are available. What they were spent for may start until the time that
-// is returned, and not later.
+// Spend spends n thousandths of a unit if they are available. The work that they are spent for must start before the
+// returned time.
 func (a *Account) Spend(now monotime.Micros, n int64) (until monotime.Micros, ok bool) {
 	a.advance(now)
-	if !a.affords(n) {
+	if !a.isAvailable(n) {
 		return 0, false
 	}
-	until = noDeadline
+	until = noExpiry
 	switch a.kind {
 	case Rate:
 		if a.earned >= n {
 			a.earned -= n
-		} else if a.static.tokens >= n*tokensPerAmount { // first: it is small, and would otherwise be full and idle
-			a.static.tokens -= n * tokensPerAmount
+		} else if a.static.tokens >= n*tokensPerThousandth {
+			// The static bucket comes before the lease's. It is small and fills up soon, and a full bucket gains no tokens.
+			a.static.tokens -= n * tokensPerThousandth
 		} else {
-			a.lease.tokens -= n * tokensPerAmount
+			a.lease.tokens -= n * tokensPerThousandth
 			until = a.leaseExpiresAt
 		}
 	default:
@@ -142,8 +148,8 @@
 	return until, true
 }
 
-// RecordUnbounded records n thousandths of a unit as spent whether or not they are available. It is for a budget that
-// is not in force yet, so that what is in use is known when it comes into force.
+// RecordUnbounded records n thousandths of a unit as spent even if they are not available. It is used for budgets that
+// are not in force yet, so that what is in use is known when they come into force.
 func (a *Account) RecordUnbounded(now monotime.Micros, n int64) {
 	a.advance(now)
 	switch a.kind {
@@ -155,22 +161,22 @@
 	}
 }
 
-// MaxEarned bounds what is earned and not spent, in thousandths of a unit.
+// MaxEarned is the most that an account keeps of what it has earned, in thousandths of a unit.
 const MaxEarned = 2 * Unit
 
-// Earn adds n thousandths of a unit to a rate. What is earned belongs to this front end and is never leased: all front
-// ends together spend no more of it than they have earned by then, and MaxEarned each.
+// Earn credits n thousandths of a unit to a rate's account, which keeps at most MaxEarned. They are spent by this front
+// end only and never leased, so all front ends together never spend more of them than they have earned.
 func (a *Account) Earn(n int64) { a.earned = min(MaxEarned, a.earned+n) }
 
-// Release gives back n thousandths of a unit of a concurrency limit: what used them has certainly finished.
+// Release gives back n thousandths of a unit of a concurrency limit. What used them must certainly have finished.
 func (a *Account) Release(n int64) {
 	if a.kind == Concurrency {
 		a.inUse -= n
 	}
 }
 
-// InUseBeyondStatic returns what is in use, or was spent within the window, beyond the static allocation, in
-// thousandths of a unit.
+// InUseBeyondStatic returns by how many thousandths of a unit what is in use, or was spent within the window, exceeds
+// the static allocation.
 func (a *Account) InUseBeyondStatic(now monotime.Micros) int64 {
 	a.advance(now)
 	return max(0, a.inUse-a.static.Capacity)
@@ -182,21 +188,22 @@
 	return a.inUse
 }
 
-// RetryAfter returns how long a request that is rejected now should wait for n thousandths of a unit. Each caller gets
-// a time of its own. Zero means that the time is unknown.
+// RetryAfter returns how long a request that is rejected now should wait until n thousandths of a unit are available
+// for it. Each call counts on different future tokens, so that rejected requests do not all return at once. Zero means
+// that the time is unknown.
 func (a *Account) RetryAfter(now monotime.Micros, n int64) monotime.Micros {
 	rate := a.lease.Rate + a.static.Rate
 	if a.kind != Rate || rate <= 0 {
 		return 0
 	}
 	a.advance(now)
-	fillTime := n*tokensPerAmount/rate + 1
+	fillTime := n*tokensPerThousandth/rate + 1
 	available := max(a.lease.tokens, a.static.tokens) / rate
 	a.promisedUntil = max(now+fillTime-available, a.promisedUntil+fillTime)
 	return a.promisedUntil - now
 }
 
-// Amounts returns the leased and the static amount that are in force, and when the lease expires.
+// Amounts returns the leased and the static amount in force, and the time at which the lease expires.
 func (a *Account) Amounts(now monotime.Micros) (lease, static Amount, until monotime.Micros) {
 	a.expireLease(now)
 	return a.lease.Amount, a.static.Amount, a.leaseExpiresAt
--- a/fleet/budget/account/book.go
+++ b/fleet/budget/account/book.go
@@ -7,22 +7,22 @@
 	"chutechute/internal/monotime"
 )
 
-// SubjectLease is the leased amount of one subject's budget.
+// SubjectLease is the amount that is leased for one subject.
 type SubjectLease struct {
 	Subject string
 	Amount  Amount
 }
 
-// Book is one front end's accounts for all subjects of one budget. The zero Book with its Kind and, for a Window
-// budget, its Window set is empty and ready to use.
+// Book holds one front end's accounts for all subjects of one budget. A Book with its Kind set, and for a Window budget
+// its Window, is ready to use.
 type Book struct {
 	Kind     Kind
 	Window   monotime.Micros
-	static   Amount // of each subject
+	static   Amount // the static amount of each subject
 	accounts map[string]*Account
 }
 
-// Account returns a subject's account, and opens one with the static amount if there is none.
+// Account returns a subject's account. If there is none, it creates one with the static amount.
 func (b *Book) Account(now monotime.Micros, subject string) *Account {
 	a := b.accounts[subject]
 	if a == nil {
@@ -36,7 +36,7 @@
 	return a
 }
 
-// SetStatic sets the amount that every subject has without a lease.
+// SetStatic sets the amount that can be spent for each subject without a lease.
 func (b *Book) SetStatic(now monotime.Micros, amount Amount) {
 	b.static = amount
 	for _, a := range b.accounts {
@@ -44,7 +44,7 @@
 	}
 }
 
-// SetLeases sets the leases of all subjects. A subject that is not in the list has nothing leased any more.
+// SetLeases sets the leased amounts of all subjects, which is zero for those that are not in the list.
 func (b *Book) SetLeases(now monotime.Micros, leases []SubjectLease, until monotime.Micros) {
 	leased := make(map[string]bool, len(leases))
 	for _, lease := range leases {
@@ -58,14 +58,14 @@
 	}
 }
 
-// ForEach calls a function for all accounts, in the order of their subjects.
+// ForEach calls do for all accounts, in the order of their subjects.
 func (b *Book) ForEach(do func(subject string, a *Account)) {
 	for _, subject := range slices.Sorted(maps.Keys(b.accounts)) {
 		do(subject, b.accounts[subject])
 	}
 }
 
-// EvictIdle drops the accounts of which nothing is in use, leased or in demand. That of the empty subject stays.
+// EvictIdle removes accounts with nothing leased or in use and without demand. The account of the empty subject stays.
 func (b *Book) EvictIdle(now monotime.Micros) {
 	maps.DeleteFunc(b.accounts, func(subject string, a *Account) bool {
 		lease, _, _ := a.Amounts(now)
--- a/fleet/budget/account/bucket.go
+++ b/fleet/budget/account/bucket.go
@@ -2,22 +2,22 @@
 
 import "chutechute/internal/monotime"
 
-// tokensPerAmount is how many tokens of a bucket are one thousandth of a unit. A token is so small that a rate in
-// thousandths per second times a time in microseconds is a whole number of tokens.
-const tokensPerAmount = second
+// tokensPerThousandth is the number of tokens in one thousandth of a unit. Tokens are that small so that a rate in
+// thousandths per second times a number of microseconds is a whole number of tokens.
+const tokensPerThousandth = second
 
-// tokenBucket holds the tokens of one part of a rate: the leased or the static one. Other kinds use its Amount only.
+// tokenBucket is a token bucket for the leased or the static amount of a rate. Other kinds only use its Amount.
 type tokenBucket struct {
 	Amount
 	tokens   int64
 	filledAt monotime.Micros
 }
 
-// set changes the bucket's rate and burst. Tokens never come with the change.
+// set changes the bucket's rate and burst. It never adds tokens beyond those that have accumulated by now.
 func (b *tokenBucket) set(now monotime.Micros, amount Amount) {
 	b.fill(now)
 	b.Amount = amount
-	b.tokens = min(b.tokens, amount.Capacity*tokensPerAmount)
+	b.tokens = min(b.tokens, amount.Capacity*tokensPerThousandth)
 }
 
 // fill adds the tokens that have accumulated since the last call.
@@ -26,7 +26,7 @@
 	if b.filledAt = max(b.filledAt, now); elapsed <= 0 || b.Rate <= 0 {
 		return
 	}
-	full := b.Capacity * tokensPerAmount
+	full := b.Capacity * tokensPerThousandth
 	if missing := full - b.tokens; elapsed > missing/b.Rate {
 		b.tokens = max(b.tokens, full)
 		return
--- a/fleet/budget/account/demand.go
+++ b/fleet/budget/account/demand.go
@@ -6,53 +6,54 @@
 	"chutechute/internal/monotime"
 )
 
-// Time spans of the measurement of demand, in microseconds.
+// Time spans for the measurement of demand, in microseconds.
 const (
-	// recentSpan is the time constant of the recent demand: short, because the division of a budget is to follow a
-	// change of demand within half a second.
+	// recentSpan is the time constant of the recent demand. It is short because the division of a budget should follow
+	// a change of demand within half a second.
 	recentSpan = second / 8
-	// peakSpan is the span over which the peak demand for a concurrency limit is measured.
+	// peakSpan is the length of the spans in which the peak demand for a concurrency limit is measured.
 	peakSpan = second / 4
-	// firstLeaseSpan is how long the first request after an idle span may be queued until a lease arrives. Without it,
-	// a front end that has not asked for a lease yet would reject the request.
+	// firstLeaseSpan is how long requests after an idle span may be queued until a lease arrives. Without it, a front
+	// end that has not requested a lease yet would reject them.
 	firstLeaseSpan = second * 3 / 10
-	// idleSpan is the span without requests after which the next request counts as the first.
+	// idleSpan is the span without requests after which the front end counts as idle.
 	idleSpan = 2 * second
-	// meanSpan is the longest span of the mean. It is longer than recentSpan because a quarter of a second of a few
-	// queries is mostly noise.
+	// meanSpan is the longest span of the mean. It is much longer than recentSpan because at a few queries per second,
+	// a quarter of a second measures mostly noise.
 	meanSpan = 2 * second
 )
 
 const (
-	// shiftDeviations is by how many standard deviations the recent demand has to differ from the mean to count as a
-	// shift of demand.
+	// shiftDeviations is the number of standard deviations by which the recent demand has to differ from the mean to
+	// count as a shift.
 	shiftDeviations = 3
-	// silenceDivisor is how much lower than without the last gap the mean has to be for the gap to count as a shift.
+	// silenceDivisor: a gap without requests counts as a shift if it makes the mean lower than the mean before the gap
+	// divided by it.
 	silenceDivisor = 8
-	// gapArrivals bounds the rate after a gap without requests: at a higher one, as many arrivals would have been
-	// expected in the gap, and at least one of them would have come in 19 of 20 cases.
+	// gapArrivals limits the estimated rate after a gap without requests to this many arrivals per gap. At a higher
+	// rate, at least one request would have arrived in the gap with a probability of 95%.
 	gapArrivals = 3
-	// requestSizeWeight is the weight of the previous requests in the moving average of the request's size.
+	// requestSizeWeight is the inverse of a request's weight in the moving average of request sizes.
 	requestSizeWeight = 16
 )
 
-// demand measures what was requested lately, whether it was admitted or not. For rates and windows it is the mean since
-// the last shift of demand, over at most meanSpan; a sum that decays over recentSpan detects the shifts. For
-// concurrency limits it is the peak of what was in use and requested at a time.
+// demand measures recent requests, admitted or not. For rates and windows, the demand is the mean rate since the last
+// shift, over at most meanSpan. Shifts are detected with a sum that decays over recentSpan. For concurrency limits, the
+// demand is the peak of what was in use and requested at a time.
 type demand struct {
-	recentSum    float64 // decays over recentSpan
-	sum          float64 // since the last shift
+	recentSum    float64 // of requests, decays over recentSpan
+	sum          float64 // of requests since the last shift, over at most meanSpan
 	sumSpan      float64 // the time over which sum was collected, in microseconds
 	requestSize  float64 // moving average
 	lastRequest  monotime.Micros
 	peak         int64 // in the current peak span
 	previousPeak int64
 	peakStart    monotime.Micros
-	activeSince  monotime.Micros // the first request after the last idle span
+	activeSince  monotime.Micros // the time of the first request after the last idle span
 }
 
-// RecordDemand records that n thousandths of a unit were requested, whether they were granted or not. For a concurrency
-// limit, what is in use is added to them.
+// RecordDemand records a request for n thousandths of a unit, admitted or not. For a concurrency limit, what is already
+// in use is added.
 func (a *Account) RecordDemand(now monotime.Micros, n int64) {
 	d := &a.demand
 	if d.lastRequest == 0 {
@@ -72,7 +73,7 @@
 	a.recordPeak(now, a.inUse+n)
 }
 
-// RecordQueued records that n thousandths of a unit of a concurrency limit are waited for.
+// RecordQueued records that queued requests wait for n thousandths of a unit of a concurrency limit.
 func (a *Account) RecordQueued(now monotime.Micros, n int64) { a.recordPeak(now, a.inUse+n) }
 
 func (a *Account) recordPeak(now monotime.Micros, n int64) {
@@ -86,20 +87,20 @@
 	d.peak = max(d.peak, n)
 }
 
-// AwaitsFirstLease reports whether requests have only just started and nothing is leased yet: a lease may be granted as
-// soon as the authority responds.
+// AwaitsFirstLease reports whether requests have only just started after an idle span and nothing is leased yet. In
+// that case, a lease may be granted as soon as the authority responds.
 func (a *Account) AwaitsFirstLease(now monotime.Micros) bool {
 	d := &a.demand
 	return now-d.activeSince < firstLeaseSpan && d.lastRequest != 0 && a.lease.Amount == (Amount{})
 }
 
-// decay returns the factor of exponential decay after a time.
+// decay returns the factor of exponential decay over the elapsed time.
 func decay(elapsed, timeConstant monotime.Micros) float64 {
 	return math.Exp(-float64(max(0, elapsed)) / float64(timeConstant))
 }
 
-// rates returns the demand per second, recently and by the mean. After a gap without requests neither is higher than
-// gapArrivals allow.
+// rates returns the recent and the mean demand per second. After a gap without requests, both are limited according to
+// gapArrivals.
 func (d *demand) rates(now monotime.Micros) (recent, mean float64) {
 	gap := float64(now - d.lastRequest)
 	recent = d.recentSum * decay(now-d.lastRequest, recentSpan) * second / recentSpan
@@ -111,9 +112,9 @@
 	return recent, mean
 }
 
-// currentRate returns the demand per second. It starts the mean anew from the recent demand if they differ by more than
-// noise: the decayed sum of a Poisson process of rate λ over a time constant τ measures λ with a standard deviation of
-// sqrt(λ/2τ).
+// currentRate returns the demand per second. If the recent demand differs from the mean by more than noise, it restarts
+// the mean from the recent demand. The noise is that of a Poisson process of rate λ: its sum, decayed over a time
+// constant τ, estimates λ with a standard deviation of sqrt(λ/2τ).
 func (d *demand) currentRate(now monotime.Micros) float64 {
 	recent, mean := d.rates(now)
 	deviation := math.Sqrt(max(mean, d.requestSize) * d.requestSize * second / (2 * recentSpan))
@@ -127,8 +128,8 @@
 	return recent
 }
 
-// Demand returns what this front end could spend beyond its static allocation, in thousandths of a unit: per second for
-// a rate, at a time for a concurrency limit, within the window for a window.
+// Demand returns how much this front end could spend beyond its static allocation, in thousandths of a unit: per second
+// for a rate, at a time for a concurrency limit, and within one window for a window budget.
 func (a *Account) Demand(now monotime.Micros) int64 {
 	a.advance(now)
 	d := &a.demand
