--- a/fleet/budget/enforce/enforcer.go
+++ b/fleet/budget/enforce/enforcer.go
@@ -1,6 +1,6 @@
-// Package enforce connects the division of the fleet's budgets (budget.LeaseHolder) with the scheduler, which spends
-// them: it translates what each budget applies to from the words of the settings into the scheduler's rules, and passes
-// grants on as the scheduler's events. It is stepped: no I/O, no clock, no goroutines.
+// Package enforce connects a front end's lease holder (budget.LeaseHolder) with the scheduler, which spends the
+// budgets. It translates the scopes of budgets in the settings into the scheduler's rules, and passes grants on as
+// events of the scheduler. It is stepped: no I/O, no clock, no goroutines.
 package enforce
 
 import (
@@ -15,18 +15,18 @@
 
 // Core is the part of the gateway that spends budgets.
 type Core interface {
-	// GrantBudgets sets the rules and what may be spent.
+	// GrantBudgets sets what may be spent, and the rules if the event has any.
 	GrantBudgets(ev scheduler.BudgetGrant)
 	// BudgetDemands returns the demand for all budgets and what is in use.
 	BudgetDemands(now monotime.Micros) []scheduler.BudgetDemand
 }
 
-// Enforcer has the scheduler of one front end keep to what its lease holder is granted. It implements budget.Consumer.
+// Enforcer has one front end's scheduler enforce the grants of its lease holder. It implements budget.Consumer.
 type Enforcer struct {
 	site *settings.Settings
 	core Core
-	// Unenforceable is the budgets that cannot be enforced here, with the reasons: this front end's site does not
-	// have what they apply to.
+	// Unenforceable maps the names of budgets that this front end cannot enforce to the reasons, such as a scope that
+	// names a class that the site does not have.
 	Unenforceable map[string]string
 }
 
@@ -38,7 +38,7 @@
 	return e.core.BudgetDemands(now)
 }
 
-// GrantBudgets passes a grant on to the scheduler, with new rules if the set has changed.
+// GrantBudgets passes a grant on to the scheduler, with new rules if the grant has a set.
 func (e *Enforcer) GrantBudgets(_ monotime.Micros, g budget.Grant) {
 	event := scheduler.BudgetGrant{Until: g.LeaseExpiresAt, Leased: g.Leased, Static: g.Static}
 	if g.Set != nil {
@@ -47,7 +47,8 @@
 	e.core.GrantBudgets(event)
 }
 
-// rules returns the scheduler's rules for a set. What is spent of a budget that is not in force is only counted.
+// rules returns the scheduler's rules for a set. For budgets that are not in force, expenses are counted but not
+// limited.
 func (e *Enforcer) rules(set *budget.Set, notInForce []string) []scheduler.BudgetRule {
 	rules := []scheduler.BudgetRule{}
 	e.Unenforceable = map[string]string{}
--- a/fleet/budget/enforce/scope.go
+++ b/fleet/budget/enforce/scope.go
@@ -11,7 +11,8 @@
 	"chutechute/scheduler"
 )
 
-// Scope is what a budget applies to, as in the settings. Each, "*", gives every tenant or engine the total for itself.
+// Scope selects what a budget applies to, and how it is counted and enforced, as in the settings. With Each ("*") as
+// the tenant or engine, the total applies to every tenant or engine separately.
 type Scope struct {
 	Tenant       string  `json:"tenant,omitempty"` // a name or "*"
 	Class        string  `json:"class,omitempty"`
@@ -19,16 +20,16 @@
 	EngineKind   string  `json:"engine_kind,omitempty"`
 	WarmingUp    bool    `json:"cold,omitempty"`    // only engines that are warming up
 	Retries      bool    `json:"further,omitempty"` // only attempts after the first
-	EarnedShare  float64 `json:"share,omitempty"`   // with further: the share of first attempts that is earned on top
+	EarnedShare  float64 `json:"share,omitempty"`   // with further: the share of a retry that each first attempt earns
 	HealthChecks bool    `json:"probes,omitempty"`  // only health checks
-	Unit         string  `json:"unit,omitempty"`    // queries, threads or work (milliseconds of it)
-	OnExceeded   string  `json:"over,omitempty"`    // refuse, wait or last
+	Unit         string  `json:"unit,omitempty"`    // queries, threads or work (in milliseconds)
+	OnExceeded   string  `json:"over,omitempty"`    // refuse, wait or last: see scheduler.Overflow
 }
 
-// Each is the tenant or engine of a Scope that stands for every one of them.
+// Each as the tenant or engine of a Scope means that the total applies to each one separately.
 const Each = "*"
 
-// The units and the ways of handling what exceeds a budget, by their names in the settings.
+// The scheduler's units and overflow modes by their names in the settings.
 var (
 	units = map[string]scheduler.BudgetUnit{
 		"":        scheduler.Queries,
@@ -43,7 +44,7 @@
 	}
 )
 
-// Rule returns the scheduler's rule for a budget with this scope. The error begins with the faulty key.
+// Rule returns the scheduler's rule for a budget with this scope. Error messages begin with the key that is invalid.
 func (s *Scope) Rule(spec *budget.Spec, site *settings.Settings) (rule scheduler.BudgetRule, err error) {
 	rule = scheduler.BudgetRule{
 		Name:               spec.Name,
@@ -64,12 +65,12 @@
 	return rule, s.checkCombination(&rule)
 }
 
-// keyError returns the error of a faulty key.
+// keyError returns the error for an invalid key.
 func keyError(key, format string, args ...any) error {
 	return fmt.Errorf("%s: %s", key, fmt.Sprintf(format, args...))
 }
 
-// resolveNames replaces the names in the scope by what they stand for at the site.
+// resolveNames looks up the names in the scope in the site's settings and sets the rule's fields for them.
 func (s *Scope) resolveNames(rule *scheduler.BudgetRule, site *settings.Settings) error {
 	var ok bool
 	if s.Class != "" {
@@ -105,24 +106,24 @@
 	return nil
 }
 
-// checkCombination returns an error if the keys of the scope do not go together.
+// checkCombination returns an error if keys of the scope cannot be combined.
 func (s *Scope) checkCombination(rule *scheduler.BudgetRule) error {
 	forTenant := rule.PerTenant || rule.Tenant >= 0
 	each := rule.PerTenant || rule.PerEngine
 	switch {
 	case rule.PerEngine && rule.PerTenant:
-		return keyError("engine", "\"*\" stands with tenant \"*\"")
+		return keyError("engine", "\"*\" cannot be combined with tenant \"*\"")
 	case (rule.WarmingUp || rule.EngineKind != "") && !rule.PerEngine:
-		return keyError("engine", "missing, with cold or engine_kind")
+		return keyError("engine", "must be \"*\" if cold or engine_kind is set")
 	case rule.Overflow == scheduler.DeprioritizeOverflow && (!forTenant || rule.PerEngine || rule.Retries):
-		return keyError("over", "\"last\" takes a tenant, and neither engine nor further")
+		return keyError("over", "\"last\" requires a tenant and cannot be combined with engine or further")
 	case s.EarnedShare < 0 || s.EarnedShare > 1,
 		s.EarnedShare > 0 && (!rule.Retries || each || rule.Kind != account.Rate):
 		return keyError("share",
-			"%g is not from 0 to 1, or stands without further and a rate, or with \"*\"", s.EarnedShare)
+			"%g is not from 0 to 1, or is set without further and rate, or with \"*\"", s.EarnedShare)
 	case rule.HealthChecks &&
 		(each || forTenant || rule.Class >= 0 || rule.Retries || rule.Unit != scheduler.Queries):
-		return keyError("probes", "stands alone")
+		return keyError("probes", "cannot be combined with tenant, class, engine, further or a unit other than queries")
 	}
 	return nil
 }
@@ -131,7 +132,7 @@
 func (s *Scope) Encode() []byte {
 	b, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // no field of a scope can fail
+		panic(err) // no field of a Scope can fail to encode
 	}
 	return b
 }
