--- a/fleet/budget/enforce/scope.go
+++ b/fleet/budget/enforce/scope.go
@@ -112,18 +112,18 @@
 	each := rule.PerTenant || rule.PerEngine
 	switch {
 	case rule.PerEngine && rule.PerTenant:
-		return keyError("engine", "\"*\" cannot be combined with tenant \"*\"")
+		return keyError("engine", "\"*\" stands with tenant \"*\"")
 	case (rule.WarmingUp || rule.EngineKind != "") && !rule.PerEngine:
-		return keyError("engine", "must be \"*\" if cold or engine_kind is set")
+		return keyError("engine", "missing, with cold or engine_kind")
 	case rule.Overflow == scheduler.DeprioritizeOverflow && (!forTenant || rule.PerEngine || rule.Retries):
-		return keyError("over", "\"last\" requires a tenant and cannot be combined with engine or further")
+		return keyError("over", "\"last\" takes a tenant, and neither engine nor further")
 	case s.EarnedShare < 0 || s.EarnedShare > 1,
 		s.EarnedShare > 0 && (!rule.Retries || each || rule.Kind != account.Rate):
 		return keyError("share",
-			"%g is not from 0 to 1, or is set without further and rate, or with \"*\"", s.EarnedShare)
+			"%g is not from 0 to 1, or stands without further and a rate, or with \"*\"", s.EarnedShare)
 	case rule.HealthChecks &&
 		(each || forTenant || rule.Class >= 0 || rule.Retries || rule.Unit != scheduler.Queries):
-		return keyError("probes", "cannot be combined with tenant, class, engine, further or a unit other than queries")
+		return keyError("probes", "stands alone")
 	}
 	return nil
 }
