--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -9,36 +9,36 @@
 type StartAttempt struct {
 	ID      uint64          // Request.ID
 	Engine  string          // where to send it
-	Timeout monotime.Micros // after which the attempt ends as TimedOut; 0: when the client times out
-	StartBy monotime.Micros // no byte of it may be written later; 0: no such bound
+	Timeout monotime.Micros // the attempt ends as TimedOut after it; 0: only the client's time-out applies
+	StartBy monotime.Micros // no byte of it may be written at or after this time; 0: no such bound
 }
 
-// AttemptParameters sets memory and priority of a request's next attempts and of those in flight.
+// AttemptParameters sets the memory and the priority of a request's attempts, both those in flight and later ones.
 type AttemptParameters struct {
 	ID       uint64  // Request.ID
 	GrantMB  float64 // memory in megabytes; 0: the engine chooses
-	Priority int     // from 0, the lowest, to 3
+	Priority int     // from 0 (lowest) to 3
 }
 
-// Cancel cancels an attempt; its Outcome still follows.
+// Cancel cancels an attempt, whose Outcome still follows.
 type Cancel struct {
 	ID      uint64 // Request.ID
 	Attempt int    // number of the attempt, from 0
 }
 
-// Reject answers a request that was not served where a retry by the client does no harm.
+// Reject answers a request that was not served and that the client may retry without harm.
 type Reject struct {
 	ID         uint64          // Request.ID
 	RetryAfter monotime.Micros // how long the client should wait before it retries
-	Budget     string          // the fleet's budget that is exhausted, "" if none is
+	Budget     string          // the exhausted budget of the fleet, "" if none is exhausted
 }
 
-// Fail answers a request that was not served, without a promise that it never ran.
+// Fail answers a request that was not served, without the promise that it never ran.
 type Fail struct {
 	ID uint64 // Request.ID
 }
 
-// HealthCheck checks whether an engine is alive; a HealthCheckResult follows.
+// HealthCheck checks whether an engine is alive. A HealthCheckResult follows.
 type HealthCheck struct {
 	Engine string // Endpoint.Engine
 }
@@ -51,15 +51,15 @@
 
 // SetTimer requests a Timer event.
 type SetTimer struct {
-	At    monotime.Micros // when
-	Token string          // comes back in Timer.Token
+	At    monotime.Micros // when the event is due
+	Token string          // returned in Timer.Token
 }
 
-// LatencyMeasurement reports how long a served attempt took. It follows where Request.MeasureLatency is set.
+// LatencyMeasurement reports the latency of a request that was served, if Request.MeasureLatency is set.
 type LatencyMeasurement struct {
 	ID       uint64          // Request.ID
-	Elapsed  monotime.Micros // latency of the attempt that served it
-	Slowdown float64         // estimated ratio of Elapsed to the latency without load, at least 1
+	Elapsed  monotime.Micros // latency of the attempt that served the request
+	Slowdown float64         // estimated ratio of Elapsed to the latency on an unloaded engine, at least 1
 }
 
 // Log adds a line to the operators' log.
--- a/scheduler/budgets.go
+++ b/scheduler/budgets.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxStartDelay is how long what was spent for an attempt is good for: one that is not written by then spends anew,
-	// so that what engines see is what was spent, and when.
+	// maxStartDelay is how long after spending from a budget an attempt may still be written. One that is not written
+	// by then spends anew, so that the attempts that engines get match what was spent, and when.
 	maxStartDelay = monotime.Second / 4
-	// maxReportedSubjects bounds the subjects of one report of demands.
+	// maxReportedSubjects is the largest number of subjects in one report of demands.
 	maxReportedSubjects = 4096
 )
 
-// BudgetUnit is what a budget counts. Amounts are in thousandths of it.
+// BudgetUnit is the unit that a budget counts in. Amounts are in thousandths of it.
 type BudgetUnit int
 
 // The units.
@@ -28,88 +28,89 @@
 	Work
 )
 
-// Overflow is what becomes of a query that a budget has no capacity for.
+// Overflow says what happens to a query for which a budget has no capacity.
 type Overflow int
 
 // The ways of handling an overflow.
 const (
 	// RejectOverflow rejects the query at once, with the time until there will be capacity.
 	RejectOverflow Overflow = iota
-	// QueueOverflow leaves the query in the queue, as long as any query may stay there.
+	// QueueOverflow leaves the query in the queue until it expires there like any other.
 	QueueOverflow
-	// DeprioritizeOverflow lets the query go behind all others: the budget bounds who comes first, not what is sent.
+	// DeprioritizeOverflow puts the query behind all others: the budget bounds which queries come first, not how many
+	// are sent.
 	DeprioritizeOverflow
 )
 
-// BudgetRule is one budget of the fleet and what counts towards it. Zero values of Class and Tenant are the first of
-// them; -1 is any.
+// BudgetRule defines one budget of the fleet and what counts towards it. In Class and Tenant zero is the index of the
+// first class or tenant; -1 means any.
 type BudgetRule struct {
 	Name   string          // unique
 	Kind   account.Kind    // rate, concurrency or window
-	Window monotime.Micros // length of the window of an account.Window
-	// MaxAttemptDuration is the longest time that an attempt may hold a concurrency slot; 0 without such a bound.
+	Window monotime.Micros // length of the sliding window, for kind account.Window
+	// MaxAttemptDuration is the longest time for which an attempt may occupy a concurrency slot; 0: no bound.
 	MaxAttemptDuration monotime.Micros
 	Class              int        // index into Config.Classes, -1 for any
 	Tenant             int        // index into Config.Tenants, -1 for any
-	PerTenant          bool       // each tenant has the whole amount for itself
-	PerEngine          bool       // each engine has the whole amount for itself
+	PerTenant          bool       // each tenant has the whole amount to itself
+	PerEngine          bool       // each engine has the whole amount to itself
 	EngineKind         string     // only engines of this kind count; "": any
 	WarmingUp          bool       // only engines that are warming up count
 	Retries            bool       // only attempts after the first count
 	HealthChecks       bool       // only health checks count
-	CountOnly          bool       // it is not in force yet: what is spent is counted, and nothing is held back
+	CountOnly          bool       // not in force yet: spending is counted but not limited
 	RetryCredit        int64      // thousandths of a retry that each first attempt earns
 	Unit               BudgetUnit // zero: Queries
 	Overflow           Overflow   // zero: RejectOverflow
 }
 
-// BudgetAmount is what this gateway may spend of a budget.
+// BudgetAmount is what this front end may spend of a budget.
 type BudgetAmount struct {
 	Budget  string         // BudgetRule.Name
-	Subject string         // tenant or engine, where each has the whole amount for itself; else ""
+	Subject string         // the tenant or engine of a PerTenant or PerEngine budget, otherwise ""
 	Amount  account.Amount // in thousandths
 }
 
-// BudgetDemand is what this gateway could spend of a budget and has in use.
+// BudgetDemand is this front end's demand for a budget and what it has in use.
 type BudgetDemand struct {
 	Budget  string // BudgetRule.Name
-	Subject string // tenant or engine, where each has the whole amount for itself; else ""
+	Subject string // the tenant or engine of a PerTenant or PerEngine budget, otherwise ""
 	Demand  int64  // thousandths, see account.Account.Demand
 	InUse   int64  // thousandths
 }
 
-// BudgetStatus is how a budget stands at this gateway, for operators.
+// BudgetStatus is the state of a budget at this front end, for operators.
 type BudgetStatus struct {
 	BudgetDemand
-	Used   int64           // thousandths, see account.Account.Used
+	Used   int64           // thousandths, see account.Account.TotalInUse
 	Spent  int64           // thousandths since the start
-	Denied int             // how often there was no capacity
-	Lease  account.Amount  // leased
-	Static account.Amount  // there without a lease
+	Denied int             // how many times there was no capacity
+	Lease  account.Amount  // leased amount
+	Static account.Amount  // amount that needs no lease
 	Until  monotime.Micros // when the lease expires
 }
 
-// budget is a rule in force, with what is spent of it.
+// budget is a rule in force and the accounts of its subjects.
 type budget struct {
 	BudgetRule
-	book *account.Book
+	accounts *account.Book
 }
 
-// budgets is all rules in force.
+// budgets holds all rules in force.
 type budgets struct {
-	cfg           *Config
-	list          []*budget // by name
-	divideThreads bool      // some rule divides the threads on each engine
-	divideWarmUp  bool      // some rule divides the work that engines take while warming up
+	cfg                 *Config
+	list                []*budget // ordered by name
+	limitsEngineThreads bool      // some rule in force limits the threads on each engine
+	limitsWarmUpWork    bool      // some rule in force limits the work sent to each engine while it warms up
 }
 
-// concurrencySlot is what an attempt holds of a budget.
+// concurrencySlot is the amount of a concurrency budget that an attempt uses.
 type concurrencySlot struct {
 	account *account.Account
 	amount  int64 // thousandths
 }
 
-// releaseSlots releases the slots of an attempt whose outcome is known.
+// releaseSlots releases the concurrency slots of an attempt that has its outcome.
 func (a *attempt) releaseSlots() {
 	for _, slot := range a.slots {
 		slot.account.Release(slot.amount)
@@ -117,15 +118,15 @@
 	a.slots = nil
 }
 
-// grant takes over what this gateway may spend.
+// grant applies a BudgetGrant: the rules in force and what this front end may spend.
 func (bs *budgets) grant(now monotime.Micros, grant BudgetGrant) {
 	if grant.Rules != nil {
 		bs.setRules(grant.Rules)
 	}
-	rest := grant.Leased // by budget, as the rules are
+	rest := grant.Leased // ordered by budget, as bs.list is
 	for _, b := range bs.list {
 		if grant.Static != nil {
-			b.book.SetStatic(now, staticAmount(grant.Static, b.Name))
+			b.accounts.SetStatic(now, staticAmount(grant.Static, b.Name))
 		}
 		var leased []account.SubjectLease
 		for len(rest) > 0 && rest[0].Budget < b.Name {
@@ -134,11 +135,11 @@
 		for ; len(rest) > 0 && rest[0].Budget == b.Name; rest = rest[1:] {
 			leased = append(leased, account.SubjectLease{Subject: rest[0].Subject, Amount: rest[0].Amount})
 		}
-		b.book.SetLeases(now, leased, grant.Until)
+		b.accounts.SetLeases(now, leased, grant.Until)
 	}
 }
 
-// staticAmount returns the amount of the named budget, the last if there are several.
+// staticAmount returns the amount of the named budget, or the last one if the list has several.
 func staticAmount(list []BudgetAmount, name string) (amount account.Amount) {
 	for _, b := range list {
 		if b.Budget == name {
@@ -148,7 +149,7 @@
 	return amount
 }
 
-// setRules puts other rules into force; what is in use of those that stay is kept.
+// setRules replaces the rules in force. Budgets that keep their name, kind and window keep their accounts.
 func (bs *budgets) setRules(rules []BudgetRule) {
 	old := map[string]*budget{}
 	for _, b := range bs.list {
@@ -156,14 +157,15 @@
 	}
 	*bs = budgets{cfg: bs.cfg}
 	for _, rule := range rules {
-		b := &budget{BudgetRule: rule, book: &account.Book{Kind: rule.Kind, Window: rule.Window}}
+		b := &budget{BudgetRule: rule, accounts: &account.Book{Kind: rule.Kind, Window: rule.Window}}
 		if o := old[rule.Name]; o != nil && o.Kind == rule.Kind && o.Window == rule.Window {
-			b.book = o.book
+			b.accounts = o.accounts
 		}
 		bs.list = append(bs.list, b)
 		perEngine := !rule.CountOnly && rule.PerEngine
-		bs.divideThreads = bs.divideThreads || perEngine && rule.Unit == Threads && rule.Kind == account.Concurrency
-		bs.divideWarmUp = bs.divideWarmUp || perEngine && rule.WarmingUp
+		bs.limitsEngineThreads = bs.limitsEngineThreads ||
+			perEngine && rule.Unit == Threads && rule.Kind == account.Concurrency
+		bs.limitsWarmUpWork = bs.limitsWarmUpWork || perEngine && rule.WarmingUp
 	}
 	slices.SortFunc(bs.list, func(a, b *budget) int {
 		if a.Name < b.Name {
@@ -189,9 +191,9 @@
 	return account.Unit
 }
 
-// charge returns the account and the cost of an attempt of the query on an engine; nil where it does not count towards
-// the budget. Without an engine, only budgets that are not of engines count.
-func (bs *budgets) charge(now monotime.Micros, b *budget, q *query, e *engine) (*account.Account, int64) {
+// accountAndCost returns the account that an attempt of the query is charged to and its cost; nil if it does not count
+// towards the budget. With an engine only PerEngine budgets count, without one (e is nil) only all others.
+func (bs *budgets) accountAndCost(now monotime.Micros, b *budget, q *query, e *engine) (*account.Account, int64) {
 	if b.PerEngine != (e != nil) || b.HealthChecks || b.Overflow == DeprioritizeOverflow ||
 		b.Retries && len(q.attempts) == 0 || !b.matches(q) {
 		return nil, 0
@@ -208,18 +210,19 @@
 		subject = bs.cfg.Tenants[q.Tenant].Name
 	}
 	cost := b.cost(q)
-	if b.WarmingUp { // the whole amount is that of the start; as the engine warms up, as much work costs less
+	if b.WarmingUp { // the amount is for an engine at its start; the cost of the same work falls as its capacity grows
 		cost = int64(float64(cost) * bs.cfg.Rules.InitialCapacity / e.warmUp.capacity(now, &bs.cfg.Rules))
 	}
-	return b.book.Account(now, subject), cost
+	return b.accounts.Account(now, subject), cost
 }
 
-// affords reports whether the budgets have capacity for an attempt: those of engines with one, and else all others. The
-// first demand of a query on an engine is recorded.
+// affords reports whether the budgets have capacity for an attempt: the PerEngine budgets if there is an engine, all
+// others if e is nil. Demand that a PerEngine budget has no capacity for is recorded, but only in the first step in
+// which the query is considered.
 func (bs *budgets) affords(now monotime.Micros, q *query, e *engine) bool {
 	ok := true
 	for _, b := range bs.list {
-		if a, cost := bs.charge(now, b, q, e); a != nil && !b.CountOnly && !a.CanSpend(now, cost) {
+		if a, cost := bs.accountAndCost(now, b, q, e); a != nil && !b.CountOnly && !a.CanSpend(now, cost) {
 			ok = false
 			if e != nil && !q.demandRecorded {
 				a.RecordDemand(now, cost)
@@ -229,17 +232,17 @@
 	return ok
 }
 
-// spend spends what an attempt costs. It returns until when the attempt may be started and how long it may be in
-// flight; 0 without a bound.
+// spend charges an attempt to all budgets that it counts towards. It returns the time until which the attempt may be
+// started and how long it may be in flight; 0 means no bound.
 func (bs *budgets) spend(
 	now monotime.Micros, q *query, a *attempt, e *engine,
 ) (startBy, maxDuration monotime.Micros) {
 	for _, e := range []*engine{nil, e} {
 		for _, b := range bs.list {
 			if b.RetryCredit > 0 && len(q.attempts) == 0 && e == nil {
-				b.book.Account(now, "").Earn(b.RetryCredit)
+				b.accounts.Account(now, "").Earn(b.RetryCredit)
 			}
-			acc, cost := bs.charge(now, b, q, e)
+			acc, cost := bs.accountAndCost(now, b, q, e)
 			if acc == nil {
 				continue
 			}
@@ -263,13 +266,14 @@
 	return startBy, maxDuration
 }
 
-// spendHealthCheck spends one health check; false where some budget has no capacity for it.
+// spendHealthCheck charges one health check to the budgets of health checks. It reports false if one of them has no
+// capacity for it.
 func (bs *budgets) spendHealthCheck(now monotime.Micros) bool {
 	for _, b := range bs.list {
 		if !b.HealthChecks || b.CountOnly {
 			continue
 		}
-		a := b.book.Account(now, "")
+		a := b.accounts.Account(now, "")
 		a.RecordDemand(now, account.Unit)
 		if _, ok := a.Spend(now, account.Unit); !ok {
 			a.Denied++
@@ -279,23 +283,23 @@
 	return true
 }
 
-// recordArrival records the demand of an arriving query.
+// recordArrival records the demand of an arriving query for the budgets that are not PerEngine.
 func (bs *budgets) recordArrival(now monotime.Micros, q *query) {
 	for _, b := range bs.list {
-		if a, cost := bs.charge(now, b, q, nil); a != nil {
+		if a, cost := bs.accountAndCost(now, b, q, nil); a != nil {
 			a.RecordDemand(now, cost)
 		}
 	}
 }
 
-// exhausted returns the first budget without capacity for a queued query that rejects queries then, and the time until
-// it will have some; nil if there is none.
+// exhausted returns the first budget with RejectOverflow that has no capacity for a queued query, and the time until it
+// will have some; nil if there is none. PerEngine budgets are left out.
 func (bs *budgets) exhausted(now monotime.Micros, q *query) (b *budget, after monotime.Micros) {
 	for _, b := range bs.list {
 		if b.Overflow != RejectOverflow || b.PerEngine || b.CountOnly {
 			continue
 		}
-		a, cost := bs.charge(now, b, q, nil)
+		a, cost := bs.accountAndCost(now, b, q, nil)
 		if a != nil && !a.CanSpend(now, cost) && !a.AwaitsFirstLease(now) {
 			a.Denied++
 			return b, a.RetryAfter(now, cost)
@@ -304,8 +308,8 @@
 	return nil, 0
 }
 
-// overQuota spends what an arriving query of a tenant costs where budgets bound which queries come first. It reports
-// whether any does, and whether the query is over one of them.
+// overQuota charges an arriving query of a tenant to the budgets with DeprioritizeOverflow. It reports whether any of
+// them applies to the query, and whether one of them has no capacity for it.
 func (bs *budgets) overQuota(now monotime.Micros, q *query) (bounded, over bool) {
 	for _, b := range bs.list {
 		if b.Overflow != DeprioritizeOverflow || b.CountOnly || !b.PerTenant && b.Tenant != q.Tenant ||
@@ -317,7 +321,7 @@
 		if b.PerTenant {
 			subject = bs.cfg.Tenants[q.Tenant].Name
 		}
-		a, cost := b.book.Account(now, subject), b.cost(q)
+		a, cost := b.accounts.Account(now, subject), b.cost(q)
 		a.RecordDemand(now, cost)
 		if _, ok := a.Spend(now, cost); !ok {
 			a.Denied++
@@ -327,27 +331,27 @@
 	return bounded, over
 }
 
-// BudgetDemands returns what this gateway wants and has in use, by budget and subject. Subjects of which it has and
-// wants nothing are forgotten.
+// BudgetDemands returns this front end's demand and what it has in use, by budget and subject. Idle accounts are
+// forgotten.
 func (s *Scheduler) BudgetDemands(now monotime.Micros) (list []BudgetDemand) {
 	for _, b := range s.budgets.list {
 		perEngine := s.recordQueued(now, b)
-		b.book.ForEach(func(subject string, a *account.Account) {
+		b.accounts.ForEach(func(subject string, a *account.Account) {
 			if perEngine > 0 {
 				a.RecordQueued(now, perEngine)
 			}
-			want, inUse := a.Demand(now), a.InUseBeyondStatic(now)
-			if (want != 0 || inUse != 0) && len(list) < maxReportedSubjects {
-				list = append(list, BudgetDemand{b.Name, subject, want, inUse})
+			demand, inUse := a.Demand(now), a.InUseBeyondStatic(now)
+			if (demand != 0 || inUse != 0) && len(list) < maxReportedSubjects {
+				list = append(list, BudgetDemand{b.Name, subject, demand, inUse})
 			}
 		})
-		b.book.EvictIdle(now)
+		b.accounts.EvictIdle(now)
 	}
 	return list
 }
 
-// recordQueued records the demand of all queued queries for concurrency slots. For a budget of each engine it returns
-// that of one engine instead, as nobody knows where the queries will go.
+// recordQueued records the demand of all queued queries for concurrency slots. For a PerEngine budget it instead
+// returns an even part of the demand for each ready engine, since no engine has been chosen for the queries yet.
 func (s *Scheduler) recordQueued(now monotime.Micros, b *budget) (perEngine int64) {
 	if b.Kind != account.Concurrency {
 		return 0
@@ -360,7 +364,7 @@
 	}
 	queued := map[*account.Account]int64{}
 	for _, q := range s.queue.queries {
-		if a, cost := s.budgets.charge(s.now, b, q, nil); a != nil {
+		if a, cost := s.budgets.accountAndCost(s.now, b, q, nil); a != nil {
 			queued[a] += cost
 		}
 	}
@@ -370,10 +374,10 @@
 	return 0
 }
 
-// BudgetStatuses returns how all budgets stand.
+// BudgetStatuses returns the state of all budgets, by subject.
 func (s *Scheduler) BudgetStatuses(now monotime.Micros) (list []BudgetStatus) {
 	for _, b := range s.budgets.list {
-		b.book.ForEach(func(subject string, a *account.Account) {
+		b.accounts.ForEach(func(subject string, a *account.Account) {
 			status := BudgetStatus{
 				BudgetDemand: BudgetDemand{b.Name, subject, a.Demand(now), a.InUseBeyondStatic(now)},
 				Used:         a.TotalInUse(now),
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -7,96 +7,96 @@
 	"chutechute/internal/monotime"
 )
 
-// Config is what a gateway is configured with at its start. Gateways and Classes are required; a zero value of any
-// other field means that the feature is absent. Some fields only describe the site and are not read by the decisions;
-// their comments say so.
+// Config is the configuration of a front end's scheduler, set at its start. FrontEnds and Classes are required; the
+// zero value of any other field means that the feature is absent. Some fields only describe the site and are not used
+// by the scheduler; their comments say so.
 type Config struct {
-	// Gateways is the number of gateways of the site, this one included; at least 1.
+	// FrontEnds is the number of front ends of the site, this one included; at least 1.
 	Gateways int
-	// Rank is this gateway's number among them, from 0 to Gateways-1.
+	// Rank is this front end's index among them, from 0 to FrontEnds-1.
 	Rank int
-	// Zone is where this gateway stands. The decisions don't read it.
+	// Zone is the zone of this front end. Not used by the scheduler.
 	Zone string
-	// Kinds are the kinds of engine machines.
+	// Kinds are the kinds of engines.
 	Kinds []EngineKind
 	// Classes are the classes of queries; Request.Class is an index into them.
 	Classes []Class
 	// Tenants share the engines; Request.Tenant is an index into them.
 	Tenants []Tenant
-	// Limits are what the gateway is allowed to do.
+	// Limits restrict which actions the scheduler may take.
 	Limits Limits
-	// Rules are the figures of the site's rules.
+	// Rules are the numeric parameters of the site.
 	Rules Rules
 
-	// PollEndpoints says that endpoint updates come only after a Subscribe.
+	// PollEndpoints means that endpoint updates arrive only after a Subscribe.
 	PollEndpoints bool
-	// MemoryGrants says that engines heed AttemptParameters.GrantMB. The decisions don't read it.
+	// MemoryGrants means that engines apply AttemptParameters.GrantMB. Not used by the scheduler.
 	MemoryGrants bool
-	// Priorities says that engines heed AttemptParameters.Priority.
+	// Priorities means that engines apply AttemptParameters.Priority.
 	Priorities bool
-	// MaxGrantShare is the largest share of an engine's memory for one query. The decisions don't read it.
+	// MaxGrantShare is the largest share of an engine's memory that one query may get. Not used by the scheduler.
 	MaxGrantShare float64
-	// ReportsCost says that engines report what a query used. The decisions don't read it.
+	// ReportsCost means that engines report the resources that a query used. Not used by the scheduler.
 	ReportsCost bool
-	// ProgressInterval is the time between progress reports; 0 without any. The decisions don't read it.
+	// ProgressInterval is the time between progress reports; 0 if there are none. Not used by the scheduler.
 	ProgressInterval monotime.Micros
-	// HealthCheckCost is what one health check a query costs, in points of the result. The decisions don't read it.
+	// HealthCheckCost is the cost of one health check per query, in points of the result. Not used by the scheduler.
 	HealthCheckCost float64
-	// CrossZoneCost is what a query sent to another zone costs, in points. The decisions don't read it.
+	// CrossZoneCost is the cost of a query sent to another zone, in points. Not used by the scheduler.
 	CrossZoneCost float64
-	// OverQuotaWeight is the weight of a query over its tenant's quota. The decisions don't read it.
+	// OverQuotaWeight is the weight of a query over its tenant's quota. Not used by the scheduler.
 	OverQuotaWeight float64
-	// LoadReportsOnHealthChecks says that load reports come with health checks only. The decisions don't read it.
+	// LoadReportsOnHealthChecks means that only results of health checks carry load reports. Not used by the scheduler.
 	LoadReportsOnHealthChecks bool
-	// LoadReportsOnResponses says that load reports come with every response. The decisions don't read it.
+	// LoadReportsOnResponses means that every response carries a load report. Not used by the scheduler.
 	LoadReportsOnResponses bool
 }
 
-// check returns an error that names the first thing that the configuration lacks.
+// check returns an error for the first required setting that is missing.
 func (cfg *Config) check() error {
 	if cfg.Gateways < 1 {
-		return errors.New("scheduler: Config.Gateways is below 1")
+		return errors.New("scheduler: Config.FrontEnds is below 1")
 	}
 	if len(cfg.Classes) == 0 {
 		return errors.New("scheduler: Config.Classes is empty")
 	}
 	for _, c := range cfg.Classes {
 		if c.LatencyObjective <= 0 || c.ClientTimeout <= 0 || c.Threads < 1 {
-			return fmt.Errorf("scheduler: class %q lacks a latency objective, a client timeout or threads", c.Name)
+			return fmt.Errorf("scheduler: class %q needs a latency objective, a client time-out and at least one thread", c.Name)
 		}
 	}
 	return nil
 }
 
-// EngineKind is a kind of engine machine.
+// EngineKind describes the machines of one kind of engine.
 type EngineKind struct {
-	// Name is what Endpoint.Kind refers to.
+	// Name is the value of Endpoint.Kind for engines of this kind.
 	Name string
-	// Cores is the number of processor cores. Engines of a kind that is not configured count as having one.
+	// Cores is the number of processor cores. An engine of a kind that is not configured counts as having one.
 	Cores int
-	// MemoryMB is the memory for queries, in megabytes; 0 if unknown, which bounds nothing.
+	// MemoryMB is the memory for queries, in megabytes; 0 if unknown, which means no limit.
 	MemoryMB float64
 }
 
-// Effect is what a second execution of a query would do.
+// Effect says whether a second execution of a query does harm.
 type Effect int
 
-// The effects, from the most to the least tolerant of a second execution.
+// The effects, in decreasing tolerance of a second execution.
 const (
 	// Idempotent queries may run any number of times.
 	Idempotent Effect = iota
-	// IdempotentByKey queries carry a key by which engines of Class.DedupeScope discard a second execution.
+	// IdempotentByKey queries carry a key by which the engines of Class.DedupeScope discard duplicates.
 	IdempotentByKey
 	// NonIdempotent queries must not run again once they may have run.
 	NonIdempotent
 )
 
-// DedupeScope is the set of engines that discards duplicates of an IdempotentByKey query.
+// DedupeScope is the set of engines among which duplicates of an IdempotentByKey query are discarded.
 type DedupeScope int
 
 // The scopes.
 const (
-	// ScopeAll means that every engine knows the key of every other.
+	// ScopeAll means that all engines know each other's keys.
 	ScopeAll DedupeScope = iota
 	// ScopeZone means that engines of one zone know each other's keys.
 	ScopeZone
@@ -106,92 +106,94 @@
 
 // Class is a class of queries. LatencyObjective, ClientTimeout and Threads are required.
 type Class struct {
-	// Name names the class in errors.
+	// Name identifies the class in error messages.
 	Name string
-	// LatencyObjective is the time within which a response has its full value.
+	// LatencyObjective is the latency up to which a response has its full value.
 	LatencyObjective monotime.Micros
-	// ObjectiveStretch times the query's work over its threads is added to LatencyObjective.
+	// ObjectiveStretch extends LatencyObjective by this multiple of the query's work per thread.
 	ObjectiveStretch float64
 	// ClientTimeout is the time after which clients of the class time out.
 	ClientTimeout monotime.Micros
-	// PriorityWeight is the value of a query served in time, against that of other classes.
+	// PriorityWeight is the value of a query served within its objective, relative to other classes.
 	PriorityWeight float64
-	// LateWeight is the share of PriorityWeight after the objective. The decisions don't read it.
+	// LateWeight is the share of PriorityWeight that a query served after its objective has. Not used by the scheduler.
 	LateWeight float64
-	// Effect is what a second execution would do; zero: Idempotent.
+	// Effect says whether a second execution does harm; zero: Idempotent.
 	Effect Effect
-	// DedupeScope is the set of engines that discards duplicates by key; zero: all.
+	// DedupeScope is the set of engines among which duplicates are discarded by key; zero: all.
 	DedupeScope DedupeScope
 	// DedupeWindow is how long engines of DedupeScope remember a key; 0: an IdempotentByKey query that may have run is
 	// never retried.
 	DedupeWindow monotime.Micros
-	// Ordered says that queries of one key run one at a time, in the order of their arrival.
+	// Ordered means that queries of one key run one at a time, in the order of their arrival.
 	Ordered bool
 	// Zones are the zones that may run the class; none: any zone.
 	Zones []string
 	// Kinds are the engine kinds that may run the class; none: any kind.
 	Kinds []string
-	// Streaming says that responses are streamed. The decisions don't read it.
+	// Streaming means that responses are streamed. Not used by the scheduler.
 	Streaming bool
 	// Threads is the number of threads that a query of the class runs on; at least 1.
 	Threads int
-	// LocksTableGroup says that a query locks its table group on its engine while it runs.
+	// LocksTableGroup means that a query locks its table group on its engine while it runs.
 	LocksTableGroup bool
-	// WaitsForTableGroup says that a query waits on its engine while another locks its table group.
+	// WaitsForTableGroup means that a query waits on its engine while another query locks its table group.
 	WaitsForTableGroup bool
 }
 
-// Tenant is one of those who share the engines.
+// Tenant is a group of clients with a share of the engines and a quota of its own.
 type Tenant struct {
 	// Name is the tenant's subject in budgets.
 	Name string
-	// Share is the tenant's share of the engines. The decisions don't read it.
+	// Share is the tenant's share of the engines. Not used by the scheduler.
 	Share float64
-	// Quota is in queries a second over all gateways; 0 or less bounds nothing.
+	// Quota is in queries a second over all front ends; 0 or less means no limit.
 	Quota float64
 }
 
-// Limits are what the gateway is allowed to do. The zero value allows no attempt.
+// Limits restrict which actions the scheduler may take. The zero value allows no attempt.
 type Limits struct {
 	// Cancel allows Cancel actions.
 	Cancel bool
-	// HealthChecks allows HealthCheck actions; without, an ejected engine gets a probation request.
+	// HealthChecks allows HealthCheck actions. Without them an ejected engine is tried with a probation request.
 	HealthChecks bool
-	// HedgedRequests allows a second attempt beside a slow first one.
+	// HedgedRequests allows a second attempt while a slow first one is in flight.
 	HedgedRequests bool
-	// RetryAfter says that clients heed Reject.After. The decisions don't read it.
+	// RetryAfter means that clients observe Reject.RetryAfter. Not used by the scheduler.
 	RetryAfter bool
 
 	// MaxAttempts is the number of attempts of a query, the first included; 0 allows none.
 	MaxAttempts int
-	// MaxRetryAfter is the upper bound of Reject.After; 0 makes that 0.
+	// MaxRetryAfter is the upper bound of Reject.RetryAfter.
 	MaxRetryAfter monotime.Micros
 }
 
-// Rules are the figures of the site's rules. A zero value means that the rule does not apply.
+// Rules are the numeric parameters of the site. A zero value means that the rule does not apply.
 type Rules struct {
-	// ResponseTimeout is the time in which discovery answers a Subscribe.
+	// ResponseTimeout is the time within which discovery responds to a Subscribe.
 	ResponseTimeout monotime.Micros
 	// WarmUp is the time from an engine's start until it has its full capacity; 0: engines have no warm-up.
 	WarmUp monotime.Micros
-	// InitialCapacity is the part of its capacity that an engine has at its start, up to 1.
+	// InitialCapacity is the fraction of its full capacity that an engine has at its start, up to 1.
 	InitialCapacity float64
-	// OverloadWindow is the span over which the work sent to an engine that is warming up is bounded; 0: no bound.
+	// OverloadWindow is the time window over which the work sent to an engine that is warming up is bounded; 0: no
+	// bound.
 	OverloadWindow monotime.Micros
-	// OverloadMultiple is how many times its capacity such an engine may be sent in an OverloadWindow.
+	// OverloadMultiple is the work that may be sent to such an engine in an OverloadWindow, as a multiple of what its
+	// capacity executes in that time.
 	OverloadMultiple float64
-	// DrainGrace is how long a draining engine still completes what it runs. The decisions don't read it.
+	// DrainGrace is how long a draining engine keeps executing the queries that it runs. Not used by the scheduler.
 	DrainGrace monotime.Micros
-	// AnswerSlack is by how much a final answer may be late. The decisions don't read it.
+	// AnswerSlack is how much later than due a final answer may be. Not used by the scheduler.
 	AnswerSlack monotime.Micros
-	// KeyQuietPeriod is how long a key of an Ordered class rests after an outcome that leaves open whether it ran.
+	// KeyQuietPeriod is how long other queries of a key of an Ordered class wait after an attempt of unknown outcome.
 	KeyQuietPeriod monotime.Micros
-	// RetryBudget says that retries are bounded by MinRetries, RetryRatio and RetryBudgetWindow.
+	// RetryBudget enables the retry budget, which MinRetries, RetryRatio and RetryBudgetWindow define.
 	RetryBudget bool
 	// MinRetries is the number of retries within RetryBudgetWindow that are always allowed.
 	MinRetries float64
 	// RetryRatio is the number of further retries allowed for each query that arrives within RetryBudgetWindow.
 	RetryRatio float64
-	// RetryBudgetWindow is the span over which retries and arrivals are counted.
+	// RetryBudgetWindow is the sliding window over which retries and arrivals are counted.
 	RetryBudgetWindow monotime.Micros
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -6,16 +6,17 @@
 	"chutechute/internal/monotime"
 )
 
-// Priorities of attempts, as AttemptParameters.Priority has them.
+// Priorities of attempts, the values of AttemptParameters.Priority.
 const (
-	lowestPriority = iota // past the latency objective, or over quota
-	usualPriority
-	lockPriority // locks a table group, for which others wait
-	highPriority // more than half as much weight for its work as the class with most
+	lowestPriority = iota // past the latency objective, or deprioritized
+	normalPriority
+	lockPriority // locks a table group, which other queries wait for
+	highPriority // a ratio of priority weight to mean work above half the highest among the classes
 )
 
-// release starts attempts of queued queries by group EDF for as long as engines can be found.
-func (s *Scheduler) release() {
+// dispatchQueued answers expired queries, then starts attempts of queued queries in group EDF order until no engine is
+// found for the remaining ones.
+func (s *Scheduler) dispatchQueued() {
 	s.expireQueries()
 	var passedOver []*query
 	for {
@@ -23,13 +24,13 @@
 		if q == nil {
 			break
 		}
-		if e := s.choose(q); e != nil {
+		if e := s.chooseEngine(q); e != nil {
 			s.start(q, e)
 			continue
 		}
 		q.state = queryPassedOver
 		passedOver = append(passedOver, q)
-		q.class.blocked = q.class.blocked || q.interchangeable() // without an engine for one there is none for its like
+		q.class.blocked = q.class.blocked || q.interchangeable() // there is no engine for the others of its class either
 	}
 	for _, q := range passedOver {
 		q.state, q.class.blocked, q.demandRecorded = queryQueued, false, true
@@ -39,7 +40,7 @@
 	}
 }
 
-// mayStart reports whether the rules that hold for any engine allow an attempt of the query.
+// mayStart reports whether the rules that do not depend on the engine allow an attempt of the query.
 func (s *Scheduler) mayStart(q *query) bool {
 	if q.state == queryAnswered || len(q.attempts) >= q.maxAttempts(&s.cfg.Limits) || q.inFlight > 0 && !s.mayHedge(q) {
 		return false
@@ -50,16 +51,17 @@
 	return len(q.attempts) == 0 || s.retries.allows(s.now, &s.cfg.Rules)
 }
 
-// mayStartOn is the guard of every attempt on an engine: drains, placement, effects, warm-up and budgets.
+// mayStartOn reports whether the rules that depend on the engine allow an attempt of the query: the engine's state, the
+// zones and kinds of the class, the query's effect, the engine's warm-up and the budgets.
 func (s *Scheduler) mayStartOn(q *query, e *engine) bool {
 	return e.serving() && !q.hasAttemptOn(e) && allows(q.class.Zones, e.Zone) && allows(q.class.Kinds, e.Kind) &&
-		q.mayRepeatOn(e, s.now) && s.hasWarmUpCapacity(q, e) && s.budgets.affords(s.now, q, e)
+		q.isSafeOn(e, s.now) && s.hasWarmUpCapacity(q, e) && s.budgets.affords(s.now, q, e)
 }
 
-// allows reports whether a list of names, all names if it is empty, has the name.
+// allows reports whether the list contains the name; an empty list allows all names.
 func allows(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 
-// start starts an attempt. Every attempt passes here, after mayStart and mayStartOn.
+// start starts an attempt. All attempts are started here, after mayStart and mayStartOn have allowed them.
 func (s *Scheduler) start(q *query, e *engine) {
 	if len(q.attempts) > 0 {
 		s.retries.countRetry(s.now, &s.cfg.Rules)
@@ -74,7 +76,7 @@
 	q.attempts = append(q.attempts, a)
 	q.inFlight++
 	e.countAttempt(q, 1)
-	s.placement.countSend(e, q.class.Threads, len(s.endpoints.engines))
+	s.placement.recordSend(e, q.class.Threads, len(s.endpoints.engines))
 	e.lastSentAt = s.now
 	s.queue.remove(q, queryDispatched)
 	if len(q.attempts) == 1 {
@@ -82,11 +84,11 @@
 	}
 	s.updatePriority(q)
 	timeout := earlier(s.attemptTimeout(q, a.executionTime), maxDuration)
-	s.do(StartAttempt{ID: q.ID, Engine: e.Engine, Timeout: timeout, StartBy: startBy})
+	s.emit(StartAttempt{ID: q.ID, Engine: e.Engine, Timeout: timeout, StartBy: startBy})
 }
 
-// attemptTimeout returns the timeout of an attempt, 0 without one. What can't be canceled must end by itself, unless a
-// hedged request goes beside it.
+// attemptTimeout returns the time-out of an attempt, 0 if it has none. Only idempotent queries whose attempts can be
+// neither canceled nor hedged have one: a slow attempt must then end by itself before the query can be retried.
 func (s *Scheduler) attemptTimeout(q *query, executionTime float64) monotime.Micros {
 	if l := &s.cfg.Limits; !l.Cancel && !l.HedgedRequests && q.effect() == Idempotent {
 		return monotime.Micros(q.class.timeoutFactor() * executionTime)
@@ -94,7 +96,7 @@
 	return 0
 }
 
-// earlier returns the earlier of two times or the shorter of two durations, of which 0 is none.
+// earlier returns the earlier of two times or the shorter of two durations; 0 means no bound.
 func earlier(a, b monotime.Micros) monotime.Micros {
 	if a == 0 || b > 0 && b < a {
 		return b
@@ -102,16 +104,16 @@
 	return a
 }
 
-// updatePriority sends the query's priority where engines heed it and it has changed.
+// updatePriority sends the query's priority if it has changed and engines apply priorities.
 func (s *Scheduler) updatePriority(q *query) {
 	if p := s.priority(q); s.cfg.Priorities && q.priority != p {
 		q.priority = p
-		s.do(AttemptParameters{ID: q.ID, Priority: p})
+		s.emit(AttemptParameters{ID: q.ID, Priority: p})
 	}
 }
 
-// priority favours classes of much weight for their work, then those that lock table groups, and drops what is past
-// its latency objective.
+// priority returns the priority of the query's attempts: lowest if it is deprioritized or past its latency objective;
+// otherwise raised for classes that lock table groups, and highest for classes with a high ratio of weight to work.
 func (s *Scheduler) priority(q *query) int {
 	highest := 0.0
 	for _, c := range s.classes {
@@ -125,10 +127,11 @@
 	case q.class.PriorityWeight/q.class.meanWork > highest/2:
 		return highPriority
 	}
-	return usualPriority
+	return normalPriority
 }
 
-// closeQuery forgets a query once it is answered and no attempt of it is in flight; else it cancels these.
+// closeQuery marks a query as answered. It cancels the query's attempts in flight if Limits.Cancel allows that; a query
+// without any is forgotten.
 func (s *Scheduler) closeQuery(q *query) {
 	s.queue.remove(q, queryAnswered)
 	if q.inFlight > 0 {
@@ -144,10 +147,10 @@
 	s.queue.removeFromKey(q, s.now)
 }
 
-// cancel cancels an attempt that is running; one whose response has begun is let go on.
+// cancel cancels a running attempt, unless its streamed response has begun.
 func (s *Scheduler) cancel(q *query, number int) {
 	if a := &q.attempts[number]; a.state == attemptRunning {
 		a.state = attemptCanceling
-		s.do(Cancel{ID: q.ID, Attempt: number})
+		s.emit(Cancel{ID: q.ID, Attempt: number})
 	}
 }
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -9,29 +9,31 @@
 )
 
 const (
-	// subscribeToken is the token of the timer that calls for a Subscribe; any event does.
+	// subscribeToken is the token of the timer that triggers a Subscribe. It needs no handler: every step subscribes if
+	// that is due.
 	subscribeToken = "list"
-	// minSubscribeBackoff is the unit of the exponential backoff after failed updates.
-	minSubscribeBackoff = monotime.Second / 4
-	// maxBackoffDoublings bounds that backoff.
+	// subscribeBackoffUnit is the unit of the exponential backoff after failed updates.
+	subscribeBackoffUnit = monotime.Second / 4
+	// maxBackoffDoublings is the largest number of times that the unit is doubled.
 	maxBackoffDoublings = 4
-	// initialRecentThreads is the upper bound of the threads an engine that a gateway takes for sent to a new engine:
-	// many gateways begin with different loads, lest all send their first queries to the same engine.
-	initialRecentThreads = 8.0
+	// maxInitialRecentThreads is the upper bound of the random value that a new engine's recentThreads starts from. It
+	// gives the front ends of a large fleet different views of the load, so that they don't all send their first
+	// queries to the same engine.
+	maxInitialRecentThreads = 8.0
 )
 
-// engine is one query engine as this gateway sees it.
+// engine is what this front end knows of one engine.
 type engine struct {
-	Endpoint // as last reported
-	hash     uint64
+	Endpoint        // as last reported
+	hash     uint64 // of the engine's name
 	cores    float64
 	memoryMB float64
 
 	usage          usage
-	recentThreads  float64         // threads sent lately, as of recentAt; see placement.recentThreads
-	recentAt       int             // placement.sends then
-	lastSentAt     monotime.Micros // last attempt
-	lastRejectedAt monotime.Micros // last attempt that the engine rejected
+	recentThreads  float64         // decayed threads of recent attempts, as of recentAtSend; see placement.recentThreads
+	recentAtSend   int             // value of placement.sends when recentThreads was set
+	lastSentAt     monotime.Micros // when the last attempt was sent
+	lastRejectedAt monotime.Micros // when the engine last rejected an attempt
 
 	warmUp warmUp
 	health engineHealth
@@ -45,27 +47,27 @@
 		cores:          1,
 		usage:          usage{tableLocks: map[int]int{}},
 		lastSentAt:     -rejectionPause,
-		lastRejectedAt: -rejectionMemory,
+		lastRejectedAt: -pressureDuration,
 		health:         engineHealth{outlierScore: 1, lastSeenAt: -1},
 	}
 }
 
-// serving reports whether the engine takes queries as far as discovery reports.
+// serving reports whether the engine accepts queries according to discovery.
 func (e *engine) serving() bool { return e.State == Serving }
 
 // ready reports whether the engine is serving and not ejected.
 func (e *engine) ready() bool { return e.serving() && !e.health.ejected }
 
-// usage is what this gateway's attempts in flight hold on an engine.
+// usage is the resources of an engine that this front end's attempts in flight use.
 type usage struct {
 	attempts       int
 	threads        int
 	threadsByClass []int       // by index of the class
 	memoryMB       float64     // estimated
-	tableLocks     map[int]int // attempts that lock a table group, by group
+	tableLocks     map[int]int // number of attempts that lock a table group, by group
 }
 
-// countAttempt adds n attempts of the query to those in flight: 1 at the start of one, -1 at its end.
+// countAttempt adds n to the number of the query's attempts in flight: 1 at the start of one, -1 at its end.
 func (e *engine) countAttempt(q *query, n int) {
 	u := &e.usage
 	u.attempts += n
@@ -83,20 +85,20 @@
 	u.memoryMB += float64(n) * q.MemoryMB
 }
 
-// endpoints is the engines that are known, and the subscription to their updates.
+// endpoints holds the known engines and the state of the subscription to their updates.
 type endpoints struct {
-	engines []*engine // in order of first sight
+	engines []*engine // in the order in which they were first reported
 	byName  map[string]*engine
 
 	subscribeAt      monotime.Micros // when to subscribe again; math.MaxInt64: not needed
-	subscribeTimerAt monotime.Micros // last timer set for it
-	failedUpdates    int             // in a row
+	subscribeTimerAt monotime.Micros // when the last timer set for it is due
+	failedUpdates    int             // consecutive
 }
 
 func newEndpoints() endpoints { return endpoints{byName: map[string]*engine{}} }
 
-// inZone returns the serving engines of a zone.
-func (es *endpoints) inZone(name string) (list []*engine) {
+// servingInZone returns the serving engines of a zone.
+func (es *endpoints) servingInZone(name string) (list []*engine) {
 	for _, e := range es.engines {
 		if e.Zone == name && e.serving() {
 			list = append(list, e)
@@ -105,8 +107,8 @@
 	return list
 }
 
-// dropRemoved forgets engines that are removed and have no attempt in flight: one that comes back, or another at its
-// address, starts anew.
+// dropRemoved forgets removed engines without an attempt in flight. An engine that is reported under the same name
+// later starts with fresh state.
 func (es *endpoints) dropRemoved() {
 	es.engines = slices.DeleteFunc(es.engines, func(e *engine) bool {
 		drop := e.State == Removed && e.usage.attempts == 0
@@ -117,12 +119,12 @@
 	})
 }
 
-// updateEndpoints takes over what an update reports of the engines.
+// updateEndpoints applies an update of the engines.
 func (s *Scheduler) updateEndpoints(update EndpointUpdate) {
 	es := &s.endpoints
 	if update.Kind == UpdateFailed {
 		es.failedUpdates++
-		backoff := minSubscribeBackoff << min(es.failedUpdates, maxBackoffDoublings)
+		backoff := subscribeBackoffUnit << min(es.failedUpdates, maxBackoffDoublings)
 		es.subscribeAt = s.now + backoff + s.rng.Int64N(backoff)
 		return
 	}
@@ -148,8 +150,8 @@
 	e := s.endpoints.byName[endpoint.Engine]
 	if e == nil {
 		e = newEngine(endpoint.Engine)
-		e.recentThreads = s.rng.Float64() * initialRecentThreads * max(0, 1-2/float64(s.cfg.Gateways))
-		e.recentAt = s.placement.sends
+		e.recentThreads = s.rng.Float64() * maxInitialRecentThreads * max(0, 1-2/float64(s.cfg.Gateways))
+		e.recentAtSend = s.placement.sends
 		s.endpoints.byName[endpoint.Engine] = e
 		s.endpoints.engines = append(s.endpoints.engines, e)
 	}
@@ -166,16 +168,16 @@
 	}
 }
 
-// keepSubscribed subscribes where endpoint updates must be asked for, and again after failures. It has a timer of its
-// own, as an idle gateway has no other.
+// keepSubscribed subscribes to endpoint updates if Config.PollEndpoints is set, and again after failures. It sets a
+// timer of its own because an idle front end has no other.
 func (s *Scheduler) keepSubscribed() {
 	es := &s.endpoints
 	if s.cfg.PollEndpoints && s.now >= es.subscribeAt {
 		es.subscribeAt = s.now + s.cfg.Rules.ResponseTimeout/2
-		s.do(Subscribe{})
+		s.emit(Subscribe{})
 	}
 	if s.cfg.PollEndpoints && es.subscribeAt < math.MaxInt64 && es.subscribeTimerAt != es.subscribeAt {
 		es.subscribeTimerAt = es.subscribeAt
-		s.do(SetTimer{At: es.subscribeAt, Token: subscribeToken})
+		s.emit(SetTimer{At: es.subscribeAt, Token: subscribeToken})
 	}
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -5,26 +5,27 @@
 // Event is one of the event types below; other values are ignored.
 type Event any
 
-// LoadReport is an engine's report of its load; a negative value is not reported. The decisions don't read it.
+// LoadReport is an engine's report of its load. A negative value means that the engine does not report it. Not used by
+// the scheduler.
 type LoadReport struct {
-	Utilization float64 // used share of the cores
-	Queue       float64 // queries that wait
-	Memory      float64 // used share of the memory
-	Disk        float64 // used share of the disk
+	Utilization float64 // fraction of the cores in use
+	Queue       float64 // queued queries
+	Memory      float64 // fraction of the memory in use
+	Disk        float64 // fraction of the disk in use
 }
 
-// UpdateKind says how an EndpointUpdate is to be read.
+// UpdateKind says how to interpret an EndpointUpdate.
 type UpdateKind int
 
 // The kinds of endpoint updates.
 const (
-	// UpdateChanges holds engines that changed; all others stay as they are.
+	// UpdateChanges lists engines that changed; all others stay as they are.
 	UpdateChanges UpdateKind = iota
-	// UpdateComplete holds all engines; those that are missing are removed.
+	// UpdateComplete lists all engines; those that are missing are removed.
 	UpdateComplete
-	// UpdateCached is complete but may be stale.
+	// UpdateCached is the complete cached list, which may be stale.
 	UpdateCached
-	// UpdateFailed says that a call for the endpoints failed or that the subscription broke.
+	// UpdateFailed means that a request for the endpoint list failed or that the subscription broke.
 	UpdateFailed
 )
 
@@ -33,22 +34,22 @@
 
 // The states of an engine.
 const (
-	// Serving engines take queries.
+	// Serving engines accept queries.
 	Serving EngineState = iota
-	// Draining engines complete what they run and take nothing more.
+	// Draining engines complete the queries that they run and accept no more.
 	Draining
-	// Removed engines are no longer there.
+	// Removed engines no longer exist.
 	Removed
 )
 
 // Endpoint is one engine as discovery reports it.
 type Endpoint struct {
 	Engine  string          // name or address, unique
-	Zone    string          // where it stands
+	Zone    string          // zone that it runs in
 	Kind    string          // EngineKind.Name
 	Cell    int             // see ScopeCell
-	State   EngineState     // zero: Serving
-	Started monotime.Micros // when it started; 0: long ago
+	State   EngineState     // zero value: Serving
+	Started monotime.Micros // when it started; 0: long ago, it is not warming up
 }
 
 // Result is how an attempt or a health check ended.
@@ -60,33 +61,32 @@
 	Succeeded Result = iota
 	// Errored means that the engine reported an error.
 	Errored
-	// Rejected means that the engine had no capacity and did not begin.
+	// Rejected means that the engine had no capacity and did not start the attempt.
 	Rejected
-	// TimedOut means that nothing came within the attempt's timeout.
+	// TimedOut means that no response arrived within the attempt's time-out.
 	TimedOut
-	// NoConnection means that no connection came up.
+	// NoConnection means that no connection could be established.
 	NoConnection
 	// Reset means that the connection broke after the attempt was sent.
 	Reset
-	// Canceled means that the attempt ended for a Cancel.
+	// Canceled means that a Cancel ended the attempt.
 	Canceled
-	// NotSent means that the attempt was given up before any byte of it was written.
+	// NotSent means that the attempt was abandoned before any byte of it was written.
 	NotSent
 )
 
-// NeverRan reports whether the result proves that its attempt never ran and never will. Only then may a query that is
-// not idempotent be sent again, and only then is rejecting it truthful. A timeout, a reset, an error and a cancel
-// prove nothing.
+// NeverRan reports whether the result proves that its attempt never ran and never will. Only then may a non-idempotent
+// query be sent again or rejected. A time-out, a reset, an error and a cancellation prove nothing.
 func (r Result) NeverRan() bool { return r == Rejected || r == NoConnection || r == NotSent }
 
-// ProgressKind is what a ProgressReport reports.
+// ProgressKind is the quantity that a ProgressReport reports.
 type ProgressKind int
 
 // The kinds of progress reports.
 const (
-	// ProgressFraction reports the share done, from 0 to 1.
+	// ProgressFraction reports the completed fraction, from 0 to 1.
 	ProgressFraction ProgressKind = iota + 1
-	// ProgressSpill reports how many megabytes of memory the attempt lacks.
+	// ProgressSpill reports how many megabytes of memory the attempt is short of.
 	ProgressSpill
 	// ProgressWaiting reports what the attempt waits for: 1 for memory, 2 for a locked table group.
 	ProgressWaiting
@@ -94,24 +94,24 @@
 
 // EndpointUpdate reports the state of engines.
 type EndpointUpdate struct {
-	Kind      UpdateKind // how Entries are to be read
+	Kind      UpdateKind // how to interpret Endpoints
 	Endpoints []Endpoint
 }
 
-// Request is a query that arrived; from here on exactly one final answer is due.
+// Request reports that a query arrived. Every request gets exactly one final answer.
 type Request struct {
-	ID             uint64          // unique among the queries in hand
+	ID             uint64          // unique among the open queries
 	Class          int             // index into Config.Classes
-	Tenant         int             // index into Config.Tenants, -1 without
+	Tenant         int             // index into Config.Tenants, -1 for none
 	Key            string          // orders the queries of an Ordered class; "": no order
 	Deadline       monotime.Micros // when the client times out
 	EstimatedWork  monotime.Micros // estimated execution time on one thread, 0 without an estimate
 	MemoryMB       float64         // estimated memory in megabytes, 0 without an estimate
-	TableGroup     int             // table group
-	NonIdempotent  bool            // a second execution would do harm, whatever the class says
-	NoRetry        bool            // at most one attempt, even if that never ran
-	OwnEstimate    bool            // EstimatedWork is this gateway's own estimate, not the client's
-	MeasureLatency bool            // a LatencyMeasurement is wanted when the query is served
+	TableGroup     int             // table group of its statement
+	NonIdempotent  bool            // overrides Class.Effect: a second execution does harm
+	NoRetry        bool            // at most one attempt, even if it never ran
+	OwnEstimate    bool            // EstimatedWork is this front end's own estimate, not the client's
+	MeasureLatency bool            // emit a LatencyMeasurement when the query is served
 }
 
 // Started reports that a streamed response began.
@@ -120,38 +120,37 @@
 	Attempt int    // number of the attempt, from 0
 }
 
-// Outcome ends an attempt.
+// Outcome reports the end of an attempt.
 type Outcome struct {
 	ID      uint64          // Request.ID
 	Attempt int             // number of the attempt, from 0
 	Engine  string          // where it ran
 	Result  Result          // how it ended
-	Elapsed monotime.Micros // since its start
-	Final   bool            // the request has its final answer
+	Elapsed monotime.Micros // since the attempt started
+	Final   bool            // the request got its final answer with this outcome
 	Load    *LoadReport     // nil without a report
-	// WorkUsed is the work on one thread that the engine reports for the attempt; 0 if it reports none.
+	// WorkUsed is the execution time on one thread that the engine reports for the attempt; 0 if it reports none.
 	WorkUsed monotime.Micros
-	// MemoryUsedMB is the memory in megabytes that the engine reports; 0 if it reports none. The decisions don't
-	// read it.
+	// MemoryUsedMB is the memory in megabytes that the engine reports; 0 if it reports none. Not used by the scheduler.
 	MemoryUsedMB float64
 }
 
-// ClientDisconnected reports that the client of a request left.
+// ClientDisconnected reports that the client of a request disconnected or that its deadline has come.
 type ClientDisconnected struct {
 	ID        uint64 // Request.ID
-	AnswerDue bool   // the client's time is up and the final answer is due now
+	AnswerDue bool   // the deadline has come: the final answer is due now
 }
 
-// ProgressReport reports how an attempt goes; it shows that the engine is alive.
+// ProgressReport reports the progress of an attempt. It proves that the engine is alive.
 type ProgressReport struct {
 	ID      uint64       // Request.ID
 	Attempt int          // number of the attempt, from 0
 	Engine  string       // where it runs
-	Kind    ProgressKind // what Value is
+	Kind    ProgressKind // meaning of Value
 	Value   float64
 }
 
-// EngineUnresponsive reports that an engine did not answer a call in the time in which any that runs does.
+// EngineUnresponsive reports that an engine did not respond to a call within the time that any live engine needs.
 type EngineUnresponsive struct {
 	Engine string // Endpoint.Engine
 }
@@ -164,21 +163,21 @@
 	Load    *LoadReport     // nil without a report
 }
 
-// PeerMessage is a message from another gateway of the simulator. It is ignored: gateways exchange nothing there.
+// PeerMessage is a message from another front end in the simulator. It is ignored: there front ends share no state.
 type PeerMessage struct {
-	From int    // the other gateway's Config.Rank
+	From int    // Config.Rank of the sender
 	Body []byte // opaque
 }
 
-// BudgetGrant sets what this gateway may spend of the fleet's budgets. Before the first one no budget binds.
+// BudgetGrant sets what this front end may spend of the fleet's budgets. Before the first one no budget is in force.
 type BudgetGrant struct {
-	Rules  []BudgetRule    // replace the rules in force; nil leaves them
+	Rules  []BudgetRule    // replaces the rules in force; nil keeps them
 	Until  monotime.Micros // when Leased expires
 	Leased []BudgetAmount  // replaces all leased amounts; ordered by budget
-	Static []BudgetAmount  // replaces all amounts that need no lease; nil leaves them
+	Static []BudgetAmount  // replaces all amounts that need no lease; nil keeps them
 }
 
-// Timer is a SetTimer that is due.
+// Timer reports that the timer of a SetTimer is due.
 type Timer struct {
 	Token string // SetTimer.Token
 }
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -49,7 +49,7 @@
 	}
 	sched := newTestScheduler(t, largeEngineConfig(), update)
 	ejected := func(zone string) (n int) {
-		for _, e := range sched.endpoints.inZone(zone) {
+		for _, e := range sched.endpoints.servingInZone(zone) {
 			if e.health.ejected {
 				n++
 			}
@@ -113,7 +113,7 @@
 	for range 20 {
 		sched.learnFromOutcome(q, &q.attempts[0], Outcome{Result: Errored})
 	}
-	if sched.survey(); sched.size(e) > 0.6*e.cores {
-		t.Fatalf("counts for %.1f of %.0f cores", sched.size(e), e.cores)
+	if sched.updateStatistics(); sched.effectiveCores(e) > 0.6*e.cores {
+		t.Fatalf("counts for %.1f of %.0f cores", sched.effectiveCores(e), e.cores)
 	}
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -7,49 +7,50 @@
 )
 
 const (
-	// spillFactor is the multiple of the mean load above which an engine is passed over.
-	// Source: the design's 1.25 spill.
+	// spillFactor is the multiple of the mean load above which an engine is passed over in favor of later ones in the
+	// hash order. The value is the spill threshold of the design.
 	spillFactor = 1.25
-	// pressuredThreadsPerCore is the threads a core, over all gateways, that an engine runs under pressure. The share
-	// of it of one gateway is the bound that choose keeps to.
+	// pressuredThreadsPerCore is the number of threads per core that all front ends together run on an engine under
+	// pressure. Each front end keeps to its share of that.
 	pressuredThreadsPerCore = 1.6
-	// unpressuredFactor is the multiple of that bound that holds without pressure too: an overload starts sooner than
-	// latencies can show it.
+	// unpressuredFactor is the multiple of that bound that applies without pressure. There is a bound then too, because
+	// an overload begins before latencies show it.
 	unpressuredFactor = 2.0
-	// recentRounds is how many attempts for each engine recent threads fade over: where a gateway has many engines it
-	// has few attempts in flight at once.
+	// recentRounds, times the number of engines, is the number of attempts over which recentThreads decay. Threads of
+	// recent attempts are counted because a front end with many engines has few attempts in flight at once.
 	recentRounds = 4.0
-	// ownGrantFactor is the multiple of the estimated memory that an engine grants by itself.
+	// ownGrantFactor is the multiple of a query's estimated memory that an engine grants by default.
 	ownGrantFactor = 1.25
-	// rejectionPause is the time between attempts on an engine that rejected one lately.
+	// rejectionPause is the minimum time between attempts on an engine that recently rejected one.
 	rejectionPause = sweepInterval
-	// minRelativeScore is the outlier score, relative to the median, from which an engine counts as smaller.
+	// minRelativeScore is the outlier score, relative to the median, above which an engine counts as having fewer
+	// cores.
 	minRelativeScore = 1.3
-	// minMedianScore keeps relative scores finite.
+	// minMedianScore is the lower bound of the median score, which keeps relative scores finite.
 	minMedianScore = 1e-9
 )
 
-// placement is what the choice of an engine rests on. survey renews the figures once a step.
+// placement is the state from which engines are chosen. Scheduler.updateStatistics sets its statistics once per step.
 type placement struct {
-	orders     map[int][]*engine // hash orders by table group, of the engines as last updated
+	orders     map[int][]*engine // cached hash orders by table group; cleared by endpoint updates
 	popularity popularity        // of table groups
-	sends      int               // attempts started so far
+	sends      int               // number of attempts started so far
 
-	hasLockWaiters bool    // some class waits for table groups that are locked
-	readyEngines   int     // engines that are serving and not ejected
+	hasLockWaiters bool    // some class waits for locked table groups
+	readyEngines   int     // number of engines that are serving and not ejected
 	medianScore    float64 // their median outlier score
 	meanLoad       float64 // their mean load
-	recentWeight   float64 // of recent threads in the load: nearly 1 where engines have less than a thread each
-	threadsPerCore float64 // that this gateway may run on an engine
-	slots          float64 // threads that this gateway may run on all engines, where no budget divides threads
+	recentWeight   float64 // weight of recentThreads in the load: close to 1 if there are few threads per engine
+	threadsPerCore float64 // threads per core that this front end may run on an engine
+	slots          float64 // threads that this front end may run on all engines, unless a budget limits threads
 }
 
 func newPlacement() placement {
 	return placement{orders: map[int][]*engine{}, popularity: newPopularity(), medianScore: 1}
 }
 
-// hashOrder returns the rendezvous order of the serving engines for a table group, weighted by cores: the same at every
-// gateway.
+// hashOrder returns the serving engines in the order of rendezvous hashing for a table group, weighted by cores. It is
+// the same at every front end.
 func (p *placement) hashOrder(group int, engines []*engine) []*engine {
 	if order, ok := p.orders[group]; ok {
 		return order
@@ -76,7 +77,7 @@
 	return order
 }
 
-// mixHash is the finalizer of SplitMix64.
+// mixHash is one output step of the SplitMix64 generator.
 func mixHash(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -84,55 +85,58 @@
 	return x ^ x>>31
 }
 
-// countSend counts the threads of an attempt to the engine, among so many engines.
-func (p *placement) countSend(e *engine, threads, engines int) {
+// recordSend adds the threads of an attempt to the engine's recent threads; engines is the number of known engines.
+func (p *placement) recordSend(e *engine, threads, engines int) {
 	p.sends++
-	e.recentThreads, e.recentAt = p.recentThreads(e, engines)+float64(threads), p.sends
+	e.recentThreads, e.recentAtSend = p.recentThreads(e, engines)+float64(threads), p.sends
 }
 
-// recentThreads returns the threads sent to the engine, fading over the attempts of recentRounds rounds of the engines.
+// recentThreads returns the threads of attempts sent to the engine, decayed by the attempts sent to any engine since;
+// see recentRounds.
 func (p *placement) recentThreads(e *engine, engines int) float64 {
-	return e.recentThreads * math.Exp(float64(e.recentAt-p.sends)/(recentRounds*float64(engines)))
+	return e.recentThreads * math.Exp(float64(e.recentAtSend-p.sends)/(recentRounds*float64(engines)))
 }
 
-// relativeScore returns an engine's outlier score against the median: what slows all engines is load.
+// relativeScore returns an engine's outlier score relative to the median, so that load, which slows all engines, makes
+// none an outlier.
 func (p *placement) relativeScore(e *engine) float64 {
 	return min(maxOutlierScore, e.health.outlierScore/p.medianScore)
 }
 
-// choose returns the engine for the next attempt of a query, nil if there is none now. It walks the group's hash order:
-// the least loaded of the group's home engines, and further on where that one is above the spill mark.
-func (s *Scheduler) choose(q *query) *engine {
+// chooseEngine returns the engine for the query's next attempt, nil if there is none now. It takes the least loaded of
+// the table group's preferred engines, which are the first candidates in its hash order. If that one's load is above
+// the spill threshold, it takes the first candidate whose load is not.
+func (s *Scheduler) chooseEngine(q *query) *engine {
 	if !s.mayStart(q) {
 		return nil
 	}
-	candidates := s.prefer(q, s.candidates(q))
+	candidates := s.avoidTriedAndLocked(q, s.candidates(q))
 	if s.cfg.Gateways > s.placement.readyEngines {
 		for _, e := range candidates {
 			if e.warmUp.active() {
-				return e // it is this gateway's turn, and the engine gets nothing from others meanwhile
+				return e // it has capacity for this front end now and gets little from others meanwhile
 			}
 		}
 	}
 	if len(candidates) == 0 {
 		return nil
 	}
-	homes := s.placement.popularity.homeEngines(q.TableGroup, s.placement.readyEngines)
-	for i := 1; i < min(homes, len(candidates)); i++ {
+	preferred := s.placement.popularity.preferredEngines(q.TableGroup, s.placement.readyEngines)
+	for i := 1; i < min(preferred, len(candidates)); i++ {
 		if s.load(candidates[i]) < s.load(candidates[0]) {
 			candidates[0], candidates[i] = candidates[i], candidates[0]
 		}
 	}
 	for _, e := range candidates {
-		if s.load(e) <= spillFactor*s.placement.meanLoad+float64(q.class.Threads)/s.size(e) {
+		if s.load(e) <= spillFactor*s.placement.meanLoad+float64(q.class.Threads)/s.effectiveCores(e) {
 			return e
 		}
 	}
 	return candidates[0]
 }
 
-// candidates returns the engines that may take the query, in the hash order of its table group. Ejected ones are among
-// them for a probation request, or where no engine is ready.
+// candidates returns the engines that may be sent the query, in the hash order of its table group. Ejected engines are
+// included for a probation request, or if no engine is ready.
 func (s *Scheduler) candidates(q *query) []*engine {
 	var list []*engine
 	for _, e := range s.placement.hashOrder(q.TableGroup, s.endpoints.engines) {
@@ -144,11 +148,12 @@
 	return list
 }
 
-// prefer leaves out engines that this query has failed on, and those where its table group is locked, unless no other
-// is left. Queries that lock a table group start further down the order than the homes of the group's other queries,
-// each gateway at an engine of its own.
-func (s *Scheduler) prefer(q *query, candidates []*engine) []*engine {
-	candidates = subset(candidates, func(e *engine) bool {
+// avoidTriedAndLocked removes engines to which the query was already sent, and those on which its table group is
+// locked, unless no other engines remain. Queries that lock a table group start in the second half of the order, away
+// from the preferred engines of the group's other queries, at an engine that depends on the query's ID so that front
+// ends distribute them.
+func (s *Scheduler) avoidTriedAndLocked(q *query, candidates []*engine) []*engine {
+	candidates = filterOrAll(candidates, func(e *engine) bool {
 		return !slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.engine == e })
 	})
 	if !s.placement.hasLockWaiters || !q.class.LocksTableGroup && !q.class.WaitsForTableGroup {
@@ -158,11 +163,11 @@
 		start := len(candidates)/2 + int(q.ID%uint64(len(candidates)/2))
 		candidates = slices.Concat(candidates[start:], candidates[:start])
 	}
-	return subset(candidates, func(e *engine) bool { return e.usage.tableLocks[q.TableGroup] == 0 })
+	return filterOrAll(candidates, func(e *engine) bool { return e.usage.tableLocks[q.TableGroup] == 0 })
 }
 
-// subset returns the engines that ok holds for, or all where there are none.
-func subset(list []*engine, ok func(*engine) bool) []*engine {
+// filterOrAll returns the engines for which ok holds, or all engines if it holds for none.
+func filterOrAll(list []*engine, ok func(*engine) bool) []*engine {
 	var some []*engine
 	for _, e := range list {
 		if ok(e) {
@@ -175,40 +180,42 @@
 	return some
 }
 
-// load returns this gateway's own threads a core on the engine, and, the fewer these are, those it sent lately: as all
-// gateways share the hash order, what one would pile up, all would, and what each keeps even is even over all.
+// load returns this front end's threads per core on the engine. Recent threads count towards it with a weight that is
+// higher the fewer threads are in flight. Since all front ends share the hash order, they would otherwise overload the
+// same engines; if each balances its own load, the total load is balanced.
 func (s *Scheduler) load(e *engine) float64 {
 	recent := s.placement.recentThreads(e, len(s.endpoints.engines))
-	return (float64(e.usage.threads) + s.placement.recentWeight*recent) / s.size(e)
+	return (float64(e.usage.threads) + s.placement.recentWeight*recent) / s.effectiveCores(e)
 }
 
-// size returns the cores that an engine counts for: fewer while it warms up, or while it is slower than others.
-func (s *Scheduler) size(e *engine) float64 {
-	size := e.cores
+// effectiveCores returns the number of cores that an engine counts as: fewer while it is warming up or slower than
+// others.
+func (s *Scheduler) effectiveCores(e *engine) float64 {
+	cores := e.cores
 	if r := s.placement.relativeScore(e); r > minRelativeScore {
-		size /= r
+		cores /= r
 	}
-	return size * e.warmUp.capacity(s.now, &s.cfg.Rules)
+	return cores * e.warmUp.capacity(s.now, &s.cfg.Rules)
 }
 
-// survey takes stock of the ready engines once a step: their median outlier score and mean load, how thinly threads are
-// spread over them, and this gateway's share of them.
-func (s *Scheduler) survey() {
+// updateStatistics updates the statistics of the ready engines once per step: their median outlier score and mean load,
+// the weight of recent threads, and the threads that this front end may run on them.
+func (s *Scheduler) updateStatistics() {
 	var scores []float64
 	s.countUnavailable()
-	threads, load, cores, sizes := 0, 0.0, 0.0, 0.0
+	threads, load, cores, coreSum := 0, 0.0, 0.0, 0.0
 	for _, e := range s.endpoints.engines {
 		if e.ready() {
 			scores = append(scores, e.health.outlierScore)
-			size := s.size(e)
+			engineCores := s.effectiveCores(e)
 			threads += e.usage.threads
-			load += s.load(e) * size
-			sizes += size
+			load += s.load(e) * engineCores
+			coreSum += engineCores
 			cores += e.cores * e.warmUp.capacity(s.now, &s.cfg.Rules)
 		}
 	}
 	p := &s.placement
-	p.readyEngines, p.meanLoad, p.medianScore = len(scores), load/max(sizes, 1), max(median(scores), minMedianScore)
+	p.readyEngines, p.meanLoad, p.medianScore = len(scores), load/max(coreSum, 1), max(median(scores), minMedianScore)
 	p.recentWeight = 1 / (1 + float64(threads)/float64(max(1, p.readyEngines)))
 	p.threadsPerCore = pressuredThreadsPerCore * s.traffic.share(s.now)
 	if !s.underPressure() {
@@ -217,7 +224,7 @@
 	p.slots = p.threadsPerCore * cores
 }
 
-// median returns the lower median of a list that it may sort; 0 without any.
+// median sorts the list and returns its lower median, 0 if it is empty.
 func median(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -226,8 +233,8 @@
 	return list[(len(list)-1)/2]
 }
 
-// countUnavailable counts the threads of each class on engines that are not ready: they take no slot where queries can
-// be served.
+// countUnavailable counts the threads of each class on engines that are not ready. They take up no slot of the engines
+// that are.
 func (s *Scheduler) countUnavailable() {
 	for i, c := range s.classes {
 		c.unavailableThreads = 0
@@ -239,11 +246,11 @@
 	}
 }
 
-// hasConcurrencySlot reports whether a query may go within this gateway's share of the fleet's threads. That is over
-// all engines, as the share of one engine is less than one query where there are many gateways, and leaves aside longer
-// classes, so that one long query does not hold up short ones.
+// hasConcurrencySlot reports whether this front end's share of the fleet's threads has capacity for a query. The share
+// is taken over all engines, because with many front ends the share of one engine is less than one query. Classes with
+// a higher mean latency are not counted, so that a long query does not delay short ones.
 func (s *Scheduler) hasConcurrencySlot(q *query) bool {
-	if s.budgets.divideThreads {
+	if s.budgets.limitsEngineThreads {
 		return true
 	}
 	threads := 0
@@ -255,22 +262,25 @@
 	return threads == 0 || float64(threads) < s.placement.slots
 }
 
-// exceedsShare reports whether the engine runs this gateway's share of its threads or memory. Longer classes don't take
-// it from shorter ones while no engine rejects.
+// exceedsShare reports whether this front end's share of the engine's threads or memory is in use, or the engine has
+// just rejected an attempt. Unless an engine rejected one recently, classes with more work don't count towards the
+// threads, so that long queries don't take the share from short ones.
 func (s *Scheduler) exceedsShare(q *query, e *engine) bool {
-	if s.now-e.lastRejectedAt < rejectionMemory && s.now-e.lastSentAt < rejectionPause {
-		return true // else what it rejects would make it look idle
+	if s.now-e.lastRejectedAt < pressureDuration && s.now-e.lastSentAt < rejectionPause {
+		return true // otherwise an engine that rejects attempts would look idle
 	}
 	p := &s.placement
-	full := e.memoryMB > 0 && ownGrantFactor*e.usage.memoryMB*pressuredThreadsPerCore >= e.memoryMB*p.threadsPerCore
+	memoryFull := e.memoryMB > 0 &&
+		ownGrantFactor*e.usage.memoryMB*pressuredThreadsPerCore >= e.memoryMB*p.threadsPerCore
 	threads := e.usage.threads
-	if s.now-s.lastRejectedAt >= rejectionMemory {
+	if s.now-s.lastRejectedAt >= pressureDuration {
 		threads = s.threadsUpTo(q.class, e)
 	}
-	return e.usage.attempts > 0 && (!s.budgets.divideThreads && float64(threads) >= p.threadsPerCore*s.size(e) || full)
+	return e.usage.attempts > 0 &&
+		(!s.budgets.limitsEngineThreads && float64(threads) >= p.threadsPerCore*s.effectiveCores(e) || memoryFull)
 }
 
-// threadsUpTo returns this gateway's threads on an engine of classes whose work is no more than that of the class.
+// threadsUpTo returns the threads on an engine of this front end's attempts of classes with no more mean work than c.
 func (s *Scheduler) threadsUpTo(c *class, e *engine) (n int) {
 	for i, threads := range e.usage.threadsByClass {
 		if s.classes[i].meanWork <= c.meanWork {
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -22,15 +22,15 @@
 	sched := newTestScheduler(t, testConfig(), completeUpdate("a", "b", "c", "e"))
 	order := sched.placement.hashOrder(0, sched.endpoints.engines)
 	q := &query{class: sched.classes[0]}
-	if got := sched.choose(q); got != order[0] {
+	if got := sched.chooseEngine(q); got != order[0] {
 		t.Fatalf("an idle order gives %s, want the first, %s", got.Engine, order[0].Engine)
 	}
 	order[0].usage.threads = 1
-	if got := sched.choose(q); got != order[1] {
+	if got := sched.chooseEngine(q); got != order[1] {
 		t.Fatalf("got %s, want the less loaded second, %s", got.Engine, order[1].Engine)
 	}
 	order[0].usage.threads, order[1].usage.threads = 7, 7
-	if got := sched.choose(q); got != order[2] {
+	if got := sched.chooseEngine(q); got != order[2] {
 		t.Fatalf("got %s, want the spill to the third, %s", got.Engine, order[2].Engine)
 	}
 }
--- a/scheduler/popularity.go
+++ b/scheduler/popularity.go
@@ -3,51 +3,53 @@
 import "maps"
 
 const (
-	// popularitySpan is how many queries a table group's share of the traffic is measured over.
+	// popularitySpan is the number of queries over which a table group's share of the traffic is measured.
 	popularitySpan = 500
-	// popularityPrior is how many queries of other groups count as seen at the start: the first of a group says little.
+	// popularityPrior is the number of queries of other groups that are assumed at the start, because a group's first
+	// query says little about its share.
 	popularityPrior = 50
-	// minHomeEngines is how many engines share the queries of any group.
-	minHomeEngines = 2
-	// maxTableGroups bounds the groups that are remembered: clients may name any group.
+	// minPreferredEngines is the minimum number of engines that share a group's queries.
+	minPreferredEngines = 2
+	// maxTableGroups is the largest number of groups that are remembered, because clients may name any group.
 	maxTableGroups = 4096
-	// maxPopularityUnit is the unit at which all counts are scaled back, and those below minPopularity forgotten.
-	maxPopularityUnit = 1e6
-	minPopularity     = 1e-3
+	// maxPopularityWeight is the weight at which all counts are rescaled and those below minPopularity are dropped.
+	maxPopularityWeight = 1e6
+	minPopularity       = 1e-3
 )
 
-// popularity counts queries by table group, decayed. Instead of decaying all counts, the weight of a query grows.
+// popularity counts queries by table group with exponential decay. Instead of decaying all counts with each query, it
+// gives each query a higher weight than the last.
 type popularity struct {
-	count map[int]float64 // by group, in units of weight
-	total float64         // the same, of all groups
-	unit  float64         // weight of the last query
+	count  map[int]float64 // sum of the weights of the group's queries, by group
+	total  float64         // sum of the weights of all queries
+	weight float64         // weight of the last query
 }
 
-func newPopularity() popularity { return popularity{count: map[int]float64{}, unit: 1} }
+func newPopularity() popularity { return popularity{count: map[int]float64{}, weight: 1} }
 
 // add counts a query of the group.
 func (p *popularity) add(group int) {
 	if len(p.count) >= maxTableGroups {
 		*p = newPopularity()
 	}
-	if p.unit > maxPopularityUnit {
-		p.scaleBack()
+	if p.weight > maxPopularityWeight {
+		p.rescale()
 	}
-	p.unit *= 1 + 1.0/popularitySpan
-	p.count[group] += p.unit
-	p.total += p.unit
+	p.weight *= 1 + 1.0/popularitySpan
+	p.count[group] += p.weight
+	p.total += p.weight
 }
 
-func (p *popularity) scaleBack() {
+func (p *popularity) rescale() {
 	maps.DeleteFunc(p.count, func(group int, n float64) bool {
-		p.count[group] = n / p.unit
-		return n < p.unit*minPopularity
+		p.count[group] = n / p.weight
+		return n < p.weight*minPopularity
 	})
-	p.total, p.unit = p.total/p.unit, 1
+	p.total, p.weight = p.total/p.weight, 1
 }
 
-// homeEngines returns how many engines share a group's queries: one more for each engine's part of all queries that the
-// group has.
-func (p *popularity) homeEngines(group, engines int) int {
-	return minHomeEngines + int(float64(engines)*p.count[group]/(p.total+popularityPrior*p.unit))
+// preferredEngines returns the number of engines that share a group's queries: minPreferredEngines, plus the group's
+// share of all queries times the number of engines.
+func (p *popularity) preferredEngines(group, engines int) int {
+	return minPreferredEngines + int(float64(engines)*p.count[group]/(p.total+popularityPrior*p.weight))
 }
--- a/scheduler/popularity_test.go
+++ b/scheduler/popularity_test.go
@@ -5,7 +5,7 @@
 // A table group has two home engines, and one more for each engine's part of the traffic that it has.
 func TestPopularGroupHasMoreHomeEngines(t *testing.T) {
 	p := newPopularity()
-	if got := p.homeEngines(1, 30); got != 2 {
+	if got := p.preferredEngines(1, 30); got != 2 {
 		t.Fatalf("%d home engines for a group never seen", got)
 	}
 	for i := range 5000 {
@@ -15,7 +15,7 @@
 		}
 		p.add(group)
 	}
-	popular, other := p.homeEngines(1, 30), p.homeEngines(101, 30)
+	popular, other := p.preferredEngines(1, 30), p.preferredEngines(101, 30)
 	if popular != 4 || other != 2 {
 		t.Fatalf("%d home engines for a tenth of the traffic over 30 engines, %d for a fiftieth", popular, other)
 	}
--- a/scheduler/pressure.go
+++ b/scheduler/pressure.go
@@ -6,19 +6,20 @@
 	"chutechute/internal/monotime"
 )
 
-// Under pressure, as in an overload, this gateway keeps to its share of the engines, rejects what can no longer
-// meet its latency objective, and gives up what runs for too long.
+// Under pressure, that is, in an overload, this front end keeps to a smaller share of the engines, rejects queries that
+// can no longer meet their latency objective, and cancels those that run for too long.
 const (
-	// rejectionMemory is how long a rejection by an engine counts as pressure.
-	rejectionMemory = monotime.Second
-	// pressureRatio is the multiple of the best ratio of latency to estimate that counts as pressure: beyond scatter,
-	// well before latency objectives are missed.
+	// pressureDuration is how long a rejection by an engine counts as pressure.
+	pressureDuration = monotime.Second
+	// pressureRatio is the multiple of a class's best ratio of latency to estimate above which the class is under
+	// pressure. It is above the usual variation, and is reached well before latency objectives are missed.
 	pressureRatio = 2.0
 )
 
-// underPressure reports whether an engine rejected an attempt lately or a class's latency is well above its best.
+// underPressure reports whether an engine recently rejected an attempt or the latency of a class is well above its
+// best.
 func (s *Scheduler) underPressure() bool {
-	if s.now-s.lastRejectedAt < rejectionMemory {
+	if s.now-s.lastRejectedAt < pressureDuration {
 		return true
 	}
 	return slices.ContainsFunc(s.classes, (*class).slowed)
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -6,53 +6,53 @@
 	"chutechute/internal/monotime"
 )
 
-// queryState is where a query is.
+// queryState is the state of a query.
 type queryState uint8
 
 const (
-	queryQueued     queryState = iota // in the queue, maybe beside an attempt in flight
-	queryPassedOver                   // in the queue, but no engine could be found in the current step
+	queryQueued     queryState = iota // in the queue, possibly for a hedged request while an attempt is in flight
+	queryPassedOver                   // in the queue, but no engine was found in the current step
 	queryDispatched                   // not in the queue: an attempt is in flight or has just ended
 	queryAnswered                     // has its final answer; attempts may still be in flight
 )
 
-// query is a request in hand.
+// query is a request that is not closed yet.
 type query struct {
 	Request
 	class            *class
 	arrivedAt        monotime.Micros
-	firstRequestedAt monotime.Micros // when its client first sent it, as far as known
-	dueAt            monotime.Micros // group EDF deadline
-	keyQueue         *keyQueue       // nil if nothing orders it
+	firstRequestedAt monotime.Micros // estimated time at which its client first sent it
+	edfDeadline      monotime.Micros // group EDF deadline
+	keyQueue         *keyQueue       // nil unless it is ordered by key
 	attempts         []attempt
-	inFlight         int // attempts without outcome
-	priority         int // last one sent, -1 before
+	inFlight         int // number of attempts without an outcome
+	priority         int // last one sent to its engine, -1 before the first
 	state            queryState
-	deprioritized    bool // goes last: over its tenant's quota, or a retry past its latency objective
-	demandRecorded   bool // its demand on budgets of engines is recorded
+	deprioritized    bool // comes after all others: over its tenant's quota, or a retry past its latency objective
+	demandRecorded   bool // its demand on per-engine budgets is recorded
 }
 
-// attemptState is how far an attempt is.
+// attemptState is the state of an attempt.
 type attemptState uint8
 
 const (
 	attemptRunning   attemptState = iota // sent, no response yet
-	attemptCanceling                     // a Cancel was sent, its outcome is due
-	attemptStreaming                     // its streamed response began: it is neither canceled nor watched
-	attemptEnded                         // has its outcome, and may have run
-	attemptNeverRan                      // has its outcome, which proves that it never ran
+	attemptCanceling                     // a Cancel was sent, no outcome yet
+	attemptStreaming                     // its streamed response began: it is no longer checked or canceled
+	attemptEnded                         // has its outcome and may have run
+	attemptNeverRan                      // has an outcome which proves that it never ran
 )
 
-// attempt is one start of a query on an engine.
+// attempt is one sending of a query to an engine.
 type attempt struct {
 	engine        *engine
 	sentAt        monotime.Micros
 	executionTime float64 // estimated when it was sent, in microseconds
 	state         attemptState
-	slots         []concurrencySlot // of the fleet's budgets
-	nextMeasure   float64           // multiple of executionTime at which it counts as a measurement while in flight
+	slots         []concurrencySlot // of the fleet's concurrency budgets
+	nextMeasure   float64           // multiple of executionTime at which its age next counts as a latency measurement
 	zone          string            // of the engine when it was sent
-	cell          int               // the same
+	cell          int               // of the engine when it was sent
 }
 
 func (a *attempt) inFlight() bool { return a.state != attemptEnded && a.state != attemptNeverRan }
@@ -63,7 +63,7 @@
 	}
 }
 
-// end takes over the result of an attempt in flight.
+// end ends an attempt in flight with a result.
 func (a *attempt) end(result Result) {
 	a.state = attemptEnded
 	if result.NeverRan() {
@@ -76,10 +76,11 @@
 	return slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.inFlight() && a.engine == e })
 }
 
-// interchangeable reports whether the query may go wherever any other interchangeable one of its class may.
+// interchangeable reports whether the query may be sent to the same engines as any other interchangeable query of its
+// class.
 func (q *query) interchangeable() bool { return len(q.attempts) == 0 && q.keyQueue == nil }
 
-// effect returns what a second execution would do: that of the class, or worse.
+// effect returns the effect of the query: that of its class, unless the request itself is non-idempotent.
 func (q *query) effect() Effect {
 	if q.NonIdempotent {
 		return NonIdempotent
@@ -87,33 +88,33 @@
 	return q.class.Effect
 }
 
-// dedupeUntil returns until when engines recognise a further attempt as a duplicate; 0 where that does not matter.
-// Engines forget a key some time after they were first sent what may have run. It bounds the write of the attempt as
-// well as the decision, since a connection may come up late.
+// dedupeUntil returns the time until which engines recognize a further attempt as a duplicate; 0 if there is no such
+// limit. Engines forget a key one dedupe window after the first attempt that may have run. The limit holds for the
+// write of the attempt as well as for the decision, because the connection may be established late.
 func (q *query) dedupeUntil() monotime.Micros {
 	for _, a := range q.attempts {
 		if a.state != attemptNeverRan && q.effect() == IdempotentByKey {
-			return a.sentAt + q.class.DedupeWindow // the first is the earliest
+			return a.sentAt + q.class.DedupeWindow // attempts are in order of sentAt
 		}
 	}
 	return 0
 }
 
-// mayRepeatOn reports whether an attempt on the engine can't make the query's effect happen twice.
-func (q *query) mayRepeatOn(e *engine, now monotime.Micros) bool {
+// isSafeOn reports whether an attempt on the engine is certain not to cause the query's effect a second time.
+func (q *query) isSafeOn(e *engine, now monotime.Micros) bool {
 	for _, a := range q.attempts {
 		if a.state == attemptNeverRan || q.effect() == Idempotent {
 			continue
 		}
-		if q.effect() == NonIdempotent || !q.class.sharesKeys(&a, e) || now >= q.dedupeUntil() {
+		if q.effect() == NonIdempotent || !q.class.discardsDuplicate(&a, e) || now >= q.dedupeUntil() {
 			return false
 		}
 	}
 	return true
 }
 
-// sharesKeys reports whether the engine discards a duplicate of the attempt by its key.
-func (c *class) sharesKeys(a *attempt, e *engine) bool {
+// discardsDuplicate reports whether the engine discards a duplicate of the attempt by its idempotency key.
+func (c *class) discardsDuplicate(a *attempt, e *engine) bool {
 	switch c.DedupeScope {
 	case ScopeAll:
 		return true
@@ -125,7 +126,8 @@
 	return false
 }
 
-// canReject reports whether a Reject would be truthful: a retry by the client does no harm.
+// canReject reports whether the query may be answered with a Reject, that is, whether a retry by the client does no
+// harm.
 func (q *query) canReject() bool {
 	if q.effect() == Idempotent || q.effect() == IdempotentByKey && q.class.DedupeScope == ScopeAll {
 		return true
@@ -133,7 +135,7 @@
 	return !slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.state != attemptNeverRan })
 }
 
-// objective returns the time until which a response has its full value.
+// objective returns the end of the query's latency objective, until which a response has its full value.
 func (q *query) objective() monotime.Micros {
 	return q.firstRequestedAt + q.class.objectiveFor(q.expectedWork())
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -7,42 +7,43 @@
 )
 
 const (
-	// deadlineMultiplier is how many execution times after its arrival a query's group EDF deadline is.
-	// Source: the paper's deadline multiplier.
+	// deadlineMultiplier is the multiple of its execution time after which a query's group EDF deadline follows its
+	// arrival. The value is the paper's deadline multiplier.
 	deadlineMultiplier = 10.0
-	// groupRange is the part of the earliest query's span, from its arrival to its deadline, by which deadlines of its
-	// group may be later. Source: the paper's Gr; the span is ours.
+	// groupRange is the range of deadlines in one group, as a fraction of the time from the arrival to the deadline of
+	// the query with the earliest deadline. The value is the paper's Gr; taking it of that time is a choice of this
+	// package.
 	groupRange = 0.4
 )
 
-// queue holds the queries that wait for an engine.
+// queue holds the queries that wait to be sent, and the order of queries by key.
 type queue struct {
-	queries []*query // in order of arrival, retries in order of their return
+	queries []*query // in order of arrival; a query that is retried or hedged is appended again
 	keys    map[string]*keyQueue
 }
 
-// keyQueue orders the queries of one key in ordered classes.
+// keyQueue holds the queries of one key in ordered classes.
 type keyQueue struct {
-	queries    []*query        // all in hand, in order of arrival; only the first may run
-	quietUntil monotime.Micros // no other query than quietFor may run before
-	quietFor   *query          // whose last outcome leaves open whether it ran
+	queries    []*query        // all open ones in order of arrival; only the first may run
+	quietUntil monotime.Micros // until then only quietFor may run
+	quietFor   *query          // query whose last attempt has an unknown outcome
 }
 
 func newQueue() queue { return queue{keys: map[string]*keyQueue{}} }
 
-// add puts the query at the end of the queue.
+// add appends the query to the queue.
 func (qu *queue) add(q *query) {
 	q.state = queryQueued
 	qu.queries = append(qu.queries, q)
 }
 
-// remove takes the query out of the queue, if it is there, for another state.
+// remove sets the query's state and removes it from the queue if it is queued.
 func (qu *queue) remove(q *query, state queryState) {
 	q.state = state
 	qu.queries = removeQuery(qu.queries, q)
 }
 
-// addToKey puts the query at the end of its key's queue.
+// addToKey appends the query to its key's queue.
 func (qu *queue) addToKey(q *query) {
 	q.keyQueue = qu.keys[q.Key]
 	if q.keyQueue == nil {
@@ -52,7 +53,7 @@
 	q.keyQueue.queries = append(q.keyQueue.queries, q)
 }
 
-// removeFromKey takes the query out of its key's queue, if it has one.
+// removeFromKey removes the query from its key's queue, if it has one.
 func (qu *queue) removeFromKey(q *query, now monotime.Micros) {
 	k := q.keyQueue
 	if k == nil {
@@ -64,19 +65,19 @@
 	}
 }
 
-// dropIdleKeys forgets the keys that nothing waits for any more.
+// dropIdleKeys forgets keys without open queries whose quiet period has ended.
 func (qu *queue) dropIdleKeys(now monotime.Micros) {
 	maps.DeleteFunc(qu.keys, func(_ string, k *keyQueue) bool { return k.idle(now) })
 }
 
 func (k *keyQueue) idle(now monotime.Micros) bool { return len(k.queries) == 0 && k.quietUntil <= now }
 
-// mayRun reports whether the order of the key lets the query run.
+// mayRun reports whether the order of the key allows the query to run.
 func (k *keyQueue) mayRun(q *query, now monotime.Micros) bool {
 	return k.queries[0] == q && (k.quietUntil <= now || k.quietFor == q)
 }
 
-// removeQuery takes q out of the list, keeping the order.
+// removeQuery removes q from the list and keeps the order.
 func removeQuery(list []*query, q *query) []*query {
 	for i, other := range list {
 		if other == q {
@@ -86,20 +87,20 @@
 	return list
 }
 
-// request takes a query in: its estimate, its deadline and its place in the queues.
-func (s *Scheduler) request(r Request) {
+// handleRequest estimates an arriving query, sets its group EDF deadline and queues it.
+func (s *Scheduler) handleRequest(r Request) {
 	c := s.classes[r.Class]
 	q := &query{Request: r, class: c, arrivedAt: s.now, firstRequestedAt: s.now, priority: -1}
 	c.ownEstimates = c.ownEstimates || r.OwnEstimate
-	c.seed(q)
-	q.dueAt = s.now + monotime.Micros(deadlineMultiplier*q.executionTime())
+	c.initEstimates(q)
+	q.edfDeadline = s.now + monotime.Micros(deadlineMultiplier*q.executionTime())
 	s.traffic.arrivals.add(s.now)
 	s.placement.popularity.add(r.TableGroup)
 	s.retries.countArrival(s.now, &s.cfg.Rules)
 	s.budgets.recordArrival(s.now, q)
 	if s.isRetryPastObjective(q) || r.Tenant >= 0 && s.overQuota(q) {
 		q.deprioritized = true
-		q.dueAt += c.ClientTimeout
+		q.edfDeadline += c.ClientTimeout
 	}
 	if c.Ordered && r.Key != "" {
 		s.queue.addToKey(q)
@@ -109,24 +110,25 @@
 	s.queue.add(q)
 }
 
-// nextQuery is the group EDF pick: the shortest of the queries that are due soon after the earliest.
+// nextQuery returns the next query by group EDF: the shortest one of the group whose deadlines are soon after the
+// earliest; nil if no query may be sent.
 func (s *Scheduler) nextQuery() *query {
-	first := s.firstQuery(func(q, best *query) bool { return q.dueAt < best.dueAt })
+	first := s.bestQuery(func(q, best *query) bool { return q.edfDeadline < best.edfDeadline })
 	if first == nil {
 		return nil
 	}
-	groupEnd := first.dueAt + monotime.Micros(groupRange*float64(first.dueAt-first.arrivedAt))
-	return s.firstQuery(func(q, best *query) bool {
-		if inGroup := q.dueAt <= groupEnd; inGroup != (best.dueAt <= groupEnd) {
+	groupEnd := first.edfDeadline + monotime.Micros(groupRange*float64(first.edfDeadline-first.arrivedAt))
+	return s.bestQuery(func(q, best *query) bool {
+		if inGroup := q.edfDeadline <= groupEnd; inGroup != (best.edfDeadline <= groupEnd) {
 			return inGroup
 		}
 		return q.executionTime() < best.executionTime()
 	})
 }
 
-// firstQuery returns the first queued query that comes before all others and that no bound over all engines holds
-// back; nil if there is none.
-func (s *Scheduler) firstQuery(before func(q, best *query) bool) *query {
+// bestQuery returns the query that comes first by the given order among the queued queries that no limit over all
+// engines excludes; nil if there is none.
+func (s *Scheduler) bestQuery(before func(q, best *query) bool) *query {
 	var best *query
 	for _, q := range s.queue.queries {
 		if q.state == queryQueued && !(q.class.blocked && q.interchangeable()) && s.hasConcurrencySlot(q) &&
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// firstInFlightMeasure is the multiple of its estimated execution time at which an attempt in flight counts as a
-	// measurement, and again at each doubling.
+	// firstInFlightMeasure is the multiple of its estimated execution time at which the age of an attempt in flight
+	// first counts as a latency measurement. It does so again at each doubling.
 	firstInFlightMeasure = 2.0
-	// maxLateness is the multiple of the latency objective at which a running query is given up under pressure.
+	// maxLateness is the multiple of the latency objective after which a running query is canceled under pressure.
 	maxLateness = 1.5
-	// minTimeLeftToRetry is the multiple of its execution time that a query's client must still wait for a slow attempt
-	// to be canceled and retried.
+	// minTimeLeftToRetry is the multiple of its execution time that must be left until a query's deadline for a slow
+	// attempt to be canceled and retried.
 	minTimeLeftToRetry = 2
 )
 
-// retryBudget counts arrivals and retries where the rules bound retries at this gateway.
+// retryBudget counts arrivals and retries at this front end if Rules.RetryBudget is set.
 type retryBudget struct {
 	arrivals slidingWindow
 	retries  slidingWindow
@@ -35,7 +35,7 @@
 	}
 }
 
-// allows reports whether the rules leave room for a further retry.
+// allows reports whether the retry budget has capacity for a further retry.
 func (r *retryBudget) allows(now monotime.Micros, rules *Rules) bool {
 	if !rules.RetryBudget {
 		return true
@@ -44,8 +44,8 @@
 	return r.retries.since(now-rules.RetryBudgetWindow)+1 <= rules.MinRetries+rules.RetryRatio*arrived
 }
 
-// outcome ends an attempt and decides what becomes of its query.
-func (s *Scheduler) outcome(o Outcome) {
+// handleOutcome ends an attempt and closes, retries or answers its query.
+func (s *Scheduler) handleOutcome(o Outcome) {
 	q, a := s.findAttempt(o.ID, o.Attempt)
 	if a == nil || !a.inFlight() {
 		return
@@ -74,51 +74,52 @@
 	if len(q.attempts) >= q.maxAttempts(&s.cfg.Limits) || s.now+expiryMargin >= q.Deadline {
 		return false
 	}
-	return slices.ContainsFunc(s.endpoints.engines, func(e *engine) bool { return q.mayRepeatOn(e, s.now) })
+	return slices.ContainsFunc(s.endpoints.engines, func(e *engine) bool { return q.isSafeOn(e, s.now) })
 }
 
-// mayHedge reports whether a hedged request may go beside the query's attempt in flight: where a second execution does
-// no harm, and no order rests on its end.
+// mayHedge reports whether a hedged request may be sent while the query's attempt is in flight: a second execution must
+// do no harm, and no other query may wait for this one by the order of a key.
 func (s *Scheduler) mayHedge(q *query) bool {
 	return s.cfg.Limits.HedgedRequests && q.inFlight == 1 && q.effect() == Idempotent && !q.NoRetry && q.keyQueue == nil
 }
 
-// learnFromOutcome learns the execution time of the class and the health of the engine.
+// learnFromOutcome updates the estimates of the class and the health of the engine.
 func (s *Scheduler) learnFromOutcome(q *query, a *attempt, o Outcome) {
 	switch o.Result {
 	case Succeeded:
 		q.learnWork(o.WorkUsed)
 		if q.MeasureLatency {
-			s.do(LatencyMeasurement{ID: q.ID, Elapsed: o.Elapsed, Slowdown: s.slowdown(q, a)})
+			s.emit(LatencyMeasurement{ID: q.ID, Elapsed: o.Elapsed, Slowdown: s.slowdown(q, a)})
 		}
 		s.recordLatency(q, a, float64(o.Elapsed))
 		s.markSeen(a.engine)
 	case Rejected:
 		s.lastRejectedAt, a.engine.lastRejectedAt = s.now, s.now
 		s.markSeen(a.engine)
-	case Errored: // the engine looks idle
+	case Errored: // an engine that fails fast looks idle; the score counters that
 		s.markSeen(a.engine)
-		a.engine.health.score(errorScore, s.now)
+		a.engine.health.recordRatio(errorScore, s.now)
 	case NoConnection, Reset:
 		s.eject(a.engine)
-	case TimedOut: // a lower bound of the latency: without it an overload in which nothing ends would go unseen
+	case TimedOut: // a lower bound of the latency, without which an overload in which no attempt ends would go unnoticed
 		s.recordLatency(q, a, max(float64(o.Elapsed), q.executionTime()))
 	}
 }
 
-// watchAttempts looks at all attempts in flight whose response has not begun.
-func (s *Scheduler) watchAttempts() {
+// checkAttempts checks all attempts in flight whose streamed response has not begun.
+func (s *Scheduler) checkAttempts() {
 	for _, q := range slices.Clone(s.inFlight) {
 		for i := range q.attempts {
 			if state := q.attempts[i].state; state == attemptRunning || state == attemptCanceling {
-				s.watch(q, i)
+				s.checkAttempt(q, i)
 			}
 		}
 	}
 }
 
-// watch learns from the age of an attempt in flight, hedges it, and cancels it where it takes too long.
-func (s *Scheduler) watch(q *query, number int) {
+// checkAttempt takes the age of an attempt in flight as a measurement, hedges the attempt, and cancels it if it takes
+// too long.
+func (s *Scheduler) checkAttempt(q *query, number int) {
 	a := &q.attempts[number]
 	age := float64(s.now - a.sentAt)
 	s.measureInFlight(q, a, age)
@@ -139,25 +140,25 @@
 	}
 }
 
-// measureInFlight takes the age of an attempt in flight for a lower bound of its latency, at each doubling.
+// measureInFlight records the age of an attempt in flight as a lower bound of its latency, at each doubling.
 func (s *Scheduler) measureInFlight(q *query, a *attempt, age float64) {
 	if age <= a.nextMeasure*a.executionTime {
 		return
 	}
 	a.nextMeasure *= 2
-	a.engine.health.score(age/a.executionTime, s.now)
+	a.engine.health.recordRatio(age/a.executionTime, s.now)
 	if age > q.executionTime() {
 		q.class.learnLatency(q, age, s.now)
 	}
 }
 
-// tooLateUnderPressure reports whether a running query is so late that it gives its slot up to others.
+// tooLateUnderPressure reports whether a running query is so late that it is to be canceled in favor of others.
 func (s *Scheduler) tooLateUnderPressure(q *query) bool {
 	return s.cfg.Limits.Cancel && s.underPressure() && q.canReject() &&
 		float64(s.now-q.firstRequestedAt) > maxLateness*float64(q.objective()-q.firstRequestedAt)
 }
 
-// mayCancelToRetry reports whether a slow attempt, maybe one with a bad query plan, may be canceled for another.
+// mayCancelToRetry reports whether a slow attempt, which may have a bad query plan, may be canceled and retried.
 func (s *Scheduler) mayCancelToRetry(q *query) bool {
 	timeLeft := float64(q.Deadline - s.now)
 	return s.cfg.Limits.Cancel && q.effect() == Idempotent && timeLeft >= minTimeLeftToRetry*q.executionTime() &&
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,19 +1,20 @@
-// Package scheduler makes the decisions of a gateway in front of query engines: which queued query goes next, to
-// which engine, and what is rejected, retried, canceled or ejected.
+// Package scheduler makes the decisions of a front end: which queued query is sent next, to which engine, and what is
+// rejected, retried, canceled or ejected.
 //
-// A Scheduler is one gateway: New builds it from its configuration, and Step takes the events of one instant and
-// returns the actions that they call for. It does no input or output, starts no goroutine, reads no clock and shares
-// nothing with other instances, so that the same events give the same actions.
+// A Scheduler serves one front end. New builds it from its configuration; Step takes the events of one instant and
+// returns the actions to take. It does no I/O, starts no goroutine, reads no clock and shares no state with other
+// instances, so the same events always give the same actions.
 //
-// A query's way through the files:
+// The files, in the order in which they process a query:
 //
-//   - estimate.go estimates its execution time; its group EDF deadline is ten times that.
-//   - queue.go queues it and picks the next one by group EDF (earliest deadline first within groups of similar
-//     deadlines, shortest first within a group).
-//   - placement.go chooses an engine: the hash order of the query's table group, with spill under load; slowstart.go,
-//     health.go and budgets.go hold back from engines that are warming up, ejected, or over a budget.
-//   - dispatch.go starts, cancels and closes attempts; retry.go retries and hedges.
-//   - admission.go rejects what can no longer finish in time or is over a budget; pressure.go recognises an overload.
+//   - estimate.go estimates its execution time; its group EDF deadline is ten times that after its arrival.
+//   - queue.go queues it and picks the next query by group EDF: the group with the earliest deadlines first, and the
+//     shortest query first within the group.
+//   - placement.go chooses an engine by the hash order of the query's table group, and spills to later engines under
+//     load. slowstart.go, health.go and budgets.go exclude engines that are warming up, ejected or over a budget.
+//   - dispatch.go starts and cancels attempts and closes queries; retry.go retries and hedges.
+//   - admission.go rejects queries that can no longer finish in time or are over a budget; pressure.go detects an
+//     overload.
 //
 // Group EDF and its constants are from Bavishi's paper "Revisiting Query Scheduling Policies for Lambda Functions".
 package scheduler
@@ -27,21 +28,21 @@
 const (
 	// sweepInterval is the time between sweeps while queries are queued or in flight.
 	sweepInterval = 20 * monotime.Second / 1000
-	// sweepToken is the token of the timer that calls for a sweep.
+	// sweepToken is the token of the timer that triggers a sweep.
 	sweepToken = "sweep"
 )
 
-// Scheduler is one gateway's decisions. It is not safe for concurrent use.
+// Scheduler makes the decisions of one front end. It is not safe for concurrent use.
 type Scheduler struct {
 	cfg     Config
 	rng     *rand.Rand
 	now     monotime.Micros // of the current step
 	actions []Action        // of the current step
 
-	classes  []*class  // by index in cfg.Classes
-	tenants  []*tenant // by index in cfg.Tenants
-	queries  map[uint64]*query
-	inFlight []*query // with at least one attempt, in order of the first
+	classes  []*class          // by index in cfg.Classes
+	tenants  []*tenant         // by index in cfg.Tenants
+	queries  map[uint64]*query // open ones, by Request.ID
+	inFlight []*query          // open queries with at least one attempt, ordered by their first
 
 	endpoints endpoints
 	queue     queue
@@ -53,11 +54,11 @@
 
 	lastRejectedAt monotime.Micros // when an engine last rejected an attempt
 	sweepTimerSet  bool
-	stepped        bool            // the first step is done
+	stepped        bool            // the first step is complete
 	firstStepAt    monotime.Micros // 0 until then
 }
 
-// New builds a gateway's scheduler. All random choices follow from the seed.
+// New returns a front end's scheduler. The seed determines all random choices.
 func New(cfg Config, seed uint64) (*Scheduler, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -70,7 +71,7 @@
 		queue:          newQueue(),
 		placement:      newPlacement(),
 		health:         newHealthChecker(),
-		lastRejectedAt: -rejectionMemory,
+		lastRejectedAt: -pressureDuration,
 	}
 	s.budgets.cfg = &s.cfg
 	for _, c := range cfg.Classes {
@@ -84,37 +85,37 @@
 	return s, nil
 }
 
-// Step takes the events of one instant, in microseconds of a clock that never goes back, and returns what to do. The
-// result is valid until the next call.
+// Step processes the events of one instant and returns the actions to take. now is in microseconds of a monotonic
+// clock. The result is valid until the next call.
 func (s *Scheduler) Step(now monotime.Micros, events []Event) []Action {
 	s.now, s.actions = now, nil
 	for _, event := range events {
 		s.apply(event)
 	}
-	s.survey()
-	s.release()
+	s.updateStatistics()
+	s.dispatchQueued()
 	s.keepSubscribed()
 	if !s.stepped {
 		s.stepped, s.firstStepAt = true, now
 	}
 	if !s.sweepTimerSet && (len(s.queue.queries) > 0 || len(s.inFlight) > 0) {
 		s.sweepTimerSet = true
-		s.do(SetTimer{At: now + sweepInterval, Token: sweepToken})
+		s.emit(SetTimer{At: now + sweepInterval, Token: sweepToken})
 	}
 	return s.actions
 }
 
-// do adds an action to the result of the current step.
-func (s *Scheduler) do(a Action) { s.actions = append(s.actions, a) }
+// emit appends an action to the result of the current step.
+func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
 func (s *Scheduler) apply(event Event) {
 	switch event := event.(type) {
 	case EndpointUpdate:
 		s.updateEndpoints(event)
 	case Request:
-		s.request(event)
+		s.handleRequest(event)
 	case Outcome:
-		s.outcome(event)
+		s.handleOutcome(event)
 	case Started:
 		if _, a := s.findAttempt(event.ID, event.Attempt); a != nil {
 			a.startStreaming()
@@ -125,14 +126,14 @@
 			s.markSeen(a.engine)
 		}
 	case ClientDisconnected:
-		s.clientDisconnected(event)
+		s.handleClientDisconnected(event)
 	case EngineUnresponsive:
 		if e := s.endpoints.byName[event.Engine]; e != nil {
 			s.eject(e)
 		}
 	case HealthCheckResult:
 		if e := s.endpoints.byName[event.Engine]; e != nil {
-			s.healthCheckResult(e, event.Result)
+			s.handleHealthCheckResult(e, event.Result)
 		}
 	case BudgetGrant:
 		s.budgets.grant(s.now, event)
@@ -144,8 +145,8 @@
 	}
 }
 
-// clientDisconnected answers a request whose answer is due, and closes any other without one.
-func (s *Scheduler) clientDisconnected(event ClientDisconnected) {
+// handleClientDisconnected answers a request whose final answer is due and closes any other request without an answer.
+func (s *Scheduler) handleClientDisconnected(event ClientDisconnected) {
 	q := s.queries[event.ID]
 	switch {
 	case q == nil:
@@ -156,7 +157,7 @@
 	}
 }
 
-// findAttempt returns an attempt and its query; nil where either is unknown.
+// findAttempt returns an attempt and its query, or nil if either is unknown.
 func (s *Scheduler) findAttempt(id uint64, number int) (*query, *attempt) {
 	if q := s.queries[id]; q != nil && number >= 0 && number < len(q.attempts) {
 		return q, &q.attempts[number]
@@ -164,7 +165,8 @@
 	return nil, nil
 }
 
-// sweep does what time alone brings about. It runs each sweepInterval while queries are queued or in flight.
+// sweep does the periodic work: it forgets idle keys, sends health checks, decays estimates and scores, ends warm-ups
+// and checks running attempts. It runs every sweepInterval while queries are queued or in flight.
 func (s *Scheduler) sweep() {
 	s.queue.dropIdleKeys(s.now)
 	s.sendHealthChecks()
@@ -175,5 +177,5 @@
 		s.endWarmUp(e)
 		e.health.decayScore(s.now)
 	}
-	s.watchAttempts()
+	s.checkAttempts()
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -2,100 +2,103 @@
 
 import "chutechute/internal/monotime"
 
-// An engine that has started warms up: its capacity grows from Rules.InitialWarmth to the whole over Rules.WarmUp, and
-// the work that all gateways send it within any Rules.OverloadWindow is bounded. Each gateway keeps to its part of that
+// Slow start: after an engine's start its capacity grows from Rules.InitialCapacity to 1 over Rules.WarmUp, and the
+// work that all front ends send it within any Rules.OverloadWindow is bounded. Each front end keeps to its part of that
 // work budget on its own, unless a budget of the fleet divides it.
 const (
-	// capacityUtilization is the busy share of the cores at the rate that Rules.OverloadMultiple multiplies.
+	// capacityUtilization is the utilization of the cores at the rate that Rules.OverloadMultiple is a multiple of.
 	capacityUtilization = 0.85
-	// warmUpMargin is the part of the work budget that is used: work is only known on average.
+	// warmUpMargin is the fraction of the work budget that is used, because only the mean work of a query is known.
 	warmUpMargin = 0.7
-	// lightWorkBudget is the part of the work budget that light queries share in a surge: their number scatters.
+	// lightWorkBudget is the fraction of the work budget for the light queries of all front ends in a surge. It leaves
+	// a margin because their number varies.
 	lightWorkBudget = 0.5
-	// heavyWorkBudget is the part that heavy queries of one gateway have in its turn: their work scatters.
+	// heavyWorkBudget is the fraction for the heavy queries of one front end in its time slot. It leaves a margin
+	// because their work varies.
 	heavyWorkBudget = 0.45
-	// maxLightWork is the part of the work budget that a light query's work is at most.
+	// maxLightWork is the mean work of a light query at most, as a fraction of the work budget.
 	maxLightWork = 0.1
-	// turnWindows is the length of a gateway's turn in OverloadWindows: long enough for most gateways to have a heavy
-	// query.
-	turnWindows = 5
-	// maxDiscoveryDelay is the time by which discovery has reported a restart.
+	// timeSlotWindows is the length of a front end's time slot in OverloadWindows. It is long enough for most front
+	// ends to have a heavy query in it.
+	timeSlotWindows = 5
+	// maxDiscoveryDelay is the longest time that discovery takes to report a restart.
 	maxDiscoveryDelay = 7 * monotime.Second
 )
 
-// warmUpState is whether an engine warms up, and how that is known.
+// warmUpState says whether an engine is warming up, and how that is known.
 type warmUpState int
 
 const (
-	warmUpDone     warmUpState = iota
-	warmUpReported             // discovery reported a start
-	warmUpAssumed              // its absence suggests a restart, which discovery may not have reported yet
+	warmUpDone     warmUpState = iota // the engine has its full capacity
+	warmUpReported                    // discovery reported a start
+	warmUpAssumed                     // it was ejected for long: it may have restarted, which discovery reports late
 )
 
-// warmUp is an engine's warm-up and what this gateway has sent it meanwhile.
+// warmUp is the state of an engine's warm-up and the work that this front end has sent it meanwhile.
 type warmUp struct {
-	state  warmUpState
-	from   monotime.Micros
-	work   slidingWindow // of attempts sent, in microseconds on one thread
-	credit workCredit    // for light queries
+	state     warmUpState
+	startedAt monotime.Micros // when the engine started, or is assumed to have started
+	work      slidingWindow   // of attempts sent, in microseconds on one thread
+	credit    workCredit      // for light queries
 }
 
-// begin begins a warm-up. The phase, from 0 to 1, is random.
-func (w *warmUp) begin(now, from monotime.Micros, state warmUpState, phase float64) {
-	w.state, w.from = state, from
+// begin starts a warm-up. phase is a random number from 0 to 1; see workCredit.
+func (w *warmUp) begin(now, startedAt monotime.Micros, state warmUpState, phase float64) {
+	w.state, w.startedAt = state, startedAt
 	w.credit = workCredit{updatedAt: now, phase: phase}
 }
 
 func (w *warmUp) active() bool { return w.state != warmUpDone }
 
-// capacity returns the part of its capacity that the engine has: a straight line over the warm-up.
+// capacity returns the fraction of its full capacity that the engine has, which grows linearly over the warm-up.
 func (w *warmUp) capacity(now monotime.Micros, rules *Rules) float64 {
 	if !w.active() {
 		return 1
 	}
-	age := float64(now-w.from) / float64(max(1, rules.WarmUp))
+	age := float64(now-w.startedAt) / float64(max(1, rules.WarmUp))
 	return min(1, rules.InitialCapacity+(1-rules.InitialCapacity)*max(0, age))
 }
 
-// over reports whether an active warm-up ends now.
-func (w *warmUp) over(now monotime.Micros, rules *Rules) bool {
-	return now >= w.from+rules.WarmUp || w.state == warmUpAssumed && now >= w.from+maxDiscoveryDelay
+// hasEnded reports whether an active warm-up has ended.
+func (w *warmUp) hasEnded(now monotime.Micros, rules *Rules) bool {
+	return now >= w.startedAt+rules.WarmUp || w.state == warmUpAssumed && now >= w.startedAt+maxDiscoveryDelay
 }
 
-// countAttempt counts the work of an attempt.
+// countAttempt records the work of an attempt sent during the warm-up.
 func (w *warmUp) countAttempt(now monotime.Micros, work float64) {
 	if w.active() {
 		w.work.add(now, work)
-		w.credit.left -= work
+		w.credit.available -= work
 	}
 }
 
-// fits reports whether further work keeps what was sent within the window to the bound.
+// fits reports whether the work sent within the window stays within the bound with further work added.
 func (w *warmUp) fits(now, window monotime.Micros, work, bound float64) bool {
 	return w.work.since(now-window)+work <= bound
 }
 
-// workCredit is work that may be sent, growing at a rate. Each gateway starts at a random phase, so that many gateways
-// with little each don't wait for the work of their first query together.
+// workCredit is a token bucket of work that may be sent. Each front end starts it at a random fill level, so that many
+// front ends with a low rate each do not all have the credit for their first query at the same time.
 type workCredit struct {
-	left      float64 // work on one thread, microseconds
+	available float64 // available work on one thread, in microseconds
 	updatedAt monotime.Micros
-	phase     float64 // part of the first query's work that is there from the start
+	phase     float64 // initial fill level, as a fraction of the first query's work
 }
 
-// accrue adds what the time since the last call brings, at a rate in work a microsecond, up to the work of one query or
-// of a second.
+// accrue adds the credit for the time since the last call, at a rate in work per microsecond. The credit is capped at
+// the work of one query or of one second, whichever is more.
 func (c *workCredit) accrue(now monotime.Micros, rate, work float64) {
-	c.left += c.phase*work + rate*float64(now-c.updatedAt)
-	c.left, c.updatedAt, c.phase = min(c.left, max(work, rate*float64(monotime.Second))), now, 0
+	c.available += c.phase*work + rate*float64(now-c.updatedAt)
+	c.available, c.updatedAt, c.phase = min(c.available, max(work, rate*float64(monotime.Second))), now, 0
 }
 
-// hasWarmUpCapacity keeps this gateway's part of the work that an engine can take while it warms up. Where an even part
-// is less than the longest class's work, light queries draw on a credit, which over all gateways adds up to
-// lightWorkBudget, however uneven they are, and heavy ones take turns.
+// hasWarmUpCapacity reports whether this front end's part of an engine's work budget has capacity for the query while
+// the engine is warming up. If an even part of the budget is at least the mean work of the longest class, that is the
+// bound. Otherwise light queries spend a credit whose total over all front ends is lightWorkBudget, however unevenly
+// traffic is distributed among them, and heavy queries are sent only in the front end's time slot.
 func (s *Scheduler) hasWarmUpCapacity(q *query, e *engine) bool {
 	rules, work := &s.cfg.Rules, q.class.meanWork
-	if !e.warmUp.active() || rules.OverloadWindow <= 0 || s.budgets.divideWarmUp {
+	if !e.warmUp.active() || rules.OverloadWindow <= 0 || s.budgets.limitsWarmUpWork {
 		return true
 	}
 	window := rules.OverloadWindow
@@ -110,27 +113,29 @@
 	if work <= maxLightWork*budget {
 		credit := &e.warmUp.credit
 		credit.accrue(s.now, lightWorkBudget*budget*s.traffic.measuredShare(s.now)/float64(window), work)
-		return credit.left >= work
+		return credit.available >= work
 	}
-	return s.hasWarmUpTurn(e) && e.warmUp.fits(s.now, window, work, heavyWorkBudget*budget)
+	return s.hasWarmUpTimeSlot(e) && e.warmUp.fits(s.now, window, work, heavyWorkBudget*budget)
 }
 
-// hasWarmUpTurn reports whether it is this gateway's turn to send heavy queries to an engine. One gateway, drawn by
-// hash, has all but one of turnWindows windows, so that no window meets two turns. A gateway that has just started sits
-// its turn out, since it may have sent something before.
-func (s *Scheduler) hasWarmUpTurn(e *engine) bool {
+// hasWarmUpTimeSlot reports whether this front end has the time slot for heavy queries to an engine. A hash assigns
+// each period of timeSlotWindows windows to one front end. The first window of each period is unused, so that no
+// OverloadWindow overlaps two time slots. In its first OverloadWindow a front end does not use its time slot, because
+// its previous process may have sent work to the engine.
+func (s *Scheduler) hasWarmUpTimeSlot(e *engine) bool {
 	window := s.cfg.Rules.OverloadWindow
-	at := uint64(s.now/window) + e.hash%turnWindows
-	drawn := mixHash(e.hash^at/turnWindows) + uint64(s.cfg.Rank)
-	return drawn%uint64(s.cfg.Gateways) == 0 && at%turnWindows > 0 && s.now >= s.firstStepAt+window
+	at := uint64(s.now/window) + e.hash%timeSlotWindows
+	slotHash := mixHash(e.hash^at/timeSlotWindows) + uint64(s.cfg.Rank)
+	return slotHash%uint64(s.cfg.Gateways) == 0 && at%timeSlotWindows > 0 && s.now >= s.firstStepAt+window
 }
 
-// endWarmUp ends a warm-up that is over: the engine goes on like others, and is not to be filled first.
+// endWarmUp ends a warm-up whose time has passed. It raises the engine's recent threads to the mean load, so that the
+// engine does not attract all new queries.
 func (s *Scheduler) endWarmUp(e *engine) {
-	if w := &e.warmUp; w.active() && w.over(s.now, &s.cfg.Rules) {
+	if w := &e.warmUp; w.active() && w.hasEnded(s.now, &s.cfg.Rules) {
 		w.state, w.work = warmUpDone, slidingWindow{}
 		recent := s.placement.recentThreads(e, len(s.endpoints.engines))
 		e.recentThreads = max(recent, s.placement.meanLoad*e.cores)
-		e.recentAt = s.placement.sends
+		e.recentAtSend = s.placement.sends
 	}
 }
--- a/scheduler/window.go
+++ b/scheduler/window.go
@@ -6,19 +6,19 @@
 	"chutechute/internal/monotime"
 )
 
-// slidingWindow sums amounts within a moving span.
+// slidingWindow sums amounts over a sliding time window.
 type slidingWindow struct {
 	at     []monotime.Micros
 	amount []float64
 }
 
-// add records an amount at a time, not before the last.
+// add records an amount. Times must not decrease from call to call.
 func (w *slidingWindow) add(at monotime.Micros, amount float64) {
 	w.at = append(w.at, at)
 	w.amount = append(w.amount, amount)
 }
 
-// since drops what is older than from and returns the sum of the rest.
+// since drops amounts recorded before from and returns the sum of the others.
 func (w *slidingWindow) since(from monotime.Micros) float64 {
 	expired := 0
 	for expired < len(w.at) && w.at[expired] < from {
@@ -32,17 +32,17 @@
 	return sum
 }
 
-// rateSpan is the time constant of a decayingRate: long enough for a gateway with a few queries a second, and for a
-// surge of some seconds not to count as the usual rate.
+// rateSpan is the time constant of a decayingRate. It is long enough for a front end with a few queries a second, and
+// for a surge of some seconds not to count as the usual rate.
 const rateSpan = 10 * monotime.Second
 
 // decayingRate is an exponentially decayed rate of events.
 type decayingRate struct {
-	value float64         // events a second, as of last
-	last  monotime.Micros // 0: no event yet, value is the expected rate
+	value float64         // events per second, as of last
+	last  monotime.Micros // time of the last event; 0: none yet, value is the expected rate
 }
 
-// at returns the rate at a time, in events a second.
+// at returns the rate at a time, in events per second.
 func (r *decayingRate) at(now monotime.Micros) float64 {
 	if r.last == 0 {
 		return r.value
