--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -19,19 +19,19 @@
 
 // A table group's queries go to the first two engines of its hash order. They spill to the next engine when the load of
 // both exceeds 1.25 times the mean plus one query.
-func TestGroupStaysOnItsHomeEnginesAndSpillsUnderLoad(t *testing.T) {
+func TestGroupStaysOnItsPreferredEnginesAndSpillsUnderLoad(t *testing.T) {
 	sched := newTestScheduler(t, testConfig(), completeUpdate("a", "b", "c", "e"))
 	order := sched.placement.hashOrder(0, sched.endpoints.engines)
 	q := &query{class: sched.classes[0]}
-	if got := sched.choose(q); got != order[0] {
+	if got := sched.chooseEngine(q); got != order[0] {
 		t.Fatalf("with idle engines got %s, want the first, %s", got.Engine, order[0].Engine)
 	}
 	order[0].usage.threads = 1
-	if got := sched.choose(q); got != order[1] {
+	if got := sched.chooseEngine(q); got != order[1] {
 		t.Fatalf("got %s, want the less loaded second, %s", got.Engine, order[1].Engine)
 	}
 	order[0].usage.threads, order[1].usage.threads = 7, 7
-	if got := sched.choose(q); got != order[2] {
+	if got := sched.chooseEngine(q); got != order[2] {
 		t.Fatalf("got %s, want the spill to the third, %s", got.Engine, order[2].Engine)
 	}
 }
