--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -5,28 +5,29 @@
 	"chutechute/scheduler"
 )
 
-// EngineClient carries out attempts and health checks. The core calls it from one goroutine; its answers must come from
-// the same goroutine, and may come from within the call.
+// EngineClient carries out attempts and health checks. The core calls it from one goroutine. It must call back into the
+// core from the same goroutine, and may do so before its own method returns.
 type EngineClient interface {
-	// Start sends an attempt to its engine or, if it is AlreadyRunning, polls the engine for it. It is called once for
-	// each attempt, and is answered by one Core.AttemptEnded; Core.ReportProgress may come before.
+	// Start sends an attempt to its engine or, if the attempt is AlreadyRunning, polls the engine for it. The core calls
+	// it once for each attempt. The client reports the end by one call of Core.AttemptEnded, and may call
+	// Core.ReportProgress before.
 	Start(a *Attempt)
-	// Cancel ends a started attempt early. It is called at most once for each attempt. Core.AttemptEnded follows, once
-	// it is known that the attempt no longer runs.
+	// Cancel ends a started attempt early. The core calls it at most once for each attempt. The client calls
+	// Core.AttemptEnded once it is known that the attempt no longer runs.
 	Cancel(a *Attempt)
-	// SetPriority passes the current priority of an attempt in flight, Attempt.Priority, to its engine.
+	// SetPriority sends the changed priority of an attempt in flight, Attempt.Priority, to its engine.
 	SetPriority(a *Attempt)
-	// HealthCheck polls an engine for its load. It is answered by one Core.HealthCheckEnded.
+	// HealthCheck requests an engine's load report. The client reports the result by one call of Core.HealthCheckEnded.
 	HealthCheck(engine string)
 }
 
-// attemptState is a state of an attempt. An attempt passes the states in order and may skip some.
+// attemptState is the state of an attempt. An attempt goes through the states in this order and may skip some.
 type attemptState int
 
 const (
-	attemptAuthorizing attemptState = iota // the idempotency store has not answered yet whether it may start
-	attemptInFlight                        // it was passed to the engine client
-	attemptCanceling                       // the engine client is canceling it
+	attemptAuthorizing attemptState = iota // waits for the idempotency store's authorization to start
+	attemptInFlight                        // passed to the engine client
+	attemptCanceling                       // being canceled by the engine client
 	attemptEnded
 )
 
@@ -34,28 +35,28 @@
 type Attempt struct {
 	*Request
 	Engine         string
-	Timeout        monotime.Micros // how long the front end waits for it
-	GrantMB        float64         // the memory that it may use, in megabytes; 0: the engine chooses
-	StartBy        monotime.Micros // no byte of its start may be written at or after this time; 0: no such bound
-	AlreadyRunning bool            // another front end started it: its engine is polled for it, and nothing is started
-	// RequiresConfirmedEnd requires that the end of the attempt is certain, and not concluded from the state of a
-	// connection: a second execution does harm, or others wait for the end. An attempt has ended once its engine
-	// says so, has received its cancellation, or has not been polled for it for 2 s.
+	Timeout        monotime.Micros // after which the front end cancels it, counted from its start
+	GrantMB        float64         // memory that it may use, in megabytes; 0: the engine chooses
+	StartBy        monotime.Micros // no byte of its start request may be written at or after this time; 0: no such bound
+	AlreadyRunning bool            // another front end started it: the engine is only polled for it
+	// RequiresConfirmedEnd requires that the end of the attempt is certain and not inferred from the state of a
+	// connection, because a second execution would do harm or other requests wait for the end. The end is certain once
+	// the engine has reported it, has received the cancellation, or has not been polled for the attempt for 2 s.
 	RequiresConfirmedEnd bool
-	// WorkUsed is the work on one thread that the engine reported; 0 if it reports none.
+	// WorkUsed is the work that the engine reported, as time on one thread; 0 without a report.
 	WorkUsed monotime.Micros
-	// MemoryUsedMB is the memory in megabytes that the engine reported; 0 if it reports none.
+	// MemoryUsedMB is the memory that the engine reported, in megabytes; 0 without a report.
 	MemoryUsedMB float64
 
-	number       int // among the attempts of its request, from 0
+	number       int // of the attempt within its request, from 0
 	state        attemptState
 	startedAt    monotime.Micros
-	timeoutTimer *timer           // nil if only the request's deadline ends it
-	cancelReason scheduler.Result // why it was canceled, once it was
+	timeoutTimer *timer           // nil if only the request's deadline limits it
+	cancelReason scheduler.Result // set once it was canceled
 }
 
-// startAttempt starts an attempt of a request, as soon as the idempotency store allows it where the request is
-// registered there.
+// startAttempt starts an attempt of a request. If the request is registered in the idempotency store, the attempt
+// starts once the store has authorized it.
 func (c *Core) startAttempt(start scheduler.StartAttempt) {
 	r := c.open[start.ID]
 	if r == nil {
@@ -67,7 +68,7 @@
 		Timeout:              r.deadline - c.now,
 		GrantMB:              r.grantMB,
 		StartBy:              start.StartBy,
-		RequiresConfirmedEnd: r.strictAttempts,
+		RequiresConfirmedEnd: r.requiresConfirmedEnd,
 		number:               len(r.attempts),
 		state:                attemptInFlight,
 		startedAt:            c.now,
@@ -100,12 +101,12 @@
 	}
 }
 
-// cancelAttempt cancels an attempt, unless it has ended or is being canceled. The reason becomes its result if nothing
-// better comes of it.
+// cancelAttempt cancels an attempt, unless it has ended or is being canceled. The reason becomes its result, unless it
+// succeeds before the cancellation takes effect or is known never to have run.
 func (c *Core) cancelAttempt(a *Attempt, reason scheduler.Result) {
 	switch a.state {
 	case attemptAuthorizing:
-		// The engine client has not got it and will not get it.
+		// It was not passed to the engine client, and will not be.
 		c.AttemptEnded(c.now, a, scheduler.NotSent, nil, nil)
 	case attemptInFlight:
 		a.state, a.cancelReason = attemptCanceling, reason
@@ -113,16 +114,17 @@
 	}
 }
 
-// AttemptEnded reports how an attempt ended, with its rows if it succeeded and the engine's load report, nil without
-// one. A timeout alone is not the end of an attempt: it is in flight until the engine is known to have received the
-// cancellation. A result that came before that is still delivered. A second report on the same attempt has no effect.
+// AttemptEnded reports how an attempt ended, with its rows if it succeeded, and with the engine's load report or nil.
+// A timeout alone does not end an attempt: it stays in flight until the engine is known to have received the
+// cancellation, and a result that arrives before is still delivered. A second report on an attempt has no effect.
 func (c *Core) AttemptEnded(now monotime.Micros, a *Attempt, result scheduler.Result, rows []byte,
 	load *scheduler.LoadReport) {
 	if a.state == attemptEnded {
 		return
 	}
 	if a.AlreadyRunning && result.NeverRan() {
-		// The engine was not reached, which proves nothing about what runs there: it ends once nobody polls for it.
+		// That the engine was not reached proves nothing about an attempt that runs there. The attempt has certainly
+		// ended after the abandon timeout.
 		c.timers.schedule(now+AbandonTimeout, func() { c.AttemptEnded(c.now, a, scheduler.Reset, nil, nil) })
 		return
 	}
@@ -148,14 +150,14 @@
 		WorkUsed:     a.WorkUsed,
 		MemoryUsedMB: a.MemoryUsedMB,
 	})
-	if final { // hedged requests are not needed any more
+	if final { // the other attempt, of a hedged request, is no longer needed
 		c.cancelAttempts(a.Request, scheduler.Canceled)
 	}
 	c.closeIfDone(a.Request)
 }
 
-// applyResult delivers the rows of an attempt that succeeded and notes what one that failed means for its registration.
-// It reports whether the scheduler has nothing more to do for the request.
+// applyResult delivers the rows of an attempt that succeeded. For a registered request whose attempt failed, it records
+// whether the attempt may have run. It reports whether the scheduler has nothing more to do for the request.
 func (c *Core) applyResult(now monotime.Micros, a *Attempt, result scheduler.Result, rows []byte) (final bool) {
 	final = a.finished
 	switch {
@@ -170,13 +172,13 @@
 		a.registration.attemptMayHaveRun = true
 	}
 	if a.AlreadyRunning && result != scheduler.Succeeded {
-		a.finished = true // the scheduler does not know the request, and no client waits for it
+		a.finished = true // the scheduler does not have the request, and no client waits for it
 	}
 	return final
 }
 
-// ReportProgress passes a progress report of an engine on an attempt in flight to the scheduler. A report has no effect
-// where engines are not configured to send any.
+// ReportProgress passes an engine's progress report on an attempt in flight to the scheduler. It has no effect unless
+// the settings configure progress reports.
 func (c *Core) ReportProgress(a *Attempt, kind scheduler.ProgressKind, value float64) {
 	if a.state != attemptInFlight || c.settings.ProgressInterval <= 0 {
 		return
@@ -193,23 +195,23 @@
 
 // countResult counts the result of an attempt.
 func (c *Core) countResult(result scheduler.Result) {
-	count := c.counters
+	counts := c.counters
 	switch result {
 	case scheduler.Succeeded:
-		count.Done++
+		counts.Done++
 	case scheduler.Errored:
-		count.Errored++
+		counts.Errored++
 	case scheduler.Rejected:
-		count.Full++
+		counts.Full++
 	case scheduler.TimedOut:
-		count.TimedOut++
+		counts.TimedOut++
 	case scheduler.NoConnection:
-		count.NoConnection++
+		counts.NoConnection++
 	case scheduler.Reset:
-		count.Reset++
+		counts.Reset++
 	case scheduler.Canceled:
-		count.Dropped++
+		counts.Dropped++
 	case scheduler.NotSent:
-		count.NotSent++
+		counts.NotSent++
 	}
 }
--- a/gateway/budgets.go
+++ b/gateway/budgets.go
@@ -5,11 +5,11 @@
 	"chutechute/scheduler"
 )
 
-// GrantBudgets tells the scheduler what it may spend of the fleet's budgets. The grant is in force before the scheduler
-// starts another attempt.
+// GrantBudgets passes to the scheduler the amounts of the fleet's budgets that it may spend. The grant is in force
+// before the scheduler starts another attempt.
 func (c *Core) GrantBudgets(grant scheduler.BudgetGrant) { c.addEvent(grant) }
 
-// BudgetDemands returns what the scheduler uses and wants of the fleet's budgets.
+// BudgetDemands returns the scheduler's demand for the fleet's budgets and how much of them is in use.
 func (c *Core) BudgetDemands(now monotime.Micros) []scheduler.BudgetDemand {
 	return c.scheduler.BudgetDemands(now)
 }
@@ -19,47 +19,49 @@
 	return c.scheduler.BudgetStatuses(now)
 }
 
-// Denial is a request that was rejected because a budget had no capacity for it.
-type Denial struct {
+// BudgetRejection describes a request that was rejected because a budget had no capacity for it.
+type BudgetRejection struct {
 	At         monotime.Micros
 	RequestID  string
 	Budget     string
-	RetryAfter monotime.Micros // how long its client was to wait, from At, before a retry
+	RetryAfter monotime.Micros // the wait that its client was given, counted from At
 }
 
-// maxDenials is how many denials are kept.
-const maxDenials = 256
+// maxBudgetRejections is the number of budget rejections that are kept.
+const maxBudgetRejections = 256
 
-// denialLog keeps the last denials in a ring. Its zero value is empty.
-type denialLog struct {
-	ring   []Denial
-	oldest int // index of the entry that the next one replaces, once the ring is full
+// budgetRejectionLog keeps the most recent budget rejections in a ring buffer. Its zero value is empty.
+type budgetRejectionLog struct {
+	ring   []BudgetRejection
+	oldest int // index of the entry that is overwritten next once the ring is full
 }
 
-// add adds a denial, in place of the oldest where the log is full.
-func (l *denialLog) add(d Denial) {
-	if len(l.ring) < maxDenials {
-		l.ring = append(l.ring, d)
+// add adds a rejection. If the log is full, it replaces the oldest one.
+func (l *budgetRejectionLog) add(rejection BudgetRejection) {
+	if len(l.ring) < maxBudgetRejections {
+		l.ring = append(l.ring, rejection)
 		return
 	}
-	l.ring[l.oldest] = d
-	l.oldest = (l.oldest + 1) % maxDenials
+	l.ring[l.oldest] = rejection
+	l.oldest = (l.oldest + 1) % maxBudgetRejections
 }
 
-// newestFirst returns the denials that match.
-func (l *denialLog) newestFirst(matches func(*Denial) bool) (list []Denial) {
+// newestFirst returns the rejections for which matches is true, the newest first.
+func (l *budgetRejectionLog) newestFirst(matches func(*BudgetRejection) bool) (list []BudgetRejection) {
 	count := len(l.ring)
 	for age := range count {
-		d := &l.ring[(l.oldest+count-1-age)%count]
-		if matches(d) {
-			list = append(list, *d)
+		rejection := &l.ring[(l.oldest+count-1-age)%count]
+		if matches(rejection) {
+			list = append(list, *rejection)
 		}
 	}
 	return list
 }
 
-// Denials returns the last requests that budgets had no capacity for, the newest first: all if of is empty, else those
-// of the budget or of the request with that name.
-func (c *Core) Denials(of string) []Denial {
-	return c.denials.newestFirst(func(d *Denial) bool { return of == "" || of == d.Budget || of == d.RequestID })
+// Denials returns the most recent requests that were rejected because a budget had no capacity, the newest first. A
+// non-empty name selects those of the budget with this name or of the request with this ID.
+func (c *Core) Denials(name string) []BudgetRejection {
+	return c.budgetRejections.newestFirst(func(rejection *BudgetRejection) bool {
+		return name == "" || name == rejection.Budget || name == rejection.RequestID
+	})
 }
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -8,14 +8,14 @@
 	"chutechute/internal/monotime"
 )
 
-// callers identifies and authorizes the callers of requests. Where it has no guard, every caller may do everything.
+// callers identifies and authorizes the callers of requests. Without a guard, every call is allowed.
 type callers struct {
-	guard *identity.Guard // nil where callers are not identified
+	guard *identity.Guard // nil if callers are not identified
 }
 
-// ConfigureIdentity sets the options by which calls must prove their callers' identity; with nil they need not any
-// more. Tokens verified before stay valid and requests stay open. The error names the key of an invalid option;
-// nothing has changed then.
+// ConfigureIdentity sets the options for the identification and authorization of callers; nil turns both off. Tokens
+// that were verified before stay verified, and open requests stay open. If an option is invalid, nothing changes and
+// the error names the option's key.
 func (c *Core) ConfigureIdentity(o *identity.Options) error {
 	if o == nil {
 		c.callers.guard = nil
@@ -33,23 +33,25 @@
 	return nil
 }
 
-// Guard returns what identifies and authorizes callers; nil where callers are not identified.
+// Guard returns the guard that identifies and authorizes callers; nil if callers are not identified.
 func (c *Core) Guard() *identity.Guard { return c.callers.guard }
 
-// identify returns the caller of a call, the zero value where callers are not identified.
+// identify returns the caller of a call; the zero value if callers are not identified.
 func (c *callers) identify(now monotime.Micros, call *Call) (identity.Caller, error) {
 	if c.guard == nil {
 		return identity.Caller{}, nil
 	}
-	proof := &call.Credentials
-	caller, err := c.guard.Authenticate(proof.Token, proof.Certificate, proof.ClientAddress, now, proof.WallTime)
+	credentials := &call.Credentials
+	caller, err := c.guard.Authenticate(credentials.Token, credentials.Certificate, credentials.ClientAddress, now,
+		credentials.WallTime)
 	if err != nil {
 		c.logDenied(now, call, err)
 	}
 	return caller, err
 }
 
-// admit authorizes a call and counts it as open until release. The call gets its caller's tenant.
+// admit authorizes a call, sets its tenant to that of its caller, and counts it against the caller's limits until
+// release.
 func (c *callers) admit(now monotime.Micros, caller identity.Caller, call *Call) error {
 	if c.guard == nil {
 		return nil
@@ -65,14 +67,14 @@
 	return err
 }
 
-// release ends the count of an admitted call.
+// release stops counting an admitted call against its caller's limits.
 func (c *callers) release(caller identity.Caller) {
 	if c.guard != nil && caller.Name != "" {
 		c.guard.Release(caller)
 	}
 }
 
-// logDenied logs a call that was denied, at a limited rate. The call's proof is never logged.
+// logDenied logs a denied call, at a limited rate. It never logs the call's credentials.
 func (c *callers) logDenied(now monotime.Micros, call *Call, err error) {
 	suppressed, ok := c.guard.AllowLogEntry(now)
 	if !ok {
--- a/gateway/capacity_test.go
+++ b/gateway/capacity_test.go
@@ -20,7 +20,7 @@
 	"chutechute/scheduler"
 )
 
-// noEngines is an EngineClient that does nothing.
+// noEngines is an EngineClient that ignores all calls.
 type noEngines struct{}
 
 func (noEngines) Start(*gateway.Attempt)       {}
@@ -28,7 +28,7 @@
 func (noEngines) SetPriority(*gateway.Attempt) {}
 func (noEngines) HealthCheck(string)           {}
 
-// States of an engine and kinds of a frame, as the discovery protocol encodes them.
+// States of an engine and kinds of a frame, as encoded in the discovery protocol.
 const (
 	engineServing  = 0
 	engineDraining = 1
@@ -37,7 +37,7 @@
 	listChanges  = 2
 )
 
-// engineRecord encodes an engine as the discovery service does, independently of the program's codec.
+// engineRecord encodes an engine as the discovery service does. It doesn't use the program's own codec.
 func engineRecord(number int, state byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(number))
 	b = append(b, 10, byte(number>>16), byte(number>>8), byte(number))
@@ -46,8 +46,8 @@
 	return append(b, make([]byte, 8)...)
 }
 
-// discoveredCore is a core whose endpoints come from the frames of a discovery service.
-type discoveredCore struct {
+// coreWithDiscovery is a core that gets its endpoints from frames of a discovery service.
+type coreWithDiscovery struct {
 	t        *testing.T
 	core     *gateway.Core
 	follower discovery.Follower
@@ -55,14 +55,14 @@
 	now      monotime.Micros
 }
 
-func newDiscoveredCore(t *testing.T) *discoveredCore {
+func newCoreWithDiscovery(t *testing.T) *coreWithDiscovery {
 	t.Helper()
-	site, err := settings.Parse([]byte(testharness.Settings))
+	siteSettings, err := settings.Parse([]byte(testharness.Settings))
 	require.NoError(t, err)
 	limits := gateway.Limits{MaxOpen: 1000, MaxStatementBytes: 1 << 20}
-	core, err := gateway.New(site, 7, limits, noEngines{}, &counters.Set{})
+	core, err := gateway.New(siteSettings, 7, limits, noEngines{}, &counters.Set{})
 	require.NoError(t, err)
-	return &discoveredCore{
+	return &coreWithDiscovery{
 		t:        t,
 		core:     core,
 		follower: discovery.Follower{Names: discovery.Names{Zones: []string{"a"}, Kinds: []string{"k"}}},
@@ -71,12 +71,12 @@
 	}
 }
 
-// apply decodes a frame and passes it to the core.
-func (d *discoveredCore) apply(frame []byte) {
+// applyFrame decodes a frame and passes its endpoints to the core.
+func (d *coreWithDiscovery) applyFrame(frame []byte) {
 	_, err := d.in.Write(frame)
 	require.NoError(d.t, err)
-	event, news, ok, err := d.follower.Next(d.in)
-	require.True(d.t, ok && news && err == nil)
+	event, isNew, ok, err := d.follower.Next(d.in)
+	require.True(d.t, ok && isNew && err == nil)
 	entries := make([]scheduler.Endpoint, len(event.Engines))
 	for i, engine := range event.Engines {
 		entries[i] = engine.Endpoint
@@ -86,18 +86,18 @@
 	d.core.Step(d.now)
 }
 
-// listCost is what a complete list of engines and one change of it cost.
+// listCost is the cost of a complete list of engines and of one change of it.
 type listCost struct {
 	listBytes   int
 	listTime    time.Duration
-	listHeap    float64 // bytes that the core holds after it
+	listHeap    float64 // bytes that the heap grows by
 	changeBytes int
-	changeTime  time.Duration // the mean
+	changeTime  time.Duration // mean per change
 }
 
 func measureListCost(t *testing.T, engines int) (cost listCost) {
 	t.Helper()
-	core := newDiscoveredCore(t)
+	core := newCoreWithDiscovery(t)
 	var records [][]byte
 	for i := range engines {
 		records = append(records, engineRecord(i, engineServing))
@@ -107,17 +107,17 @@
 
 	heapBefore := procstat.HeapInUse()
 	start := procstat.OwnProcessorTime()
-	core.apply(list)
+	core.applyFrame(list)
 	cost.listTime = procstat.OwnProcessorTime() - start
 	cost.listHeap = procstat.HeapInUse() - heapBefore
 
 	changes := max(20, 400_000/engines)
 	start = procstat.OwnProcessorTime()
-	for i := range changes { // each drains or returns one engine
+	for i := range changes { // alternately drains an engine and sets it serving again
 		state := byte(engineDraining - i%2)
 		frame := testharness.DiscoveryFrame(uint64(2+i), listChanges, engineRecord(i/2%engines, state))
 		cost.changeBytes = len(frame)
-		core.apply(frame)
+		core.applyFrame(frame)
 	}
 	cost.changeTime = (procstat.OwnProcessorTime() - start) / time.Duration(changes)
 	return cost
@@ -125,14 +125,15 @@
 
 func microseconds(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1000 }
 
-// TestCapacityOfEndpointLists measures what a complete list of engines and one change of it cost a front end, from the
-// bytes of the discovery service to the decisions, by the count of engines. It is long.
+// TestCapacityOfEndpointLists measures the cost of a complete list of engines and of one change of it for a front end,
+// by the number of engines: from decoding the discovery service's frame to the scheduler's actions. It takes long and
+// runs only if CHUTECHUTE_LONG is set.
 func TestCapacityOfEndpointLists(t *testing.T) {
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("measures: make scale-full")
 	}
-	result := procstat.NewResult("lists", "From the bytes of a journal frame through the core's step to the decisions; "+
-		"without the pool of connections; processor time of the process, the mean of many changes; two runs a size.")
+	result := procstat.NewResult("lists", "From decoding a discovery frame to the scheduler's actions, "+
+		"without the engine connection pool; processor time of the process, the mean of many changes; two runs per size.")
 	for range 2 {
 		for _, engines := range []int{64, 256, 1024, 2048, 8192, 34000} {
 			cost := measureListCost(t, engines)
--- a/gateway/expiry.go
+++ b/gateway/expiry.go
@@ -8,7 +8,7 @@
 	"chutechute/scheduler"
 )
 
-// expire ensures that a request whose deadline has come gets its final response.
+// expire ensures that a request that has reached its deadline gets its final response.
 func (c *Core) expire(r *Request) {
 	if r.finished {
 		return
@@ -21,8 +21,9 @@
 	c.cancelAttempts(r, scheduler.TimedOut)
 }
 
-// ExpireAll expires all open requests, as at their deadlines, in the order in which they came. A registered request
-// that runs is not canceled but transferred: another front end is to take it over, and its client gets Fail.
+// ExpireAll expires all open requests as if they had reached their deadlines, in the order in which they arrived. A
+// registered request that is running is not canceled: it is transferred to another front end, and its Responder gets
+// Fail.
 func (c *Core) ExpireAll() {
 	bySequence := func(a, b *Request) int { return cmp.Compare(a.sequence, b.sequence) }
 	for _, r := range slices.SortedFunc(maps.Values(c.open), bySequence) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,10 +1,11 @@
-// Package gateway is the core of a front end. It owns the open requests, their attempts and all timers. It turns calls,
-// which know no protocol, into events of the scheduler, and the scheduler's actions into commands to its adapters: an
-// EngineClient towards the engines, a Responder towards each client and, where there is one, an IdempotencyStore. It
-// ensures that each request gets exactly one final response.
+// Package gateway is the core of a front end. It owns the open requests, their attempts and all timers. It converts
+// calls, which are independent of any wire protocol, into events for the scheduler, and the scheduler's actions into
+// calls to its adapters: an EngineClient for the engines, a Responder for each request's client and, optionally, an
+// IdempotencyStore. It ensures that each request gets exactly one final response.
 //
-// The package does no I/O, reads no clock and starts no goroutine: the caller passes the current time, and all calls of
-// one Core, and all callbacks into it, come from one goroutine. Times are in microseconds of a monotonic clock.
+// The package does no I/O, reads no clock and starts no goroutine: the caller passes the current time. All calls to a
+// Core, including the callbacks from its adapters, must come from one goroutine. Times are in microseconds of a
+// monotonic clock.
 package gateway
 
 import (
@@ -17,47 +18,49 @@
 	"chutechute/scheduler"
 )
 
-// overloadRetryAfter is when a client may try again whose request was rejected for lack of capacity.
+// overloadRetryAfter is how long a client should wait before it retries a request that was rejected for lack of
+// capacity.
 const overloadRetryAfter = 500 * monotime.Millisecond
 
-// Limits bounds what a core may hold. A request beyond it is rejected.
+// Limits bounds the open requests of a core. A request that would exceed a limit is rejected.
 type Limits struct {
-	MaxOpen           int // open requests
-	MaxStatementBytes int // bytes of the statements of open requests
+	MaxOpen           int // number of open requests
+	MaxStatementBytes int // total size of the statements of open requests
 }
 
 // Core is the state of one front end.
 type Core struct {
-	settings    *settings.Settings
-	scheduler   *scheduler.Scheduler
-	engines     EngineClient
-	idempotency IdempotencyStore // nil without one
-	statements  statements
-	callers     callers
-	counters    *counters.Set
-	trace       requestTrace
-	denials     denialLog
+	settings         *settings.Settings
+	scheduler        *scheduler.Scheduler
+	engines          EngineClient
+	idempotency      IdempotencyStore // nil: requests are not registered
+	statements       statements
+	callers          callers
+	counters         *counters.Set
+	trace            requestTrace
+	budgetRejections budgetRejectionLog
 
 	now    monotime.Micros
 	timers timerQueue
-	events []scheduler.Event // for the scheduler's next step
+	events []scheduler.Event // to be passed to the scheduler in its next step
 
 	limits           Limits
 	idSeed           uint64
 	lastSequence     uint64
-	open             map[uint64]*Request // by scheduler ID
-	openIDs          map[string]bool     // the clients' IDs of open requests
-	statementBytes   int                 // of open requests
+	open             map[uint64]*Request // by Request.schedulerID
+	openIDs          map[string]bool     // Call.ID of the open requests
+	statementBytes   int                 // total size of the statements of open requests
 	attemptsInFlight int
 
 	applyingActions bool
-	deferredCancels []*Request // those that came while actions were applied
+	deferredCancels []*Request // requests canceled while actions were applied
 }
 
-// New returns the core of one front end without requests or engines. The seed sets the scheduler's random choices and
-// the IDs that it sees, which differ between processes with different seeds. The core counts in count. It returns an
-// error if the settings are not valid.
-func New(s *settings.Settings, seed uint64, limits Limits, engines EngineClient, count *counters.Set) (*Core, error) {
+// New returns the core of a front end that has no requests and knows no engines yet. The seed determines the
+// scheduler's random choices and the request IDs that the scheduler gets, which differ between processes with
+// different seeds. The core updates counterSet. New returns an error if the settings are invalid.
+func New(s *settings.Settings, seed uint64, limits Limits, engines EngineClient,
+	counterSet *counters.Set) (*Core, error) {
 	sched, err := scheduler.New(s.Config, seed)
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
@@ -71,7 +74,7 @@
 		scheduler:  sched,
 		engines:    engines,
 		statements: reader,
-		counters:   count,
+		counters:   counterSet,
 		trace:      newRequestTrace(),
 		limits:     limits,
 		idSeed:     seed,
@@ -80,20 +83,21 @@
 	}, nil
 }
 
-// SetLimits replaces the limits. Open requests stay open, even beyond them.
+// SetLimits replaces the limits. Open requests stay open, even where they exceed the new limits.
 func (c *Core) SetLimits(limits Limits) { c.limits = limits }
 
-// HasEvents reports whether events wait for the next Step.
+// HasEvents reports whether events are pending for the next Step.
 func (c *Core) HasEvents() bool { return len(c.events) > 0 }
 
 // Idle reports whether no request is open and no attempt is in flight.
 func (c *Core) Idle() bool { return len(c.open) == 0 && c.attemptsInFlight == 0 }
 
-// NextTimer returns when the next timer is due; false if none is set.
+// NextTimer returns the time at which the next timer is due. It returns false if no timer is set.
 func (c *Core) NextTimer() (monotime.Micros, bool) { return c.timers.next() }
 
-// Step fires the timers that are due, passes all pending events to the scheduler and applies its actions, until no
-// event is left. It must be called again when the time that Next returns has come, and while Pending is true.
+// Step fires the timers that are due, passes all pending events to the scheduler and applies the scheduler's actions,
+// until no event is pending. The caller must call it again at the time that NextTimer returns, and whenever HasEvents
+// is true.
 func (c *Core) Step(now monotime.Micros) {
 	c.now = now
 	c.timers.fireDue(now)
@@ -102,13 +106,13 @@
 	}
 }
 
-// stepScheduler passes the pending events to the scheduler and applies its actions.
+// stepScheduler passes the pending events to the scheduler in one step and applies the actions of that step.
 func (c *Core) stepScheduler(now monotime.Micros) {
 	events := c.events
 	c.events = nil
 	c.applyingActions = true
 	for _, action := range c.scheduler.Step(now, events) {
-		c.apply(action)
+		c.applyAction(action)
 	}
 	c.applyingActions = false
 	c.statements.discardServed()
@@ -120,8 +124,8 @@
 	}
 }
 
-// apply carries out an action of the scheduler. An action on a request that is no longer open has no effect.
-func (c *Core) apply(action scheduler.Action) {
+// applyAction carries out an action of the scheduler. An action on a request that is no longer open has no effect.
+func (c *Core) applyAction(action scheduler.Action) {
 	switch a := action.(type) {
 	case scheduler.StartAttempt:
 		c.startAttempt(a)
@@ -150,7 +154,7 @@
 	}
 }
 
-// applyReject rejects a request, or fails it where rejecting it would claim that nothing of it has run.
+// applyReject rejects a request, or fails it if an attempt may have run: a reject promises that nothing has run.
 func (c *Core) applyReject(a scheduler.Reject) {
 	r := c.open[a.ID]
 	if r == nil || r.finished {
@@ -160,12 +164,12 @@
 		c.fail(r)
 	} else {
 		if a.Budget != "" {
-			c.denials.add(Denial{At: c.now, RequestID: r.ID, Budget: a.Budget, RetryAfter: a.RetryAfter})
+			c.budgetRejections.add(BudgetRejection{At: c.now, RequestID: r.ID, Budget: a.Budget, RetryAfter: a.RetryAfter})
 		}
 		c.reject(r, a.RetryAfter)
 	}
 	c.closeIfDone(r)
 }
 
-// addEvent adds an event for the scheduler's next step.
+// addEvent queues an event for the scheduler's next step.
 func (c *Core) addEvent(event scheduler.Event) { c.events = append(c.events, event) }
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -5,62 +5,62 @@
 	"chutechute/scheduler"
 )
 
-// IdempotencyStore keeps the idempotent requests of the whole fleet, those whose class is IdempotentByKey and that have
-// an idempotency key: what it has committed outlives this process. It only holds requests and attempts back. Which
-// engine a request goes to, and whether it is retried, stays the scheduler's decision. Without a store nothing of this
-// is done.
+// IdempotencyStore keeps the state of the whole fleet's requests that have an idempotency key and a class that is
+// IdempotentByKey. What it has committed outlives this process. The store only delays requests and attempts; the
+// scheduler decides which engine a request goes to and whether it is retried. Without a store no request is registered.
 //
-// The core calls the store from one goroutine. The store calls the methods of a Registration, and the callbacks that it
-// was passed, from the same goroutine, and only between the core's steps: never from within one of its own methods.
+// The core calls the store from one goroutine. The store must call the methods of a Registration, and the callbacks
+// that it was passed, from the same goroutine and only between the core's steps, never from within one of its own
+// methods.
 type IdempotencyStore interface {
-	// Register adds a request that was submitted. At least one call of Owned, Suspend, Finish or Reject follows, unless
-	// Release comes before.
+	// Register adds a request that was submitted. The store then calls at least one of the registration's methods
+	// Schedule, Suspend, Finish and Reject, unless the core calls Release before.
 	Register(now monotime.Micros, reg *Registration)
-	// Authorize asks whether an attempt may start. The store calls granted once, or not at all after Release.
+	// Authorize requests the authorization to start an attempt. The store calls authorized once, or not at all after
+	// Release.
 	Authorize(now monotime.Micros, reg *Registration, attempt int, engine string,
-		granted func(now monotime.Micros, ok bool))
-	// Commit submits a request's rows as its outcome, at most once. Finish follows with the outcome that was committed,
-	// which may be another.
+		authorized func(now monotime.Micros, ok bool))
+	// Commit proposes a request's rows as its outcome. The core calls it at most once for each request. The store calls
+	// Finish with the outcome that was committed, which may be a different one.
 	Commit(now monotime.Micros, reg *Registration, rows []byte)
-	// Release ends this front end's part in a request for which Commit was not called, once. None of its attempts is in
-	// flight and none will start; ran tells whether one that ended may have run.
+	// Release ends the registration of a request for which Commit was not called. The core calls it once, when none of
+	// the request's attempts is in flight and none will start. ran reports whether an attempt that ended may have run.
 	Release(now monotime.Micros, reg *Registration, ran bool)
-	// Transfer has another front end take over a request that runs, as this one shuts down. Release may follow and has
-	// no effect then.
+	// Transfer has another front end take over a running request because this one shuts down. A Release after it has no
+	// effect.
 	Transfer(now monotime.Micros, reg *Registration)
-	// OutcomeUnknown reports whether an attempt of the request may have started, on whichever front end.
+	// OutcomeUnknown reports whether an attempt of the request may have started on any front end.
 	OutcomeUnknown(reg *Registration) bool
 }
 
 // Registration is a request in the idempotency store.
 type Registration struct {
-	// StoreState, Checked and Seen belong to the store; the core neither reads nor sets them.
+	// StoreState, StatementChecked and StoreAnswered belong to the store; the core neither reads nor sets them.
 	StoreState       any
 	StatementChecked bool
 	StoreAnswered    bool
 
 	core      *Core
 	request   *Request
-	event     scheduler.Request // by which the scheduler learns of the request
+	event     scheduler.Request // passes the request to the scheduler
 	scheduled bool              // the scheduler has the request
-	// These may hold together: an attempt was passed to the engine client; one that ended may have run; rows were
-	// passed to the store.
-	attemptStarted    bool
-	attemptMayHaveRun bool
-	committed         bool
+	// More than one of these may be true.
+	attemptStarted    bool // an attempt was passed to the engine client
+	attemptMayHaveRun bool // an attempt that ended may have run
+	committed         bool // rows were passed to IdempotencyStore.Commit
 }
 
 // Call returns what the client sent.
 func (reg *Registration) Call() *Call { return reg.request.Call }
 
-// Deadline returns when the request's final response is due. None of its attempts starts later.
+// Deadline returns when the request's final response is due. No attempt of the request starts later.
 func (reg *Registration) Deadline() monotime.Micros { return reg.request.deadline }
 
-// UseIdempotencyStore sets the store of idempotent requests. Requests that were submitted before stay unregistered.
+// UseIdempotencyStore sets the idempotency store. Requests that were submitted before stay unregistered.
 func (c *Core) UseIdempotencyStore(store IdempotencyStore) { c.idempotency = store }
 
-// register registers a request with the idempotency store, which tells when the scheduler may have it. It returns false
-// if the request needs no registration, and the scheduler may have it at once.
+// register registers a request in the idempotency store, which then decides when the request is passed to the
+// scheduler. It returns false if the request needs no registration; the caller passes it to the scheduler at once.
 func (c *Core) register(now monotime.Micros, r *Request, event scheduler.Request) bool {
 	if c.idempotency == nil || r.IdempotencyKey == "" ||
 		c.settings.Classes[event.Class].Effect != scheduler.IdempotentByKey {
@@ -71,8 +71,8 @@
 	return true
 }
 
-// Schedule tells that the request is this front end's and the first of its key: the scheduler may have it. It has no
-// effect where the scheduler has it already.
+// Schedule passes the request to the scheduler. The store calls it when this front end owns the request and the request
+// is the first in the queue of its order key. It has no effect if the scheduler has the request already.
 func (reg *Registration) Schedule() {
 	if !reg.request.finished && !reg.scheduled {
 		reg.scheduled = true
@@ -80,8 +80,8 @@
 	}
 }
 
-// Suspend tells that another front end owns the request, or that it is not the first of its key: the scheduler must
-// drop it. Owned may follow.
+// Suspend removes the request from the scheduler. The store calls it when another front end owns the request, or when
+// the request is not the first in the queue of its order key. Schedule may follow.
 func (reg *Registration) Suspend() {
 	if reg.scheduled {
 		reg.scheduled = false
@@ -89,8 +89,8 @@
 	}
 }
 
-// Finish delivers the committed outcome of the request: its rows, or that it has none where served is false. It has no
-// effect on a request that has got its final response.
+// Finish delivers the committed outcome of the request: its rows if served is true, otherwise a Fail. It has no effect
+// on a request that has got its final response.
 func (reg *Registration) Finish(now monotime.Micros, served bool, rows []byte) {
 	c, r := reg.core, reg.request
 	if r.finished {
@@ -108,26 +108,27 @@
 	c.closeIfDone(r)
 }
 
-// Reject rejects the request, of which nothing has run; its client may retry after the time after. It has no effect on
-// a request that has got its final response.
-func (reg *Registration) Reject(now, after monotime.Micros) {
+// Reject rejects the request, of which nothing has run. Its client may retry after the duration retryAfter. It has no
+// effect on a request that has got its final response.
+func (reg *Registration) Reject(now, retryAfter monotime.Micros) {
 	c, r := reg.core, reg.request
 	if r.finished {
 		return
 	}
 	reg.Suspend()
 	c.now = now
-	c.reject(r, after)
+	c.reject(r, retryAfter)
 	c.closeIfDone(r)
 }
 
-// outlivesClient reports whether the request continues without its client: a repeat will ask for its outcome.
+// outlivesClient reports whether the request continues after its client disconnects, because a repeat will request its
+// outcome.
 func (reg *Registration) outlivesClient() bool {
 	return reg != nil && (reg.attemptStarted || reg.committed)
 }
 
-// mayHaveRun reports whether an attempt may have run or may still run, so that it would be untrue to reject the
-// request.
+// mayHaveRun reports whether an attempt may have run or may still run. Such a request must not be rejected, since a
+// reject promises that nothing has run or will run.
 func (reg *Registration) mayHaveRun() bool {
 	return reg != nil && (reg.attemptMayHaveRun || reg.attemptStarted && reg.request.attemptsInFlight > 0)
 }
@@ -137,8 +138,8 @@
 	return reg != nil && reg.attemptStarted && !reg.committed
 }
 
-// expireUnscheduled answers, at its deadline, a registered request that the scheduler does not have, or not any more.
-// It returns false for all others.
+// expireUnscheduled answers a registered request that has reached its deadline and that the scheduler does not have, or
+// no longer needs because its rows were committed. It returns false for all other requests.
 func (c *Core) expireUnscheduled(r *Request) bool {
 	reg := r.registration
 	if reg == nil || reg.scheduled && !reg.committed {
@@ -153,13 +154,13 @@
 	return true
 }
 
-// authorizationLifetime is how long the store's permission to start an attempt is valid, from before it was asked for.
-// It is less than how long a front end that takes over waits for a start of which the engine knows nothing (see package
-// idempotency).
+// authorizationLifetime is how long the store's authorization to start an attempt is valid, counted from before it was
+// requested. It must be shorter than the time that a front end that takes over a request waits while the engine does
+// not know the attempt (see package idempotency).
 const authorizationLifetime = 1900 * monotime.Millisecond
 
-// authorizeAttempt asks the store whether an attempt may start, and passes it to the engine client once it may. An
-// attempt that was canceled meanwhile has ended, and does not start whatever the store answers.
+// authorizeAttempt requests the store's authorization for an attempt, and passes the attempt to the engine client once
+// it is authorized. An attempt that was canceled meanwhile has ended and does not start, whatever the store answers.
 func (c *Core) authorizeAttempt(a *Attempt) {
 	a.state = attemptAuthorizing
 	c.idempotency.Authorize(c.now, a.registration, a.number, a.Engine, func(now monotime.Micros, ok bool) {
@@ -169,10 +170,11 @@
 	})
 }
 
-// startAuthorized starts an attempt that the store allowed, as long as its permission and its request's deadline allow.
-func (c *Core) startAuthorized(now monotime.Micros, a *Attempt, allowed bool) {
+// startAuthorized passes an attempt to the engine client if the store has authorized it and its request's deadline has
+// not passed. The attempt may be started only before the deadline and while the authorization is valid.
+func (c *Core) startAuthorized(now monotime.Micros, a *Attempt, authorized bool) {
 	a.state = attemptInFlight
-	if !allowed || now >= a.deadline {
+	if !authorized || now >= a.deadline {
 		c.AttemptEnded(now, a, scheduler.NotSent, nil, nil)
 		return
 	}
@@ -185,7 +187,7 @@
 	c.engines.Start(a)
 }
 
-// commit passes a request's rows to the store. Its client gets a response once an outcome is committed.
+// commit passes a request's rows to the store. The client gets its response once an outcome is committed.
 func (c *Core) commit(now monotime.Micros, a *Attempt, rows []byte) {
 	reg := a.registration
 	if reg.committed {
@@ -196,7 +198,7 @@
 	c.idempotency.Commit(now, reg, rows)
 }
 
-// releaseRegistration ends the registration of a request that is closed.
+// releaseRegistration ends the registration of a closed request, unless its rows were passed to the store.
 func (c *Core) releaseRegistration(r *Request) {
 	if reg := r.registration; reg != nil && !reg.committed {
 		c.idempotency.Release(c.now, reg, reg.attemptMayHaveRun)
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -10,8 +10,8 @@
 
 const millisecond = monotime.Millisecond
 
-// shutDown plays a graceful shutdown that never becomes quiet. It returns, from the signal on, when each phase
-// began and when Expired was first true, -1 if never.
+// shutDown runs a graceful shutdown that never becomes quiet. It returns when each phase began and when MustExpireAll
+// was first true (-1: never), counted from the signal.
 func shutDown(l *Lifecycle, signal monotime.Micros) (began map[Phase]monotime.Micros, expired monotime.Micros) {
 	began, expired = map[Phase]monotime.Micros{}, -1
 	l.Drain(signal)
@@ -26,9 +26,9 @@
 	return began, expired
 }
 
-// Whatever the longest deadline, all requests are answered and the connections are closed before the process may be
-// killed: 0.7 s after that deadline, which counts for 3 s at most. Requests that come until 0.6 s after the signal are
-// accepted, none after 0.7 s.
+// For any longest client timeout, all requests are answered and all connections are closed before the process may be
+// killed, which is 0.7 s plus that timeout (at most 3 s) after the signal. Requests that arrive until 0.6 s after the
+// signal are accepted, none after 0.7 s.
 func TestGracefulShutdownEndsBeforeTheKill(t *testing.T) {
 	for _, longest := range []monotime.Micros{0, 500 * millisecond, 1200 * millisecond, 3 * monotime.Second,
 		25 * monotime.Second} {
@@ -40,16 +40,16 @@
 		}
 		began, expired := shutDown(l, 7*monotime.Second)
 		assert.Equal(t, Stopped, l.Phase())
-		assert.GreaterOrEqual(t, began[Closing], 400*millisecond, "clients connect until then")
-		assert.Greater(t, began[Answering], 600*millisecond, "and send until then")
-		assert.Less(t, began[Answering], 700*millisecond, "what comes later counts in full")
+		assert.GreaterOrEqual(t, began[Closing], 400*millisecond, "clients may connect until then")
+		assert.Greater(t, began[Answering], 600*millisecond, "clients may send requests until then")
+		assert.Less(t, began[Answering], 700*millisecond, "a request accepted later would have to be answered")
 		assert.Less(t, expired, killTime-100*millisecond, "%d: time to write the responses", longest)
 		assert.Greater(t, began[Stopped], expired, "%d", longest)
 		assert.Less(t, began[Stopped], killTime-100*millisecond, "%d", longest)
 	}
 }
 
-// A second signal, and a reload, have no effect once the shutdown has begun, in whichever phase it began.
+// Once a shutdown has begun, in whichever phase, another signal or a reload has no effect on it.
 func TestShutdownIsNotRestartedInAnyPhase(t *testing.T) {
 	for name, enterPhase := range map[string]func(*Lifecycle){
 		"starting":  func(*Lifecycle) {},
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -7,83 +7,83 @@
 	"chutechute/statement"
 )
 
-// responseMargin is how long before its client's timeout a request's final response is due: the time that the event
-// loop and the network may take.
+// responseMargin is how long before its client's timeout a request's final response is due. It covers the delays of the
+// event loop and the network.
 const responseMargin = 60 * monotime.Millisecond
 
-// NoPriority is the priority of a request whose engines support none.
+// NoPriority is the priority of requests if the engines do not support priorities.
 const NoPriority = -1
 
-// Call is a request as its client sent it. ID, IdempotencyKey and Statement go to engines byte for byte. Class may be
-// empty where statements are read (see Core.ReadStatements); Submit fills it in then, and the cost and the memory that
-// are missing.
+// Call is a request as its client sent it. ID, IdempotencyKey and Statement are forwarded to engines unchanged. If
+// statements are read (see Core.ConfigureStatements), Class may be empty, and Submit fills in the class, the estimated
+// work and the memory where they are missing.
 type Call struct {
-	ID             string // chosen by the client, unique among open requests
+	ID             string // chosen by the client; unique among open requests
 	Class          string
-	Tenant         string // empty: none, or that of the caller's identity
-	OrderKey       string // requests of one key run in order, where their class is ordered
+	Tenant         string // empty: none, or the tenant of the caller's identity
+	OrderKey       string // if the class is ordered, requests with the same key run in order
 	IdempotencyKey string
-	TTL            monotime.Micros // how long the client waits, from the last byte of the request
+	TTL            monotime.Micros // client timeout, counted from the last byte of the request
 	EstimatedWork  monotime.Micros // estimated work on one thread; 0: not reported
 	MemoryMB       float64         // estimated memory in megabytes; 0: not reported
 	Statement      []byte
-	TableGroup     int // the table group of the statement, which Submit sets
+	TableGroup     int // of the statement; set by Submit
 	Credentials    Credentials
 
-	// What the client reported, before Submit filled in the rest; 0: not reported.
+	// The values that the client reported, before Submit filled in the missing ones; 0: not reported.
 	reportedCostMS   float64
 	reportedMemoryMB float64
 }
 
-// Credentials is what a call shows of its caller's identity. It counts only where callers are identified (see
-// Core.IdentifyCallers).
+// Credentials are the credentials of a call's caller. They are used only if callers are identified (see
+// Core.ConfigureIdentity).
 type Credentials struct {
 	Token         string
-	Certificate   *identity.Certificate // the connection's; nil without one
-	ClientAddress uint64                // the client's, as a number
-	WallTime      monotime.Micros       // the time of the system's clock, which may jump, since the Unix epoch
+	Certificate   *identity.Certificate // client certificate of the connection; nil without one
+	ClientAddress uint64                // address of the client, as a number
+	WallTime      monotime.Micros       // system clock, which may jump, since the Unix epoch
 }
 
-// Responder receives the final response to one request. The core calls exactly one of its methods, exactly once, unless
-// the request is canceled, in which case it calls none after Cancel. The call may come from within Submit.
+// Responder receives the final response to one request. The core calls exactly one of its methods, exactly once, and
+// possibly from within Submit. If the request is canceled before, the core calls none of them.
 type Responder interface {
 	// Respond delivers the rows of the result.
 	Respond(rows []byte)
-	// Reject tells that nothing of the request has run or will run, and that the client may retry after a time.
-	Reject(after monotime.Micros)
-	// Fail tells that the request has no result. It may have run or may still run.
+	// Reject reports that nothing of the request has run or will run, and that the client may retry after a delay.
+	Reject(retryAfter monotime.Micros)
+	// Fail reports that the request has no result. It may have run or may still run.
 	Fail()
 }
 
-// discardResponse is the Responder of a request whose client does not wait.
+// discardResponse is the Responder of a request that has no client waiting for it.
 type discardResponse struct{}
 
 func (discardResponse) Respond([]byte)         {}
 func (discardResponse) Reject(monotime.Micros) {}
 func (discardResponse) Fail()                  {}
 
-// Request is an open request: from Submit until it has got its final response, or was canceled, and none of its
-// attempts is in flight.
+// Request is an open request. A request is open from Submit until it has got its final response or was canceled, and
+// none of its attempts is in flight.
 type Request struct {
 	*Call
-	// Priority is what engines get to know of the request's priority; NoPriority where they support none.
+	// Priority is the request's priority as sent to engines; NoPriority if they do not support priorities.
 	Priority int
 
 	schedulerID   uint64
-	sequence      uint64 // counts requests in the order in which they came
+	sequence      uint64 // number of the request, in the order of arrival
 	responder     Responder
 	receivedAt    monotime.Micros
 	deadline      monotime.Micros // when the final response is due
 	deadlineTimer *timer
-	finished      bool                  // it has got its final response, or its client waits for none
-	caller        identity.Caller       // the zero value where callers are not identified
-	completion    *statement.Completion // what was read from the statement; nil where statements are not read
-	registration  *Registration         // nil for requests that the idempotency store does not know
-
-	strictAttempts   bool    // Attempt.Strict of its attempts
-	grantMB          float64 // Attempt.GrantMB of its next attempts
-	attempts         []*Attempt
-	attemptsInFlight int
+	finished      bool                  // it has got its final response, or no client waits for one
+	caller        identity.Caller       // zero value if callers are not identified
+	completion    *statement.Completion // what was read from the statement; nil if only its table group was read
+	registration  *Registration         // nil if the request is not registered in the idempotency store
+
+	requiresConfirmedEnd bool    // Attempt.RequiresConfirmedEnd of its attempts
+	grantMB              float64 // Attempt.GrantMB of its later attempts
+	attempts             []*Attempt
+	attemptsInFlight     int
 }
 
 // newRequest returns a request that is not open yet.
@@ -100,13 +100,13 @@
 	}
 }
 
-// schedulerID returns an ID that no other request of this process has, and that differs from process to process.
+// schedulerID returns an ID that is unique among the requests of this process and that differs between processes.
 func (c *Core) schedulerID(sequence uint64) uint64 {
-	const oddMultiplier = 0x9e3779b97f4a7c15 // odd, so that the product does not repeat
+	const oddMultiplier = 0x9e3779b97f4a7c15 // as it is odd, all products differ
 	return c.idSeed ^ sequence*oddMultiplier
 }
 
-// openRequest adds a request to the open ones and sets its deadline timer.
+// openRequest adds a request to the open requests and sets its deadline timer.
 func (c *Core) openRequest(r *Request) {
 	c.open[r.schedulerID] = r
 	c.openIDs[r.ID] = true
@@ -127,12 +127,12 @@
 	c.releaseRegistration(r)
 }
 
-// Cancel ends a request whose client no longer waits: its Responder is not called any more, and its attempts are
-// canceled. A registered request of which an attempt was started continues, since a repeat will ask for its outcome.
+// Cancel ends a request whose client has disconnected: its Responder is no longer called, and its attempts are
+// canceled. A registered request continues if an attempt of it was started, because a repeat will request its outcome.
 // Cancel has no effect on a request that has got its final response.
 func (c *Core) Cancel(r *Request) {
 	if c.applyingActions {
-		// The scheduler has decided already: its decisions on this request come first.
+		// The scheduler has already decided on this request in this step. Its remaining actions are applied first.
 		c.deferredCancels = append(c.deferredCancels, r)
 		return
 	}
@@ -150,7 +150,7 @@
 	c.closeIfDone(r)
 }
 
-// respond gives a request its rows.
+// respond delivers a request's rows to its client.
 func (c *Core) respond(now monotime.Micros, r *Request, rows []byte) {
 	r.finished = true
 	c.counters.Served++
@@ -158,7 +158,7 @@
 	r.responder.Respond(rows)
 }
 
-// reject rejects a request; its client may retry after a time.
+// reject rejects a request; its client may retry after the duration retryAfter.
 func (c *Core) reject(r *Request, retryAfter monotime.Micros) {
 	r.finished = true
 	c.counters.Refused++
@@ -166,7 +166,7 @@
 	r.responder.Reject(retryAfter)
 }
 
-// fail tells a request's client that there is no result.
+// fail answers a request without a result; it may have run.
 func (c *Core) fail(r *Request) {
 	r.finished = true
 	c.counters.Failed++
@@ -174,7 +174,7 @@
 	r.responder.Fail()
 }
 
-// setAttemptParameters sets the memory grant of a request's next attempts and the request's priority.
+// setAttemptParameters sets the memory grant of a request's later attempts, and the request's priority.
 func (c *Core) setAttemptParameters(p scheduler.AttemptParameters) {
 	if r := c.open[p.ID]; r != nil {
 		r.grantMB = p.GrantMB
@@ -182,7 +182,7 @@
 	}
 }
 
-// setPriority sets a request's priority, also for its attempts in flight.
+// setPriority changes a request's priority and sends it to the engines of the attempts in flight.
 func (c *Core) setPriority(r *Request, priority int) {
 	if !c.settings.Priorities || r.Priority == priority {
 		return
--- a/gateway/simulation_test.go
+++ b/gateway/simulation_test.go
@@ -14,7 +14,7 @@
 	"chutechute/scheduler"
 )
 
-// simulationSettings are settings with a class of each effect; the verb is whether hedged requests are allowed.
+// simulationSettings are settings with one class of each effect. The %v sets whether hedged requests are allowed.
 const simulationSettings = `{"balancers":2,"rank":0,"zone":"a","discovery":"push","failure_domains":["a"],
 "host_types":["k"],
 "classes":[{"name":"look","on_time":0.4,"give_up":3,"worth":1,"repeat":"safe"},
@@ -35,26 +35,26 @@
 
 var (
 	classNames = [classCount]string{"look", "load", "stamp"}
-	// clientTimeouts are the classes' give_up, in seconds.
+	// clientTimeouts are the client timeouts (give_up) of the classes, in seconds.
 	clientTimeouts = [classCount]monotime.Micros{3, 6, 4}
 )
 
-// dedupeWindow is the window of orderedKeyedClass, after which a repeat of an attempt that may have run does harm.
+// dedupeWindow is the dedupe window of orderedKeyedClass. After it, repeating an attempt that may have run does harm.
 const dedupeWindow = 3 * monotime.Second / 2
 
-// simulation runs a core under random events in virtual time. It stands for the adapters on both sides, and checks what
-// the core guarantees to clients and engines.
+// simulation runs a core with random events in virtual time. It simulates the clients and the engines, and checks the
+// core's guarantees to both.
 type simulation struct {
 	t            *testing.T
 	rng          *rand.Rand
 	core         *Core
 	now          monotime.Micros
 	inFlight     map[*Attempt]bool          // attempts that have not ended
-	canceled     map[*Attempt]bool          // those of them that are to be canceled
-	drainedSince map[string]monotime.Micros // engines that take no attempts
+	canceled     map[*Attempt]bool          // attempts in flight that the core has canceled
+	drainedSince map[string]monotime.Micros // when engines stopped taking attempts, by name
 	requests     map[string]*clientRequest
-	byKey        map[string][]*clientRequest // in order
-	hedging      bool                        // two attempts of a request may be in flight
+	byOrderKey   map[string][]*clientRequest // by order key, in the order of submission
+	hedging      bool                        // two attempts of an idempotent request may be in flight
 	lastRequest  int
 }
 
@@ -70,7 +70,7 @@
 		canceled:     map[*Attempt]bool{},
 		drainedSince: map[string]monotime.Micros{},
 		requests:     map[string]*clientRequest{},
-		byKey:        map[string][]*clientRequest{},
+		byOrderKey:   map[string][]*clientRequest{},
 		hedging:      hedging,
 	}
 	s.core, err = New(conf, seed, Limits{MaxOpen: 100, MaxStatementBytes: 1 << 20}, s, &counters.Set{})
@@ -78,25 +78,25 @@
 	return s
 }
 
-// clientRequest is one request as its client sees it, and its Responder.
+// clientRequest is a request from its client's point of view. It is also the request's Responder.
 type clientRequest struct {
 	s            *simulation
 	id           string
 	class        int
-	deadline     monotime.Micros // of its client
+	deadline     monotime.Micros // when the client times out
 	responses    int
-	disconnected bool // its client no longer waits
+	disconnected bool // the client no longer waits
 	attempts     []*Attempt
-	firstStart   monotime.Micros // of the first attempt that may have run; 0: none
-	mayHaveRun   bool            // some attempt
+	firstStart   monotime.Micros // start of the first attempt that may have run; 0: none
+	mayHaveRun   bool            // an attempt may have run
 	request      *Request
 }
 
 func (r *clientRequest) countResponse(response string) {
 	r.responses++
-	assert.Equal(r.s.t, 1, r.responses, "%s: answered twice", r.id)
-	assert.False(r.s.t, r.disconnected, "%s: %s though its client has disconnected", r.id, response)
-	assert.LessOrEqual(r.s.t, r.s.now, r.deadline, "%s: after its deadline", r.id)
+	assert.Equal(r.s.t, 1, r.responses, "%s: more than one response", r.id)
+	assert.False(r.s.t, r.disconnected, "%s: %s after its client disconnected", r.id, response)
+	assert.LessOrEqual(r.s.t, r.s.now, r.deadline, "%s: response after the deadline", r.id)
 }
 
 func (r *clientRequest) Respond([]byte) { r.countResponse("served") }
@@ -118,27 +118,27 @@
 	return count
 }
 
-// awaited reports whether the client waits for a response.
+// awaited reports whether the client still waits for the response.
 func (r *clientRequest) awaited() bool { return r.responses == 0 && !r.disconnected }
 
-// done reports whether nobody waits for the request and no attempt is in flight.
+// done reports whether the client no longer waits and no attempt is in flight.
 func (r *clientRequest) done() bool { return !r.awaited() && r.attemptsInFlight() == 0 }
 
-// Start checks that an attempt may start now.
+// Start checks that the attempt is allowed to start now.
 func (s *simulation) Start(attempt *Attempt) {
 	r := s.requests[attempt.ID]
 	t := s.t
-	assert.True(t, r.awaited(), "%s: started though nobody waits", attempt.ID)
+	assert.True(t, r.awaited(), "%s: started though no client waits", attempt.ID)
 	if since, ok := s.drainedSince[attempt.Engine]; ok {
-		assert.Less(t, s.now, since, "%s: sent to %s, which drains", attempt.ID, attempt.Engine)
+		assert.Less(t, s.now, since, "%s: sent to %s, which is not serving", attempt.ID, attempt.Engine)
 	}
 	maxOthers := 0
 	if s.hedging && r.class == idempotentClass {
 		maxOthers = 1
 	}
-	assert.LessOrEqual(t, r.attemptsInFlight(), maxOthers, "%s: while another is in flight", attempt.ID)
+	assert.LessOrEqual(t, r.attemptsInFlight(), maxOthers, "%s: started while another attempt is in flight", attempt.ID)
 	for _, other := range r.attempts {
-		assert.False(t, s.inFlight[other] && other.Engine == attempt.Engine, "%s: twice on one engine", attempt.ID)
+		assert.False(t, s.inFlight[other] && other.Engine == attempt.Engine, "%s: two attempts on one engine", attempt.ID)
 	}
 	switch r.class {
 	case orderedKeyedClass:
@@ -150,16 +150,17 @@
 	s.inFlight[attempt] = true
 }
 
-// checkOrdered checks that the requests before this one of its key are done, and that a repeat is within the window.
+// checkOrdered checks that all earlier requests of the order key are done, and that a repeat is within the dedupe
+// window.
 func (s *simulation) checkOrdered(r *clientRequest, attempt *Attempt) {
-	for _, before := range s.byKey[attempt.OrderKey] {
-		if before == r {
+	for _, earlier := range s.byOrderKey[attempt.OrderKey] {
+		if earlier == r {
 			break
 		}
-		assert.True(s.t, before.done(), "%s: before %s of its key was done", attempt.ID, before.id)
+		assert.True(s.t, earlier.done(), "%s: started before %s of the same key was done", attempt.ID, earlier.id)
 	}
 	if r.mayHaveRun {
-		assert.Less(s.t, s.now, r.firstStart+dedupeWindow, "%s: after the window", attempt.ID)
+		assert.Less(s.t, s.now, r.firstStart+dedupeWindow, "%s: retried after the dedupe window", attempt.ID)
 		assert.Equal(s.t, r.firstStart+dedupeWindow, attempt.StartBy)
 	}
 }
@@ -167,7 +168,7 @@
 func (s *simulation) Cancel(attempt *Attempt) { s.canceled[attempt] = true }
 
 func (s *simulation) SetPriority(attempt *Attempt) {
-	assert.True(s.t, s.inFlight[attempt], "priority of an attempt that has ended")
+	assert.True(s.t, s.inFlight[attempt], "priority set for an attempt that has ended")
 	assert.True(s.t, attempt.Priority >= 0 && attempt.Priority <= 3)
 }
 
@@ -175,7 +176,7 @@
 	s.core.HealthCheckEnded(engine, scheduler.Succeeded, 1000, nil)
 }
 
-// end ends an attempt.
+// end ends an attempt with a result and reports it to the core.
 func (s *simulation) end(attempt *Attempt, result scheduler.Result) {
 	r := s.requests[attempt.ID]
 	delete(s.inFlight, attempt)
@@ -191,7 +192,7 @@
 	s.core.AttemptEnded(s.now, attempt, result, []byte("x"), nil)
 }
 
-// submit submits a random request.
+// submit submits a request with random parameters.
 func (s *simulation) submit() {
 	s.lastRequest++
 	r := &clientRequest{s: s, id: requestID(s.lastRequest), class: s.rng.IntN(classCount)}
@@ -201,7 +202,7 @@
 		Statement: []byte(fmt.Sprintf("SELECT 1 FROM s_%d.t", s.rng.IntN(5)))}
 	if r.class == orderedKeyedClass {
 		call.OrderKey, call.IdempotencyKey = fmt.Sprint(s.rng.IntN(3)), r.id
-		s.byKey[call.OrderKey] = append(s.byKey[call.OrderKey], r)
+		s.byOrderKey[call.OrderKey] = append(s.byOrderKey[call.OrderKey], r)
 	}
 	s.requests[r.id] = r
 	request, err := s.core.Submit(s.now, call, r)
@@ -211,20 +212,21 @@
 
 func requestID(number int) string { return fmt.Sprintf("%016x", number) }
 
-// updateEndpoints gives engines a state in the list.
+// updateEndpoints sets the state of engines by an endpoint update.
 func (s *simulation) updateEndpoints(state scheduler.EngineState, names ...string) {
 	var entries []scheduler.Endpoint
 	for _, name := range names {
 		entries = append(entries, scheduler.Endpoint{Engine: name, Kind: "k", Zone: "a", State: state})
 		delete(s.drainedSince, name)
 		if state != scheduler.Serving {
-			s.drainedSince[name] = s.now // from the step that learns of it
+			s.drainedSince[name] = s.now // the next step applies the update
 		}
 	}
 	s.core.UpdateEndpoints(scheduler.UpdateChanges, entries)
 }
 
-// anyInFlight returns one of the attempts in flight, nil without any, by a hash that does not depend on map order.
+// anyInFlight returns one of the attempts in flight, nil if there is none. It chooses by a hash, so that the choice
+// does not depend on the iteration order of the map.
 func (s *simulation) anyInFlight() (chosen *Attempt) {
 	lowest := -1
 	for _, r := range s.requests {
@@ -238,19 +240,19 @@
 	return chosen
 }
 
-// simulatedResults are the ends of attempts, by their odds.
+// simulatedResults are the results that attempts may have. Each entry is equally likely.
 var simulatedResults = []scheduler.Result{scheduler.Succeeded, scheduler.Succeeded, scheduler.Succeeded,
 	scheduler.Errored, scheduler.Rejected, scheduler.NoConnection, scheduler.Reset, scheduler.NotSent,
 	scheduler.TimedOut, scheduler.Canceled}
 
-// The times of a simulation, from its beginning.
+// Virtual times of a simulation.
 const (
 	simulationEnd = 20 * monotime.Second
 	lastSubmit    = simulationEnd - 7*monotime.Second
 	shutdownFrom  = simulationEnd - 3*monotime.Second
 )
 
-// randomEvent has something happen to a request, an attempt or an engine.
+// randomEvent makes a random event happen to a request, an attempt or an engine.
 func (s *simulation) randomEvent(engines []string) {
 	switch n := s.rng.IntN(20); {
 	case n < 6 && s.now < lastSubmit:
@@ -261,7 +263,7 @@
 		}
 	case n < 16:
 		for attempt := range s.canceled {
-			s.end(attempt, scheduler.Canceled) // as by the response to a DELETE
+			s.end(attempt, scheduler.Canceled) // as after the engine's response to a DELETE
 			break
 		}
 	case n < 17:
@@ -276,15 +278,16 @@
 	}
 }
 
-// checkAbandoned checks that attempts are canceled once nobody waits for their requests.
+// checkAbandoned checks that the attempts of requests that no client waits for are canceled.
 func (s *simulation) checkAbandoned() {
 	for attempt := range s.inFlight {
 		r := s.requests[attempt.ID]
-		assert.True(s.t, s.canceled[attempt] || r.awaited(), "%s: not canceled though nobody waits", attempt.ID)
+		assert.True(s.t, s.canceled[attempt] || r.awaited(), "%s: not canceled though no client waits", attempt.ID)
 	}
 }
 
-// checkEnd ends all attempts, as engines do that are not polled, and checks that nothing is left.
+// checkEnd ends all attempts, as engines do if they are not polled, and checks that each request got its response and
+// that the core is idle.
 func (s *simulation) checkEnd() {
 	for attempt := range s.inFlight {
 		s.end(attempt, scheduler.Reset)
@@ -293,14 +296,15 @@
 	for _, r := range s.requests {
 		assert.True(s.t, r.disconnected || r.responses == 1, "%s of class %d: no response", r.id, r.class)
 	}
-	assert.True(s.t, s.core.Idle(), "something is left")
+	assert.True(s.t, s.core.Idle(), "the core still has requests or attempts")
 	assert.Zero(s.t, s.core.statementBytes)
 }
 
-// Under random events on all sides (ends of attempts of every kind, timeouts, clients that disconnect, engines that
-// drain and return, a graceful shutdown) each request gets one response in time or its client has disconnected, nothing
-// starts for a client that has disconnected, no request runs twice at once or is retried against its class, the
-// requests of a key keep their order, and nothing is left at the end.
+// With random events (all results of attempts, timeouts, clients that disconnect, engines that drain and return, a
+// graceful shutdown), each request gets one response in time unless its client disconnects, and no attempt starts after
+// its client has disconnected. A request has one attempt in flight at a time, or two if it may be hedged, and is
+// retried only if its class allows it. Requests with the same order key run in order, and no request or attempt is left
+// at the end.
 func TestRequestGuaranteesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(300) {
 		s := newSimulation(t, seed, seed%3 == 0)
--- a/gateway/statements.go
+++ b/gateway/statements.go
@@ -7,19 +7,19 @@
 	"chutechute/statement/estimate"
 )
 
-// groupCacheBytes is the size of the cache of statement shapes where statements are read for their table group alone.
+// groupCacheBytes is the size of the statement shape cache if only the table groups of statements are read.
 const groupCacheBytes = 256 << 10
 
-// microsPerMillisecond converts the milliseconds of package statement.
+// microsPerMillisecond converts between the milliseconds of package statement and monotime.Micros.
 const microsPerMillisecond = float64(monotime.Millisecond)
 
-// statements reads the statements of calls: always their table groups and, where completesCalls is set, all that
-// clients have left out.
+// statements reads the statements of calls. It always determines the table group and, if completesCalls is set, also
+// the values that the client did not report.
 type statements struct {
 	reader         *statement.Reader
 	completesCalls bool
 	classes        []scheduler.Class
-	served         map[uint64]*Request // in this step, until their LatencyMeasurement has come; by scheduler ID
+	served         map[uint64]*Request // in this step, still without LatencyMeasurement; by Request.schedulerID
 }
 
 func newStatements(classes []scheduler.Class) (statements, error) {
@@ -27,9 +27,9 @@
 	return statements{reader: reader, classes: classes, served: map[uint64]*Request{}}, err
 }
 
-// ConfigureStatements lets calls leave out what can be read from their statements, by these options; with nil they
-// may not any more. What was learned is kept if statements were read before. The error names the key of an invalid
-// option; nothing has changed then.
+// ConfigureStatements sets the options by which values that a call leaves out are read from its statement; with nil,
+// calls must not leave them out. What was learned from statements before is kept. If an option is invalid, nothing
+// changes and the error names the option's key.
 func (c *Core) ConfigureStatements(o *statement.Options) error {
 	if o == nil && !c.statements.completesCalls {
 		return nil
@@ -48,8 +48,8 @@
 // StatementCounts returns the counters of the statement reader.
 func (c *Core) StatementCounts() statement.Counts { return c.statements.reader.Counts() }
 
-// complete fills in what a call leaves out; class is the index of the class that it names, or noClass. It returns nil
-// where only the table group is read.
+// complete fills in the values that a call leaves out. class is the index of the class that the call names, or noClass.
+// The result is nil if only the table group is read.
 func (s *statements) complete(call *Call, class int) (*statement.Completion, error) {
 	if !s.completesCalls {
 		call.TableGroup = s.reader.TableGroup(call.Statement)
@@ -67,7 +67,7 @@
 	}
 	completedClass := &s.classes[completion.Class]
 	if call.IdempotencyKey == "" && completedClass.Effect == scheduler.IdempotentByKey {
-		completion.NonIdempotent = true // engines could not recognize its repeats
+		completion.NonIdempotent = true // without a key, engines cannot recognize repeats
 	}
 	call.reportedCostMS = float64(call.EstimatedWork) / microsPerMillisecond
 	call.reportedMemoryMB = call.MemoryMB
@@ -78,17 +78,18 @@
 	return &completion, nil
 }
 
-// addServed keeps a served request until the scheduler's measurement of its latency comes.
+// addServed keeps a served request until the scheduler reports the measurement of its latency.
 func (s *statements) addServed(r *Request) {
 	if r.completion != nil {
 		s.served[r.schedulerID] = r
 	}
 }
 
-// discardServed ends the wait for measurements, which come in the step after the response or not at all.
+// discardServed discards the served requests. Their measurements come in the step after the response or not at all.
 func (s *statements) discardServed() { clear(s.served) }
 
-// learn learns the cost of a served request's statement: what its client reported or else an estimate from its latency.
+// learn records the cost of a served request's statement: the cost that its client reported, or else an estimate from
+// the latency.
 func (s *statements) learn(m scheduler.LatencyMeasurement, now monotime.Micros) {
 	r := s.served[m.ID]
 	if r == nil {
--- a/gateway/submit.go
+++ b/gateway/submit.go
@@ -8,7 +8,7 @@
 	"chutechute/scheduler"
 )
 
-// Errors of Submit. Their texts may be sent to clients.
+// Errors that Submit returns. Their texts may be sent to clients.
 var (
 	ErrUnknownClass     = errors.New("unknown class")
 	ErrUnknownTenant    = errors.New("unknown tenant")
@@ -17,16 +17,16 @@
 	ErrNoIdempotencyKey = errors.New("no idempotency key in a keyed class")
 )
 
-// Indexes for a call that names no class or no tenant.
+// Indexes of the class and the tenant of a call that does not name one.
 const (
 	noClass  = -1
 	noTenant = -1
 )
 
-// Submit opens a request whose last byte came at now. The final response goes to the responder, which is not called if
-// Submit returns an error. A request beyond the limits is rejected at once, without an error.
+// Submit opens a request whose last byte arrived at now. The responder gets the final response; it is not called if
+// Submit returns an error. A request that exceeds the limits is rejected at once, without an error.
 //
-// The error is one of those above, one of package statement that is wrapped in "statement: ...", or an
+// The error is one of the Err variables, an error of package statement with the prefix "statement: ", or an
 // *identity.Denied.
 func (c *Core) Submit(now monotime.Micros, call *Call, responder Responder) (*Request, error) {
 	caller, err := c.callers.identify(now, call)
@@ -53,7 +53,7 @@
 		return r, nil
 	}
 	event := c.requestEvent(r, class)
-	r.strictAttempts = c.needsStrictAttempts(event)
+	r.requiresConfirmedEnd = c.requiresConfirmedEnd(event)
 	c.openRequest(r)
 	if !c.register(now, r, event) {
 		c.addEvent(event)
@@ -61,7 +61,7 @@
 	return r, nil
 }
 
-// validate checks a call and returns the index of its class, noClass if its statement is to tell.
+// validate checks a call and returns the index of its class; noClass if the class is to be read from the statement.
 func (c *Core) validate(call *Call) (class int, err error) {
 	class, known := c.settings.ClassOf[call.Class]
 	if call.Class == "" && c.statements.completesCalls {
@@ -77,7 +77,7 @@
 	}
 	if call.IdempotencyKey == "" && !c.statements.completesCalls &&
 		c.settings.Classes[class].Effect == scheduler.IdempotentByKey {
-		return noClass, ErrNoIdempotencyKey // engines could not recognize its repeats
+		return noClass, ErrNoIdempotencyKey // without a key, engines cannot recognize repeats
 	}
 	if c.openIDs[call.ID] {
 		return noClass, ErrDuplicateID
@@ -85,12 +85,12 @@
 	return class, nil
 }
 
-// hasCapacity reports whether the limits allow another request.
+// hasCapacity reports whether the limits allow a request for this call.
 func (c *Core) hasCapacity(call *Call) bool {
 	return len(c.open) < c.limits.MaxOpen && c.statementBytes+len(call.Statement) <= c.limits.MaxStatementBytes
 }
 
-// requestEvent returns the event by which the scheduler learns of a request.
+// requestEvent returns the event that passes a request to the scheduler.
 func (c *Core) requestEvent(r *Request, class int) scheduler.Request {
 	tenant := noTenant
 	if r.Tenant != "" {
@@ -116,8 +116,9 @@
 	return event
 }
 
-// needsStrictAttempts reports whether a second execution of a request would do harm, or others wait for its end.
-func (c *Core) needsStrictAttempts(event scheduler.Request) bool {
+// requiresConfirmedEnd reports whether a second execution of a request would do harm, or other requests wait for its
+// end (see Attempt.RequiresConfirmedEnd).
+func (c *Core) requiresConfirmedEnd(event scheduler.Request) bool {
 	class := &c.settings.Classes[event.Class]
 	return event.NonIdempotent || class.Effect != scheduler.Idempotent || class.Ordered
 }
--- a/gateway/takeover.go
+++ b/gateway/takeover.go
@@ -2,23 +2,23 @@
 
 import "chutechute/internal/monotime"
 
-// AbandonTimeout is how long an engine continues a query that nobody polls for: 2 s, and 250 ms for a poll that is on
-// its way, with 100 ms to spare.
+// AbandonTimeout is the time after which an engine that is not polled for a query has certainly ended it: engines end
+// it after 2 s; 250 ms are added for a poll that is still under way, and 100 ms as a margin.
 const AbandonTimeout = 2350 * monotime.Millisecond
 
-// Takeover is a running request of another front end that this one is to take over.
+// Takeover describes a running request of another front end that this one takes over.
 type Takeover struct {
-	RequestID      string // by which the engine knows the attempt
-	Engine         string // that runs it
+	RequestID      string // under which the engine runs the query
+	Engine         string // engine that runs the query
 	IdempotencyKey string
-	OrderKey       string // requests of one key run in order
+	OrderKey       string // if the class is ordered, requests with the same key run in order
 	Class          string
-	TTL            monotime.Micros // how long the result is waited for
+	TTL            monotime.Micros // how long to wait for the result
 }
 
-// TakeOver takes over what another front end has started: its engine is polled for it, and nothing is started. The
-// idempotency store gets its outcome as that of any other request. TakeOver returns nil if a request with that ID is
-// open here.
+// TakeOver takes over a request that another front end has started. Its engine is polled for the running attempt; no
+// attempt is started. The idempotency store gets the outcome as for any other request. TakeOver returns nil if a
+// request with that ID is open here.
 func (c *Core) TakeOver(now monotime.Micros, t Takeover) *Registration {
 	if c.openIDs[t.RequestID] {
 		return nil
--- a/gateway/timers.go
+++ b/gateway/timers.go
@@ -6,23 +6,23 @@
 	"chutechute/internal/monotime"
 )
 
-// timer is a function that is called once its time has come, unless it is canceled before.
+// timer calls a function at a given time, unless it is canceled before.
 type timer struct {
 	at       monotime.Micros
-	sequence uint64 // timers of one time fire in the order in which they were scheduled
+	sequence uint64 // timers with the same time fire in the order in which they were scheduled
 	fire     func()
-	index    int // in the heap; noIndex once it is no longer there
+	index    int // in the heap; noIndex once the timer was removed
 }
 
 const noIndex = -1
 
-// timerQueue holds the timers that have not fired. Its zero value is empty.
+// timerQueue holds the timers that have neither fired nor been canceled. Its zero value is empty.
 type timerQueue struct {
 	heap         timerHeap
 	lastSequence uint64
 }
 
-// schedule sets a timer.
+// schedule adds a timer that calls fire at the time at.
 func (q *timerQueue) schedule(at monotime.Micros, fire func()) *timer {
 	q.lastSequence++
 	t := &timer{at: at, sequence: q.lastSequence, fire: fire}
@@ -30,15 +30,15 @@
 	return t
 }
 
-// cancel removes a timer, so that what its function refers to can be freed: a client may choose any deadline for its
-// request. A nil timer, or one that has fired, is ignored.
+// cancel removes a timer, so that the memory that its function refers to can be freed: a client may choose a deadline
+// far in the future. A nil timer, or one that has fired, is ignored.
 func (q *timerQueue) cancel(t *timer) {
 	if t != nil && t.index != noIndex {
 		heap.Remove(&q.heap, t.index)
 	}
 }
 
-// next returns when the next timer is due; false if none is set.
+// next returns the time at which the next timer is due; false if no timer is set.
 func (q *timerQueue) next() (monotime.Micros, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -46,14 +46,14 @@
 	return q.heap[0].at, true
 }
 
-// fireDue fires all timers that are due, those that are set meanwhile included.
+// fireDue fires all timers that are due, including those that are set meanwhile.
 func (q *timerQueue) fireDue(now monotime.Micros) {
 	for len(q.heap) > 0 && q.heap[0].at <= now {
 		heap.Pop(&q.heap).(*timer).fire()
 	}
 }
 
-// timerHeap implements heap.Interface, the earliest timer first.
+// timerHeap implements heap.Interface, with the earliest timer first.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int { return len(h) }
--- a/gateway/trace.go
+++ b/gateway/trace.go
@@ -8,13 +8,13 @@
 	"chutechute/scheduler"
 )
 
-// requestTrace logs a line for the start and the end of each attempt and one for each final response, so that the logs
-// of a whole fleet can be counted. It is on where the log's level is debug.
+// requestTrace logs a line for the start and the end of each attempt and for each final response, so that they can be
+// counted over the logs of a whole fleet. It is on if the log level is debug.
 type requestTrace struct {
-	log *slog.Logger // nil where it is off
+	log *slog.Logger // nil if the trace is off
 }
 
-// newRequestTrace returns a trace to the default log.
+// newRequestTrace returns a trace that writes to the default logger.
 func newRequestTrace() requestTrace {
 	log := slog.Default()
 	if !log.Enabled(context.Background(), slog.LevelDebug) {
@@ -23,7 +23,7 @@
 	return requestTrace{log}
 }
 
-// resultNames are the values of the log's attribute result.
+// resultNames are the values of the log attribute "result".
 var resultNames = [...]string{
 	scheduler.Succeeded:    "done",
 	scheduler.Errored:      "errored",
