--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost plays instances of the decision module on the simulator's
-// wire: batches of events on standard input, a reply to each on standard output.
+// Command simhost runs instances of the scheduler for the simulator. It reads batches of events, one per line, from
+// standard input and writes a reply to each, one per line, to standard output. Package simwire defines the protocol.
 package main
 
 import (
@@ -20,16 +20,16 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// serve replies to each batch of in, until it ends.
 func serve(in io.Reader, out io.Writer) error {
 	h := host{decoder: simwire.NewDecoder(), instances: map[int]*scheduler.Scheduler{}}
-	r := bufio.NewReaderSize(in, 1<<20)
-	for n := 1; ; n++ {
-		line, err := r.ReadBytes('\n')
+	lines := bufio.NewReaderSize(in, 1<<20)
+	for lineNumber := 1; ; lineNumber++ {
+		line, err := lines.ReadBytes('\n')
 		if len(line) > 0 {
-			reply, err := h.batch(line)
+			reply, err := h.handleBatch(line)
 			if err != nil {
-				return fmt.Errorf("line %d: %w", n, err)
+				return fmt.Errorf("line %d: %w", lineNumber, err)
 			}
 			if _, err := out.Write(reply); err != nil {
 				return err
@@ -44,44 +44,47 @@
 	}
 }
 
+// host holds the running instances of the scheduler.
 type host struct {
 	decoder   *simwire.Decoder
-	instances map[int]*scheduler.Scheduler
+	instances map[int]*scheduler.Scheduler // by the number that the simulator gives them
 	reply     simwire.Reply
 }
 
-// batch hands each instance its events at once, in the order in which the instances appear.
-func (h *host) batch(line []byte) ([]byte, error) {
-	now, items, err := h.decoder.Batch(line)
+// handleBatch passes to each instance all its events of a batch in one step, in the order in which the instances first
+// appear in the batch, and returns the reply. Events that precede a start or stop of their instance in the batch are
+// dropped.
+func (h *host) handleBatch(line []byte) ([]byte, error) {
+	now, messages, err := h.decoder.Batch(line)
 	if err != nil {
 		return nil, err
 	}
 	var order []int
 	events := map[int][]scheduler.Event{}
-	for _, it := range items {
-		if _, seen := events[it.Instance]; !seen {
-			order = append(order, it.Instance)
-			events[it.Instance] = []scheduler.Event{}
+	for _, message := range messages {
+		if _, seen := events[message.Instance]; !seen {
+			order = append(order, message.Instance)
+			events[message.Instance] = []scheduler.Event{}
 		}
 		switch {
-		case it.Stop:
-			delete(h.instances, it.Instance)
-			events[it.Instance] = []scheduler.Event{}
-		case it.Start != nil:
-			d, err := scheduler.New(it.Start.Config, it.Start.Seed)
+		case message.Stop:
+			delete(h.instances, message.Instance)
+			events[message.Instance] = []scheduler.Event{}
+		case message.Start != nil:
+			instance, err := scheduler.New(message.Start.Config, message.Start.Seed)
 			if err != nil {
-				h.reply.AddFailure(it.Instance, err.Error())
+				h.reply.AddFailure(message.Instance, err.Error())
 				return h.reply.Line(), nil
 			}
-			h.instances[it.Instance] = d
-			events[it.Instance] = []scheduler.Event{}
+			h.instances[message.Instance] = instance
+			events[message.Instance] = []scheduler.Event{}
 		default:
-			events[it.Instance] = append(events[it.Instance], it.Event)
+			events[message.Instance] = append(events[message.Instance], message.Event)
 		}
 	}
-	for _, n := range order {
-		if d := h.instances[n]; d != nil {
-			h.reply.Add(n, d.Step(now, events[n]))
+	for _, number := range order {
+		if instance := h.instances[number]; instance != nil {
+			h.reply.Add(number, instance.Step(now, events[number]))
 		}
 	}
 	return h.reply.Line(), nil
