--- a/internal/server/client_close.go
+++ b/internal/server/client_close.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	maxDiscardedBytes = 1 << 20  // that are read from a connection after no more messages are taken
+	maxDiscardedBytes = 1 << 20  // read and discarded from a connection that accepts no more messages
 	discardBufferSize = 16 << 10 // bytes
 	lingerTimeout     = 500 * monotime.Millisecond
 )
 
-// respond writes a response, as far as the connection takes it; the rest follows.
+// respond sends a response. What the socket does not accept now is written once it is writable.
 func (c *clientConn) respond(response []byte) {
 	if c.Closed || c.state == clientLingering {
 		return
@@ -23,13 +23,13 @@
 	c.writeBytes(c.seal(response))
 }
 
-// writeBytes writes bytes as they go over the connection, after those that are still unwritten.
+// writeBytes sends bytes as they are, after those that are still unwritten. With TLS they are already encrypted.
 func (c *clientConn) writeBytes(b []byte) {
 	if c.Closed || c.state == clientLingering || len(b) == 0 && c.Out.Len() == 0 {
 		return
 	}
 	_, err := c.Out.Write(b)
-	if err != nil && c.Out.Len()+len(b) <= c.listener.maxUnreadOutput() { // the budget of all clients is exhausted
+	if err != nil && c.Out.Len()+len(b) <= c.listener.maxUnreadOutput() { // the shared buffer budget is exhausted
 		c.listener.closeLargest()
 		if c.Closed {
 			return
@@ -49,9 +49,10 @@
 	c.halfCloseIfDrained()
 }
 
-// handlePeerClose follows the client's close, in the turn in which it has come: what is in flight is canceled, and
-// what came before the close and was not taken yet never is, as nobody waits for its response. It is discarded,
-// since a close over unread input would reset the connection under the responses that its client may still read.
+// handlePeerClose handles the close of a connection by the client, in the turn in which it is read. The requests in
+// flight are canceled, and messages that were received but not yet handled are dropped, since nobody waits for their
+// responses. Unread input is read and discarded: closing the socket with unread input would reset the connection and
+// destroy responses that the client may still read.
 func (c *clientConn) handlePeerClose() {
 	if c.Closed || c.state == clientLingering {
 		return
@@ -62,8 +63,8 @@
 	c.discardInput()
 }
 
-// closeAfterResponses closes the connection from this side once all that was taken on it has its response; no more
-// messages are taken.
+// closeAfterResponses stops accepting messages and closes the connection once all accepted requests have their
+// responses.
 func (c *clientConn) closeAfterResponses() {
 	if c.Closed || c.state != clientOpen {
 		return
@@ -74,8 +75,9 @@
 	c.halfCloseIfDrained()
 }
 
-// halfCloseIfDrained half-closes a draining connection once all responses are written. It reads on for a moment: a
-// close with input unread would reset it, and with it the responses that the client has not read yet.
+// halfCloseIfDrained half-closes a draining connection once all responses are written. Input is still read for up to
+// lingerTimeout: closing the socket with unread input would reset the connection and destroy responses that the client
+// has not read yet.
 func (c *clientConn) halfCloseIfDrained() {
 	if c.Closed || c.state != clientDraining || len(c.inFlight) > 0 || c.Out.Len() > 0 {
 		return
@@ -89,15 +91,15 @@
 	c.discardInput()
 }
 
-// abort closes a connection without the responses that its client awaits: they could not be read.
+// abort closes a connection without sending the pending responses, since the client could not read them.
 func (c *clientConn) abort() {
 	c.cancelInFlight()
 	c.Out.Free()
 	c.closeAfterResponses()
 }
 
-// discardInput reads what comes after no more messages are taken, as far as maxDiscardedBytes, and closes the
-// connection at its end.
+// discardInput reads and drops input of a connection that accepts no more messages. It closes the connection at the end
+// of the input or after maxDiscardedBytes.
 func (c *clientConn) discardInput() {
 	var buffer [discardBufferSize]byte
 	for c.discardedBytes < maxDiscardedBytes {
@@ -111,13 +113,13 @@
 		c.discardedBytes += n
 	}
 	if c.state != clientLingering && c.discardedBytes >= maxDiscardedBytes {
-		c.discardedBytes = 0 // it goes on sending, but its responses are still to be written
+		c.discardedBytes = 0 // the client keeps sending, but has responses to receive
 		return
 	}
 	c.terminate()
 }
 
-// terminate closes the connection at once and cancels what is in flight.
+// terminate closes the connection at once and cancels its requests in flight.
 func (c *clientConn) terminate() {
 	if c.Closed {
 		return
@@ -127,7 +129,7 @@
 	c.cancelInFlight()
 }
 
-// cancelInFlight cancels the requests in flight: nobody awaits their responses any more.
+// cancelInFlight cancels the requests in flight, since nobody waits for their responses any more.
 func (c *clientConn) cancelInFlight() {
 	requests := c.inFlight
 	c.inFlight = nil
--- a/internal/server/client_conn.go
+++ b/internal/server/client_conn.go
@@ -16,69 +16,70 @@
 )
 
 const (
-	pauseReadingAbove  = 256 << 10 // bytes of unread responses above which a client's requests wait
-	maxMessagesPerTurn = 32        // of one connection: one client is not to hold up the others
+	pauseReadingAbove  = 256 << 10 // bytes of unread responses above which no more requests of the client are handled
+	maxMessagesPerTurn = 32        // of one connection, so that one client does not delay the others
 
-	// A client that has sent nothing, or an incomplete message, gets a response or a close within 3 s of its
-	// connecting. One that has sent a message may keep its connection for good.
+	// A client that has sent nothing or an incomplete message gets a response, or its connection is closed, within 3 s
+	// of connecting. One that has sent a complete message may keep its connection open indefinitely.
 	firstMessageTimeout   = 2500 * monotime.Millisecond
 	partialMessageTimeout = 2000 * monotime.Millisecond
 )
 
-// clientState is how far a client's connection has come towards its close.
+// clientState is the state of a client's connection. States are passed in order and may be skipped.
 type clientState int
 
 const (
-	// clientOpen: messages are taken.
+	// clientOpen: messages are accepted.
 	clientOpen clientState = iota
-	// clientDraining: no more messages are taken; the connection is half-closed once all responses are written.
+	// clientDraining: no more messages are accepted; the connection is half-closed once all responses are written.
 	clientDraining
-	// clientLingering: no more is read or written; input is discarded until the client closes, or for lingerTimeout.
+	// clientLingering: nothing more is written, and input is discarded until the client closes the connection or
+	// lingerTimeout has passed.
 	clientLingering
 )
 
-// clientConn is one client's connection.
+// clientConn is the connection of one client.
 type clientConn struct {
 	eventloop.Stream
 	listener *clientListener
 	inFlight map[int32]*gateway.Request // by sequence number
-	address  uint64                     // the client's, as a number
+	address  uint64                     // the client's IPv4 address
 
 	state           clientState
-	deferred        bool            // messages are left over for the next turn
-	receivedMessage bool            // a whole message has been received
-	sentResponse    bool            // a response was written: messages that get none are as good as none
-	establishedAt   monotime.Micros // when it connected, or its handshake was complete
-	lastActivity    monotime.Micros // when it connected, its last message or the begin of its close
-	partialSince    monotime.Micros // since when a message has been incomplete; 0: none is
-	discardedBytes  int             // that have come since no more messages are taken
+	deferred        bool            // received messages are left for the next turn
+	receivedMessage bool            // a complete message has been received
+	sentResponse    bool            // a response was sent; firstMessageTimeout applies until then
+	establishedAt   monotime.Micros // when it connected or, with TLS, completed the handshake
+	lastActivity    monotime.Micros // when it connected, sent its last message or began to close
+	partialSince    monotime.Micros // when the incomplete message was first seen; 0: there is none
+	discardedBytes  int             // since no more messages are accepted
 
 	handshakeRequested bool
-	holdsHandshakeSlot bool // its handshake is one of those that compute
+	holdsHandshakeSlot bool // its handshake counts towards the limits of the handshake limiter
 	peerCertificate    *x509.Certificate
-	callerCertificate  *identity.Certificate // what peerCertificate stands for; nil without one
+	callerCertificate  *identity.Certificate // the identity of peerCertificate; nil without a certificate
 }
 
 // counters returns the counters of the server.
 func (c *clientConn) counters() *counters.Set { return &c.listener.server.host.Counters }
 
-// turnTime returns the time of this turn of the loop.
+// turnTime returns the time of the current turn.
 func (c *clientConn) turnTime() monotime.Micros { return c.listener.server.host.TurnTime }
 
-// isIdle says whether the client awaits nothing: no response, and no message that is left over.
+// isIdle reports whether the client waits for nothing: no response is pending and no message is deferred.
 func (c *clientConn) isIdle() bool {
 	return len(c.inFlight) == 0 && c.Out.Len() == 0 && !c.deferred
 }
 
-// isReadTimedOut says whether the client has taken too long to send its first message, or the rest of one.
-func (c *clientConn) isReadTimedOut(now monotime.Micros) bool {
+// readTimedOut reports whether the client took too long to send its first message or the rest of an incomplete one.
+func (c *clientConn) readTimedOut(now monotime.Micros) bool {
 	if !c.sentResponse && len(c.inFlight) == 0 && now-c.establishedAt >= firstMessageTimeout {
 		return true
 	}
 	return c.partialSince != 0 && now-c.partialSince >= partialMessageTimeout
 }
 
-// Ready writes what it can, and reads and handles what has come.
+// Ready writes pending output, reads input and handles the received messages.
 func (c *clientConn) Ready(events uint32) {
 	if c.state == clientLingering || c.state == clientDraining && isReadable(events) {
 		c.discardInput()
@@ -98,7 +99,7 @@
 	c.processMessages()
 }
 
-// readNow reads what has come though epoll has not reported it, the client's close too.
+// readNow reads input, and the client's close, without waiting for epoll to report them.
 func (c *clientConn) readNow() {
 	//lint:ignore SA4000 each call reads: the second finds the end behind the last bytes
 	if c.state == clientOpen && !(c.readInput() && c.readInput()) {
@@ -108,8 +109,8 @@
 	c.Ready(unix.EPOLLIN)
 }
 
-// processMessages handles the messages that have come whole, as far as one turn goes and unless the client leaves too
-// many responses unread.
+// processMessages handles the complete messages that were received, up to maxMessagesPerTurn. It stops early if the
+// client leaves too many responses unread.
 func (c *clientConn) processMessages() {
 	for processed := 0; !c.Closed && c.state == clientOpen && !c.isOutputBlocked(); processed++ {
 		if processed >= maxMessagesPerTurn {
@@ -126,15 +127,15 @@
 	}
 }
 
-// isOutputBlocked says whether the client leaves too many responses unread.
+// isOutputBlocked reports whether the client leaves too many responses unread.
 func (c *clientConn) isOutputBlocked() bool { return c.Out.Len() > pauseReadingAbove }
 
-// wantsInput says whether input is to be read: as messages, or to be discarded.
+// wantsInput reports whether input is to be read, either as messages or to be discarded.
 func (c *clientConn) wantsInput() bool {
 	return c.state != clientOpen || !c.isOutputBlocked() && !c.deferred
 }
 
-// deferMessages leaves the messages that are left over to the next turn.
+// deferMessages leaves the remaining messages for the next turn.
 func (c *clientConn) deferMessages() {
 	if !c.deferred {
 		c.deferred = true
@@ -142,7 +143,7 @@
 	}
 }
 
-// processMessage handles the next message; it returns false where none has come whole.
+// processMessage handles the next message. It returns false if no complete message has been received.
 func (c *clientConn) processMessage() bool {
 	message, ok, err := thrift.Next(c.In)
 	if ok || err != nil {
@@ -165,7 +166,7 @@
 	return true
 }
 
-// awaitInput waits for the rest of a message, or for the next one.
+// awaitInput waits for the rest of a message or for the next one.
 func (c *clientConn) awaitInput() {
 	if c.In.Len() > 0 && c.partialSince == 0 {
 		c.partialSince = c.turnTime()
--- a/internal/server/client_eviction.go
+++ b/internal/server/client_eviction.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	newConnectionGrace  = 1000 * monotime.Millisecond // within which a new connection is expected to send
+	newConnectionGrace  = 1000 * monotime.Millisecond // in which a new connection is expected to send a message
 	maxEvictionAttempts = 8
 )
 
-// evictionRank is how well a connection can be done without; the highest is closed first.
+// evictionRank says how expendable a connection is. The connection with the highest rank is closed first.
 type evictionRank int
 
 const (
-	notEvictable       evictionRank = iota // requests are in flight
-	evictNewConnection                     // is expected to send
+	notEvictable       evictionRank = iota // it has requests in flight
+	evictNewConnection                     // it is expected to send its first message soon
 	evictIdle
-	evictPartialMessage // a message has been left incomplete
-	evictSilent         // nothing was received for a while
-	evictLingering      // is as good as closed
+	evictPartialMessage // a message is incomplete
+	evictSilent         // it has sent no complete message for a while
+	evictLingering      // it is already closing
 )
 
-// evict closes the connection that can best be done without, and says whether there was one. What has come on it is
-// read first, since a request may be on its way: the protocol counts it as taken, and others of its key wait for its
-// end.
+// evict closes the most expendable connection and reports whether it closed one. It reads the connection's input first,
+// since a request may be in transit: the protocol counts a request that has arrived as accepted, and other requests
+// with its key wait for its end.
 func (l *clientListener) evict() bool {
 	for range maxEvictionAttempts {
 		c := l.evictionCandidate()
@@ -33,11 +33,11 @@
 			return false
 		}
 		c.readNow()
-		isFree := c.isIdle() && c.partialSince != l.server.host.TurnTime
+		isClosable := c.isIdle() && c.partialSince != l.server.host.TurnTime
 		switch {
-		case c.state == clientLingering || isFree && l.server.freeDescriptors() <= 0:
+		case c.state == clientLingering || isClosable && l.server.availableDescriptors() <= 0:
 			c.terminate()
-		case isFree: // to close it at once could reset it, with the responses that its client has not read yet
+		case isClosable: // closing it at once could reset it and destroy responses that the client has not read yet
 			c.closeAfterResponses()
 			return true
 		}
@@ -48,8 +48,8 @@
 	return false
 }
 
-// evictionCandidate returns the connection of the highest rank; of several, the one that has been inactive longest. It
-// returns nil where none may be closed.
+// evictionCandidate returns the connection with the highest rank and, among several, the one that has been inactive
+// longest. It returns nil if no connection may be closed.
 func (l *clientListener) evictionCandidate() *clientConn {
 	crowded := l.silentConnections() > l.maxClients/2
 	var candidate *clientConn
@@ -66,7 +66,7 @@
 	return candidate
 }
 
-// silentConnections counts the connections on which nothing was received yet.
+// silentConnections returns the number of connections that have not sent a complete message.
 func (l *clientListener) silentConnections() (count int) {
 	for c := range l.clients {
 		if !c.receivedMessage && c.state != clientLingering {
@@ -76,16 +76,16 @@
 	return count
 }
 
-// evictionRank returns how well the connection can be done without. One that is new is about to send, unless such
-// connections take half of the capacity: then it is crowded.
+// evictionRank returns the rank of the connection. A new connection is expected to send soon and ranks low, unless
+// crowded is set: then connections without a message take more than half of the capacity.
 func (c *clientConn) evictionRank(crowded bool) evictionRank {
-	isOld := c.turnTime()-c.lastActivity >= newConnectionGrace
+	graceExpired := c.turnTime()-c.lastActivity >= newConnectionGrace
 	switch {
 	case c.state == clientLingering:
 		return evictLingering
 	case !c.isIdle():
 		return notEvictable
-	case !c.receivedMessage && (isOld || crowded):
+	case !c.receivedMessage && (graceExpired || crowded):
 		return evictSilent
 	case c.receivedMessage && c.partialSince != 0:
 		return evictPartialMessage
@@ -95,7 +95,7 @@
 	return evictNewConnection
 }
 
-// closeLargest closes the client that has the most bytes buffered, where the buffer budget is exhausted.
+// closeLargest closes the connection with the largest buffers. It is called when the buffer budget is exhausted.
 func (l *clientListener) closeLargest() {
 	var largest *clientConn
 	for c := range l.clients {
@@ -110,5 +110,5 @@
 	}
 }
 
-// bufferedBytes returns the size of the connection's buffers.
+// bufferedBytes returns the size of the connection's buffers in bytes.
 func (c *clientConn) bufferedBytes() int { return c.In.Cap() + c.Out.Cap() }
--- a/internal/server/client_listener.go
+++ b/internal/server/client_listener.go
@@ -17,25 +17,26 @@
 
 const (
 	maxUnreadOutput = 2 << 20 // bytes of responses that a client may leave unread
-	// unreadOutputFraction is the part of the buffers of all clients that one of them may leave unread, one in so many.
-	unreadOutputFraction = 4
-	frameLengthSize      = 4  // bytes of a frame's own length before it
-	closedDescriptor     = -1 // in place of a descriptor's number
+	// unreadOutputDivisor limits the responses that one client may leave unread to this fraction, 1/n, of the buffer
+	// budget of all clients.
+	unreadOutputDivisor = 4
+	frameLengthSize     = 4  // bytes of the length that precedes each frame
+	closedDescriptor    = -1 // value of clientListener.fd after close
 )
 
-// clientListener accepts clients and has their connections.
+// clientListener accepts the connections of clients and owns them.
 type clientListener struct {
 	server       *Server
 	fd           int
 	address      netip.AddrPort
 	clients      map[*clientConn]struct{}
 	maxClients   int
-	deferred     []*clientConn // those that have messages left over from this turn
+	deferred     []*clientConn // connections with messages left for the next turn
 	bufferBudget ring.Budget
-	acceptPaused bool // for want of descriptors
+	acceptPaused bool // no descriptor is available for another connection
 }
 
-// newClientListener returns a listener that does not listen yet.
+// newClientListener returns a listener that has no socket yet.
 func newClientListener(s *Server) *clientListener {
 	return &clientListener{server: s, clients: map[*clientConn]struct{}{}, maxClients: s.maxClients()}
 }
@@ -52,24 +53,25 @@
 		return fmt.Errorf("server: listen: %s: %w", configured, err)
 	}
 	l.fd, l.address = fd, configured
-	if ipv4, ok := bound.(*unix.SockaddrInet4); ok { // port 0 has taken a free one
+	if ipv4, ok := bound.(*unix.SockaddrInet4); ok { // port 0 was replaced by a free port
 		l.address = netip.AddrPortFrom(configured.Addr(), uint16(ipv4.Port))
 	}
 	return l.server.host.Loop.Add(fd, unix.EPOLLIN, l)
 }
 
-// close closes the socket. Connections that were accepted stay open.
+// close closes the listening socket. Accepted connections stay open.
 func (l *clientListener) close() {
 	l.server.host.Loop.CloseDescriptor(l.fd)
 	l.fd = closedDescriptor
 }
 
-// Ready accepts all connections that wait, and reads at once what they have already sent: the order of requests is that
-// of their last bytes, and a connection read only in the next turn could lose its turn.
+// Ready accepts all waiting connections and at once reads what they have already sent. Requests are ordered by the
+// arrival of their last byte, so a connection that is first read in the next turn could lose its place in that order.
 //
-// Without a descriptor the system does not report whether any connection waits. One that does is reported again in the
-// next turn, so only a turn's first accept frees a descriptor: after others it may be that none waits, and a new
-// connection that has sent nothing yet would be closed.
+// When no descriptor is available, accept fails whether or not a connection is waiting. Therefore only a failure of the
+// first accept in a turn frees a descriptor: the listener was reported readable, so a connection is waiting. After
+// other accepts perhaps none is waiting, and a new connection that has sent nothing yet would be closed needlessly. A
+// connection that does wait is reported again in the next turn.
 func (l *clientListener) Ready(uint32) {
 	for accepted := 0; ; accepted++ {
 		fd, from, err := unix.Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -80,7 +82,7 @@
 		case err != nil:
 			l.handleAcceptError(err)
 			return
-		case !l.hasCapacity():
+		case !l.ensureCapacity():
 			unix.Close(fd)
 		default:
 			l.admit(fd, from)
@@ -88,26 +90,26 @@
 	}
 }
 
-// handleAcceptError frees a descriptor for the next accept; where none can be freed, accepting pauses.
+// handleAcceptError frees a descriptor for the next accept, or pauses accepting if none can be freed.
 func (l *clientListener) handleAcceptError(err error) {
 	slog.Warn("accept", slog.Any("error", err))
-	if !l.evict() && !l.server.pool.freeDescriptor() {
+	if !l.evict() && !l.server.pool.releaseDescriptor() {
 		l.setAcceptPaused(true)
 	}
 }
 
-// hasCapacity says whether one more client may be admitted, after closing another connection for it where it must.
-func (l *clientListener) hasCapacity() bool {
-	if len(l.clients) >= l.maxClients && !l.evict() && l.server.freeDescriptors() <= 0 {
+// ensureCapacity reports whether one more client may be admitted. If necessary it closes another connection first.
+func (l *clientListener) ensureCapacity() bool {
+	if len(l.clients) >= l.maxClients && !l.evict() && l.server.availableDescriptors() <= 0 {
 		return false
 	}
-	return l.server.freeDescriptors() > 0 || l.server.pool.freeDescriptor() || l.evict() ||
-		l.server.freeDescriptors() > -descriptorOverdraft
+	return l.server.availableDescriptors() > 0 || l.server.pool.releaseDescriptor() || l.evict() ||
+		l.server.availableDescriptors() > -descriptorOverdraft
 }
 
-// admit begins a client's connection, and reads what it has sent by now.
+// admit sets up the connection of a client and reads what the client has already sent.
 func (l *clientListener) admit(fd int, from unix.Sockaddr) {
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // without it responses are only slower
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // on failure responses are merely slower
 	host := &l.server.host
 	maxInput := thrift.MaxFrame + frameLengthSize
 	c := &clientConn{
@@ -118,7 +120,7 @@
 		establishedAt: host.TurnTime,
 		lastActivity:  host.TurnTime,
 	}
-	c.BaseInterest = unix.EPOLLRDHUP // the client's close, also while its input is not read
+	c.BaseInterest = unix.EPOLLRDHUP // reports the client's close even while input is not read
 	c.Interest = unix.EPOLLIN | c.BaseInterest
 	if err := host.Loop.Add(fd, c.Interest, c); err != nil {
 		slog.Warn("accept", slog.Any("error", err))
@@ -133,8 +135,8 @@
 	c.readNow()
 }
 
-// setAcceptPaused leaves connections in the listen queue until the next tick, where no descriptor can be freed: they
-// would keep the loop from waiting.
+// setAcceptPaused stops accepting until the next tick if no descriptor can be freed. Otherwise the connections in the
+// listen queue would be reported in every turn, and the loop would never block.
 func (l *clientListener) setAcceptPaused(paused bool) {
 	if l.acceptPaused == paused || l.fd < 0 {
 		return
@@ -148,7 +150,7 @@
 	l.server.host.Loop.Modify(l.fd, interest)
 }
 
-// ipv4Number returns a client's IPv4 address as a number; 0 where it has none.
+// ipv4Number returns a client's IPv4 address as a number, or 0 if the address is of another kind.
 func ipv4Number(from unix.Sockaddr) uint64 {
 	if ipv4, ok := from.(*unix.SockaddrInet4); ok {
 		return uint64(binary.BigEndian.Uint32(ipv4.Addr[:]))
@@ -156,12 +158,13 @@
 	return 0
 }
 
-// maxUnreadOutput returns how many bytes one client may leave unread, fewer than all may together.
+// maxUnreadOutput returns how many bytes of responses one client may leave unread. It is less than the buffer budget of
+// all clients.
 func (l *clientListener) maxUnreadOutput() int {
-	return min(maxUnreadOutput, l.bufferBudget.Max/unreadOutputFraction)
+	return min(maxUnreadOutput, l.bufferBudget.Max/unreadOutputDivisor)
 }
 
-// tick accepts again after a pause, and closes the connections that are past a timeout.
+// tick ends a pause in accepting, closes connections that have timed out and frees the buffers of inactive ones.
 func (l *clientListener) tick() {
 	now := l.server.host.TurnTime
 	l.setAcceptPaused(false)
@@ -169,7 +172,7 @@
 		switch {
 		case c.state == clientLingering && now-c.lastActivity >= lingerTimeout:
 			c.terminate()
-		case c.state == clientOpen && c.isReadTimedOut(now):
+		case c.state == clientOpen && c.readTimedOut(now):
 			l.server.host.Counters.ReadTimeouts++
 			c.closeAfterResponses()
 		case now-c.lastActivity >= bufferIdleTimeout:
@@ -178,7 +181,7 @@
 	}
 }
 
-// processDeferred goes on with the messages that were left over from the last turn.
+// processDeferred handles the messages that were left over from the last turn.
 func (l *clientListener) processDeferred() {
 	deferred := l.deferred
 	l.deferred = nil
@@ -188,8 +191,8 @@
 	}
 }
 
-// closeIdle closes the idle connections in a graceful shutdown: what has come on one by now is served, and what crosses
-// its close is not taken, so that its client sends it again.
+// closeIdle closes the idle connections during a graceful shutdown. Requests that have already arrived are served. A
+// request that arrives after the close is not accepted, so its client sends it again.
 func (l *clientListener) closeIdle() {
 	for c := range l.clients {
 		if c.state == clientLingering || !c.isIdle() {
--- a/internal/server/client_requests.go
+++ b/internal/server/client_requests.go
@@ -13,9 +13,9 @@
 	"chutechute/internal/thrift"
 )
 
-// Limits of a request, by the protocol.
+// Limits that the protocol sets for requests.
 const (
-	maxInFlight           = 32 // requests of one connection
+	maxInFlight           = 32 // requests in flight on one connection
 	requestIDLength       = 16 // hexadecimal digits
 	maxIdempotencyKeySize = 64 // bytes
 	maxTTLMillis          = 3600 * 1000
@@ -28,7 +28,7 @@
 	alphanumeric = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
 )
 
-// dispatch handles a message by its method.
+// dispatch handles a message according to its method.
 func (c *clientConn) dispatch(message thrift.Message) {
 	switch message.Name {
 	case "health":
@@ -44,9 +44,9 @@
 	}
 }
 
-// submit hands a call to the core.
+// submit passes a call to the core.
 func (c *clientConn) submit(message thrift.Message) {
-	if c.inFlight[message.Seq] != nil { // two responses to one number could not be distinguished
+	if c.inFlight[message.Seq] != nil { // two responses with one sequence number could not be told apart
 		c.counters().Malformed++
 		c.closeAfterResponses()
 		return
@@ -60,7 +60,7 @@
 		c.respondUnusable(message, err)
 		return
 	}
-	call.Credentials = c.callerProof(message.Fields["token"])
+	call.Credentials = c.credentials(message.Fields["token"])
 	response := &responder{client: c, sequence: message.Seq}
 	request, err := c.listener.server.core.Submit(c.turnTime(), call, response)
 	var denied *identity.Denied
@@ -77,7 +77,7 @@
 	}
 }
 
-// respondUnusable responds to a call that can't be taken as it is.
+// respondUnusable sends an exception for a call that is invalid or exceeds a limit.
 func (c *clientConn) respondUnusable(message thrift.Message, cause error) {
 	c.counters().UnusableRequests++
 	slog.Debug("unusable client request", slog.Any("error", cause))
@@ -90,8 +90,9 @@
 	c.respond(exception.Reply())
 }
 
-// parseCall reads a call and checks what goes to engines in headers and paths. What is left out stays zero; what is
-// there has to be of the protocol's form. Its errors go to the client, so they begin with the faulty field.
+// parseCall parses a call and validates the fields that are sent to engines in headers and paths. Missing fields stay
+// zero, except that the request ID and the time-out are required. Errors are sent to the client, so each begins with
+// the name of the invalid field.
 func parseCall(message thrift.Message) (*gateway.Call, error) {
 	fields := message.Fields
 	call := &gateway.Call{
@@ -124,12 +125,12 @@
 	return call, err
 }
 
-// millisToMicros converts a duration in milliseconds.
+// millisToMicros converts milliseconds to microseconds.
 func millisToMicros(millis float64) monotime.Micros {
 	return monotime.Micros(millis * float64(monotime.Millisecond))
 }
 
-// parseNumber reads the decimal number, from 0 to limit, of a field; one that is left out is 0.
+// parseNumber parses a field as a decimal number from 0 to limit. A missing field is 0.
 func parseNumber(fields map[string]string, name string, limit float64) (float64, error) {
 	text, ok := fields[name]
 	if !ok {
@@ -142,12 +143,13 @@
 	return number, err
 }
 
-// isRequestID says whether a text is an id of a request, as the protocol has them.
+// isRequestID reports whether text is a request ID in the form that the protocol requires.
 func isRequestID(text string) bool {
 	return len(text) == requestIDLength && strings.Trim(text, hexDigits) == ""
 }
 
-// isIdempotencyKey says whether a text is an idempotency key, so that it can stand in a header as it is.
+// isIdempotencyKey reports whether text is a valid idempotency key or empty. The characters allowed need no escaping in
+// a header.
 func isIdempotencyKey(text string) bool {
 	return len(text) <= maxIdempotencyKeySize && strings.Trim(text, alphanumeric+"-_.") == ""
 }
--- a/internal/server/client_responder.go
+++ b/internal/server/client_responder.go
@@ -8,36 +8,36 @@
 	"chutechute/internal/thrift"
 )
 
-// responder writes the response to one request of a client. It is the gateway's Responder.
+// responder sends the response to one request of a client. It implements gateway.Responder.
 type responder struct {
 	client   *clientConn
 	sequence int32
 	sent     bool
 }
 
-// send writes the response; the request is no longer in flight.
+// send sends the response and removes the request from those in flight.
 func (r *responder) send(response []byte) {
 	r.sent = true
 	delete(r.client.inFlight, r.sequence)
 	r.client.respond(response)
 }
 
-// Respond sends the rows that the request has given.
+// Respond sends the result rows of the request.
 func (r *responder) Respond(rows []byte) {
 	r.send(thrift.EncodeReply("call", r.sequence, rows, nil, true))
 }
 
-// Reject sends that the request was not run, and that it may be retried after some time.
+// Reject tells the client that the request did not run, and after what time it may be retried.
 func (r *responder) Reject(after monotime.Micros) {
 	fields := map[string]string{}
 	r.addRetryAfter(fields, after)
 	r.send(thrift.EncodeRejection(r.sequence, fields))
 }
 
-// Fail sends that the request has failed, and nothing on whether it has run.
+// Fail tells the client that the request failed. It does not say whether the request ran.
 func (r *responder) Fail() { r.send(thrift.EncodeFailure(r.sequence, nil)) }
 
-// deny responds to a request that was refused before it was taken, and that may be retried only where that can help.
+// deny responds to a request that was denied before it was accepted. It invites a retry only if one can succeed.
 func (r *responder) deny(denied *identity.Denied) {
 	fields := map[string]string{"never_ran": "1", "reason": denied.Error()}
 	if denied.RetryAfter == 0 {
@@ -49,7 +49,8 @@
 	r.send(thrift.EncodeRejection(r.sequence, fields))
 }
 
-// addRetryAfter adds after how many milliseconds, rounded up, the request may be retried, where the settings allow it.
+// addRetryAfter adds the time after which the request may be retried, in milliseconds and rounded up, if the settings
+// enable it.
 func (r *responder) addRetryAfter(fields map[string]string, after monotime.Micros) {
 	if !r.client.listener.server.cfg.Settings.Limits.RetryAfter {
 		return
--- a/internal/server/client_tls.go
+++ b/internal/server/client_tls.go
@@ -10,8 +10,8 @@
 	"chutechute/internal/monotime"
 )
 
-// startHandshake begins the handshake once the client's first message has come whole: a client that sends an incomplete
-// one, or noise, costs none.
+// startHandshake starts the handshake once the ClientHello has been received completely, so that incomplete or invalid
+// input does not cost the computation of a handshake.
 func (c *clientConn) startHandshake() {
 	if c.handshakeRequested || c.state == clientLingering {
 		return
@@ -28,7 +28,7 @@
 	c.handshakeRequested = true
 	server := c.listener.server
 	server.tls.handshakes.Start(c.address, func() {
-		if c.Closed { // while it waited
+		if c.Closed { // the client disconnected while the handshake was queued
 			server.post(func() { server.tls.handshakes.Done(c.address) })
 			return
 		}
@@ -39,9 +39,9 @@
 	})
 }
 
-// handleHandshakeProgress goes on with a handshake that has something to send, or that is complete or has failed.
+// handleHandshakeProgress sends the output of the handshake, and handles its completion or failure.
 func (c *clientConn) handleHandshakeProgress(done bool, err error) {
-	if c.holdsHandshakeSlot { // from now on it waits for its peer, or for nothing
+	if c.holdsHandshakeSlot { // the handshake now waits for its peer or has ended
 		c.holdsHandshakeSlot = false
 		c.listener.server.tls.handshakes.Done(c.address)
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-// finishHandshake takes over who the client is, and reads what it has sent meanwhile.
+// finishHandshake records the client's certificate and handles the input received during the handshake.
 func (c *clientConn) finishHandshake() {
 	c.counters().Handshakes++
 	c.TLS.Finish()
@@ -77,28 +77,29 @@
 	c.processMessages()
 }
 
-// certificateAt returns the client's certificate, revoked or not as of a time of the wall clock; nil without one.
-func (c *clientConn) certificateAt(wall monotime.Micros) *identity.Certificate {
+// certificateAt returns the client's certificate, with its revocation status at the given wall-clock time. It returns
+// nil if the client has none.
+func (c *clientConn) certificateAt(wallTime monotime.Micros) *identity.Certificate {
 	if c.callerCertificate == nil {
 		return nil
 	}
 	tls := &c.listener.server.tls
 	c.callerCertificate.Revoked = tls.material == nil ||
-		tls.material.Revoked.Has(c.peerCertificate, time.UnixMicro(wall), tls.files.StaleRefuses)
+		tls.material.Revoked.Has(c.peerCertificate, time.UnixMicro(wallTime), tls.files.StaleRefuses)
 	return c.callerCertificate
 }
 
-// callerProof returns what a call shows of who it comes from.
-func (c *clientConn) callerProof(token string) gateway.Credentials {
-	proof := gateway.Credentials{Token: token, ClientAddress: c.address}
+// credentials returns the credentials of a call: its token, the client's address and the client's certificate.
+func (c *clientConn) credentials(token string) gateway.Credentials {
+	credentials := gateway.Credentials{Token: token, ClientAddress: c.address}
 	if c.listener.server.core.Guard() != nil {
-		proof.WallTime = time.Now().UnixMicro()
-		proof.Certificate = c.certificateAt(proof.WallTime)
+		credentials.WallTime = time.Now().UnixMicro()
+		credentials.Certificate = c.certificateAt(credentials.WallTime)
 	}
-	return proof
+	return credentials
 }
 
-// readInput reads what has come; more is false at the connection's end.
+// readInput reads input. It returns false at the end of the stream.
 func (c *clientConn) readInput() (more bool) {
 	if c.TLS == nil {
 		return c.Fill()
@@ -108,17 +109,17 @@
 	return more
 }
 
-// decryptMore decrypts input for which there was no capacity before; it says whether there was any.
+// decryptMore decrypts input that did not fit into the buffer before. It reports whether it decrypted any.
 func (c *clientConn) decryptMore() bool {
 	if c.TLS == nil || c.Closed || c.state == clientLingering {
 		return false
 	}
-	got, err := c.Decrypt()
+	decrypted, err := c.Decrypt()
 	c.abortOnTLSError(err)
-	return got && err == nil
+	return decrypted && err == nil
 }
 
-// abortOnTLSError aborts a connection whose records can't be read, once the alert is written.
+// abortOnTLSError aborts the connection after a TLS error, once the alert is written.
 func (c *clientConn) abortOnTLSError(err error) {
 	if err != nil && !c.Closed && c.state != clientLingering {
 		c.writeBytes(nil)
@@ -127,7 +128,7 @@
 	}
 }
 
-// seal returns a response as it goes over the connection, encrypted with TLS.
+// seal returns a response in the form in which it is sent: encrypted if the connection uses TLS.
 func (c *clientConn) seal(response []byte) []byte {
 	sealed, err := c.Encode(response)
 	if err != nil {
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -1,6 +1,6 @@
 package server
 
-// printCounters gathers the counters of all parts and prints them.
+// printCounters collects the counters of all components and prints them.
 func (s *Server) printCounters() {
 	s.countStatements()
 	s.countIdentity()
@@ -10,7 +10,7 @@
 	s.host.Counters.Print(s.counterOutput)
 }
 
-// countStatements takes over the counters of the statement reader.
+// countStatements copies the counters of the statement reader.
 func (s *Server) countStatements() {
 	counts := s.core.StatementCounts()
 	counters := &s.host.Counters
@@ -18,7 +18,7 @@
 	counters.Learned, counters.Shapes, counters.ShapeBytes = counts.Learned, counts.Shapes, counts.Bytes
 }
 
-// countIdentity takes over the counters of the check of callers, where it is on.
+// countIdentity copies the counters of caller authentication, if that is enabled.
 func (s *Server) countIdentity() {
 	guard := s.core.Guard()
 	if guard == nil {
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -1,28 +1,29 @@
 package server
 
-// Shares of the descriptors that the configuration allows.
+// Allocation of the file descriptors that the configuration allows.
 const (
-	// reservedDescriptors are left for the event loop, the discovery watch, the log and what the Go runtime opens.
+	// reservedDescriptors are left for the event loop, the discovery watch, the log and files opened by the Go runtime.
 	reservedDescriptors = 24
-	// descriptorOverdraft is how many of the reserved descriptors clients may take for a moment, where nothing else can
-	// be closed for them.
+	// descriptorOverdraft is how many of the reserved descriptors clients may use temporarily if no other connection
+	// can be closed for them.
 	descriptorOverdraft = 8
-	// clientFraction is the part of all descriptors that clients hold at most, one in so many.
-	clientFraction = 3
-	// clientMargin is how many connections of clients may be open beyond that, since a closed one may be noticed late.
+	// clientDivisor limits clients to this fraction, 1/n, of all descriptors.
+	clientDivisor = 3
+	// clientMargin is how many client connections may be open beyond that limit, since a closed connection may be
+	// noticed late.
 	clientMargin = 8
-	// clientReserveFraction is the part of all descriptors that engines leave for clients that connect, one in so many.
-	clientReserveFraction = 20
+	// clientReserveDivisor sets the fraction, 1/n, of all descriptors that engine connections leave for new clients.
+	clientReserveDivisor = 20
 )
 
-// maxClients returns how many connections of clients may be open.
-func (s *Server) maxClients() int { return s.cfg.Sockets/clientFraction + clientMargin }
+// maxClients returns the maximum number of client connections.
+func (s *Server) maxClients() int { return s.cfg.Sockets/clientDivisor + clientMargin }
 
-// clientReserve returns how many descriptors engines leave for clients that connect all at once.
-func (s *Server) clientReserve() int { return s.cfg.Sockets / clientReserveFraction }
+// clientReserve returns how many descriptors engine connections leave for clients that connect at the same time.
+func (s *Server) clientReserve() int { return s.cfg.Sockets / clientReserveDivisor }
 
-// freeDescriptors returns how many descriptors may still be opened; negative where the reserve is used.
-func (s *Server) freeDescriptors() int {
+// availableDescriptors returns how many more descriptors may be opened. It is negative if reserved ones are in use.
+func (s *Server) availableDescriptors() int {
 	inUse := len(s.pool.connections) + len(s.listener.clients) + s.peering.Descriptors()
 	return s.cfg.Sockets - reservedDescriptors - inUse
 }
--- a/internal/server/discovery_watch.go
+++ b/internal/server/discovery_watch.go
@@ -18,24 +18,24 @@
 	maxHelloSize         = 64 // bytes
 )
 
-// Reasons for which a watch is closed.
+// Reasons for closing the watch.
 var (
 	errWatchTimeout = errors.New("server: discovery watch: read timeout")
 	errWatchClosed  = errors.New("server: discovery watch: closed by the service")
 )
 
-// discoveryWatch is the connection to the discovery service (the journal service of the settings). It is opened again
-// whenever it breaks or is unresponsive, from the last event known: what the service sends counts as known soon after,
-// received or not.
+// discoveryWatch is the connection to the discovery service ("journal" in the settings). When the connection breaks or
+// is unresponsive, a new one resumes from the last known event. Reconnecting must be fast, since a front end is
+// expected to know an event soon after it was sent, whether or not it was received.
 type discoveryWatch struct {
 	eventloop.Stream
 	server       *Server
 	follower     discovery.Follower
 	backoff      *discovery.Backoff
 	dialing      bool
-	lastActivity monotime.Micros // the last frame, or the dial
-	readTimeout  monotime.Micros // of this connection
-	retryAt      monotime.Micros // when to dial again, while there is no connection
+	lastActivity monotime.Micros // when the last frame was received, or the dial started
+	readTimeout  monotime.Micros // for the current connection
+	retryAt      monotime.Micros // when to dial again if there is no connection
 }
 
 // newDiscoveryWatch returns a watch that is not connected yet.
@@ -53,7 +53,7 @@
 	return w
 }
 
-// connect dials the service's address.
+// connect dials the discovery service.
 func (w *discoveryWatch) connect() {
 	host := &w.server.host
 	w.lastActivity, w.readTimeout = host.TurnTime, w.backoff.ReadTimeout()
@@ -71,20 +71,20 @@
 	}
 }
 
-// disconnect closes a connection; the next is dialled after a delay of this process's own.
+// disconnect closes the connection. The next dial follows after a random delay that differs between front ends.
 func (w *discoveryWatch) disconnect(cause error) {
 	slog.Warn("discovery watch disconnected", slog.Any("error", cause))
 	w.Close()
 	w.retryAt = w.server.host.TurnTime + w.backoff.NextDelay()
 }
 
-// reconnect moves from the service's former address to the one now in force, and goes on from the last event.
+// reconnect connects to the address now configured for the service and resumes from the last event.
 func (w *discoveryWatch) reconnect() {
 	w.Close()
 	w.connect()
 }
 
-// tick dials again once the delay is over, and closes a connection that is unresponsive.
+// tick dials again after the delay and closes an unresponsive connection.
 func (w *discoveryWatch) tick() {
 	now := w.server.host.TurnTime
 	age := now - w.lastActivity
@@ -96,7 +96,7 @@
 	}
 }
 
-// Ready completes a dial, writes what is left of the hello, and reads the events that have come.
+// Ready completes a dial, writes the rest of the hello and reads the received events.
 func (w *discoveryWatch) Ready(events uint32) {
 	if w.dialing {
 		if err := w.finishDial(); err != nil {
@@ -117,7 +117,7 @@
 	}
 }
 
-// finishDial buffers the hello once the connection is established.
+// finishDial adds the hello to the output once the connection is established.
 func (w *discoveryWatch) finishDial() error {
 	if err := eventloop.DialResult(w.FD); err != nil {
 		return err
@@ -127,7 +127,7 @@
 	return err
 }
 
-// readEvents applies all events that have come whole. An error says why the connection has to end.
+// readEvents applies all events that were received completely. It returns an error if the connection must be closed.
 func (w *discoveryWatch) readEvents() error {
 	more := w.Fill()
 	for {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// updateEndpoints hands an event of the discovery service to the engine pool and the core.
+// updateEndpoints passes an event of the discovery service to the engine pool and the core.
 func (s *Server) updateEndpoints(event discovery.Event) {
 	s.pool.updateEndpoints(event)
 	endpoints := make([]scheduler.Endpoint, len(event.Engines))
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -7,23 +7,23 @@
 	"chutechute/internal/monotime"
 )
 
-// engine is one engine, by its id: another may come to have its address.
+// engine is one engine, identified by its ID, since its address may later belong to another engine.
 type engine struct {
 	name      string
 	address   netip.AddrPort
-	draining  bool            // or removed, by the endpoint list
-	removed   bool            // and forgotten once no connection and no request of it is left
-	lastSeen  monotime.Micros // when it last responded to anything
+	draining  bool            // set for removed engines too, according to the endpoint list
+	removed   bool            // it is deleted once it has no connections and no requests
+	lastSeen  monotime.Micros // when it last responded to any call
 	readClock func() monotime.Micros
 
-	idle               []*engineConn // the last used one last
+	idle               []*engineConn // in the order of their last use, the most recent last
 	connectionCount    int
-	establishedCount   int // of the connections; those that are being dialled may all be refused
+	establishedCount   int // those of connectionCount that are established; connections being dialed may all be refused
 	requestCount       int
-	waiters            []*engineRequest // for a connection, where no descriptor is left: first come first served
-	refusesConnections bool             // it refused the last connection that was dialled
+	waiters            []*engineRequest // requests that wait for a connection, first in, first out
+	refusesConnections bool             // it refused the last dialed connection
 
-	// resetCount counts the connections that it closed under a call within resetWindow, since it last responded.
+	// resetCount counts the connections that the engine closed during a call within resetWindow. A response resets it.
 	resetCount       int
 	resetWindowStart monotime.Micros
 }
@@ -35,16 +35,17 @@
 	}
 }
 
-// takeReusable takes the last used of the connections that may carry another query by now; nil where there is none.
+// takeReusable takes the most recently used idle connection that may carry another query now. It returns nil if there
+// is none.
 func (e *engine) takeReusable() *engineConn {
 	now := e.readClock()
 	for i := len(e.idle) - 1; i >= 0; i = min(i, len(e.idle)) - 1 {
 		c := e.idle[i]
-		if !c.isRested(now) {
+		if !c.reuseDelayElapsed(now) {
 			continue
 		}
 		if !c.PeerIdle() {
-			c.terminate() // which takes it out
+			c.terminate() // also removes it from e.idle
 			continue
 		}
 		e.idle = slices.Delete(e.idle, i, i+1)
@@ -54,19 +55,19 @@
 	return nil
 }
 
-// hasReusable says whether a connection may carry another query by now.
+// hasReusable reports whether an idle connection may carry another query now.
 func (e *engine) hasReusable(now monotime.Micros) bool {
-	return slices.ContainsFunc(e.idle, func(c *engineConn) bool { return c.isRested(now) })
+	return slices.ContainsFunc(e.idle, func(c *engineConn) bool { return c.reuseDelayElapsed(now) })
 }
 
-// removeIdle takes a connection out of the idle ones, if it is one.
+// removeIdle removes a connection from the idle ones, if it is among them.
 func (e *engine) removeIdle(c *engineConn) {
 	if i := slices.Index(e.idle, c); i >= 0 {
 		e.idle = slices.Delete(e.idle, i, i+1)
 	}
 }
 
-// enqueue puts a request at the end of the queue for a connection.
+// enqueue adds a request to the end of the queue for a connection.
 func (e *engine) enqueue(request *engineRequest) {
 	if !request.isWaiting {
 		request.isWaiting = true
@@ -74,7 +75,8 @@
 	}
 }
 
-// dequeue takes the first unfinished request of the queue for a connection; nil where there is none.
+// dequeue removes and returns the first unfinished request of the queue for a connection. It returns nil if there is
+// none.
 func (e *engine) dequeue() *engineRequest {
 	for len(e.waiters) > 0 {
 		request := e.waiters[0]
@@ -87,8 +89,8 @@
 	return nil
 }
 
-// countReset counts a connection that the engine has closed under a call. Those that are closed all at once are noticed
-// within resetWindow.
+// countReset counts a connection that the engine closed during a call. Connections that are closed at the same time are
+// noticed within resetWindow.
 func (e *engine) countReset(now monotime.Micros) {
 	if now-e.resetWindowStart > resetWindow {
 		e.resetCount, e.resetWindowStart = 0, now
--- a/internal/server/engine_conn.go
+++ b/internal/server/engine_conn.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	normalReuseDelay = 50 * monotime.Millisecond // what crosses a response, a second copy of it too, comes within it
-	// longPollDuration is after how long an engine that has no news of a query responds so, and not sooner.
+	normalReuseDelay = 50 * monotime.Millisecond // late data, such as a duplicate response, arrives within this time
+	// longPollDuration is how long an engine waits before it responds to a poll that the query is still running.
 	longPollDuration  = 250 * monotime.Millisecond
 	longPollTolerance = 50 * monotime.Millisecond
 )
 
-// engineConnState is what a connection to an engine is doing.
+// engineConnState is the state of a connection to an engine.
 type engineConnState int
 
 const (
@@ -25,27 +25,27 @@
 	engineBusy // a call is in flight
 )
 
-// engineConn is a connection to an engine; it carries one call at a time.
+// engineConn is a connection to an engine. It carries one call at a time.
 type engineConn struct {
 	eventloop.Stream
 	pool          *enginePool
 	engine        *engine
 	state         engineConnState
-	request       *engineRequest  // whose call it carries; nil also where nobody awaits the response
-	abandonedPoll *engineRequest  // that has left the connection with the response to its poll still to come
-	lastActivity  monotime.Micros // when the call was sent, the dial began or the last response came
-
-	callSize              int             // bytes of the call
-	partialSince          monotime.Micros // since when the response has been incomplete; 0: it is not
-	overtakenSince        monotime.Micros // since when other responses have overtaken this one; 0: none has
-	staleResponsePossible bool            // more responses may be to come than calls are in flight
+	request       *engineRequest  // whose call is in flight; nil also if nobody waits for the response any more
+	abandonedPoll *engineRequest  // the request that was detached while the response to its poll was pending
+	lastActivity  monotime.Micros // when the call was sent, the dial started or the last response was received
+
+	callSize              int             // bytes of the current call
+	partialSince          monotime.Micros // when the incomplete response was first seen; 0: there is none
+	overtakenSince        monotime.Micros // when other calls were noticed to have overtaken this one; 0: none
+	staleResponsePossible bool            // more responses may arrive than calls are in flight
 }
 
-// isConnecting says whether the connection is not established yet.
+// isConnecting reports whether the connection is not established yet.
 func (c *engineConn) isConnecting() bool { return c.state <= engineHandshaking }
 
-// isRested says whether an idle connection may carry another query by now.
-func (c *engineConn) isRested(now monotime.Micros) bool {
+// reuseDelayElapsed reports whether an idle connection has been idle long enough to carry another query.
+func (c *engineConn) reuseDelayElapsed(now monotime.Micros) bool {
 	delay := normalReuseDelay
 	if c.staleResponsePossible {
 		delay = responseTimeout
@@ -53,18 +53,19 @@
 	return now-c.lastActivity >= delay
 }
 
-// isOvertaken says whether the engine has gone on to respond to others when the response to this call was due.
+// isOvertaken reports whether the engine has responded to other calls, for overtakenGrace, since the response to this
+// call was due.
 func (c *engineConn) isOvertaken(now monotime.Micros) bool {
 	if c.engine.lastSeen < c.lastActivity+responseTimeout {
 		return false
 	}
-	if c.overtakenSince == 0 { // after a standstill all responses come at once
+	if c.overtakenSince == 0 { // after a pause all responses arrive together, so the others get a short time to arrive
 		c.overtakenSince = now
 	}
 	return now-c.overtakenSince >= overtakenGrace
 }
 
-// Ready goes on with the dial or the handshake, writes the rest of the call, and handles the responses that have come.
+// Ready continues the dial or the handshake, writes the rest of the call and handles the received responses.
 func (c *engineConn) Ready(events uint32) {
 	switch c.state {
 	case engineHandshaking:
@@ -82,7 +83,7 @@
 	}
 }
 
-// finishDial goes on once the dial has succeeded or failed.
+// finishDial handles the success or failure of the dial.
 func (c *engineConn) finishDial() {
 	if err := eventloop.DialResult(c.FD); err != nil {
 		c.failDial(err)
@@ -110,7 +111,7 @@
 	}
 }
 
-// markEstablished notes that the connection may carry calls.
+// markEstablished records that the connection may carry calls.
 func (c *engineConn) markEstablished() {
 	c.state = engineIdle
 	c.engine.establishedCount++
@@ -141,17 +142,17 @@
 	c.finishFlush(err)
 }
 
-// flushCall writes what is left of the call; it returns false where the connection was closed.
+// flushCall writes the rest of the call. It returns false if the connection was closed.
 func (c *engineConn) flushCall() bool {
-	if c.request.isStartExpired() && c.Out.Len() > 0 { // what is left of the start stays unwritten
+	if c.request.isStartExpired() && c.Out.Len() > 0 { // the rest of the start must not be written any more
 		c.fail(false)
 		return false
 	}
 	return c.finishFlush(c.Flush())
 }
 
-// finishFlush notes whether some of the call was sent, and fails the connection with an error. It returns false where
-// the connection was closed.
+// finishFlush records whether part of the call was sent, and fails the connection if err is not nil. It returns false
+// if the connection was closed.
 func (c *engineConn) finishFlush(err error) bool {
 	if c.request != nil && c.Out.Len() < c.callSize {
 		c.request.startSent = true
@@ -164,9 +165,9 @@
 	return true
 }
 
-// release keeps a connection for another query, or closes it and gives the next request that waits for one another.
-// Where no other may be had, as the engine drains or this is the last one, that request waits until this one may carry
-// another query.
+// release keeps the connection for another query, or closes it so that the next waiting request gets a new one. If no
+// new connection can be had, because the engine drains or this connection is the last one, the waiting request waits
+// until this connection may carry another query.
 func (c *engineConn) release(reusable bool) {
 	e := c.engine
 	isUnneeded := len(e.waiters) == 0 && e.removed
@@ -179,7 +180,8 @@
 	c.UpdateInterest(true)
 }
 
-// fail closes a broken connection and goes on with its request; arrived says that the call has arrived whole.
+// fail closes a broken connection and continues its request. The parameter arrived says that the engine received the
+// whole call.
 func (c *engineConn) fail(arrived bool) {
 	request := c.request
 	if c.state == engineBusy && !arrived {
@@ -195,8 +197,8 @@
 	}
 }
 
-// terminate closes the connection at once and takes it out of the pool, which lets the next request that waits for one
-// go on. What becomes of the connection's own request is the caller's to decide.
+// terminate closes the connection at once and removes it from the pool, so that the next waiting request can proceed.
+// The caller decides what happens to the connection's own request.
 func (c *engineConn) terminate() {
 	c.Close()
 	c.request = nil
--- a/internal/server/engine_eviction.go
+++ b/internal/server/engine_eviction.go
@@ -1,9 +1,9 @@
 package server
 
-// freeDescriptor frees a descriptor for a client, and says whether one could be had. Engines use what clients leave
-// of the descriptors; a connection on which a query's end is awaited can be closed, since no connection owns a
-// query: it is polled on another in turn.
-func (p *enginePool) freeDescriptor() bool {
+// releaseDescriptor closes a connection to make its descriptor available for a client. It reports whether it closed
+// one. Engine connections only use descriptors that clients leave. A connection that waits for the response to a poll
+// can be closed, since queries are not bound to connections: the query is polled over another connection in turn.
+func (p *enginePool) releaseDescriptor() bool {
 	if p.evictIdle() {
 		return true
 	}
@@ -19,23 +19,25 @@
 	return false
 }
 
-// isReplaceable says whether a connection may be closed for its descriptor alone. One that carries a call of a
-// query that must not run twice, or has others wait in order, may not: how long an engine goes on with a query is
-// known only from when it was polled last. Nor may one to an engine that drains and has requests, as it accepts no
-// new connections, and what runs there could neither be polled nor canceled; and as the update may be late, not the
-// last one that is established either.
+// isReplaceable reports whether a connection may be closed just to free its descriptor.
+//
+// A connection in use by a query that must not run twice, or whose end other queries wait for, must stay open: only the
+// time of the last poll tells how long the engine continues such a query. Connections to a draining engine that has
+// requests must stay open too, since the engine accepts no new ones, and its queries could then be neither polled nor
+// canceled. The notice that it drains may arrive late, so the last established connection to any engine with requests
+// is kept as well.
 func (p *enginePool) isReplaceable(c *engineConn) bool {
 	e := c.engine
 	switch {
 	case e.requestCount == 0:
 		return true
-	case c.request != nil && c.request.isStrict():
+	case c.request != nil && c.request.requiresConfirmedEnd():
 		return false
 	}
 	return e.establishedCount > 1 && !e.draining && !e.refusesConnections
 }
 
-// evictIdle closes the connection that has been idle longest, of those that are replaceable, and says whether there was
+// evictIdle closes the connection that has been idle longest among the replaceable ones. It reports whether it closed
 // one.
 func (p *enginePool) evictIdle() bool {
 	var oldest *engineConn
--- a/internal/server/engine_failures.go
+++ b/internal/server/engine_failures.go
@@ -9,21 +9,26 @@
 
 const (
 	redialDelay = 100 * monotime.Millisecond
-	resetWindow = 50 * monotime.Millisecond // connections that are closed all at once are noticed within it
-	maxResumes  = 3                         // connections, one after another, on which a query is resumed
-	maxRedials  = 2                         // connections that may break before they carry anything of a query
+	resetWindow = 50 * monotime.Millisecond // connections that are closed at the same time are noticed within this time
+	maxResumes  = 3                         // how often in a row a query is resumed on another connection
+	maxRedials  = 2                         // how many connections in a row may break unused
 )
 
-// handleNoConnection goes on with a request for which no connection could be established; refused says that the
-// engine refused it.
+// handleNoConnection continues a request for which no connection could be established. The parameter refused says that
+// the engine refused the connection.
 //
-// What was never sent never ran. An engine that drains refuses new connections and runs on, so the request waits
-// for one of those that are left; that none is left proves nothing, as the last may have been reset on its way. A
-// process that has ended has closed all connections at once, or is listed as removed, which is enough for what may
-// run twice without harm, and for no other: there the key's next query was sent too early. Else a connection may
-// have been established too late, and another may be in time: it is dialled again until the engine has abandoned
-// the query by itself. A DELETE that was left undelivered for one late connection had the next of its key start
-// while the query ran.
+// An attempt that was never sent never ran. Otherwise it depends on what the failure proves:
+//
+// A draining engine refuses new connections but continues its queries, so the request waits for one of the connections
+// that are left. That none is left proves nothing, since the last one may have been reset on the way.
+//
+// A process that has ended closed all its connections at the same time, or is listed as removed. That is sufficient
+// evidence for a query that may run twice without harm. For other queries it is not: treating it as proof there once
+// sent the next query with the same key too early.
+//
+// In all other cases this connection may have been established too late while another one succeeds in time, so the
+// engine is dialed again until it must have abandoned the query. When a single late connection ended these attempts, a
+// DELETE stayed undelivered and the next query with the same key started while the first was still running.
 func (p *enginePool) handleNoConnection(request *engineRequest, refused bool) {
 	request.logDebug("no connection to engine", slog.Bool("refused", refused))
 	e := request.engine
@@ -31,7 +36,7 @@
 	e.refusesConnections = refused
 	processMayHaveEnded := refused && request.connectionReset
 	if processMayHaveEnded && request.attempt.RequiresConfirmedEnd {
-		// Who accepts the next connection may be another process, without the query.
+		// The next connection may be accepted by a new process, which does not know the query.
 		request.startUnconfirmed = true
 	}
 	switch {
@@ -47,15 +52,15 @@
 	}
 }
 
-// handleBrokenCall goes on with a request whose call has no readable response; arrived says that something came in
-// its place, so that the call itself has arrived whole. No connection owns a query, and its engine sends its
-// response again, so it is polled on another connection. One that has a malformed response again and again is
-// canceled.
+// handleBrokenCall continues a request whose call got no readable response. The parameter arrived says that something
+// else was received in place of the response, so the engine received the whole call. Queries are not bound to
+// connections and an engine sends its response again, so the query is polled over another connection. After more than
+// maxResumes failures in a row the query is canceled.
 func (p *enginePool) handleBrokenCall(request *engineRequest, arrived bool) {
 	request.logDebug("engine call broken", slog.Bool("arrived", arrived))
 	request.connection = nil
 	request.connectionReset = !arrived
-	request.lastPolled = p.turnTime() // as far as its engine may know
+	request.lastPolled = p.turnTime() // the engine may have received the call until now
 	request.resumeCount++
 	switch {
 	case request.isHealthCheck():
@@ -68,23 +73,27 @@
 		request.resumeCount = 0
 		request.query.Cancel()
 		p.sendNext(request)
-	} // else the engine abandons it as it is not polled
+	} // otherwise the engine abandons the query, which is no longer polled
 }
 
-// resume polls a request on another connection. A machine that was away closes its old connections when it is back,
-// with what was sent meanwhile unread or read by a process that has ended; a poll, or a DELETE, then proves
-// nothing. What came in place of a POST's response may be a late copy of another, which proves nothing of the POST
-// either.
+// resume polls for a request over another connection.
+//
+// The broken connection does not prove that the start arrived. A machine that was unreachable closes its old
+// connections when it returns; what was sent in the meantime is unread, or was read by a process that has ended. The
+// response to a poll or a DELETE then proves nothing. What was received in place of the response to a POST may be a
+// late duplicate of another response, which proves nothing about the POST either.
 func (p *enginePool) resume(request *engineRequest) {
 	request.startUnconfirmed = request.startUnconfirmed || request.query.StartPending()
 	request.query.Resume()
 	p.sendNext(request)
 }
 
-// handleUnresponsive goes on with a request whose call got no response in time. The machine may be gone, so only a new
-// connection can tell; where none is established the query is left until its engine has abandoned it. One that gets no
-// response twice is canceled: the poll may reach the engine late, so that waiting proves less than the response to a
-// DELETE. A POST may still be read, and a DELETE is not to overtake it.
+// handleUnresponsive continues a request whose call got no response in time. The machine may be lost, which only a new
+// connection can show. If none is established, the request waits until the engine has abandoned the query.
+//
+// A query without a response for the second time is canceled: a poll may reach the engine late and prolong the query,
+// so the response to a DELETE proves more than waiting does. If the POST has no response yet, the engine may still read
+// it, so no DELETE is sent that could overtake it.
 func (p *enginePool) handleUnresponsive(request *engineRequest) {
 	request.logDebug("engine unresponsive")
 	p.server.core.EngineUnresponsive(request.engine.name)
@@ -104,8 +113,8 @@
 	p.dial(request)
 }
 
-// redial goes on with a request whose connection broke before it carried the call: one connection proves nothing of the
-// engine, so another is tried.
+// redial continues a request whose connection broke before it carried any of the call. One failed connection says
+// nothing about the engine, so another one is tried.
 func (p *enginePool) redial(request *engineRequest) {
 	request.connection = nil
 	if request.startSent {
--- a/internal/server/engine_pool.go
+++ b/internal/server/engine_pool.go
@@ -15,14 +15,13 @@
 	"chutechute/scheduler"
 )
 
-const maxCallSize = 512 << 10 // bytes of one call: a client's frame and its headers
+const maxCallSize = 512 << 10 // bytes of one call: the statement from a client's frame and the headers
 
-// enginePool is the connection pool to all engines, with the requests that go over it. It is the gateway's
-// EngineClient.
+// enginePool holds the connections to all engines and the requests sent over them. It implements gateway.EngineClient.
 type enginePool struct {
 	server           *Server
 	bufferBudget     ring.Budget
-	engines          map[string]*engine // by id
+	engines          map[string]*engine // by ID
 	connections      map[*engineConn]struct{}
 	requests         map[*engineRequest]struct{}
 	requestByAttempt map[*gateway.Attempt]*engineRequest
@@ -42,10 +41,10 @@
 // counters returns the counters of the server.
 func (p *enginePool) counters() *counters.Set { return &p.server.host.Counters }
 
-// turnTime returns the time of this turn of the loop.
+// turnTime returns the time of the current turn.
 func (p *enginePool) turnTime() monotime.Micros { return p.server.host.TurnTime }
 
-// updateEndpoints takes over the addresses and states of engines; connections to a former address are of no more use.
+// updateEndpoints applies the addresses and states of an event. Connections to an engine's former address are closed.
 func (p *enginePool) updateEndpoints(event discovery.Event) {
 	if event.Kind != scheduler.UpdateChanges {
 		for _, e := range p.engines {
@@ -63,7 +62,7 @@
 	}
 }
 
-// updateEndpoint takes over the address and the state of an engine.
+// updateEndpoint applies the address and the state of one engine.
 func (p *enginePool) updateEndpoint(listed discovery.Engine) {
 	e := p.engines[listed.Engine]
 	if e == nil {
@@ -86,8 +85,8 @@
 	}
 }
 
-// cancelUnsent takes back the attempts that an engine which drains or is removed has not been sent yet: those that
-// still wait for a connection could reach it too long after the update.
+// cancelUnsent ends the attempts that have not been sent yet to an engine that drains or is removed. While they wait
+// for a connection, they could reach the engine too long after the update.
 func (p *enginePool) cancelUnsent(e *engine) {
 	for request := range p.requests {
 		if request.engine == e && !request.isHealthCheck() && !request.startSent {
@@ -108,7 +107,7 @@
 	p.sendNext(request)
 }
 
-// HealthCheck asks an engine for its load.
+// HealthCheck requests the load report of an engine.
 func (p *enginePool) HealthCheck(name string) {
 	e := p.engines[name]
 	if e == nil {
@@ -120,9 +119,9 @@
 	p.sendNext(request)
 }
 
-// Cancel cancels an attempt. The response to its start is awaited first, since a DELETE that overtook the start would
-// find no query to cancel and leave it running. Else the DELETE goes at once, over another connection than the one on
-// which the response to a poll is awaited.
+// Cancel cancels an attempt. If the start has no response yet, the DELETE is sent after that response: a DELETE that
+// overtook the start would find no query to cancel, and the query would run on. Otherwise the DELETE is sent at once,
+// over another connection than the one that waits for the response to a poll.
 func (p *enginePool) Cancel(attempt *gateway.Attempt) {
 	request := p.requestByAttempt[attempt]
 	switch {
@@ -136,14 +135,14 @@
 	}
 }
 
-// SetPriority changes the priority of an attempt; its engine gets it with the next call that can carry it.
+// SetPriority changes the priority of an attempt. The engine receives it with the next call that can carry it.
 func (p *enginePool) SetPriority(attempt *gateway.Attempt) {
 	if request := p.requestByAttempt[attempt]; request != nil {
 		request.query.SetPriority(attempt.Priority)
 	}
 }
 
-// sendDelete has a request go on with its DELETE, over a connection that is free.
+// sendDelete sends the DELETE of a request over another connection.
 func (p *enginePool) sendDelete(request *engineRequest) {
 	if c := request.detach(); c != nil {
 		c.abandonedPoll = request
@@ -155,7 +154,7 @@
 	p.sendNext(request)
 }
 
-// sendNext sends a request's next call over a reusable connection, or over a new one.
+// sendNext sends a request's next call over a reusable connection or a new one.
 func (p *enginePool) sendNext(request *engineRequest) {
 	e := request.engine
 	if request.isWaiting {
@@ -166,23 +165,24 @@
 		c.send()
 		return
 	}
-	// Where all descriptors are taken, those that an engine has are shared in turn: a query that was not polled for
-	// want of one would be abandoned by its engine. An engine without any always gets one.
-	if p.server.freeDescriptors() <= p.server.clientReserve() && e.connectionCount > 0 && !p.evictIdle() {
+	// When no descriptors are available, the requests of an engine take turns on its connections. Without turns a query
+	// that has no connection would not be polled, and its engine would abandon it. An engine without any connection
+	// always gets one.
+	if p.server.availableDescriptors() <= p.server.clientReserve() && e.connectionCount > 0 && !p.evictIdle() {
 		e.enqueue(request)
 		return
 	}
 	p.dial(request)
 }
 
-// sendWaiting sends the next call of the first request that waits for a connection to an engine.
+// sendWaiting sends the next call of the first request that waits for a connection to the engine.
 func (p *enginePool) sendWaiting(e *engine) {
 	if request := e.dequeue(); request != nil {
 		p.sendNext(request)
 	}
 }
 
-// dial gives a request a new connection.
+// dial opens a new connection for a request.
 func (p *enginePool) dial(request *engineRequest) {
 	e := request.engine
 	fd, err := eventloop.Dial(e.address)
--- a/internal/server/engine_request.go
+++ b/internal/server/engine_request.go
@@ -9,27 +9,27 @@
 	"chutechute/scheduler"
 )
 
-// engineRequest is an attempt of a query, or a health check, on its way through its calls over HTTP: over one
-// connection after another, as no connection owns a query.
+// engineRequest is an attempt of a query or a health check, with the state of its HTTP calls. The calls may use several
+// connections in turn, since an engine does not bind a query to a connection.
 type engineRequest struct {
 	attempt    *gateway.Attempt // nil for a health check
 	engine     *engine
 	query      *rest.Query
-	connection *engineConn // nil while it has none
+	connection *engineConn // nil if it has none
 	startedAt  monotime.Micros
-	lastPolled monotime.Micros // when the engine got a call for it last, as far as it may know; 0: never
-
-	startSent        bool // some of the POST may have reached the engine
-	startUnconfirmed bool // the POST may not have been read yet, and may be later
-	connectionReset  bool // the last connection was closed by the engine
-	cancelAfterStart bool // it is to be canceled once the POST has its response
-	finalDeleteSent  bool // the DELETE that ends it, though the POST is unconfirmed, is in flight
-	isWaiting        bool // in its engine's queue for a connection
+	lastPolled monotime.Micros // the latest time at which the engine may have received a call for it; 0: never
+
+	startSent        bool // part of the POST may have reached the engine
+	startUnconfirmed bool // the engine may not have read the POST yet, and may still read it later
+	connectionReset  bool // the engine closed the last connection
+	cancelAfterStart bool // the DELETE follows the response to the POST
+	finalDeleteSent  bool // a last DELETE is in flight, though the POST is unconfirmed
+	isWaiting        bool // it is in the engine's queue for a connection
 	finished         bool
 
-	resumeCount int             // connections that broke since the last response
-	redialCount int             // connections that broke before they carried anything
-	redialAt    monotime.Micros // when to dial again, as no connection came up; 0: not
+	resumeCount int             // calls in a row without a usable response
+	redialCount int             // connections in a row that broke before they carried anything
+	redialAt    monotime.Micros // when to dial again after a connection could not be established; 0: not scheduled
 }
 
 // newStatementRequest returns the request for an attempt.
@@ -49,32 +49,35 @@
 		query:     rest.NewQuery(e.address.String(), start),
 		startedAt: now,
 	}
-	if attempt.AlreadyRunning { // it may not have come to its engine yet, or never will
+	if attempt.AlreadyRunning { // the engine may not have received the start yet, or may never receive it
 		request.startSent, request.startUnconfirmed, request.lastPolled = true, true, now
 		request.query.Resume()
 	}
 	return request
 }
 
-// isHealthCheck says whether the request asks for the engine's load only.
+// isHealthCheck reports whether the request is a health check, which belongs to no attempt.
 func (r *engineRequest) isHealthCheck() bool { return r.attempt == nil }
 
-// isStrict says whether the request is of a query that must not run twice.
-func (r *engineRequest) isStrict() bool { return r.attempt != nil && r.attempt.RequiresConfirmedEnd }
+// requiresConfirmedEnd reports whether the end of the attempt must be certain: the query must not run twice, or other
+// queries wait for its end.
+func (r *engineRequest) requiresConfirmedEnd() bool {
+	return r.attempt != nil && r.attempt.RequiresConfirmedEnd
+}
 
-// isStartExpired says whether the start may not be written any more. It reads the clock anew: the process may have
-// stood still since this turn began, and others may count the attempt as expired by now.
+// isStartExpired reports whether it is too late to write the start. It reads the clock again, since the process may
+// have been paused since this turn began, and other front ends may already count the attempt as expired.
 func (r *engineRequest) isStartExpired() bool {
 	return r != nil && r.attempt != nil && r.attempt.StartBy != 0 && r.query.StartPending() &&
 		r.engine.readClock() >= r.attempt.StartBy
 }
 
-// isAbandonable says whether the engine abandons the query by itself, unless it is polled again.
+// isAbandonable reports whether the engine will abandon the query unless it is polled again.
 func (r *engineRequest) isAbandonable() bool {
 	return r.startSent && (r.connection == nil || r.cancelAfterStart || r.query.Canceling())
 }
 
-// logDebug logs what befell a request's call, at debug level.
+// logDebug logs an event of a request with the state of its calls, at debug level. Health checks are not logged.
 func (r *engineRequest) logDebug(message string, attributes ...any) {
 	if r.isHealthCheck() {
 		return
@@ -89,12 +92,12 @@
 		slog.Int("resume_count", r.resumeCount))...)
 }
 
-// assign gives a request's next call to a connection.
+// assign assigns a connection to the request for its next call.
 func (r *engineRequest) assign(c *engineConn) {
 	c.request, r.connection = r, c
 }
 
-// detach takes a request off its connection, and returns the connection; nil where it had none.
+// detach detaches the request from its connection and returns the connection, or nil if there was none.
 func (r *engineRequest) detach() *engineConn {
 	c := r.connection
 	if c != nil {
@@ -112,7 +115,7 @@
 	}
 }
 
-// unregister takes a finished request out of those in flight.
+// unregister removes a finished request from those in flight.
 func (p *enginePool) unregister(request *engineRequest) {
 	delete(p.requests, request)
 	request.engine.requestCount--
--- a/internal/server/engine_response.go
+++ b/internal/server/engine_response.go
@@ -9,17 +9,17 @@
 	"chutechute/scheduler"
 )
 
-// statusNoNews is the HTTP status (202) of the response to a poll that has no news of the query.
-const statusNoNews = 202
+// statusStillRunning is the HTTP status of a response which says that the query is still running.
+const statusStillRunning = 202
 
-// callOutcome is what a response says of the request that it belongs to.
+// callOutcome says how the request continues after a response.
 type callOutcome struct {
-	result   scheduler.Result // where the query has ended
+	result   scheduler.Result // of the query, if it has ended
 	ended    bool
 	reusable bool // the connection may carry another call
 }
 
-// readResponses reads what has come and handles the responses that have come whole.
+// readResponses reads input and handles the responses that were received completely.
 func (c *engineConn) readResponses() {
 	more, err := c.readInput()
 	if err != nil {
@@ -27,7 +27,8 @@
 		return
 	}
 	if c.state != engineBusy && c.In.Len() > 0 {
-		// It is a second copy, or a part of one: what follows it could be taken for the next query's response.
+		// This is a duplicate response or part of one. What follows could be mistaken for the response to the next
+		// query.
 		c.logUnexpected()
 		c.failMalformed(nil)
 		return
@@ -46,7 +47,7 @@
 	c.checkPartialResponse(more)
 }
 
-// logUnexpected logs that an engine has sent something though no call is in flight.
+// logUnexpected logs that an engine sent data while no call was in flight.
 func (c *engineConn) logUnexpected() {
 	sinceLast := c.pool.server.host.Clock.Now() - c.lastActivity
 	slog.Debug("unexpected bytes from engine",
@@ -54,28 +55,29 @@
 		slog.Float64("duration_ms", microsToMillis(sinceLast)))
 }
 
-// checkPartialResponse fails a connection that can't get the rest of its response.
+// checkPartialResponse fails a connection that cannot receive the rest of its response.
 func (c *engineConn) checkPartialResponse(more bool) {
 	isPartial := c.In.Len() > 0
 	switch {
 	case c.Closed:
 	case !more:
 		c.fail(isPartial)
-	case len(c.In.Space()) == 0: // the buffer budget of all engines is exhausted
+	case len(c.In.Space()) == 0: // the buffer budget that all engine connections share is exhausted
 		c.fail(isPartial)
 	case isPartial && c.partialSince == 0:
 		c.partialSince = c.pool.turnTime()
 	}
 }
 
-// failMalformed fails a connection on which something came that is no response to its call.
+// failMalformed fails a connection after malformed or unexpected input.
 func (c *engineConn) failMalformed(cause error) {
 	c.pool.counters().MalformedResponses++
 	slog.Debug("malformed engine response", slog.String("engine", c.engine.name), slog.Any("error", cause))
 	c.fail(true)
 }
 
-// handleResponse takes a whole response; the request's next call goes out at once over the same connection.
+// handleResponse handles a complete response. The request's next call is sent at once, over the same connection if that
+// is reusable.
 func (c *engineConn) handleResponse(response rest.Response, more bool) {
 	request := c.request
 	c.engine.lastSeen, c.engine.resetCount = c.pool.turnTime(), 0
@@ -83,7 +85,7 @@
 	if request != nil {
 		outcome.result, outcome.ended, err = request.query.HandleResponse(response)
 	}
-	if errors.Is(err, rest.ErrStaleResponse) { // what the DELETE ends may still run: it goes again over another connection
+	if errors.Is(err, rest.ErrStaleResponse) { // the call may not have arrived, so another connection repeats it
 		c.pool.counters().MalformedResponses++
 		c.fail(false)
 		return
@@ -101,8 +103,8 @@
 	}
 	request.connection, request.resumeCount = nil, 0
 	c.pool.counters().MalformedFacts += response.MalformedHeaders
-	if note := request.query.Progress(); note != nil && !request.isHealthCheck() && !outcome.ended {
-		c.pool.server.core.ReportProgress(request.attempt, note.Kind, note.Value)
+	if progress := request.query.Progress(); progress != nil && !request.isHealthCheck() && !outcome.ended {
+		c.pool.server.core.ReportProgress(request.attempt, progress.Kind, progress.Value)
 	}
 	if isUnknownToEngine(request, outcome) {
 		request.logDebug("query unknown to engine")
@@ -119,24 +121,24 @@
 	c.continueRequest(request, outcome)
 }
 
-// markIdle notes that the call has its response.
+// markIdle records that the call has its response.
 func (c *engineConn) markIdle(response rest.Response) {
 	now := c.pool.turnTime()
-	// A response without news, before it is time for one, may be a copy of the last response, with the one to this call
-	// still to come.
-	if response.Status == statusNoNews && now-c.lastActivity < longPollDuration-longPollTolerance {
+	// A "still running" response that arrives before longPollDuration has passed may be a duplicate of the previous
+	// response. In that case the actual response to this call is still to come.
+	if response.Status == statusStillRunning && now-c.lastActivity < longPollDuration-longPollTolerance {
 		c.staleResponsePossible = true
 	}
 	c.state, c.request, c.lastActivity, c.partialSince = engineIdle, nil, now, 0
 }
 
-// isReusable says whether the connection may carry another call after a response.
+// isReusable reports whether the connection may carry another call after a response.
 func (c *engineConn) isReusable(response rest.Response, more bool) bool {
-	isAffordable := c.pool.server.freeDescriptors() >= 0 || !c.pool.isReplaceable(c)
-	return more && !response.Close && c.In.Len() == 0 && c.Out.Len() == 0 && isAffordable && c.PeerIdle()
+	mayStayOpen := c.pool.server.availableDescriptors() >= 0 || !c.pool.isReplaceable(c)
+	return more && !response.Close && c.In.Len() == 0 && c.Out.Len() == 0 && mayStayOpen && c.PeerIdle()
 }
 
-// endAbandonedPoll notes that the poll of a request that has left the connection has its response: the request
+// endAbandonedPoll records the response to the poll of a request that was detached from the connection. The request
 // counts as polled until now.
 func (c *engineConn) endAbandonedPoll() {
 	if request := c.abandonedPoll; request != nil {
@@ -145,8 +147,8 @@
 	}
 }
 
-// isUnknownToEngine says whether the engine has ended a query of which it knows nothing, though it may run later or
-// elsewhere: what the engine has not read of the POST may still come, or another process has it.
+// isUnknownToEngine reports whether the engine ended a query that it does not know and that may still run: the engine
+// may read the POST later, or another process may have received it.
 func isUnknownToEngine(request *engineRequest, outcome callOutcome) bool {
 	if !outcome.ended || !request.startUnconfirmed || request.finalDeleteSent {
 		return false
@@ -154,14 +156,15 @@
 	return outcome.result == scheduler.Errored || outcome.result == scheduler.Canceled
 }
 
-// continueRequest ends a request, or sends its next call.
+// continueRequest ends a request or sends its next call.
 func (c *engineConn) continueRequest(request *engineRequest, outcome callOutcome) {
 	switch {
 	case outcome.ended:
 		c.release(outcome.reusable)
 		c.pool.finish(request, outcome.result)
 	case outcome.reusable && request.query.Polling() && len(c.engine.waiters) > 0:
-		// Only one whose end is awaited waits its turn: pages to fetch and DELETEs would reach the client late.
+		// Only polls take turns: waiting would delay fetches of result pages and DELETEs, and thus the client's
+		// response.
 		c.engine.enqueue(request)
 		c.release(true)
 	case outcome.reusable:
@@ -173,7 +176,7 @@
 	}
 }
 
-// microsToMillis converts a duration to milliseconds.
+// microsToMillis converts microseconds to milliseconds.
 func microsToMillis(micros monotime.Micros) float64 {
 	return float64(micros) / float64(monotime.Millisecond)
 }
--- a/internal/server/engine_timeouts.go
+++ b/internal/server/engine_timeouts.go
@@ -7,23 +7,26 @@
 )
 
 const (
-	// responseTimeout is when the response to a call is overdue: an engine responds to each within 250 ms.
+	// responseTimeout is the time after which the response to a call is overdue. An engine responds within 250 ms.
 	responseTimeout = 300 * monotime.Millisecond
-	// silenceTimeout is when an engine counts as unresponsive: it stands still for 600 ms at most.
+	// silenceTimeout is the time after which an engine counts as unresponsive. An engine pauses for at most 600 ms.
 	silenceTimeout = 1000 * monotime.Millisecond
-	// overtakenGrace is how much later a call counts as lost whose response is overdue while others got theirs.
+	// overtakenGrace is how long a call with an overdue response is still awaited after the engine has responded to
+	// other calls.
 	overtakenGrace = 50 * monotime.Millisecond
-	// partialResponseTimeout is for the rest of a response: it comes at one go.
+	// partialResponseTimeout limits the wait for the rest of a response, since an engine sends each response in one
+	// piece.
 	partialResponseTimeout = 100 * monotime.Millisecond
-	// abandonTimeout is when an engine has abandoned a query that is not polled.
+	// abandonTimeout is the time after which an engine has abandoned a query that is not polled.
 	abandonTimeout     = gateway.AbandonTimeout
 	healthCheckTimeout = 250 * monotime.Millisecond
-	// bufferIdleTimeout is when an idle connection lets go of its buffers.
+	// bufferIdleTimeout is the time after which an idle connection frees its buffers.
 	bufferIdleTimeout = 1000 * monotime.Millisecond
 )
 
-// tick handles what time alone brings: dials and calls that took too long, queries that engines have abandoned by now,
-// and idle connections, which are closed well before the engine closes them so that no POST meets a closing one.
+// tick handles timeouts: of dials and calls, of queries that engines must have abandoned by now, and of idle
+// connections. Those are closed after half the time after which the engine closes them, so that no POST is sent over a
+// connection that is being closed.
 func (p *enginePool) tick() {
 	for c := range p.connections {
 		p.checkConnection(c)
@@ -36,7 +39,7 @@
 	}
 }
 
-// checkConnection closes a connection that is past a timeout.
+// checkConnection closes a connection that has timed out, and frees the buffers of an idle one.
 func (p *enginePool) checkConnection(c *engineConn) {
 	now, settings := p.turnTime(), p.server.cfg.Settings
 	age := now - c.lastActivity
@@ -61,8 +64,8 @@
 	}
 }
 
-// checkEngine sends the requests that wait for a connection, as far as there are reusable ones, and forgets an engine
-// that is removed once nothing of it is left.
+// checkEngine sends waiting requests over the connections that are reusable by now. It deletes a removed engine once
+// that has no connections and no requests.
 func (p *enginePool) checkEngine(name string, e *engine) {
 	for len(e.waiters) > 0 && e.hasReusable(p.turnTime()) {
 		p.sendWaiting(e)
@@ -72,7 +75,7 @@
 	}
 }
 
-// checkRequest ends a request that is past a timeout, and dials again for one that has no connection.
+// checkRequest ends a request that has timed out, and dials again for one that could not get a connection.
 func (p *enginePool) checkRequest(request *engineRequest) {
 	now := p.turnTime()
 	switch {
@@ -86,8 +89,8 @@
 	}
 }
 
-// handleAbandoned ends a request whose query the engine has abandoned by now. Where its POST is unconfirmed a last
-// DELETE goes first: if the POST has come late after all, this ends it.
+// handleAbandoned ends a request whose query the engine must have abandoned by now. If the POST is unconfirmed, it
+// first sends a last DELETE, which ends the query in case the POST arrived late.
 func (p *enginePool) handleAbandoned(request *engineRequest) {
 	if request.connection != nil {
 		request.connection.terminate()
--- a/internal/server/engine_tls.go
+++ b/internal/server/engine_tls.go
@@ -9,17 +9,17 @@
 	"chutechute/internal/tlsio"
 )
 
-// engineNamePlaceholder stands for an engine's id in the setting of engines' certificate names.
+// engineNamePlaceholder is replaced by the engine's ID in the setting for the names in engine certificates.
 const engineNamePlaceholder = "{id}"
 
-// usesTLS says whether connections to engines have TLS.
+// usesTLS reports whether connections to engines use TLS.
 func (p *enginePool) usesTLS() bool {
 	material := p.server.tls.material
 	return material != nil && material.Engines != nil
 }
 
-// startHandshake begins the handshake on a connection that is dialled. The engine has to show a certificate for its
-// name, which is made from its id: an address that has passed to another engine shows another.
+// startHandshake starts the handshake on a connection that was dialed. The engine must present a certificate for the
+// name derived from its ID. This detects an address that now belongs to another engine.
 func (c *engineConn) startHandshake() {
 	server := c.pool.server
 	config := server.tls.material.Engines.Clone()
@@ -31,8 +31,8 @@
 	c.UpdateInterest(true)
 }
 
-// handleHandshakeProgress goes on with a handshake that has something to send, or that is complete or has failed. Until
-// it is complete nothing of the request's call has been sent.
+// handleHandshakeProgress sends the output of the handshake, and handles its completion or failure. No part of the
+// request's call is sent before completion.
 func (c *engineConn) handleHandshakeProgress(done bool, err error) {
 	if c.Closed {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// finishHandshake sends the request's call over a connection whose handshake is complete.
+// finishHandshake sends the request's call once the handshake is complete.
 func (c *engineConn) finishHandshake() {
 	c.pool.counters().EngineHandshakes++
 	c.TLS.Finish()
@@ -76,7 +76,7 @@
 	}
 }
 
-// driveHandshake writes and reads what is ready of a handshake.
+// driveHandshake writes pending output of the handshake and reads its input.
 func (c *engineConn) driveHandshake(events uint32) {
 	if isWritable(events) {
 		if err := c.Flush(); err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// readInput reads what has come; more is false at the connection's end. An error says that its records can't be read.
+// readInput reads input. It returns false at the end of the stream, and an error if TLS fails.
 func (c *engineConn) readInput() (more bool, err error) {
 	if c.TLS == nil {
 		return c.Fill(), nil
@@ -105,7 +105,7 @@
 	return c.receiveTLS()
 }
 
-// receiveTLS reads and decrypts what has come.
+// receiveTLS reads and decrypts input.
 func (c *engineConn) receiveTLS() (more bool, err error) {
 	return c.Receive(c.pool.server.tls.receiveBuffer, func() {})
 }
--- a/internal/server/key_files.go
+++ b/internal/server/key_files.go
@@ -6,31 +6,31 @@
 	"chutechute/internal/keyfiles"
 )
 
-// runOnLoop has the loop run a task, now or later.
+// runOnLoop runs a task on the event loop, at once or later.
 type runOnLoop func(task func())
 
-// applySecurity puts the identity and TLS sections of a configuration into force, and the files that they name, which
-// are watched from then on. With an error nothing changes.
+// applySecurity applies the identity and TLS sections of a configuration and the files that they name. It watches these
+// files from then on. If it returns an error, nothing has changed.
 func (s *Server) applySecurity(cfg *config.Config) error {
 	started := false
-	generation := s.keyWatchGeneration + 1 // in force once nothing can fail any more: until then the former watch goes on
-	later := func(task func()) {
+	generation := s.keyWatchGeneration + 1 // stored once nothing can fail; until then the former watch stays active
+	postIfCurrent := func(task func()) {
 		s.post(func() {
 			if s.keyWatchGeneration == generation { // what a former watch has read may be older than what is in force
 				task()
 			}
 		})
 	}
-	files, forceTLS, err := s.prepareTLS(cfg, later, &started)
+	files, activateTLS, err := s.prepareTLS(cfg, postIfCurrent, &started)
 	if err != nil {
 		return err
 	}
-	var firstLoads []func() // come into force once all files could be read
+	var initialLoads []func() // run once all files have been read
 	apply := func(task func()) {
 		if started {
-			later(task)
+			postIfCurrent(task)
 		} else {
-			firstLoads = append(firstLoads, task)
+			initialLoads = append(initialLoads, task)
 		}
 	}
 	if cfg.Callers != nil {
@@ -43,8 +43,8 @@
 		return err
 	}
 	s.keyWatchGeneration = generation
-	forceTLS()
-	for _, task := range firstLoads {
+	activateTLS()
+	for _, task := range initialLoads {
 		task()
 	}
 	s.stopKeyWatch()
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// identityFiles returns the files of the identity section; what puts their content into force is handed to apply.
+// identityFiles returns the files of the identity section. The function apply is called with the tasks that put their
+// content into force.
 func (s *Server) identityFiles(section *config.Identity, apply runOnLoop) (files []*keyfiles.File) {
 	for _, issuer := range section.Issuers {
 		files = append(files, &keyfiles.File{Path: issuer.Keys, Load: func(path string) error {
@@ -78,7 +79,7 @@
 	return files
 }
 
-// stopKeyWatch stops the watch of the key files, where there is one.
+// stopKeyWatch stops the watch of the key files, if there is one.
 func (s *Server) stopKeyWatch() {
 	if s.keyWatch != nil {
 		s.keyWatch.Stop()
@@ -86,14 +87,14 @@
 	}
 }
 
-// setKeys puts an issuer's keys into force. It may come just after identity was turned off.
+// setKeys puts an issuer's keys into force. It may be called just after identity was disabled.
 func (s *Server) setKeys(issuer string, keys []identity.Key) {
 	if guard := s.core.Guard(); guard != nil {
 		guard.SetKeys(issuer, keys)
 	}
 }
 
-// setRevoked puts the list of what is revoked into force. It may come just after identity was turned off.
+// setRevoked puts the revocation list into force. It may be called just after identity was disabled.
 func (s *Server) setRevoked(revoked identity.Revocations) {
 	if guard := s.core.Guard(); guard != nil {
 		guard.SetRevocations(revoked)
--- a/internal/server/readiness.go
+++ b/internal/server/readiness.go
@@ -2,8 +2,8 @@
 
 import "golang.org/x/sys/unix"
 
-// isReadable says whether events report more than that a descriptor can be written to: input, its end or an error.
+// isReadable reports whether events contain anything but writability: input, the end of the stream or an error.
 func isReadable(events uint32) bool { return events&^unix.EPOLLOUT != 0 }
 
-// isWritable says whether events report that a descriptor can be written to.
+// isWritable reports whether events contain writability.
 func isWritable(events uint32) bool { return events&unix.EPOLLOUT != 0 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,9 +1,9 @@
-// Package server runs the front end on its sockets, all of them on one event loop: the connections of clients, the
-// connection pool to the engines, the watch of the discovery service and, where a fleet is set, the links to the other
-// front ends. It reads what is ready, feeds the parsers and the gateway, and writes what they return. The decisions are
-// the gateway's and the scheduler's.
+// Package server connects the front end to its sockets, all on one event loop: client connections, the connection pool
+// to the engines, the watch of the discovery service and, if a fleet is configured, the links to the other front ends.
+// It reads from the sockets that are ready, feeds the parsers and the gateway, and writes their output. All decisions
+// are made by packages gateway and scheduler.
 //
-// Everything in this package belongs to the goroutine that calls Server.Run. Other goroutines reach it only by
+// Everything in this package belongs to the goroutine that calls Server.Run. Other goroutines may only call
 // Server.Reload, Server.Drain and Server.PrintCounters.
 package server
 
@@ -35,22 +35,21 @@
 	listener      *clientListener
 	pool          *enginePool
 	discovery     *discoveryWatch
-	peering       *peering.Peering // nil where no fleet is set
+	peering       *peering.Peering // nil if no fleet is configured
 	waker         *waker
-	tasks         eventloop.Tasks // handed over by other goroutines
+	tasks         eventloop.Tasks // posted by other goroutines
 	nextTickAt    monotime.Micros
 	counterOutput io.Writer
 	tls           tlsState
 
-	installationPath   string // of the installation file, as it was at the start
+	installationPath   string // of the installation file, as configured at the start
 	reloadMutex        sync.Mutex
-	keyWatch           *keyfiles.Watch // of the files that identity and TLS are read from; nil where both are off
-	keyWatchGeneration int             // goes up by one with each key watch
+	keyWatch           *keyfiles.Watch // of the files for identity and TLS; nil if both are off
+	keyWatchGeneration int             // incremented for each new key watch
 }
 
-// New builds a front end by its configuration; it listens only once Run is called. Counters are printed to
-// counterOutput. An error says what of the configuration, the installation file or the files that they name can't be
-// used.
+// New builds a front end from its configuration. It does not listen before Run is called. Counters are printed to
+// counterOutput. It returns an error if the configuration, the installation file or a file that they name is invalid.
 func New(cfg *config.Config, counterOutput io.Writer) (*Server, error) {
 	loop, err := eventloop.NewLoop()
 	if err != nil {
@@ -84,7 +83,7 @@
 	return s, nil
 }
 
-// openCore builds the gateway's core over the engine pool.
+// openCore creates the gateway's core on top of the engine pool.
 func (s *Server) openCore() (err error) {
 	s.core, err = gateway.New(s.cfg.Settings, s.cfg.Seed, s.cfg.Limits(), s.pool, &s.host.Counters)
 	if err != nil {
@@ -93,7 +92,8 @@
 	return s.setStatementRules(s.cfg)
 }
 
-// setStatementRules has statements read by a configuration's rules. With an error the former rules stay.
+// setStatementRules applies a configuration's rules for reading statements. If it returns an error, the former rules
+// stay in force.
 func (s *Server) setStatementRules(cfg *config.Config) error {
 	if err := s.core.ConfigureStatements(cfg.Statements); err != nil {
 		return fmt.Errorf("installation: statement.%w", err)
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// openPeering builds the links to other front ends, where a fleet is set.
+// openPeering creates the links to other front ends, if a fleet is configured.
 func (s *Server) openPeering() (err error) {
 	if s.cfg.Peers == nil {
 		return nil
@@ -119,17 +119,17 @@
 	return err
 }
 
-// setBufferBudgets bounds the bytes that the connections of clients, and those to engines, may buffer.
+// setBufferBudgets limits the bytes buffered by all client connections, and by all engine connections.
 func (s *Server) setBufferBudgets() {
 	s.listener.bufferBudget.Max = s.cfg.BufferBytes()
 	s.pool.bufferBudget.Max = s.cfg.BufferBytes()
 }
 
-// isDraining says whether a graceful shutdown has begun.
+// isDraining reports whether a graceful shutdown has begun.
 func (s *Server) isDraining() bool { return s.lifecycle.Phase() >= gateway.Draining }
 
-// Run serves until a graceful shutdown is complete, and then prints the counters. An error says that a socket could
-// not be opened, or that the event loop failed. Run may be called once.
+// Run serves until a graceful shutdown is complete, and then prints the counters. It returns an error if a socket
+// cannot be opened or the event loop fails. Run may be called once.
 func (s *Server) Run() error {
 	if err := s.start(); err != nil {
 		return err
@@ -149,7 +149,7 @@
 	}
 }
 
-// start opens the sockets, from the cached endpoint list on.
+// start applies the cached endpoint list and opens the sockets.
 func (s *Server) start() error {
 	for _, event := range s.cfg.KnownEvents {
 		s.updateEndpoints(event)
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// advanceLifecycle goes on with a graceful shutdown, as far as its present phase is complete.
+// advanceLifecycle continues a graceful shutdown as far as its phases are complete.
 func (s *Server) advanceLifecycle() {
 	phase := s.lifecycle.Phase()
 	if phase == gateway.Answering {
@@ -181,13 +181,13 @@
 	}
 	slog.Info("phase", slog.String("phase", now.String()))
 	if phase < gateway.Closing && now >= gateway.Closing {
-		s.listener.Ready(0) // those that have connected by now are served
+		s.listener.Ready(0) // serves the connections that are still in the listen queue
 		s.listener.close()
 	}
 }
 
-// isQuiet says whether no request is in flight, no client is connected and the other front ends need nothing of this
-// one.
+// isQuiet reports whether no request is in flight, no client is connected and the other front ends need nothing more
+// from this one.
 func (s *Server) isQuiet(phase gateway.Phase) bool {
 	if !s.core.Idle() || len(s.listener.clients) > 0 {
 		return false
@@ -195,7 +195,7 @@
 	return s.peering == nil || phase == gateway.Answering && s.peering.Released()
 }
 
-// runTurn waits for events, handles all that are ready, and lets the core take one step.
+// runTurn waits for events, handles all that are ready and runs one step of the core.
 func (s *Server) runTurn() error {
 	s.awaitTurn()
 	ready, err := s.host.Loop.Wait(s.nextTurnAt() - s.host.Clock.Now())
@@ -218,16 +218,16 @@
 	return nil
 }
 
-// awaitTurn sleeps until the least interval between two turns is over.
+// awaitTurn sleeps until the minimum interval between two turns has passed.
 func (s *Server) awaitTurn() {
 	remaining := s.host.TurnTime + eventloop.MinTurnInterval - s.host.Clock.Now()
 	if remaining > 0 {
 		interval := unix.NsecToTimespec(remaining * nanosecondsPerMicro)
-		_ = unix.Nanosleep(&interval, nil) // a signal may cut it short, which does no harm
+		_ = unix.Nanosleep(&interval, nil) // a signal may shorten the sleep, which is harmless
 	}
 }
 
-// nextTurnAt returns when the next turn is due, whatever comes on the sockets.
+// nextTurnAt returns when the next turn is due even if no socket is ready.
 func (s *Server) nextTurnAt() monotime.Micros {
 	at := s.nextTickAt
 	if coreAt, ok := s.core.NextTimer(); ok {
@@ -239,7 +239,7 @@
 	return at
 }
 
-// tick handles all that time alone changes.
+// tick handles the timeouts of all components.
 func (s *Server) tick() {
 	s.pool.tick()
 	s.listener.tick()
@@ -253,7 +253,8 @@
 	}
 }
 
-// stepCore lets the core take one step, between what came from the other front ends and what goes to them.
+// stepCore runs one step of the core. Before it, pending actions from the fleet are carried out; after it, those that
+// the step caused.
 func (s *Server) stepCore() {
 	if s.peering != nil {
 		s.peering.CarryOut()
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -43,11 +43,11 @@
 	return peers
 }
 
-// Links to other front ends take descriptors that clients and engines would use otherwise, where front ends may attach.
-func TestPeerLinksReduceFreeDescriptors(t *testing.T) {
+// Links to other front ends reduce the descriptors that remain for clients and engines, if front ends may attach.
+func TestPeerLinksReduceAvailableDescriptors(t *testing.T) {
 	const sockets = 1000
 	s := &Server{cfg: &config.Config{Sockets: sockets}, pool: &enginePool{}, listener: &clientListener{}}
-	assert.Equal(t, sockets-reservedDescriptors, s.freeDescriptors())
+	assert.Equal(t, sockets-reservedDescriptors, s.availableDescriptors())
 	loop, err := eventloop.NewLoop()
 	require.NoError(t, err)
 	t.Cleanup(loop.Close)
@@ -62,5 +62,5 @@
 	require.NoError(t, err)
 	t.Cleanup(s.peering.Close)
 	assert.Equal(t, 2, s.peering.Descriptors(), "a link to each other control member")
-	assert.Equal(t, sockets-reservedDescriptors-2, s.freeDescriptors())
+	assert.Equal(t, sockets-reservedDescriptors-2, s.availableDescriptors())
 }
--- a/internal/server/tls.go
+++ b/internal/server/tls.go
@@ -15,27 +15,28 @@
 const (
 	receiveBufferSize       = 16 << 10 // bytes
 	expiryWarningInterval   = 3600 * monotime.Second
-	engineHandshakeRoutines = 1
+	engineHandshakeCPUShare = 1
 )
 
-// tlsState is the server's side of TLS, with clients and with engines: what new connections are made with, and which
-// handshakes may begin.
+// tlsState is the TLS state for connections from clients and to engines: the certificates for new connections, and the
+// limits and pools that their handshakes use.
 type tlsState struct {
-	material         *certs.Material // nil where TLS is off
+	material         *certs.Material // nil if TLS is off
 	files            *certs.Files
-	handshakes       *identity.HandshakeLimiter // of clients, those that may begin
+	handshakes       *identity.HandshakeLimiter // limits the handshakes with clients that compute at once
 	clientHandshakes *tlsio.Pool
-	engineHandshakes *tlsio.Pool     // of its own, since those of clients are not to hold it up
-	warnAhead        time.Duration   // of an expiry
-	nextWarningAt    monotime.Micros // for what expires soon
-	receiveBuffer    []byte          // for what comes of any connection
+	engineHandshakes *tlsio.Pool     // separate, so that handshakes with clients do not delay it
+	warnAhead        time.Duration   // of an expiry, to log a warning
+	nextWarningAt    monotime.Micros // when to check expiries again
+	receiveBuffer    []byte          // scratch buffer that all connections share
 }
 
-// prepareTLS reads the files of a configuration's TLS section. It returns them, to be watched, and a function that puts
-// the section into force for new connections. Once started is true, a changed file is read with all others, and later
-// is handed what puts them into force. With an error nothing changes.
-func (s *Server) prepareTLS(cfg *config.Config, later runOnLoop, started *bool) (files []*keyfiles.File, force func(),
-	err error) {
+// prepareTLS reads the files of a configuration's TLS section. It returns the files, to be watched, and a function that
+// applies the section to new connections. Before *started is true, the watched files are not read again. Afterwards a
+// change of one file reads them all, and the function postIfCurrent gets the task that applies them. If prepareTLS
+// returns an error, nothing has changed.
+func (s *Server) prepareTLS(cfg *config.Config, postIfCurrent runOnLoop, started *bool) (files []*keyfiles.File,
+	apply func(), err error) {
 	section := cfg.TLS()
 	if !section.Enabled && !section.Engines.Enabled {
 		return nil, func() { s.tls.material = nil }, nil
@@ -49,12 +50,12 @@
 		return nil, nil, err
 	}
 	load := func(string) error {
-		if !*started { // all were read together above
+		if !*started { // all files were read together above
 			return nil
 		}
 		changed, err := certs.Load(set)
 		if err == nil {
-			later(func() { s.setTLSMaterial(changed) })
+			postIfCurrent(func() { s.setTLSMaterial(changed) })
 		}
 		return err
 	}
@@ -68,7 +69,7 @@
 	}, nil
 }
 
-// openTLS makes what all handshakes share, unless it is there.
+// openTLS creates the state that all handshakes share, unless it exists.
 func (s *Server) openTLS(section *config.TLS) {
 	if s.tls.clientHandshakes != nil {
 		return
@@ -76,18 +77,18 @@
 	pending, share := section.HandshakeLimits()
 	s.tls.handshakes = identity.NewHandshakeLimiter(pending)
 	s.tls.clientHandshakes = tlsio.NewPool(share)
-	s.tls.engineHandshakes = tlsio.NewPool(engineHandshakeRoutines)
+	s.tls.engineHandshakes = tlsio.NewPool(engineHandshakeCPUShare)
 	s.tls.receiveBuffer = make([]byte, receiveBufferSize)
 }
 
-// setTLSMaterial puts what the files hold into force: new connections are made with its certificates, and what it lists
-// as revoked is so for all.
+// setTLSMaterial applies certificates and revocation lists. New connections use the certificates; revocations apply to
+// existing connections too.
 func (s *Server) setTLSMaterial(material *certs.Material) {
 	s.tls.material = material
 	s.tls.nextWarningAt = 0
 }
 
-// warnOfExpiry logs what will expire soon, once in an interval.
+// warnOfExpiry logs the files whose content expires soon, at most once per expiryWarningInterval.
 func (t *tlsState) warnOfExpiry(now monotime.Micros) {
 	if t.material == nil || now < t.nextWarningAt {
 		return
--- a/internal/server/waker.go
+++ b/internal/server/waker.go
@@ -7,24 +7,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Signals that wake the loop. The values of an eventfd add up until it is read, so each signal counts in bits of its
-// own.
+// Signals that wake the loop. Values written to an eventfd are added up until it is read, so each signal uses its own
+// range of bits.
 const (
 	signalPrint = 1
 	signalDrain = 1 << 40
 	signalTasks = 1 << 52
 )
 
-// eventfdSize is the size of an eventfd's value, in bytes.
+// eventfdSize is the size of an eventfd's value in bytes.
 const eventfdSize = 8
 
-// waker lets other goroutines wake the loop, by an eventfd.
+// waker lets other goroutines wake the loop through an eventfd.
 type waker struct {
 	server *Server
 	fd     int
 }
 
-// newWaker adds a waker to the server's loop.
+// newWaker registers a new waker with the server's loop.
 func newWaker(s *Server) (*waker, error) {
 	fd, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
@@ -36,11 +36,11 @@
 
 // send sends a signal. It may be called from any goroutine.
 func (w *waker) send(signal uint64) {
-	// It fails only where billions of signals are unread.
+	// The write fails only if the eventfd's value would overflow, which takes at least 4096 unread signals.
 	_, _ = unix.Write(w.fd, binary.NativeEndian.AppendUint64(nil, signal))
 }
 
-// Ready handles the signals that have come.
+// Ready handles the received signals.
 func (w *waker) Ready(uint32) {
 	var buffer [eventfdSize]byte
 	if n, err := unix.Read(w.fd, buffer[:]); n != eventfdSize || err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// post has the loop run a task. It may be called from any goroutine.
+// post runs a task on the event loop. It may be called from any goroutine.
 func (s *Server) post(task func()) {
 	s.tasks.Post(task)
 	s.waker.send(signalTasks)
