--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -6,12 +6,12 @@
 	"chutechute/internal/monotime"
 )
 
-// Clock gives Unix time in microseconds that never goes back: it advances with the machine's monotonic clock from the
-// system time at which it was created.
+// Clock returns Unix time in microseconds that never goes back: it starts at the system time of its creation and
+// advances with the machine's monotonic clock.
 type Clock struct{ start time.Time }
 
-// Now returns the present time in microseconds of Unix time.
+// Now returns the current Unix time in microseconds.
 func (c Clock) Now() monotime.Micros { return c.start.UnixMicro() + time.Since(c.start).Microseconds() }
 
-// NewClock returns a clock that starts at the present system time.
+// NewClock returns a clock that starts at the current system time.
 func NewClock() Clock { return Clock{time.Now()} }
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -10,13 +10,13 @@
 	"chutechute/internal/ring"
 )
 
-// byteCount counts what a stream reads and writes.
+// byteCount is a ByteCounter that adds up the bytes.
 type byteCount struct{ read, written int }
 
 func (c *byteCount) BytesRead(n int)    { c.read += n }
 func (c *byteCount) BytesWritten(n int) { c.written += n }
 
-// connectedStreams returns the two ends of one connection, both registered with one loop.
+// connectedStreams returns both ends of a connection, registered with the same loop.
 func connectedStreams(t *testing.T) (a, b *Stream) {
 	t.Helper()
 	loop, err := NewLoop()
@@ -35,7 +35,7 @@
 	return streams[0], streams[1]
 }
 
-// A stream with a counter has its bytes counted; a stream without one has not.
+// Bytes are counted only on a stream that has a counter.
 func TestStreamCountsBytesForItsCounterOnly(t *testing.T) {
 	a, b := connectedStreams(t)
 	counter := &byteCount{}
@@ -52,7 +52,7 @@
 	assert.Equal(t, byteCount{read: 5, written: 8}, *counter)
 }
 
-// After the peer has closed the connection Fill reports the end of the stream, and closing twice is harmless.
+// Fill reports the end of the stream after the peer has closed the connection. Closing a stream twice is harmless.
 func TestStreamEndsWhenPeerCloses(t *testing.T) {
 	a, b := connectedStreams(t)
 	assert.True(t, b.PeerIdle())
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,8 +1,8 @@
-// Package eventloop has a single-threaded event loop over epoll, and what is needed to run non-blocking connections on
-// it: sockets, buffered streams with optional TLS, a clock, and tasks that other goroutines hand to the loop. It knows
-// no protocol.
+// Package eventloop provides a single-threaded event loop over epoll, and what non-blocking connections on it need:
+// sockets, buffered streams with optional TLS, a clock, and a queue of tasks from other goroutines. It implements no
+// application protocol.
 //
-// All types but Tasks belong to the loop's goroutine.
+// All types except Tasks may be used by the loop's goroutine only.
 package eventloop
 
 import (
@@ -22,7 +22,7 @@
 	MinTurnInterval = 1 * monotime.Millisecond
 )
 
-// maxEventsPerTurn is the number of readiness events that one turn of a loop handles.
+// maxEventsPerTurn is the maximum number of readiness events that one turn of a loop handles.
 const maxEventsPerTurn = 256
 
 // Handler is notified when its registered descriptor is ready.
@@ -31,9 +31,8 @@
 	Ready(events uint32)
 }
 
-// Loop waits for readiness of registered descriptors and dispatches it to their handlers. A descriptor's number may be
-// reused within one batch of events, so each registration has a generation of its own, by which stale events are
-// recognized.
+// Loop waits until registered descriptors are ready and calls their handlers. A descriptor's number may be reused while
+// one batch of events is handled, so each registration has its own generation number, which identifies stale events.
 type Loop struct {
 	fd            int
 	registrations map[int32]registration
@@ -41,13 +40,13 @@
 	events        [maxEventsPerTurn]unix.EpollEvent
 }
 
-// registration is a registered descriptor's handler.
+// registration holds the handler of a registered descriptor.
 type registration struct {
 	generation int32
 	handler    Handler
 }
 
-// NewLoop returns a loop without registrations, or the error of creating its epoll instance.
+// NewLoop returns a loop without registrations, or an error if its epoll instance could not be created.
 func NewLoop() (*Loop, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -56,7 +55,7 @@
 	return &Loop{fd: fd, registrations: map[int32]registration{}}, nil
 }
 
-// Add registers a descriptor with its handler and its interest, a set of epoll events.
+// Add registers a descriptor with its handler and its interest, the set of epoll events to wait for.
 func (l *Loop) Add(fd int, interest uint32, handler Handler) error {
 	l.generation++
 	l.registrations[int32(fd)] = registration{l.generation, handler}
@@ -67,25 +66,27 @@
 // Modify changes the interest of a registered descriptor.
 func (l *Loop) Modify(fd int, interest uint32) {
 	event := &unix.EpollEvent{Events: interest, Fd: int32(fd), Pad: l.registrations[int32(fd)].generation}
-	// It fails only for a descriptor that is not registered, and every owner closes through CloseDescriptor.
+	// This fails only if the descriptor is not registered. Owners close their descriptors with CloseDescriptor, and do
+	// not modify them afterwards.
 	_ = unix.EpollCtl(l.fd, unix.EPOLL_CTL_MOD, fd, event)
 }
 
 // Detach removes a descriptor's registration without closing the descriptor; Add registers it again.
 func (l *Loop) Detach(fd int) {
 	delete(l.registrations, int32(fd))
-	// It fails only for a descriptor that is not registered.
+	// This fails only if the descriptor is not registered.
 	_ = unix.EpollCtl(l.fd, unix.EPOLL_CTL_DEL, fd, nil)
 }
 
-// CloseDescriptor closes a descriptor, which ends its registration too.
+// CloseDescriptor closes a descriptor, which also removes its registration.
 func (l *Loop) CloseDescriptor(fd int) {
 	delete(l.registrations, int32(fd))
 	unix.Close(fd)
 }
 
 // Wait waits until descriptors are ready, or for at most the timeout, and returns how many are ready. The timeout is
-// rounded up to whole milliseconds, so that the loop never spins. A signal ends the wait early, without an error.
+// rounded up to whole milliseconds, so that a timeout below one millisecond does not make the loop spin. A signal ends
+// the wait early, without an error.
 func (l *Loop) Wait(timeout monotime.Micros) (ready int, err error) {
 	timeoutMillis := int((max(0, timeout) + monotime.Millisecond - 1) / monotime.Millisecond)
 	ready, err = unix.EpollWait(l.fd, l.events[:], timeoutMillis)
@@ -98,8 +99,8 @@
 	return ready, nil
 }
 
-// Dispatch calls the handlers of the descriptors that the last Wait found ready. Events of registrations that a handler
-// has ended in the meantime are skipped.
+// Dispatch calls the handlers of the descriptors that the last Wait found ready. It skips events of registrations that
+// an earlier handler of the same batch has removed.
 func (l *Loop) Dispatch(ready int) {
 	for _, event := range l.events[:ready] {
 		if r, ok := l.registrations[event.Fd]; ok && r.generation == event.Pad {
--- a/internal/eventloop/sockets.go
+++ b/internal/eventloop/sockets.go
@@ -29,14 +29,15 @@
 	return fd, nil
 }
 
-// Dial starts a non-blocking connection to an IPv4 address and returns its descriptor. Once that is writable,
-// DialResult tells whether the connection was established. An error is returned also where it fails at once.
+// Dial starts a non-blocking connection to an IPv4 address and returns its descriptor. Once the descriptor is writable,
+// DialResult returns whether the connection was established. A connection that fails immediately is returned as an
+// error.
 func Dial(addr netip.AddrPort) (int, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return -1, err
 	}
-	// A failure is harmless: messages would only be slower.
+	// A failure is harmless: messages are only delayed.
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	if err := unix.Connect(fd, sockaddr(addr)); err != nil && err != unix.EINPROGRESS {
 		unix.Close(fd)
@@ -45,7 +46,7 @@
 	return fd, nil
 }
 
-// DialResult returns the error with which a started connection failed, or nil where it is established.
+// DialResult returns the error with which a connection started by Dial failed, or nil if it is established.
 func DialResult(fd int) error {
 	errno, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && errno != 0 {
--- a/internal/eventloop/stream.go
+++ b/internal/eventloop/stream.go
@@ -15,27 +15,27 @@
 	BytesWritten(n int)
 }
 
-// Stream is a non-blocking connection with one ring buffer for each direction, and optionally with TLS.
+// Stream is a non-blocking connection with a ring buffer for each direction, and optionally TLS.
 type Stream struct {
 	loop          *Loop
 	FD            int          // the socket's descriptor
-	In, Out       *ring.Buffer // bytes received and not yet consumed; bytes to be written to the socket
+	In, Out       *ring.Buffer // bytes received and not yet consumed; bytes to write to the socket
 	Interest      uint32       // epoll events that the descriptor is registered for
 	BaseInterest  uint32       // of these, the events that UpdateInterest never drops
 	Closed        bool
 	TLS           *tlsio.Conn // nil without TLS
-	Counter       ByteCounter // nil where the bytes are not counted
+	Counter       ByteCounter // nil if the bytes are not counted
 	HandshakeDone bool        // the TLS handshake is complete
 }
 
-// NewStream returns a stream over a connected or connecting descriptor, which its owner registers with the loop. The
-// buffers hold at most maxIn and maxOut bytes, and take their storage from the budget.
+// NewStream returns a stream over a connected or connecting descriptor. The caller registers the descriptor with the
+// loop. The buffers hold at most maxIn and maxOut bytes, and take their storage from the budget.
 func NewStream(loop *Loop, fd, maxIn, maxOut int, budget *ring.Budget) Stream {
 	return Stream{loop: loop, FD: fd, In: ring.New(maxIn, budget), Out: ring.New(maxOut, budget)}
 }
 
-// Fill reads from the socket into In, as far as that has space. It returns false at the end of the stream, after an
-// error and on a closed stream.
+// Fill reads from the socket into In until no more bytes are available or In is full. It returns false at the end of
+// the stream, after an error and on a closed stream.
 func (s *Stream) Fill() (more bool) {
 	for !s.Closed {
 		space := s.In.Space()
@@ -62,7 +62,7 @@
 	return false
 }
 
-// FreeBuffers releases the storage of buffers that are empty.
+// FreeBuffers releases the storage of empty buffers.
 func (s *Stream) FreeBuffers() {
 	if s.In.Len() == 0 {
 		s.In.Free()
@@ -79,8 +79,8 @@
 	return err == unix.EAGAIN
 }
 
-// Flush writes as much of Out as the socket accepts. The rest is due once the socket is writable again, for which
-// UpdateInterest registers. An error means that the connection is broken.
+// Flush writes as much of Out as the socket accepts. The caller writes the rest once the socket is writable again;
+// UpdateInterest registers for that. An error means that the connection is broken.
 func (s *Stream) Flush() error {
 	for s.Out.Len() > 0 {
 		n, err := unix.SendmsgN(s.FD, s.Out.Front(), nil, nil, unix.MSG_NOSIGNAL)
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// UpdateInterest registers for what the stream needs now: reading where wantRead is set, writing while Out is not
-// empty, and AlwaysInterest.
+// UpdateInterest registers the events that the stream needs now: reading if wantRead is set, writing if Out is not
+// empty, and always BaseInterest.
 func (s *Stream) UpdateInterest(wantRead bool) {
 	interest := s.BaseInterest
 	if wantRead {
@@ -117,7 +117,7 @@
 	}
 }
 
-// IsHangup reports whether readiness events say that the peer has closed the connection, or that it is broken.
+// IsHangup reports whether readiness events include one for a connection that the peer has closed or that is broken.
 func IsHangup(events uint32) bool { return events&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 }
 
 // Close closes the connection and releases its buffers. Closing a closed stream does nothing.
--- a/internal/eventloop/tasks.go
+++ b/internal/eventloop/tasks.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Tasks is a queue of functions that other goroutines hand to a loop, which runs them in its next turn. The zero value
-// is an empty queue.
+// Tasks is a queue of functions that other goroutines add and that the loop runs in its next turn. The zero value is an
+// empty queue.
 type Tasks struct {
 	mutex  sync.Mutex
 	queued []func()
@@ -16,7 +16,7 @@
 	t.mutex.Unlock()
 }
 
-// Run runs the queued tasks, in their order. Tasks that these add are left for the next Run.
+// Run runs the queued tasks in the order in which they were added. Tasks that these add wait for the next Run.
 func (t *Tasks) Run() {
 	t.mutex.Lock()
 	tasks := t.queued
--- a/internal/eventloop/tls.go
+++ b/internal/eventloop/tls.go
@@ -8,16 +8,16 @@
 	"chutechute/internal/tlsio"
 )
 
-// maxReadsPerTurn bounds the reads, each of the scratch buffer's size, that one stream makes in one turn, so that a
-// fast sender does not hold up the other connections.
+// maxReadsPerTurn limits how often one stream reads in one turn, each time at most the scratch buffer's size, so that a
+// fast sender does not delay the other connections.
 const maxReadsPerTurn = 16
 
-// errHandshakePending is returned by Seal before the TLS handshake is complete.
-var errHandshakePending = errors.New("eventloop: a message before the handshake's end")
+// errHandshakePending is returned by Encode before the TLS handshake is complete.
+var errHandshakePending = errors.New("eventloop: message sent before the TLS handshake is complete")
 
-// Receive reads TLS records from the socket, by way of the scratch buffer, and decrypts them into In. While the
-// handshake goes on it calls continueHandshake after each read. It returns false for more at the end of the stream and
-// after a read error, and an error where TLS fails.
+// Receive reads TLS records from the socket into the scratch buffer and decrypts them into In. Until the handshake is
+// complete it calls continueHandshake after each read. more is false at the end of the stream and after a read error.
+// The returned error is one of TLS.
 func (s *Stream) Receive(scratch []byte, continueHandshake func()) (more bool, err error) {
 	for reads := 0; reads < maxReadsPerTurn && !s.Closed; reads++ {
 		n, err := unix.Read(s.FD, scratch)
@@ -48,8 +48,8 @@
 	return true, nil
 }
 
-// Decrypt decrypts fed records into In, as far as that has space, and reports whether there were any bytes. What TLS
-// itself has to send in response, an alert or a key update, is added to Out.
+// Decrypt decrypts received records into In until In is full, and reports whether it added any bytes. An alert or a key
+// update that TLS sends in response is added to Out.
 func (s *Stream) Decrypt() (decrypted bool, err error) {
 	if !s.HandshakeDone || s.Closed {
 		return false, nil
@@ -77,8 +77,8 @@
 	}
 }
 
-// Encode returns a message in the form in which it goes over the connection: encrypted where the stream has TLS. It
-// returns an error before the TLS handshake is complete.
+// Encode returns a message as it is sent over the connection: encrypted if the stream has TLS. It returns an error
+// before the TLS handshake is complete.
 func (s *Stream) Encode(message []byte) ([]byte, error) {
 	if s.TLS == nil {
 		return message, nil
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,40 +1,40 @@
-// Package ring has the byte buffer that stands between a socket and a parser.
+// Package ring provides the byte buffer between a socket and a parser.
 package ring
 
 import "errors"
 
-// ErrFull says that a buffer would pass its bound, or all buffers of its budget theirs.
+// ErrFull is returned by a write that would exceed the limit of the buffer or of its budget.
 var ErrFull = errors.New("ring: buffer is full")
 
 const (
-	first  = 2 << 10 // bytes of a buffer's first storage
-	keepTo = 4 << 10 // larger storage is let go once it is empty
+	initialSize = 2 << 10 // bytes of storage that a buffer allocates first
+	maxIdleSize = 4 << 10 // bytes; larger storage is released once the buffer is empty
 )
 
-// Budget bounds the storage of many buffers together.
+// Budget limits the total storage of all buffers that share it.
 type Budget struct {
 	Max  int // bytes
-	used int
+	used int // bytes allocated by the buffers
 }
 
-// Buffer is a ring of bytes that grows up to a bound and holds no storage until it is used.
+// Buffer is a ring buffer of bytes that grows up to a limit. It allocates no storage until it is used.
 type Buffer struct {
 	buf     []byte
-	head, n int
-	max     int
+	head, n int // index of the first buffered byte; number of buffered bytes
+	max     int // limit of n
 	budget  *Budget
 }
 
-// New returns an empty buffer that holds at most max bytes and draws its storage on a budget.
+// New returns an empty buffer that holds at most max bytes and takes its storage from a budget.
 func New(max int, budget *Budget) *Buffer { return &Buffer{max: max, budget: budget} }
 
-// Len is how many bytes the buffer holds.
+// Len returns the number of buffered bytes.
 func (b *Buffer) Len() int { return b.n }
 
-// Cap is how much storage the buffer has.
+// Cap returns the number of bytes of allocated storage.
 func (b *Buffer) Cap() int { return len(b.buf) }
 
-// Write appends all of p or, where it would pass a bound, nothing.
+// Write appends all of p, or nothing and returns ErrFull if that would exceed a limit.
 func (b *Buffer) Write(p []byte) (int, error) {
 	if b.n+len(p) > b.max || !b.grow(b.n+len(p)) {
 		return 0, ErrFull
@@ -46,8 +46,8 @@
 	return len(p), nil
 }
 
-// Space is a free run of storage to read into, empty where the buffer or the budget is full; Commit takes up
-// what was read.
+// Space returns contiguous free storage to read into. It is empty if the buffer or its budget is full. Commit then adds
+// the bytes that were read to the buffer.
 func (b *Buffer) Space() []byte {
 	if b.n == len(b.buf) && (b.n >= b.max || !b.grow(b.n+1)) {
 		return nil
@@ -59,23 +59,24 @@
 	return b.buf[tail:]
 }
 
-// Commit counts n bytes of the last Space as held.
+// Commit adds the first n bytes of the last Space to the buffered bytes.
 func (b *Buffer) Commit(n int) { b.n += n }
 
-// Front is the first run of held bytes, for a write.
+// Front returns the buffered bytes up to the point where they wrap around. They are the next ones to be written out.
 func (b *Buffer) Front() []byte {
 	return b.buf[b.head:min(b.head+b.n, len(b.buf))]
 }
 
-// Bytes is all that is held, in one run; it is valid until the next call.
+// Bytes returns all buffered bytes as one slice, which is valid until the next call of a method. If the bytes wrap
+// around, they are copied to new storage first.
 func (b *Buffer) Bytes() []byte {
 	if b.head+b.n > len(b.buf) {
-		b.move(len(b.buf))
+		b.reallocate(len(b.buf))
 	}
 	return b.buf[b.head : b.head+b.n]
 }
 
-// Discard drops the first n bytes.
+// Discard removes the first n bytes.
 func (b *Buffer) Discard(n int) {
 	b.n -= n
 	b.head += n
@@ -84,35 +85,36 @@
 	}
 	if b.n == 0 {
 		b.head = 0
-		if len(b.buf) > keepTo {
+		if len(b.buf) > maxIdleSize {
 			b.Free()
 		}
 	}
 }
 
-// Free lets go of what is held and of the storage.
+// Free discards the buffered bytes and releases the storage.
 func (b *Buffer) Free() {
 	b.budget.used -= len(b.buf)
 	b.buf, b.head, b.n = nil, 0, 0
 }
 
+// tail returns the index after the last buffered byte.
 func (b *Buffer) tail() int { return (b.head + b.n) % max(1, len(b.buf)) }
 
-// grow makes room for size bytes, within the bounds.
+// grow makes the storage at least size bytes large. It returns false if the budget does not allow that.
 func (b *Buffer) grow(size int) bool {
 	if size <= len(b.buf) {
 		return true
 	}
-	size = min(b.max, max(size, 2*len(b.buf), first))
+	size = min(b.max, max(size, 2*len(b.buf), initialSize))
 	if b.budget.used+size-len(b.buf) > b.budget.Max {
 		return false
 	}
-	b.move(size)
+	b.reallocate(size)
 	return true
 }
 
-// move puts what is held at the start of new storage.
-func (b *Buffer) move(size int) {
+// reallocate copies the buffered bytes to the start of new storage.
+func (b *Buffer) reallocate(size int) {
 	buf := make([]byte, size)
 	k := copy(buf, b.Front())
 	copy(buf[k:b.n], b.buf)
