--- a/internal/tlsio/conn.go
+++ b/internal/tlsio/conn.go
@@ -1,9 +1,10 @@
-// Package tlsio is TLS, of either side, as a machine that is fed bytes and knows no socket, round crypto/tls.
+// Package tlsio wraps crypto/tls for clients and servers without sockets: the caller passes in the bytes received from
+// the peer and takes out those to send.
 //
-// crypto/tls can't stop half way through a handshake, so each handshake runs on a goroutine of its own, which waits for
-// bytes in memory; how many there are and how much of the core they take is bounded by a Pool. Once it is over no goroutine is
-// left: records are read and written in the caller's turn, since crypto/tls takes up again after a read that finds
-// nothing, if the error says that it is temporary.
+// crypto/tls can't suspend a handshake, so each handshake runs on its own goroutine, which blocks until the caller has
+// passed in more bytes. A Pool limits how much of a processor core all handshakes together take. The goroutine ends
+// with the handshake. After it the caller's goroutine reads and writes records without blocking: a read that finds no
+// input returns a net.Error whose Temporary method returns true, and crypto/tls can read again after such an error.
 package tlsio
 
 import (
@@ -18,73 +19,76 @@
 
 // Errors of Conn.
 var (
-	// ErrAgain says that there is no more until more is fed.
-	ErrAgain net.Error = again{}
-	// ErrEnd says that the peer will say nothing more.
+	// ErrAgain is returned by Read if it needs more bytes from Feed.
+	ErrAgain net.Error = noInputError{}
+	// ErrEnd is returned by Read after the peer has closed its side.
 	ErrEnd = io.EOF
-	// ErrPlain says that what has come is no TLS.
-	ErrPlain = errors.New("tlsio: not a handshake")
-	// ErrFlood says that more was fed than a handshake can be.
-	ErrFlood = errors.New("tlsio: too much for a handshake")
+	// ErrNotTLS is returned if the client's first byte does not start a TLS handshake record.
+	ErrNotTLS = errors.New("tlsio: first record is not a TLS handshake")
+	// ErrHandshakeTooLarge is returned by Feed if the peer sends more than maxHandshakeInput during the handshake.
+	ErrHandshakeTooLarge = errors.New("tlsio: too many bytes during the TLS handshake")
 )
 
-type again struct{}
+// noInputError is the type of ErrAgain.
+type noInputError struct{}
 
-func (again) Error() string   { return "tlsio: nothing there yet" }
-func (again) Timeout() bool   { return true }
-func (again) Temporary() bool { return true }
+func (noInputError) Error() string   { return "tlsio: no input available yet" }
+func (noInputError) Timeout() bool   { return true }
+func (noInputError) Temporary() bool { return true }
 
 const (
-	mostHello = 16 << 10 // bytes fed and not yet taken during a handshake: chains of certificates are the longest
-	shakeMost = 5 * time.Second
+	// maxHandshakeInput is the maximum number of bytes received and not yet read during a handshake. Certificate chains
+	// are its longest messages.
+	maxHandshakeInput = 16 << 10
+	handshakeTimeout  = 5 * time.Second
 )
 
-// Conn is one connection. Its methods are for one goroutine; they never block.
+// Conn is one TLS connection. Its methods may be called by one goroutine only, and never block.
 type Conn struct {
-	pipe pipe
-	tls  *tls.Conn
-	done bool // the handshake is over, as the owner knows
+	pipe          pipe
+	tls           *tls.Conn
+	handshakeDone bool // set by Finish
 }
 
-// Server is the server's side of a connection whose handshake has not begun; Pool.Start begins it.
+// Server returns the server side of a connection. Pool.Start starts its handshake.
 func Server(config *tls.Config) *Conn { return newConn(tls.Server, config) }
 
-// Client is the client's side of one.
+// Client returns the client side of a connection. Pool.Start starts its handshake.
 func Client(config *tls.Config) *Conn { return newConn(tls.Client, config) }
 
-func newConn(side func(net.Conn, *tls.Config) *tls.Conn, config *tls.Config) *Conn {
+func newConn(newSide func(net.Conn, *tls.Config) *tls.Conn, config *tls.Config) *Conn {
 	c := &Conn{}
-	c.pipe.more.L = &c.pipe.mu
-	c.tls = side(&c.pipe, config)
+	c.pipe.changed.L = &c.pipe.mu
+	c.tls = newSide(&c.pipe, config)
 	return c
 }
 
-// Feed takes what has come from the peer.
+// Feed adds bytes received from the peer. It returns ErrHandshakeTooLarge if they are too many for a handshake.
 func (c *Conn) Feed(b []byte) error {
 	c.pipe.mu.Lock()
 	defer c.pipe.mu.Unlock()
-	if !c.done && len(c.pipe.in)+len(b) > mostHello {
-		return ErrFlood
+	if !c.handshakeDone && len(c.pipe.in)+len(b) > maxHandshakeInput {
+		return ErrHandshakeTooLarge
 	}
 	c.pipe.in = append(c.pipe.in, b...)
-	c.pipe.more.Signal()
+	c.pipe.changed.Signal()
 	return nil
 }
 
-// Hello says whether a client's first message has come whole, so that its handshake can begin. What begins otherwise than a
-// handshake is ErrPlain.
-func (c *Conn) Hello() (whole bool, err error) {
-	const head, handshakeRecord = 5, 22 // RFC 8446, section 5.1
+// Hello reports whether the client's first record is complete, so that the handshake can start. It returns ErrNotTLS if
+// the input does not start with a handshake record.
+func (c *Conn) Hello() (complete bool, err error) {
+	const headerLength, handshakeRecord = 5, 22 // RFC 8446, section 5.1
 	c.pipe.mu.Lock()
 	defer c.pipe.mu.Unlock()
 	in := c.pipe.in
 	if len(in) > 0 && in[0] != handshakeRecord {
-		return false, ErrPlain
+		return false, ErrNotTLS
 	}
-	return len(in) >= head && len(in) >= head+int(in[3])<<8+int(in[4]), nil
+	return len(in) >= headerLength && len(in) >= headerLength+int(in[3])<<8+int(in[4]), nil
 }
 
-// Output is what is to go to the peer; it is the caller's from then on.
+// Output removes and returns the bytes to send to the peer. The caller owns the returned slice.
 func (c *Conn) Output() []byte {
 	c.pipe.mu.Lock()
 	defer c.pipe.mu.Unlock()
@@ -93,46 +97,46 @@
 	return out
 }
 
-// Read reads what the peer has said, once the handshake is over. ErrAgain says that there is no more for now, io.EOF that
-// there never will be.
+// Read reads decrypted bytes from the peer. It may be called once the handshake is complete. It returns ErrAgain if no
+// more bytes are available yet, and io.EOF if the peer has closed its side.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.tls.Read(b)
 	c.pipe.mu.Lock()
-	if len(c.pipe.in) == 0 && cap(c.pipe.in) > keep {
+	if len(c.pipe.in) == 0 && cap(c.pipe.in) > maxIdleInput {
 		c.pipe.in = nil
 	}
 	c.pipe.mu.Unlock()
 	return n, err
 }
 
-// keep is how much storage for input is kept while there is none.
-const keep = 1 << 10
+// maxIdleInput is the number of bytes of storage that an empty input buffer keeps at most.
+const maxIdleInput = 1 << 10
 
-// Write says something to the peer; Output has it then.
+// Write encrypts bytes for the peer and adds them to Output.
 func (c *Conn) Write(b []byte) error {
 	_, err := c.tls.Write(b)
 	return err
 }
 
-// State is what the handshake has agreed on.
+// State returns what was negotiated in the handshake.
 func (c *Conn) State() tls.ConnectionState { return c.tls.ConnectionState() }
 
-// Close ends a handshake that still runs.
+// Close aborts a handshake that is still running.
 func (c *Conn) Close() {
 	c.pipe.mu.Lock()
 	defer c.pipe.mu.Unlock()
 	c.pipe.closed = true
-	c.pipe.more.Broadcast()
+	c.pipe.changed.Broadcast()
 }
 
-// pipe is the memory between crypto/tls and the owner, as a net.Conn. Reads block while the handshake runs.
+// pipe is the in-memory net.Conn that connects crypto/tls with the caller. Its reads block during the handshake.
 type pipe struct {
-	mu      sync.Mutex
-	more    sync.Cond
-	in, out []byte
-	closed  bool
-	gate    *gate  // set while the handshake runs
-	tell    func() // that there is output, before the handshake waits for more
+	mu       sync.Mutex
+	changed  sync.Cond // bytes were added to in, or closed was set
+	in, out  []byte
+	closed   bool
+	throttle *throttle // set while the handshake runs
+	notify   func()    // called if there is output, before the handshake waits for input
 }
 
 func (p *pipe) Read(b []byte) (int, error) {
@@ -142,22 +146,22 @@
 		switch {
 		case p.closed:
 			return 0, io.EOF
-		case p.gate == nil:
+		case p.throttle == nil:
 			return 0, ErrAgain
 		}
-		g, tell := p.gate, p.tell
-		wrote := len(p.out) > 0
+		t, notify := p.throttle, p.notify
+		hasOutput := len(p.out) > 0
 		p.mu.Unlock()
-		if wrote {
-			tell()
+		if hasOutput {
+			notify()
 		}
-		g.leave() // others' handshakes go on while this one waits
+		t.release() // lets other handshakes run while this one waits
 		p.mu.Lock()
 		for len(p.in) == 0 && !p.closed {
-			p.more.Wait()
+			p.changed.Wait()
 		}
 		p.mu.Unlock()
-		g.enter()
+		t.acquire()
 		p.mu.Lock()
 	}
 	n := copy(b, p.in)
@@ -179,17 +183,17 @@
 func (p *pipe) SetReadDeadline(time.Time) error  { return nil }
 func (p *pipe) SetWriteDeadline(time.Time) error { return nil }
 
-// shake runs the handshake.
-func (c *Conn) shake(g *gate) error {
-	ctx, cancel := context.WithTimeout(context.Background(), shakeMost)
+// runHandshake runs the handshake and blocks until it is complete, has failed or has timed out.
+func (c *Conn) runHandshake(t *throttle) error {
+	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
-	stop := context.AfterFunc(ctx, c.Close) // the pipe knows no deadlines
+	stop := context.AfterFunc(ctx, c.Close) // the pipe ignores deadlines
 	defer stop()
-	g.enter()
+	t.acquire()
 	err := c.tls.HandshakeContext(ctx)
-	g.leave()
+	t.release()
 	c.pipe.mu.Lock()
-	c.pipe.gate = nil
+	c.pipe.throttle = nil
 	c.pipe.mu.Unlock()
 	return err
 }
--- a/internal/tlsio/conn_test.go
+++ b/internal/tlsio/conn_test.go
@@ -15,20 +15,21 @@
 	"chutechute/internal/tlsio"
 )
 
-type ended struct{ err error }
+type handshakeResult struct{ err error }
 
-// shake carries bytes between a connection and a peer, as the loop does, until the handshake is over.
-func shake(t *testing.T, pool *tlsio.Pool, c *tlsio.Conn, peer net.Conn) error {
-	over := make(chan ended, 1)
-	told := make(chan bool, 64)
+// runHandshake passes bytes between a connection and its peer, as the event loop does, until the handshake has ended.
+// It returns the handshake's error.
+func runHandshake(t *testing.T, pool *tlsio.Pool, c *tlsio.Conn, peer net.Conn) error {
+	results := make(chan handshakeResult, 1)
+	notifications := make(chan bool, 64)
 	pool.Start(c, func(done bool, err error) {
-		told <- true
+		notifications <- true
 		if done {
-			over <- ended{err}
+			results <- handshakeResult{err}
 		}
 	})
 	go func() {
-		b := make([]byte, 700) // in pieces, as they come
+		b := make([]byte, 700) // so small that long handshake messages arrive in pieces
 		for {
 			n, err := peer.Read(b)
 			if c.Feed(b[:n]) != nil || err != nil {
@@ -38,23 +39,24 @@
 	}()
 	for {
 		select {
-		case <-told:
+		case <-notifications:
 			if out := c.Output(); len(out) > 0 {
 				_, _ = peer.Write(out)
 			}
-		case e := <-over:
+		case result := <-results:
 			if out := c.Output(); len(out) > 0 {
 				_, _ = peer.Write(out)
 			}
 			c.Finish()
-			return e.err
+			return result.err
 		case <-time.After(20 * time.Second):
-			t.Fatal("no end")
+			t.Fatal("the handshake did not end")
 		}
 	}
 }
 
-func pair(t *testing.T) (server *tls.Config, client *tls.Config) {
+// testConfigs returns the configurations of a server and of a client that trusts the server's certificate.
+func testConfigs(t *testing.T) (server *tls.Config, client *tls.Config) {
 	ca, err := certs.NewCA("test", time.Hour)
 	require.NoError(t, err)
 	leaf, err := ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, For: time.Hour})
@@ -63,9 +65,10 @@
 		&tls.Config{RootCAs: ca.Pool(), ServerName: "front", ClientSessionCache: tls.NewLRUClientSessionCache(4)}
 }
 
-// A handshake and what follows, over bytes that come in pieces; reads that find nothing take up again; a session resumes.
+// A handshake and the messages after it succeed although bytes arrive in pieces and reads find no input for a time. The
+// second connection resumes the session of the first.
 func TestConn(t *testing.T) {
-	server, client := pair(t)
+	server, client := testConfigs(t)
 	pool := tlsio.NewPool(1)
 	for round := range 2 {
 		near, far := net.Pipe()
@@ -80,20 +83,20 @@
 			finished <- err
 		}()
 		c := tlsio.Server(server)
-		require.NoError(t, shake(t, pool, c, near))
+		require.NoError(t, runHandshake(t, pool, c, near))
 		assert.Equal(t, round == 1, c.State().DidResume)
-		var said []byte
+		var received []byte
 		b := make([]byte, 3)
-		for len(said) < 5 {
+		for len(received) < 5 {
 			n, err := c.Read(b)
-			said = append(said, b[:n]...)
+			received = append(received, b[:n]...)
 			if errors.Is(err, tlsio.ErrAgain) {
 				time.Sleep(time.Millisecond)
 				continue
 			}
 			require.NoError(t, err)
 		}
-		assert.Equal(t, "hello", string(said))
+		assert.Equal(t, "hello", string(received))
 		require.NoError(t, c.Write([]byte("world")))
 		_, err := near.Write(c.Output())
 		require.NoError(t, err)
@@ -103,24 +106,25 @@
 	}
 }
 
-// What is no handshake ends it, with an alert for the peer; so does too much, and so does a close.
+// A handshake fails if the input is not TLS, without any output to the peer, and if the connection is closed because
+// Feed has rejected too much input.
 func TestBadHandshakes(t *testing.T) {
-	server, _ := pair(t)
+	server, _ := testConfigs(t)
 	pool := tlsio.NewPool(0.5)
-	run := func(use func(c *tlsio.Conn)) ([]byte, error) {
+	run := func(feed func(c *tlsio.Conn)) ([]byte, error) {
 		c := tlsio.Server(server)
-		over := make(chan error, 1)
+		results := make(chan error, 1)
 		pool.Start(c, func(done bool, err error) {
 			if done {
-				over <- err
+				results <- err
 			}
 		})
-		use(c)
+		feed(c)
 		select {
-		case err := <-over:
+		case err := <-results:
 			return c.Output(), err
 		case <-time.After(20 * time.Second):
-			t.Fatal("no end")
+			t.Fatal("the handshake did not end")
 			return nil, nil
 		}
 	}
@@ -129,13 +133,13 @@
 	assert.Empty(t, out, "plain text is not answered in TLS")
 	_, err = run(func(c *tlsio.Conn) {
 		assert.NoError(t, c.Feed([]byte{22, 3, 1}))
-		assert.ErrorIs(t, c.Feed(make([]byte, 65<<10)), tlsio.ErrFlood)
+		assert.ErrorIs(t, c.Feed(make([]byte, 65<<10)), tlsio.ErrHandshakeTooLarge)
 		c.Close()
 	})
 	assert.Error(t, err)
 }
 
-// BenchmarkHandshake is both sides of a handshake and one word each way, the client's by crypto/tls alone.
+// BenchmarkHandshake measures a handshake of crypto/tls alone, client and server, and a byte sent by the server.
 func BenchmarkHandshake(b *testing.B) {
 	ca, err := certs.NewCA("test", time.Hour)
 	require.NoError(b, err)
--- a/internal/tlsio/pool.go
+++ b/internal/tlsio/pool.go
@@ -5,47 +5,53 @@
 	"time"
 )
 
-// Pool runs handshakes: one at a time computes, and with pauses, so that all together take no more than their share of the
-// core. It starts what it is told to; how many may be on their way is identity.HandshakeLimiter' to decide.
-type Pool struct{ gate gate }
-
-// NewPool is a pool whose handshakes take at most a share of the core, above 0 and 1 at most.
-func NewPool(share float64) *Pool { return &Pool{gate{share: share}} }
-
-// Start begins a connection's handshake. After each step, and at the end, tell is called on another goroutine: there may be
-// output, and done says whether the handshake is over, and how.
-func (p *Pool) Start(c *Conn, tell func(done bool, err error)) {
+// Pool runs handshakes. Only one computes at a time, and with pauses in between, so that all together take at most a
+// given share of a processor core. The pool does not limit the number of pending handshakes: identity.HandshakeLimiter
+// does.
+type Pool struct{ throttle throttle }
+
+// NewPool returns a pool whose handshakes take at most a share of a core. The share is above 0 and at most 1.
+func NewPool(share float64) *Pool { return &Pool{throttle{share: share}} }
+
+// Start starts a connection's handshake. It calls notify on another goroutine whenever the handshake has output and
+// waits for input, and once more, with done set, after the handshake has succeeded or failed with err. Each time there
+// may be output to send.
+func (p *Pool) Start(c *Conn, notify func(done bool, err error)) {
 	c.pipe.mu.Lock()
-	c.pipe.gate, c.pipe.tell = &p.gate, func() { tell(false, nil) }
+	c.pipe.throttle, c.pipe.notify = &p.throttle, func() { notify(false, nil) }
 	c.pipe.mu.Unlock()
 	go func() {
-		err := c.shake(&p.gate)
-		tell(true, err)
+		err := c.runHandshake(&p.throttle)
+		notify(true, err)
 	}()
 }
 
-// Finish says that the owner has heard of the handshake's end.
-func (c *Conn) Finish() { c.done = true }
+// Finish marks the handshake as complete, which ends the limit on the input. The owner calls it after notify was called
+// with done set.
+func (c *Conn) Finish() { c.handshakeDone = true }
 
-// gate lets one handshake compute at a time. Who leaves it rests first for as long as the share asks.
-type gate struct {
-	mu    sync.Mutex
-	share float64
-	since time.Time
+// throttle lets one handshake compute at a time, and pauses after each so that they take at most the share of a core.
+type throttle struct {
+	mu         sync.Mutex
+	share      float64
+	acquiredAt time.Time
 }
 
-// longestRest bounds a pause, since a step that was held up by something else is no work.
-const longestRest = 20 * time.Millisecond
+// maxPause limits the pause after each computation. The pause follows from the elapsed time, which is more than the
+// processor time if something else delayed the computation.
+const maxPause = 20 * time.Millisecond
 
-func (g *gate) enter() {
-	g.mu.Lock()
-	g.since = time.Now()
+// acquire waits until no other handshake computes.
+func (t *throttle) acquire() {
+	t.mu.Lock()
+	t.acquiredAt = time.Now()
 }
 
-func (g *gate) leave() {
-	spent := time.Since(g.since)
-	if rest := time.Duration(float64(spent) * (1/g.share - 1)); rest > 0 {
-		time.Sleep(min(rest, longestRest))
+// release pauses as the share requires, and then lets the next handshake compute.
+func (t *throttle) release() {
+	elapsed := time.Since(t.acquiredAt)
+	if pause := time.Duration(float64(elapsed) * (1/t.share - 1)); pause > 0 {
+		time.Sleep(min(pause, maxPause))
 	}
-	g.mu.Unlock()
+	t.mu.Unlock()
 }
