--- a/internal/keyfiles/files.go
+++ b/internal/keyfiles/files.go
@@ -1,6 +1,6 @@
-// Package keyfiles reads and writes the files that identity is fed from: key sets and lists of what is revoked. It sees
-// to it that no half of a file is ever in force, that private keys stay private, and that two who rotate at once don't
-// lose a key. It decides nothing.
+// Package keyfiles reads and writes the files that package identity uses: key sets and revocation lists. It makes sure
+// that no incompletely written file is loaded, that private keys are readable by their owner only, and that concurrent
+// rotations don't lose a key. It authenticates and authorizes nothing itself.
 package keyfiles
 
 import (
@@ -17,12 +17,12 @@
 	"chutechute/identity/token"
 )
 
-// mostRevoked bounds a list of what is revoked, in bytes.
-const mostRevoked = 4 << 20
+// maxRevocationBytes is the maximum size of a revocation list.
+const maxRevocationBytes = 4 << 20
 
-// Read reads a regular file of at most so many bytes. What is anything else, or longer, is an error.
-func Read(path string, most int) ([]byte, error) {
-	f, err := os.OpenFile(path, os.O_RDONLY|unix.O_NONBLOCK, 0) // a pipe must not hold the reader up
+// Read reads a regular file of at most maxBytes bytes. It returns an error if the file is of another type or larger.
+func Read(path string, maxBytes int) ([]byte, error) {
+	f, err := os.OpenFile(path, os.O_RDONLY|unix.O_NONBLOCK, 0) // without it, opening a named pipe would block
 	if err != nil {
 		return nil, err
 	}
@@ -34,17 +34,17 @@
 	if !info.Mode().IsRegular() {
 		return nil, fmt.Errorf("%s: not a regular file", path)
 	}
-	text, err := io.ReadAll(io.LimitReader(f, int64(most)+1))
+	text, err := io.ReadAll(io.LimitReader(f, int64(maxBytes)+1))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if len(text) > most {
-		return nil, fmt.Errorf("%s: longer than %d bytes", path, most)
+	if len(text) > maxBytes {
+		return nil, fmt.Errorf("%s: longer than %d bytes", path, maxBytes)
 	}
 	return text, nil
 }
 
-// Keys reads a set of public keys.
+// Keys reads a file with a set of public keys.
 func Keys(path string) ([]identity.Key, error) {
 	text, err := Read(path, token.MaxSetBytes)
 	if err != nil {
@@ -57,10 +57,10 @@
 	return keys, nil
 }
 
-// Revoked reads what is revoked: {"issuer": {"jti": [...], "sub": [...]}}.
+// Revoked reads a list of revoked token IDs and subjects: {"issuer": {"jti": [...], "sub": [...]}}.
 func Revoked(path string) (identity.Revocations, error) {
 	out := identity.Revocations{IDs: map[string]bool{}, Subjects: map[string]bool{}}
-	text, err := Read(path, mostRevoked)
+	text, err := Read(path, maxRevocationBytes)
 	if err != nil {
 		return out, err
 	}
@@ -82,7 +82,8 @@
 	return out, nil
 }
 
-// ReadPrivate reads a set of private keys, which nobody else may be able to read. One that does not exist is empty.
+// ReadPrivate reads a file with a set of private keys. It returns an error if others than the owner have access to the
+// file, and an empty set if the file does not exist.
 func ReadPrivate(path string) (*token.KeySet, error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -92,7 +93,7 @@
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%s: others may read it (mode %04o): it has to be 0600", path, info.Mode().Perm())
+		return nil, fmt.Errorf("%s: others may read it (mode %04o): the mode must be 0600", path, info.Mode().Perm())
 	}
 	text, err := Read(path, token.MaxSetBytes)
 	if err != nil {
@@ -106,14 +107,15 @@
 	return set, nil
 }
 
-// Write puts a file in the place of another at once: beside it, synced, and renamed; the folder is synced too.
+// Write replaces a file atomically: it writes and syncs a temporary file in the same folder, renames it to the path,
+// and syncs the folder.
 func Write(path string, text []byte, mode os.FileMode) error {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, "."+filepath.Base(path)+".*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name()) // it fails once the file is renamed
+	defer os.Remove(f.Name()) // fails if the file has been renamed, which is ignored
 	_, err = f.Write(text)
 	if err == nil {
 		err = f.Chmod(mode)
@@ -135,14 +137,15 @@
 	return d.Sync()
 }
 
-// Change changes a set of private keys, and writes its public half beside it, while nobody else can. The public half comes
-// first: a key that signs before anybody knows it would have its tokens refused.
+// Change changes a file with a set of private keys and writes the file with their public keys, under a lock against
+// concurrent changes. It writes the public keys first: tokens signed with a key that is not yet published would be
+// rejected.
 func Change(private, public string, change func(*token.KeySet) error) error {
 	lock, err := os.OpenFile(private+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	defer lock.Close() // which lets go of the lock
+	defer lock.Close() // releases the lock
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX); err != nil {
 		return fmt.Errorf("%s: lock: %w", private, err)
 	}
@@ -153,17 +156,17 @@
 	if err := change(set); err != nil {
 		return err
 	}
-	half, err := set.Marshal(false)
+	publicText, err := set.Marshal(false)
 	if err != nil {
 		return err
 	}
-	whole, err := set.Marshal(true)
+	privateText, err := set.Marshal(true)
 	if err != nil {
 		return err
 	}
-	defer clear(whole)
-	if err := Write(public, half, 0o644); err != nil {
+	defer clear(privateText)
+	if err := Write(public, publicText, 0o644); err != nil {
 		return err
 	}
-	return Write(private, whole, 0o600)
+	return Write(private, privateText, 0o600)
 }
--- a/internal/keyfiles/files_test.go
+++ b/internal/keyfiles/files_test.go
@@ -16,23 +16,23 @@
 	"chutechute/internal/keyfiles"
 )
 
-// add adds a key to a set.
-func add(t *testing.T, private, public, id string) {
+// addKey adds a key to a key set.
+func addKey(t *testing.T, private, public, id string) {
 	k, err := token.Generate(id, "EdDSA")
 	require.NoError(t, err)
 	require.NoError(t, keyfiles.Change(private, public, func(s *token.KeySet) error { return s.Add(k, 0) }))
 }
 
-// Many who add keys at once lose none, and whoever reads meanwhile never sees half a file.
-func TestChangesTakeTurns(t *testing.T) {
+// Concurrent changes of a key set lose no key, and a concurrent reader never reads an incompletely written file.
+func TestConcurrentChangesLoseNoKey(t *testing.T) {
 	dir := t.TempDir()
 	private, public := filepath.Join(dir, "p.jwks"), filepath.Join(dir, "k.jwks")
-	add(t, private, public, "first")
+	addKey(t, private, public, "first")
 	var writers, reader sync.WaitGroup
-	var over atomic.Bool
+	var stopReading atomic.Bool
 	reads := 0
 	reader.Go(func() {
-		for !over.Load() {
+		for !stopReading.Load() {
 			if _, err := keyfiles.Keys(public); assert.NoError(t, err) {
 				reads++
 			}
@@ -41,12 +41,12 @@
 	for n := range 4 {
 		writers.Go(func() {
 			for m := range 5 {
-				add(t, private, public, fmt.Sprint(n, "-", m))
+				addKey(t, private, public, fmt.Sprint(n, "-", m))
 			}
 		})
 	}
 	writers.Wait()
-	over.Store(true)
+	stopReading.Store(true)
 	reader.Wait()
 	keys, err := keyfiles.Keys(public)
 	require.NoError(t, err)
@@ -58,34 +58,34 @@
 	require.NoError(t, os.Chmod(private, 0o640))
 	_, err = keyfiles.ReadPrivate(private)
 	assert.ErrorContains(t, err, "others may read it")
-	left, err := os.ReadDir(dir)
+	remaining, err := os.ReadDir(dir)
 	require.NoError(t, err)
-	assert.Len(t, left, 3, "no file is left over but the lock")
+	assert.Len(t, remaining, 3, "the two key files and the lock, no temporary file")
 }
 
-// A file that is truncated, half written, deleted, or in whose place a folder or a pipe comes, leaves the last good content
-// in force; a good one is taken over.
+// The last good content stays in force while a file is truncated, incompletely written, deleted or replaced by a folder
+// or by content of the wrong type. A good file is loaded.
 func TestWatch(t *testing.T) {
 	dir := t.TempDir()
 	private, path := filepath.Join(dir, "p.jwks"), filepath.Join(dir, "k.jwks")
-	add(t, private, path, "a")
+	addKey(t, private, path, "a")
 	good, err := os.ReadFile(path)
 	require.NoError(t, err)
-	var loads, failures, held atomic.Int32
+	var loads, failures, keyCount atomic.Int32
 	files := []*keyfiles.File{{Path: path, Load: func(path string) error {
 		keys, err := keyfiles.Keys(path)
 		if err != nil {
 			failures.Add(1)
 			return err
 		}
-		held.Store(int32(len(keys)))
+		keyCount.Store(int32(len(keys)))
 		loads.Add(1)
 		return nil
 	}}}
 	require.NoError(t, keyfiles.Load(files))
 	w := keyfiles.Start(files, time.Millisecond)
 	defer w.Stop()
-	for name, spoil := range map[string]func(){
+	for name, damage := range map[string]func(){
 		"truncated":    func() { require.NoError(t, os.WriteFile(path, nil, 0o600)) },
 		"half written": func() { require.NoError(t, os.WriteFile(path, good[:len(good)/2], 0o600)) },
 		"deleted":      func() {},
@@ -94,18 +94,19 @@
 	} {
 		before := failures.Load()
 		require.NoError(t, os.RemoveAll(path))
-		spoil()
+		damage()
 		require.Eventually(t, func() bool { return failures.Load() > before }, 20*time.Second, time.Millisecond, name)
-		assert.Equal(t, int32(1), held.Load(), name)
+		assert.Equal(t, int32(1), keyCount.Load(), name)
 		before = loads.Load()
 		require.NoError(t, os.RemoveAll(path))
 		require.NoError(t, keyfiles.Write(path, good, 0o644))
 		require.Eventually(t, func() bool { return loads.Load() > before }, 20*time.Second, time.Millisecond, name)
 	}
-	add(t, private, path, "b")
-	require.Eventually(t, func() bool { return held.Load() == 2 }, 20*time.Second, time.Millisecond)
+	addKey(t, private, path, "b")
+	require.Eventually(t, func() bool { return keyCount.Load() == 2 }, 20*time.Second, time.Millisecond)
 }
 
+// Read accepts regular files up to the size limit only.
 func TestReadBounds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	require.NoError(t, os.WriteFile(path, make([]byte, 100), 0o600))
@@ -117,6 +118,7 @@
 	assert.ErrorContains(t, err, "not a regular file")
 }
 
+// A revocation list is read by issuer; the error for an invalid list names its path.
 func TestRevoked(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "revoked.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"legon": {"jti": ["t1"], "sub": ["desk-1"]}}`), 0o600))
--- a/internal/keyfiles/watch.go
+++ b/internal/keyfiles/watch.go
@@ -7,45 +7,47 @@
 	"time"
 )
 
-// Watch looks at files again and again and reads those that have changed. What can't be read changes nothing: the last
-// that could stays in force, and the log names the file.
+// Watch checks files at regular intervals and loads those that have changed. If a file can't be loaded, an error is
+// logged and the content that was last loaded successfully stays in force.
 type Watch struct {
-	stop chan struct{}
-	done chan struct{}
+	stop chan struct{} // closed by Stop
+	done chan struct{} // closed when the goroutine has ended
 }
 
-// File is one that is watched. Load reads and hands it over; it runs on the watch's goroutine.
+// File is a watched file. Load reads it and passes its content on; after the first time it is called on the watch's
+// goroutine.
 type File struct {
 	Path string
 	Load func(path string) error
 
-	last stamp
+	last fileVersion // of the last load, successful or not
 }
 
-// stamp is what tells one content of a file from another without reading it.
-type stamp struct {
-	inode uint64
-	size  int64
-	at    time.Time
-	err   bool
+// fileVersion holds the metadata by which a changed file is recognized without reading it.
+type fileVersion struct {
+	inode      uint64
+	size       int64
+	modifiedAt time.Time
+	statFailed bool
 }
 
-func look(path string) (s stamp) {
+// statVersion returns the current version of a file.
+func statVersion(path string) (v fileVersion) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return stamp{err: true}
+		return fileVersion{statFailed: true}
 	}
 	if sys, ok := info.Sys().(*syscall.Stat_t); ok {
-		s.inode = sys.Ino
+		v.inode = sys.Ino
 	}
-	s.size, s.at = info.Size(), info.ModTime()
-	return s
+	v.size, v.modifiedAt = info.Size(), info.ModTime()
+	return v
 }
 
-// Load loads all files, and stops at the first that can't be.
+// Load loads all files. It stops at the first that can't be loaded and returns its error.
 func Load(files []*File) error {
 	for _, f := range files {
-		f.last = look(f.Path)
+		f.last = statVersion(f.Path)
 		if err := f.Load(f.Path); err != nil {
 			return err
 		}
@@ -53,28 +55,29 @@
 	return nil
 }
 
-// Start begins to look at files that were loaded, every so often.
-func Start(files []*File, every time.Duration) *Watch {
+// Start starts to watch files, which Load has loaded before, and checks them once in each interval.
+func Start(files []*File, interval time.Duration) *Watch {
 	w := &Watch{make(chan struct{}), make(chan struct{})}
-	go w.run(files, every)
+	go w.run(files, interval)
 	return w
 }
 
-// Stop ends the watch; no file is loaded after it has returned.
+// Stop ends the watch. No file is loaded after it has returned.
 func (w *Watch) Stop() {
 	close(w.stop)
 	<-w.done
 }
 
-func (w *Watch) run(files []*File, every time.Duration) {
+// run checks the files once in each interval until Stop is called.
+func (w *Watch) run(files []*File, interval time.Duration) {
 	defer close(w.done)
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-w.stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		for _, f := range files {
 			f.check()
@@ -82,17 +85,17 @@
 	}
 }
 
-// check loads the file if it has changed. One that changes while it is read is read again at the next look, since its
-// stamp is taken before.
+// check loads the file if it has changed. Its version is taken before it is read, so a file that changes while it is
+// read is loaded again by the next check.
 func (f *File) check() {
-	now := look(f.Path)
-	if now == f.last {
+	version := statVersion(f.Path)
+	if version == f.last {
 		return
 	}
-	f.last = now
+	f.last = version
 	if err := f.Load(f.Path); err != nil {
 		slog.Error("the last good content stays in force", "file", f.Path, "error", err)
 		return
 	}
-	slog.Info("taken over", "file", f.Path)
+	slog.Info("file reloaded", "file", f.Path)
 }
