--- a/internal/certs/dev.go
+++ b/internal/certs/dev.go
@@ -1,5 +1,5 @@
-// Package certs makes certificates for trials and tests, and loads those of an installation: pairs, authorities, lists of
-// what is revoked.
+// Package certs creates certificates for trials and tests, and loads those of an installation: certificates with their
+// keys, certificate authorities and certificate revocation lists.
 package certs
 
 import (
@@ -21,42 +21,43 @@
 	"chutechute/internal/keyfiles"
 )
 
-// CA is an authority for trials: its key lies beside its certificate.
+// CA is a certificate authority for trials: its private key is stored beside its certificate.
 type CA struct{ Pair }
 
-// Pair is a certificate and its key.
+// Pair is a certificate and its private key.
 type Pair struct {
 	Certificate *x509.Certificate
 	key         crypto.Signer
 }
 
-// Request is what a leaf is to say.
+// Request describes a leaf certificate to create.
 type Request struct {
-	Name string
+	Name string // the subject's common name
 	DNS  []string
 	URIs []string
-	For  time.Duration
+	For  time.Duration // until it expires
 }
 
-// backdate is how long before now certificates begin, for clocks that are off.
-const backdate = time.Minute
+// clockSkew is how long before their creation certificates and revocation lists become valid, so that machines whose
+// clocks are slow accept them.
+const clockSkew = time.Minute
 
-// NewCA makes an authority.
-func NewCA(name string, lasts time.Duration) (*CA, error) {
+// NewCA creates a certificate authority with a self-signed certificate.
+func NewCA(name string, lifetime time.Duration) (*CA, error) {
 	template := &x509.Certificate{Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
-	pair, err := sign(template, nil, lasts)
+	pair, err := sign(template, nil, lifetime)
 	if err != nil {
 		return nil, err
 	}
 	return &CA{*pair}, nil
 }
 
-// ReadCA reads an authority from its two files; nil where neither is there.
+// ReadCA reads a certificate authority from its two files. It returns nil if neither exists.
 func ReadCA(cert, key string) (*CA, error) {
-	_, noCert := os.Stat(cert)
-	_, noKey := os.Stat(key)
-	if errors.Is(noCert, os.ErrNotExist) && errors.Is(noKey, os.ErrNotExist) {
+	_, certErr := os.Stat(cert)
+	_, keyErr := os.Stat(key)
+	if errors.Is(certErr, os.ErrNotExist) && errors.Is(keyErr, os.ErrNotExist) {
 		return nil, nil
 	}
 	pair, err := loadPair(PairFiles{cert, key})
@@ -65,14 +66,15 @@
 	}
 	signer, ok := pair.PrivateKey.(crypto.Signer)
 	if !ok || !pair.Leaf.IsCA {
-		return nil, fmt.Errorf("%s: not an authority's", cert)
+		return nil, fmt.Errorf("%s: not a certificate of a certificate authority", cert)
 	}
 	return &CA{Pair{pair.Leaf, signer}}, nil
 }
 
-// Leaf makes a certificate that the authority vouches for, for servers and clients.
+// Leaf creates a certificate for a server or a client, signed by the certificate authority.
 func (ca *CA) Leaf(r Request) (*Pair, error) {
-	template := &x509.Certificate{Subject: pkix.Name{CommonName: r.Name}, DNSNames: r.DNS, KeyUsage: x509.KeyUsageDigitalSignature,
+	template := &x509.Certificate{Subject: pkix.Name{CommonName: r.Name}, DNSNames: r.DNS,
+		KeyUsage:    x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 	for _, text := range r.URIs {
 		u, err := url.Parse(text)
@@ -84,7 +86,9 @@
 	return sign(template, &ca.Pair, r.For)
 }
 
-func sign(template *x509.Certificate, by *Pair, lasts time.Duration) (*Pair, error) {
+// sign creates a key and a certificate for it from a template. The certificate is signed by the issuer, or with its own
+// key if the issuer is nil.
+func sign(template *x509.Certificate, issuer *Pair, lifetime time.Duration) (*Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, fmt.Errorf("certs: %w", err)
@@ -93,26 +97,28 @@
 		return nil, fmt.Errorf("certs: %w", err)
 	}
 	now := time.Now()
-	template.NotBefore, template.NotAfter = now.Add(-backdate), now.Add(lasts)
+	template.NotBefore, template.NotAfter = now.Add(-clockSkew), now.Add(lifetime)
 	parent, signer := template, crypto.Signer(key)
-	if by != nil {
-		parent, signer = by.Certificate, by.key
+	if issuer != nil {
+		parent, signer = issuer.Certificate, issuer.key
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, key.Public(), signer)
 	if err != nil {
 		return nil, fmt.Errorf("certs: %w", err)
 	}
-	made, err := x509.ParseCertificate(der)
+	certificate, err := x509.ParseCertificate(der)
 	if err != nil {
 		return nil, fmt.Errorf("certs: %w", err)
 	}
-	return &Pair{made, key}, nil
+	return &Pair{certificate, key}, nil
 }
 
-// Revoke writes a list of what the authority has revoked, in PEM. It is to be renewed within a time.
-func (ca *CA) Revoke(number int64, within time.Duration, revoked ...*x509.Certificate) ([]byte, error) {
+// Revoke returns a revocation list of the certificate authority in PEM. It names the revoked certificates and has to be
+// replaced by a new one within the lifetime.
+func (ca *CA) Revoke(number int64, lifetime time.Duration, revoked ...*x509.Certificate) ([]byte, error) {
 	now := time.Now()
-	list := &x509.RevocationList{Number: big.NewInt(number), ThisUpdate: now.Add(-backdate), NextUpdate: now.Add(within)}
+	list := &x509.RevocationList{Number: big.NewInt(number), ThisUpdate: now.Add(-clockSkew),
+		NextUpdate: now.Add(lifetime)}
 	for _, c := range revoked {
 		list.RevokedCertificateEntries = append(list.RevokedCertificateEntries,
 			x509.RevocationListEntry{SerialNumber: c.SerialNumber, RevocationTime: now})
@@ -124,14 +130,14 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "X509 CRL", Bytes: der}), nil
 }
 
-// Pool holds the authority alone.
+// Pool returns a pool with the certificate of this certificate authority only.
 func (ca *CA) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(ca.Certificate)
 	return pool
 }
 
-// PEM is the pair's two files.
+// PEM returns the certificate and the private key in PEM.
 func (p *Pair) PEM() (certificate, key []byte, err error) {
 	der, err := x509.MarshalPKCS8PrivateKey(p.key)
 	if err != nil {
@@ -141,12 +147,12 @@
 		pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
 
-// TLS is the pair as crypto/tls takes it.
+// TLS returns the pair as a certificate of crypto/tls.
 func (p *Pair) TLS() tls.Certificate {
 	return tls.Certificate{Certificate: [][]byte{p.Certificate.Raw}, PrivateKey: p.key, Leaf: p.Certificate}
 }
 
-// Write writes the pair's two files, the key for its owner alone.
+// Write writes the certificate and the private key to files. The key's file is readable by its owner only.
 func (p *Pair) Write(cert, key string) error {
 	certText, keyText, err := p.PEM()
 	if err != nil {
--- a/internal/certs/load.go
+++ b/internal/certs/load.go
@@ -14,31 +14,31 @@
 	"chutechute/internal/keyfiles"
 )
 
-// mostPEM bounds each file, in bytes.
-const mostPEM = 4 << 20
+// maxFileBytes is the maximum size of each file.
+const maxFileBytes = 4 << 20
 
-// Files are what a server's TLS is made from.
+// Files holds the paths and options from which the TLS configurations are made.
 type Files struct {
-	Pairs      []PairFiles // the first is for clients that name no server
+	Pairs      []PairFiles // the first is for clients that send no server name
 	ClientCAs  []string
 	ClientAuth tls.ClientAuthType
 	CRLs       []string
-	// StaleRefuses has all certificates of an authority refused whose list is past its time; else the old list goes on.
+	// StaleRefuses rejects all certificates of a certificate authority whose revocation list is past its next update.
+	// Without it the old list stays in force.
 	StaleRefuses bool
 	MinVersion   uint16
 	ALPN         []string
 
-	// Towards engines: their authorities, none where that is off; the name that one has to show, with {id} for its id; and what the
-	// front end shows, if anything.
-	EngineCAs  []string
-	EngineName string
-	EnginePair *PairFiles
+	// For connections to engines.
+	EngineCAs  []string   // certificate authorities of the engines; empty if TLS with engines is off
+	EngineName string     // name that an engine's certificate must have, with {id} in place of the engine's ID
+	EnginePair *PairFiles // client certificate of the front end; nil without one
 }
 
-// PairFiles are the paths of a certificate, with the chain behind it, and its key.
+// PairFiles holds the paths of a certificate with its chain, and of its private key.
 type PairFiles struct{ Certificate, Key string }
 
-// Paths is all files, in a fixed order.
+// Paths returns the paths of all files, in a fixed order.
 func (f *Files) Paths() (paths []string) {
 	for _, p := range f.Pairs {
 		paths = append(paths, p.Certificate, p.Key)
@@ -49,44 +49,44 @@
 	return slices.Concat(paths, f.ClientCAs, f.CRLs, f.EngineCAs)
 }
 
-// Material is a consistent state of the files.
+// Material is the content of all files, loaded together.
 type Material struct {
-	Config  *tls.Config // for clients; nil where that is off
-	Engines *tls.Config // towards engines; nil where that is off
-	Revoked Revoked
+	Config  *tls.Config // for connections from clients; nil if TLS with clients is off
+	Engines *tls.Config // for connections to engines; nil if TLS with engines is off
+	Revoked Revocations
 	Expiry  []Expiry
 }
 
-// Expiry is when a file's content ends.
+// Expiry is the time at which a file's content expires.
 type Expiry struct {
 	Path string
 	At   time.Time
 }
 
-// Revoked are the serial numbers that lists name, and when each authority's list is past its time, by the authority's key
-// id and name.
-type Revoked struct {
-	Serials map[string]bool
-	Next    map[string]time.Time
+// Revocations is the content of the certificate revocation lists.
+type Revocations struct {
+	Serials     map[string]bool      // by issuerKey and serial number
+	NextUpdates map[string]time.Time // by issuerKey: when the issuer's list has to be replaced by a new one
 }
 
-// issuerOf names an authority as its certificates and lists do.
-func issuerOf(keyID, raw []byte) string { return string(keyID) + "\x00" + string(raw) }
+// issuerKey returns the map key of a certificate authority from its key ID and its DER-encoded name.
+func issuerKey(keyID, rawName []byte) string { return string(keyID) + "\x00" + string(rawName) }
 
-// Has says whether a certificate is revoked or, with refuse, whether nobody can say any more.
-func (r *Revoked) Has(c *x509.Certificate, now time.Time, refuse bool) bool {
-	issuer := issuerOf(c.AuthorityKeyId, c.RawIssuer)
+// Has reports whether a certificate is revoked. With rejectStale it also returns true for every certificate whose
+// issuer's list is past its next update.
+func (r *Revocations) Has(c *x509.Certificate, now time.Time, rejectStale bool) bool {
+	issuer := issuerKey(c.AuthorityKeyId, c.RawIssuer)
 	if r.Serials[issuer+"\x00"+c.SerialNumber.String()] {
 		return true
 	}
-	next, listed := r.Next[issuer]
-	return refuse && listed && now.After(next)
+	nextUpdate, listed := r.NextUpdates[issuer]
+	return rejectStale && listed && now.After(nextUpdate)
 }
 
-// Load reads all files. With an error, which names the file, none of them is to come into force: a pair that is half
-// written does not match.
+// Load reads all files. If it returns an error, which names the file, the former content of all of them must stay in
+// force. While a pair is being replaced its certificate and key do not match, which is such an error.
 func Load(f *Files) (*Material, error) {
-	m := &Material{Revoked: Revoked{map[string]bool{}, map[string]time.Time{}}}
+	m := &Material{Revoked: Revocations{map[string]bool{}, map[string]time.Time{}}}
 	if err := m.loadEngines(f); err != nil {
 		return nil, err
 	}
@@ -127,16 +127,16 @@
 	return m, nil
 }
 
-// sessions is how many engines' sessions are kept to be resumed.
-const sessions = 256
+// engineSessions is the number of TLS sessions with engines that are cached for resumption.
+const engineSessions = 256
 
-// loadEngines loads what connections to engines are made with.
+// loadEngines loads the TLS configuration of connections to engines.
 func (m *Material) loadEngines(f *Files) error {
 	if len(f.EngineCAs) == 0 {
 		return nil
 	}
 	m.Engines = &tls.Config{MinVersion: f.MinVersion, RootCAs: x509.NewCertPool(),
-		ClientSessionCache: tls.NewLRUClientSessionCache(sessions)}
+		ClientSessionCache: tls.NewLRUClientSessionCache(engineSessions)}
 	for _, path := range f.EngineCAs {
 		list, err := loadCertificates(path)
 		if err != nil {
@@ -158,20 +158,21 @@
 	return nil
 }
 
-// loadPair reads a certificate and its key, which nobody else may be able to read.
+// loadPair reads a certificate and its private key. It returns an error if others than the owner have access to the
+// key's file, or if the certificate has expired.
 func loadPair(p PairFiles) (pair tls.Certificate, err error) {
 	info, err := os.Stat(p.Key)
 	if err != nil {
 		return pair, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return pair, fmt.Errorf("%s: others may read it (mode %04o): it has to be 0600", p.Key, info.Mode().Perm())
+		return pair, fmt.Errorf("%s: others may read it (mode %04o): the mode must be 0600", p.Key, info.Mode().Perm())
 	}
-	certificate, err := keyfiles.Read(p.Certificate, mostPEM)
+	certificate, err := keyfiles.Read(p.Certificate, maxFileBytes)
 	if err != nil {
 		return pair, err
 	}
-	key, err := keyfiles.Read(p.Key, mostPEM)
+	key, err := keyfiles.Read(p.Key, maxFileBytes)
 	if err != nil {
 		return pair, err
 	}
@@ -185,8 +186,9 @@
 	return pair, nil
 }
 
+// loadCertificates reads a PEM file with one or more certificates.
 func loadCertificates(path string) (list []*x509.Certificate, err error) {
-	text, err := keyfiles.Read(path, mostPEM)
+	text, err := keyfiles.Read(path, maxFileBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -202,15 +204,15 @@
 		list = append(list, c)
 	}
 	if len(list) == 0 {
-		return nil, fmt.Errorf("%s: no certificate", path)
+		return nil, fmt.Errorf("%s: contains no certificate", path)
 	}
 	return list, nil
 }
 
-// loadCRL reads a list of what is revoked (RFC 5280, section 5), in PEM or DER, which one of the authorities has to have
-// signed.
+// loadCRL reads a certificate revocation list (RFC 5280, section 5) in PEM or DER. One of the certificate authorities
+// must have signed it.
 func (m *Material) loadCRL(path string, authorities []*x509.Certificate) error {
-	der, err := keyfiles.Read(path, mostPEM)
+	der, err := keyfiles.Read(path, maxFileBytes)
 	if err != nil {
 		return err
 	}
@@ -221,31 +223,31 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	var by *x509.Certificate
-	err = errors.New("no authority of its name")
+	var signer *x509.Certificate
+	err = errors.New("the issuer is not among the client certificate authorities")
 	for _, c := range authorities {
 		if string(c.RawSubject) == string(list.RawIssuer) {
 			if err = list.CheckSignatureFrom(c); err == nil {
-				by = c
+				signer = c
 				break
 			}
 		}
 	}
-	if by == nil {
+	if signer == nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	issuer := issuerOf(by.SubjectKeyId, by.RawSubject)
-	for _, one := range list.RevokedCertificateEntries {
-		m.Revoked.Serials[issuer+"\x00"+one.SerialNumber.String()] = true
+	issuer := issuerKey(signer.SubjectKeyId, signer.RawSubject)
+	for _, entry := range list.RevokedCertificateEntries {
+		m.Revoked.Serials[issuer+"\x00"+entry.SerialNumber.String()] = true
 	}
 	if !list.NextUpdate.IsZero() {
-		m.Revoked.Next[issuer] = list.NextUpdate
+		m.Revoked.NextUpdates[issuer] = list.NextUpdate
 		m.Expiry = append(m.Expiry, Expiry{path, list.NextUpdate})
 	}
 	return nil
 }
 
-// Of is what a verified certificate stands for.
+// Of returns the properties of a verified certificate by which package identity authenticates its holder.
 func Of(c *x509.Certificate) *identity.Certificate {
 	out := &identity.Certificate{DNSNames: c.DNSNames, Subject: c.Subject.String(), Expires: c.NotAfter.UnixMicro()}
 	for _, u := range c.URIs {
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,4 +1,4 @@
-// Package counters counts what the front end takes in, sends and answers.
+// Package counters holds the counters of a front end: of its requests, attempts, connections and links.
 package counters
 
 import (
@@ -7,7 +7,8 @@
 	"reflect"
 )
 
-// Set is all counters of one front end; it belongs to the one loop.
+// Set holds all counters of one front end. Only the goroutine of its event loop may use it. The name tags are the names
+// that Print writes.
 type Set struct {
 	Taken            int `name:"requests taken"`
 	UnusableRequests int `name:"requests unusable"`
@@ -94,7 +95,7 @@
 	LongestTurn int `name:"longest turn of the loop in microseconds"`
 }
 
-// Print writes a line for each counter.
+// Print writes one line with name and value for each counter.
 func (s *Set) Print(w io.Writer) {
 	v := reflect.ValueOf(*s)
 	for i := range v.NumField() {
