--- a/fleet/idempotency/apply.go
+++ b/fleet/idempotency/apply.go
@@ -6,15 +6,15 @@
 	"chutechute/fleet/replication"
 )
 
-// committedCommand is a command with who proposed it and where in the log it was committed.
+// committedCommand is a committed command with its proposer and the context in which it is applied.
 type committedCommand struct {
 	*Command
 	replication.ApplyContext
 	proposer replication.Incarnation
 }
 
-// Apply carries out a committed command. It returns an encoded Response, or nothing for Transfer, for the commands of
-// the leader, and for bytes that are no command.
+// Apply applies a committed command and returns the encoded Response. It returns nil for Transfer, for commands of the
+// leader, and for a body that is not a valid command.
 func (r *Registry) Apply(at replication.ApplyContext, proposer replication.Incarnation, body []byte) []byte {
 	command, err := DecodeCommand(body)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// register adds a record, or joins the one of the same idempotency key.
+// register adds a record, or joins the existing one with the same idempotency key.
 func (r *Registry) register(c *committedCommand, rec *record) []byte {
 	if rec != nil {
 		return r.join(c, rec)
@@ -61,7 +61,7 @@
 	return r.respond(rec, OK)
 }
 
-// join registers a request of which there is a record: the proposer renews its registration, takes over, or waits.
+// join registers a request that has a record. The proposer renews its registration, takes over, or waits.
 func (r *Registry) join(c *committedCommand, rec *record) []byte {
 	switch {
 	case !rec.sameRequest(c):
@@ -74,16 +74,17 @@
 	case rec.phase == Waiting && c.TakeOver:
 		c.Notify(rec.owner, rec.idempotencyKey)
 		rec.assignToProposer(c)
-		rec.ownerMissedAt = 0
+		rec.ownerPresumedDeadSince = 0
 	case !slices.Contains(rec.watchers, c.proposer):
 		rec.watchers = append(rec.watchers, c.proposer)
-		c.Notify(rec.owner, rec.idempotencyKey) // an owner that tracks the request no more then releases it
+		// An owner that no longer tracks the request then removes the record, or polls for the started attempt.
+		c.Notify(rec.owner, rec.idempotencyKey)
 	}
 	return r.respond(rec, OK)
 }
 
-// authorizeAttempt authorizes the owner to start an attempt, if its request is first in its queue. An attempt that was
-// authorized already stays so.
+// authorizeAttempt authorizes the owner to start an attempt if the request is first in its queue. Authorizing the same
+// attempt again has no effect.
 func (r *Registry) authorizeAttempt(c *committedCommand, rec *record) []byte {
 	switch {
 	case rec == nil:
@@ -100,13 +101,13 @@
 	return r.respond(rec, OK)
 }
 
-// complete commits the outcome of a request, unless it has one. A request that never ran is removed.
+// complete sets the outcome of a request unless it has one. The outcome Unregistered removes the record.
 func (r *Registry) complete(c *committedCommand, rec *record) []byte {
 	switch {
 	case rec == nil:
 		return r.respond(nil, NotFound)
 	case rec.phase.Finished():
-		return r.respond(rec, OK) // the first outcome stays
+		return r.respond(rec, OK) // the first outcome is final
 	case !rec.ownedBy(c):
 		return r.respond(rec, Denied)
 	case c.Outcome == Unregistered:
@@ -130,7 +131,8 @@
 	return r.respond(rec, OK)
 }
 
-// expire ends a request of which no attempt can run any more. One that may have run fails; another is removed.
+// expire ends a request of which no attempt can run any more. A started request fails, as it may have run; an unstarted
+// one is removed.
 func (r *Registry) expire(c *committedCommand, rec *record) {
 	switch {
 	case rec.changedIndex != c.ChangedIndex || rec.phase.Finished():
@@ -148,7 +150,7 @@
 	}
 }
 
-// offerTransfer gives a started request a new owner, or notifies the owner again that it is one.
+// offerTransfer sets the new owner of a started request, or notifies that owner once more.
 func offerTransfer(c *committedCommand, rec *record) {
 	if rec.changedIndex != c.ChangedIndex || rec.phase != Started {
 		return
@@ -161,15 +163,15 @@
 	c.Notify(rec.owner, rec.idempotencyKey)
 }
 
-// transfer leaves a started request without an owner; the leader then offers it to another front end.
+// transfer clears the owner of a started request. The leader then offers it to another front end.
 func transfer(c *committedCommand, rec *record) {
 	if rec.ownedBy(c) && rec.phase == Started {
 		rec.setOwner(c, 0)
 	}
 }
 
-// respond returns the encoded response to a command: its status and the state of the record. A nil record and one that
-// belongs to another request are not shown.
+// respond returns the encoded response to a command: the status and the state of the record. The state is left out if
+// the record is nil, or belongs to another request (Conflict).
 func (r *Registry) respond(rec *record, status Status) []byte {
 	response := Response{Status: status}
 	if rec == nil || status == Conflict {
@@ -184,7 +186,7 @@
 	response.Rows = rec.rows
 	if rec.phase == Started {
 		last := rec.lastAttempt()
-		response.ClientTimeout = rec.ttl
+		response.ClientTimeout = rec.clientTimeout
 		response.Engine = last.engine
 		response.StartedRequestID = last.requestID
 		response.Class = rec.class
--- a/fleet/idempotency/command.go
+++ b/fleet/idempotency/command.go
@@ -6,46 +6,46 @@
 	"chutechute/internal/fieldcodec"
 )
 
-// Op is what a command asks for.
+// Op is the operation of a command.
 type Op uint64
 
-// The commands. Those "by the leader" come from DueCommands, the others from front ends.
+// The operations. Those marked "by the leader" come from DueCommands, the others from front ends.
 const (
 	Register         Op = iota + 1 // register a request, or join the record that exists
 	AuthorizeAttempt               // authorize an attempt to start
 	Complete                       // commit the outcome, or remove a request that did not run
-	Expire                         // by the leader: no attempt of the request can run any more
-	Evict                          // by the leader: the outcome was retained long enough, evict the record
-	Inspect                        // return the record, as of this place in the order of commits
-	OfferTransfer                  // by the leader: the owner is unreachable, another front end polls what was started
-	Transfer                       // the owner shuts down: another front end is to poll what was started
+	Expire                         // by the leader: end a request of which no attempt can run any more
+	Evict                          // by the leader: remove a record whose outcome was retained long enough
+	Inspect                        // return the state of the record as of the command's log index
+	OfferTransfer                  // by the leader: have another front end poll for a started request
+	Transfer                       // give up a started request, as the owner shuts down, for an OfferTransfer
 )
 
-// encodedCommandBytes is the capacity with which the encoding of a command begins, besides its rows.
+// encodedCommandBytes is the initial capacity of the buffer for an encoded command without its rows.
 const encodedCommandBytes = 128
 
-// Command is one command on a record. A stale command shows by its Epoch (commands of an owner) or by its ChangedIndex
-// (commands of the leader).
+// Command is one command on a record. Stale commands are detected by their Epoch (commands of an owner) or by their
+// ChangedIndex (commands of the leader).
 type Command struct {
 	Op              Op
 	IdempotencyKey  string
-	OrderKey        string // names the queue of the request; empty without one
+	OrderKey        string // identifies the queue of the request; empty if it has none
 	Tenant          string
 	Class           string
 	StatementDigest []byte
 	RequestID       string
-	ClientTimeout   uint64 // microseconds that the client waits, from before the command was proposed
-	TakeOver        bool   // Register: become the owner if no attempt was authorized
-	Epoch           uint64 // the epoch in which the proposer believes to be the owner
+	ClientTimeout   uint64 // microseconds that the client still waits, counted from before the proposal
+	TakeOver        bool   // Register: make the proposer the owner if no attempt was authorized
+	Epoch           uint64 // the epoch in which the proposer became the owner
 	Attempt         uint64 // AuthorizeAttempt: the number of the attempt
-	Engine          string // AuthorizeAttempt: where the attempt is to run
-	Outcome         Phase  // Complete: Served, Failed, or Unregistered for a request that never ran and is removed
+	Engine          string // AuthorizeAttempt: the engine of the attempt
+	Outcome         Phase  // Complete: Served, Failed, or Unregistered to remove a request that never ran
 	Rows            []byte // Complete: the rows of a served request
-	ChangedIndex    uint64 // commands of the leader: the log index of the record's last change that it saw
+	ChangedIndex    uint64 // commands of the leader: the log index of the record's last change known to it
 	NewOwner        uint64 // OfferTransfer: the incarnation of the new owner
 }
 
-// fields lists the fields of a command for both directions.
+// fields encodes or decodes the fields of a command.
 func (c *Command) fields(f *fieldcodec.Fields) {
 	fieldcodec.Uint(f, 1, &c.Op)
 	f.String(2, &c.IdempotencyKey)
@@ -65,15 +65,15 @@
 	fieldcodec.Uint(f, 16, &c.NewOwner)
 }
 
-// Encode returns the command's bytes.
+// Encode returns the encoded command.
 func (c *Command) Encode() []byte {
 	f := fieldcodec.Encode(make([]byte, 0, encodedCommandBytes+len(c.Rows)))
 	c.fields(&f)
 	return f.Bytes()
 }
 
-// DecodeCommand decodes the bytes of a command. The error wraps fieldcodec.ErrMalformed; the command then has the
-// fields that were decoded before.
+// DecodeCommand decodes a command. The error wraps fieldcodec.ErrMalformed; the command then has the fields decoded
+// before the malformed one.
 func DecodeCommand(b []byte) (*Command, error) {
 	c := &Command{}
 	f := fieldcodec.Decode(b)
--- a/fleet/idempotency/doc.go
+++ b/fleet/idempotency/doc.go
@@ -1,37 +1,38 @@
-// Package idempotency has the registry of idempotent requests: requests with an idempotency key that must run at most
-// once, whichever front ends their client sends them to. The registry is a replicated state machine. It knows which
-// front end owns a request, in which order the requests of one order key run, which attempts were authorized and what
-// the outcome was. It has no I/O, no clock and no iteration over maps: every replica applies the same committed
-// commands to it and reaches the same state.
+// Package idempotency implements the registry of idempotent requests: requests with an idempotency key that must run at
+// most once, whichever front ends their client sends them to. The registry is a replicated state machine. It records
+// which front end owns a request, the order in which the requests of an order key run, which attempts were authorized
+// and what the outcome was. It performs no I/O, reads no clock and does not iterate over maps, so that all replicas
+// that apply the same committed commands reach the same state.
 //
-// The words of this package:
+// Terms of this package:
 //
-//   - A record is the registry's state of one idempotent request. Retries of the request with the same idempotency
-//     key meet the same record.
-//   - The owner is the front end process (an incarnation) that alone may start attempts of the request.
-//   - The epoch is a fencing token: the log index at which the owner got the record. It differs each time.
-//   - An order key names a queue. The requests of one order key run one at a time, in the order of their commits.
+//   - A record is the registry's state of one idempotent request. Repeats of the request with the same idempotency key
+//     share one record.
+//   - The owner is the only front end process (an incarnation) that may start attempts of the request.
+//   - The epoch is a fencing token: the log index at which the owner became the owner. No two epochs are equal.
+//   - An order key identifies a queue. The requests of one order key run one at a time, in the order in which their
+//     registrations were committed.
 //
-// What it guarantees, in terms of what clients and engines see in true time:
+// The registry guarantees the following, as clients and engines observe it in true time:
 //
-//  1. No attempt of a request reaches an engine unless an AuthorizeAttempt of its owner, in the epoch in force, was
-//     committed before. So after a request was taken over, has an outcome, or was removed, nothing of the earlier
-//     owner starts: an AuthorizeAttempt that it still proposes is denied, whatever it believes. An epoch is the log
-//     index at which an owner got the record, so none comes twice, not even where a record is removed and registered
-//     anew: a command that comes late, or twice, meets another epoch.
-//  2. A request with a committed AuthorizeAttempt is never taken over by a front end that wants to start it. Whoever
-//     finds one waits for its outcome. Where its owner is unreachable, an OfferTransfer makes another front end the
-//     owner, which polls the engine for the attempt that was started and starts nothing: the old owner's
-//     AuthorizeAttempt and Complete commands are denied from then on. An attempt that was authorized before may still
-//     be sent for as long as the gateway uses an authorization, counted from before it proposed it, which is less
-//     than the span that the new owner waits where the engine does not know the attempt.
-//  3. A request has one outcome: the first committed. It and its rows are what every later retry gets, until the
-//     record is evicted.
-//  4. Of one order key, an AuthorizeAttempt succeeds only for the request that is first in the order of commits; a
-//     request leaves the queue with its outcome only, which its owner commits once no attempt of it runs any more, or
-//     with an Expire.
-//  5. An Expire rests on durations only: the owner starts attempts and polls for a request no later than the client's
-//     timeout, counted from before the Register was proposed, and engines end a query that is not polled for 2 s. The
-//     leader counts from when it applied the Register, which is later, adds the maximal clock drift and the 2 s, and
-//     only then proposes.
+//  1. No attempt of a request reaches an engine unless an AuthorizeAttempt of its owner, in the current epoch, was
+//     committed before. Once a request was taken over, has an outcome or was removed, its earlier owner therefore
+//     starts nothing: any AuthorizeAttempt that it still proposes is denied, whatever state it has seen. An epoch is a
+//     log index, so it is never used twice, not even if a record is removed and registered again: a late or duplicated
+//     command carries an epoch that is no longer current.
+//  2. A request with a committed AuthorizeAttempt is never taken over by a front end that would start it. Front ends
+//     that register it again wait for its outcome. If its owner is unreachable, an OfferTransfer makes another front
+//     end the owner. The new owner polls the engine for the started attempt and starts nothing; from then on the
+//     AuthorizeAttempt and Complete commands of the old owner are denied. An attempt that was authorized before may
+//     still be sent for as long as the gateway uses an authorization, counted from before it was proposed. That is
+//     shorter than the time for which the new owner waits if the engine does not know the attempt.
+//  3. A request has one outcome: the first one committed. Every later repeat receives this outcome and its rows, until
+//     the record is evicted.
+//  4. Among the requests of an order key, AuthorizeAttempt succeeds only for the first in the order of commits. A
+//     request leaves the queue only with its outcome, which its owner commits when no attempt is running any more, or
+//     by an Expire.
+//  5. An Expire depends on durations only. The owner starts attempts of a request, and polls for them, no longer than
+//     the client's timeout, counted from before the Register was proposed; engines end a query that is not polled for
+//     2 s. The leader counts from when it applied the Register, which is later, adds the maximum clock drift and the
+//     2 s, and only then proposes the Expire.
 package idempotency
--- a/fleet/idempotency/due.go
+++ b/fleet/idempotency/due.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// maxDueCommands bounds the commands of one call of DueCommands.
+	// maxDueCommands bounds the commands that one call of DueCommands returns.
 	maxDueCommands = 256
-	// maxTransferOffers bounds the transfers that one call of DueCommands offers, so that a lost front end with many
-	// started requests overloads neither engines nor the log.
+	// maxTransferOffers bounds the OfferTransfer commands of one call of DueCommands, so that the loss of a front end
+	// with many started requests overloads neither the engines nor the log.
 	maxTransferOffers = 64
-	// transferOfferInterval is how long a new owner may take to poll before it is notified again.
+	// transferOfferInterval is the interval at which a new owner is notified again, until an attempt of its own is
+	// authorized.
 	transferOfferInterval = monotime.Second
-	// clockDriftDivisor bounds how much faster one machine's clock may run than another's: one part in so many.
+	// clockDriftDivisor is the inverse of the largest relative drift between the clocks of two machines.
 	clockDriftDivisor = 100
-	// expiryMargin is added to the time after which a request expires.
+	// expiryMargin is a safety margin on the time after which a request expires.
 	expiryMargin = monotime.Second / 2
 )
 
-// DueCommands returns the encoded commands that are due by this machine's clock, at most maxDueCommands: requests that
-// expired, outcomes to evict, and started requests whose owner is unreachable. The leader proposes them.
+// DueCommands returns the encoded commands that are due by this machine's clock, at most maxDueCommands of them. They
+// expire requests, evict outcomes, and transfer started requests whose owner is unreachable. The leader proposes them.
 func (r *Registry) DueCommands(now monotime.Micros, processes replication.FailureDetector) (commands [][]byte) {
 	offers := 0
 	for _, rec := range r.ordered {
@@ -43,7 +44,7 @@
 	return commands
 }
 
-// dueCommand returns the command that is due for a record, or nil.
+// dueCommand returns the command that is due for a record, or nil. It offers a transfer only if mayOffer is set.
 func (r *Registry) dueCommand(
 	rec *record, now monotime.Micros, processes replication.FailureDetector, mayOffer bool,
 ) *Command {
@@ -67,20 +68,21 @@
 	return nil
 }
 
-// leaderCommand returns a command of the leader, which counts only if the record does not change before it.
+// leaderCommand returns a command of the leader, which has no effect if the record changes before it is applied.
 func (rec *record) leaderCommand(op Op) *Command {
 	return &Command{Op: op, IdempotencyKey: rec.idempotencyKey, ChangedIndex: rec.changedIndex}
 }
 
-// lifetime returns how long after its registration the owner may start and poll for attempts of the request: the
-// client's timeout, with the maximal clock drift and a margin.
+// lifetime returns how long after the registration the owner may start attempts of the request and poll for them, as
+// measured by another machine: the client's timeout plus the maximum clock drift and a margin.
 func (rec *record) lifetime() monotime.Micros {
-	ttl := monotime.Micros(rec.ttl)
-	return ttl + ttl/clockDriftDivisor + expiryMargin
+	timeout := monotime.Micros(rec.clientTimeout)
+	return timeout + timeout/clockDriftDivisor + expiryMargin
 }
 
-// dueTransfer returns the offer that a started request needs, or nil: to another front end if its owner is unreachable,
-// or once more to an owner that started none of its attempts, as the notification may have been lost.
+// dueTransfer returns the OfferTransfer that is due for a started request, or nil. The request is offered to another
+// front end if its owner is unreachable, and again to a new owner of which no attempt was authorized yet, as the
+// notification may have been lost.
 func (rec *record) dueTransfer(now monotime.Micros, processes replication.FailureDetector) *Command {
 	newOwner := rec.owner
 	if processes.Unreachable(rec.owner) {
@@ -96,20 +98,20 @@
 	return command
 }
 
-// isOrphaned reports whether the owner of an unstarted request has been presumed dead for the orphan timeout.
+// isOrphaned reports whether the owner of an unstarted request has been presumed dead for at least the orphan timeout.
 func (r *Registry) isOrphaned(rec *record, now monotime.Micros, processes replication.FailureDetector) bool {
 	if !processes.PresumedDead(rec.owner) {
-		rec.ownerMissedAt = 0
+		rec.ownerPresumedDeadSince = 0
 		return false
 	}
-	if rec.ownerMissedAt == 0 {
-		rec.ownerMissedAt = now
+	if rec.ownerPresumedDeadSince == 0 {
+		rec.ownerPresumedDeadSince = now
 	}
-	return now-rec.ownerMissedAt >= r.options.OrphanTimeout
+	return now-rec.ownerPresumedDeadSince >= r.options.OrphanTimeout
 }
 
-// successor returns the process that takes over a request, by rendezvous hashing of the request and the live
-// processes, so that no process gets all requests of a lost one. Without live processes it is 0.
+// successor returns the process that is to take over a request, or 0 if no process is live. It is chosen by rendezvous
+// hashing over the live processes, so that no process takes over all requests of a lost one.
 func successor(idempotencyKey string, live []replication.Incarnation) (best replication.Incarnation) {
 	var bestHash uint64
 	for _, process := range live {
--- a/fleet/idempotency/golden_test.go
+++ b/fleet/idempotency/golden_test.go
@@ -21,7 +21,8 @@
 	return response.Encode(), err
 }
 
-// Commands of every kind and responses are encoded to the recorded bytes, and those come through decoding unchanged.
+// Commands of every operation and responses encode to the recorded bytes, and these bytes survive decoding and encoding
+// again.
 func TestWireFormat(t *testing.T) {
 	command := Command{
 		Op:              Register,
@@ -72,10 +73,10 @@
 	golden.Messages(t, "testdata/messages.txt", messages)
 }
 
-// testOptions are those of the registry whose states were recorded.
+// testOptions are the options of the registry whose states were recorded.
 var testOptions = Options{MaxBytes: 1 << 20, Retention: 60 * monotime.Second, OrphanTimeout: 3 * monotime.Second}
 
-// recordedRegistry is a registry of which each command's response is noted for the comparison.
+// recordedRegistry applies commands to a registry and records the responses.
 type recordedRegistry struct {
 	t         *testing.T
 	registry  *Registry
@@ -120,7 +121,7 @@
 	})
 }
 
-// registerAgain registers a request of which there is a record, with the statement of the digest.
+// registerAgain registers a request that has a record already, with the given statement digest.
 func (r *recordedRegistry) registerAgain(idempotencyKey, digest string) {
 	r.apply(7, Command{
 		Op:              Register,
@@ -131,24 +132,25 @@
 	})
 }
 
-// The responses to a sequence of commands that reaches every phase, and the snapshot after it, have the recorded bytes.
+// The responses to a sequence of commands that reaches every phase, the snapshot after it, and the snapshot of an empty
+// registry encode to the recorded bytes.
 func TestWireFormatOfStates(t *testing.T) {
 	r := &recordedRegistry{t: t, registry: NewRegistry(testOptions)}
 	r.at = replication.ApplyContext{Index: 100, Notify: func(replication.Incarnation, string) {}}
-	one := r.register(5, "one", "key")
-	two := r.register(6, "two", "key")
-	three := r.register(1<<61, "three", "")
-	r.authorize(5, "one", one, 1, "s-1")
-	r.authorize(6, "two", two, 1, "s-2")
-	r.authorize(5, "one", one, 2, "s-2")
-	r.authorize(1<<61, "three", three, 1, "s-3")
+	oneEpoch := r.register(5, "one", "key")
+	twoEpoch := r.register(6, "two", "key")
+	threeEpoch := r.register(1<<61, "three", "")
+	r.authorize(5, "one", oneEpoch, 1, "s-1")
+	r.authorize(6, "two", twoEpoch, 1, "s-2")
+	r.authorize(5, "one", oneEpoch, 2, "s-2")
+	r.authorize(1<<61, "three", threeEpoch, 1, "s-3")
 	rows := []byte("rows of three")
-	r.apply(1<<61, Command{Op: Complete, IdempotencyKey: "three", Epoch: three, Outcome: Served, Rows: rows})
+	r.apply(1<<61, Command{Op: Complete, IdempotencyKey: "three", Epoch: threeEpoch, Outcome: Served, Rows: rows})
 	r.registerAgain("three", "three")
 	r.registerAgain("three", "other")
 	r.apply(7, Command{Op: Inspect, IdempotencyKey: "none"})
-	four := r.register(8, "four", "")
-	r.apply(8, Command{Op: Complete, IdempotencyKey: "four", Epoch: four, Outcome: Failed})
+	fourEpoch := r.register(8, "four", "")
+	r.apply(8, Command{Op: Complete, IdempotencyKey: "four", Epoch: fourEpoch, Outcome: Failed})
 	r.register(8, "five", "other")
 	r.apply(9, Command{
 		Op:              Register,
@@ -161,7 +163,7 @@
 		ClientTimeout:   uint64(monotime.Second),
 		TakeOver:        true,
 	})
-	r.apply(5, Command{Op: Transfer, IdempotencyKey: "one", Epoch: one})
+	r.apply(5, Command{Op: Transfer, IdempotencyKey: "one", Epoch: oneEpoch})
 	recodeSnapshot := func(b []byte) ([]byte, error) {
 		restored := NewRegistry(testOptions)
 		err := restored.Restore(b, 5)
--- a/fleet/idempotency/idempotencyclient/attempt.go
+++ b/fleet/idempotency/idempotencyclient/attempt.go
@@ -6,8 +6,8 @@
 	"chutechute/internal/monotime"
 )
 
-// Authorize proposes that an attempt may start. It calls authorized once, or never after the request was released. If
-// the attempt is denied, the request is suspended as well.
+// Authorize proposes to authorize an attempt. It calls authorized once, but not after the request was released. If the
+// attempt is denied, the request is also suspended.
 func (c *Client) Authorize(
 	now monotime.Micros, registration *gateway.Registration, attempt int, engine string,
 	authorized func(now monotime.Micros, ok bool),
@@ -38,10 +38,10 @@
 	})
 }
 
-// OutcomeUnknown reports whether some attempt of the request may have started, by what the registry has answered since
-// the request came. What it had answered before may be out of date: a request that the registry has not answered is
-// rejected, as at a front end that knows nothing of the record, and does not fail as one that may have run, while rows
-// of it were delivered elsewhere meanwhile (simulation, seed 43).
+// OutcomeUnknown reports whether an attempt of the request may have started, according to the registry's responses
+// since the request arrived. Earlier responses may be outdated: in the simulation with seed 43 a request failed as one
+// that may have run, while another front end had delivered its rows meanwhile. A request for which the registry has not
+// responded yet is therefore rejected, as on a front end that does not track the record.
 func (c *Client) OutcomeUnknown(registration *gateway.Registration) bool {
 	t := recordOf(registration)
 	startedElsewhere := t.phase == idempotency.Started && t.ownership != ownerBeforeStart
--- a/fleet/idempotency/idempotencyclient/client.go
+++ b/fleet/idempotency/idempotencyclient/client.go
@@ -10,64 +10,72 @@
 	"chutechute/internal/monotime"
 )
 
-// statementDigestBytes is the length of a statement's digest, the head of its SHA-256.
+// statementDigestBytes is the length of a statement digest, a truncated SHA-256.
 const statementDigestBytes = 16
 
 // Proposer proposes commands to the replicated state machines; fleet.Node is one.
 type Proposer interface {
-	// Propose proposes a command until it is answered. It returns an id for Cancel, which is not 0; done is called
-	// once, with the response, unless the proposal is canceled before.
-	Propose(now monotime.Micros, stateMachine, version uint32, body []byte, done func(replication.Response)) (id uint64)
-	// Cancel ends a proposal. Its command may be committed nevertheless.
+	// Propose proposes a command, repeatedly until a response arrives. It returns an ID for Cancel, which is not 0. It
+	// calls done once, with the response, unless the proposal is canceled first.
+	Propose(
+		now monotime.Micros, stateMachineID, version uint32, body []byte, done func(replication.Response),
+	) (id uint64)
+	// Cancel stops a proposal. Its command may still be committed.
 	Cancel(id uint64)
-	// PresumedDead reports whether the process of the incarnation is presumed dead, which is a guess.
+	// PresumedDead reports whether the process of the incarnation is presumed dead. This is a guess.
 	PresumedDead(incarnation uint64) bool
 }
 
-// TakeoverHandler is the part of the gateway that polls for attempts that another front end has started.
+// TakeoverHandler is the part of the gateway that polls for attempts that other front ends started.
 type TakeoverHandler interface {
-	// TakeOver opens a request without a client for a started attempt, and returns its registration, or nil where this
-	// front end has an open request of the same id.
+	// TakeOver opens a request without a client for a started attempt. It returns the registration of the request, or
+	// nil if this front end has an open request with the same ID.
 	TakeOver(now monotime.Micros, takeover gateway.Takeover) *gateway.Registration
 }
 
-// Config has the settings of a client.
+// Config holds the settings of a client.
 type Config struct {
-	Incarnation   uint64          // of this front end's process
-	PollInterval  monotime.Micros // between polls for a request that another owns, or that is not first of its key
-	CommitTimeout monotime.Micros // how long an outcome is proposed until the request fails
-	RetryAfter    monotime.Micros // when a client may retry a request that was rejected
+	Incarnation   uint64          // incarnation of this front end
+	PollInterval  monotime.Micros // interval of polls for a request that is owned elsewhere or not first in its queue
+	CommitTimeout monotime.Micros // how long an outcome is proposed before the request fails
+	RetryAfter    monotime.Micros // after which a client may retry a rejected request
 }
 
-// Client is one front end's side of the registry.
+// Client is a front end's client of the registry.
 type Client struct {
-	config   Config
-	proposer Proposer
-	core     TakeoverHandler
-	now      monotime.Micros
-	tracked  map[string]*trackedRecord // by idempotency key
-	ordered  []*trackedRecord          // those of tracked, in the order in which they came
+	config          Config
+	proposer        Proposer
+	takeoverHandler TakeoverHandler
+	now             monotime.Micros
+	tracked         map[string]*trackedRecord // by idempotency key
+	ordered         []*trackedRecord          // the values of tracked, in the order in which they were added
 
 	Conflicts   int // requests rejected because their idempotency key was used with another statement
 	TakenOver   int // unstarted requests taken over from a front end that is presumed dead
-	JoinedWaits int // records whose requests here waited for another front end, which is the owner
+	JoinedWaits int // records for which requests here waited because another front end was the owner
 	Committed   int // outcomes committed by this front end
 }
 
 var _ gateway.IdempotencyStore = (*Client)(nil)
 
-// New returns a client that tracks no requests.
-func New(config Config, proposer Proposer, core TakeoverHandler) *Client {
-	return &Client{config: config, proposer: proposer, core: core, tracked: map[string]*trackedRecord{}}
+// New returns a client that tracks no records.
+func New(config Config, proposer Proposer, takeoverHandler TakeoverHandler) *Client {
+	return &Client{
+		config:          config,
+		proposer:        proposer,
+		takeoverHandler: takeoverHandler,
+		tracked:         map[string]*trackedRecord{},
+	}
 }
 
-// SetNow sets the time for responses that come before the next Tick.
+// SetNow sets the time at which responses before the next Tick are handled.
 func (c *Client) SetNow(now monotime.Micros) { c.now = now }
 
-// Len returns the number of records that are tracked.
+// Len returns the number of tracked records.
 func (c *Client) Len() int { return len(c.ordered) }
 
-// Tick lets time pass: it polls for requests and fails those whose outcome could not be committed in time.
+// Tick advances the client's time. It polls for the requests that are due, fails those whose outcome was not committed
+// within CommitTimeout, and rejects those whose statement differs from that of their record.
 func (c *Client) Tick(now monotime.Micros) {
 	c.now = now
 	for _, t := range slices.Clone(c.ordered) {
@@ -83,11 +91,11 @@
 	}
 }
 
-// responseHandler gets the response to a command; committed is false where the command was not committed, or the
+// responseHandler handles the response to a command. committed is false if the command was not committed or the
 // response is malformed.
 type responseHandler func(response idempotency.Response, committed bool)
 
-// ignoreResponse is for commands whose effect shows by other responses.
+// ignoreResponse is the handler for commands whose effect is seen in later responses.
 func ignoreResponse(idempotency.Response, bool) {}
 
 // propose proposes a command to the registry.
@@ -99,13 +107,13 @@
 	return c.proposer.Propose(c.now, idempotency.StateMachineID, idempotency.CommandVersion, command.Encode(), done)
 }
 
-// track begins to track a record.
+// track starts to track a record.
 func (c *Client) track(t *trackedRecord) {
 	c.tracked[t.idempotencyKey] = t
 	c.ordered = append(c.ordered, t)
 }
 
-// close ends the tracking of a record, and returns the registrations that waited for it.
+// close stops tracking a record and returns the registrations that waited for it.
 func (c *Client) close(t *trackedRecord) (waiting []*gateway.Registration) {
 	waiting, t.registrations = t.registrations, nil
 	if !t.closed {
@@ -116,14 +124,14 @@
 	return waiting
 }
 
-// finish gives all that wait for a record its outcome, and closes it.
+// finish closes a record and delivers its outcome to all requests that wait for it.
 func (c *Client) finish(t *trackedRecord, served bool, rows []byte) {
 	for _, registration := range c.close(t) {
 		registration.Finish(c.now, served, rows)
 	}
 }
 
-// rejectAll rejects all that wait for a record, and closes it.
+// rejectAll closes a record and rejects all requests that wait for it.
 func (c *Client) rejectAll(t *trackedRecord) {
 	for _, registration := range c.close(t) {
 		registration.Reject(c.now, c.config.RetryAfter)
@@ -135,7 +143,8 @@
 	return sum[:statementDigestBytes]
 }
 
-// without returns a list without a value. The list itself is not changed, as a caller may iterate over it.
+// without returns the list without the first occurrence of a value. It does not modify the list, as a caller may be
+// iterating over it.
 func without[T comparable](list []T, value T) []T {
 	i := slices.Index(list, value)
 	if i < 0 {
--- a/fleet/idempotency/idempotencyclient/doc.go
+++ b/fleet/idempotency/idempotencyclient/doc.go
@@ -1,14 +1,15 @@
-// Package idempotencyclient has one front end's side of the registry of idempotent requests (package idempotency). It
-// registers the requests that this front end received, waits for their turn, has attempts authorized before they
-// start, commits outcomes before clients get them, and has a retry wait for the outcome of the request that exists. It
-// is the gateway's IdempotencyStore, and a stepped module: it has no I/O, no clock, no goroutines and no iteration over
-// maps.
+// Package idempotencyclient implements a front end's client of the registry of idempotent requests (package
+// idempotency). The client registers the requests that this front end receives, waits until they are first in their
+// queue, has attempts authorized before they start, commits outcomes before clients receive them, and makes a repeat
+// wait for the outcome of the request that is already registered. It is the gateway's IdempotencyStore, and a stepped
+// module: it performs no I/O, reads no clock, starts no goroutines and does not iterate over maps.
 //
-// What it guarantees, besides what package idempotency guarantees of the registry:
+// In addition to what package idempotency guarantees, it guarantees:
 //
-//  1. A client gets rows only as the registry has them: those of the first outcome that was committed.
-//  2. A request that this front end may not start any more (denied, taken over, its client's timeout passed) is never
-//     started by it later: an authorization that comes then is not used, and the registry is told that nothing ran.
-//  3. A request is rejected only where no attempt of it, as far as this front end can know, may have started; and of
-//     the rejected call itself nothing ever will.
+//  1. Clients receive rows only from the registry: those of the first outcome that was committed.
+//  2. A request that this front end may no longer start (it was denied or taken over, or its client's timeout has
+//     passed) is not started here later: a late authorization is not used, and the registry is informed that nothing
+//     ran.
+//  3. A request is rejected only if, as far as this front end can know, none of its attempts may have started. The
+//     rejected call itself never runs later.
 package idempotencyclient
--- a/fleet/idempotency/idempotencyclient/outcome.go
+++ b/fleet/idempotency/idempotencyclient/outcome.go
@@ -6,17 +6,18 @@
 	"chutechute/internal/monotime"
 )
 
-// Commit commits the rows of a request as its outcome. All that wait for the record get what is committed.
+// Commit proposes the rows of a request as its outcome. All requests that wait for the record receive the outcome that
+// is committed, which may be another one.
 func (c *Client) Commit(now monotime.Micros, registration *gateway.Registration, rows []byte) {
 	c.now = now
 	t := recordOf(registration)
 	t.removeRegistration(registration)
-	t.addRegistration(registration) // it gets what is committed after all others
+	t.addRegistration(registration) // moved to the end: it receives the outcome after all others
 	c.complete(t, idempotency.Served, rows)
 }
 
-// Release ends a request's part in its record without rows. No attempt of it runs or will start; ran says whether one
-// may have run.
+// Release ends the request's registration without rows. No attempt of the request is running or will start; ran reports
+// whether one may have run.
 func (c *Client) Release(now monotime.Micros, registration *gateway.Registration, ran bool) {
 	c.now = now
 	t := recordOf(registration)
@@ -28,11 +29,11 @@
 	isLast := len(t.registrations) == 0
 	switch {
 	case t.completing || t.closed:
-	case isLast && t.registerProposal != 0: // its response ends the record
+	case isLast && t.registerProposal != 0: // its response closes the record
 	case wasDispatched && ran:
 		c.complete(t, idempotency.Failed, nil)
 	case wasDispatched && !isLast && t.phase == idempotency.Waiting:
-		c.register(t, false) // the next request here gets the place in the queue
+		c.register(t, false) // the next request here gets this one's position in the queue
 	case t.isOwner() && (wasDispatched || isLast):
 		c.complete(t, idempotency.Unregistered, nil)
 	case isLast:
@@ -43,7 +44,7 @@
 	}
 }
 
-// complete proposes an outcome; Unregistered removes the record, as nothing of the request ran.
+// complete proposes an outcome. Unregistered removes the record of a request that never ran.
 func (c *Client) complete(t *trackedRecord, outcome idempotency.Phase, rows []byte) {
 	if t.completing {
 		return
@@ -71,12 +72,12 @@
 	case committed && response.Phase.Finished():
 		c.Committed++
 		c.finish(t, response.Phase == idempotency.Served, response.Rows)
-	case outcome == idempotency.Unregistered && len(t.registrations) > 0: // another request came meanwhile
+	case outcome == idempotency.Unregistered && len(t.registrations) > 0: // another request arrived meanwhile
 		t.phase = idempotency.Unregistered
 		c.register(t, false)
 	case outcome == idempotency.Unregistered:
 		c.close(t)
-	default: // the record expired and was evicted since
+	default: // the command was not committed or was denied, or the record has expired and was removed
 		c.finish(t, false, nil)
 	}
 }
--- a/fleet/idempotency/idempotencyclient/register.go
+++ b/fleet/idempotency/idempotencyclient/register.go
@@ -10,20 +10,20 @@
 )
 
 // Register registers a request that this front end received. One of the registration's methods is called later, unless
-// the registration is released before.
+// the registration is released first.
 func (c *Client) Register(now monotime.Micros, registration *gateway.Registration) {
 	c.now = now
 	if t := c.tracked[registration.Call().IdempotencyKey]; t != nil {
 		t.addRegistration(registration)
-		return // the next Tick finds another statement, as the gateway must not be called from within its own call
+		return // the next Tick compares the statements, as the gateway must not be called from within its own call
 	}
 	t := newTrackedRecord(registration)
 	c.track(t)
 	c.register(t, false)
 }
 
-// register proposes a Register for the oldest request, which also polls for the state of the record. With takeOver this
-// front end becomes the owner if nothing was started.
+// register proposes a Register for the oldest request of a record. The response also returns the record's state, so
+// this serves as a poll. With takeOver, this front end becomes the owner if no attempt was authorized.
 func (c *Client) register(t *trackedRecord, takeOver bool) {
 	if t.registerProposal != 0 || t.completing || len(t.registrations) == 0 || c.mustWaitToRegister(t) {
 		return
@@ -48,8 +48,8 @@
 	})
 }
 
-// mustWaitToRegister reports whether an earlier request of the order key is not registered yet. What one front end
-// receives is registered in that order, whatever becomes of messages.
+// mustWaitToRegister reports whether an earlier request of the order key is not registered yet. A front end registers
+// the requests of an order key in the order in which it received them, even if messages are lost or reordered.
 func (c *Client) mustWaitToRegister(t *trackedRecord) bool {
 	if t.registered || t.orderKey == "" {
 		return false
@@ -65,7 +65,7 @@
 	return false
 }
 
-// registerNext registers the next request of the order key, which waited for this one.
+// registerNext registers the next request of the order key, which waited for the Register of this one.
 func (c *Client) registerNext(t *trackedRecord) {
 	if t.orderKey == "" {
 		return
@@ -93,7 +93,7 @@
 	}
 	t.update(response, isOwner)
 	if len(t.registrations) == 0 {
-		c.abandon(t)
+		c.closeReleased(t)
 	} else {
 		c.advance(t, response, committed)
 	}
@@ -102,8 +102,8 @@
 	}
 }
 
-// abandon ends a record whose requests were all released while its Register was pending.
-func (c *Client) abandon(t *trackedRecord) {
+// closeReleased closes a record whose requests were all released while its Register was pending.
+func (c *Client) closeReleased(t *trackedRecord) {
 	if t.isOwner() && t.phase == idempotency.Waiting {
 		c.complete(t, idempotency.Unregistered, nil)
 		return
@@ -111,7 +111,7 @@
 	c.close(t)
 }
 
-// advance does what the state of a record, as the response to a Register shows it, calls for.
+// advance continues with a record according to the response to a Register.
 func (c *Client) advance(t *trackedRecord, response idempotency.Response, committed bool) {
 	switch {
 	case !committed:
@@ -133,12 +133,12 @@
 	}
 }
 
-// advanceOwned does what the state of a record of which this front end is the owner calls for.
+// advanceOwned continues with a record that this front end owns.
 func (c *Client) advanceOwned(t *trackedRecord, response idempotency.Response) {
 	switch {
 	case t.phase == idempotency.Waiting && response.FirstInQueue:
 		if response.OwnerRequestID != t.registrations[0].Call().ID {
-			c.register(t, false) // its request was released; the registry must know how long the next client waits
+			c.register(t, false) // that request was released; the registry needs the timeout of the next one
 			return
 		}
 		t.dispatched = t.registrations[0]
@@ -148,16 +148,16 @@
 			c.takeOver(t, response)
 			return
 		}
-		// The request that was dispatched was released before anything ran. The next one registers anew.
+		// The dispatched request was released before any attempt ran. The next request registers again.
 		c.complete(t, idempotency.Unregistered, nil)
 	}
 }
 
-// waitForOwner waits for the outcome of a request that another front end owns, or takes it over if nothing was started
-// and the owner is presumed dead.
+// waitForOwner waits for the outcome of a request that another front end owns. If no attempt was authorized and the
+// owner is presumed dead, it takes the request over.
 func (c *Client) waitForOwner(t *trackedRecord, response idempotency.Response) {
-	if !t.joinedWait {
-		t.joinedWait = true
+	if !t.countedAsWaiting {
+		t.countedAsWaiting = true
 		c.JoinedWaits++
 	}
 	if response.Phase == idempotency.Waiting && c.proposer.PresumedDead(response.Owner) {
@@ -165,7 +165,7 @@
 	}
 }
 
-// rejectOtherStatements rejects the requests that came for a record with another statement. Each is checked once.
+// rejectOtherStatements rejects the requests of a record that have another statement. Each request is checked once.
 func (c *Client) rejectOtherStatements(t *trackedRecord) {
 	var conflicting []*gateway.Registration
 	for _, registration := range t.registrations {
--- a/fleet/idempotency/idempotencyclient/takeover.go
+++ b/fleet/idempotency/idempotencyclient/takeover.go
@@ -8,7 +8,7 @@
 	"chutechute/internal/monotime"
 )
 
-// Notify tells that the record of the idempotency key may have changed.
+// Notify handles a notification that the record of the idempotency key may have changed.
 func (c *Client) Notify(now monotime.Micros, idempotencyKey string) {
 	c.now = now
 	t := c.tracked[idempotencyKey]
@@ -21,8 +21,8 @@
 	}
 }
 
-// inspectUntracked asks for a record that is not tracked here. Its owner may be this front end nevertheless: by an
-// offered transfer, or by a command that was repeated late.
+// inspectUntracked queries a record that is not tracked here. This front end may still be its owner, because of an
+// OfferTransfer or a late duplicate of a command.
 func (c *Client) inspectUntracked(idempotencyKey string) {
 	command := &idempotency.Command{Op: idempotency.Inspect, IdempotencyKey: idempotencyKey}
 	c.propose(command, func(response idempotency.Response, committed bool) {
@@ -38,7 +38,7 @@
 	})
 }
 
-// takeOverUntracked begins to track a record for its started attempt.
+// takeOverUntracked starts to track a record and takes its started attempt over.
 func (c *Client) takeOverUntracked(idempotencyKey string, response idempotency.Response) {
 	t := &trackedRecord{
 		idempotencyKey:  idempotencyKey,
@@ -56,7 +56,7 @@
 	}
 }
 
-// removeUntracked removes the record of a request that is not here any more and of which nothing ran.
+// removeUntracked removes the record of a request that is no longer tracked here and never ran.
 func (c *Client) removeUntracked(idempotencyKey string, epoch uint64) {
 	command := &idempotency.Command{
 		Op:             idempotency.Complete,
@@ -67,10 +67,10 @@
 	c.propose(command, ignoreResponse)
 }
 
-// takeOver has the gateway poll for an attempt that another front end has started; the registry has made this one its
-// owner.
+// takeOver has the gateway poll for an attempt that another front end started, after the registry has made this front
+// end the owner.
 func (c *Client) takeOver(t *trackedRecord, response idempotency.Response) {
-	registration := c.core.TakeOver(c.now, gateway.Takeover{
+	registration := c.takeoverHandler.TakeOver(c.now, gateway.Takeover{
 		RequestID:      response.StartedRequestID,
 		Engine:         response.Engine,
 		IdempotencyKey: t.idempotencyKey,
@@ -79,7 +79,7 @@
 		TTL:            monotime.Micros(response.ClientTimeout),
 	})
 	if registration == nil {
-		return // a client's request here has that id; the record expires
+		return // an open request here has the same ID; the record expires
 	}
 	slog.Info("started request taken over", slog.String("idempotency_key", t.idempotencyKey),
 		slog.String("engine", response.Engine), slog.String("request_id", response.StartedRequestID),
@@ -89,8 +89,8 @@
 	t.dispatched = registration
 }
 
-// Transfer gives a started request back to the registry, which offers it to another front end. An outcome from here
-// counts only if it is committed before.
+// Transfer ends this front end's ownership of a started request, which the leader then offers to another front end. An
+// outcome from this front end has an effect only if it is committed before.
 func (c *Client) Transfer(now monotime.Micros, registration *gateway.Registration) {
 	c.now = now
 	t := recordOf(registration)
--- a/fleet/idempotency/idempotencyclient/trackedrecord.go
+++ b/fleet/idempotency/idempotencyclient/trackedrecord.go
@@ -6,43 +6,43 @@
 	"chutechute/internal/monotime"
 )
 
-// ownership is what this front end knows of who owns a record.
+// ownership is what this front end knows about the ownership of a record.
 type ownership uint8
 
 const (
 	notOwner         ownership = iota
-	ownerBeforeStart           // it was the owner while nothing was started: what has started since is its own
-	ownerAfterStart            // it got the record with an attempt that another front end had started
+	ownerBeforeStart           // it became the owner before any attempt was authorized: all attempts are its own
+	ownerAfterStart            // it became the owner after another front end had started an attempt
 )
 
-// trackedRecord is a record of the registry as this front end last saw it, with all requests here for it.
+// trackedRecord is a record of the registry as this front end last saw it, with the requests here that wait for it.
 type trackedRecord struct {
 	idempotencyKey  string
 	orderKey        string
 	statementDigest []byte
 	registrations   []*gateway.Registration
-	dispatched      *gateway.Registration // the one whose request the scheduler has
+	dispatched      *gateway.Registration // the one whose request was passed to the scheduler, or taken over
 	ownership       ownership
 	epoch           uint64
 	phase           idempotency.Phase
 
-	registered       bool   // the first Register was answered
-	registerProposal uint64 // the Register that is pending; 0 without one
+	registered       bool   // a Register was answered
+	registerProposal uint64 // the pending Register; 0 if there is none
 	nextPoll         monotime.Micros
-	joinedWait       bool // it was counted as waiting for another front end
+	countedAsWaiting bool // its wait for another owner was counted
 
 	completing       bool // a Complete is pending
 	completingSince  monotime.Micros
 	completeProposal uint64
-	closed           bool // it is tracked no more
+	closed           bool // it is no longer tracked
 }
 
-// recordOf returns the record that a registration is for.
+// recordOf returns the record of a registration.
 func recordOf(registration *gateway.Registration) *trackedRecord {
 	return registration.StoreState.(*trackedRecord)
 }
 
-// newTrackedRecord returns the record of the first request for it that came here.
+// newTrackedRecord returns a record for the first request here that has its idempotency key.
 func newTrackedRecord(registration *gateway.Registration) *trackedRecord {
 	call := registration.Call()
 	t := &trackedRecord{
@@ -66,7 +66,7 @@
 // isOwner reports whether this front end is the owner, as far as it knows.
 func (t *trackedRecord) isOwner() bool { return t.ownership != notOwner }
 
-// update sets the state that the response to a Register shows.
+// update sets the state of the record from the response to a Register.
 func (t *trackedRecord) update(response idempotency.Response, isOwner bool) {
 	t.epoch, t.phase = response.Epoch, response.Phase
 	switch {
@@ -79,5 +79,5 @@
 	}
 }
 
-// loseOwnership notes that this front end owns the record no more, or can't tell.
+// loseOwnership records that this front end is no longer the owner, or does not know whether it is.
 func (t *trackedRecord) loseOwnership() { t.ownership, t.dispatched = notOwner, nil }
--- a/fleet/idempotency/phase.go
+++ b/fleet/idempotency/phase.go
@@ -1,21 +1,21 @@
 package idempotency
 
-// Phase is how far an idempotent request has come.
+// Phase is the progress of an idempotent request.
 type Phase uint64
 
 // The phases.
 const (
 	Unregistered Phase = iota // the registry has no record of the request
-	Waiting                   // registered; no attempt was authorized
+	Waiting                   // registered; no attempt was authorized yet
 	Started                   // an attempt was authorized and may have started
-	Served                    // finished, with its rows
-	Failed                    // finished, and may have run
+	Served                    // finished with rows
+	Failed                    // finished without rows; an attempt may have run
 )
 
-// Finished reports whether the request has its outcome.
+// Finished reports whether the request has an outcome.
 func (p Phase) Finished() bool { return p >= Served }
 
-// String returns the phase as operators see it.
+// String returns the name of the phase on status pages.
 func (p Phase) String() string {
 	return [...]string{"none", "waiting", "started", "served", "failed"}[min(p, Failed)]
 }
--- a/fleet/idempotency/queue.go
+++ b/fleet/idempotency/queue.go
@@ -9,7 +9,8 @@
 	}
 }
 
-// dequeue takes a record out of the queue of its order key. The owner of the next one is notified that it may start.
+// dequeue removes a record from the queue of its order key. If it was first, the owner of the next one is notified that
+// it may start.
 func (r *Registry) dequeue(c *committedCommand, rec *record) {
 	if rec.orderKey == "" {
 		return
@@ -27,7 +28,7 @@
 	}
 }
 
-// isFirst reports whether no other request of the record's order key is before it.
+// isFirst reports whether a record has no order key, or is unfinished and the first in its queue.
 func (r *Registry) isFirst(rec *record) bool {
 	return rec.orderKey == "" || !rec.phase.Finished() && r.queues[rec.orderKey][0] == rec
 }
--- a/fleet/idempotency/registry.go
+++ b/fleet/idempotency/registry.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// StateMachineID is the number of the registry among the replicated state machines.
+	// StateMachineID is the registry's ID among the replicated state machines.
 	StateMachineID uint32 = 1
-	// CommandVersion is the version of the encoding of commands.
+	// CommandVersion is the version of the encoding of commands and snapshots.
 	CommandVersion uint32 = 1
-	// stateMachineName is the name of the registry among the replicated state machines.
+	// stateMachineName is the registry's name among the replicated state machines.
 	stateMachineName = "loads"
 )
 
-// Options are the limits of a registry. All replicas of one group must have the same.
+// Options holds the limits of a registry. All replicas of a group must use the same values.
 type Options struct {
-	MaxBytes      int             // that records may take, with the reserved size of their outcomes
+	MaxBytes      int             // maximum size of all records, including the space reserved for outcomes
 	Retention     monotime.Micros // how long an outcome is retained
-	OrphanTimeout monotime.Micros // how long an unstarted request stays registered after its owner was presumed dead
+	OrphanTimeout monotime.Micros // how long an unstarted request is kept once its owner is presumed dead
 }
 
 // Registry is the replicated state machine of idempotent requests.
 type Registry struct {
 	options Options
 	records map[string]*record   // by idempotency key
-	ordered []*record            // all records, by index
-	queues  map[string][]*record // by order key: the records that are not finished, by index
+	ordered []*record            // all records, in ascending order of index
+	queues  map[string][]*record // by order key: the unfinished records, in ascending order of index
 	bytes   int
 }
 
@@ -52,10 +52,10 @@
 // Len returns the number of records.
 func (r *Registry) Len() int { return len(r.ordered) }
 
-// Bytes returns the bytes that the records take, with the reserved size of their outcomes.
+// Bytes returns the size of all records, including the space reserved for outcomes.
 func (r *Registry) Bytes() int { return r.bytes }
 
-// add puts in a record, whose index is larger than that of all others.
+// add adds a record. Its index must be larger than that of all others.
 func (r *Registry) add(rec *record) {
 	r.records[rec.idempotencyKey] = rec
 	r.ordered = append(r.ordered, rec)
@@ -65,7 +65,7 @@
 	}
 }
 
-// finish gives a request its outcome.
+// finish sets the outcome of a request and notifies its watchers.
 func (r *Registry) finish(c *committedCommand, rec *record, outcome Phase, rows []byte) {
 	r.bytes -= rec.size()
 	r.dequeue(c, rec)
@@ -74,7 +74,7 @@
 	notifyWatchers(c, rec)
 }
 
-// remove takes out a record. Its owner and its watchers are notified if it has no outcome.
+// remove removes a record. Its owner and watchers are notified if it has no outcome.
 func (r *Registry) remove(c *committedCommand, rec *record) {
 	r.bytes -= rec.size()
 	if !rec.phase.Finished() {
@@ -90,7 +90,7 @@
 
 func compareIndex(rec *record, index uint64) int { return cmp.Compare(rec.index, index) }
 
-// notifyWatchers notifies the front ends that wait for a record, once.
+// notifyWatchers notifies the front ends that wait for a record, and clears their list.
 func notifyWatchers(c *committedCommand, rec *record) {
 	for _, watcher := range rec.watchers {
 		c.Notify(watcher, rec.idempotencyKey)
--- a/fleet/idempotency/response.go
+++ b/fleet/idempotency/response.go
@@ -11,37 +11,38 @@
 
 // The statuses.
 const (
-	OK               Status = iota + 1 // done
-	Denied                             // not the owner, another epoch, or finished: the rest of the response says
-	Blocked                            // other requests of its order key are first
+	OK               Status = iota + 1 // the command was applied
+	Denied                             // not the owner, another epoch, finished, or an invalid outcome
+	Blocked                            // the request is not the first of its order key
 	Conflict                           // the idempotency key was used with another statement, order key or class
-	CapacityExceeded                   // no capacity for another record and its outcome
-	NotFound                           // the registry has no such record
+	CapacityExceeded                   // the limit on the size of all records is reached
+	NotFound                           // the registry has no record of the idempotency key
 )
 
-// encodedResponseBytes is the capacity with which the encoding of a response begins, besides its rows.
+// encodedResponseBytes is the initial capacity of the buffer for an encoded response without its rows.
 const encodedResponseBytes = 64
 
-// Response is the state of a record after a command. The fields from TTL on are set only for a started request.
+// Response is the state of a record after a command. ClientTimeout and the fields after it are set only in the phase
+// Started.
 type Response struct {
 	Status         Status
 	Phase          Phase
-	Owner          uint64 // incarnation; 0 while the record has no owner
+	Owner          uint64 // incarnation of the owner; 0 while the record has none
 	Epoch          uint64
-	Index          uint64 // the log index of the registration, which is its place in the order of commits
-	FirstInQueue   bool   // no request of its order key is before it
-	OwnerRequestID string // the request that the owner registered
+	Index          uint64 // log index of the registration, by which requests of one order key are ordered
+	FirstInQueue   bool   // whether no request of the same order key precedes it
+	OwnerRequestID string // the ID of the request that the owner registered
 	Rows           []byte // of a served request
 
 	ClientTimeout    uint64 // microseconds that the client waits
 	Engine           string // of the last attempt
-	StartedRequestID string // the request whose last attempt it is
+	StartedRequestID string // the ID of the request that the last attempt was authorized for
 	Class            string
 	OrderKey         string
 	StatementDigest  []byte
 }
 
-// fields lists the fields of a response for both directions.
+// fields encodes or decodes the fields of a response.
 func (r *Response) fields(f *fieldcodec.Fields) {
 	fieldcodec.Uint(f, 1, &r.Status)
 	fieldcodec.Uint(f, 2, &r.Phase)
@@ -59,15 +60,15 @@
 	f.Copied(14, &r.StatementDigest)
 }
 
-// Encode returns the response's bytes.
+// Encode returns the encoded response.
 func (r *Response) Encode() []byte {
 	f := fieldcodec.Encode(make([]byte, 0, encodedResponseBytes+len(r.Rows)))
 	r.fields(&f)
 	return f.Bytes()
 }
 
-// DecodeResponse decodes the bytes of a response. The error wraps fieldcodec.ErrMalformed; the response then has the
-// fields that were decoded before.
+// DecodeResponse decodes a response. The error wraps fieldcodec.ErrMalformed; the response then has the fields decoded
+// before the malformed one.
 func DecodeResponse(b []byte) (r Response, err error) {
 	f := fieldcodec.Decode(b)
 	for f.Next() {
--- a/fleet/idempotency/snapshot.go
+++ b/fleet/idempotency/snapshot.go
@@ -8,7 +8,7 @@
 	"chutechute/internal/monotime"
 )
 
-// AppendSnapshot appends all records to b, by index.
+// AppendSnapshot appends the encoding of all records to b, in ascending order of index.
 func (r *Registry) AppendSnapshot(b []byte) []byte {
 	f := fieldcodec.Encode(b)
 	for _, rec := range r.ordered {
@@ -17,8 +17,8 @@
 	return f.Bytes()
 }
 
-// Restore replaces the state by that of a snapshot. Timeouts are counted from now on, which is later than they began:
-// nothing expires early. The error wraps fieldcodec.ErrMalformed; the registry then has the records before it.
+// Restore replaces the state by that of a snapshot. Timeouts restart from now, so nothing expires early. The error
+// wraps fieldcodec.ErrMalformed; the registry then has the records before the malformed one.
 func (r *Registry) Restore(b []byte, now monotime.Micros) error {
 	*r = *NewRegistry(r.options)
 	snapshot := fieldcodec.Decode(b)
@@ -44,7 +44,7 @@
 	return rec, f.Err()
 }
 
-// fields lists the fields of a record in a snapshot, for both directions.
+// fields encodes or decodes the fields of a record in a snapshot.
 func (rec *record) fields(f *fieldcodec.Fields) {
 	f.String(1, &rec.idempotencyKey)
 	f.String(2, &rec.orderKey)
@@ -52,7 +52,7 @@
 	f.String(4, &rec.class)
 	f.Copied(5, &rec.statementDigest)
 	f.String(6, &rec.requestID)
-	fieldcodec.Uint(f, 7, &rec.ttl)
+	fieldcodec.Uint(f, 7, &rec.clientTimeout)
 	fieldcodec.Uint(f, 8, &rec.index)
 	fieldcodec.Uint(f, 9, &rec.owner)
 	fieldcodec.Uint(f, 10, &rec.epoch)
@@ -63,7 +63,7 @@
 	fieldcodec.Uint(f, 15, &rec.changedIndex)
 }
 
-// watcherFields is the repeated field of the watchers.
+// watcherFields encodes or decodes the repeated field of the watchers.
 func (rec *record) watcherFields(f *fieldcodec.Fields) {
 	const number = 14
 	if f.Decoding(number) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// fields lists the fields of an attempt in a snapshot, for both directions.
+// fields encodes or decodes the fields of an attempt in a snapshot.
 func (a *attempt) fields(f *fieldcodec.Fields) {
 	fieldcodec.Uint(f, 1, &a.number)
 	f.String(2, &a.engine)
--- a/fleet/idempotency/status.go
+++ b/fleet/idempotency/status.go
@@ -2,20 +2,21 @@
 
 import "fmt"
 
-// RecordStatus is a record as operators see it.
+// RecordStatus is the state of a record on status pages.
 type RecordStatus struct {
 	IdempotencyKey string   `json:"dedupe"`
 	OrderKey       string   `json:"key,omitempty"`
 	Class          string   `json:"class"`
 	Phase          string   `json:"phase"`
-	Owner          string   `json:"owner"` // incarnation, in hexadecimal
+	Owner          string   `json:"owner"` // its incarnation in hexadecimal
 	Epoch          uint64   `json:"epoch"`
 	Index          uint64   `json:"place"`
-	Attempts       []string `json:"starts,omitempty"` // the attempts that were authorized
-	Bytes          int      `json:"bytes"`            // of the rows
+	Attempts       []string `json:"starts,omitempty"` // the authorized attempts
+	Bytes          int      `json:"bytes"`            // size of the rows
 }
 
-// Records returns the status of all records, by index. The list is never nil.
+// Records returns the status of all records, in ascending order of index. The list is never nil, so that it is encoded
+// as an empty JSON array.
 func (r *Registry) Records() []RecordStatus {
 	list := make([]RecordStatus, 0, len(r.ordered))
 	for _, rec := range r.ordered {
