--- a/fleet/budget/check_test.go
+++ b/fleet/budget/check_test.go
@@ -10,35 +10,36 @@
 	"chutechute/internal/monotime"
 )
 
-// expense is something that was spent, in true time.
+// expense is an amount that was spent from a budget. Its times are true times.
 type expense struct {
 	budget   string
 	subject  string
 	at       monotime.Micros
-	finished monotime.Micros // of a concurrency limit: when it was released
+	finished monotime.Micros // for a concurrency limit: when it was released
 	amount   int64
 }
 
-// maxLoweringTime is how long after all faults have ended a lowered total is in force at the latest: an earlier
-// lease may have to expire first, and what was spent under it to finish.
+// maxLoweringTime is the longest time after the end of all faults until a lowered total is in force: an earlier lease
+// may have to expire first, and the work started under it to finish.
 const maxLoweringTime = 8 * second
 
-// check finds violations of the guarantees, from what was spent in true time alone. What holds between two changes of a
-// total is not stated, so the largest total that was ever in force counts, and in the end the last one.
-func (w *world) check() (violations []string) {
-	for i := range w.newestSet.Specs {
-		last := &w.newestSet.Specs[i]
+// check returns the violations of the guarantees, judged only by what was spent in true time. The guarantees do not say
+// which total holds while totals change. All expenses are therefore checked against the largest total of any version of
+// the settings, and those from maxLoweringTime after the end of the faults against the last one.
+func (s *simulation) check() (violations []string) {
+	for i := range s.newestSet.Specs {
+		last := &s.newestSet.Specs[i]
 		largest := *last
-		for _, set := range w.sets {
+		for _, set := range s.sets {
 			largest.Total = largest.Total.Max(set.Specs[i].Total)
 		}
 		var all, late []*expense
-		for _, e := range w.expenses {
+		for _, e := range s.expenses {
 			if e.budget != last.Name {
 				continue
 			}
 			all = append(all, e)
-			if e.at >= healedAt+maxLoweringTime {
+			if e.at >= faultsEndAt+maxLoweringTime {
 				late = append(late, e)
 			}
 		}
@@ -48,7 +49,7 @@
 	return violations
 }
 
-// checkExpenses finds the first violation of one subject's budget.
+// checkExpenses returns the first violation of a budget by the expenses of one subject, if any.
 func checkExpenses(spec *budget.Spec, expenses []*expense) (violations []string) {
 	switch spec.Kind {
 	case account.Rate:
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// checkRate plays a token bucket with the budget's rate and burst.
+// checkRate checks expenses against a token bucket with the rate and burst of the budget.
 func checkRate(spec *budget.Spec, expenses []*expense) (violations []string) {
 	burst, perSecond := float64(spec.Total.Capacity), float64(spec.Total.Rate)
 	tokens, filledAt := burst, monotime.Micros(0)
@@ -69,13 +70,13 @@
 		tokens = min(burst, tokens+perSecond*float64(e.at-filledAt)/float64(second))
 		filledAt = e.at
 		if tokens -= float64(e.amount); tokens < -0.5 {
-			return []string{fmt.Sprintf("%s: %.3f too much at %d us", spec.Name, -tokens/account.Unit, e.at)}
+			return []string{fmt.Sprintf("%s: %.3f above the limit at %d us", spec.Name, -tokens/account.Unit, e.at)}
 		}
 	}
 	return nil
 }
 
-// checkConcurrency adds up what is in use at each instant.
+// checkConcurrency checks that what is in use at any time stays within the limit.
 func checkConcurrency(spec *budget.Spec, expenses []*expense) (violations []string) {
 	type change struct {
 		at     monotime.Micros
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// checkWindow adds up what was spent within the window before each expense.
+// checkWindow checks that what was spent within the window before each expense stays within the total.
 func checkWindow(spec *budget.Spec, expenses []*expense) (violations []string) {
 	spent, first := int64(0), 0
 	for _, e := range expenses {
@@ -115,11 +116,11 @@
 	return nil
 }
 
-// shareInUse returns the share of a total that was spent in the last span. It is 1 for concurrency limits.
-func (w *world) shareInUse(spec *budget.Spec, span monotime.Micros) float64 {
+// shareInUse returns the share of a total that was spent within the last span. It returns 1 for concurrency limits.
+func (s *simulation) shareInUse(spec *budget.Spec, span monotime.Micros) float64 {
 	spent := 0.0
-	for _, e := range w.expenses {
-		if e.budget == spec.Name && e.at >= w.now-span {
+	for _, e := range s.expenses {
+		if e.budget == spec.Name && e.at >= s.now-span {
 			spent += float64(e.amount)
 		}
 	}
--- a/fleet/budget/export_test.go
+++ b/fleet/budget/export_test.go
@@ -2,15 +2,15 @@
 
 import "chutechute/internal/monotime"
 
-// What tests need to know of commands and responses, and changes of them for variants that are broken on purpose.
+// The functions in this file give the external tests access to commands and responses, and modify them for mutations.
 
-// IsRelease reports whether a due command releases what an expired lease holder had in use.
+// IsRelease reports whether an encoded command releases what an expired lease holder had in use.
 func IsRelease(body []byte) bool { return isOperation(body, opRelease) }
 
-// IsOpen reports whether a due command opens a budget.
+// IsOpen reports whether an encoded command opens a budget.
 func IsOpen(body []byte) bool { return isOperation(body, opOpen) }
 
-// IsExpire reports whether a due command lets a lease expire.
+// IsExpire reports whether an encoded command expires a lease.
 func IsExpire(body []byte) bool { return isOperation(body, opExpire) }
 
 func isOperation(body []byte, operation operation) bool {
@@ -18,14 +18,14 @@
 	return err == nil && c.Operation == operation
 }
 
-// ReportWithoutLease returns a report changed to say that nothing is leased, in demand or in use.
+// ReportWithoutLease returns a copy of a report that states no lease, no demand and nothing in use.
 func ReportWithoutLease(body []byte) []byte {
 	c, _ := decodeCommand(body)
 	c.Grant, c.Demands = 0, nil
 	return c.encode()
 }
 
-// ReportWithoutUse returns a report changed to say that nothing is in use.
+// ReportWithoutUse returns a copy of a report that states that nothing is in use.
 func ReportWithoutUse(body []byte) []byte {
 	c, _ := decodeCommand(body)
 	for i := range c.Demands {
@@ -34,29 +34,30 @@
 	return c.encode()
 }
 
-// ResponseWithMore returns a response in which each leased amount is larger by another one.
-func ResponseWithMore(body []byte, more func(budget string) Amount) []byte {
+// ResponseWithLargerLeases returns a copy of a response in which each leased amount is increased by the extra amount of
+// its budget.
+func ResponseWithLargerLeases(body []byte, extra func(budget string) Amount) []byte {
 	r, err := decodeReportResponse(body)
 	if err != nil {
 		return body
 	}
 	for i := range r.Amounts {
 		if granted := &r.Amounts[i]; !granted.Static {
-			granted.Amount = granted.Amount.Add(more(granted.Budget))
+			granted.Amount = granted.Amount.Add(extra(granted.Budget))
 		}
 	}
 	return r.encode()
 }
 
-// ResponseWithLongerLease returns a response with a lease that is longer by a time.
-func ResponseWithLongerLease(body []byte, by monotime.Micros) []byte {
+// ResponseWithLongerLease returns a copy of a response with a lease that is extended.
+func ResponseWithLongerLease(body []byte, extension monotime.Micros) []byte {
 	r, err := decodeReportResponse(body)
 	if err != nil {
 		return body
 	}
-	r.Lease += by
+	r.Lease += extension
 	return r.encode()
 }
 
-// Reserved returns the sum of all static allocations.
+// Reserved returns the sum of all static allocations of a budget.
 func (s *Spec) Reserved() Amount { return thousandths(s.Total, s.StaticShare) }
--- a/fleet/budget/faults_test.go
+++ b/fleet/budget/faults_test.go
@@ -11,166 +11,169 @@
 	"chutechute/internal/monotime"
 )
 
-// defects are what a variant breaks on purpose, for checks of the checks.
-type defects struct {
-	leaseFromResponse bool // a lease holder counts its lease from the response
-	releasesAtExpiry  bool // what a lost lease holder had in use is released when its lease expires
+// mutations selects the defects of a variant that is broken on purpose, to test that the checks detect them.
+type mutations struct {
+	leaseFromResponse bool // a lease holder counts its lease from the response instead of the report
+	releasesAtExpiry  bool // what a lost lease holder had in use is released as soon as its lease expires
 	ignoresStatic     bool // the division ignores the static allocations
-	trustsClock       bool // leases expire by a clock that has jumped, as that of a machine that slept
-	grantsTokens      bool // tokens come with an allocation that grows
-	appliesGrantsLate bool // a grant is in force only some time after it was confirmed
-	deniesLease       bool // a lease holder says that it has no lease, and goes on spending
-	hidesUse          bool // a lease holder does not say what it has in use
-	opensAtOnce       bool // a new authority does not wait for what an earlier one granted
+	trustsClock       bool // leases expire by a clock that jumped ahead, as after a machine's sleep
+	grantsTokens      bool // an allocation that grows comes with tokens
+	appliesGrantsLate bool // a grant is confirmed some time before it is in force
+	reportsNoLease    bool // a lease holder reports that it has no lease, and continues to spend
+	reportsNoUse      bool // a lease holder does not report what it has in use
+	opensImmediately  bool // a new authority does not wait until the grants of an earlier one have ended
 }
 
-// faultKind is what a fault does.
+// faultKind is a kind of fault.
 type faultKind int
 
 const (
-	faultRestart         faultKind     = iota // a front end is killed and starts again
-	faultPause                                // a front end is paused
-	faultPauseToo                             // the same, so that it comes twice as often
-	faultPartition                            // a front end is cut off
-	faultLoss                                 // messages are lost
-	faultStragglers                           // some messages are late by up to 20 s
-	faultDuplicates                           // reports come twice
-	faultDelay                                // messages are slow, all or the responses to one front end
-	faultReplicaStopped                       // a replica stands still
-	faultReplicaRestored                      // a replica is restored from another one's snapshot
-	faultDemand                               // a front end's demand changes
-	faultReplicasLost                         // all replicas are lost, with the front ends that run them
-	faultTotals                               // totals are lowered or raised, at some front ends before others
-	faultKinds                                // the number of kinds
-	randomFaultKinds     = faultTotals        // how many kinds randomFaults draws from
+	faultRestart         faultKind            = iota // a front end is killed and restarted
+	faultPause                                       // a front end is paused
+	faultPauseRepeated                               // the same as faultPause, so that pauses are drawn twice as often
+	faultPartition                                   // a front end is partitioned from the replicas
+	faultLoss                                        // messages are lost
+	faultStragglers                                  // some messages are delayed by up to 20 s
+	faultDuplicates                                  // some reports are sent twice
+	faultDelay                                       // all messages, or the responses to one front end, are delayed
+	faultReplicaStopped                              // a replica stops applying commands
+	faultReplicaRestored                             // a replica is restored from the snapshot of another one
+	faultDemandChanged                               // a front end's demand changes
+	faultReplicasLost                                // all replicas are lost, with the front ends that run them
+	faultTotalsChanged                               // totals change, at some front ends earlier than at others
+	numFaultKinds                                    // the number of kinds
+	numRandomFaultKinds  = faultTotalsChanged        // how many kinds randomFaults draws from
 )
 
-// fault is an entry of a script of faults. Who selects a front end or a replica, and varies what is done.
+// fault is a fault to be injected. Selector selects the front end or replica, and for some kinds a variant.
 type fault struct {
 	Kind     faultKind
-	Who      int
+	Selector int
 	At, Span monotime.Micros
 }
 
-// inject has a fault happen now. It ends after its span.
-func (w *world) inject(f fault) {
-	if w.healed {
+// inject injects a fault now. A fault that has a duration ends after its span.
+func (s *simulation) inject(f fault) {
+	if s.faultsEnded {
 		return
 	}
-	target, span := w.frontEnds[f.Who%len(w.frontEnds)], f.Span
+	target, span := s.frontEnds[f.Selector%len(s.frontEnds)], f.Span
 	switch f.Kind {
 	case faultRestart:
 		target.kill()
-		w.after(span, target.start)
-	case faultPause, faultPauseToo:
+		s.after(span, target.start)
+	case faultPause, faultPauseRepeated:
 		if p := target.process; p != nil && !p.paused {
 			p.pause(span)
 		}
-	case faultDemand:
+	case faultDemandChanged:
 		target.demand = 1 + float64(span%200)
-	case faultTotals:
-		if f.Who%2 == 0 {
-			w.changeTotals(span)
+	case faultTotalsChanged:
+		if f.Selector%2 == 0 {
+			s.changeTotals(span)
 		}
 		target.reload()
 	case faultReplicaStopped, faultReplicaRestored, faultReplicasLost:
-		w.injectReplicaFault(f)
+		s.injectReplicaFault(f)
 	default:
-		w.injectNetworkFault(f, target)
+		s.injectNetworkFault(f, target)
 	}
 }
 
-func (w *world) injectNetworkFault(f fault, target *frontEnd) {
-	n, span := &w.network, f.Span
+func (s *simulation) injectNetworkFault(f fault, target *frontEnd) {
+	n, span := &s.network, f.Span
 	switch f.Kind {
 	case faultPartition:
 		n.partitioned[target.name] = true
-		w.after(span, func() { delete(n.partitioned, target.name) })
+		s.after(span, func() { delete(n.partitioned, target.name) })
 	case faultLoss:
-		n.lossOneIn = 2 + f.Who
-		w.after(span, func() { n.lossOneIn = 0 })
+		n.lossOneIn = 2 + f.Selector
+		s.after(span, func() { n.lossOneIn = 0 })
 	case faultStragglers:
 		n.stragglers = true
-		w.after(span, func() { n.stragglers = false })
+		s.after(span, func() { n.stragglers = false })
 	case faultDuplicates:
 		n.duplicates = true
-		w.after(span, func() { n.duplicates = false })
+		s.after(span, func() { n.duplicates = false })
 	case faultDelay:
-		if f.Who >= maxFrontEnds {
+		if f.Selector >= maxFrontEnds {
 			n.responseDelay[target.name] = span / 2
-			w.after(span, func() { delete(n.responseDelay, target.name) })
+			s.after(span, func() { delete(n.responseDelay, target.name) })
 			return
 		}
 		n.maxDelay = defaultMaxDelay + span/8
-		w.after(span, func() { n.maxDelay = defaultMaxDelay })
+		s.after(span, func() { n.maxDelay = defaultMaxDelay })
 	}
 }
 
-func (w *world) injectReplicaFault(f fault) {
-	target := w.replicas[f.Who%len(w.replicas)]
+func (s *simulation) injectReplicaFault(f fault) {
+	target := s.replicas[f.Selector%len(s.replicas)]
 	switch f.Kind {
 	case faultReplicaStopped:
 		target.stopped = true
-		w.after(f.Span, func() {
+		s.after(f.Span, func() {
 			target.stopped = false
 			target.apply()
 		})
 	case faultReplicaRestored:
-		if other := w.replicas[(f.Who+1)%len(w.replicas)]; !other.stopped {
+		if other := s.replicas[(f.Selector+1)%len(s.replicas)]; !other.stopped {
 			target.restoreFrom(other)
 		}
 	case faultReplicasLost:
-		w.loseReplicas(f.Who)
+		s.loseReplicas(f.Selector)
 	}
 }
 
-// restoreFrom restores a replica from another one's snapshot.
+// restoreFrom restores a replica from the snapshot of another one.
 func (r *replica) restoreFrom(other *replica) {
 	authority := newAuthority(100)
-	if err := authority.Restore(other.authority.AppendSnapshot(nil), r.clock.at(r.world.now)); err != nil {
+	if err := authority.Restore(other.authority.AppendSnapshot(nil), r.clock.at(r.simulation.now)); err != nil {
 		panic(err)
 	}
 	r.authority, r.applied = authority, other.applied
 }
 
-// loseReplicas loses all replicas, which are in memory only, with the front ends that run them.
-func (w *world) loseReplicas(first int) {
-	w.epoch++
-	w.log, w.proposers = nil, nil
-	clear(w.responses)
-	for i, r := range w.replicas {
+// loseReplicas discards the state of all replicas, which is in memory only, and restarts the front ends that run them.
+func (s *simulation) loseReplicas(firstFrontEnd int) {
+	s.epoch++
+	s.log, s.proposers = nil, nil
+	clear(s.responses)
+	for i, r := range s.replicas {
 		r.authority, r.applied, r.stopped = newAuthority(100), 0, false
-		f := w.frontEnds[(first+i)%len(w.frontEnds)]
+		f := s.frontEnds[(firstFrontEnd+i)%len(s.frontEnds)]
 		f.kill()
-		w.after(w.between(0, second), f.start)
+		s.after(s.randomBetween(0, second), f.start)
 	}
 }
 
-// changeTotals makes a new version of the settings with other totals.
-func (w *world) changeTotals(span monotime.Micros) {
-	next := *w.newestSet
+// changeTotals creates a new version of the settings with other totals.
+func (s *simulation) changeTotals(span monotime.Micros) {
+	next := *s.newestSet
 	next.Version++
 	next.Specs = slices.Clone(next.Specs)
 	tenths := 1 + span%20
 	for i := range next.Specs {
-		first := standardSet(next.Lease).Specs[i].Total
-		next.Specs[i].Total = budget.Amount{Capacity: max(6000, first.Capacity*tenths/10), Rate: first.Rate * tenths / 10}
+		initial := standardSet(next.Lease).Specs[i].Total
+		next.Specs[i].Total = budget.Amount{
+			Capacity: max(6000, initial.Capacity*tenths/10),
+			Rate:     initial.Rate * tenths / 10,
+		}
 	}
-	w.newestSet, w.sets = &next, append(w.sets, &next)
+	s.newestSet, s.sets = &next, append(s.sets, &next)
 }
 
-// heal ends all faults.
-func (w *world) heal() {
-	w.healed = true
-	n := &w.network
+// endFaults ends all faults, and prevents new ones.
+func (s *simulation) endFaults() {
+	s.faultsEnded = true
+	n := &s.network
 	n.lossOneIn, n.stragglers, n.duplicates, n.maxDelay = 0, false, false, defaultMaxDelay
 	clear(n.partitioned)
 	clear(n.responseDelay)
-	for _, r := range w.replicas {
+	for _, r := range s.replicas {
 		r.stopped = false
 		r.apply()
 	}
-	for _, f := range w.frontEnds {
+	for _, f := range s.frontEnds {
 		if f.process != nil && f.process.paused {
 			f.process.resume()
 		}
@@ -179,7 +182,7 @@
 	}
 }
 
-// standardSet returns a set with a budget of each kind.
+// standardSet returns settings with a budget of each kind.
 func standardSet(lease monotime.Micros) *budget.Set {
 	return &budget.Set{Version: 1, Lease: lease, MaxFrontEnds: maxFrontEnds, Specs: []budget.Spec{
 		{Name: "places", Kind: account.Concurrency, Total: budget.Amount{Capacity: 12_000},
@@ -191,44 +194,47 @@
 	}}
 }
 
-// healedAt is when the faults of a history end.
-const healedAt = 15 * second
-
-// runHistory runs a script of faults, and then a time without faults in which the totals have to be in use again.
-func runHistory(seed uint64, lease monotime.Micros, script []fault, d defects) (w *world, violations []string) {
-	w = newWorld(seed, standardSet(lease), maxFrontEnds, d)
-	for _, f := range script {
-		w.after(f.At, func() { w.inject(f) })
+// faultsEndAt is the time at which all faults of a simulation end.
+const faultsEndAt = 15 * second
+
+// runWithFaults runs a simulation with faults and, for as long again, without faults, so that the totals can come into
+// use again. It returns the simulation and the violations.
+func runWithFaults(
+	seed uint64, lease monotime.Micros, faults []fault, m mutations,
+) (s *simulation, violations []string) {
+	s = newSimulation(seed, standardSet(lease), maxFrontEnds, m)
+	for _, f := range faults {
+		s.after(f.At, func() { s.inject(f) })
 	}
-	w.run(healedAt)
-	w.heal()
-	w.run(2 * healedAt)
-	return w, w.check()
+	s.run(faultsEndAt)
+	s.endFaults()
+	s.run(2 * faultsEndAt)
+	return s, s.check()
 }
 
-// drawScript draws a script of faults that rapid can shrink.
-func drawScript(t *rapid.T) []fault {
+// drawFaults draws a list of faults that rapid can shrink.
+func drawFaults(t *rapid.T) []fault {
 	draw := func(t *rapid.T) fault {
 		return fault{
-			faultKind(rapid.IntRange(0, int(faultKinds)-1).Draw(t, "kind")),
-			rapid.IntRange(0, 9).Draw(t, "who"),
+			faultKind(rapid.IntRange(0, int(numFaultKinds)-1).Draw(t, "kind")),
+			rapid.IntRange(0, 9).Draw(t, "selector"),
 			monotime.Micros(rapid.IntRange(0, 15000).Draw(t, "at")) * millisecond,
 			monotime.Micros(rapid.IntRange(20, 8000).Draw(t, "span")) * millisecond,
 		}
 	}
-	return rapid.SliceOfN(rapid.Custom(draw), 0, 14).Draw(t, "script")
+	return rapid.SliceOfN(rapid.Custom(draw), 0, 14).Draw(t, "faults")
 }
 
-// randomFaults returns a script of faults by chance.
-func randomFaults(seed uint64) (script []fault) {
+// randomFaults returns a pseudo-random list of faults.
+func randomFaults(seed uint64) (faults []fault) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	for range 10 {
-		script = append(script, fault{
-			faultKind(rng.IntN(int(randomFaultKinds))),
+		faults = append(faults, fault{
+			faultKind(rng.IntN(int(numRandomFaultKinds))),
 			rng.IntN(10),
 			rng.Int64N(15000) * millisecond,
 			(20 + rng.Int64N(8000)) * millisecond,
 		})
 	}
-	return script
+	return faults
 }
--- a/fleet/budget/figures_test.go
+++ b/fleet/budget/figures_test.go
@@ -13,57 +13,60 @@
 	"chutechute/internal/monotime"
 )
 
-// newFleet returns a world without faults in which a number of front ends share one rate per second, with a burst of
-// half a second's.
-func newFleet(frontEnds int, rate int64, lease monotime.Micros) *world {
+// newRateSimulation returns a simulation without faults in which a number of front ends share one rate, given per
+// second, with a burst of half a second's amount.
+func newRateSimulation(frontEnds int, rate int64, lease monotime.Micros) *simulation {
 	set := &budget.Set{Version: 1, Lease: lease, MaxFrontEnds: frontEnds, Specs: []budget.Spec{{
 		Name: "rate", Kind: account.Rate, Total: budget.Amount{Capacity: rate * 500, Rate: rate * account.Unit},
 		StaticShare: 20, NewcomerReserve: 5, MinAllocation: 1000,
 	}}}
-	w := newWorld(1, set, frontEnds, defects{})
-	w.setDemand(1)
-	return w
+	s := newSimulation(1, set, frontEnds, mutations{})
+	s.setDemand(1)
+	return s
 }
 
-// totalRate returns the rate that the fleet shares, per second.
-func (w *world) totalRate() float64 { return float64(w.newestSet.Specs[0].Total.Rate) / account.Unit }
+// totalRate returns the rate that all front ends share, per second.
+func (s *simulation) totalRate() float64 {
+	return float64(s.newestSet.Specs[0].Total.Rate) / account.Unit
+}
 
-// rateInUse returns what was spent per second in the last span.
-func (w *world) rateInUse(span monotime.Micros) float64 {
-	return w.shareInUse(&w.newestSet.Specs[0], span) * w.totalRate()
+// rateInUse returns the amount spent per second within the last span.
+func (s *simulation) rateInUse(span monotime.Micros) float64 {
+	return s.shareInUse(&s.newestSet.Specs[0], span) * s.totalRate()
 }
 
-// oracleRate returns what could be spent per second if all demand were known.
-func (w *world) oracleRate() float64 { return min(w.totalDemand(), w.totalRate()) }
+// oracleRate returns the amount that could be spent per second if all demand were known.
+func (s *simulation) oracleRate() float64 { return min(s.totalDemand(), s.totalRate()) }
 
-// evenRate returns what could be spent per second with an even division.
-func (w *world) evenRate() (rate float64) {
-	share := w.totalRate() / float64(len(w.frontEnds))
-	for _, f := range w.frontEnds {
+// evenRate returns the amount that could be spent per second if the total were divided evenly.
+func (s *simulation) evenRate() (rate float64) {
+	share := s.totalRate() / float64(len(s.frontEnds))
+	for _, f := range s.frontEnds {
 		rate += min(f.demand, share)
 	}
 	return rate
 }
 
-// guessedRate returns what would be spent per second if each front end guessed its share, as its demand over 1.4 times
-// the total and an even share at least. It may be more than the total.
-func (w *world) guessedRate() (rate float64) {
-	total := w.totalRate()
-	for _, f := range w.frontEnds {
-		rate += min(f.demand, total*max(min(1, f.demand/(1.4*total)), 1/float64(len(w.frontEnds))))
+// guessedRate returns the amount that would be spent per second if each front end estimated its own share as its demand
+// divided by 1.4 times the total, but at least an even share. It may exceed the total.
+func (s *simulation) guessedRate() (rate float64) {
+	total := s.totalRate()
+	for _, f := range s.frontEnds {
+		rate += min(f.demand, total*max(min(1, f.demand/(1.4*total)), 1/float64(len(s.frontEnds))))
 	}
 	return rate
 }
 
-// rateOf returns the rate that a front end may spend, in thousandths per second.
-func (w *world) rateOf(i int) float64 {
-	p := w.frontEnds[i].process
+// rateOf returns the rate that a front end may currently spend, in thousandths per second.
+func (s *simulation) rateOf(i int) float64 {
+	p := s.frontEnds[i].process
 	now := p.localTime()
 	lease, static, _ := p.books["rate"].Account(now, "").Amounts(now)
 	return float64(lease.Rate + static.Rate)
 }
 
-// The total is in use under steady, skewed and changing demand, compared with an oracle.
+// Under steady, skewed and changing demand, the front ends spend more than 75% of what an oracle would spend. They
+// spend no less than with an even division, within a tolerance of 5% of the oracle's amount.
 func TestShareOfTheTotalInUse(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -76,20 +79,20 @@
 			return []float64{300, 20, 20, 20, 20}[(i+int(at/(2*second)))%5]
 		}},
 	} {
-		w := newFleet(5, 200, 2*second)
-		w.run(8 * second)
+		s := newRateSimulation(5, 200, 2*second)
+		s.run(8 * second)
 		got, oracle, even, guess := 0.0, 0.0, 0.0, 0.0
 		for k := range 40 {
-			for i, f := range w.frontEnds {
-				f.demand = c.demand(i, w.now)
+			for i, f := range s.frontEnds {
+				f.demand = c.demand(i, s.now)
 			}
-			w.run(w.now + second/2)
+			s.run(s.now + second/2)
 			if k >= 8 {
-				got, oracle = got+w.rateInUse(second/2), oracle+w.oracleRate()
-				even, guess = even+w.evenRate(), guess+w.guessedRate()
+				got, oracle = got+s.rateInUse(second/2), oracle+s.oracleRate()
+				even, guess = even+s.evenRate(), guess+s.guessedRate()
 			}
 		}
-		t.Logf("%-28s %.2f of the oracle; an even division %.2f, a guess at one's share %.2f",
+		t.Logf("%-28s %.2f of the oracle; an even division %.2f, self-estimated shares %.2f",
 			c.name, got/oracle, even/oracle, guess/oracle)
 		assert.Greater(t, got/oracle, 0.75, c.name)
 		assert.GreaterOrEqual(t, got/oracle, even/oracle-0.05, c.name)
@@ -97,51 +100,52 @@
 	checkShareFollowsDemand(t)
 }
 
-// checkShareFollowsDemand measures how soon the division follows when all demand moves from one front end to another.
+// checkShareFollowsDemand checks how soon the division follows when all demand moves from one front end to another.
 func checkShareFollowsDemand(t *testing.T) {
-	w := newFleet(5, 200, 2*second)
-	w.frontEnds[0].demand = 300
-	w.run(12 * second)
-	w.frontEnds[0].demand, w.frontEnds[3].demand = 1, 300
-	movedAt := w.now
+	s := newRateSimulation(5, 200, 2*second)
+	s.frontEnds[0].demand = 300
+	s.run(12 * second)
+	s.frontEnds[0].demand, s.frontEnds[3].demand = 1, 300
+	movedAt := s.now
 	rates := map[monotime.Micros]float64{}
 	for at := movedAt; at < movedAt+5*second; at += 10 * millisecond {
-		w.run(at)
-		rates[at] = w.rateOf(3)
+		s.run(at)
+		rates[at] = s.rateOf(3)
 	}
 	followedAt := movedAt
-	for rates[followedAt] < 0.9*w.rateOf(3) {
+	for rates[followedAt] < 0.9*s.rateOf(3) {
 		followedAt += 10 * millisecond
 	}
-	t.Logf("90%% of a move of all demand is followed in %d ms; the front end then has %.2f of the total",
-		(followedAt-movedAt)/millisecond, w.rateOf(3)/200_000)
+	t.Logf("the division follows a move of all demand to 90%% within %d ms; the front end then has %.2f of the total",
+		(followedAt-movedAt)/millisecond, s.rateOf(3)/200_000)
 	assert.Less(t, followedAt-movedAt, second*7/10, "of virtual time")
-	assert.Greater(t, w.rateOf(3), 0.85*200_000)
-	require.Empty(t, w.check())
+	assert.Greater(t, s.rateOf(3), 0.85*200_000)
+	require.Empty(t, s.check())
 }
 
-// Shares are max-min fair: none with more demand has less than any other, by weight, and no more is granted than there
-// is. Here 5 and 30 are granted in full, and the other three share 165 evenly.
+// The division is max-min fair: no front end with more demand gets less than another one, relative to its weight, and
+// no more than the total is granted. Here the weights are equal: demands of 5 and 30 are granted in full, and the other
+// three front ends share 165 evenly.
 func TestSharesAreFair(t *testing.T) {
-	w := newFleet(5, 200, 2*second)
+	s := newRateSimulation(5, 200, 2*second)
 	for i, demand := range []float64{5, 30, 80, 150, 400} {
-		w.frontEnds[i].demand = demand
+		s.frontEnds[i].demand = demand
 	}
-	w.run(14 * second)
+	s.run(14 * second)
 	for i, share := range []float64{5, 30, 55, 55, 55} {
-		assert.InDelta(t, share, w.rateOf(i)/account.Unit, share*0.2+3, "of %d", i)
+		assert.InDelta(t, share, s.rateOf(i)/account.Unit, share*0.2+3, "of %d", i)
 	}
 }
 
-// cost is what a world's messages and commits have cost so far.
+// cost is the number of reports, bytes of messages and commits of a simulation so far.
 type cost struct {
 	reports, messageBytes, commits int
 	measuredAt                     time.Time
 }
 
-func (w *world) cost() cost { return cost{w.reports, w.messageBytes, len(w.log), time.Now()} }
+func (s *simulation) cost() cost { return cost{s.reports, s.messageBytes, len(s.log), time.Now()} }
 
-// since returns the cost per second of virtual time, and the processor time of a report.
+// since returns the cost per second of virtual time since an earlier measurement, and the elapsed real time per report.
 func (c cost) since(before cost, span monotime.Micros) (reports, commits, kilobytes float64, perReport time.Duration) {
 	seconds := float64(span) / float64(second)
 	elapsed := c.measuredAt.Sub(before.measuredAt)
@@ -150,63 +154,64 @@
 		elapsed / time.Duration(max(1, c.reports-before.reports))
 }
 
-// Messages, bytes and commits by the number of front ends and of budgets; long.
+// Logs reports, bytes and commits per second by the number of front ends and of subjects. It runs only if
+// CHUTECHUTE_LONG is set.
 func TestCostOfDividing(t *testing.T) {
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
-		t.Skip("long")
+		t.Skip("CHUTECHUTE_LONG is not set")
 	}
 	for _, frontEnds := range []int{3, 9, 80, 500} {
-		w := newFleet(frontEnds, 2000, 2*second)
-		w.setDemand(3000 / float64(frontEnds))
-		w.run(8 * second)
-		before := w.cost()
-		w.run(12 * second)
-		reports, commits, kilobytes, perReport := w.cost().since(before, 4*second)
+		s := newRateSimulation(frontEnds, 2000, 2*second)
+		s.setDemand(3000 / float64(frontEnds))
+		s.run(8 * second)
+		before := s.cost()
+		s.run(12 * second)
+		reports, commits, kilobytes, perReport := s.cost().since(before, 4*second)
 		t.Logf("%3d front ends, one budget: %.0f reports, %.0f commits and %.1f KB a second; "+
 			"a report takes %d us of a core", frontEnds, reports, commits, kilobytes, perReport.Microseconds())
-		require.Empty(t, w.check())
+		require.Empty(t, s.check())
 	}
 	for _, subjects := range []int{100, 2000, 10000} {
-		w := newWorld(1, subjectsSet(9, 20_000, 30, 10, 1), 9, defects{})
-		w.setMaxSubjects(budget.MaxSubjects)
-		w.subjects = subjects
-		w.setDemand(1000)
-		w.run(8 * second)
-		before := w.cost()
-		w.run(10 * second)
-		reports, commits, kilobytes, perReport := w.cost().since(before, 2*second)
+		s := newSimulation(1, subjectsSet(9, 20_000, 30, 10, 1), 9, mutations{})
+		s.setMaxSubjects(budget.MaxSubjects)
+		s.subjects = subjects
+		s.setDemand(1000)
+		s.run(8 * second)
+		before := s.cost()
+		s.run(10 * second)
+		reports, commits, kilobytes, perReport := s.cost().since(before, 2*second)
 		t.Logf("9 front ends, %5d budgets: %.0f reports, %.0f commits and %.0f KB a second; "+
 			"a report takes %.1f ms of a core", subjects, reports, commits, kilobytes, perReport.Seconds()*1000)
 	}
 }
 
-// subjectsSet returns a set with one budget of a window of a second.
-func subjectsSet(frontEnds int, capacity, reserve, newcomerReserve, minPart int64) *budget.Set {
+// subjectsSet returns settings with one budget within a window of a second, which each subject has separately.
+func subjectsSet(frontEnds int, capacity, staticShare, newcomerReserve, minAllocation int64) *budget.Set {
 	return &budget.Set{Version: 1, Lease: 2 * second, MaxFrontEnds: frontEnds, Specs: []budget.Spec{{
 		Name: "each", Kind: account.Window, Window: second, Total: budget.Amount{Capacity: capacity},
-		StaticShare: reserve, NewcomerReserve: newcomerReserve, MinAllocation: minPart,
+		StaticShare: staticShare, NewcomerReserve: newcomerReserve, MinAllocation: minAllocation,
 	}}}
 }
 
-// 2,000 engines that warm up at once, each with a budget of its own, and 10,000 tenants: all stay within their totals,
-// and the authority within its limit.
+// Thousands of subjects with a budget each, such as 2,000 engines that warm up at once or 10,000 tenants, stay within
+// their totals, even if the authority is limited to half as many subjects. The status lists at most 100 of them.
 func TestThousandsOfBudgetsStayWithinTheirTotals(t *testing.T) {
 	for _, subjects := range []int{2000, 10000} {
 		set := subjectsSet(5, 5_000, 0, 0, 1000)
-		w := newWorld(1, set, 5, defects{})
-		w.setMaxSubjects(subjects / 2)
-		w.subjects = subjects
-		w.setDemand(400)
-		w.run(8 * second)
+		s := newSimulation(1, set, 5, mutations{})
+		s.setMaxSubjects(subjects / 2)
+		s.subjects = subjects
+		s.setDemand(400)
+		s.run(8 * second)
 		bySubject := map[string][]*expense{}
-		for _, e := range w.expenses {
+		for _, e := range s.expenses {
 			bySubject[e.subject] = append(bySubject[e.subject], e)
 		}
 		for subject, expenses := range bySubject {
 			require.Empty(t, checkExpenses(&set.Specs[0], expenses), subject)
 		}
 		assert.Greater(t, len(bySubject), subjects/8, "subjects of which something was spent")
-		for _, status := range w.replicas[0].authority.Status(0, "") {
+		for _, status := range s.replicas[0].authority.Status(0, "") {
 			assert.LessOrEqual(t, len(status.Subjects), 100)
 		}
 	}
--- a/fleet/budget/front_end_test.go
+++ b/fleet/budget/front_end_test.go
@@ -10,15 +10,15 @@
 	"chutechute/scheduler"
 )
 
-// frontEnd is a front end under its name, through all its incarnations.
+// frontEnd is a front end, identified by its name, across its incarnations.
 type frontEnd struct {
-	world            *world
+	simulation       *simulation
 	name             string
 	clock            clock
-	process          *process // nil while none runs
+	process          *process // nil while none is running
 	pastIncarnations []replication.Incarnation
 	demand           float64     // queries per second
-	set              *budget.Set // of its settings
+	set              *budget.Set // its current settings
 }
 
 // process is one incarnation of a front end.
@@ -27,13 +27,13 @@
 	incarnation  replication.Incarnation
 	leaseHolder  *budget.LeaseHolder
 	books        map[string]*account.Book
-	pending      map[uint64]func(replication.Response) // by proposal
+	pending      map[uint64]func(replication.Response) // by proposal ID
 	lastProposal uint64
 	paused       bool
-	deferred     []func() // what happened while it was paused
+	deferred     []func() // actions that were due while it was paused
 	inUse        []*usage
 
-	// Of the variant in which tokens come with a grant: how many queries they would pay for, and the last burst.
+	// For the mutation grantsTokens: how many queries the tokens would pay for, and the last burst.
 	freeQueries int
 	lastBurst   int64
 }
@@ -50,7 +50,7 @@
 	}
 	p := &process{
 		frontEnd:    f,
-		incarnation: replication.Incarnation(f.world.rng.Uint64()>>1 | 1),
+		incarnation: replication.Incarnation(f.simulation.rng.Uint64()>>1 | 1),
 		books:       map[string]*account.Book{},
 		pending:     map[uint64]func(replication.Response){},
 	}
@@ -62,7 +62,7 @@
 	p.awaitNextQuery()
 }
 
-// kill ends the process. What it has in use at engines ends within 2 s, as nobody polls for it any more.
+// kill ends the process. Its work at engines ends within 2 s, as nothing polls for it any more.
 func (f *frontEnd) kill() {
 	p := f.process
 	if p == nil {
@@ -71,35 +71,35 @@
 	f.process = nil
 	f.pastIncarnations = append(f.pastIncarnations, p.incarnation)
 	for _, u := range p.inUse {
-		if u.expense.finished > f.world.now+2*second {
-			u.expense.finished = f.world.now + f.world.between(0, 2*second)
+		if u.expense.finished > f.simulation.now+2*second {
+			u.expense.finished = f.simulation.now + f.simulation.randomBetween(0, 2*second)
 		}
 	}
 }
 
-// reload has a front end read the newest settings.
+// reload applies the newest settings to a front end.
 func (f *frontEnd) reload() {
-	f.set = f.world.newestSet
+	f.set = f.simulation.newestSet
 	if p := f.process; p != nil {
-		p.do(func() { p.leaseHolder.Reload(p.localTime(), f.set) })
+		p.execute(func() { p.leaseHolder.Reload(p.localTime(), f.set) })
 	}
 }
 
-func (p *process) world() *world { return p.frontEnd.world }
+func (p *process) simulation() *simulation { return p.frontEnd.simulation }
 
-func (p *process) localTime() monotime.Micros { return p.frontEnd.clock.at(p.world().now) }
+func (p *process) localTime() monotime.Micros { return p.frontEnd.clock.at(p.simulation().now) }
 
 func (p *process) running() bool { return p.frontEnd.process == p }
 
-// do has the process do something, later if it is paused and never if it has ended.
-func (p *process) do(do func()) {
+// execute runs an action of the process: later if the process is paused, and never if it has ended.
+func (p *process) execute(action func()) {
 	switch {
 	case !p.running():
 	case p.paused:
-		p.deferred = append(p.deferred, func() { p.do(do) })
+		p.deferred = append(p.deferred, func() { p.execute(action) })
 	default:
 		p.leaseHolder.SetNow(p.localTime())
-		do()
+		action()
 	}
 }
 
@@ -107,20 +107,20 @@
 	if !p.running() {
 		return
 	}
-	p.do(func() { p.leaseHolder.Tick(p.localTime()) })
-	p.world().after(25*millisecond, p.tick)
+	p.execute(func() { p.leaseHolder.Tick(p.localTime()) })
+	p.simulation().after(25*millisecond, p.tick)
 }
 
-// pause stops the process for a time. As nobody polls meanwhile, engines end what it has in use within 2 s.
+// pause pauses the process for a span. As nothing polls meanwhile, its work at engines ends within 2 s.
 func (p *process) pause(span monotime.Micros) {
-	w := p.world()
+	s := p.simulation()
 	p.paused = true
 	for _, u := range p.inUse {
-		if u.expense.finished > w.now+2*second && span > 2*second {
-			u.expense.finished = w.now + 2*second
+		if u.expense.finished > s.now+2*second && span > 2*second {
+			u.expense.finished = s.now + 2*second
 		}
 	}
-	w.after(span, p.resume)
+	s.after(span, p.resume)
 }
 
 func (p *process) resume() {
@@ -130,34 +130,34 @@
 	p.paused = false
 	deferred := p.deferred
 	p.deferred = nil
-	for _, do := range deferred {
-		do()
+	for _, action := range deferred {
+		action()
 	}
 }
 
-// Propose sends a report to the replicas. It may be committed not at all, late, or twice.
+// Propose sends a report to the replicas. It may be committed late, twice or not at all.
 func (p *process) Propose(_ monotime.Micros, _, _ uint32, body []byte, done func(replication.Response)) uint64 {
-	w := p.world()
+	s := p.simulation()
 	p.lastProposal++
 	id := p.lastProposal
 	p.pending[id] = done
-	epoch, proposedAt := w.epoch, p.localTime()
-	w.reports++
-	w.messageBytes += len(body)
+	epoch, proposedAt := s.epoch, p.localTime()
+	s.reports++
+	s.messageBytes += len(body)
 	respond := func(out []byte) { p.sendResponse(id, proposedAt, out) }
 	send := func() {
-		delay, ok := w.drawDelay(p.frontEnd.name)
+		delay, ok := s.randomDelay(p.frontEnd.name)
 		if !ok {
 			return
 		}
-		w.after(delay, func() {
-			if epoch == w.epoch {
-				w.commit(p.incarnation, body, respond)
+		s.after(delay, func() {
+			if epoch == s.epoch {
+				s.commit(p.incarnation, body, respond)
 			}
 		})
 	}
 	send()
-	if w.network.duplicates && w.rng.IntN(3) == 0 {
+	if s.network.duplicates && s.rng.IntN(3) == 0 {
 		send()
 	}
 	return id
@@ -165,8 +165,8 @@
 
 // sendResponse sends the response to a report to the process.
 func (p *process) sendResponse(id uint64, proposedAt monotime.Micros, out []byte) {
-	w := p.world()
-	delay, ok := w.drawDelay(p.frontEnd.name)
+	s := p.simulation()
+	delay, ok := s.randomDelay(p.frontEnd.name)
 	if !ok {
 		return
 	}
@@ -176,20 +176,20 @@
 			return
 		}
 		delete(p.pending, id)
-		if w.defects.leaseFromResponse {
+		if s.mutations.leaseFromResponse {
 			out = budget.ResponseWithLongerLease(out, p.localTime()-proposedAt)
 		}
 		done(replication.Response{Sequence: id, Result: replication.Committed, Body: out})
 	}
-	w.after(delay+w.network.responseDelay[p.frontEnd.name], func() { p.do(receive) })
+	s.after(delay+s.network.responseDelay[p.frontEnd.name], func() { p.execute(receive) })
 }
 
-// Cancel abandons a report; it may still be committed.
+// Cancel drops the handler of a report's response. The report may still be committed.
 func (p *process) Cancel(id uint64) { delete(p.pending, id) }
 
-// BudgetDemands returns the demand for all budgets and what is in use.
+// BudgetDemands returns the demand for each budget and subject, and what is in use.
 func (p *process) BudgetDemands(now monotime.Micros) (demands []scheduler.BudgetDemand) {
-	set := p.world().newestSet
+	set := p.simulation().newestSet
 	for i := range set.Specs {
 		name := set.Specs[i].Name
 		book := p.books[name]
@@ -208,10 +208,10 @@
 	return demands
 }
 
-// GrantBudgets sets what may be spent.
+// GrantBudgets sets the amounts that may be spent.
 func (p *process) GrantBudgets(now monotime.Micros, g budget.Grant) {
-	if p.world().defects.appliesGrantsLate && g.Set == nil {
-		p.world().after(300*millisecond, func() { p.do(func() { p.applyGrant(p.localTime(), g) }) })
+	if p.simulation().mutations.appliesGrantsLate && g.Set == nil {
+		p.simulation().after(300*millisecond, func() { p.execute(func() { p.applyGrant(p.localTime(), g) }) })
 		return
 	}
 	p.applyGrant(now, g)
@@ -234,7 +234,7 @@
 	}
 }
 
-// leasesOf returns the leases of one budget.
+// leasesOf returns the leases of one budget in a grant.
 func (p *process) leasesOf(name string, kind account.Kind, g budget.Grant) (leases []account.SubjectLease) {
 	for _, leased := range g.Leased {
 		if leased.Budget != name {
@@ -251,7 +251,7 @@
 	return leases
 }
 
-// staticOf returns the static allocation of one budget.
+// staticOf returns the static allocation of one budget in a grant.
 func staticOf(name string, g budget.Grant) (amount budget.Amount) {
 	for _, static := range g.Static {
 		if static.Budget == name {
@@ -261,28 +261,28 @@
 	return amount
 }
 
-// awaitNextQuery waits for the next query. As the demand may change meanwhile, a long wait is drawn anew after 20 ms,
-// which does not change its exponential distribution.
+// awaitNextQuery schedules the next query. As the demand may change meanwhile, a long wait is drawn again after 20 ms;
+// because the exponential distribution is memoryless, this does not change it.
 func (p *process) awaitNextQuery() {
-	w := p.world()
-	wait := monotime.Micros(w.rng.ExpFloat64()*float64(second)/p.frontEnd.demand) + 1
+	s := p.simulation()
+	wait := monotime.Micros(s.rng.ExpFloat64()*float64(second)/p.frontEnd.demand) + 1
 	if wait <= 20*millisecond {
-		w.after(wait, p.query)
+		s.after(wait, p.query)
 	} else if p.running() {
-		w.after(20*millisecond, p.awaitNextQuery)
+		s.after(20*millisecond, p.awaitNextQuery)
 	}
 }
 
-// query requests one unit of every budget, and spends those that are granted.
+// query tries to spend one unit of every budget.
 func (p *process) query() {
 	if !p.running() {
 		return
 	}
-	w := p.world()
-	p.do(func() {
+	s := p.simulation()
+	p.execute(func() {
 		now := p.localTime()
-		for i := range w.newestSet.Specs {
-			spec, subject := &w.newestSet.Specs[i], w.drawSubject()
+		for i := range s.newestSet.Specs {
+			spec, subject := &s.newestSet.Specs[i], s.randomSubject()
 			if book := p.books[spec.Name]; book != nil {
 				book.Account(now, subject).RecordDemand(now, account.Unit)
 				p.trySpend(spec, subject)
@@ -292,37 +292,37 @@
 	p.awaitNextQuery()
 }
 
-// trySpend spends one unit of a budget if it may. The first request in a while waits for a lease.
+// trySpend spends one unit of a budget if the account allows it. It tries again while the first lease is awaited.
 func (p *process) trySpend(spec *budget.Spec, subject string) {
-	w, now := p.world(), p.localTime()
+	s, now := p.simulation(), p.localTime()
 	a := p.books[spec.Name].Account(now, subject)
 	if _, ok := a.Spend(now, account.Unit); !ok {
 		switch {
-		case w.defects.grantsTokens && spec.Kind == account.Rate && p.freeQueries > 0:
+		case s.mutations.grantsTokens && spec.Kind == account.Rate && p.freeQueries > 0:
 			p.freeQueries--
 		case a.AwaitsFirstLease(now):
-			w.after(20*millisecond, func() { p.do(func() { p.trySpend(spec, subject) }) })
+			s.after(20*millisecond, func() { p.execute(func() { p.trySpend(spec, subject) }) })
 			return
 		default:
 			return
 		}
 	}
-	e := &expense{budget: spec.Name, subject: subject, at: w.now, finished: w.now, amount: account.Unit}
-	w.expenses = append(w.expenses, e)
+	e := &expense{budget: spec.Name, subject: subject, at: s.now, finished: s.now, amount: account.Unit}
+	s.expenses = append(s.expenses, e)
 	if spec.Kind == account.Concurrency {
-		p.use(spec, &usage{e, a})
+		p.beginUse(spec, &usage{e, a})
 	}
 }
 
-// use has a part of a concurrency limit in use for a while that is drawn.
-func (p *process) use(spec *budget.Spec, u *usage) {
-	w := p.world()
-	u.expense.finished = w.now + w.between(10*millisecond, 600*millisecond)
-	if w.rng.IntN(20) == 0 {
-		u.expense.finished = w.now + w.between(0, spec.MaxAttemptDuration)
+// beginUse holds a part of a concurrency limit in use for a random time.
+func (p *process) beginUse(spec *budget.Spec, u *usage) {
+	s := p.simulation()
+	u.expense.finished = s.now + s.randomBetween(10*millisecond, 600*millisecond)
+	if s.rng.IntN(20) == 0 {
+		u.expense.finished = s.now + s.randomBetween(0, spec.MaxAttemptDuration)
 	}
 	p.inUse = append(p.inUse, u)
-	w.after(u.expense.finished-w.now, func() { p.do(func() { p.release(u) }) })
+	s.after(u.expense.finished-s.now, func() { p.execute(func() { p.release(u) }) })
 }
 
 func (p *process) release(u *usage) {
--- a/fleet/budget/golden_test.go
+++ b/fleet/budget/golden_test.go
@@ -15,7 +15,7 @@
 
 const second = monotime.Second
 
-// goldenSet returns a set with a budget of each kind.
+// goldenSet returns settings with a budget of each kind.
 func goldenSet(version uint64) *Set {
 	return &Set{Version: version, Lease: 2 * second, MaxFrontEnds: 5, Specs: []Spec{
 		{Name: "places", Kind: account.Concurrency, Total: Amount{Capacity: 6000},
@@ -44,7 +44,7 @@
 	return s.Encode(), nil
 }
 
-// goldenCommand returns a command with a value in each field.
+// goldenCommand returns a command in which all fields but the operation are set.
 func goldenCommand() command {
 	return command{
 		Name: "n1", Report: 300, Grant: 299, StaticGrant: 298, BaseReport: 297, Leaving: true, Version: 3,
@@ -54,7 +54,7 @@
 	}
 }
 
-// goldenResponse returns a response with a value in each field.
+// goldenResponse returns a response in which all fields are set.
 func goldenResponse() reportResponse {
 	return reportResponse{
 		Report: 300, OutOfOrder: true, LeaseExpired: true, UnknownHolder: true, Grant: 1 << 40, StaticGrant: 298,
@@ -68,14 +68,16 @@
 	}
 }
 
+// Commands of every operation, responses and settings encode to the recorded bytes, and these bytes survive decoding
+// and encoding again.
 func TestWireFormat(t *testing.T) {
 	emptyCommand := command{}
 	messages := []golden.Message{{Name: "command-empty", Encoded: emptyCommand.encode(), Recode: recodeCommand}}
-	whole := goldenCommand()
+	full := goldenCommand()
 	for operation := opReport; operation <= opOpen; operation++ {
-		whole.Operation = operation
+		full.Operation = operation
 		name := fmt.Sprintf("command-%d", operation)
-		messages = append(messages, golden.Message{Name: name, Encoded: whole.encode(), Recode: recodeCommand})
+		messages = append(messages, golden.Message{Name: name, Encoded: full.encode(), Recode: recodeCommand})
 	}
 	response, emptyResponse := goldenResponse(), reportResponse{}
 	emptySet := Set{Version: 1, Lease: second, MaxFrontEnds: 1}
@@ -87,7 +89,7 @@
 	golden.Messages(t, "testdata/messages.txt", messages)
 }
 
-// allLive is a failure detector to which all incarnations are live but those that are superseded.
+// allLive is a failure detector that takes all incarnations for live, except those that are superseded.
 type allLive struct {
 	superseded map[replication.Incarnation]bool
 }
@@ -97,7 +99,7 @@
 func (p allLive) Unreachable(i replication.Incarnation) bool  { return p.superseded[i] }
 func (p allLive) Live() []replication.Incarnation             { return nil }
 
-// stateRecorder applies commands to an authority and records all messages.
+// stateRecorder applies commands to an authority, and records the responses and the due commands.
 type stateRecorder struct {
 	t         *testing.T
 	authority *Authority
@@ -146,8 +148,8 @@
 	return r.apply(incarnation, c.encode())
 }
 
-// The responses to a sequence of reports, the commands that are due meanwhile, the snapshot after it, and the status
-// pages of operators.
+// The responses to a sequence of reports, the commands that become due meanwhile, and the snapshot after it encode to
+// the recorded bytes. The status and the plan are encoded to the recorded JSON.
 func TestWireFormatOfStates(t *testing.T) {
 	r := newStateRecorder(t)
 	places := func(demand, inUse int64) subjectDemand { return subjectDemand{"places", "", demand, inUse} }
--- a/fleet/budget/main_test.go
+++ b/fleet/budget/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The histories are the same in each run, unless -rapid.seed names others.
+// TestMain discards logs and fixes the seed of rapid, so that each run draws the same faults unless -rapid.seed is set.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	flag.Parse()
--- a/fleet/budget/replica_test.go
+++ b/fleet/budget/replica_test.go
@@ -9,61 +9,61 @@
 
 // replica is one replica of the authority.
 type replica struct {
-	world     *world
-	clock     clock
-	authority *budget.Authority
-	applied   int // how many entries of the log
-	stopped   bool
+	simulation *simulation
+	clock      clock
+	authority  *budget.Authority
+	applied    int // number of log entries applied
+	stopped    bool
 }
 
-// apply applies what has been committed.
+// apply applies the committed commands, unless the replica is stopped, and sends their responses.
 func (r *replica) apply() {
 	if r.stopped {
 		return
 	}
-	w := r.world
-	for r.applied < len(w.log) {
+	s := r.simulation
+	for r.applied < len(s.log) {
 		i := r.applied
 		r.applied++
 		out := r.applyEntry(i)
-		if respond := w.responses[i+1]; respond != nil {
-			w.messageBytes += len(out)
-			delete(w.responses, i+1)
+		if respond := s.responses[i+1]; respond != nil {
+			s.messageBytes += len(out)
+			delete(s.responses, i+1)
 			respond(out)
 		}
 	}
 }
 
-// applyEntry applies an entry of the log, with the defects of the variant.
+// applyEntry applies a log entry, with the selected mutations.
 func (r *replica) applyEntry(i int) (response []byte) {
-	w := r.world
-	body, proposer := w.log[i], w.proposers[i]
-	if w.defects.hidesUse && proposer != 0 {
+	s := r.simulation
+	body, proposer := s.log[i], s.proposers[i]
+	if s.mutations.reportsNoUse && proposer != 0 {
 		body = budget.ReportWithoutUse(body)
 	}
-	if w.defects.deniesLease && proposer != 0 && (uint64(proposer)+uint64(i))%4 == 0 {
+	if s.mutations.reportsNoLease && proposer != 0 && (uint64(proposer)+uint64(i))%4 == 0 {
 		body = budget.ReportWithoutLease(body)
 	}
 	applied := func() {}
-	if w.measureApply != nil {
-		applied = w.measureApply()
+	if s.measureApply != nil {
+		applied = s.measureApply()
 	}
-	at := replication.ApplyContext{Index: uint64(i + 1), Now: r.clock.at(w.now), Notify: w.sendNotification}
+	at := replication.ApplyContext{Index: uint64(i + 1), Now: r.clock.at(s.now), Notify: s.sendNotification}
 	response = r.authority.Apply(at, proposer, body)
 	applied()
-	if w.defects.ignoresStatic && proposer != 0 {
-		static := func(name string) budget.Amount { return w.newestSet.Lookup(name).Reserved() }
-		response = budget.ResponseWithMore(response, static)
+	if s.mutations.ignoresStatic && proposer != 0 {
+		static := func(name string) budget.Amount { return s.newestSet.Lookup(name).Reserved() }
+		response = budget.ResponseWithLargerLeases(response, static)
 	}
 	return response
 }
 
-// PresumedDead and the next methods are the replicas' view of the processes.
-func (w *world) PresumedDead(replication.Incarnation) bool { return false }
-func (w *world) Unreachable(replication.Incarnation) bool  { return false }
-func (w *world) Live() []replication.Incarnation           { return nil }
-func (w *world) Superseded(incarnation replication.Incarnation) bool {
-	for _, f := range w.frontEnds {
+// PresumedDead and the next methods implement replication.FailureDetector.
+func (s *simulation) PresumedDead(replication.Incarnation) bool { return false }
+func (s *simulation) Unreachable(replication.Incarnation) bool  { return false }
+func (s *simulation) Live() []replication.Incarnation           { return nil }
+func (s *simulation) Superseded(incarnation replication.Incarnation) bool {
+	for _, f := range s.frontEnds {
 		if f.process != nil && slices.Contains(f.pastIncarnations, incarnation) {
 			return true
 		}
@@ -71,43 +71,43 @@
 	return false
 }
 
-// proposeDueCommands has replicas propose the commands that are due: any of them, whether it leads or not, and however
-// late.
-func (w *world) proposeDueCommands() {
-	for i, r := range w.replicas {
-		if r.stopped || i > 0 && w.rng.IntN(3) > 0 {
+// proposeDueCommands proposes the due commands of the replicas, now and at regular intervals. Any replica may propose,
+// whether it is the leader or not, and commands may be committed arbitrarily late.
+func (s *simulation) proposeDueCommands() {
+	for i, r := range s.replicas {
+		if r.stopped || i > 0 && s.rng.IntN(3) > 0 {
 			continue
 		}
 		for _, body := range r.dueCommands() {
-			delay, ok := w.drawDelay("")
+			delay, ok := s.randomDelay("")
 			if !ok {
 				continue
 			}
-			epoch := w.epoch
-			w.after(delay, func() {
-				if epoch == w.epoch {
-					w.commit(0, body, nil)
+			epoch := s.epoch
+			s.after(delay, func() {
+				if epoch == s.epoch {
+					s.commit(0, body, nil)
 				}
 			})
 		}
 	}
-	w.after(200*millisecond, w.proposeDueCommands)
+	s.after(200*millisecond, s.proposeDueCommands)
 }
 
-// dueCommands returns the commands that are due, and with the defects of the variant some that are not due yet.
+// dueCommands returns the commands that are due and, for some mutations, commands that are not due yet.
 func (r *replica) dueCommands() [][]byte {
-	w, now := r.world, r.clock.at(r.world.now)
-	commands := r.authority.DueCommands(now, w)
+	s, now := r.simulation, r.clock.at(r.simulation.now)
+	commands := r.authority.DueCommands(now, s)
 	for _, early := range []struct {
-		defect bool
-		isKind func([]byte) bool
+		mutated bool
+		isKind  func([]byte) bool
 	}{
-		{w.defects.trustsClock, budget.IsExpire},
-		{w.defects.releasesAtExpiry, budget.IsRelease},
-		{w.defects.opensAtOnce, budget.IsOpen},
+		{s.mutations.trustsClock, budget.IsExpire},
+		{s.mutations.releasesAtExpiry, budget.IsRelease},
+		{s.mutations.opensImmediately, budget.IsOpen},
 	} {
-		for _, body := range r.authority.DueCommands(now+60*second, w) {
-			if early.defect && early.isKind(body) {
+		for _, body := range r.authority.DueCommands(now+60*second, s) {
+			if early.mutated && early.isKind(body) {
 				commands = append(commands, body)
 			}
 		}
--- a/fleet/budget/world_test.go
+++ b/fleet/budget/world_test.go
@@ -16,61 +16,61 @@
 	maxFrontEnds = 5
 )
 
-// world simulates the division of budgets in virtual time: replicas of the authority that apply the same commands,
-// each at its own time; front ends with clocks of their own that spend as much as they can; and a network that
-// loses, delays, duplicates and reorders messages. Any replica may propose due commands, whether it leads or not,
-// and however late: safety must not depend on it.
-type world struct {
-	rng      *rand.Rand
-	now      monotime.Micros // true time
-	sequence int             // of events
-	queue    eventQueue
-	defects  defects
+// simulation simulates the division of budgets in virtual time: replicas of the authority that apply the same commands,
+// each at its own time; front ends that have their own clocks and spend as much as they can; and a network that loses,
+// delays, duplicates and reorders messages. Any replica may propose due commands, whether it is the leader or not, and
+// arbitrarily late, as safety must not depend on this.
+type simulation struct {
+	rng       *rand.Rand
+	now       monotime.Micros // true time
+	sequence  int             // of the last event that was scheduled
+	queue     eventQueue
+	mutations mutations
 
 	newestSet *budget.Set
-	sets      []*budget.Set // all versions
-	subjects  int           // how many subjects each budget has; 0 if it has only one
+	sets      []*budget.Set // all versions of the settings
+	subjects  int           // number of subjects of each budget; 0 for a single one without a name
 
 	replicas  []*replica
 	log       [][]byte
-	proposers []replication.Incarnation // of the log's entries; 0 for due commands
-	responses map[int]func([]byte)      // by log position: who gets the response of the first replica that applies it
-	epoch     int                       // how many times all replicas have been lost
+	proposers []replication.Incarnation // of the log entries; 0 for due commands
+	responses map[int]func([]byte)      // by log index: handles the response of the first replica that applies the entry
+	epoch     int                       // number of times that all replicas were lost
 
 	frontEnds []*frontEnd
 	expenses  []*expense
 
 	network      network
-	healed       bool // no more faults
-	reports      int  // reports that were proposed
-	messageBytes int  // bytes of reports and responses
+	faultsEnded  bool // faults are no longer injected
+	reports      int  // number of proposed reports
+	messageBytes int  // size of all reports and responses
 
-	// measureApply is called before each command that a replica applies, and returns what is called after it. It may
-	// be nil.
+	// measureApply is called before a replica applies a command, and returns a function to call afterwards. It may be
+	// nil.
 	measureApply func() func()
 }
 
-// network is the present state of the network.
+// network is the current state of the network.
 type network struct {
-	lossOneIn     int // one in so many messages is lost; 0 for none
+	lossOneIn     int // one of this many messages is lost; 0 for none
 	maxDelay      monotime.Micros
-	stragglers    bool // some messages are late by up to 20 s
-	duplicates    bool // some reports come twice
+	stragglers    bool // some messages are delayed by up to 20 s
+	duplicates    bool // some reports are sent twice
 	partitioned   map[string]bool
-	responseDelay map[string]monotime.Micros // of one front end
+	responseDelay map[string]monotime.Micros // additional delay of responses, by front end
 }
 
-// defaultMaxDelay is the longest delay of a message in a network without faults.
+// defaultMaxDelay is the maximum delay of a message in a network without faults.
 const defaultMaxDelay = 5 * millisecond
 
-// newWorld returns a world with three replicas and a number of front ends.
-func newWorld(seed uint64, set *budget.Set, frontEnds int, d defects) *world {
-	w := &world{
+// newSimulation returns a simulation with three replicas and a number of front ends.
+func newSimulation(seed uint64, set *budget.Set, frontEnds int, m mutations) *simulation {
+	s := &simulation{
 		rng:       rand.New(rand.NewPCG(seed, 7)),
 		newestSet: set,
 		sets:      []*budget.Set{set},
 		responses: map[int]func([]byte){},
-		defects:   d,
+		mutations: m,
 		network: network{
 			maxDelay:      defaultMaxDelay,
 			partitioned:   map[string]bool{},
@@ -78,55 +78,55 @@
 		},
 	}
 	for range 3 {
-		w.replicas = append(w.replicas, &replica{world: w, clock: w.newClock(), authority: newAuthority(100)})
+		s.replicas = append(s.replicas, &replica{simulation: s, clock: s.newClock(), authority: newAuthority(100)})
 	}
 	for i := range frontEnds {
 		f := &frontEnd{
-			world:  w,
-			name:   fmt.Sprintf("n%d", i),
-			clock:  w.newClock(),
-			demand: 5 + 60*w.rng.Float64(),
-			set:    set,
+			simulation: s,
+			name:       fmt.Sprintf("n%d", i),
+			clock:      s.newClock(),
+			demand:     5 + 60*s.rng.Float64(),
+			set:        set,
 		}
-		w.frontEnds = append(w.frontEnds, f)
-		w.after(w.between(0, second), f.start)
+		s.frontEnds = append(s.frontEnds, f)
+		s.after(s.randomBetween(0, second), f.start)
 	}
-	w.proposeDueCommands()
-	return w
+	s.proposeDueCommands()
+	return s
 }
 
 func newAuthority(maxSubjects int) *budget.Authority {
 	return budget.NewAuthority(budget.Options{MaxSubjects: maxSubjects})
 }
 
-// setMaxSubjects gives all replicas new authorities with another limit.
-func (w *world) setMaxSubjects(maxSubjects int) {
-	for _, r := range w.replicas {
+// setMaxSubjects replaces the authorities of all replicas by new ones with another limit on subjects.
+func (s *simulation) setMaxSubjects(maxSubjects int) {
+	for _, r := range s.replicas {
 		r.authority = newAuthority(maxSubjects)
 	}
 }
 
 // setDemand sets the demand of each front end, in queries per second.
-func (w *world) setDemand(demand float64) {
-	for _, f := range w.frontEnds {
+func (s *simulation) setDemand(demand float64) {
+	for _, f := range s.frontEnds {
 		f.demand = demand
 	}
 }
 
 // totalDemand returns the demand of all front ends, in queries per second.
-func (w *world) totalDemand() (total float64) {
-	for _, f := range w.frontEnds {
+func (s *simulation) totalDemand() (total float64) {
+	for _, f := range s.frontEnds {
 		total += f.demand
 	}
 	return total
 }
 
-// drawSubject draws the subject of the next query.
-func (w *world) drawSubject() string {
-	if w.subjects == 0 {
+// randomSubject returns a random subject for a query.
+func (s *simulation) randomSubject() string {
+	if s.subjects == 0 {
 		return ""
 	}
-	return fmt.Sprintf("s-%08x", w.rng.IntN(w.subjects))
+	return fmt.Sprintf("s-%08x", s.rng.IntN(s.subjects))
 }
 
 // clock is a machine's monotonic clock.
@@ -135,27 +135,30 @@
 	rate   float64
 }
 
-// newClock draws a clock that drifts by less than 0.5%, so that two differ by less than 1%.
-func (w *world) newClock() clock {
-	return clock{w.rng.Int64N(1_000_000) * second, 1 + 0.0045*(2*w.rng.Float64()-1)}
+// newClock returns a clock with a random offset and a random drift of less than 0.5%, so that two clocks drift apart by
+// less than 1%.
+func (s *simulation) newClock() clock {
+	return clock{s.rng.Int64N(1_000_000) * second, 1 + 0.0045*(2*s.rng.Float64()-1)}
 }
 
-// at returns the clock's reading at a true time.
+// at returns the time of the clock at a true time.
 func (c clock) at(t monotime.Micros) monotime.Micros {
 	return c.offset + monotime.Micros(float64(t)*c.rate)
 }
 
-// between draws a time span.
-func (w *world) between(a, b monotime.Micros) monotime.Micros { return a + w.rng.Int64N(max(1, b-a)) }
+// randomBetween returns a random time span of at least a and, unless they are equal, less than b.
+func (s *simulation) randomBetween(a, b monotime.Micros) monotime.Micros {
+	return a + s.rng.Int64N(max(1, b-a))
+}
 
-// event is something that happens at a time.
+// event is an action that is scheduled for a time.
 type event struct {
 	at       monotime.Micros
 	sequence int
-	do       func()
+	action   func()
 }
 
-// eventQueue is a heap of events, by time and then in the order in which they were added.
+// eventQueue is a heap of events, ordered by time and then by the order in which they were scheduled.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -171,56 +174,56 @@
 	return x
 }
 
-func (w *world) after(span monotime.Micros, do func()) {
-	w.sequence++
-	heap.Push(&w.queue, event{w.now + span, w.sequence, do})
+func (s *simulation) after(span monotime.Micros, action func()) {
+	s.sequence++
+	heap.Push(&s.queue, event{s.now + span, s.sequence, action})
 }
 
-func (w *world) run(until monotime.Micros) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		e.do()
+func (s *simulation) run(until monotime.Micros) {
+	for len(s.queue) > 0 && s.queue[0].at <= until {
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
+		e.action()
 	}
-	w.now = until
+	s.now = until
 }
 
-// drawDelay draws how long a message of a front end takes; ok is false if it is lost.
-func (w *world) drawDelay(name string) (delay monotime.Micros, ok bool) {
-	n := &w.network
-	if n.partitioned[name] || n.lossOneIn > 0 && w.rng.IntN(n.lossOneIn) == 0 {
+// randomDelay returns a random delay for a message from or to a front end. ok is false if the message is lost.
+func (s *simulation) randomDelay(name string) (delay monotime.Micros, ok bool) {
+	n := &s.network
+	if n.partitioned[name] || n.lossOneIn > 0 && s.rng.IntN(n.lossOneIn) == 0 {
 		return 0, false
 	}
-	delay = w.between(millisecond/10, n.maxDelay)
-	if n.stragglers && w.rng.IntN(20) == 0 {
-		delay += w.between(0, 20*second)
+	delay = s.randomBetween(millisecond/10, n.maxDelay)
+	if n.stragglers && s.rng.IntN(20) == 0 {
+		delay += s.randomBetween(0, 20*second)
 	}
 	return delay, true
 }
 
-// commit appends a command to the log, and has the replicas apply it, each at its own time.
-func (w *world) commit(proposer replication.Incarnation, body []byte, respond func([]byte)) {
-	w.log, w.proposers = append(w.log, body), append(w.proposers, proposer)
+// commit appends a command to the log and schedules its application at the replicas, for each at its own time.
+func (s *simulation) commit(proposer replication.Incarnation, body []byte, respond func([]byte)) {
+	s.log, s.proposers = append(s.log, body), append(s.proposers, proposer)
 	if respond != nil {
-		w.responses[len(w.log)] = respond
+		s.responses[len(s.log)] = respond
 	}
-	for _, r := range w.replicas {
-		w.after(w.between(0, w.network.maxDelay), r.apply)
-		if w.rng.IntN(30) == 0 {
-			w.after(w.between(0, second), r.apply)
+	for _, r := range s.replicas {
+		s.after(s.randomBetween(0, s.network.maxDelay), r.apply)
+		if s.rng.IntN(30) == 0 {
+			s.after(s.randomBetween(0, second), r.apply)
 		}
 	}
 }
 
 // sendNotification notifies the front end of an incarnation, unless the message is lost.
-func (w *world) sendNotification(to replication.Incarnation, _ string) {
-	for _, f := range w.frontEnds {
+func (s *simulation) sendNotification(to replication.Incarnation, _ string) {
+	for _, f := range s.frontEnds {
 		p := f.process
 		if p == nil || p.incarnation != to {
 			continue
 		}
-		if delay, ok := w.drawDelay(f.name); ok {
-			w.after(delay, func() { p.do(func() { p.leaseHolder.Notify(p.localTime()) }) })
+		if delay, ok := s.randomDelay(f.name); ok {
+			s.after(delay, func() { p.execute(func() { p.leaseHolder.Notify(p.localTime()) }) })
 		}
 	}
 }
