--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is what the project's command lines share: exit codes, and how results are shown.
+// Package cli has what all command-line programs of the project share: exit codes and the output of results.
 package cli
 
 import (
@@ -17,7 +17,8 @@
 	exitUsage  = 2
 )
 
-// Main runs a command line and ends the program: with 1 where the work failed, with 2 where it was asked for wrongly.
+// Main executes the root command. On an error it exits the process: with code 1 if the error is a Failure, otherwise
+// with 2, for wrong usage.
 func Main(root *cobra.Command) {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	err := root.Execute()
@@ -33,13 +34,13 @@
 	os.Exit(exitUsage)
 }
 
-// Failure is an error of the work asked for. All others are of the way in which it was asked.
+// Failure is an error in the work of a command. Any other error is one of usage, such as an unknown flag.
 type Failure struct{ error }
 
-// Unwrap is the error itself.
+// Unwrap returns the error without its mark as a Failure.
 func (f Failure) Unwrap() error { return f.error }
 
-// Fail makes an error one of the work.
+// Fail marks an error as a Failure. It returns nil for nil.
 func Fail(err error) error {
 	if err == nil {
 		return nil
@@ -47,12 +48,12 @@
 	return Failure{err}
 }
 
-// Does is a command's work: its errors are failures.
+// Does returns a function for cobra.Command.RunE that calls work and marks its errors as Failures.
 func Does(work func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error { return Fail(work(cmd, args)) }
 }
 
-// Show shows a result as JSON or as text.
+// Show writes a result to out: object as JSON if asJSON is true, otherwise the text.
 func Show(out io.Writer, asJSON bool, object any, text string) error {
 	if asJSON {
 		return json.NewEncoder(out).Encode(object)
--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -1,5 +1,5 @@
-// Package procstat reads what processes use of the machine: processor time, memory and descriptors, in the system's own
-// counts. Long tests use it for the results under docs/capacity.
+// Package procstat reads the resource usage of processes from the kernel: processor time, memory and file descriptors.
+// It also writes the results of long tests, such as those under docs/capacity.
 package procstat
 
 import (
@@ -18,14 +18,14 @@
 func OwnProcessorTime() time.Duration {
 	var used unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &used); err != nil {
-		panic(err) // the clock is always there on Linux
+		panic(err) // Linux always has this clock
 	}
 	return time.Duration(used.Nano())
 }
 
-// ProcessorTime returns the processor time that the present threads of a process have used since they began. It is
-// exact to the scheduler's own count, while /proc/PID/stat counts in steps of 10 ms. An error says that there is no
-// such process, or that a thread has ended meanwhile.
+// ProcessorTime returns the processor time that the existing threads of a process have used since their start, with the
+// resolution of the kernel's scheduler; /proc/PID/stat has steps of 10 ms. It fails if there is no such process, or if
+// a thread ends during the call.
 func ProcessorTime(pid int) (sum time.Duration, err error) {
 	paths, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(paths) == 0 {
@@ -41,7 +41,8 @@
 	return sum, nil
 }
 
-// threadTime reads the processor time of one thread, the first number of its schedstat file, in nanoseconds.
+// threadTime returns the processor time of one thread, which is the first number, in nanoseconds, of its schedstat
+// file.
 func threadTime(path string) (time.Duration, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -55,7 +56,7 @@
 	return time.Duration(nanoseconds), nil
 }
 
-// ResidentMemory returns a process's resident memory in bytes. An error says that there is no such process.
+// ResidentMemory returns the resident memory of a process in bytes. It fails if there is no such process.
 func ResidentMemory(pid int) (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -68,7 +69,7 @@
 	return float64(pages * os.Getpagesize()), nil
 }
 
-// Descriptors returns how many descriptors a process has open. An error says that there is no such process.
+// Descriptors returns the number of open file descriptors of a process. It fails if there is no such process.
 func Descriptors(pid int) (float64, error) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -77,10 +78,10 @@
 	return float64(len(entries)), nil
 }
 
-// HeapInUse returns the bytes of this process's heap that are in use, after a garbage collection.
+// HeapInUse collects garbage and returns the size, in bytes, of the objects that remain on this process's heap.
 func HeapInUse() float64 {
 	runtime.GC()
-	runtime.GC() // finalizers of the first may have freed more
+	runtime.GC() // finalizers that the first collection started may have made more memory unreachable
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc)
--- a/internal/procstat/result.go
+++ b/internal/procstat/result.go
@@ -9,10 +9,11 @@
 	"chutechute/internal/scale"
 )
 
-// ResultsVariable is the environment variable that names the folder for results; without it nothing is written.
+// ResultsVariable is the environment variable with the path of the folder for results. If it is not set, results are
+// not written.
 const ResultsVariable = "CHUTECHUTE_RESULTS"
 
-// NewResult returns the result of a measurement, as of today and of this machine, still without its figures.
+// NewResult returns a result, without any series yet, with today's date and the description of this machine.
 func NewResult(name string, notes ...string) *scale.Result {
 	return &scale.Result{
 		Name:    name,
@@ -23,9 +24,9 @@
 	}
 }
 
-// SaveResult writes a result as NAME.json into the folder for results, and does nothing where none is set. The load of
-// the machine, over the minute before, goes to its notes: processor times differ by as much as two times where other
-// work takes all cores. An error says that the file could not be written.
+// SaveResult writes a result as NAME.json into the folder for results; it does nothing if that folder is not set. It
+// adds the load average of the last minute to the notes, because processor times differ by up to a factor of two if
+// other work uses all cores.
 func SaveResult(result *scale.Result) error {
 	folder := os.Getenv(ResultsVariable)
 	if folder == "" {
@@ -38,7 +39,7 @@
 	return scale.Write(filepath.Join(folder, result.Name+".json"), result)
 }
 
-// loadAverage returns the machine's load average over the last minute, as the system prints it.
+// loadAverage returns the machine's load average over the last minute, as the kernel formats it.
 func loadAverage() (load string, ok bool) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
