--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -22,7 +22,7 @@
 	"cell": scheduler.ScopeCell,
 }
 
-// schedulerConfig converts the object.
+// schedulerConfig converts the object to the configuration of package scheduler.
 func (o *object) schedulerConfig() (scheduler.Config, error) {
 	config := scheduler.Config{
 		Gateways:                  o.Balancers,
@@ -49,7 +49,7 @@
 	return config, err
 }
 
-// convertLimits converts the limits that concern the scheduler.
+// convertLimits converts the limits that apply to the scheduler.
 func convertLimits(limits *limitsObject) scheduler.Limits {
 	return scheduler.Limits{
 		Cancel:         limits.Cancel,
@@ -61,7 +61,7 @@
 	}
 }
 
-// convertRules converts the rules. There is a retry budget only if the rules give its window.
+// convertRules converts the rules. There is a retry budget only if the rules set its window, look_back.
 func convertRules(rules *rulesObject) scheduler.Rules {
 	converted := scheduler.Rules{
 		ResponseTimeout:  fromSeconds(rules.AskWithin),
@@ -82,7 +82,7 @@
 	return converted
 }
 
-// engineKinds returns the kinds of engines.
+// engineKinds returns the kinds of engines, with the sizes that the domain object has for them.
 func (o *object) engineKinds() (kinds []scheduler.EngineKind) {
 	for i, name := range o.HostTypes {
 		kinds = append(kinds, scheduler.EngineKind{
@@ -94,7 +94,7 @@
 	return kinds
 }
 
-// tenants returns the tenants.
+// tenants converts the tenants.
 func (o *object) tenants() (tenants []scheduler.Tenant) {
 	for _, tenant := range o.Tenants {
 		tenants = append(tenants, scheduler.Tenant{Name: tenant.Name, Share: tenant.Share, Quota: tenant.Quota})
@@ -102,7 +102,7 @@
 	return tenants
 }
 
-// classes returns the classes, or the error of the first faulty one.
+// classes converts the classes. It returns the error of the first invalid one.
 func (o *object) classes() (classes []scheduler.Class, err error) {
 	for i := range o.Classes {
 		class, err := convertClass(&o.Classes[i])
@@ -117,7 +117,7 @@
 	return classes, nil
 }
 
-// convertClass converts a class but for what the object's domain says of it.
+// convertClass converts a class, without the properties that the domain object has for it.
 func convertClass(class *classObject) (scheduler.Class, error) {
 	effect, ok := effects[class.Repeat]
 	if !ok {
@@ -144,12 +144,12 @@
 	}, nil
 }
 
-// fromSeconds converts a number of seconds, rounded to the nearest microsecond.
+// fromSeconds converts a number of seconds and rounds it to the nearest microsecond.
 func fromSeconds(seconds float64) monotime.Micros {
 	return monotime.Micros(math.Round(seconds * float64(monotime.Second)))
 }
 
-// valueOrZero returns the value of a key that may be missing.
+// valueOrZero returns the value of an optional key, or 0 if the key is missing.
 func valueOrZero(value *float64) float64 {
 	if value == nil {
 		return 0
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -1,12 +1,12 @@
 package settings
 
-// object is the JSON of the settings object, with the keys that are used here. Its name and the missing names of the
-// types in it stay: encoding/json puts names of types into errors, which operators read.
+// object is the JSON form of the settings object, with the keys that this program uses. It must not be renamed, and the
+// types in it must remain aliases: encoding/json puts the names of defined types into errors, which operators read.
 type object struct {
 	Balancers      int           `json:"balancers"` // front ends of the site
 	Rank           int           `json:"rank"`      // of this front end among them
 	Zone           string        `json:"zone"`      // of this front end
-	Discovery      string        `json:"discovery"` // discoveryPoll or another way
+	Discovery      string        `json:"discovery"` // discoveryPoll or another method
 	OverShare      float64       `json:"over_share_worth"`
 	Classes        []classObject `json:"classes"`
 	Domain         domainObject  `json:"domain"`
@@ -14,7 +14,7 @@
 	FailureDomains []string      `json:"failure_domains"` // names of zones
 	Limits         limitsObject  `json:"limits"`
 	Report         struct {
-		How string `json:"how"` // reportOnHealthChecks, reportOnResponses or another way
+		How string `json:"how"` // reportOnHealthChecks, reportOnResponses or another method
 	} `json:"report"`
 	Rules   rulesObject `json:"rules"`
 	Tariffs struct {
@@ -28,7 +28,7 @@
 	} `json:"tenants"`
 }
 
-// Values of keys of the object that have a meaning here.
+// Values of keys that this program distinguishes from all others.
 const (
 	discoveryPoll        = "ask"
 	reportOnHealthChecks = "probe"
@@ -52,8 +52,8 @@
 	Stream        bool     `json:"stream"`
 }
 
-// domainObject describes classes and kinds of engines. Its lists are in the order of the object's classes or host
-// types, and may be shorter.
+// domainObject has properties of classes and of kinds of engines. Its lists are in the order of the keys "classes" and
+// "host_types"; they may be shorter, and missing elements count as zero.
 type domainObject = struct {
 	ClassThreads  []int     `json:"class_threads"`
 	CPUOfKind     []int     `json:"cpu_of_kind"`    // cores
@@ -67,7 +67,7 @@
 	YieldsToLoads []bool    `json:"yields_to_loads"` // by class
 }
 
-// limitsObject has limits of requests and connections, and says what is allowed.
+// limitsObject has the limits of requests and connections, and which features may be used.
 type limitsObject = struct {
 	Cancel        bool    `json:"cancel"`
 	Probes        bool    `json:"probes"`
@@ -80,7 +80,7 @@
 	MaxOpen       int     `json:"max_open"`        // requests
 }
 
-// rulesObject has the rules of the site. Without LookBack there is no retry budget.
+// rulesObject has the rules of the site. There is no retry budget unless LookBack is set.
 type rulesObject = struct {
 	AskWithin    float64  `json:"ask_within"` // seconds
 	Cold         float64  `json:"cold"`       // seconds
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object of a site, which an instance gets in the simulator's first message or in
-// its node's configuration, and converts it to the terms of package scheduler. Durations in the object are in seconds.
+// Package settings reads the settings object of a site, which a front end gets in the simulator's first message or in
+// its node configuration, and converts it to types of package scheduler. Durations in the object are in seconds.
 package settings
 
 import (
@@ -10,19 +10,19 @@
 	"chutechute/scheduler"
 )
 
-// Settings are the settings of a site. Keys that the object lacks are zero: no defaults are filled in.
+// Settings are the settings of a site. Values of missing keys are zero: this package fills in no defaults.
 type Settings struct {
 	scheduler.Config
-	ClassOf  map[string]int // indexes of Config.Classes by name; of classes with one name the last
-	TenantOf map[string]int // indexes of Config.Tenants by name; of tenants with one name the last
+	ClassOf  map[string]int // indexes in Config.Classes by name; the last one if several classes have the name
+	TenantOf map[string]int // indexes in Config.Tenants by name; the last one if several tenants have the name
 
 	Zones       []string        // names of the site's zones
-	ConnIdle    monotime.Micros // after which engines close an idle connection
-	DialTimeout monotime.Micros // of connections to engines
-	MaxOpen     int             // requests that may be open at a time
+	ConnIdle    monotime.Micros // time after which engines close an idle connection
+	DialTimeout monotime.Micros // for connections to engines
+	MaxOpen     int             // maximum number of open requests
 }
 
-// ClassError reports a key of a class that has an unknown value.
+// ClassError reports an unknown value of a key of a class.
 type ClassError struct {
 	Class string // the name of the class
 	Key   string // "repeat" or "group"
@@ -34,8 +34,8 @@
 	return fmt.Sprintf("class %q: unknown %s %q", e.Class, e.Key, e.Value)
 }
 
-// Parse reads the JSON of a settings object. Unknown keys are ignored, and values are not checked for their ranges. The
-// error is a *ClassError or one of package json, which names the key.
+// Parse reads the JSON of a settings object. It ignores unknown keys and does not check the ranges of values. The error
+// is a *ClassError or an error of package json, which names the key.
 func Parse(text []byte) (*Settings, error) {
 	var o object
 	if err := json.Unmarshal(text, &o); err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,8 +10,8 @@
 	"chutechute/internal/golden"
 )
 
-// wholeObject sets every key that is read.
-const wholeObject = `{"balancers": 3, "rank": 2, "zone": "a", "discovery": "ask", "over_share_worth": 0.5,
+// fullObject sets every key that Parse reads.
+const fullObject = `{"balancers": 3, "rank": 2, "zone": "a", "discovery": "ask", "over_share_worth": 0.5,
 	"classes": [
 		{"name": "read", "on_time": 1, "aim_stretch": 1.5, "give_up": 5, "worth": 2, "late_value": 0.25,
 			"repeat": "safe", "by_arrival": true, "allowed_in": ["a"], "host_types_only": ["large"], "stream": true},
@@ -31,7 +31,7 @@
 func TestParseGivesRecordedSettings(t *testing.T) {
 	var lines []string
 	for _, object := range []string{
-		wholeObject,
+		fullObject,
 		`{}`,
 		`{"report": {"how": "answers"}, "rules": {"look_back": 1}}`,
 		`{"rules": {"min_extra": 2, "extra_ratio": 0.1}}`,
@@ -43,7 +43,7 @@
 	golden.Lines(t, "testdata/settings.golden", lines)
 }
 
-func TestParseNamesTheFaultyKey(t *testing.T) {
+func TestParseErrorsNameTheKey(t *testing.T) {
 	for object, want := range map[string]string{
 		`5`: "json: cannot unmarshal number into Go value of type settings.object",
 		`{"classes": [{"on_time": "x"}]}`: "json: cannot unmarshal string into Go struct field " +
@@ -57,8 +57,8 @@
 	}
 }
 
-func TestClassNamesAreInTheirOrder(t *testing.T) {
-	s, err := Parse([]byte(wholeObject))
+func TestClassNamesKeepTheirOrder(t *testing.T) {
+	s, err := Parse([]byte(fullObject))
 	require.NoError(t, err)
 	assert.Equal(t, []string{"read", "load", "call"}, s.ClassNames())
 	assert.Equal(t, map[string]int{"read": 0, "load": 1, "call": 2}, s.ClassOf)
