--- a/internal/config/attached.go
+++ b/internal/config/attached.go
@@ -7,21 +7,21 @@
 	"chutechute/fleet/transport"
 )
 
-// Attached is the section "fleet.attached". It allows front ends that are not among the members: each of them attaches
-// itself to two members. All front ends of a site have to have the same section.
+// Attached is the section "fleet.attached". It allows front ends that are not control members: each of them attaches to
+// two members. The section must be the same on all front ends of a site.
 type Attached struct {
 	Enabled      bool    `json:"enabled"`
-	HeartbeatMS  float64 `json:"heartbeat_ms"` // between heartbeats on a link; from 250 to 10,000, default 1000
-	SuspectMS    float64 `json:"suspect_ms"`   // without a heartbeat; at least two heartbeats, default 2500
-	DeadMS       float64 `json:"dead_ms"`      // without a heartbeat; at most 120,000, default 4000
-	MaxFrontEnds int     `json:"most"`         // front ends, with the members; at most 16,384, default 8192
+	HeartbeatMS  float64 `json:"heartbeat_ms"` // interval of heartbeats on a link; 250 to 10,000, default 1000
+	SuspectMS    float64 `json:"suspect_ms"`   // without a heartbeat; at least 2 * HeartbeatMS, default 2500
+	DeadMS       float64 `json:"dead_ms"`      // without a heartbeat; SuspectMS + HeartbeatMS to 120,000, default 4000
+	MaxFrontEnds int     `json:"most"`         // including the members; at most 16,384, default 8192
 }
 
-// Attachment is what is in force of the section "fleet.attached" at one front end.
+// Attachment has the settings of the section "fleet.attached" as they apply to one front end.
 type Attachment struct {
-	IsAttached bool              // this front end is an attached one, and no member
-	Config     membership.Config // but for the incarnation and the seed, which the process chooses
-	// MaxViewBytes is the largest size, in bytes, of the whole membership view in a message.
+	IsAttached bool              // this front end is attached; false if it is a member
+	Config     membership.Config // without the incarnation and the seed, which the process chooses
+	// MaxViewBytes is the maximum size of the complete membership view in a message.
 	MaxViewBytes int
 }
 
@@ -30,19 +30,20 @@
 	defaultAttachedHeartbeatMS = 1000
 	defaultAttachedSuspectMS   = 2500
 	defaultAttachedDeadMS      = 4000
-	// minAttachedHeartbeatMS limits the traffic of heartbeats and their answers to 4 times 0.4 KB/s for each attached
+	// minAttachedHeartbeatMS limits the traffic of heartbeats and their responses to 4 times 0.4 KB/s for each attached
 	// front end.
 	minAttachedHeartbeatMS = 250
 	maxAttachedHeartbeatMS = 10_000
 	maxAttachedDeadMS      = 120_000
-	// maxFrontEnds limits the membership view, which each front end has whole in memory: some 200 bytes an entry, 3 MB.
+	// maxFrontEnds limits the membership view, which every front end keeps in memory: about 200 bytes per entry, 3 MB
+	// in total.
 	maxFrontEnds = 16_384
-	// maxViewEntryBytes is the largest size of an entry of the view in a message: three texts of at most
-	// transport.MaxNameLength, and numbers.
+	// maxViewEntryBytes is the maximum size of an entry of the view in a message: three strings of up to
+	// transport.MaxNameLength bytes, and numbers.
 	maxViewEntryBytes = 256
 )
 
-// attachedSection makes the errors of the section.
+// attachedSection creates the errors for keys of the section.
 var attachedSection = section{file: installationFile, path: fleetSection.path + ".attached"}
 
 // enabled returns whether front ends may attach.
@@ -57,7 +58,8 @@
 	return &a
 }
 
-// agreedSection returns the section as all front ends of a site have to have it; nil if no front ends may attach.
+// agreedSection returns the section with defaults, in the form that goes into the settings digest; nil if no front ends
+// may attach.
 func (a *Attached) agreedSection() *Attached {
 	if !a.enabled() {
 		return nil
@@ -65,26 +67,27 @@
 	return a.withDefaults()
 }
 
-// check returns an error if a value of the section, which has its defaults, is out of range.
+// check returns an error if a value is out of range. The section must have its defaults filled in.
 func (a *Attached) check(members int) error {
-	fault := attachedSection.keyError
+	keyError := attachedSection.keyError
 	switch minDeadMS := a.SuspectMS + a.HeartbeatMS; {
 	case a.HeartbeatMS < minAttachedHeartbeatMS || a.HeartbeatMS > maxAttachedHeartbeatMS:
-		return fault("heartbeat_ms", "%g is not from %d to %d",
+		return keyError("heartbeat_ms", "%g is not from %d to %d",
 			a.HeartbeatMS, minAttachedHeartbeatMS, maxAttachedHeartbeatMS)
 	case a.SuspectMS < 2*a.HeartbeatMS:
-		return fault("suspect_ms", "%g is below two heartbeats, %g", a.SuspectMS, 2*a.HeartbeatMS)
+		return keyError("suspect_ms", "%g is below two heartbeats, %g", a.SuspectMS, 2*a.HeartbeatMS)
 	case a.DeadMS < minDeadMS || a.DeadMS > maxAttachedDeadMS:
-		return fault("dead_ms", "%g is not from suspect_ms and a heartbeat, %g, to %d",
+		return keyError("dead_ms", "%g is not from suspect_ms and a heartbeat, %g, to %d",
 			a.DeadMS, minDeadMS, maxAttachedDeadMS)
 	case a.MaxFrontEnds <= members || a.MaxFrontEnds > maxFrontEnds:
-		return fault("most", "%d is not from one above the %d members to %d: each front end holds the view of all",
+		return keyError("most", "%d is not from one above the %d members to %d: each front end holds the view of all",
 			a.MaxFrontEnds, members, maxFrontEnds)
 	}
 	return nil
 }
 
-// attachment returns what the section "fleet.attached" gives for the named front end; nil if no front ends may attach.
+// attachment checks the section "fleet.attached" and returns the settings of the named front end; nil if no front ends
+// may attach.
 func (f *Fleet) attachment(name string, self *ownMembership) (*Attachment, error) {
 	if !f.Attached.enabled() {
 		if f.Zone != "" {
@@ -97,7 +100,7 @@
 	if err := attached.check(len(f.Members)); err != nil {
 		return nil, err
 	}
-	if err := f.checkBesideAttached(name, self); err != nil {
+	if err := f.checkAttachedCombination(name, self); err != nil {
 		return nil, err
 	}
 	members, err := f.controlMembers()
@@ -119,30 +122,31 @@
 	}, nil
 }
 
-// checkBesideAttached returns an error if keys of the fleet's section do not go together with attached front ends.
-func (f *Fleet) checkBesideAttached(name string, self *ownMembership) error {
-	fault := fleetSection.keyError
+// checkAttachedCombination returns an error if other keys of the section "fleet" cannot be combined with attached front
+// ends.
+func (f *Fleet) checkAttachedCombination(name string, self *ownMembership) error {
+	keyError := fleetSection.keyError
 	switch {
 	case f.Budgets != nil:
-		return fault("budgets",
+		return keyError("budgets",
 			"attached front ends would spend beside them: not both of fleet.budgets and fleet.attached")
 	case self.isMember && f.Zone != "" && f.Zone != self.zone:
-		return fault("zone", "%q is not what stands with this front end in fleet.members, %q", f.Zone, self.zone)
+		return keyError("zone", "%q is not what stands with this front end in fleet.members, %q", f.Zone, self.zone)
 	case len(f.Zone) > transport.MaxNameLength:
-		return fault("zone", "%d bytes are above %d", len(f.Zone), transport.MaxNameLength)
+		return keyError("zone", "%d bytes are above %d", len(f.Zone), transport.MaxNameLength)
 	case !self.isMember && !transport.ValidName(name):
-		return fault("attached", "the name %q is not 1 to %d letters, digits, dots, hyphens and underscores",
+		return keyError("attached", "the name %q is not 1 to %d letters, digits, dots, hyphens and underscores",
 			name, transport.MaxNameLength)
 	case !self.isMember && f.OrphanTimeoutS != 0:
-		return fault("orphan_s",
+		return keyError("orphan_s",
 			"stands at an attached front end, which takes over no loads: it belongs to the members' files")
 	case len(f.Members) == 0:
-		return fault("members", "missing: there are none to attach to")
+		return keyError("members", "missing: there are none to attach to")
 	}
 	return nil
 }
 
-// controlMembers returns the members as package membership takes them.
+// controlMembers converts the members to the type of package membership.
 func (f *Fleet) controlMembers() (members []membership.ControlMember, err error) {
 	for i, member := range f.Members {
 		if len(member.Name) > transport.MaxNameLength || len(member.Zone) > transport.MaxNameLength {
--- a/internal/config/attached_test.go
+++ b/internal/config/attached_test.go
@@ -15,8 +15,8 @@
 	"chutechute/internal/testharness"
 )
 
-// fleetOf returns what a section of three members with further keys gives at the named front end.
-func fleetOf(t *testing.T, name, further string) (*Peers, error) {
+// fleetPeers returns the options of the named front end for a section with three members and further keys.
+func fleetPeers(t *testing.T, name, further string) (*Peers, error) {
 	t.Helper()
 	file, err := ParseInstallation([]byte(`{"fleet": {"enabled": true, "site": "x", ` + threeMembers + further + `}}`))
 	if err != nil {
@@ -25,7 +25,7 @@
 	return file.Fleet.Options(name, parsedSettings(t, testharness.Settings), testMemoryMB)
 }
 
-func TestAttachedNameTheFaultyKey(t *testing.T) {
+func TestAttachedErrorsNameTheKey(t *testing.T) {
 	const on = `, "attached": {"enabled": true}`
 	for _, c := range []struct{ name, further, want string }{
 		{"x1", ``, `fleet.members: this front end, "x1", is not among them`},
@@ -51,14 +51,14 @@
 		{"x1", on + `, "copies": 2`, "fleet.copies"},
 		{"x1", on + `, "tick_ms": -1`, "fleet.tick_ms"},
 	} {
-		_, err := fleetOf(t, c.name, c.further)
+		_, err := fleetPeers(t, c.name, c.further)
 		if assert.Error(t, err, "%q %s", c.name, c.further) {
 			assert.Contains(t, err.Error(), c.want)
 		}
 	}
 }
 
-func TestErrorOfTooManyMembersSaysWhyThereIsALimit(t *testing.T) {
+func TestTooManyMembersErrorExplainsTheLimit(t *testing.T) {
 	f := Fleet{Enabled: true, Site: "x"}
 	for i := range maxMembers + 1 {
 		f.Members = append(f.Members, FleetMember{Name: fmt.Sprintf("n%d", i), Address: "127.0.0.1:1"})
@@ -69,12 +69,12 @@
 	assert.ErrorContains(t, err, "fleet.attached")
 }
 
-// An attached front end stores no log, and has the digest of the members.
-func TestFrontEndThatIsNoMemberAttachesItself(t *testing.T) {
+// An attached front end stores no log and has the same digest as the members.
+func TestFrontEndThatIsNotAMemberAttaches(t *testing.T) {
 	const on = `, "folder": "/disk", "admin": "/{name}.sock", "attached": {"enabled": true, "dead_ms": 5000}`
-	attached, err := fleetOf(t, "x1", on+`, "zone": "b"`)
+	attached, err := fleetPeers(t, "x1", on+`, "zone": "b"`)
 	require.NoError(t, err)
-	member, err := fleetOf(t, "n1", on+`, "orphan_s": 7`)
+	member, err := fleetPeers(t, "n1", on+`, "orphan_s": 7`)
 	require.NoError(t, err)
 	assert.Equal(t, attached.Digest, member.Digest, "the zone and orphan_s may differ among front ends")
 	assert.Len(t, attached.Members, 3)
@@ -90,27 +90,27 @@
 	assert.Equal(t, []membership.ControlMember{{Name: "n1", Zone: "a"}, {Name: "n2"}, {Name: "n3"}}, cfg.ControlMembers)
 	assert.Equal(t, "a", member.Attached.Config.Zone)
 
-	small, err := fleetOf(t, "x1", on+`, "ledger_mb": 30`)
+	small, err := fleetPeers(t, "x1", on+`, "ledger_mb": 30`)
 	require.NoError(t, err, "the limit of the log does not hold for a front end that stores none")
 	assert.NotNil(t, small)
 
-	explicit, err := fleetOf(t, "n1", `, "attached": {"enabled": true, "heartbeat_ms": 1000, "suspect_ms": 2500,
+	explicit, err := fleetPeers(t, "n1", `, "attached": {"enabled": true, "heartbeat_ms": 1000, "suspect_ms": 2500,
 		"dead_ms": 5000, "most": 8192}`)
 	require.NoError(t, err)
 	assert.Equal(t, member.Digest, explicit.Digest, "the digest has defaults filled in")
-	other, err := fleetOf(t, "n1", `, "attached": {"enabled": true}`)
+	other, err := fleetPeers(t, "n1", `, "attached": {"enabled": true}`)
 	require.NoError(t, err)
 	assert.NotEqual(t, member.Digest, other.Digest)
 }
 
-// If no front ends may attach, members agree with those whose program does not know the section yet.
+// If no front ends may attach, the digest is the same as in versions of the program without the section "attached".
 func TestDigestWithoutAttachedIsAsBefore(t *testing.T) {
 	for further, want := range map[string]string{
 		``: "05f242dad7f1ae55",
 		`, "orphan_s": 5, "copies": 1, "ledger_mb": 2`: "d7b683c41457f849",
 	} {
 		for _, off := range []string{``, `, "attached": {"enabled": false, "most": 5}`} {
-			p, err := fleetOf(t, "n1", further+off)
+			p, err := fleetPeers(t, "n1", further+off)
 			require.NoError(t, err)
 			assert.Equal(t, want, hex.EncodeToString(p.Digest))
 			assert.Nil(t, p.Attached)
--- a/internal/config/budget.go
+++ b/internal/config/budget.go
@@ -13,19 +13,19 @@
 	"chutechute/internal/settings"
 )
 
-// Budget is one element of "fleet.budgets.list". It has one of three kinds: a rate with a burst, a concurrency limit
+// Budget is one element of "fleet.budgets.list". It is of one of three kinds: a rate with a burst, a concurrency limit
 // ("places"), or a total within a sliding window. Amounts are from 0 to 1e9, in units of Scope.Unit.
 type Budget struct {
-	Name        string  `json:"name"`      // at most 64 bytes
-	Rate        float64 `json:"rate"`      // per second
-	Burst       float64 `json:"burst"`     // of a rate: at once, after a rest
-	Concurrency int     `json:"places"`    // at a time
-	Total       float64 `json:"total"`     // within any window
-	WindowMS    float64 `json:"window_ms"` // with a total only; from 100 to 3,600,000
-	MaxAttemptS float64 `json:"life_s"`    // of places: the longest attempt; default and least: the longest give_up
+	Name                string  `json:"name"`      // at most 64 bytes
+	Rate                float64 `json:"rate"`      // per second
+	Burst               float64 `json:"burst"`     // with a rate: the amount that may be spent at once
+	Concurrency         int     `json:"places"`    // maximum in flight
+	Total               float64 `json:"total"`     // within any period of WindowMS
+	WindowMS            float64 `json:"window_ms"` // with a total only; from 100 to 3,600,000
+	MaxAttemptDurationS float64 `json:"life_s"`    // with places: longest attempt; default and minimum: longest give_up
 	//lint:ignore SA5008 the tag is read by mapstructure, which knows squash, and not by encoding/json
 	enforce.Scope   `json:",squash"`
-	Reserve         *float64           `json:"reserve"`   // share divided evenly, without a lease; default 0.02
+	StaticShare     *float64           `json:"reserve"`   // share for static parts, divided evenly; default 0.02
 	NewcomerReserve *float64           `json:"newcomers"` // share for front ends without an allocation; default 0.005
 	Floor           float64            `json:"floor"`     // share that each front end with demand gets first
 	Weights         map[string]float64 `json:"weights"`   // of members by name; from 0.001 to 1000, default 1
@@ -37,18 +37,18 @@
 	maxBudgetNameBytes = 64
 	maxBudgetAmount    = 1e9
 
-	defaultReserve         = 0.02
+	defaultStaticShare     = 0.02
 	defaultNewcomerReserve = 0.005
 	minWeight              = 0.001
 	maxWeight              = 1000
 	minWindowMS            = 100
 	maxWindowMS            = 3_600_000
 
-	// wholeShare is the share of a budget that is all of it, in the thousandths in which budget.Spec counts shares.
-	wholeShare = 1000
-	// minWorkPart is the smallest allocation of work that is of use, in thousandths of a millisecond: the work of a
-	// query may be estimated as low as that.
-	minWorkPart = 1
+	// permille is the whole of a budget, in the thousandths that budget.Spec uses for shares.
+	permille = 1000
+	// minWorkAllocation is the smallest useful allocation of work, in thousandths of a millisecond. The estimated work
+	// of a query can be that small.
+	minWorkAllocation = 1
 )
 
 // The values of "without".
@@ -57,7 +57,7 @@
 	withoutNone    = "none"
 )
 
-// The values of "over" and "unit" that have a meaning here; package enforce has all of them.
+// The values of "over" and "unit" that this package distinguishes. The complete lists are in package enforce.
 const (
 	overflowRefuse = "refuse"
 	overflowWait   = "wait"
@@ -66,11 +66,11 @@
 	unitWork       = "work"
 )
 
-// thousandths converts an amount or a share to the form of budget.Spec.
+// thousandths converts an amount or a share to the thousandths that budget.Spec uses.
 func thousandths(value float64) int64 { return int64(math.Round(value * account.Unit)) }
 
-// spec checks the budget, which is one element of the section, and returns it as package budget takes it. The default
-// of "over" stays in the budget, so that it is shown with it.
+// spec checks the budget and converts it to the type of package budget. The element creates the errors for its keys.
+// The default of "over" is stored in the budget, so that commands show it.
 func (b *Budget) spec(element section, site *budgetSite) (budget.Spec, error) {
 	if err := b.checkAmounts(element); err != nil {
 		return budget.Spec{}, err
@@ -78,8 +78,8 @@
 	classes := classLimitsOf(site.settings, b.Class)
 	spec := budget.Spec{
 		Name:            b.Name,
-		MinAllocation:   b.minPart(classes.threads),
-		StaticShare:     b.reserve(),
+		MinAllocation:   b.minAllocation(classes.threads),
+		StaticShare:     b.staticShare(),
 		NewcomerReserve: shareOrDefault(b.NewcomerReserve, defaultNewcomerReserve),
 		Floor:           thousandths(b.Floor),
 	}
@@ -102,7 +102,7 @@
 	return spec, nil
 }
 
-// checkAmounts returns an error if a number is out of the range of all of them.
+// checkAmounts returns an error if a number is not in the range that is common to all of them.
 func (b *Budget) checkAmounts(element section) error {
 	for _, amount := range []struct {
 		key   string
@@ -113,7 +113,7 @@
 		{"places", float64(b.Concurrency)},
 		{"total", b.Total},
 		{"window_ms", b.WindowMS},
-		{"life_s", b.MaxAttemptS},
+		{"life_s", b.MaxAttemptDurationS},
 	} {
 		if amount.value < 0 || amount.value > maxBudgetAmount || math.IsNaN(amount.value) {
 			return element.keyError(amount.key, "%g is not from 0 to 1e9", amount.value)
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// classLimits are the largest values of the classes that a budget applies to.
+// classLimits has the maximum values over the classes that a budget applies to.
 type classLimits struct {
 	threads       int             // of a query; at least 1
 	clientTimeout monotime.Micros // of a query
@@ -142,18 +142,18 @@
 	return limits
 }
 
-// minPart returns the smallest allocation that is of use: what one query takes.
-func (b *Budget) minPart(maxThreads int) int64 {
+// minAllocation returns the smallest useful allocation: the amount that one query needs.
+func (b *Budget) minAllocation(maxThreads int) int64 {
 	switch b.Unit {
 	case unitThreads:
 		return int64(maxThreads) * account.Unit
 	case unitWork:
-		return minWorkPart
+		return minWorkAllocation
 	}
 	return account.Unit
 }
 
-// shareOrDefault returns a share in thousandths.
+// shareOrDefault returns the share, or the default if it is nil, in thousandths.
 func shareOrDefault(share *float64, defaultShare float64) int64 {
 	if share == nil {
 		return thousandths(defaultShare)
@@ -161,16 +161,17 @@
 	return thousandths(*share)
 }
 
-// reserve returns the share that front ends have without a lease.
-func (b *Budget) reserve() int64 {
+// staticShare returns the share, in thousandths, that is divided into static parts: what front ends have without a
+// lease.
+func (b *Budget) staticShare() int64 {
 	if b.WithoutLease == withoutNone {
 		return 0
 	}
-	return shareOrDefault(b.Reserve, defaultReserve)
+	return shareOrDefault(b.StaticShare, defaultStaticShare)
 }
 
-// kinds returns how many kinds the budget has; it should be one.
-func (b *Budget) kinds() (count int) {
+// countKinds returns how many of the keys that select a kind are set. Exactly one must be.
+func (b *Budget) countKinds() (count int) {
 	for _, amount := range []float64{b.Rate, float64(b.Concurrency), b.Total} {
 		if amount > 0 {
 			count++
@@ -179,7 +180,7 @@
 	return count
 }
 
-// setKind sets the kind of the budget, its total and its duration.
+// setKind sets the kind, the total, and the window or the maximum duration of an attempt.
 func (b *Budget) setKind(spec *budget.Spec, clientTimeout monotime.Micros) {
 	switch {
 	case b.Total > 0:
@@ -189,14 +190,14 @@
 	case b.Concurrency > 0:
 		spec.Kind = account.Concurrency
 		spec.Total = budget.Amount{Capacity: thousandths(float64(b.Concurrency))}
-		spec.MaxAttemptDuration = cmp.Or(fromSeconds(b.MaxAttemptS), clientTimeout)
+		spec.MaxAttemptDuration = cmp.Or(fromSeconds(b.MaxAttemptDurationS), clientTimeout)
 	case b.Rate > 0:
 		spec.Kind = account.Rate
 		spec.Total = budget.Amount{Capacity: thousandths(b.Burst), Rate: thousandths(b.Rate)}
 	}
 }
 
-// defaultOverflow returns the default of "over". Clients' queries above a rate are refused; anything else waits.
+// defaultOverflow returns the default of "over": queries of clients that exceed a rate are rejected, all else waits.
 func (b *Budget) defaultOverflow(kind account.Kind) string {
 	if kind == account.Rate && !b.Retries && !b.HealthChecks {
 		return overflowRefuse
@@ -204,7 +205,7 @@
 	return overflowWait
 }
 
-// weights returns the weights of members, ordered by name.
+// weights checks the weights of members and returns them, sorted by name.
 func (b *Budget) weights(element section, members []FleetMember) (weights []budget.Weight, err error) {
 	for name, weight := range b.Weights {
 		if !slices.ContainsFunc(members, func(member FleetMember) bool { return member.Name == name }) {
@@ -219,9 +220,10 @@
 	return weights, nil
 }
 
-// checkKind returns an error if the budget has not exactly one kind, or keys that do not go with it.
+// checkKind returns an error if the name is invalid, if the budget does not have exactly one kind, or if keys do not
+// fit that kind.
 func (b *Budget) checkKind(element section, spec *budget.Spec, clientTimeout monotime.Micros) error {
-	kinds := b.kinds()
+	kinds := b.countKinds()
 	switch {
 	case b.Name == "" || len(b.Name) > maxBudgetNameBytes:
 		return element.keyError("name", "missing, or above %d bytes", maxBudgetNameBytes)
@@ -238,11 +240,12 @@
 	return nil
 }
 
-// checkDivision returns an error if the budget cannot be divided among maxFrontEnds front ends.
+// checkDivision returns an error if the budget cannot be divided among maxFrontEnds front ends, or if keys that control
+// the division are invalid.
 func (b *Budget) checkDivision(element section, spec *budget.Spec, maxFrontEnds int) error {
 	reserved := spec.StaticShare + spec.NewcomerReserve
 	floors := spec.Floor * int64(maxFrontEnds)
-	divided := spec.Total.Capacity * (wholeShare - reserved) / wholeShare
+	divided := spec.Total.Capacity * (permille - reserved) / permille
 	switch {
 	case spec.Kind == account.Rate && divided < int64(maxFrontEnds)*spec.MinAllocation:
 		return element.keyError("burst",
@@ -252,7 +255,7 @@
 		return element.keyError("over", "\"last\" stands without rate")
 	case b.WithoutLease != "" && b.WithoutLease != withoutNone && b.WithoutLease != withoutReserve:
 		return element.keyError("without", "%q is neither \"reserve\" nor \"none\"", b.WithoutLease)
-	case spec.StaticShare < 0 || spec.NewcomerReserve < 0 || spec.Floor < 0 || reserved+floors > wholeShare:
+	case spec.StaticShare < 0 || spec.NewcomerReserve < 0 || spec.Floor < 0 || reserved+floors > permille:
 		return element.keyError("reserve",
 			"reserve, newcomers and floor for each of %d front ends are more than the whole, or less than nothing",
 			maxFrontEnds)
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -9,12 +9,12 @@
 	"chutechute/internal/settings"
 )
 
-// Budgets is the section "fleet.budgets": what the front ends of a fleet may spend together. If front ends have
-// different versions, the highest one is in force.
+// Budgets is the section "fleet.budgets": limits on what all front ends of a fleet spend together. If front ends have
+// different versions of the section, the highest version is in force.
 type Budgets struct {
 	Version      int      `json:"version"`  // at least 1
-	LeaseMS      float64  `json:"lease_ms"` // duration of leases; from 300 to 60,000 and at least 8 ticks, default 2000
-	MaxFrontEnds int      `json:"most"`     // front ends there may be at a time; at most 800, default: the members
+	LeaseMS      float64  `json:"lease_ms"` // duration of leases; 300 to 60,000 and at least 8 ticks, default 2000
+	MaxFrontEnds int      `json:"most"`     // maximum number of front ends; at most 800, default: number of members
 	List         []Budget `json:"list"`     // at most 256
 }
 
@@ -23,24 +23,25 @@
 	defaultLeaseMS = 2000
 	minLeaseMS     = 300
 	maxLeaseMS     = 60_000
-	// minLeaseTicks is the least duration of a lease in ticks: with shorter ones, each election would let all expire.
+	// minLeaseTicks is the minimum duration of a lease in ticks. If leases were shorter, all of them would expire
+	// during each election.
 	minLeaseTicks = 8
-	// maxBudgetFrontEnds limits the front ends that a budget is divided among.
+	// maxBudgetFrontEnds limits the number of front ends that a budget is divided among.
 	maxBudgetFrontEnds = 10 * maxMembers
 )
 
-// budgetsSection makes the errors of the section.
+// budgetsSection creates the errors for keys of the section.
 var budgetsSection = section{file: installationFile, path: fleetSection.path + ".budgets"}
 
-// budgetSite is what the checks of a budget depend on besides the budget.
+// budgetSite has the settings, other than the budget itself, that the checks of a budget need.
 type budgetSite struct {
 	members      []FleetMember
-	maxFrontEnds int // there may be at a time
+	maxFrontEnds int // at a time
 	settings     *settings.Settings
 }
 
-// resolve fills in defaults, checks the section and returns the set of its budgets, ordered by name; nil if there is no
-// section. The defaults stay in the section, so that they are shown with it.
+// resolve fills in defaults, checks the section and returns its budgets, sorted by name; nil if there is no section.
+// The defaults are stored in the section, so that commands show them.
 func (b *Budgets) resolve(
 	members []FleetMember, tick monotime.Micros, site *settings.Settings,
 ) (*budget.Set, error) {
@@ -67,7 +68,7 @@
 	return set, nil
 }
 
-// setDefaults fills in the defaults of the section, but for those of the budgets in it.
+// setDefaults fills in the defaults of the section, except for those of its budgets.
 func (b *Budgets) setDefaults(members int) {
 	if b.LeaseMS == 0 {
 		b.LeaseMS = defaultLeaseMS
@@ -77,25 +78,25 @@
 	}
 }
 
-// check returns an error if a value of the section is out of range, whatever its budgets are.
+// check returns an error if a value of the section is out of range. It does not check the individual budgets.
 func (b *Budgets) check(members int, tick monotime.Micros) error {
-	fault := budgetsSection.keyError
+	keyError := budgetsSection.keyError
 	switch {
 	case b.Version < 1:
-		return fault("version", "%d is below 1", b.Version)
+		return keyError("version", "%d is below 1", b.Version)
 	case b.LeaseMS < minLeaseMS || b.LeaseMS > maxLeaseMS:
-		return fault("lease_ms", "%g is not from %d to %d", b.LeaseMS, minLeaseMS, maxLeaseMS)
+		return keyError("lease_ms", "%g is not from %d to %d", b.LeaseMS, minLeaseMS, maxLeaseMS)
 	case fromMilliseconds(b.LeaseMS) < minLeaseTicks*tick:
-		return fault("lease_ms", "%g is below %d times tick_ms", b.LeaseMS, minLeaseTicks)
+		return keyError("lease_ms", "%g is below %d times tick_ms", b.LeaseMS, minLeaseTicks)
 	case b.MaxFrontEnds < members || b.MaxFrontEnds > maxBudgetFrontEnds:
-		return fault("most", "%d is not from the %d members to %d", b.MaxFrontEnds, members, maxBudgetFrontEnds)
+		return keyError("most", "%d is not from the %d members to %d", b.MaxFrontEnds, members, maxBudgetFrontEnds)
 	case len(b.List) > budget.MaxSpecs:
-		return fault("list", "%d are above %d", len(b.List), budget.MaxSpecs)
+		return keyError("list", "%d are above %d", len(b.List), budget.MaxSpecs)
 	}
 	return nil
 }
 
-// specs returns the budgets as package budget takes them, ordered by name.
+// specs checks the budgets and converts them to the type of package budget, sorted by name.
 func (b *Budgets) specs(site *budgetSite) (specs []budget.Spec, err error) {
 	for i := range b.List {
 		spec, err := b.List[i].spec(budgetsSection.element("list", i), site)
--- a/internal/config/budgets_test.go
+++ b/internal/config/budgets_test.go
@@ -13,8 +13,8 @@
 	"chutechute/internal/testharness"
 )
 
-// budgetsOf returns what a section "fleet.budgets" gives in a fleet of three.
-func budgetsOf(t *testing.T, list string) (*Peers, error) {
+// budgetPeers returns the options of a front end for a section "fleet.budgets" in a fleet of three.
+func budgetPeers(t *testing.T, list string) (*Peers, error) {
 	t.Helper()
 	file, err := ParseInstallation([]byte(`{"fleet": {"enabled": true, "site": "x", "members": [
 		{"name": "n1", "address": "127.0.0.1:1"}, {"name": "n2", "address": "127.0.0.1:2"},
@@ -25,7 +25,7 @@
 	return file.Fleet.Options("n1", parsedSettings(t, testharness.Settings), testMemoryMB)
 }
 
-func TestBudgetsNameTheFaultyKey(t *testing.T) {
+func TestBudgetErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ list, want string }{
 		{`{"list": []}`, "fleet.budgets.version"},
 		{`{"version": 1, "lease_ms": 100}`, "fleet.budgets.lease_ms"},
@@ -53,19 +53,19 @@
 			`"a" stands twice`},
 		{`{"version": 1, "list": [{"name": "a", "rate": 5, "burst": 9, "quota": 1}]}`, "quota"},
 	} {
-		_, err := budgetsOf(t, c.list)
+		_, err := budgetPeers(t, c.list)
 		if assert.Error(t, err, c.list) {
 			assert.Contains(t, err.Error(), c.want)
 		}
 	}
 }
 
-// Front ends with different budgets can talk to one another: budgets are not in the digest.
+// Front ends with different budgets can establish links, because budgets are not in the digest.
 func TestBudgetsBecomeSpecsAndDoNotChangeTheDigest(t *testing.T) {
-	without, err := budgetsOf(t, `null`)
+	without, err := budgetPeers(t, `null`)
 	require.NoError(t, err)
 	assert.Nil(t, without.Budgets)
-	p, err := budgetsOf(t, `{"version": 3, "list": [{"name": "cold", "engine": "*", "cold": true, "total": 9000,
+	p, err := budgetPeers(t, `{"version": 3, "list": [{"name": "cold", "engine": "*", "cold": true, "total": 9000,
 			"window_ms": 1000, "unit": "work"},
 		{"name": "quota", "tenant": "*", "rate": 50, "burst": 25, "weights": {"n2": 2}}]}`)
 	require.NoError(t, err)
@@ -98,7 +98,7 @@
 		{"name": "b", "places": 5}]}`,
 }
 
-// budgets are single budgets, without a name unless they have one.
+// budgets are the keys of one budget each. The test adds a name unless there is one.
 var budgets = []string{
 	`"rate": 50, "burst": 25, "tenant": "t"`,
 	`"rate": 50, "burst": 25, "tenant": "*", "unit": "threads", "class": "read"`,
@@ -150,7 +150,7 @@
 	golden.Lines(t, "testdata/budgets.golden", recorded)
 }
 
-// budgetsLine returns the line of a recorded file for a section "fleet.budgets".
+// budgetsLine returns the line of a golden file for a section "fleet.budgets".
 func budgetsLine(t *testing.T, section string) string {
 	t.Helper()
 	return fleetLine(t, "n1", fleetOfThree+`, "budgets": `+section+`}`)
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -10,17 +10,17 @@
 	"chutechute/statement/classify"
 )
 
-// Initial estimates of a class's statements, until some were measured.
+// Initial estimates for the statements of a class, which are used until there are measurements.
 const (
-	// initialObjectiveShare is the part of a class's latency objective that a statement's run time is estimated at.
+	// initialObjectiveShare is the estimated run time of a statement as a share of the latency objective of its class.
 	initialObjectiveShare = 0.25
-	// initialMBPerThread is the estimated memory of a statement for each of its threads.
+	// initialMBPerThread is the estimated memory of a statement per thread.
 	initialMBPerThread = 16
-	// initialRunTimeMS is the estimated run time if the latency objective is unknown.
+	// initialRunTimeMS is the estimated run time of a statement whose latency objective is unknown.
 	initialRunTimeMS = 100
 )
 
-// Classes returns the classes of the site's settings as package statement takes them.
+// Classes converts the classes of the site's settings to the type of package statement.
 func Classes(site *settings.Settings) (list []statement.Class) {
 	for i := range site.Classes {
 		list = append(list, statementClass(&site.Classes[i]))
@@ -40,8 +40,8 @@
 	}
 }
 
-// RuleClasses returns the classes that the section itself names, for checks without the site's settings. A class loads
-// if some rule gives it to a verb that writes.
+// RuleClasses returns the classes that the section itself names, for checks without the site's settings. A class locks
+// tables if a rule assigns it to a verb that always writes.
 func (s *Statement) RuleClasses() (list []statement.Class) {
 	for _, rule := range s.Rules {
 		list = addClass(list, rule.Class, slices.ContainsFunc(rule.Verbs, classify.AlwaysWrites))
@@ -52,8 +52,8 @@
 	return list
 }
 
-// addClass adds a class to a list if it is not there, and notes whether it loads.
-func addClass(list []statement.Class, name string, loads bool) []statement.Class {
+// addClass adds a class to the list unless it is there already, and marks it if it locks tables.
+func addClass(list []statement.Class, name string, locksTables bool) []statement.Class {
 	i := slices.IndexFunc(list, func(class statement.Class) bool { return class.Name == name })
 	if i < 0 {
 		i = len(list)
@@ -63,6 +63,6 @@
 			AssumedMemoryMB: initialMBPerThread,
 		})
 	}
-	list[i].LocksTables = list[i].LocksTables || loads
+	list[i].LocksTables = list[i].LocksTables || locksTables
 	return list
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,9 @@
-// Package config reads, checks and gives defaults to the configuration of a front end. It has two files: the node's
-// configuration, which the platform writes (JSON, named by NODE_CONFIG), and the installation file, which operators
-// write (Jsonnet or JSON).
+// Package config reads and checks the configuration of a front end and fills in its defaults. The configuration has two
+// files: the node configuration, which the platform writes (JSON; NODE_CONFIG has its path), and the installation file,
+// which operators write (Jsonnet or JSON).
 //
-// Each section of the installation file has a Go file of its own with the type that it is decoded into, its defaults
-// and limits, its checks and its conversion into the types of the package that it configures. An error of a key is a
+// Each section of the installation file has its own Go file with the type that it is decoded into, its defaults and
+// limits, its checks, and its conversion to the types of the package that it configures. The error for a key is a
 // *KeyError.
 package config
 
@@ -24,30 +24,30 @@
 type Config struct {
 	Name              string         // of the front end
 	Listen            netip.AddrPort // where clients connect
-	Discovery         netip.AddrPort // of the journal service, which lists engines
-	Seed              uint64         // for random numbers
-	MemoryMB          int            // that the front end may use; at least 16, default 192
-	Sockets           int            // file descriptors that the front end may have; at least 64, default 1024
+	Discovery         netip.AddrPort // of the discovery service, which lists engines
+	Seed              uint64         // of the random number generator
+	MemoryMB          int            // memory that the front end may use; at least 16, default 192
+	Sockets           int            // maximum number of file descriptors; at least 64, default 1024
 	Settings          *settings.Settings
-	KnownEvents       []discovery.Event // of the journal service up to LastPos
-	LastKnownPosition uint64            // the position of the last known event
+	KnownEvents       []discovery.Event // events of the discovery service up to LastKnownPosition
+	LastKnownPosition uint64            // position of the last known event
 
-	// InstallationPath is the path of the installation file; empty without one.
+	// InstallationPath is the path of the installation file; empty if there is none.
 	InstallationPath string
-	// Statements are the options for reading statements; nil if that is off.
+	// Statements has the options for parsing statements; nil if that is off.
 	Statements *statement.Options
-	// Callers are the options for identifying callers; nil if that is off.
+	// Callers has the options for identifying callers; nil if that is off.
 	Callers *identity.Options
-	// Peers is how this front end works with the others of its fleet; nil if that is off.
+	// Peers has the options for working with the other front ends of the fleet; nil if that is off.
 	Peers *Peers
 
-	installation *Installation // nil without an installation file
-	settings     []byte        // the JSON of Settings without white space, by which a reload finds changes
+	installation *Installation // nil if there is no installation file
+	settings     []byte        // compact JSON of Settings, which a reload compares
 }
 
-// Load reads the node's configuration, whose path is in the environment variable NODE_CONFIG, and the installation
-// file if its path is not empty. The variables NODE_NAME and NODE_LISTEN override keys of the node's configuration. An
-// error of a key is a *KeyError.
+// Load reads the node configuration, whose path is in the environment variable NODE_CONFIG, and the installation file
+// if its path is not empty. The variables NODE_NAME and NODE_LISTEN override keys of the node configuration. The error
+// for a key is a *KeyError.
 func Load(getenv func(string) string, installation string) (*Config, error) {
 	c, err := loadNode(getenv)
 	if err != nil || installation == "" {
@@ -60,7 +60,7 @@
 	return c, c.applyInstallation(c.Settings)
 }
 
-// loadNode reads the node's configuration.
+// loadNode reads the node configuration.
 func loadNode(getenv func(string) string) (*Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -73,8 +73,8 @@
 	return Parse(text, getenv("NODE_NAME"), getenv("NODE_LISTEN"))
 }
 
-// applyInstallation checks the sections of the installation against the site's settings and converts them. Without an
-// installation it does nothing.
+// applyInstallation checks the sections of the installation file against the site's settings and converts them. It does
+// nothing if there is no installation file.
 func (c *Config) applyInstallation(site *settings.Settings) (err error) {
 	if c.installation == nil {
 		return nil
@@ -92,7 +92,7 @@
 	return c.installation.TLS.check()
 }
 
-// TLS returns the installation's section on TLS; without an installation one that is off.
+// TLS returns the section "tls" of the installation file; if there is no file, a section that is off.
 func (c *Config) TLS() *TLS {
 	if c.installation == nil {
 		return &TLS{}
@@ -100,7 +100,7 @@
 	return &c.installation.TLS
 }
 
-// Identity returns the installation's section on callers; without an installation one that is off.
+// Identity returns the section "identity" of the installation file; if there is no file, a section that is off.
 func (c *Config) Identity() *Identity {
 	if c.installation == nil {
 		return &Identity{}
@@ -108,14 +108,14 @@
 	return &c.installation.Identity
 }
 
-// CheckReload checks the installation of next, which a reload has read, against the settings of c, which a reload
-// does not change. It returns next.
+// CheckReload checks the installation file of next, which a reload has read, against the settings of c, because a
+// reload does not change the settings. It returns next.
 func (c *Config) CheckReload(next *Config) (*Config, error) {
 	return next, next.applyInstallation(c.Settings)
 }
 
 // Reloaded returns the configuration that is in force after a reload: c with the keys of next that can change while the
-// front end runs. The known engines of next are not among them, as the journal service reports these.
+// front end runs. The known engines are not among these keys, because the discovery service reports changes of engines.
 func (c *Config) Reloaded(next *Config) *Config {
 	merged := *c
 	merged.Discovery = next.Discovery
@@ -127,8 +127,7 @@
 	return &merged
 }
 
-// RestartKeys returns the keys, in alphabetical order, that differ in next but take effect only when a front end
-// starts.
+// RestartKeys returns the keys, sorted, that differ in next but take effect only at the start of a front end.
 func (c *Config) RestartKeys(next *Config) (keys []string) {
 	equal := map[string]bool{
 		"name":     c.Name == next.Name,
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// writeNodeConfig writes a node's configuration and gives the environment that names it.
+// writeNodeConfig writes a node configuration and returns an environment with its path.
 func writeNodeConfig(t *testing.T) (getenv func(string) string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -19,7 +19,7 @@
 	return func(key string) string { return map[string]string{"NODE_CONFIG": path, "NODE_NAME": "n2"}[key] }
 }
 
-func TestLoadNamesTheFaultyKeyOfEachSection(t *testing.T) {
+func TestLoadErrorsNameTheKeyOfEachSection(t *testing.T) {
 	_, err := Load(func(string) string { return "" }, "")
 	assert.EqualError(t, err, "config: NODE_CONFIG is not set")
 	_, err = Load(func(string) string { return "/does/not/exist" }, "")
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -41,7 +41,7 @@
 			"unit": "cups"}]}`: "fleet.budgets.list[0].unit",
 		`{"version": 1, "list": [{"name": "a", "places": 5}, {"name": "a", "places": 5}]}`: "fleet.budgets.list",
 	} {
-		_, err := budgetsOf(t, list)
+		_, err := budgetPeers(t, list)
 		var keyError *KeyError
 		if assert.ErrorAs(t, err, &keyError, list) {
 			assert.Equal(t, key, keyError.Key)
--- a/internal/config/evaluate.go
+++ b/internal/config/evaluate.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// evaluatorProgram is the program that evaluates Jsonnet. It stands in the folder of the front end's program.
+	// evaluatorProgram is the program that evaluates Jsonnet. It is in the same folder as the front end's program.
 	evaluatorProgram = "chutechute-eval"
-	// maxEvaluation limits how long an evaluation may take.
-	maxEvaluation = 10 * time.Second
+	// evaluationTimeout limits the duration of an evaluation.
+	evaluationTimeout = 10 * time.Second
 )
 
-// evaluate returns the JSON that a file evaluates to: a file whose name ends in .json is returned as it is, any
-// other is evaluated as Jsonnet. Another program does that, so that the front end does not contain the Jsonnet
-// library, which takes memory.
+// evaluate returns the JSON that a file evaluates to: the content of a file whose name ends in .json, or the result of
+// evaluating any other file as Jsonnet. A separate program does the evaluation, so that the Jsonnet library takes no
+// memory in the front end.
 func evaluate(path string) ([]byte, error) {
 	if filepath.Ext(path) == ".json" {
 		return os.ReadFile(path)
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	program = filepath.Join(filepath.Dir(program), evaluatorProgram)
-	ctx, cancel := context.WithTimeout(context.Background(), maxEvaluation)
+	ctx, cancel := context.WithTimeout(context.Background(), evaluationTimeout)
 	defer cancel()
 	text, err := exec.CommandContext(ctx, program, path).Output()
 	var failed *exec.ExitError
@@ -39,7 +39,8 @@
 		return nil, errors.New(strings.TrimSpace(string(failed.Stderr)))
 	case errors.Is(err, os.ErrNotExist):
 		return nil, fmt.Errorf(
-			"%s is not there to evaluate Jsonnet: build it beside the program, or give a .json file", program)
+			"%s, which evaluates Jsonnet, does not exist: build it in the folder of this program, or use a .json file",
+			program)
 	}
 	return text, err
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -10,57 +10,57 @@
 	"chutechute/internal/settings"
 )
 
-// Fleet is the section "fleet": how the front ends of a site work together. All front ends of a site have the same
-// section, but for the keys that say otherwise. Each front end finds itself among the members by its name. A front end
-// that is not among them attaches itself to some of them, if "attached" allows that.
+// Fleet is the section "fleet": how the front ends of a site work together. The section is the same on all front ends
+// of a site, except for the keys that agreedSection removes. A front end is a control member if its name is among the
+// members; otherwise it attaches to members, if "attached" allows that.
 type Fleet struct {
 	Enabled        bool          `json:"enabled"`
-	Site           string        `json:"site"`              // the name of the fleet
-	Members        []FleetMember `json:"members"`           // the control members; at most 80
+	Site           string        `json:"site"`              // name of the fleet
+	Members        []FleetMember `json:"members"`           // control members; at most 80
 	SecretFile     string        `json:"secret_file"`       // path of a secret of 16 bytes or more; empty: none
-	Folder         string        `json:"folder"`            // of the replicated log, with {name}; empty: in memory only
-	AdminSocket    string        `json:"admin"`             // path of the operators' socket, with {name}; empty: none
+	Folder         string        `json:"folder"`            // of the replicated log, may have {name}; empty: in memory
+	AdminSocket    string        `json:"admin"`             // path of the admin socket, may have {name}; empty: none
 	Replicas       int           `json:"copies"`            // replicas of the log: odd, at most 7; default 3
-	LedgerMB       float64       `json:"ledger_mb"`         // for idempotent requests; default 16, at most memory_mb / 8
-	RetentionS     float64       `json:"keep_s"`            // retention of outcomes; default: what classes require, 10 s
+	RegistryMB     float64       `json:"ledger_mb"`         // memory of the registry; default 16, at most memory_mb / 8
+	RetentionS     float64       `json:"keep_s"`            // retention of outcomes; default: required one plus 10 s
 	OrphanTimeoutS float64       `json:"orphan_s"`          // until unstarted requests of a dead owner expire; default 3
-	TickMS         float64       `json:"tick_ms"`           // unit of the elections' timeouts; default 50, at most 1000
-	HeartbeatMS    float64       `json:"beat_ms"`           // between heartbeats of members; default 100
+	TickMS         float64       `json:"tick_ms"`           // unit of election timeouts; default 50, at most 1000
+	HeartbeatMS    float64       `json:"beat_ms"`           // interval of heartbeats of members; default 100
 	SuspectMS      float64       `json:"suspect_ms"`        // without a heartbeat, until suspected; default 600
 	DeadMS         float64       `json:"dead_ms"`           // without a heartbeat, until presumed dead; default 3000
 	ReplaceAfterS  float64       `json:"replace_s"`         // without a heartbeat, until a replica is replaced; default 10
 	Budgets        *Budgets      `json:"budgets,omitempty"` // not with Attached
 	Attached       *Attached     `json:"attached,omitempty"`
-	Zone           string        `json:"zone,omitempty"` // of a front end that is not among the members; its own key
+	Zone           string        `json:"zone,omitempty"` // of this front end; for attached ones only
 }
 
 // FleetMember is one control member of the fleet.
 type FleetMember struct {
 	Name    string `json:"name"`
-	Address string `json:"address"` // where it listens for other front ends: IPv4 on loopback, with a port
+	Address string `json:"address"` // for links of other front ends: IPv4 loopback, with a port
 	Zone    string `json:"zone"`
 }
 
 // Limits and defaults of the section.
 const (
-	// maxMembers limits the members, as each sends heartbeats to all others.
+	// maxMembers limits the number of members, because each sends heartbeats to all others.
 	maxMembers     = 80
 	minSecretBytes = 16
 
 	defaultReplicas = 3
 	maxReplicas     = 7
 
-	defaultLedgerMB = 16
-	minLedgerMB     = 1
+	defaultRegistryMB = 16
+	minRegistryMB     = 1
 )
 
-// nameVariable stands for the front end's name in the paths of the section.
+// nameVariable is replaced by the front end's name in paths of the section.
 const nameVariable = "{name}"
 
-// fleetSection makes the errors of the section.
+// fleetSection creates the errors for keys of the section.
 var fleetSection = section{file: installationFile, path: "fleet"}
 
-// resolvedFleet is the section for one front end: checked, and with defaults.
+// resolvedFleet is the section as it applies to one front end, checked and with defaults filled in.
 type resolvedFleet struct {
 	section    *Fleet
 	name       string
@@ -68,15 +68,15 @@
 	links      memberLinks
 	attachment *Attachment // nil if no front ends may attach
 	replicas   int
-	secret     []byte // nil without one
-	ledgerMB   float64
+	secret     []byte // nil if there is none
+	registryMB float64
 	durations  fleetDurations
 	budgets    *budget.Set // nil if none are set
 	digest     []byte
 }
 
-// Options checks the section for the named front end, which has memoryMB of memory, and returns what is in force there;
-// nil if the section is off. It reads the secret file. An error of a key is a *KeyError.
+// Options checks the section and returns the options of the named front end, which has memoryMB of memory; nil if the
+// section is off. It reads the secret file. The error for a key is a *KeyError.
 func (f *Fleet) Options(name string, site *settings.Settings, memoryMB int) (*Peers, error) {
 	if !f.Enabled {
 		return nil, nil
@@ -88,7 +88,8 @@
 	return resolved.peers(), nil
 }
 
-// resolve checks the section for the named front end and fills in defaults. The first faulty key is the one reported.
+// resolve checks the section for the named front end and fills in defaults. It returns the error of the first invalid
+// key.
 func (f *Fleet) resolve(name string, site *settings.Settings, memoryMB int) (*resolvedFleet, error) {
 	resolved := &resolvedFleet{section: f, name: name}
 	var err error
@@ -107,7 +108,7 @@
 	if resolved.secret, err = f.readSecret(); err != nil {
 		return nil, err
 	}
-	if resolved.ledgerMB, err = f.ledgerSize(memoryMB, resolved.self.isMember); err != nil {
+	if resolved.registryMB, err = f.registrySize(memoryMB, resolved.self.isMember); err != nil {
 		return nil, err
 	}
 	if resolved.durations, err = f.resolveDurations(site); err != nil {
@@ -120,8 +121,8 @@
 	return resolved, err
 }
 
-// replicas returns the number of replicas of the log. The default is 3, or with fewer members the largest odd number
-// of them.
+// replicas returns the number of replicas of the log. The default is 3, or the largest odd number of members if there
+// are fewer.
 func (f *Fleet) replicas() (int, error) {
 	members := len(f.Members)
 	largestOdd := members - 1 + members%2
@@ -133,8 +134,8 @@
 	return replicas, nil
 }
 
-// readSecret returns the secret by which front ends authenticate one another, without white space around it; nil if
-// there is none.
+// readSecret returns the secret with which front ends authenticate one another, without leading and trailing white
+// space; nil if there is none.
 func (f *Fleet) readSecret() ([]byte, error) {
 	if f.SecretFile == "" {
 		return nil, nil
@@ -145,29 +146,29 @@
 	}
 	secret := bytes.TrimSpace(text)
 	if len(secret) < minSecretBytes {
-		return nil, fleetSection.keyError("secret_file", "%s holds fewer than %d bytes", f.SecretFile, minSecretBytes)
+		return nil, fleetSection.keyError("secret_file", "%s has fewer than %d bytes", f.SecretFile, minSecretBytes)
 	}
 	return secret, nil
 }
 
-// ledgerSize returns the memory for idempotent requests, in MB. A front end that is no member stores none, so that its
-// own memory does not limit the number, which all front ends have to agree on.
-func (f *Fleet) ledgerSize(memoryMB int, isMember bool) (float64, error) {
+// registrySize returns the memory of the registry of idempotent requests, in MB. All front ends have to agree on it.
+// The memory of a front end that is not a member does not limit it, because that front end has no registry.
+func (f *Fleet) registrySize(memoryMB int, isMember bool) (float64, error) {
 	maxMB := float64(memoryMB) / memoryShares
-	size := cmp.Or(f.LedgerMB, min(defaultLedgerMB, maxMB))
-	if size < minLedgerMB || isMember && size > maxMB {
+	size := cmp.Or(f.RegistryMB, min(defaultRegistryMB, maxMB))
+	if size < minRegistryMB || isMember && size > maxMB {
 		return 0, fleetSection.keyError("ledger_mb", "%g is not from %d to an eighth of memory_mb, %g",
-			size, minLedgerMB, maxMB)
+			size, minRegistryMB, maxMB)
 	}
 	return size, nil
 }
 
-// resolvePaths makes the section's relative paths relative to the installation file's folder.
+// resolvePaths resolves the section's relative paths against the installation file's folder.
 func (f *Fleet) resolvePaths(folder string) {
 	resolvePaths(folder, &f.Folder, &f.AdminSocket, &f.SecretFile)
 }
 
-// withName returns a path with the front end's name in place of {name}.
+// withName replaces {name} in a path by the front end's name.
 func withName(path, name string) string {
 	return strings.ReplaceAll(path, nameVariable, name)
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -13,10 +13,10 @@
 	"chutechute/internal/testharness"
 )
 
-// fleetOfThree is the beginning of a section of three members; THREE stands for threeMembers.
+// fleetOfThree is the beginning of a section with three members. THREE is replaced by threeMembers.
 const fleetOfThree = `{"enabled": true, "site": "x", THREE`
 
-// fleetSections are sections with the name of the front end that reads them.
+// fleetSections are sections, each with the name of the front end that reads it.
 var fleetSections = []struct{ name, section string }{
 	{"n1", `{}`},
 	{"n1", fleetOfThree + `}`},
@@ -79,7 +79,7 @@
 		"members": [{"name": "n1", "address": "127.0.0.1:1", "zone": "` + strings.Repeat("z", 65) + `"}]}`},
 }
 
-// fleetLine returns the line of a recorded file for a section that the named front end reads.
+// fleetLine returns the line of a golden file for a section that the named front end reads.
 func fleetLine(t *testing.T, name, section string) string {
 	t.Helper()
 	input := name + " " + section
@@ -91,7 +91,8 @@
 	return resultLine(input, peersWithoutPointers(peers), err)
 }
 
-// peersWithoutPointers returns the options of a section, and those that they point to; nil if there are none.
+// peersWithoutPointers returns the options followed by the values that they point to, so that a golden file has no
+// addresses of memory; nil if there are no options.
 func peersWithoutPointers(peers *Peers) any {
 	if peers == nil {
 		return nil
@@ -125,7 +126,7 @@
 	site := parsedSettings(t, testharness.Settings)
 	for text, want := range map[string]string{
 		" 0123456789abcdef\n": "",
-		"0123456789abcde\n\n": "holds fewer than 16 bytes",
+		"0123456789abcde\n\n": "has fewer than 16 bytes",
 	} {
 		secret := filepath.Join(t.TempDir(), "secret")
 		require.NoError(t, os.WriteFile(secret, []byte(text), 0o600))
--- a/internal/config/fleetmembers.go
+++ b/internal/config/fleetmembers.go
@@ -4,25 +4,25 @@
 	"net/netip"
 )
 
-// ownMembership is what the section says of the front end itself.
+// ownMembership has what the section contains about this front end itself.
 type ownMembership struct {
 	isMember bool
-	listen   netip.AddrPort // for other front ends; invalid if this one is no member
+	listen   netip.AddrPort // for other front ends; invalid if this one is not a member
 	zone     string
 }
 
-// memberLinks has, by name, the members that a front end has links to: all but itself.
+// memberLinks has the members that a front end has links to, by name: all members except itself.
 type memberLinks struct {
 	addresses map[string]netip.AddrPort
 	zones     map[string]string
 }
 
-// findMembers checks the members and separates the named front end from the others.
+// findMembers checks the members. It returns the membership of the named front end and the other members.
 func (f *Fleet) findMembers(name string) (self ownMembership, links memberLinks, err error) {
 	if len(f.Members) > maxMembers {
 		return self, links, fleetSection.keyError("members",
-			"%d are above %d: each sends heartbeats to all others, which grow with the square; further front ends "+
-				"attach themselves to these, see fleet.attached", len(f.Members), maxMembers)
+			"%d are above %d: each sends heartbeats to all others, so that the traffic grows with the square of their "+
+				"number; let other front ends attach to these members, see fleet.attached", len(f.Members), maxMembers)
 	}
 	links = memberLinks{addresses: map[string]netip.AddrPort{}, zones: map[string]string{}}
 	seen := map[string]bool{}
@@ -49,7 +49,8 @@
 	return self, links, nil
 }
 
-// check returns the member's address, or an error if the member, which is one element of the section, cannot be used.
+// check returns the member's address, or an error if the member is invalid. The element creates the errors for its
+// keys, and seen is true if an earlier member has the same name.
 func (m *FleetMember) check(element section, seen bool) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(m.Address)
 	switch {
--- a/internal/config/identity.go
+++ b/internal/config/identity.go
@@ -12,13 +12,13 @@
 	"chutechute/internal/settings"
 )
 
-// Identity is the section "identity": who may call, and what each caller may do.
+// Identity is the section "identity": who may send requests, and what each caller may do.
 type Identity struct {
 	Enabled  bool           `json:"enabled"`
 	Issuers  []Issuer       `json:"issuers"`
-	LeewayS  float64        `json:"leeway_s"` // that clocks may differ by; default 30, at most 300
+	LeewayS  float64        `json:"leeway_s"` // tolerated clock difference; default 30, at most 300
 	Revoked  string         `json:"revoked"`  // path of the revocation list
-	WatchS   float64        `json:"watch_s"`  // between checks of files for changes; default 1, at most 60
+	WatchS   float64        `json:"watch_s"`  // interval of checks of files for changes; default 1, at most 60
 	Callers  []CallerRule   `json:"callers"`
 	Rights   []Right        `json:"rights"`
 	Ceilings []Ceiling      `json:"ceilings"`
@@ -28,12 +28,12 @@
 // Issuer is an issuer of tokens.
 type Issuer struct {
 	Name      string   `json:"name"`
-	Audiences []string `json:"audiences"` // a token has to be for one of them
+	Audiences []string `json:"audiences"` // a token must have one of them
 	Keys      string   `json:"keys"`      // path of the issuer's public keys
 }
 
-// CallerRule maps a token or a client certificate to a caller. The first rule that matches counts. In its patterns, an
-// asterisk stands for anything but a slash, and in a DNS name for one label.
+// CallerRule maps a token or a client certificate to a caller. The first rule that matches applies. In its patterns, an
+// asterisk matches any characters except a slash, and in a DNS name one label.
 type CallerRule struct {
 	Name    string   `json:"name"`
 	Tenant  string   `json:"tenant"`  // of the site's settings, or empty
@@ -43,8 +43,8 @@
 	DN      string   `json:"dn"`      // pattern; of certificates' distinguished names
 }
 
-// Right allows callers to use classes on table groups, or denies it. A call is allowed if some right allows it and none
-// denies it.
+// Right allows or denies callers the use of classes on table groups. A request is allowed if at least one right allows
+// it and none denies it.
 type Right struct {
 	Effect  string   `json:"effect"`  // "allow" or "deny"
 	Callers []string `json:"callers"` // patterns of names
@@ -52,23 +52,23 @@
 	Groups  []string `json:"groups"`  // numbers and ranges of table groups, as in "3" and "10-19"; empty: all
 }
 
-// Ceiling limits the requests of callers; the first one that matches a caller counts. Zero means no limit, and for
-// Burst the requests of one second.
+// Ceiling limits the requests of callers. The first ceiling that matches a caller applies. Zero means no limit; a Burst
+// of zero means the requests of one second.
 type Ceiling struct {
 	Callers []string `json:"callers"` // patterns of names
 	Rate    float64  `json:"rate"`    // requests per second
 	Burst   float64  `json:"burst"`   // requests at once
-	Open    int      `json:"open"`    // requests at a time
+	Open    int      `json:"open"`    // maximum number of open requests
 }
 
-// IdentityLimits limits what it costs to identify callers. Zero means the default.
+// IdentityLimits limits the cost of identifying callers. Zero means the default.
 type IdentityLimits struct {
 	TokenBytes       int     `json:"token_bytes"`              // of one token; default 4096
 	CacheTokens      int     `json:"cache_tokens"`             // verified tokens in the cache; default 4096
-	ChecksPerSecond  float64 `json:"checks_per_s"`             // of signatures, in all; default 500
-	ChecksPerAddress float64 `json:"checks_per_address_per_s"` // of signatures, of one client address; default 50
-	Addresses        int     `json:"addresses"`                // client addresses that are distinguished; default 4096
-	AuditPerSecond   float64 `json:"audit_per_s"`              // log lines on refusals; default 10
+	ChecksPerSecond  float64 `json:"checks_per_s"`             // signature checks in total; default 500
+	ChecksPerAddress float64 `json:"checks_per_address_per_s"` // signature checks per client address; default 50
+	Addresses        int     `json:"addresses"`                // client addresses that are tracked; default 4096
+	AuditPerSecond   float64 `json:"audit_per_s"`              // log lines about denied requests; default 10
 }
 
 // Default and limit of the section, in seconds.
@@ -83,11 +83,11 @@
 	effectDeny  = "deny"
 )
 
-// identitySection makes the errors of the section.
+// identitySection creates the errors for keys of the section.
 var identitySection = section{file: installationFile, path: "identity"}
 
-// Options checks the section against the site's settings and returns it as options of package identity; nil if it is
-// off. An error of a key is a *KeyError.
+// Options checks the section against the site's settings and converts it to options of package identity; nil if it is
+// off. The error for a key is a *KeyError.
 func (i *Identity) Options(site *settings.Settings) (*identity.Options, error) {
 	if !i.Enabled {
 		return nil, nil
@@ -116,7 +116,7 @@
 	return options, nil
 }
 
-// issuers returns the issuers. Their keys are files, which are read elsewhere.
+// issuers converts the issuers. It does not read the files with their keys.
 func (i *Identity) issuers() (issuers []identity.Issuer, err error) {
 	for n, issuer := range i.Issuers {
 		if issuer.Keys == "" {
@@ -127,7 +127,7 @@
 	return issuers, nil
 }
 
-// callers returns the rules for callers.
+// callers checks and converts the rules for callers.
 func (i *Identity) callers(site *settings.Settings) (rules []identity.CallerRule, err error) {
 	for n, rule := range i.Callers {
 		if _, known := site.TenantOf[rule.Tenant]; rule.Tenant != "" && !known {
@@ -145,7 +145,7 @@
 	return rules, nil
 }
 
-// rights returns the rights, in their order.
+// rights checks and converts the rights.
 func (i *Identity) rights() (rights []identity.Right, err error) {
 	for n := range i.Rights {
 		right, err := i.Rights[n].convert(identitySection.element("rights", n))
@@ -157,7 +157,8 @@
 	return rights, nil
 }
 
-// convert returns the right, which is one element of the section, as package identity takes it.
+// convert checks the right and converts it to the type of package identity. The element creates the errors for its
+// keys.
 func (r *Right) convert(element section) (identity.Right, error) {
 	if r.Effect != effectAllow && r.Effect != effectDeny {
 		return identity.Right{}, element.keyError("effect", "%q is neither \"allow\" nor \"deny\"", r.Effect)
@@ -187,7 +188,7 @@
 	return identity.Range{From: int(from), To: int(to)}, nil
 }
 
-// ceilings returns the ceilings; package identity checks them.
+// ceilings converts the ceilings. Package identity checks them.
 func (i *Identity) ceilings() (ceilings []identity.Ceiling) {
 	for _, ceiling := range i.Ceilings {
 		ceilings = append(ceilings, identity.Ceiling{
@@ -200,7 +201,7 @@
 	return ceilings
 }
 
-// convert returns the limits as package identity takes them.
+// convert converts the limits to the type of package identity.
 func (l *IdentityLimits) convert() identity.Limits {
 	return identity.Limits{
 		TokenBytes:       l.TokenBytes,
@@ -212,13 +213,12 @@
 	}
 }
 
-// WatchInterval returns the interval at which files are checked for changes: key files, certificates and revocation
-// lists.
+// WatchInterval returns the interval at which key files, certificates and revocation lists are checked for changes.
 func (i *Identity) WatchInterval() time.Duration {
 	return time.Duration(cmp.Or(i.WatchS, defaultWatchS) * float64(time.Second))
 }
 
-// resolvePaths makes the section's relative paths relative to the installation file's folder.
+// resolvePaths resolves the section's relative paths against the installation file's folder.
 func (i *Identity) resolvePaths(folder string) {
 	resolvePaths(folder, &i.Revoked)
 	for n := range i.Issuers {
--- a/internal/config/identity_test.go
+++ b/internal/config/identity_test.go
@@ -6,7 +6,7 @@
 	"chutechute/internal/golden"
 )
 
-// issuers are the keys of an issuer and a caller.
+// issuers has the keys "issuers" and "callers", with one element each.
 const issuers = `"issuers": [{"name": "i", "audiences": ["us"], "keys": "/keys"}], "callers": [{"name": "c",
 	"issuer": "i", "subject": "s", "tenant": "t"}]`
 
--- a/internal/config/installation.go
+++ b/internal/config/installation.go
@@ -9,8 +9,8 @@
 	"github.com/go-viper/mapstructure/v2"
 )
 
-// Installation is the installation file, which operators write for what the platform's configuration has no keys for.
-// Each section is off unless its key "enabled" is true.
+// Installation is the installation file, in which operators configure what the node configuration has no keys for. Each
+// section is off unless its key "enabled" is true.
 type Installation struct {
 	Statement Statement `json:"statement"`
 	Identity  Identity  `json:"identity"`
@@ -18,9 +18,9 @@
 	Fleet     Fleet     `json:"fleet"`
 }
 
-// ReadInstallation reads an installation file: JSON if its name ends in .json, Jsonnet otherwise. Relative paths in it
-// are made relative to the file's folder. Unknown keys and wrong types are errors that name the key; the values are not
-// checked yet.
+// ReadInstallation reads an installation file: JSON if its name ends in .json, Jsonnet otherwise. It resolves relative
+// paths against the file's folder. Unknown keys and wrong types are errors that name the key; values are not checked
+// yet.
 func ReadInstallation(path string) (*Installation, error) {
 	text, err := evaluate(path)
 	if err != nil {
@@ -38,7 +38,7 @@
 }
 
 // ParseInstallation reads the JSON that an installation file evaluates to. Unknown keys and wrong types are errors that
-// name the key; the values are not checked yet.
+// name the key; values are not checked yet.
 func ParseInstallation(text []byte) (*Installation, error) {
 	var tree map[string]any
 	if err := json.Unmarshal(text, &tree); err != nil {
--- a/internal/config/installation_test.go
+++ b/internal/config/installation_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// writeInstallation writes an installation into a folder of the test.
+// writeInstallation writes an installation file into a temporary folder and returns its path.
 func writeInstallation(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "installation.json")
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -13,7 +13,7 @@
 	"chutechute/internal/settings"
 )
 
-// Defaults and limits of the node's configuration.
+// Defaults and limits of the node configuration.
 const (
 	defaultMemoryMB = 192
 	minMemoryMB     = 16
@@ -25,8 +25,8 @@
 	defaultMaxOpen     = 20_000 // requests
 )
 
-// nodeDocument is the JSON of the node's configuration. It is an alias, because encoding/json puts the name of a
-// defined type into the errors that operators read.
+// nodeDocument is the JSON form of the node configuration. It is an alias, because encoding/json puts the name of a
+// defined type into errors, which operators read.
 type nodeDocument = struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -40,8 +40,8 @@
 	Settings json.RawMessage        `json:"settings"`
 }
 
-// Parse reads the JSON of a node's configuration. The name and the listen address, if not empty, override those of the
-// text. An error of a key is a *KeyError.
+// Parse reads the JSON of a node configuration. The name and the listen address, if not empty, override those in the
+// text. The error for a key is a *KeyError.
 func Parse(text []byte, name, listen string) (*Config, error) {
 	var document nodeDocument
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -59,7 +59,7 @@
 	return c, nil
 }
 
-// parseAddresses sets the addresses of this front end and of the journal service.
+// parseAddresses sets the addresses of this front end and of the discovery service.
 func (c *Config) parseAddresses(document *nodeDocument) (err error) {
 	if c.Listen, err = parseAddress("listen", document.Listen); err != nil {
 		return err
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// parseSettings sets the settings object, checks it and fills in its defaults.
+// parseSettings reads and checks the settings object and fills in its defaults.
 func (c *Config) parseSettings(document *nodeDocument) (err error) {
 	if len(document.Settings) == 0 {
 		return nodeKeyError("settings", "missing")
@@ -125,14 +125,14 @@
 	return nil
 }
 
-// replaceNonPositive sets a value that is zero or negative to its default.
+// replaceNonPositive replaces a value that is zero or negative by its default.
 func replaceNonPositive[T int | monotime.Micros](value *T, defaultValue T) {
 	if *value <= 0 {
 		*value = defaultValue
 	}
 }
 
-// parseKnown sets the known events of the journal service.
+// parseKnown sets the known events of the discovery service.
 func (c *Config) parseKnown(document *nodeDocument) (err error) {
 	if c.KnownEvents, err = document.Known.Parse(); err != nil {
 		return section{file: nodeFile, path: "known"}.addKey(err)
--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -6,18 +6,18 @@
 	"chutechute/internal/golden"
 )
 
-// Parts of nodes' configurations: keys that are all right, and a class.
+// Parts of node configurations: valid keys, and a valid class.
 const (
 	nodeKeys  = `"name": "n1", "listen": "10.0.0.4:1", "journal": "10.0.0.5:2", "seed": "8c1f30d27a5be964"`
 	nodeClass = `{"name": "r", "on_time": 1, "give_up": 2, "repeat": "safe"}`
 )
 
-// nodeWithSettings returns a configuration whose settings have the given keys.
+// nodeWithSettings returns a node configuration whose settings have the given keys.
 func nodeWithSettings(keys string) string {
 	return `{` + nodeKeys + `, "settings": {` + keys + `}}`
 }
 
-// nodeWithClasses returns a configuration whose settings have the given classes, and further keys.
+// nodeWithClasses returns a node configuration whose settings have the given classes and further keys.
 func nodeWithClasses(classes, further string) string {
 	return nodeWithSettings(`"balancers": 1, "host_types": ["a"], "failure_domains": ["a"], "classes": [` + classes + `]` +
 		further)
@@ -71,7 +71,7 @@
 	golden.Lines(t, "testdata/node.golden", recorded)
 }
 
-// nodeValues returns what a node's configuration gives.
+// nodeValues returns the values that were read from a node configuration.
 func nodeValues(c *Config) []any {
 	return []any{
 		c.Name, c.Listen, c.Discovery, c.Seed, c.MemoryMB, c.Sockets, *c.Settings, c.KnownEvents, c.LastKnownPosition,
--- a/internal/config/paths.go
+++ b/internal/config/paths.go
@@ -2,7 +2,7 @@
 
 import "path/filepath"
 
-// resolvePaths makes relative paths relative to a folder, in place. Empty paths stay empty.
+// resolvePaths joins relative paths to a folder, in place. Empty paths stay empty.
 func resolvePaths(folder string, paths ...*string) {
 	for _, path := range paths {
 		if *path != "" && !filepath.IsAbs(*path) {
@@ -11,7 +11,7 @@
 	}
 }
 
-// pointers returns a pointer to each text of a list.
+// pointers returns a pointer to each string of a list.
 func pointers(list []string) (elements []*string) {
 	for i := range list {
 		elements = append(elements, &list[i])
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -12,40 +12,40 @@
 	"chutechute/internal/monotime"
 )
 
-// Peers is what is in force of the section "fleet" at one front end.
+// Peers has the settings of the section "fleet" as they apply to one front end.
 type Peers struct {
 	Site              string
 	Name              string                    // of this front end
 	Zone              string                    // of this front end
-	Listen            netip.AddrPort            // for other front ends; invalid if this one is no member
-	Members           map[string]netip.AddrPort // addresses of the members by name, without this front end
-	Secret            []byte                    // by which front ends authenticate one another; nil: they do not
+	Listen            netip.AddrPort            // for other front ends; invalid if this one is not a member
+	Members           map[string]netip.AddrPort // addresses of the other members by name
+	Secret            []byte                    // with which front ends authenticate one another; nil: they do not
 	Folder            string                    // of the replicated log; empty: in memory only
 	AdminSocket       string                    // path of the operators' socket; empty: none
-	Digest            []byte                    // of the keys that all front ends have to agree on
+	Digest            []byte                    // of the settings that all front ends have to agree on
 	Node              fleet.Config
 	Idempotency       idempotency.Options      // of the registry of idempotent requests
-	IdempotencyClient idempotencyclient.Config // but for the incarnation, which the process chooses
+	IdempotencyClient idempotencyclient.Config // without the incarnation, which the process chooses
 	Budgets           *budget.Set              // nil if none are set
-	MaxMessageBytes   int                      // the largest message, in bytes
+	MaxMessageBytes   int                      // maximum size of a message between front ends
 	Attached          *Attachment              // nil if no front ends may attach
 }
 
-// Values that follow from the section's keys.
+// Values that the section has no keys for.
 const (
-	// retryTicks is the unit, in ticks, of the delays after which an unanswered proposal is sent again.
+	// retryTicks is the unit, in ticks, of the delays after which a proposal without a response is sent again.
 	retryTicks = 4
 	// pollTicks is the interval, in ticks, of polls for an idempotent request that another front end owns.
 	pollTicks = 8
-	// snapshotLogBytes is what is applied from the log between two snapshots.
+	// snapshotLogBytes is the size of the log entries that are applied between two snapshots.
 	snapshotLogBytes = 4 << 20
-	// capacityRetryAfter is when a client may retry a request that the registry rejected.
+	// capacityRetryAfter is the delay after which a client may retry a request that the registry rejected for lack of
+	// capacity.
 	capacityRetryAfter = 500 * monotime.Millisecond
-	// bytesPerMB converts the sizes of the settings.
-	bytesPerMB = 1 << 20
+	bytesPerMB         = 1 << 20
 )
 
-// peers converts the resolved section.
+// peers converts the resolved section to Peers.
 func (r *resolvedFleet) peers() *Peers {
 	peers := &Peers{
 		Site:            r.section.Site,
@@ -65,9 +65,9 @@
 		peers.Folder = withName(r.section.Folder, r.name)
 	}
 	peers.Idempotency = idempotency.Options{
-		MaxBytes:      int(r.ledgerMB * bytesPerMB),
+		MaxBytes:      int(r.registryMB * bytesPerMB),
 		Retention:     r.durations.retention,
-		OrphanTimeout: r.durations.orphan,
+		OrphanTimeout: r.durations.orphanTimeout,
 	}
 	peers.IdempotencyClient = idempotencyclient.Config{
 		PollInterval:  pollTicks * r.durations.tick,
@@ -77,7 +77,7 @@
 	return peers
 }
 
-// nodeConfig returns the configuration of heartbeats and of the replicated log.
+// nodeConfig returns the configuration of this front end's node in the fleet: heartbeats and the replicated log.
 func (r *resolvedFleet) nodeConfig() fleet.Config {
 	d := &r.durations
 	return fleet.Config{
@@ -100,10 +100,10 @@
 	}
 }
 
-// maxMessageBytes returns the limit of the size of a message between front ends. The largest ones are a snapshot of the
-// idempotent requests, for which twice their memory and 1 MB is allowed, and the whole membership view.
+// maxMessageBytes returns the maximum size of a message between front ends. The largest messages are snapshots of the
+// registry, which may have twice the registry's memory plus 1 MB, and the complete membership view.
 func (r *resolvedFleet) maxMessageBytes() int {
-	snapshot := int(r.ledgerMB*2)*bytesPerMB + bytesPerMB
+	snapshot := int(r.registryMB*2)*bytesPerMB + bytesPerMB
 	if r.attachment == nil {
 		return snapshot
 	}
--- a/internal/config/recorded_test.go
+++ b/internal/config/recorded_test.go
@@ -10,13 +10,13 @@
 	"chutechute/internal/settings"
 )
 
-// The results of the sections, as recorded under testdata, hold values without the names of Go fields: a renamed field
-// leaves them as they are, a changed value, default, digest or error text does not.
+// The golden files under testdata have the results of reading sections, without the names of Go fields. A renamed field
+// does not change them, but a changed value, default, digest or error message does.
 
-// testMemoryMB is the node's memory in these tests.
+// testMemoryMB is the front end's memory in these tests.
 const testMemoryMB = 192
 
-// keyedSettings are settings with a class whose requests have idempotency keys, and with a tenant.
+// keyedSettings has a class whose requests have idempotency keys, and a tenant.
 const keyedSettings = `{"balancers": 3, "classes": [
 	{"name": "read", "on_time": 1, "give_up": 5, "worth": 1, "repeat": "safe"},
 	{"name": "load", "on_time": 10, "give_up": 60, "worth": 2, "repeat": "keyed", "group": "all", "window": 30}],
@@ -29,8 +29,8 @@
 const threeMembers = `"members": [{"name": "n1", "address": "127.0.0.1:1", "zone": "a"},
 	{"name": "n2", "address": "127.0.0.1:2"}, {"name": "n3", "address": "127.0.0.1:3"}]`
 
-// resultLine returns a line of a recorded file: the input, and the value or the error that it gives, with single spaces
-// for white space.
+// resultLine returns a line of a golden file: the input and the resulting value or error, with all white space reduced
+// to single spaces.
 func resultLine(input string, value any, err error) string {
 	result := fmt.Sprint(value)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return strings.Join(strings.Fields(input+" => "+result), " ")
 }
 
-// parsedSettings returns settings of a site.
+// parsedSettings parses the settings of a site.
 func parsedSettings(t *testing.T, text string) *settings.Settings {
 	t.Helper()
 	site, err := settings.Parse([]byte(text))
@@ -47,8 +47,8 @@
 	return site
 }
 
-// sectionLines returns the lines of a recorded file for sections that are the named key of an installation file. The
-// lines of a section that can be decoded come from the function of lines.
+// sectionLines returns the lines of a golden file for values of the named section of an installation file. It calls
+// lines for each section that can be decoded.
 func sectionLines(name string, sections []string, lines func(string, *Installation) []string) (all []string) {
 	for _, section := range sections {
 		file, err := ParseInstallation([]byte(`{"` + name + `": ` + section + `}`))
@@ -61,7 +61,7 @@
 	return all
 }
 
-// dereferenced returns what a pointer points to; nil if it is nil.
+// dereferenced returns the value that a pointer points to, or nil.
 func dereferenced[T any](pointer *T) any {
 	if pointer == nil {
 		return nil
--- a/internal/config/sitesettings.go
+++ b/internal/config/sitesettings.go
@@ -5,10 +5,11 @@
 	"chutechute/scheduler"
 )
 
-// settingsSection makes the errors of the settings object.
+// settingsSection creates the errors for keys of the settings object.
 var settingsSection = section{file: nodeFile, path: "settings"}
 
-// checkSettings returns an error if the settings lack what the scheduler needs, or contradict themselves.
+// checkSettings returns an error if the settings lack keys that the scheduler needs, or have contradictory or invalid
+// values.
 func checkSettings(site *settings.Settings) error {
 	switch {
 	case site.Gateways < 1:
@@ -30,13 +31,13 @@
 			return settingsSection.element("tenants", i).keyError("name", "%q stands twice", tenant.Name)
 		}
 	}
-	if warmth := site.Rules.InitialCapacity; warmth < 0 || warmth > 1 {
-		return settingsSection.keyError("rules.cold_from", "%g is no share of a capacity", warmth)
+	if initialCapacity := site.Rules.InitialCapacity; initialCapacity < 0 || initialCapacity > 1 {
+		return settingsSection.keyError("rules.cold_from", "%g is no share of a capacity", initialCapacity)
 	}
 	return nil
 }
 
-// checkClass returns an error if a class lacks a key or has the name of another class.
+// checkClass returns an error if a class lacks a required key or has the name of another class.
 func checkClass(site *settings.Settings, index int) error {
 	class := &site.Classes[index]
 	element := settingsSection.element("classes", index)
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -12,24 +12,24 @@
 // TLS is the section "tls": TLS with clients and engines. If it is on, all connections with clients use TLS.
 type TLS struct {
 	Enabled      bool             `json:"enabled"`
-	Certificates []TLSCertificate `json:"certificates"` // the first is for clients that name no server
+	Certificates []TLSCertificate `json:"certificates"` // the first one is for clients that send no server name
 	ClientAuth   string           `json:"client_auth"`  // "none" (default), "request" or "require"
-	ClientCAs    []string         `json:"client_cas"`   // paths of the authorities of clients' certificates
+	ClientCAs    []string         `json:"client_cas"`   // paths of the CA certificates for clients
 	CRLs         []string         `json:"crls"`         // paths of certificate revocation lists
 	StaleCRL     string           `json:"stale_crl"`    // if a list has expired: "refuse" (default) or "accept"
 	MinVersion   string           `json:"min_version"`  // "1.2" or "1.3" (default)
-	ALPN         []string         `json:"alpn"`         // protocols to agree on
+	ALPN         []string         `json:"alpn"`         // protocols to negotiate
 	Handshakes   TLSHandshakes    `json:"handshakes"`
-	WarnDays     float64          `json:"warn_days"` // ahead of an expiry; default 14
+	WarnDays     float64          `json:"warn_days"` // before an expiry; default 14
 	Engines      TLSEngines       `json:"engines"`
 }
 
 // TLSEngines sets TLS with engines.
 type TLSEngines struct {
 	Enabled     bool           `json:"enabled"`
-	CAs         []string       `json:"cas"`         // paths of the authorities of engines' certificates
-	Name        string         `json:"name"`        // in an engine's certificate, with {id} for the engine's id
-	Certificate TLSCertificate `json:"certificate"` // that the front end shows; optional
+	CAs         []string       `json:"cas"`         // paths of the CA certificates for engines
+	Name        string         `json:"name"`        // expected in an engine's certificate; {id} is the engine's id
+	Certificate TLSCertificate `json:"certificate"` // that the front end presents; optional
 }
 
 // TLSCertificate has the paths of a certificate with its chain and of its key.
@@ -40,14 +40,14 @@
 
 // TLSHandshakes limits handshakes.
 type TLSHandshakes struct {
-	Pending int     `json:"pending"` // handshakes that compute at a time, others wait; default 32
-	Share   float64 `json:"share"`   // of the core that handshakes may take, from 0 to 1; default 0.25
+	Pending int     `json:"pending"` // handshakes in progress at a time, others wait; default 32
+	Share   float64 `json:"share"`   // of one core that handshakes may use, from 0 to 1; default 0.25
 }
 
 // Defaults of the section.
 const (
 	defaultPendingHandshakes = 32
-	defaultHandshakeShare    = 0.25 // of the core
+	defaultHandshakeShare    = 0.25 // of one core
 	defaultWarnDays          = 14
 )
 
@@ -72,10 +72,10 @@
 	}
 )
 
-// tlsSection makes the errors of the section. They do not name the file: the caller of Files adds it.
+// tlsSection creates the errors for keys of the section. They do not name the file: the caller of Files adds it.
 var tlsSection = section{path: "tls"}
 
-// check returns an error if the section is on and cannot be used.
+// check returns an error if the section is on and invalid.
 func (t *TLS) check() error {
 	if !t.Enabled && !t.Engines.Enabled {
 		return nil
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// Files checks the section and returns the files that it names, with their use, as package certs takes them. The files
-// themselves are not read. An error is a *KeyError without a file.
+// Files checks the section and returns the paths in it, with the modes in which the files are used, as the type of
+// package certs. It does not read the files. The error is a *KeyError without the name of a file.
 func (t *TLS) Files() (*certs.Files, error) {
 	files := &certs.Files{StaleRefuses: t.StaleCRL != staleCRLAccept}
 	if err := t.Engines.addFiles(files); err != nil {
@@ -96,7 +96,7 @@
 	if err := t.addClientFiles(files); err != nil {
 		return nil, err
 	}
-	if err := t.addModes(files); err != nil {
+	if err := t.setModes(files); err != nil {
 		return nil, err
 	}
 	if err := t.checkCombination(files.ClientAuth); err != nil {
@@ -144,9 +144,9 @@
 	return nil
 }
 
-// addModes sets how clients are authenticated and the lowest version of TLS. Both are checked even if TLS with clients
+// setModes sets how clients are authenticated and the minimum version of TLS. It checks both even if TLS with clients
 // is off.
-func (t *TLS) addModes(files *certs.Files) error {
+func (t *TLS) setModes(files *certs.Files) error {
 	var ok bool
 	if files.ClientAuth, ok = clientAuthModes[t.ClientAuth]; !ok {
 		return tlsSection.keyError("client_auth", "%q is none of none, request and require", t.ClientAuth)
@@ -157,37 +157,37 @@
 	return nil
 }
 
-// checkCombination returns an error if keys do not go together or limits are out of range.
+// checkCombination returns an error if keys cannot be combined, or if a value is invalid.
 func (t *TLS) checkCombination(clientAuth tls.ClientAuthType) error {
-	fault := tlsSection.keyError
+	keyError := tlsSection.keyError
 	switch {
 	case t.Enabled && clientAuth != tls.NoClientCert && len(t.ClientCAs) == 0:
-		return fault("client_cas", "missing, with client_auth %q", t.ClientAuth)
+		return keyError("client_cas", "missing, with client_auth %q", t.ClientAuth)
 	case len(t.CRLs) > 0 && len(t.ClientCAs) == 0:
-		return fault("client_cas", "missing, with crls")
+		return keyError("client_cas", "missing, with crls")
 	case t.StaleCRL != "" && t.StaleCRL != staleCRLRefuse && t.StaleCRL != staleCRLAccept:
-		return fault("stale_crl", "%q is neither refuse nor accept", t.StaleCRL)
+		return keyError("stale_crl", "%q is neither refuse nor accept", t.StaleCRL)
 	case t.Handshakes.Pending < 0 || t.Handshakes.Share < 0 || t.Handshakes.Share > 1:
-		return fault("handshakes", "pending is negative or share is not from 0 to 1")
+		return keyError("handshakes", "pending is negative or share is not from 0 to 1")
 	}
 	return nil
 }
 
-// HandshakeLimits returns how many handshakes may be in progress at a time, and the share of the core that they may
-// take.
+// HandshakeLimits returns how many handshakes may be in progress at a time, and the share of one core that they may
+// use.
 func (t *TLS) HandshakeLimits() (pending int, share float64) {
 	pending = cmp.Or(t.Handshakes.Pending, defaultPendingHandshakes)
 	share = cmp.Or(t.Handshakes.Share, defaultHandshakeShare)
 	return pending, share
 }
 
-// ExpiryWarning returns how long before a certificate or a revocation list expires the log warns of it.
+// ExpiryWarning returns how long before the expiry of a certificate or a revocation list a warning is logged.
 func (t *TLS) ExpiryWarning() time.Duration {
 	hours := cmp.Or(t.WarnDays, defaultWarnDays) * 24
 	return time.Duration(hours * float64(time.Hour))
 }
 
-// resolvePaths makes the section's relative paths relative to the installation file's folder.
+// resolvePaths resolves the section's relative paths against the installation file's folder.
 func (t *TLS) resolvePaths(folder string) {
 	for i := range t.Certificates {
 		t.Certificates[i].resolvePaths(folder)
@@ -198,7 +198,7 @@
 	}
 }
 
-// resolvePaths makes relative paths relative to a folder.
+// resolvePaths resolves relative paths against a folder.
 func (c *TLSCertificate) resolvePaths(folder string) {
 	resolvePaths(folder, &c.Certificate, &c.Key)
 }
--- a/internal/config/tls_test.go
+++ b/internal/config/tls_test.go
@@ -7,7 +7,7 @@
 	"chutechute/internal/golden"
 )
 
-// certificatePair is the key of one certificate.
+// certificatePair has the key "certificates" with one element.
 const certificatePair = `"certificates": [{"certificate": "/c", "key": "/k"}]`
 
 var tlsSections = []string{
@@ -47,7 +47,8 @@
 	golden.Lines(t, "testdata/tls.golden", recorded)
 }
 
-// filesWithoutPointers returns the pair for engines, if there is one, and the other files.
+// filesWithoutPointers returns the certificate for engines, if there is one, and the other files, so that a golden file
+// has no addresses of memory.
 func filesWithoutPointers(files *certs.Files) (values []any) {
 	if files == nil {
 		return nil
