--- a/fleet/transport/attached_test.go
+++ b/fleet/transport/attached_test.go
@@ -13,7 +13,7 @@
 	"chutechute/fleet/transport"
 )
 
-// The hello and the welcome of control members have the bytes that they had before front ends could attach.
+// The hello and welcome of control members have the same bytes as in versions without attached front ends.
 func TestHandshakeOfControlMembersIsUnchanged(t *testing.T) {
 	identity := func(name, zone string, incarnation, replicaID uint64) *transport.Identity {
 		return &transport.Identity{Site: "legon", Name: name, Zone: zone, Incarnation: incarnation, ReplicaID: replicaID,
@@ -37,7 +37,7 @@
 		hex.EncodeToString(welcome))
 }
 
-// The dialer's name and role have to fit one another and what the listener accepts.
+// A listener accepts a dialer only if its name is valid for its role and the listener accepts that role.
 func TestListenerChecksNameAndRole(t *testing.T) {
 	for _, c := range []struct {
 		description     string
@@ -72,24 +72,24 @@
 	}
 	d, l := newLink(nil, nil)
 	l.Local.Attached = true
-	assert.ErrorIs(t, establish(d, l), transport.ErrRoleMismatch, "no front end attaches to an attached one")
+	assert.ErrorIs(t, establish(d, l), transport.ErrRoleMismatch, "attached front ends accept no links")
 	d, l = newAttachedLink(transport.MaxFrameBody)
 	l.AtCapacity = true
 	assert.ErrorIs(t, establish(d, l), transport.ErrAtCapacity)
 	d, l = newLink(nil, nil)
 	l.AcceptsAttached, l.AtCapacity = true, true
-	assert.NoError(t, establish(d, l), "the capacity does not limit control members")
+	assert.NoError(t, establish(d, l), "the limit does not apply to control members")
 }
 
-// newAttachedLink returns both sides of a link from an attached front end, which accepts messages up to a length, to a
-// control member.
+// newAttachedLink returns both sides of a link from an attached front end to a control member, before the handshake.
+// The attached front end accepts messages of up to maxInbound bytes.
 func newAttachedLink(maxInbound int) (*transport.Dialer, *transport.Listener) {
 	d, l := newLink(nil, nil)
 	d.Local.Name, d.Local.Attached, d.MaxInbound, l.AcceptsAttached = "x", true, maxInbound, true
 	return d, l
 }
 
-// Only an attached front end receives messages over the link that it has dialed.
+// Only an attached front end receives messages over a link that it dialed.
 func TestOnlyAttachedDialersReceiveMessages(t *testing.T) {
 	d, l := newLink(nil, nil)
 	require.NoError(t, establish(d, l))
@@ -121,10 +121,10 @@
 	}
 	_, err = d.Process()
 	assert.ErrorIs(t, err, transport.ErrFrameLength)
-	assert.Empty(t, d.TakeMessages(), "a message that is too long")
+	assert.Empty(t, d.TakeMessages(), "the message is too long")
 }
 
-// A queue that drops its messages keeps the rest of one that was started, so that the reader can continue.
+// DropUnstarted keeps the remaining frames of a started message, so that the reader can decode the messages after it.
 func TestDropUnstartedKeepsTheRestOfAStartedMessage(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d, l := newAttachedLink(1 << 22)
@@ -163,13 +163,13 @@
 		require.NotEmpty(rt, messages)
 		require.Len(rt, messages[len(messages)-1].Body, 3*transport.MaxFrameBody)
 		for _, m := range messages {
-			require.Equal(rt, len(m.Body), bytes.Count(m.Body, m.Body[:1]), "no message is mixed with another")
+			require.Equal(rt, len(m.Body), bytes.Count(m.Body, m.Body[:1]), "fragments of different messages are mixed")
 		}
 	})
 }
 
-// FuzzListener feeds arbitrary bytes to a listener that accepts attached front ends: it never panics, returns no
-// message before the handshake, and none that is longer than its limit.
+// FuzzListener feeds arbitrary bytes to a listener that accepts attached front ends. The listener must not panic, nor
+// return a message before the end of the handshake or one above the length limit.
 func FuzzListener(f *testing.F) {
 	identity := &transport.Identity{Site: "s", Name: "x", Zone: "z", Incarnation: 3, MinVersion: 1, MaxVersion: 1,
 		SettingsDigest: []byte("x"), Attached: true}
--- a/fleet/transport/dialer.go
+++ b/fleet/transport/dialer.go
@@ -2,32 +2,32 @@
 
 import "fmt"
 
-// Dialer is the side of a link that dialed and sends messages. That of an attached front end receives messages too.
+// Dialer is the side of a link that dialed. It sends messages; that of an attached front end also receives them.
 type Dialer struct {
 	Reader
 	Local        *Identity
 	ExpectedName string // of the remote side
 	Secret       Secret
-	MaxInbound   int      // length of the longest message from the listener, in bytes, if this side is attached
-	Remote       Identity // once the link is established
+	MaxInbound   int      // maximum length of a message from the listener, in bytes, if this side is attached
+	Remote       Identity // set once the link is established
 
-	nonce       []byte // of the challenge; nil before it
+	nonce       []byte // of the challenge; nil before it arrives
 	established bool
 	received    []Message
 }
 
-// Established reports whether the handshake is complete, so that messages may be sent.
+// Established reports whether the handshake is complete. Messages may be sent from then on.
 func (d *Dialer) Established() bool { return d.established }
 
-// TakeMessages returns the messages that the listener has sent to an attached front end, and forgets them.
+// TakeMessages returns the messages that an attached front end has received since the last call.
 func (d *Dialer) TakeMessages() []Message {
 	messages := d.received
 	d.received = nil
 	return messages
 }
 
-// Process handles the bytes that were fed. The reply is to be sent before anything else. Messages returns what arrived
-// after the handshake. After an error the link is to be closed.
+// Process handles the bytes that were fed. The reply must be sent before anything else. TakeMessages returns the
+// messages that followed the handshake. After an error the link must be closed.
 func (d *Dialer) Process() (reply []byte, err error) {
 	if !d.established {
 		d.MaxMessage = MaxFrameBody
@@ -54,7 +54,7 @@
 	}
 }
 
-// receiveWelcome completes the handshake.
+// receiveWelcome verifies the welcome and completes the handshake.
 func (d *Dialer) receiveWelcome(body []byte) error {
 	welcome, err := d.Secret.verify(listenerSide, d.nonce, body)
 	if err != nil {
@@ -68,7 +68,7 @@
 		return fmt.Errorf("%w: %q instead of %q", ErrNameMismatch, remote.Name, d.ExpectedName)
 	}
 	if remote.Attached {
-		return fmt.Errorf("%w: %q is attached itself", ErrRoleMismatch, remote.Name)
+		return fmt.Errorf("%w: %q is an attached front end itself", ErrRoleMismatch, remote.Name)
 	}
 	d.Remote = *remote
 	d.established = true
--- a/fleet/transport/golden_test.go
+++ b/fleet/transport/golden_test.go
@@ -10,7 +10,7 @@
 	"chutechute/internal/golden"
 )
 
-// reframe reads all messages in some bytes and frames them again.
+// reframe decodes all messages in b and encodes them again.
 func reframe(b []byte) (frames []byte, err error) {
 	r := Reader{MaxMessage: 1 << 20}
 	r.Feed(b)
@@ -57,10 +57,10 @@
 	return dialer, listener
 }
 
-// handshake is the bytes of each step of a handshake.
+// handshake holds the bytes of each step of a handshake.
 type handshake struct{ challenge, hello, welcome []byte }
 
-// establish goes through a whole handshake.
+// establish runs a handshake and returns its messages.
 func establish(t *testing.T, attached bool, secret Secret) (h handshake) {
 	dialer, listener := testIdentities()
 	if dialer.Attached = attached; attached {
@@ -87,7 +87,7 @@
 	return h
 }
 
-// The bytes of a whole handshake, from both sides.
+// The bytes of both sides' handshake messages do not change.
 func TestWireFormatOfHandshakes(t *testing.T) {
 	var list []golden.Message
 	for _, attached := range []bool{false, true} {
--- a/fleet/transport/identity.go
+++ b/fleet/transport/identity.go
@@ -6,36 +6,36 @@
 	"chutechute/internal/fieldcodec"
 )
 
-// The versions of the protocol that this build speaks.
+// The range of protocol versions that this build supports.
 const (
 	MinVersion = 1
 	MaxVersion = 1
 )
 
-// MaxNameLength is the length of the longest name of an attached front end, in bytes.
+// MaxNameLength is the maximum length of an attached front end's name, in bytes.
 const MaxNameLength = 64
 
-// Identity describes one side of a link, as that side presents itself in the handshake.
+// Identity is what one side of a link states about itself in the handshake.
 type Identity struct {
 	Site           string
 	Name           string
 	Zone           string
-	Incarnation    uint64 // of its process
-	ReplicaID      uint64 // of its disk
-	MinVersion     uint64 // of the protocol versions that it speaks
+	Incarnation    uint64 // identifies the process
+	ReplicaID      uint64 // the ID of its replica of the replicated log; 0 without one
+	MinVersion     uint64 // of the supported protocol versions
 	MaxVersion     uint64
-	SettingsDigest []byte // of the settings that all front ends of a site must agree on
-	Attached       bool   // it attaches to control members and is none itself
+	SettingsDigest []byte // of the settings that must be equal at all front ends of a site
+	Attached       bool   // whether it is an attached front end, not a control member
 }
 
-// checkCompatible returns an error if a link with the remote side cannot work: ErrSiteMismatch, ErrNoCommonVersion,
-// ErrSelfConnection or ErrSettingsMismatch.
+// checkCompatible returns ErrSiteMismatch, ErrNoCommonVersion, ErrSelfConnection or ErrSettingsMismatch if no link with
+// the remote side is possible.
 func (i *Identity) checkCompatible(remote *Identity) error {
 	switch {
 	case remote.Site != i.Site:
 		return fmt.Errorf("%w: %q", ErrSiteMismatch, remote.Site)
 	case remote.MaxVersion < i.MinVersion || remote.MinVersion > i.MaxVersion:
-		return fmt.Errorf("%w: remote side speaks %d to %d, this one %d to %d", ErrNoCommonVersion,
+		return fmt.Errorf("%w: remote side supports %d to %d, this one %d to %d", ErrNoCommonVersion,
 			remote.MinVersion, remote.MaxVersion, i.MinVersion, i.MaxVersion)
 	case remote.Incarnation == i.Incarnation:
 		return ErrSelfConnection
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// ValidName reports whether an attached front end may have the name: 1 to MaxNameLength letters, digits, dots, hyphens
-// and underscores of ASCII.
+// ValidName reports whether the name is valid for an attached front end: 1 to MaxNameLength ASCII letters, digits,
+// dots, hyphens and underscores.
 func ValidName(name string) bool {
 	if name == "" || len(name) > MaxNameLength {
 		return false
@@ -67,7 +67,7 @@
 	return false
 }
 
-// introduction is the message of a Hello and of a Welcome: who sends it, and to whom.
+// introduction is the signed content of a Hello or Welcome: the sender's identity and the recipient's name.
 type introduction struct {
 	Sender    Identity
 	Recipient string
--- a/fleet/transport/listener.go
+++ b/fleet/transport/listener.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// Listener is the side of a link that accepted it and receives messages.
+// Listener is the side of a link that accepted the connection and receives messages.
 type Listener struct {
 	Reader
 	Local  *Identity
 	Secret Secret
-	// IsControlMember reports whether a name is a control member's.
+	// IsControlMember reports whether a name is that of a control member.
 	IsControlMember func(name string) bool
-	// AcceptsAttached says that front ends of other names may attach here.
+	// AcceptsAttached says whether front ends that are not control members may attach here.
 	AcceptsAttached bool
-	// AtCapacity says, before the hello arrives, that there is no capacity for another attached front end.
+	// AtCapacity says whether the limit of attached front ends is reached. It is to be set before the hello is processed.
 	AtCapacity bool
-	Remote     Identity // once the link is established
+	Remote     Identity // set once the link is established
 
 	nonce       []byte
 	established bool
-	maxInbound  int // MaxMessage once the link is established
+	maxInbound  int // the value of MaxMessage after the handshake
 }
 
-// Challenge begins the handshake and returns the frame to send. The nonce must be new for each link; maxInbound is the
-// length of the longest message that is accepted after the handshake, in bytes.
+// Challenge starts the handshake and returns the frame to send. The nonce must be new for each link; maxInbound is the
+// maximum length of a message after the handshake, in bytes.
 func (l *Listener) Challenge(nonce [nonceSize]byte, maxInbound int) []byte {
 	l.nonce = nonce[:]
 	l.MaxMessage = MaxFrameBody
@@ -29,11 +29,11 @@
 	return AppendFrame(nil, Challenge, 0, false, l.nonce)
 }
 
-// Established reports whether the handshake is complete, so that the remote side is authenticated.
+// Established reports whether the handshake is complete, which means that the remote side is authenticated.
 func (l *Listener) Established() bool { return l.established }
 
-// Process handles the bytes that were fed: the hello, to which the welcome is the reply, and then messages. After an
-// error the link is to be closed.
+// Process handles the bytes that were fed: first the hello, to which the welcome is the reply, then messages. After an
+// error the link must be closed.
 func (l *Listener) Process() (reply []byte, messages []Message, err error) {
 	for {
 		kind, body, ok, err := l.Next()
@@ -55,7 +55,7 @@
 	}
 }
 
-// expects reports whether a frame of the kind may arrive now.
+// expects reports whether a message of the kind is valid in the present state of the link.
 func (l *Listener) expects(kind Kind) bool {
 	if l.established {
 		return kind > Welcome
@@ -63,7 +63,7 @@
 	return kind == Hello
 }
 
-// receiveHello completes the handshake and returns the welcome.
+// receiveHello verifies the hello, completes the handshake and returns the welcome.
 func (l *Listener) receiveHello(body []byte) (welcome []byte, err error) {
 	hello, err := l.Secret.verify(dialerSide, l.nonce, body)
 	if err != nil {
@@ -81,8 +81,8 @@
 	return l.Secret.sign(listenerSide, l.nonce, &introduction{*l.Local, l.Remote.Name}), nil
 }
 
-// checkNameAndRole returns an error unless the dialer's name fits its role, its role may link here, and this side is
-// the one that it expects.
+// checkNameAndRole returns an error unless the dialer's name is valid for its role, its role may link here, and the
+// hello is addressed to this front end.
 func (l *Listener) checkNameAndRole(hello *introduction) error {
 	remote := &hello.Sender
 	isControlMember := l.IsControlMember(remote.Name)
@@ -96,9 +96,9 @@
 	case !remote.Attached:
 		return nil
 	case !l.AcceptsAttached:
-		return fmt.Errorf("%w: %q is attached, and no front ends may attach here", ErrRoleMismatch, remote.Name)
+		return fmt.Errorf("%w: %q is an attached front end, and none may attach here", ErrRoleMismatch, remote.Name)
 	case isControlMember || remote.Name == l.Local.Name:
-		return fmt.Errorf("%w: %q is attached under a control member's name", ErrRoleMismatch, remote.Name)
+		return fmt.Errorf("%w: attached front end %q has a control member's name", ErrRoleMismatch, remote.Name)
 	case l.AtCapacity:
 		return fmt.Errorf("%w: %q", ErrAtCapacity, remote.Name)
 	}
--- a/fleet/transport/queue.go
+++ b/fleet/transport/queue.go
@@ -1,8 +1,8 @@
 package transport
 
-// Queue is the send queue of a link. Urgent messages go first, also between two fragments of a bulk message, so that
-// bulk never delays a heartbeat. Both lanes are bounded; a message that does not fit is dropped and counted, which the
-// protocol tolerates, as a link may lose messages anyway.
+// Queue is the send queue of a link. Urgent messages are sent first, even between two fragments of a bulk message, so
+// that bulk messages never delay a heartbeat. Both lanes are bounded; a message that does not fit is dropped and
+// counted. The protocol tolerates that, as a link may lose messages anyway.
 type Queue struct {
 	// MaxUrgentBytes and MaxBulkBytes bound the queued bytes of each lane.
 	MaxUrgentBytes, MaxBulkBytes int
@@ -10,12 +10,12 @@
 	Dropped int
 
 	urgent, bulk lane
-	// heartbeat is the index, from 1, of the queued heartbeat's frame in the urgent lane, which a newer heartbeat
-	// replaces; 0 without one.
+	// heartbeat is the 1-based index of the queued heartbeat's frame in the urgent lane, 0 if none is queued. A newer
+	// heartbeat replaces it.
 	heartbeat int
 }
 
-// Push queues a message. It returns false if the message does not fit.
+// Push queues a message. It returns false if the message was dropped because its lane is full.
 func (q *Queue) Push(kind Kind, bulk bool, body []byte) bool {
 	l, maxBytes := &q.urgent, q.MaxUrgentBytes
 	if bulk {
@@ -37,7 +37,7 @@
 	return true
 }
 
-// Pop removes and returns the next frame, nil if the queue is empty.
+// Pop removes and returns the next frame; nil if the queue is empty.
 func (q *Queue) Pop() []byte {
 	if len(q.urgent.frames) == 0 {
 		return q.bulk.pop()
@@ -46,17 +46,18 @@
 	return q.urgent.pop()
 }
 
-// QueuedBytes returns the queued bytes.
+// QueuedBytes returns the total size of the queued frames.
 func (q *Queue) QueuedBytes() int { return q.urgent.bytes + q.bulk.bytes }
 
-// Clear drops everything that is queued, as the connection is closed.
+// Clear drops everything that is queued. It is for closed connections.
 func (q *Queue) Clear() {
 	q.urgent, q.bulk = lane{}, lane{}
 	q.heartbeat = 0
 }
 
-// DropUnstarted drops the messages of which no frame was popped, while the connection continues. The rest of a message
-// that was started stays, as the remote side could not read what follows without it.
+// DropUnstarted drops the messages of which no frame was popped yet. It is for connections that stay open: the
+// remaining frames of a message that was started stay queued, as the receiver could not decode later messages without
+// them.
 func (q *Queue) DropUnstarted() {
 	q.urgent.dropUnstarted()
 	q.bulk.dropUnstarted()
@@ -67,7 +68,7 @@
 type lane struct {
 	frames     [][]byte
 	bytes      int  // in frames
-	midMessage bool // further frames of the message whose frame was popped last are queued
+	midMessage bool // whether the frame that was popped last is not the last one of its message
 }
 
 // pushMessage queues the frames of a message.
@@ -90,13 +91,13 @@
 	l.bytes += len(frame)
 }
 
-// replace puts a frame in place of the one at the index.
+// replace replaces the frame at an index.
 func (l *lane) replace(index int, frame []byte) {
 	l.bytes += len(frame) - len(l.frames[index])
 	l.frames[index] = frame
 }
 
-// pop removes and returns the first frame, nil if the lane is empty.
+// pop removes and returns the first frame; nil if the lane is empty.
 func (l *lane) pop() []byte {
 	if len(l.frames) == 0 {
 		return nil
@@ -111,7 +112,7 @@
 	return frame
 }
 
-// dropUnstarted drops all frames but those of a message of which a frame was popped.
+// dropUnstarted drops all frames except the remaining ones of a message of which a frame was popped.
 func (l *lane) dropUnstarted() {
 	started := lane{midMessage: l.midMessage}
 	for more, i := l.midMessage, 0; more && i < len(l.frames); i++ {
--- a/fleet/transport/reader.go
+++ b/fleet/transport/reader.go
@@ -4,17 +4,17 @@
 
 // Reader reassembles messages from the bytes of one link.
 type Reader struct {
-	// MaxMessage is the length of the longest message that is accepted, in bytes.
+	// MaxMessage is the maximum length of a message, in bytes.
 	MaxMessage int
 
-	buffer  []byte             // bytes that are not read yet
-	partial [endOfKinds][]byte // by kind: the fragments so far of a message that is not complete
+	buffer  []byte             // received bytes that are not decoded yet
+	partial [endOfKinds][]byte // by kind: the fragments received so far of an incomplete message
 }
 
-// Feed adds bytes that were received.
+// Feed adds received bytes.
 func (r *Reader) Feed(b []byte) { r.buffer = append(r.buffer, b...) }
 
-// Next returns the next complete message; ok is false if more bytes are needed. The caller owns the body. An error is
+// Next returns the next complete message; ok is false if more bytes are needed. The caller owns the body. The error is
 // ErrFrameLength, ErrUnknownKind or ErrFragmentOrder.
 func (r *Reader) Next() (kind Kind, body []byte, ok bool, err error) {
 	for {
@@ -32,7 +32,7 @@
 	}
 }
 
-// nextFrame takes the next complete frame from the buffer.
+// nextFrame removes the next frame from the buffer; ok is false if the frame is incomplete.
 func (r *Reader) nextFrame() (h header, fragment []byte, ok bool, err error) {
 	if len(r.buffer) < headerSize {
 		return h, nil, false, nil
@@ -56,7 +56,7 @@
 	return h, fragment, true, nil
 }
 
-// reassemble adds a fragment to its message, and returns the message's body once it is complete.
+// reassemble adds a fragment to its message and returns the message's body once it is complete.
 func (r *Reader) reassemble(h header, fragment []byte) (body []byte, complete bool, err error) {
 	partial := r.partial[h.kind]
 	switch {
--- a/fleet/transport/secret.go
+++ b/fleet/transport/secret.go
@@ -10,12 +10,12 @@
 // nonceSize is the length of a challenge's nonce, in bytes.
 const nonceSize = 16
 
-// Secret is shared by all front ends of a site and authenticates both sides of a link to one another. Without one only
-// loopback addresses are allowed, where whoever may connect may do anything else too.
+// Secret is the key that all front ends of a site share, with which both sides of a link authenticate each other.
+// Without one only loopback addresses are allowed, as any process that can connect there is trusted anyway.
 type Secret []byte
 
-// side is the side of a link that signs an introduction. It is part of the proof, so that neither side can reflect the
-// other's.
+// side is the side of a link that signs an introduction. It is part of the signed data, so that neither side can send
+// the other's message back to it (a reflection attack).
 type side byte
 
 const (
@@ -23,9 +23,9 @@
 	listenerSide side = 2
 )
 
-// proof returns the HMAC over what is unique to the link (the listener's nonce), the signed bytes, and the side that
-// signs them.
-func (s Secret) proof(by side, nonce, signed []byte) []byte {
+// mac returns the HMAC over the side that signs, the listener's nonce, which is unique to the link, and the bytes to be
+// signed.
+func (s Secret) mac(by side, nonce, signed []byte) []byte {
 	m := hmac.New(sha256.New, s)
 	m.Write([]byte{byte(by)})
 	m.Write(nonce)
@@ -33,27 +33,27 @@
 	return m.Sum(nil)
 }
 
-// signedMessage is an introduction with the proof of its sender.
+// signedMessage is an introduction with its sender's MAC.
 type signedMessage struct {
 	Introduction []byte // encoded
-	Proof        []byte
+	MAC          []byte
 }
 
 func (m *signedMessage) fields(f *fieldcodec.Fields) {
 	f.Shared(1, &m.Introduction)
-	f.Shared(2, &m.Proof)
+	f.Shared(2, &m.MAC)
 }
 
-// sign returns the encoded introduction with its proof.
+// sign returns the encoded signedMessage of an introduction.
 func (s Secret) sign(by side, nonce []byte, m *introduction) []byte {
 	encoded := m.encode()
-	signed := signedMessage{encoded, s.proof(by, nonce, encoded)}
+	signed := signedMessage{encoded, s.mac(by, nonce, encoded)}
 	f := fieldcodec.Encode(nil)
 	signed.fields(&f)
 	return f.Bytes()
 }
 
-// verify checks the proof of an introduction and decodes it. An error is ErrAuthentication or
+// verify checks the MAC of a signedMessage and decodes its introduction. The error is ErrAuthentication or
 // fieldcodec.ErrMalformed.
 func (s Secret) verify(by side, nonce, b []byte) (m introduction, err error) {
 	var signed signedMessage
@@ -64,7 +64,7 @@
 	if err := f.Err(); err != nil {
 		return m, err
 	}
-	if !hmac.Equal(signed.Proof, s.proof(by, nonce, signed.Introduction)) {
+	if !hmac.Equal(signed.MAC, s.mac(by, nonce, signed.Introduction)) {
 		return m, ErrAuthentication
 	}
 	return decodeIntroduction(signed.Introduction)
--- a/fleet/transport/transport.go
+++ b/fleet/transport/transport.go
@@ -1,50 +1,51 @@
-// Package transport is the link between two front ends: frames, the handshake that names and authenticates both sides,
-// and the send queue. It is fed bytes and does no I/O.
+// Package transport implements the protocol of a link between two front ends: the framing, the handshake that
+// identifies and authenticates both sides, and the send queue. It works on bytes that its caller reads and writes, and
+// does no I/O itself.
 //
-// A link carries messages in one direction, from the side that dialed to the side that listens, so that two control
-// members have two links and each direction can fail alone. Only the link that an attached front end has dialed carries
-// messages in both directions.
+// A link carries messages from the dialer to the listener only. Two control members therefore have two links, one for
+// each direction, and either can fail without the other. The exception is the link that an attached front end dials,
+// which carries messages in both directions.
 //
-// A link guarantees neither delivery nor order: a message may be lost with its connection, be late, or arrive twice.
+// A link guarantees neither delivery nor order: a message may be lost with its connection, delayed or duplicated.
 package transport
 
 import "errors"
 
-// Kind is what a frame carries.
+// Kind is the type of the message that a frame carries.
 type Kind byte
 
 // The kinds of frames. Challenge, Hello and Welcome are the handshake.
 const (
 	Challenge        Kind = iota + 1 // from the listener: a nonce
-	Hello                            // from the dialer: its identity and the proof of it
-	Welcome                          // from the listener: its identity and the proof of it
+	Hello                            // from the dialer: its identity, authenticated by a MAC
+	Welcome                          // from the listener: its identity, authenticated by a MAC
 	ControlHeartbeat                 // between control members
 	Replication                      // between replicas
 	Proposal                         // a command for the replicated log
-	Response                         // the response to a proposal
-	Notification                     // that what a front end waits for may have changed
-	Bootstrap                        // the first members of a new replicated log
-	Relay                            // a message of another kind, by way of a third front end
+	Response                         // the result of a proposal
+	Notification                     // state that a front end waits for may have changed
+	Bootstrap                        // the initial members of a new replicated log
+	Relay                            // a message of another kind, relayed by a third front end
 
-	// Kinds of attached front ends and the control members that serve them; see package membership.
+	// Messages of attached front ends and of the control members that serve them; see package membership.
 
 	AttachedHeartbeat // from an attached front end
 	ViewUpdate        // to an attached front end
-	TablePull         // asks a control member for a table
-	TableUpdate       // a table of one control member's attached front ends
-	Forward           // a proposal, response or notification of an attached front end, between control members
+	TablePull         // a request for a table, between control members
+	TableUpdate       // the table of a control member's attached front ends, or changes of it
+	Forward           // an attached front end's proposal, or a response or notification for it, between control members
 
 	endOfKinds
 )
 
-// kindNames are the names that operators see.
+// kindNames holds the operator-facing names of the kinds.
 var kindNames = [endOfKinds]string{"", "challenge", "hello", "welcome", "status", "ledger", "ask", "answer", "note",
 	"found", "relay", "heartbeat", "view", "pull", "table", "forward"}
 
-// valid reports whether there is such a kind.
+// valid reports whether k is a known kind.
 func (k Kind) valid() bool { return k != 0 && k < endOfKinds }
 
-// String returns the kind's name as operators see it, "unknown" for a number that is none.
+// String returns the kind's operator-facing name, or "unknown" if k is not a known kind.
 func (k Kind) String() string {
 	if !k.valid() {
 		return "unknown"
@@ -52,13 +53,13 @@
 	return kindNames[k]
 }
 
-// Message is one message of a link.
+// Message is a message received over a link, reassembled from its frames.
 type Message struct {
 	Kind Kind
 	Body []byte
 }
 
-// Errors of a remote side that violates the framing. The link is to be closed.
+// Protocol errors. The link must be closed after one.
 var (
 	ErrFrameLength     = errors.New("transport: length out of range")
 	ErrUnknownKind     = errors.New("transport: unknown kind of frame")
@@ -66,7 +67,7 @@
 	ErrUnexpectedFrame = errors.New("transport: unexpected frame")
 )
 
-// Errors of a handshake. The link is to be closed.
+// Handshake errors. The link must be closed after one.
 var (
 	ErrAuthentication   = errors.New("transport: authentication failed")
 	ErrSiteMismatch     = errors.New("transport: remote side belongs to another site")
--- a/fleet/transport/transport_test.go
+++ b/fleet/transport/transport_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { os.Exit(testharness.RunWithFixedSeed(m)) }
 
-// newLink returns both sides of a link between the control members a and b, before the handshake.
+// newLink returns both sides of a link from control member a to control member b, before the handshake.
 func newLink(dialerSecret, listenerSecret transport.Secret) (*transport.Dialer, *transport.Listener) {
 	identity := func(name string, number uint64) *transport.Identity {
 		return &transport.Identity{Site: "s", Name: name, Incarnation: number, ReplicaID: number,
@@ -27,7 +27,7 @@
 	return d, l
 }
 
-// establish goes through the handshake of both sides.
+// establish runs the handshake between both sides.
 func establish(d *transport.Dialer, l *transport.Listener) error {
 	d.Feed(l.Challenge([16]byte{1, 2, 3}, 1<<20))
 	hello, err := d.Process()
@@ -44,8 +44,8 @@
 	return err
 }
 
-// Messages arrive complete and in the order of their kind, however the bytes are split, and duplicate frames do no
-// harm.
+// Messages of one kind arrive complete and in order, however the byte stream is split. Duplicate frames neither corrupt
+// nor reorder messages.
 func TestMessagesArriveCompleteAndInOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d, l := newLink(transport.Secret("k"), transport.Secret("k"))
@@ -73,7 +73,7 @@
 			l.Feed(wire[:n])
 			wire = wire[n:]
 			_, messages, err := l.Process()
-			if err != nil { // a duplicate of a message's last fragment is out of order: the link ends
+			if err != nil { // a duplicate of a message's last fragment is out of order and ends the link
 				require.True(rt, duplicates, "%v", err)
 				require.ErrorIs(rt, err, transport.ErrFragmentOrder)
 				break
@@ -86,7 +86,7 @@
 			require.Equal(rt, len(want), len(got))
 		}
 		next := 0
-		for _, body := range got { // each was sent, is complete, and follows none that was sent later
+		for _, body := range got { // each is complete, was sent, and follows no later one
 			for next < len(want) && !bytes.Equal(want[next], body) {
 				next++
 			}
@@ -95,7 +95,7 @@
 	})
 }
 
-// A heartbeat is sent before queued bulk, and only the newest one is.
+// A heartbeat is sent before queued bulk messages, and replaces an older one that is still queued.
 func TestHeartbeatIsSentBeforeBulkAndOnlyTheNewest(t *testing.T) {
 	q := transport.Queue{MaxUrgentBytes: 1 << 20, MaxBulkBytes: 1 << 22}
 	require.True(t, q.Push(transport.Replication, true, make([]byte, 10*transport.MaxFrameBody)))
@@ -108,7 +108,8 @@
 	assert.Equal(t, 1, q.Dropped)
 }
 
-// Garbage, wrong lengths and remote sides that may not link end the link with an error and do no other harm.
+// Malformed input and invalid handshakes end the link with an error; the listener neither panics nor returns a message
+// before the end of the handshake.
 func TestInvalidInputEndsTheLink(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d, l := newLink(nil, nil)
