--- a/internal/peering/adminrequests.go
+++ b/internal/peering/adminrequests.go
@@ -9,10 +9,10 @@
 const (
 	requestStatus  = "status"
 	requestRecords = "ledger"
-	requestBudgets = "budgets" // of all budgets; followed by a space and a name of one, or of a rejected request
+	requestBudgets = "budgets" // all budgets, or one if followed by a space and its name or a rejected request's ID
 )
 
-// handleRequest returns the page that a request on the admin socket asks for.
+// handleRequest returns the response to a request on the admin socket, to be encoded as JSON.
 func (p *Peering) handleRequest(request string) any {
 	switch request {
 	case requestStatus:
--- a/internal/peering/adminsocket.go
+++ b/internal/peering/adminsocket.go
@@ -19,8 +19,8 @@
 	adminTimeout          = 3000 * monotime.Millisecond // from accepting a connection to the end of its response
 )
 
-// adminListener is the admin socket: a Unix socket that only its owner may use. Each connection carries one request, a
-// line of text, and one response, a line of JSON.
+// adminListener serves the admin socket, a Unix socket that only its owner may use. Each connection carries one
+// request, a line of text, and one response, a line of JSON.
 type adminListener struct {
 	peering     *Peering
 	fd          int
@@ -36,7 +36,7 @@
 	return a, p.Host.Loop.Add(fd, unix.EPOLLIN, a)
 }
 
-// listenUnix listens at a Unix socket that only its owner may use, in place of one that an earlier process has left.
+// listenUnix listens on a Unix socket that only its owner may use. It replaces a socket left by an earlier process.
 func listenUnix(path string) (fd int, err error) {
 	if err := os.Remove(path); err != nil && !os.IsNotExist(err) {
 		return -1, err
@@ -54,7 +54,7 @@
 	return fd, unix.Listen(fd, maxAdminConnections)
 }
 
-// Ready accepts the connections that are pending. Those beyond the limit are closed.
+// Ready accepts all pending connections. Those above the limit are closed.
 func (a *adminListener) Ready(uint32) {
 	for {
 		fd, _, err := unix.Accept4(a.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -82,7 +82,7 @@
 	a.connections[c] = struct{}{}
 }
 
-// tick closes connections that have taken too long.
+// tick closes connections that have exceeded adminTimeout.
 func (a *adminListener) tick() {
 	for c := range a.connections {
 		if a.peering.Host.TurnTime-c.acceptedAt >= adminTimeout {
@@ -91,10 +91,10 @@
 	}
 }
 
-// close ends listening. Open connections are left to the end of the process.
+// close stops listening and removes the socket. Open connections stay open until the process exits.
 func (a *adminListener) close() {
 	a.peering.Host.Loop.CloseDescriptor(a.fd)
-	_ = os.Remove(a.peering.cfg.AdminSocket) // the next start removes it too
+	_ = os.Remove(a.peering.cfg.AdminSocket) // the next start would remove it too
 }
 
 // adminConnection is a connection to the admin socket.
@@ -111,7 +111,7 @@
 	delete(c.listener.connections, c)
 }
 
-// Ready reads the request, and writes the response until that is complete.
+// Ready reads the request, and writes the response until it is complete.
 func (c *adminConnection) Ready(events uint32) {
 	if events&unix.EPOLLIN != 0 && !c.responded && !c.readRequest() {
 		return
@@ -123,8 +123,8 @@
 	c.UpdateInterest(false)
 }
 
-// readRequest reads from the socket and, once the request is whole, responds to it. It returns false where it is
-// not whole yet or the connection has ended.
+// readRequest reads from the socket and responds to the request once it is complete. It returns false if the request is
+// incomplete or the connection was closed.
 func (c *adminConnection) readRequest() bool {
 	more := c.Fill()
 	line := c.In.Bytes()
@@ -141,7 +141,7 @@
 	return true
 }
 
-// respond adds the response to a request to the output buffer.
+// respond writes the response to a request to the output buffer.
 func (c *adminConnection) respond(request string) error {
 	c.responded = true
 	response, err := json.Marshal(c.listener.peering.handleRequest(request))
--- a/internal/peering/attachedfrontend.go
+++ b/internal/peering/attachedfrontend.go
@@ -8,8 +8,8 @@
 	"chutechute/internal/config"
 )
 
-// startAttached builds an attached front end's node. It has no replica, no disk and no listener, and links with the
-// control members that it chooses.
+// startAttached creates an attached front end's fleet node. It has no replica, write-ahead log or listener, and chooses
+// the control members that it links to.
 func (p *Peering) startAttached(cfg *config.Peers, incarnation uint64) {
 	c := fleet.AttachedConfig{Membership: cfg.Attached.Config, RetryInterval: cfg.Node.RetryInterval}
 	c.Membership.Incarnation, c.Membership.Seed = incarnation, p.Seed
@@ -17,16 +17,16 @@
 		p.idempotencyClient.Notify(p.Host.TurnTime, topic)
 	})
 	p.fleetNode = p.attachedNode
-	p.lastRefusals = map[string]string{}
+	p.lastHandshakeErrors = map[string]string{}
 }
 
-// reconcileLinks closes an attached front end's links that its node does not want any more, and dials those that are
-// missing.
+// reconcileLinks closes an attached front end's links to control members that are no longer targets of its node, dials
+// the targets without a link, and logs a change of its home.
 func (p *Peering) reconcileLinks() {
 	targets := p.attachedNode.Targets(p.Host.TurnTime)
 	for name, l := range p.outbound {
 		if !slices.Contains(targets, name) {
-			p.abandonLink(l)
+			p.closeUnwantedLink(l)
 		}
 	}
 	for _, name := range targets {
@@ -40,31 +40,30 @@
 	}
 }
 
-// dialTarget makes a link with a control member.
+// dialTarget creates and dials the link to a control member.
 func (p *Peering) dialTarget(name string) {
 	l := newOutboundLink(p, name, p.cfg.Members[name])
-	l.lastRefusal = p.lastRefusals[name]
+	l.lastHandshakeError = p.lastHandshakeErrors[name]
 	p.outbound[name] = l
 	l.dial()
 }
 
-// abandonLink closes a link that the attached node does not want any more.
-func (p *Peering) abandonLink(l *outboundLink) {
+// closeUnwantedLink closes a link to a control member that is no longer a target of the attached node.
+func (p *Peering) closeUnwantedLink(l *outboundLink) {
 	l.Close()
 	delete(p.outbound, l.name)
 	p.attachedNode.LinkClosed(p.Host.TurnTime, l.name)
 }
 
-// forgetLink removes an attached front end's link that is closed or could not be established. Its last refusal is
-// kept for the next link with that control member, so that it is logged once.
-func (p *Peering) forgetLink(l *outboundLink) {
-	p.lastRefusals[l.name] = l.lastRefusal
+// removeLink removes an attached front end's link that was closed or could not be established. Its latest handshake
+// error is passed on to the next link to the same control member, so that a repeated error is logged once.
+func (p *Peering) removeLink(l *outboundLink) {
+	p.lastHandshakeErrors[l.name] = l.lastHandshakeError
 	delete(p.outbound, l.name)
 	p.attachedNode.LinkClosed(p.Host.TurnTime, l.name)
 }
 
-// receiveMessages passes the messages of a control member on to the attached node. After an error the link has to be
-// closed.
+// receiveMessages passes a control member's messages on to the attached node. After an error the link must be closed.
 func (l *outboundLink) receiveMessages() error {
 	p := l.peering
 	link := fleet.Link{From: l.name, Incarnation: l.handshake.Remote.Incarnation}
--- a/internal/peering/attachedfrontend_test.go
+++ b/internal/peering/attachedfrontend_test.go
@@ -11,7 +11,8 @@
 	"chutechute/internal/counters"
 )
 
-// Attached front ends are seen by all and see all. They have no listener, no disk and at most three links.
+// Attached front ends see all front ends and are seen by all. They have no listener, no write-ahead log and at most
+// three links.
 func TestAttachedFrontEndsSeeAndAreSeen(t *testing.T) {
 	f := newTestFleet(t)
 	x := f.start("x1")
@@ -25,7 +26,7 @@
 	assert.Empty(t, x.inbound)
 	f.runUntil("both links", func() bool { return len(x.outbound) == 2 && x.Descriptors() == 2 })
 
-	f.runUntil("its home is known to all", func() bool {
+	f.runUntil("all front ends to know its home", func() bool {
 		for _, p := range f.frontEnds {
 			e, _ := p.fleetNode.View().Lookup("x1")
 			if x.attachedNode.Home() == "" || e.Home != x.attachedNode.Home() {
@@ -36,7 +37,7 @@
 	})
 	s := x.status()
 	assert.Equal(t, "attached", s.Role)
-	assert.Len(t, s.Members, 4, "all but itself")
+	assert.Len(t, s.Members, 4, "all except itself")
 	memberNames := []string{s.Members[0].Name, s.Members[1].Name, s.Members[2].Name, s.Members[3].Name}
 	assert.Equal(t, []string{"n1", "n2", "n3", "x2"}, memberNames)
 	require.NotNil(t, s.Attached)
@@ -53,7 +54,7 @@
 		Role:        "attached",
 		Home:        home.Name,
 	})
-	f.runUntil("their views are the same", func() bool {
+	f.runUntil("equal views", func() bool {
 		return x.status().Attached.ViewDigest == f.frontEnds[home.Name].status().Attached.ViewDigest
 	})
 	assert.False(t, x.budgetPage("").Enabled)
@@ -65,7 +66,7 @@
 	assert.Positive(t, homeCounters.ViewSnapshots)
 }
 
-// An attached front end whose home dies takes another home, and stays alive in the view of the others.
+// An attached front end whose home is killed chooses another home, and the others still see it as alive.
 func TestAttachedFrontEndReplacesItsDeadHome(t *testing.T) {
 	f := newTestFleet(t)
 	x := f.start("x1")
@@ -80,7 +81,7 @@
 	f.awaitAllSee(4)
 }
 
-// Each change of the view is reported once; where control members are left out, only those of attached front ends.
+// viewChangeLog reports each change of the view once, and with attachedOnly only the changes of attached front ends.
 func TestViewChangeLogReportsEachChangeOnce(t *testing.T) {
 	f := newTestFleet(t)
 	f.start("x1")
@@ -94,13 +95,13 @@
 	require.Len(t, changes, 1)
 	assert.Equal(t, "x1", changes[0].Name)
 	f.kill(f.frontEnds["x1"])
-	f.runUntil("it is dead", func() bool { e, _ := view.Lookup("x1"); return e.State == membership.Dead })
+	f.runUntil("x1 to be dead", func() bool { e, _ := view.Lookup("x1"); return e.State == membership.Dead })
 	changes = log.changes(view, true)
 	require.Len(t, changes, 1)
 	assert.Equal(t, membership.Dead, changes[0].State)
 }
 
-// A link that an attached front end's node does not want is closed, at both ends.
+// A link to a control member that is not a target of an attached front end's node is closed on both sides.
 func TestUnwantedLinksAreClosed(t *testing.T) {
 	f := newTestFleet(t)
 	x := f.start("x1")
@@ -112,12 +113,12 @@
 		}
 	}
 	require.Len(t, x.outbound, 3)
-	f.runUntil("the third is closed", func() bool {
+	f.runUntil("the third link to be closed", func() bool {
 		linked := 0
 		for _, p := range f.frontEnds {
 			linked += p.attachedLinks.count
 			for l := range p.inbound {
-				l.lastReceived = f.host.TurnTime // it is not closed as idle
+				l.lastReceived = f.host.TurnTime // prevents closing as idle
 			}
 		}
 		return len(x.outbound) == 2 && linked == 2
--- a/internal/peering/attachedlinks.go
+++ b/internal/peering/attachedlinks.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	// maxAttachedUrgentBytes bounds what is queued for one attached front end beside the view: responses about
-	// replicated records and to heartbeats.
+	// maxAttachedUrgentBytes bounds the urgent messages queued for one attached front end: those other than bulk updates
+	// of the view, such as responses to its proposals and heartbeats.
 	maxAttachedUrgentBytes = 2 << 20
-	// maxAttachedQueuedBytes bounds what is queued for all attached front ends together. A link whose next message
-	// would exceed it drops its queue, but for a message of which a part was sent.
+	// maxAttachedQueuedBytes bounds the messages queued for all attached front ends together. A link whose next message
+	// would exceed it drops its queue, except for the rest of a partly sent message.
 	maxAttachedQueuedBytes = 32 << 20
-	// linksPerSpareLink is how many links there may be for each one more that is allowed, as old ones are noticed late.
+	// linksPerSpareLink is the number of attached front ends per additional link that is allowed. Additional ones are
+	// needed because a front end may reconnect before its old link is found to be dead.
 	linksPerSpareLink = 4
-	// attachedDescriptorShare is the divisor for the part of the program's descriptors that these links may take.
+	// attachedDescriptorShare is the divisor for the share of the program's file descriptors that these links may use.
 	attachedDescriptorShare = 4
-	// attachedSendBufferBytes is the size of the system's send buffer of a link. By itself it grows to megabytes, which
-	// count towards no bound here.
+	// attachedSendBufferBytes is the size of the kernel's send buffer of a link. By default the kernel grows it to
+	// megabytes, which would bypass the bounds above.
 	attachedSendBufferBytes = 64 << 10
-	// pauseThreshold is the interval between two ticks above which this process itself was paused.
+	// pauseThreshold is the interval between two ticks above which this process is considered to have been paused.
 	pauseThreshold = 600 * monotime.Millisecond
 )
 
-// attachedLinks has a control member's established links with attached front ends.
+// attachedLinks holds a control member's established links with attached front ends.
 type attachedLinks struct {
-	byIncarnation map[uint64][]*inboundLink // the newest link of each process last; nil where none may attach
-	count         int                       // of the links
-	queuedBytes   int                       // in the queues of all of them together
+	byIncarnation map[uint64][]*inboundLink // in the order of establishment; nil if no front ends may attach
+	count         int                       // number of links
+	queuedBytes   int                       // total size of their queues
 }
 
 func (a *attachedLinks) add(l *inboundLink) {
@@ -42,7 +43,7 @@
 	a.count++
 }
 
-// remove removes a link with what is queued on it.
+// remove removes a link and its share of queuedBytes.
 func (a *attachedLinks) remove(l *inboundLink) {
 	a.count--
 	a.queuedBytes -= l.queue.QueuedBytes()
@@ -54,7 +55,7 @@
 	}
 }
 
-// newest returns the newest link of a process; nil where it has none.
+// newest returns a process's newest link; nil if it has none.
 func (a *attachedLinks) newest(incarnation uint64) *inboundLink {
 	links := a.byIncarnation[incarnation]
 	if len(links) == 0 {
@@ -63,8 +64,8 @@
 	return links[len(links)-1]
 }
 
-// maxAttachedLinks bounds the links of attached front ends: by how many of these there may be, and by a share of the
-// descriptors.
+// maxAttachedLinks returns the maximum number of links of attached front ends. It follows from the maximum number of
+// such front ends and from the share of the file descriptors that their links may use.
 func (p *Peering) maxAttachedLinks() int {
 	maxLinks := p.cfg.Attached.Config.MaxEntries
 	maxLinks += maxLinks / linksPerSpareLink
@@ -74,12 +75,12 @@
 	return maxLinks
 }
 
-// registerAttached makes an established link usable for messages to its attached front end.
+// registerAttached registers an established link, so that messages can be sent to its attached front end.
 func (l *inboundLink) registerAttached() {
 	p := l.peering
 	l.attached = true
 	p.Host.Counters.Attached++
-	// Without it only more is buffered in the system.
+	// If this fails, the kernel only buffers more.
 	_ = unix.SetsockoptInt(l.FD, unix.SOL_SOCKET, unix.SO_SNDBUF, attachedSendBufferBytes)
 	l.queue = transport.Queue{MaxUrgentBytes: maxAttachedUrgentBytes, MaxBulkBytes: p.cfg.Attached.MaxViewBytes}
 	p.attachedLinks.add(l)
@@ -87,7 +88,7 @@
 	p.controlNode.LinkOpened(p.Host.TurnTime, l.link)
 }
 
-// releaseAttached undoes registerAttached for a closed link; other links it leaves as they are.
+// releaseAttached undoes registerAttached for a closed link. It does nothing if the link is not registered.
 func (l *inboundLink) releaseAttached() {
 	if !l.attached {
 		return
@@ -99,9 +100,9 @@
 	p.controlNode.LinkClosed(p.Host.TurnTime, l.link)
 }
 
-// sendToAttached sends a message over the newest link with a process of an attached front end. Without a link the
-// message is dropped, as it might be lost on the way. A receiver that reads too slowly loses its whole queue, and
-// gets what it missed after its next heartbeat.
+// sendToAttached queues a message on the newest link of an attached front end's process. Without a link the message is
+// dropped, as messages may be lost anyway. If a receiver reads too slowly, its whole queue is dropped, and it receives
+// the missed changes after its next heartbeat.
 func (p *Peering) sendToAttached(message fleet.Send) {
 	l := p.attachedLinks.newest(message.Incarnation)
 	if l == nil {
@@ -123,7 +124,7 @@
 	l.flushQueue()
 }
 
-// flushQueue writes queued messages, as far as the link accepts them.
+// flushQueue writes queued messages as far as the output buffer and the socket accept them.
 func (l *inboundLink) flushQueue() {
 	if l.Closed {
 		return
@@ -135,9 +136,9 @@
 	}
 }
 
-// excusePause extends the timeouts of all links by a time in which this process itself was paused: what the others sent
-// in the meantime may not have been read yet.
-func (p *Peering) excusePause() {
+// extendTimeoutsAfterPause extends the timeouts of inbound links by the time for which this process itself was paused,
+// as data that arrived during the pause may not have been read yet.
+func (p *Peering) extendTimeoutsAfterPause() {
 	now := p.Host.TurnTime
 	gap := now - p.lastTick
 	if p.acceptsAttached() && p.lastTick != 0 && gap > pauseThreshold {
@@ -149,7 +150,7 @@
 	p.lastTick = now
 }
 
-// closeAttachedLink closes a link at the node's request: its process was replaced, or sent what it may not send.
+// closeAttachedLink closes a link at the node's request, for example because its process was superseded.
 func (p *Peering) closeAttachedLink(link fleet.Link) {
 	for _, l := range slices.Clone(p.attachedLinks.byIncarnation[link.Incarnation]) {
 		if l.link.ChallengedAt == link.ChallengedAt {
--- a/internal/peering/attachedlinks_test.go
+++ b/internal/peering/attachedlinks_test.go
@@ -15,19 +15,19 @@
 	"chutechute/fleet/transport"
 )
 
-// A later incarnation of a name replaces the earlier one in all views, and the links of the earlier one are closed.
+// A later incarnation of a front end replaces the earlier one in all views, and the earlier one's links are closed.
 func TestLaterIncarnationReplacesEarlierOne(t *testing.T) {
 	f := newTestFleet(t)
 	earlier := f.start("x1")
 	f.awaitAllSee(4)
-	delete(f.frontEnds, "x1") // it is paused
+	delete(f.frontEnds, "x1") // it gets no more turns, like a paused process
 	for _, p := range f.frontEnds {
 		for _, l := range p.attachedLinks.byIncarnation[earlier.self.Incarnation] {
 			l.postponeIdleTimeout()
 		}
 	}
 	later := f.start("x1")
-	f.runUntil("the later one is seen, and the earlier one's links are closed", func() bool {
+	f.runUntil("the later incarnation in all views, and the earlier one's links to be closed", func() bool {
 		for _, p := range f.frontEnds {
 			e, _ := p.fleetNode.View().Lookup("x1")
 			if e.Incarnation != later.self.Incarnation || len(p.attachedLinks.byIncarnation[earlier.self.Incarnation]) > 0 {
@@ -42,10 +42,10 @@
 	f.frontEnds["x1"] = later
 }
 
-// postponeIdleTimeout keeps a link from being closed as idle.
+// postponeIdleTimeout prevents a link from being closed as idle.
 func (l *inboundLink) postponeIdleTimeout() { l.lastReceived += 3600 * second }
 
-// dialAs connects to a control member under an identity, and returns the connection with its side of the handshake.
+// dialAs connects to a control member, and returns the connection with a Dialer that has the given identity.
 func (f *testFleet) dialAs(control *Peering, self *transport.Identity) (*net.TCPConn, *transport.Dialer) {
 	conn, err := net.DialTCP("tcp4", nil, net.TCPAddrFromAddrPort(control.cfg.Listen))
 	require.NoError(f.t, err)
@@ -54,7 +54,8 @@
 	return conn, dialer
 }
 
-// readAvailable reads what comes within a millisecond, and replies to it; false at the end of the connection.
+// readAvailable reads what arrives within a millisecond and sends the handshake's reply. It returns false at the end of
+// the connection.
 func readAvailable(t *testing.T, conn *net.TCPConn, dialer *transport.Dialer) (open bool) {
 	var b [64 << 10]byte
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(time.Millisecond)))
@@ -66,7 +67,7 @@
 	return err == nil || os.IsTimeout(err)
 }
 
-// identity returns a new process's identity, in either role.
+// identity returns the identity of a new incarnation in the given role.
 func (f *testFleet) identity(name string, attached bool) *transport.Identity {
 	cfg := f.frontEnds["n1"].cfg
 	return &transport.Identity{
@@ -81,7 +82,7 @@
 	}
 }
 
-// A handshake whose name and role do not fit one another is rejected and counted, and leaves no trace in any view.
+// A handshake with a name that is invalid for its role is rejected and counted, and adds nothing to the view.
 func TestHandshakeRejectsNameThatDoesNotFitRole(t *testing.T) {
 	f := newTestFleet(t)
 	f.awaitAllSee(3)
@@ -90,7 +91,7 @@
 	for _, self := range identities {
 		before := f.host.Counters.PeerRejected
 		conn, d := f.dialAs(n1, self)
-		f.runUntil("it is rejected", func() bool { return !readAvailable(t, conn, d) })
+		f.runUntil("the link to be closed", func() bool { return !readAvailable(t, conn, d) })
 		assert.Equal(t, before+1, f.host.Counters.PeerRejected)
 		assert.False(t, d.Established())
 	}
@@ -98,7 +99,8 @@
 	assert.Zero(t, n1.attachedLinks.count)
 }
 
-// The links of attached front ends are bounded: those past the bound are rejected, and the control members' links stay.
+// The number of links of attached front ends is bounded. Those above the limit are rejected, and the links between
+// control members are not affected.
 func TestAttachedLinksAreBounded(t *testing.T) {
 	f := newTestFleet(t, func(f *testFleet) { f.maxDescriptors = 16 })
 	f.awaitAllSee(3)
@@ -112,20 +114,20 @@
 	for i := range 6 {
 		conn, d := f.dialAs(n1, f.identity(fmt.Sprintf("y%d", i), true))
 		links = append(links, link{conn, d})
-		f.runUntil("it is established, or rejected", func() bool { return !readAvailable(t, conn, d) || d.Established() })
+		f.runUntil("it to be established or closed", func() bool { return !readAvailable(t, conn, d) || d.Established() })
 	}
 	f.turn()
 	assert.Equal(t, 4, n1.attachedLinks.count)
 	assert.Equal(t, 2, f.host.Counters.AttachRefused)
 	anyEstablished := links[4].d.Established() || links[5].d.Established()
-	assert.False(t, anyEstablished, "they can go elsewhere without having been established")
+	assert.False(t, anyEstablished, "rejected in the handshake, so that they can attach elsewhere")
 	links[0].conn.Close()
-	f.runUntil("capacity for another", func() bool { return n1.attachedLinks.count == 3 })
+	f.runUntil("the closed link to be removed", func() bool { return n1.attachedLinks.count == 3 })
 	assert.True(t, n1.outbound["n2"].established() && n1.outbound["n3"].established())
 	assert.Len(t, n1.attachedLinks.byIncarnation, 3)
 }
 
-// An attached front end that does not read has a bounded queue, and delays no other.
+// The queue for an attached front end that does not read is bounded, and other front ends are still served.
 func TestQueueOfSlowReaderIsBounded(t *testing.T) {
 	f := newTestFleet(t)
 	x := f.start("x1")
@@ -133,7 +135,7 @@
 	n1 := f.frontEnds["n1"]
 	slow, d := f.dialAs(n1, f.identity("slow", true))
 	require.NoError(t, slow.SetReadBuffer(4<<10))
-	f.runUntil("it is established", func() bool {
+	f.runUntil("the link to be established", func() bool {
 		readAvailable(t, slow, d)
 		return len(n1.attachedLinks.byIncarnation[d.Local.Incarnation]) > 0
 	})
@@ -148,30 +150,30 @@
 		n1.sendToAttached(bulkMessage("slow", d.Local.Incarnation, small))
 	}
 	queued := l.Out.Len() + l.queue.QueuedBytes() - before
-	assert.Greater(t, queued, sent*len(small)-8*attachedSendBufferBytes, "the system buffers little of what is not read")
+	assert.Greater(t, queued, sent*len(small)-8*attachedSendBufferBytes, "the kernel buffers little of the unread data")
 	for range 64 {
 		before := *refused
 		n1.sendToAttached(bulkMessage("slow", d.Local.Incarnation, body))
 		require.LessOrEqual(t, n1.attachedLinks.queuedBytes, maxAttachedQueuedBytes)
 		if *refused > before {
-			require.Less(t, l.queue.QueuedBytes(), len(body), "the queue is dropped, but for a message that was begun")
+			require.Less(t, l.queue.QueuedBytes(), len(body), "the queue is dropped except for a partly sent message")
 		}
 	}
 	assert.Positive(t, *refused)
 	assert.LessOrEqual(t, l.queue.QueuedBytes(), maxAttachedUrgentBytes+n1.cfg.Attached.MaxViewBytes)
 	assert.Equal(t, l.queue.QueuedBytes(), n1.attachedLinks.queuedBytes)
 	f.start("x2")
-	f.runUntil("others are served", func() bool { return seesAlive(x, 5) || seesAlive(x, 6) })
-	f.runUntil("its link is closed", func() bool { return len(n1.attachedLinks.byIncarnation[d.Local.Incarnation]) == 0 })
+	f.runUntil("x1 to see x2", func() bool { return seesAlive(x, 5) || seesAlive(x, 6) })
+	f.runUntil("no link to it", func() bool { return len(n1.attachedLinks.byIncarnation[d.Local.Incarnation]) == 0 })
 	assert.Zero(t, n1.attachedLinks.queuedBytes)
 }
 
-// bulkMessage returns a bulk message to a process of an attached front end.
+// bulkMessage returns a bulk message to an attached front end.
 func bulkMessage(name string, incarnation uint64, body []byte) fleet.Send {
 	return fleet.Send{To: name, Incarnation: incarnation, Kind: transport.ViewUpdate, Bulk: true, Body: body}
 }
 
-// A control member that was paused itself does not close links as idle for that time.
+// A control member that was paused itself does not close links as idle because of the pause.
 func TestPauseDoesNotMakeLinksIdle(t *testing.T) {
 	f := newTestFleet(t)
 	x := f.start("x1")
@@ -187,7 +189,7 @@
 	}
 }
 
-// Links count as descriptors that clients and engines share where front ends may attach, and not elsewhere.
+// Links count towards the descriptors that clients and engines share only if front ends may attach.
 func TestLinksCountAsDescriptors(t *testing.T) {
 	f := newTestFleet(t)
 	f.start("x1")
--- a/internal/peering/budgetlease.go
+++ b/internal/peering/budgetlease.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// minBudgetReportInterval is the minimum interval between two reports of this front end's demand for the budgets.
+	// minBudgetReportInterval is the minimum interval between two reports of this front end's budget demand.
 	minBudgetReportInterval = 20 * monotime.Millisecond
-	// budgetReleaseTimeout bounds how long a planned end waits until the release of the budget leases is committed.
+	// budgetReleaseTimeout bounds how long a graceful shutdown waits for the release of the budget leases to be committed.
 	budgetReleaseTimeout = 300 * monotime.Millisecond
 )
 
-// startBudgets begins this front end's part in the fleet's budgets.
+// startBudgets creates this front end's lease holder and enforcer, and starts the lease holder.
 func (p *Peering) startBudgets(cfg *config.Peers) {
 	p.enforcer = enforce.New(p.Settings, p.Core)
 	holderConfig := budget.LeaseHolderConfig{
@@ -26,8 +26,9 @@
 	p.leaseHolder.Start(p.Host.TurnTime)
 }
 
-// Released reports whether a front end that has nothing else left to do may end: its budget leases are released, so
-// that others have them at once, or releasing them takes too long. The first call begins the release.
+// Released reports whether a front end that has completed the rest of its graceful shutdown may exit: its budget leases
+// are released, so that others can use the capacity at once, or budgetReleaseTimeout has passed. The first call starts
+// the release.
 func (p *Peering) Released() bool {
 	if p.leaseHolder == nil {
 		return true
--- a/internal/peering/budgetpage.go
+++ b/internal/peering/budgetpage.go
@@ -6,29 +6,29 @@
 	"chutechute/scheduler"
 )
 
-// BudgetPage is the page of the fleet's budgets, as this front end and its replica know them.
+// BudgetPage is the status page of the fleet's budgets, as known to this front end and its replica.
 type BudgetPage struct {
 	Name         string              `json:"name"`
 	Enabled      bool                `json:"on"`
 	Leader       string              `json:"leader"`
-	HasReplica   bool                `json:"copy"` // this front end has a replica, so that Budgets is valid
+	HasReplica   bool                `json:"copy"` // whether this front end has a replica, from which Budgets is filled
 	Version      uint64              `json:"version"`
 	LeaseHolder  *budget.LeaseStatus `json:"holder,omitempty"`
 	Inapplicable map[string]string   `json:"unknown,omitempty"` // budgets that do not apply at this site, with the reasons
 	Budgets      []budget.Status     `json:"budgets"`
 	Local        []BudgetUsage       `json:"here"`
-	Denials      []BudgetDenial      `json:"denied"` // recent ones, the newest first
+	Denials      []BudgetRejection   `json:"denied"` // recent ones, newest first
 }
 
-// BudgetDenial is a request that was rejected because a budget had no capacity left.
-type BudgetDenial struct {
+// BudgetRejection is a request that was rejected because a budget had no capacity left.
+type BudgetRejection struct {
 	RequestID    string `json:"call"`
 	Budget       string `json:"budget"`
 	AgeMS        int64  `json:"age_ms"`
 	RetryAfterMS int64  `json:"after_ms"`
 }
 
-// BudgetUsage is this front end's use of one budget. Amounts are in queries, threads or milliseconds of work.
+// BudgetUsage is this front end's usage of one budget. Amounts are in queries, threads or milliseconds of work.
 type BudgetUsage struct {
 	Budget           string  `json:"budget"`
 	Subject          string  `json:"subject,omitempty"`
@@ -41,27 +41,27 @@
 	LeaseRemainingMS int64   `json:"lease_left_ms"`
 }
 
-// emptyBudgetPage returns the page of a front end without budgets.
+// emptyBudgetPage returns the budget page of a front end without budgets.
 func (p *Peering) emptyBudgetPage() BudgetPage {
 	return BudgetPage{
 		Name:    p.cfg.Name,
 		Budgets: []budget.Status{},
 		Local:   []BudgetUsage{},
-		Denials: []BudgetDenial{},
+		Denials: []BudgetRejection{},
 	}
 }
 
-// budgetPage returns the page of all budgets, or of the one of a name. For the name of a rejected request it is the
-// page of the budget that rejected it.
+// budgetPage returns the page of the budget with the given name, or of all budgets if the name is empty. The name may
+// also be the ID of a recently rejected request, and then stands for the budget that rejected it.
 func (p *Peering) budgetPage(name string) BudgetPage {
 	page := p.emptyBudgetPage()
-	if p.controlNode == nil { // budgets are not divided among attached front ends
+	if p.controlNode == nil { // attached front ends have no part in budgets
 		return page
 	}
 	now := p.Host.TurnTime
-	denials := p.Core.Denials(name)
-	if name != "" && len(denials) > 0 {
-		name = denials[0].Budget
+	rejections := p.Core.Denials(name)
+	if name != "" && len(rejections) > 0 {
+		name = rejections[0].Budget
 	}
 	replica := p.controlNode.Replica()
 	page.Enabled = p.leaseHolder != nil
@@ -69,12 +69,12 @@
 	page.HasReplica = replica.GroupID() != 0
 	page.Version = p.budgetAuthority.SetVersion()
 	page.Budgets = p.budgetAuthority.Status(now, name)
-	for _, d := range denials {
-		page.Denials = append(page.Denials, BudgetDenial{
-			RequestID:    d.RequestID,
-			Budget:       d.Budget,
-			AgeMS:        (now - d.At) / monotime.Millisecond,
-			RetryAfterMS: d.RetryAfter / monotime.Millisecond,
+	for _, r := range rejections {
+		page.Denials = append(page.Denials, BudgetRejection{
+			RequestID:    r.RequestID,
+			Budget:       r.Budget,
+			AgeMS:        (now - r.At) / monotime.Millisecond,
+			RetryAfterMS: r.RetryAfter / monotime.Millisecond,
 		})
 	}
 	if p.leaseHolder != nil {
@@ -83,7 +83,7 @@
 	return page
 }
 
-// addLeaseStatus adds this front end's leases and its use of the budgets.
+// addLeaseStatus adds this front end's leases and its usage of the budgets.
 func (p *Peering) addLeaseStatus(page *BudgetPage, name string) {
 	leases := p.leaseHolder.Status(p.Host.TurnTime)
 	page.LeaseHolder, page.Inapplicable = &leases, p.enforcer.Unenforceable
@@ -92,14 +92,14 @@
 	}
 	for _, s := range p.Core.BudgetStatuses(p.Host.TurnTime) {
 		if name == "" || name == s.Budget {
-			page.Local = append(page.Local, newBudgetSpending(s, p.Host.TurnTime))
+			page.Local = append(page.Local, newBudgetUsage(s, p.Host.TurnTime))
 		}
 	}
 }
 
-// newBudgetSpending returns the page's form of a budget's status. A budget limits either a capacity or a rate.
-func newBudgetSpending(status scheduler.BudgetStatus, now monotime.Micros) BudgetUsage {
-	const milliUnits = 1000.0 // the scheduler counts in thousandths
+// newBudgetUsage returns the usage from a budget's status. A budget limits either a capacity or a rate.
+func newBudgetUsage(status scheduler.BudgetStatus, now monotime.Micros) BudgetUsage {
+	const milliUnits = 1000.0 // the scheduler's amounts are in thousandths
 	lease, static := status.Lease.Capacity, status.Static.Capacity
 	if status.Lease.Rate+status.Static.Rate > 0 {
 		lease, static = status.Lease.Rate, status.Static.Rate
--- a/internal/peering/controlmember.go
+++ b/internal/peering/controlmember.go
@@ -11,8 +11,8 @@
 	"chutechute/internal/raftlog"
 )
 
-// startControlMember builds a control member's node: its disk, its replica of the records, and the membership
-// server for front ends that attach.
+// startControlMember creates a control member's fleet node with its write-ahead log, its replica, and the membership
+// server if front ends may attach.
 func (p *Peering) startControlMember(cfg *config.Peers, incarnation uint64) error {
 	c := cfg.Node
 	c.Incarnation, c.NewID = incarnation, randomID
@@ -33,7 +33,7 @@
 		c.Membership = &server
 		p.attachedLinks.byIncarnation = map[uint64][]*inboundLink{}
 	}
-	p.controlNode = fleet.NewNode(c, p.recordChanged)
+	p.controlNode = fleet.NewNode(c, p.handleNotification)
 	p.fleetNode = p.controlNode
 	p.controlNode.OnPeerChange = logPeerChange
 	if err := p.controlNode.Recover(p.Host.TurnTime, persisted); err != nil && p.storeErr == nil {
@@ -50,8 +50,8 @@
 	logStateChange(peer.Name, membership.Control, peer.State.String(), peer.Incarnation, "")
 }
 
-// recordChanged passes on that replicated records about a topic, for which this front end may wait, have changed.
-func (p *Peering) recordChanged(topic string) {
+// handleNotification notifies the client that waits for a topic that its replicated state may have changed.
+func (p *Peering) handleNotification(topic string) {
 	if topic != budget.NotificationTopic {
 		p.idempotencyClient.Notify(p.Host.TurnTime, topic)
 	} else if p.leaseHolder != nil {
--- a/internal/peering/counters.go
+++ b/internal/peering/counters.go
@@ -5,8 +5,8 @@
 	"chutechute/internal/counters"
 )
 
-// Descriptors returns how many descriptors the links take of those that clients and engines share with them. It is zero
-// where no front end may attach: the few links among control members alone are not counted. A nil Peering has none.
+// Descriptors returns the number of file descriptors of links, which reduce those available for clients and engines. It
+// is zero if no front ends may attach, as the few links between control members do not count, and for a nil Peering.
 func (p *Peering) Descriptors() int {
 	if p == nil || p.cfg.Attached == nil {
 		return 0
@@ -14,7 +14,7 @@
 	return len(p.inbound) + len(p.outbound)
 }
 
-// ReportCounters sets the counters of idempotent requests and, where front ends may attach, those of the view.
+// ReportCounters sets the counters of idempotent requests and, if front ends may attach, those of the view.
 func (p *Peering) ReportCounters(count *counters.Set) {
 	count.Noted = p.fleetNode.Proposals()
 	count.Adopted = p.idempotencyClient.TakenOver
--- a/internal/peering/fleet_test.go
+++ b/internal/peering/fleet_test.go
@@ -27,16 +27,17 @@
 
 const second = 1000 * monotime.Millisecond
 
-// testFleet has front ends of both roles over one loop and real sockets, without clients and engines.
+// testFleet runs front ends of both roles on one event loop with real sockets, without clients and engines.
 type testFleet struct {
 	t              *testing.T
 	host           Host
-	frontEnds      map[string]*Peering // those that run, by name
-	section        map[string]any      // the fleet section of the configuration
+	frontEnds      map[string]*Peering // running ones, by name
+	section        map[string]any      // the fleet section of the installation file
 	maxDescriptors int
 }
 
-// newTestFleet starts three control members, n1 to n3, that others may attach to. Options may change the fleet before.
+// newTestFleet starts three control members, n1 to n3, to which front ends may attach. The options are applied before
+// the start.
 func newTestFleet(t *testing.T, options ...func(*testFleet)) *testFleet {
 	loop, err := eventloop.NewLoop()
 	require.NoError(t, err)
@@ -68,7 +69,7 @@
 
 var usedAddresses int
 
-// freeAddress returns a port on a loopback address that nothing else uses.
+// freeAddress returns an unused port on a loopback address.
 func freeAddress(t *testing.T) string {
 	usedAddresses++
 	pid := os.Getpid()
@@ -106,8 +107,8 @@
 	return p
 }
 
-// kill closes all that a front end has open, as the end of its process would. A front end that was killed is left
-// alone.
+// kill closes everything that a front end has open, as the exit of its process would. It does nothing if the front end
+// was killed before.
 func (f *testFleet) kill(p *Peering) {
 	if f.frontEnds[p.cfg.Name] != p {
 		return
@@ -125,7 +126,7 @@
 	p.Close()
 }
 
-// turn does what a server does in one turn of its loop, for all front ends.
+// turn does for all front ends what a server does in one turn of its loop.
 func (f *testFleet) turn() {
 	ready, err := f.host.Loop.Wait(5 * monotime.Millisecond)
 	require.NoError(f.t, err)
@@ -140,17 +141,17 @@
 	}
 }
 
-// runUntil takes turns until a condition holds, and fails the test where that takes too long.
+// runUntil takes turns until a condition holds, and fails the test after testharness.WaitTimeout.
 func (f *testFleet) runUntil(description string, holds func() bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(testharness.WaitTimeout)
 	for !holds() {
-		require.True(f.t, time.Now().Before(deadline), "not in time: %s", description)
+		require.True(f.t, time.Now().Before(deadline), "timed out waiting for: %s", description)
 		f.turn()
 	}
 }
 
-// seesAlive reports whether a front end sees exactly so many as alive, itself included.
+// seesAlive reports whether a front end sees exactly total front ends as alive, itself included.
 func seesAlive(p *Peering, total int) bool {
 	alive := 0
 	for _, e := range p.fleetNode.View().Entries() {
@@ -161,10 +162,10 @@
 	return alive == total
 }
 
-// awaitAllSee takes turns until every front end sees exactly so many as alive.
+// awaitAllSee takes turns until every front end sees exactly total front ends as alive.
 func (f *testFleet) awaitAllSee(total int) {
 	f.t.Helper()
-	f.runUntil(fmt.Sprintf("all see %d", total), func() bool {
+	f.runUntil(fmt.Sprintf("all front ends to see %d as alive", total), func() bool {
 		for _, p := range f.frontEnds {
 			if !seesAlive(p, total) {
 				return false
--- a/internal/peering/fleetnode.go
+++ b/internal/peering/fleetnode.go
@@ -8,20 +8,20 @@
 	"chutechute/internal/monotime"
 )
 
-// fleetNode is a front end's node of the fleet in either role: a fleet.Node or a fleet.AttachedNode.
+// fleetNode is a fleet.Node or a fleet.AttachedNode, depending on the front end's role.
 type fleetNode interface {
 	idempotencyclient.Proposer
-	// Receive handles a message; after an error its link has to be closed.
+	// Receive handles a message. After an error its link must be closed.
 	Receive(now monotime.Micros, l fleet.Link, kind transport.Kind, body []byte) error
-	// Tick handles timeouts.
+	// Tick sends heartbeats and handles timeouts.
 	Tick(now monotime.Micros)
-	// Leave announces a planned end to the others.
+	// Leave announces the graceful shutdown to the other front ends.
 	Leave()
-	// Actions returns the actions to be carried out since it was called last.
+	// Actions returns the actions to execute, and clears them.
 	Actions() []fleet.Action
-	// Proposals returns how many commands were proposed to the replicated records.
+	// Proposals returns the number of commands proposed to the replicated log.
 	Proposals() int
-	// View returns the view of all front ends of both roles; nil where none may attach.
+	// View returns the view of all front ends of both roles; nil if none may attach.
 	View() *membership.View
 }
 
--- a/internal/peering/hollow.go
+++ b/internal/peering/hollow.go
@@ -10,13 +10,13 @@
 	"chutechute/internal/monotime"
 )
 
-// Hollow runs several front ends over one loop, without clients, engines and scheduling: each has the membership,
-// the links and the replica that a server has. It measures the cost of a large fleet's control traffic. All its
-// methods but Do and Stop belong to one goroutine.
+// Hollow runs several hollow front ends on one event loop: each has the membership, links and replica of a server, but
+// no clients, engines or scheduler. It is used to measure the cost of a large fleet's control traffic. All methods
+// except Post and Stop must be called from one goroutine.
 type Hollow struct {
 	Host
 	tasks          eventloop.Tasks
-	frontEnds      []*hollowFrontEnd // in the order of their starts
+	frontEnds      []*hollowFrontEnd // in the order in which they were started
 	pendingChanges []*pendingChange
 	stopped        bool
 }
@@ -25,17 +25,17 @@
 type hollowFrontEnd struct {
 	*Peering
 	nextTick       monotime.Micros
-	handledBytesIn int             // Traffic.BytesIn when actions were carried out last
-	pausedUntil    monotime.Micros // 0 while it runs
+	handledBytesIn int             // Traffic.BytesIn when actions were last executed
+	pausedUntil    monotime.Micros // 0 unless paused
 }
 
 // Errors of a Hollow.
 var (
-	ErrUnknownHollow   = errors.New("peering: no hollow front end of that name runs here")
-	ErrDuplicateHollow = errors.New("peering: a hollow front end of that name runs already")
+	ErrUnknownHollow   = errors.New("peering: no such hollow front end")
+	ErrDuplicateHollow = errors.New("peering: hollow front end already running")
 )
 
-// NewHollow returns a Hollow without front ends, or the error of creating its loop.
+// NewHollow returns a Hollow without front ends. It returns an error if the event loop cannot be created.
 func NewHollow() (*Hollow, error) {
 	loop, err := eventloop.NewLoop()
 	if err != nil {
@@ -44,22 +44,22 @@
 	return &Hollow{Host: NewHost(loop)}, nil
 }
 
-// Post runs a function on the loop, within a tick. It may be called from any goroutine.
+// Post runs a function on the loop within a tick interval. It may be called from any goroutine.
 func (h *Hollow) Post(work func()) { h.tasks.Post(work) }
 
-// Stop ends Run within a tick. It may be called from any goroutine.
+// Stop makes Run return within a tick interval. It may be called from any goroutine.
 func (h *Hollow) Stop() { h.Post(func() { h.stopped = true }) }
 
-// Now returns the time of this turn of the loop, in microseconds of Unix time that never goes back.
+// Now returns the start time of the current turn of the loop, in microseconds of Unix time. It never goes back.
 func (h *Hollow) Now() monotime.Micros { return h.TurnTime }
 
-// Start starts a front end under its configured name and addresses, and returns its incarnation. It returns
-// ErrDuplicateHollow where one of that name runs here, or the error of building it or of listening.
+// Start starts a front end with the given configuration and returns its incarnation. It returns ErrDuplicateHollow if a
+// front end of that name is already running here, or an error if the front end cannot be created or cannot listen.
 func (h *Hollow) Start(cfg *config.Peers, seed uint64) (incarnation uint64, err error) {
 	if h.frontEnd(cfg.Name) != nil {
 		return 0, fmt.Errorf("%w: %q", ErrDuplicateHollow, cfg.Name)
 	}
-	firstTickDelay := monotime.Micros(seed % uint64(eventloop.TickInterval)) // processes do not tick in step
+	firstTickDelay := monotime.Micros(seed % uint64(eventloop.TickInterval)) // processes tick at different times
 	f := &hollowFrontEnd{nextTick: h.TurnTime + firstTickDelay}
 	program := Program{Host: &h.Host, Seed: seed, Post: h.Post, Draining: func() bool { return false }}
 	if f.Peering, err = NewPeering(program, cfg); err != nil {
@@ -72,8 +72,8 @@
 	return f.self.Incarnation, nil
 }
 
-// Kill ends a front end as a crash does: its connections are closed as the system closes those of a dead process. It
-// returns ErrUnknownHollow where none of that name runs here.
+// Kill ends a front end like a crash: its descriptors are closed without notice, as the kernel does for a dead process.
+// It returns ErrUnknownHollow if no front end of that name is running here.
 func (h *Hollow) Kill(name string) error {
 	f := h.frontEnd(name)
 	if f == nil {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// Pause pauses a front end until a time, as a stopped process is: it reads, sends and notices nothing. It
-// returns ErrUnknownHollow where none of that name runs here.
+// Pause suspends a front end until the given time, like a stopped process: it reads and sends nothing, and its timers
+// do not run. It returns ErrUnknownHollow if no front end of that name is running here.
 func (h *Hollow) Pause(name string, until monotime.Micros) error {
 	f := h.frontEnd(name)
 	if f == nil {
@@ -101,17 +101,17 @@
 	return nil
 }
 
-// resume ends a front end's pause.
+// resume ends a front end's pause and registers its descriptors with the loop again.
 func (h *Hollow) resume(f *hollowFrontEnd) {
 	f.pausedUntil = 0
 	f.eachDescriptor(func(fd int, interest uint32, handler eventloop.Handler) {
 		if err := h.Loop.Add(fd, interest, handler); err != nil {
-			h.Loop.CloseDescriptor(fd) // the next write fails, and the link is replaced
+			h.Loop.CloseDescriptor(fd) // the next write fails, and then the link is replaced
 		}
 	})
 }
 
-// frontEnd returns the front end of a name; nil where none runs here.
+// frontEnd returns the front end with the given name; nil if none is running here.
 func (h *Hollow) frontEnd(name string) *hollowFrontEnd {
 	for _, f := range h.frontEnds {
 		if f.cfg.Name == name {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// Close ends all front ends here, and closes the loop.
+// Close ends all front ends and closes the loop.
 func (h *Hollow) Close() {
 	for _, f := range h.frontEnds {
 		f.closeAll()
--- a/internal/peering/hollow_test.go
+++ b/internal/peering/hollow_test.go
@@ -15,13 +15,13 @@
 	"chutechute/internal/testharness/site"
 )
 
-// hollowFleet has hollow control members of one site over one loop.
+// hollowFleet runs hollow control members of one site on one event loop.
 type hollowFleet struct {
 	*Hollow
 	t            *testing.T
 	config       map[string]*config.Peers
 	names        []string
-	incarnations map[string]uint64 // of the latest start, by name
+	incarnations map[string]uint64 // the latest ones, by name
 }
 
 func newHollowFleet(t *testing.T, size int) *hollowFleet {
@@ -58,7 +58,7 @@
 	f.incarnations[name] = incarnation
 }
 
-// runUntil runs the loop until a condition holds, and fails the test where that takes too long.
+// runUntil runs the loop until a condition holds, and fails the test after 30 s.
 func (f *hollowFleet) runUntil(holds func() bool) {
 	f.t.Helper()
 	for range 3000 {
@@ -70,13 +70,13 @@
 	require.Fail(f.t, "the condition does not hold within 30 s of the loop's time")
 }
 
-// countComplete returns how many see all as alive.
+// countComplete returns how many front ends see all front ends as alive.
 func (f *hollowFleet) countComplete() int {
 	complete, _ := f.CountComplete(len(f.names))
 	return complete
 }
 
-// totalTraffic returns the traffic of all front ends together.
+// totalTraffic returns the sum of all front ends' traffic.
 func (f *hollowFleet) totalTraffic() (total Traffic) {
 	for _, name := range f.names {
 		one, _ := f.Traffic(name)
@@ -85,8 +85,8 @@
 	return total
 }
 
-// The counts of traffic add up: each message is a frame, all bytes are payload or frame headers, and what one side
-// sends another receives.
+// The traffic counters are consistent: each message is a frame, all bytes are payload or frame headers, and every sent
+// message is received.
 func TestHollowTrafficAddsUp(t *testing.T) {
 	const size = 4
 	f := newHollowFleet(t, size)
@@ -102,13 +102,13 @@
 	d := f.totalTraffic().Minus(before)
 	assert.Equal(t, d.BytesOut, d.PayloadOut+d.MessagesOut*frameHeaderBytes)
 	assert.Equal(t, d.BytesIn, d.PayloadIn+d.MessagesIn*frameHeaderBytes)
-	assert.InDelta(t, d.MessagesOut, d.MessagesIn, 4*size*size, "but for messages on their way")
+	assert.InDelta(t, d.MessagesOut, d.MessagesIn, 4*size*size, "they may differ by the messages in transit")
 	assert.Positive(t, d.HeartbeatSize)
 	assert.LessOrEqual(t, d.HeartbeatSize, d.PayloadIn)
 }
 
-// A paused front end neither receives nor sends, and goes on afterwards. A killed one leaves no connection, and the
-// others see both its end and its next start.
+// A paused front end neither receives nor sends, and continues afterwards. A killed one leaves no connections behind,
+// and the others see its death and its next start.
 func TestHollowPauseAndKill(t *testing.T) {
 	const size = 4
 	f := newHollowFleet(t, size)
@@ -128,7 +128,7 @@
 	require.NoError(t, f.Kill("n4"))
 	removal := Change{Name: "n4", Incarnation: f.incarnations["n4"], Removed: true}
 	f.AwaitChange(removal, func(at monotime.Micros) { seen = at })
-	assert.EqualValues(t, -1, seen, "an end is noticed by missing heartbeats only")
+	assert.EqualValues(t, -1, seen, "a death is only detected by missing heartbeats")
 	for _, name := range f.names[:3] {
 		assert.LessOrEqual(t, f.Connections(name), 2*(size-1))
 	}
@@ -145,7 +145,7 @@
 	f.runUntil(func() bool { return seen > 0 })
 }
 
-// A change is awaited of the front ends that run, and no longer of those that end or are paused.
+// AwaitChange waits for running front ends only, and no longer for one that is killed or paused.
 func TestHollowAwaitsRunningFrontEndsOnly(t *testing.T) {
 	f := newHollowFleet(t, 3)
 	for _, name := range f.names {
@@ -158,9 +158,9 @@
 	require.NoError(t, f.Pause("n2", f.Now()+60_000*monotime.Millisecond))
 	assert.Empty(t, seenAt)
 	require.NoError(t, f.Kill("n3"))
-	assert.Equal(t, []monotime.Micros{0}, seenAt, "nobody has seen it")
+	assert.Equal(t, []monotime.Micros{0}, seenAt, "no front end has seen it")
 	f.AwaitChange(never, func(at monotime.Micros) { seenAt = append(seenAt, at) })
-	assert.Equal(t, []monotime.Micros{0, 0}, seenAt, "nobody is left to see it")
+	assert.Equal(t, []monotime.Micros{0, 0}, seenAt, "there is no front end to wait for")
 	killed := Change{Name: "n3", Incarnation: f.incarnations["n3"], Removed: true}
 	f.AwaitChange(killed, func(at monotime.Micros) { seenAt = append(seenAt, at) })
 	f.runUntil(func() bool { return len(seenAt) == 3 })
--- a/internal/peering/hollowchange.go
+++ b/internal/peering/hollowchange.go
@@ -6,25 +6,25 @@
 	"chutechute/internal/monotime"
 )
 
-// Change is a change of one front end that all others are to see: that a process is alive, or that it is dead or
-// has left.
+// Change is a change of a front end's state that the other front ends are expected to see: the incarnation is alive or,
+// if Removed is set, dead or left.
 type Change struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 	Removed     bool   `json:"gone"` // dead or left
 }
 
-// pendingChange is a change that not all front ends here have seen yet.
+// pendingChange is a change that some front ends here have not seen yet.
 type pendingChange struct {
 	change   Change
 	unseenBy map[*hollowFrontEnd]struct{}
-	lastSeen monotime.Micros // when a front end here last saw it; 0: none has
+	lastSeen monotime.Micros // when the latest front end saw it; 0 if none has
 	onSeen   func(lastSeen monotime.Micros)
 }
 
-// AwaitChange calls done, on the loop, once every front end that runs here now has seen a change, or has ended or been
-// paused. The front end that the change is about does not count. Seen is the time of the tick in which the last of
-// them saw it; 0 where none has.
+// AwaitChange calls done, on the loop, once each front end that is running here now has seen a change or was killed or
+// paused. The front end that the change is about is not waited for. The argument of done is the time of the tick in
+// which the last of them saw the change, 0 if none has.
 func (h *Hollow) AwaitChange(change Change, done func(seen monotime.Micros)) {
 	pending := &pendingChange{change: change, unseenBy: map[*hollowFrontEnd]struct{}{}, onSeen: done}
 	for _, f := range h.frontEnds {
@@ -43,7 +43,7 @@
 	h.pendingChanges = append(h.pendingChanges, pending)
 }
 
-// PendingChanges returns, for each change that is awaited, the names of the front ends here that have not seen it yet.
+// PendingChanges returns the names of the front ends here that have not seen a change yet, for each awaited change.
 func (h *Hollow) PendingChanges() map[Change][]string {
 	waiting := map[Change][]string{}
 	for _, pending := range h.pendingChanges {
@@ -56,7 +56,7 @@
 	return waiting
 }
 
-// recordSeen records which pending changes a front end sees by now.
+// recordSeen records which pending changes a front end now sees.
 func (h *Hollow) recordSeen(f *hollowFrontEnd) {
 	for _, pending := range h.pendingChanges {
 		if _, unseen := pending.unseenBy[f]; unseen && f.sees(pending.change) {
@@ -67,7 +67,7 @@
 	h.finishAwaits()
 }
 
-// stopAwaiting stops waiting for a front end that has ended or is paused.
+// stopAwaiting stops waiting for a front end that was killed or paused.
 func (h *Hollow) stopAwaiting(f *hollowFrontEnd) {
 	for _, pending := range h.pendingChanges {
 		delete(pending.unseenBy, f)
@@ -75,8 +75,8 @@
 	h.finishAwaits()
 }
 
-// finishAwaits reports the changes that nobody is waited for any more. The list is updated first, as a callback may
-// await other changes.
+// finishAwaits calls the callbacks of the changes for which no front end is waited for any more. It updates the list
+// first, as a callback may await further changes.
 func (h *Hollow) finishAwaits() {
 	remaining := h.pendingChanges[:0]
 	var finished []*pendingChange
@@ -93,7 +93,7 @@
 	}
 }
 
-// sees reports whether a front end's view shows a change. A process that it has never seen counts as dead.
+// sees reports whether a change is visible to a front end. An incarnation that it does not know counts as dead.
 func (p *Peering) sees(change Change) bool {
 	if view := p.fleetNode.View(); view != nil {
 		return viewShows(view, change)
--- a/internal/peering/hollowloop.go
+++ b/internal/peering/hollowloop.go
@@ -9,8 +9,8 @@
 
 const nanosecondsPerMicro = 1000
 
-// Run runs the loop until a time of its clock, or until Stop. It returns an error where the loop cannot wait for
-// readiness.
+// Run runs the loop until the given time of its clock, or until Stop is called. It returns an error if waiting for
+// readiness events fails.
 func (h *Hollow) Run(until monotime.Micros) error {
 	for !h.stopped && h.TurnTime < until {
 		if err := h.runTurn(until); err != nil {
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// runTurn waits for readiness or the next tick, dispatches readiness, and lets each front end do what a server does
-// in one turn.
+// runTurn waits for readiness events or the next tick, dispatches the events, and does for each front end what a server
+// does in one turn.
 func (h *Hollow) runTurn(until monotime.Micros) error {
 	h.awaitMinTurnInterval()
 	ready, err := h.Loop.Wait(h.nextTurnAt(until) - h.Clock.Now())
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// awaitMinTurnInterval sleeps until the minimum interval since the last turn has passed.
+// awaitMinTurnInterval sleeps until eventloop.MinTurnInterval has passed since the start of the last turn.
 func (h *Hollow) awaitMinTurnInterval() {
 	if rest := h.TurnTime + eventloop.MinTurnInterval - h.Clock.Now(); rest > 0 {
 		sleep := unix.NsecToTimespec(rest * nanosecondsPerMicro)
@@ -49,7 +49,7 @@
 	}
 }
 
-// nextTurnAt returns the latest time at which the next turn is due.
+// nextTurnAt returns the time at which the next turn is due without readiness events.
 func (h *Hollow) nextTurnAt(until monotime.Micros) monotime.Micros {
 	next := min(until, h.TurnTime+eventloop.TickInterval)
 	for _, f := range h.frontEnds {
@@ -58,7 +58,7 @@
 	return next
 }
 
-// stepFrontEnd ticks a front end where that is due, and carries out the actions that messages have led to.
+// stepFrontEnd ticks a front end if that is due, and executes the actions that result from received messages.
 func (h *Hollow) stepFrontEnd(f *hollowFrontEnd) {
 	if f.pausedUntil > h.TurnTime {
 		return
@@ -77,8 +77,8 @@
 	}
 }
 
-// LongestTurn returns the longest turn of the loop since its last call, in microseconds. Where that comes near the
-// links' timeouts, front ends that share the loop disturb one another as separate processes would not.
+// LongestTurn returns the duration of the loop's longest turn since the previous call. If it comes close to the links'
+// timeouts, the front ends that share the loop delay one another as separate processes would not.
 func (h *Hollow) LongestTurn() monotime.Micros {
 	longest := h.Counters.LongestTurn
 	h.Counters.LongestTurn = 0
--- a/internal/peering/hollowview.go
+++ b/internal/peering/hollowview.go
@@ -8,7 +8,7 @@
 	"chutechute/internal/eventloop"
 )
 
-// Traffic returns what a front end has read and written since its start; false where none of that name runs here.
+// Traffic returns a front end's traffic since its start; false if no front end of that name is running here.
 func (h *Hollow) Traffic(name string) (Traffic, bool) {
 	f := h.frontEnd(name)
 	if f == nil {
@@ -17,7 +17,7 @@
 	return f.traffic, true
 }
 
-// Connections returns how many links a front end has open, inbound and outbound; 0 where none of that name runs here.
+// Connections returns the number of a front end's open links in both directions; 0 if it is not running here.
 func (h *Hollow) Connections(name string) int {
 	f := h.frontEnd(name)
 	if f == nil {
@@ -26,23 +26,23 @@
 	return f.connectionCount()
 }
 
-// CountComplete returns how many front ends here see a total of so many as alive, themselves included, and the
-// lowest number that any of them sees.
-func (h *Hollow) CountComplete(total int) (complete, least int) {
-	least = total
-	countByDigest := map[uint64]int{} // most views are equal
+// CountComplete returns how many front ends here see exactly total front ends as alive, themselves included, and the
+// lowest number of alive front ends that any of them sees.
+func (h *Hollow) CountComplete(total int) (complete, minAlive int) {
+	minAlive = total
+	countByDigest := map[uint64]int{} // cached, as most views are equal
 	for _, f := range h.frontEnds {
 		alive := f.countAlive(total, countByDigest)
 		if alive == total {
 			complete++
 		}
-		least = min(least, alive)
+		minAlive = min(minAlive, alive)
 	}
-	return complete, least
+	return complete, minAlive
 }
 
 // countAlive returns how many front ends this one sees as alive, itself included. For a view with fewer than total
-// entries it returns the number of entries, which spares counting. Counts of other views are cached in
+// entries it returns the number of entries without counting the alive ones. Counts of other views are cached in
 // countByDigest.
 func (p *Peering) countAlive(total int, countByDigest map[uint64]int) int {
 	view := p.fleetNode.View()
@@ -76,8 +76,8 @@
 	return alive
 }
 
-// eachDescriptor calls a function with each open descriptor, its interest and its handler. The admin socket, which
-// a hollow front end does not have, is left out.
+// eachDescriptor calls visit for each open descriptor with its interest and handler. It omits the admin socket, which
+// hollow front ends do not have.
 func (p *Peering) eachDescriptor(visit func(fd int, interest uint32, handler eventloop.Handler)) {
 	if p.listener != nil {
 		visit(p.listener.fd, unix.EPOLLIN, p.listener)
@@ -92,7 +92,7 @@
 	}
 }
 
-// connectionCount returns how many links are open, in both directions.
+// connectionCount returns the number of open links in both directions.
 func (p *Peering) connectionCount() int {
 	open := len(p.inbound)
 	for _, l := range p.outbound {
--- a/internal/peering/inboundlink.go
+++ b/internal/peering/inboundlink.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// minIdleTimeout is the minimum time after which a link is closed on which nothing comes, not even heartbeats: the
-	// other side has made a new link, or its process has ended.
+	// minIdleTimeout is the minimum time without input after which a link is closed. As not even heartbeats have
+	// arrived by then, the remote side has opened a new link or its process has ended.
 	minIdleTimeout = 10000 * monotime.Millisecond
-	// maxReadsPerTurn bounds how often one link fills its input buffer in one turn. The rest is read in the next turn.
+	// maxReadsPerTurn bounds how often a link's input buffer is filled in one turn. The rest is read in the next turn.
 	maxReadsPerTurn = 16
 )
 
-// inboundLink is a link over which another front end sends.
+// inboundLink is a link that another front end has dialed and sends messages over.
 type inboundLink struct {
 	linkSender
 	handshake    *transport.Listener
-	lastReceived monotime.Micros // when bytes last came, or the link was accepted
-	link         fleet.Link      // the other side's identity; only ChallengedAt is set before the end of the handshake
-	attached     bool            // established by an attached front end, to which messages are sent over it too
+	lastReceived monotime.Micros // when bytes last arrived, or the link was accepted
+	link         fleet.Link      // the remote side's identity; only ChallengedAt is set before the end of the handshake
+	attached     bool            // established by an attached front end, to which messages are sent over the link
 }
 
-// writeHandshake sends a message of the handshake; none where it is empty.
+// writeHandshake sends a handshake message, unless it is empty.
 func (l *inboundLink) writeHandshake(message []byte) {
 	if len(message) == 0 || l.Closed {
 		return
@@ -43,14 +43,14 @@
 	l.UpdateInterest(true)
 }
 
-// terminate closes the link and removes it. Terminating it again does nothing.
+// terminate closes and removes the link. Further calls have no effect.
 func (l *inboundLink) terminate() {
 	l.Close()
 	delete(l.peering.inbound, l)
 	l.releaseAttached()
 }
 
-// tick checks the link's timeouts.
+// tick closes the link if one of its timeouts has passed.
 func (l *inboundLink) tick() {
 	idle := l.peering.Host.TurnTime - l.lastReceived
 	handshakeTimedOut := !l.handshake.Established() && idle >= handshakeTimeout
@@ -59,8 +59,8 @@
 	}
 }
 
-// idleTimeout is the time after which the link is closed where nothing comes. An attached front end that is still
-// taken for alive keeps its link.
+// idleTimeout returns the time without input after which the link is closed. It is longer than the time after which an
+// attached front end is presumed dead, so that one that is still seen as alive keeps its link.
 func (l *inboundLink) idleTimeout() monotime.Micros {
 	if !l.attached {
 		return minIdleTimeout
@@ -68,7 +68,7 @@
 	return max(minIdleTimeout, 2*l.peering.cfg.Attached.Config.DeadAfter)
 }
 
-// Ready handles readiness of the link's socket.
+// Ready handles readiness events of the link's socket.
 func (l *inboundLink) Ready(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
 		if err := l.Flush(); err != nil {
@@ -101,7 +101,7 @@
 	l.UpdateInterest(true)
 }
 
-// processInput continues the handshake with the bytes in the input buffer, or passes their messages on to the node.
+// processInput decodes the input buffer. It continues the handshake, and passes messages after it on to the fleet node.
 func (l *inboundLink) processInput() error {
 	p := l.peering
 	l.lastReceived = p.Host.TurnTime
@@ -114,7 +114,7 @@
 	if !wasEstablished && l.handshake.Established() && !l.Closed {
 		l.handleAuthenticated()
 	}
-	for _, m := range messages { // those before an error too
+	for _, m := range messages { // also those received before an error
 		p.traffic.countReceived(m)
 		if err == nil {
 			err = p.controlNode.Receive(p.Host.TurnTime, l.link, m.Kind, m.Body)
@@ -123,7 +123,7 @@
 	return err
 }
 
-// handleAuthenticated takes over the identity that the other side has proven.
+// handleAuthenticated stores the remote side's identity at the end of the handshake.
 func (l *inboundLink) handleAuthenticated() {
 	remote := &l.handshake.Remote
 	l.link.From, l.link.Incarnation = remote.Name, remote.Incarnation
@@ -133,9 +133,9 @@
 	}
 }
 
-// reportRejection counts and logs why a link is closed: what came over it is not acceptable.
+// reportRejection counts and logs that a link is closed because the remote side sent an invalid handshake or message.
 func (l *inboundLink) reportRejection(err error) {
-	if errors.Is(err, transport.ErrAtCapacity) { // counted only, as there may be many of these
+	if errors.Is(err, transport.ErrAtCapacity) { // not logged, as there may be many
 		l.peering.Host.Counters.AttachRefused++
 		return
 	}
--- a/internal/peering/lifecycle.go
+++ b/internal/peering/lifecycle.go
@@ -7,8 +7,8 @@
 	"chutechute/internal/config"
 )
 
-// Listen opens the listener for links, at a control member, and the admin socket, where one is configured. It
-// returns an error where an address cannot be listened at.
+// Listen starts listening for links, at a control member, and on the admin socket, if one is configured. It returns an
+// error if it cannot listen on one of them.
 func (p *Peering) Listen() (err error) {
 	if p.controlNode != nil {
 		if p.listener, err = newLinkListener(p); err != nil {
@@ -21,8 +21,9 @@
 	return err
 }
 
-// Reload applies the budgets of a new configuration. Changes of anything else are logged, as they take effect at
-// the next start. Reloading a nil Peering, or with no configuration, does nothing.
+// Reload applies the budgets of a new configuration. It logs a warning if settings that all front ends share have
+// changed, or if budgets were added or removed, as such changes take effect at the next start. It does nothing if the
+// Peering or the configuration is nil.
 func (p *Peering) Reload(cfg *config.Peers) {
 	if p == nil || cfg == nil {
 		return
@@ -42,8 +43,8 @@
 	}
 }
 
-// Close writes what is queued for the disk and removes the admin socket, at a planned end. Links are left to the end of
-// the process.
+// Close completes the queued disk writes and removes the admin socket at a graceful shutdown. Links stay open until the
+// process exits.
 func (p *Peering) Close() {
 	if p.storeWriter != nil {
 		if err := p.storeWriter.Close(); err != nil {
@@ -55,7 +56,7 @@
 	}
 }
 
-// closeAll closes all that the front end has open, as the end of its process would.
+// closeAll closes everything that the front end has open, as the exit of its process would.
 func (p *Peering) closeAll() {
 	for _, l := range p.outbound {
 		l.Close()
--- a/internal/peering/link.go
+++ b/internal/peering/link.go
@@ -12,42 +12,42 @@
 const (
 	linkInputBytes  = 64 << 10  // capacity of a link's input buffer
 	linkOutputBytes = 256 << 10 // capacity of a link's output buffer
-	// linkOutputTarget is how many bytes are kept in the output buffer while frames are queued. It leaves space for the
-	// longest frame.
+	// linkOutputTarget is the fill level up to which queued frames are moved to the output buffer. The rest of the buffer
+	// has space for the longest frame.
 	linkOutputTarget = linkOutputBytes / 2
-	// handshakeTimeout is the time from the connection to the end of the handshake.
+	// handshakeTimeout is the maximum time from the connection to the end of the handshake.
 	handshakeTimeout = 1000 * monotime.Millisecond
-	// stallTimeout is the time after which a link is closed whose socket accepts none of the bytes in the output
+	// stallTimeout is the time after which a link is closed if its socket accepts none of the bytes in the output
 	// buffer.
 	stallTimeout = 2000 * monotime.Millisecond
 )
 
-// Errors with which a link is closed.
+// Errors that close a link.
 var (
-	errStalled          = errors.New("peering: the other side reads nothing")
-	errHandshakeTimeout = errors.New("peering: no handshake in time")
-	errRemoteClosed     = errors.New("peering: the other side ended the link")
+	errStalled          = errors.New("peering: remote side does not read")
+	errHandshakeTimeout = errors.New("peering: handshake timed out")
+	errRemoteClosed     = errors.New("peering: remote side closed the link")
 )
 
-// linkSender is the connection of a link with its sending side: a queue of messages before the output buffer. The
-// queue is bounded, so that a receiver that does not read exerts backpressure on nothing but its own link.
+// linkSender is the connection of a link together with the send queue in front of its output buffer. The queue is
+// bounded, so that a receiver that does not read affects its own link only.
 type linkSender struct {
 	eventloop.Stream
 	peering      *Peering
 	queue        transport.Queue
 	budget       ring.Budget
-	lastProgress monotime.Micros // when the socket last accepted bytes, or had none to accept
+	lastProgress monotime.Micros // when the socket last accepted bytes, or there were none to write
 }
 
-// open prepares the sender for a connected or connecting descriptor, which the link registers with the loop.
+// open initializes the stream for a connected or connecting descriptor. The caller registers it with the event loop.
 func (s *linkSender) open(fd, maxOutput int, interest uint32) {
 	s.Stream = eventloop.NewStream(s.peering.Host.Loop, fd, linkInputBytes, maxOutput, &s.budget)
 	s.Counter = &s.peering.traffic
 	s.Interest = interest
 }
 
-// writeQueued moves queued frames to the output buffer, as far as its target allows, and flushes that. It returns
-// how many bytes left the queue. After an error the link has to be closed.
+// writeQueued moves queued frames to the output buffer, up to linkOutputTarget, and flushes the buffer. It returns the
+// number of bytes removed from the queue. After an error the link must be closed.
 func (s *linkSender) writeQueued() (dequeued int, err error) {
 	bufferedBefore := s.Out.Len()
 	for s.Out.Len() < linkOutputTarget {
@@ -67,7 +67,7 @@
 	return dequeued, s.flushOutput()
 }
 
-// flushOutput writes the output buffer to the socket and notes the progress. After an error the link has to be closed.
+// flushOutput writes the output buffer to the socket and updates lastProgress. After an error the link must be closed.
 func (s *linkSender) flushOutput() error {
 	bufferedBefore := s.Out.Len()
 	if err := s.Flush(); err != nil {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// stalled reports whether the socket has accepted none of the bytes in the output buffer for too long.
+// stalled reports whether the socket has accepted none of the bytes in the output buffer for stallTimeout.
 func (s *linkSender) stalled() bool {
 	return s.Out.Len() > 0 && s.peering.Host.TurnTime-s.lastProgress >= stallTimeout
 }
--- a/internal/peering/linklistener.go
+++ b/internal/peering/linklistener.go
@@ -12,15 +12,14 @@
 )
 
 const (
-	// maxLinksPerMember is how many inbound links each control member may have, as old ones are noticed late. It bounds
-	// the links of all members together.
+	// maxLinksPerMember is the number of inbound links allowed for each control member. More than one is needed because a
+	// member may reconnect before its old link is found to be dead. Only the total of all members is enforced.
 	maxLinksPerMember = 4
-	// maxPendingHandshakes bounds the links of unknown front ends before the end of their handshakes, beside the
-	// links of the members.
+	// maxPendingHandshakes is the number of further links that may be in their handshake if front ends may attach.
 	maxPendingHandshakes = 512
 )
 
-// linkListener accepts the links of other front ends.
+// linkListener accepts inbound links.
 type linkListener struct {
 	peering *Peering
 	fd      int
@@ -35,7 +34,7 @@
 	return l, p.Host.Loop.Add(fd, unix.EPOLLIN, l)
 }
 
-// Ready accepts the connections that are pending.
+// Ready accepts all pending connections, and closes them at once if there is no capacity for their links.
 func (l *linkListener) Ready(uint32) {
 	for {
 		fd, _, err := unix.Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -54,9 +53,9 @@
 	}
 }
 
-// accept begins an inbound link by sending the challenge of its handshake.
+// accept creates an inbound link and sends the challenge of its handshake.
 func (l *linkListener) accept(fd int) {
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // without it answers are only slower
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // a failure only costs latency
 	in := l.newInboundLink(fd)
 	if err := l.peering.Host.Loop.Add(fd, in.Interest, in); err != nil {
 		in.Close()
@@ -64,7 +63,7 @@
 	}
 	l.peering.inbound[in] = struct{}{}
 	var nonce [16]byte
-	_, _ = rand.Read(nonce[:]) // it never fails
+	_, _ = rand.Read(nonce[:]) // never fails
 	in.writeHandshake(in.handshake.Challenge(nonce, l.peering.cfg.MaxMessageBytes))
 }
 
@@ -90,8 +89,8 @@
 	return in
 }
 
-// hasLinkCapacity reports whether another link may be accepted. Established links of attached front ends do not
-// count here; they have a limit of their own.
+// hasLinkCapacity reports whether another link may be accepted. Established links of attached front ends do not count,
+// as they have their own limit.
 func (p *Peering) hasLinkCapacity() bool {
 	maxLinks := maxLinksPerMember * (len(p.outbound) + 1)
 	if p.acceptsAttached() {
--- a/internal/peering/log.go
+++ b/internal/peering/log.go
@@ -6,7 +6,7 @@
 	"chutechute/fleet/membership"
 )
 
-// Attributes of log lines. One key means the same thing in all lines.
+// Attribute keys of log lines. A key has the same meaning in all lines.
 const (
 	keyError       = "error"
 	keyFrontEnd    = "front_end"
@@ -16,9 +16,9 @@
 	keyState       = "state"
 )
 
-// logStart logs the front end's identity. Measurements over sockets read the incarnation from this line.
+// logStart logs the front end's identity. The fleet measurements over sockets read the incarnation from this line.
 func (p *Peering) logStart() {
-	identity := slog.Group("", // without a name its attributes are the line's own
+	identity := slog.Group("", // a group without a name is inlined
 		slog.String("site", p.cfg.Site),
 		slog.String(keyFrontEnd, p.cfg.Name),
 		slog.String(keyIncarnation, formatID(p.self.Incarnation)))
@@ -34,7 +34,7 @@
 		slog.String("folder", p.cfg.Folder))
 }
 
-// logEstablished logs that a link with a front end is established, in the direction that its role implies.
+// logEstablished logs that a link is established. The remote front end's role implies the link's direction.
 func logEstablished(frontEnd string, incarnation uint64, role membership.Role) {
 	slog.Debug("link established",
 		slog.String(keyFrontEnd, frontEnd),
@@ -42,12 +42,12 @@
 		slog.String(keyRole, role.String()))
 }
 
-// logProtocolError logs why a link is closed: what came over it, a handshake or a message, is not acceptable.
+// logProtocolError logs that a link is closed because the remote side sent an invalid handshake or message.
 func logProtocolError(frontEnd string, err error) {
 	slog.Warn("link closed on a protocol error", slog.String(keyFrontEnd, frontEnd), slog.Any(keyError, err))
 }
 
-// logStateChange logs a front end's state as this one sees it. The home is empty for a control member.
+// logStateChange logs the new state of another front end as seen by this one. A control member has no home.
 func logStateChange(frontEnd string, role membership.Role, state string, incarnation uint64, home string) {
 	slog.Info("front end state changed",
 		slog.String(keyFrontEnd, frontEnd),
--- a/internal/peering/outboundlink.go
+++ b/internal/peering/outboundlink.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	maxUrgentQueueBytes = 8 << 20 // bytes of urgent messages that may be queued on an outbound link
+	maxUrgentQueueBytes = 8 << 20 // maximum size of the urgent messages queued on an outbound link
 	dialTimeout         = 1000 * monotime.Millisecond
-	// minReconnectDelay is doubled with each failure in a row, up to maxReconnectDelay.
+	// minReconnectDelay is doubled with each consecutive failure, up to maxReconnectDelay.
 	minReconnectDelay = 50 * monotime.Millisecond
 	maxReconnectDelay = 1000 * monotime.Millisecond
-	// maxBackoffDoublings keeps the doubled delay from overflowing; by then it exceeds maxReconnectDelay.
+	// maxBackoffDoublings prevents an overflow. At this count the delay exceeds maxReconnectDelay anyway.
 	maxBackoffDoublings = 5
 )
 
-// outboundState is how far an outbound link has come.
+// outboundState is the state of an outbound link's connection.
 type outboundState int
 
 const (
-	outboundClosed      outboundState = iota // a control member's link waits for its time to reconnect
-	outboundConnecting                       // the socket is not connected yet
-	outboundHandshaking                      // the other side has not proven its identity yet
-	outboundEstablished                      // messages go out
+	outboundClosed      outboundState = iota // not connected; between control members, waits to reconnect
+	outboundConnecting                       // waiting for the TCP connection
+	outboundHandshaking                      // waiting for the end of the handshake
+	outboundEstablished                      // messages can be sent
 )
 
-// outboundLink is the link over which a front end sends to one control member. Between control members it
-// reconnects with backoff whenever it breaks; that of an attached front end is dialled when its node wants it.
+// outboundLink is the link that a front end dials to a control member to send messages. Between control members it is
+// redialed with backoff after a failure. An attached front end creates a new one when its node wants the link again.
 type outboundLink struct {
 	linkSender
-	name        string
-	addr        netip.AddrPort
-	handshake   *transport.Dialer // nil before the first dial
-	connecting  bool
-	reconnectAt monotime.Micros
-	failures    int    // in a row
-	lastRefusal string // the error with which a handshake failed last, so that it is logged once
+	name               string
+	addr               netip.AddrPort
+	handshake          *transport.Dialer // nil before the first dial
+	connecting         bool
+	reconnectAt        monotime.Micros
+	failures           int    // consecutive ones
+	lastHandshakeError string // the last logged error, so that a repeated one is not logged again
 }
 
 func newOutboundLink(p *Peering, name string, addr netip.AddrPort) *outboundLink {
@@ -70,8 +70,8 @@
 
 func (l *outboundLink) established() bool { return l.state() == outboundEstablished }
 
-// enqueue queues a message. Where the link is not established or its queue is full the message is dropped, as it
-// might be lost on the way: who needs it sends it again.
+// enqueue queues a message. The message is dropped if the link is not established or its queue is full; as messages may
+// be lost anyway, senders have to repeat those that matter.
 func (l *outboundLink) enqueue(message fleet.Send) {
 	established := l.established()
 	if established && l.queue.Push(message.Kind, message.Bulk, message.Body) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// flushQueue writes queued messages, as far as the link accepts them.
+// flushQueue writes queued messages as far as the output buffer and the socket accept them.
 func (l *outboundLink) flushQueue() {
 	if !l.established() {
 		return
@@ -96,14 +96,14 @@
 	}
 }
 
-// flushSocket writes the output buffer, as far as the socket accepts it.
+// flushSocket writes the output buffer as far as the socket accepts it.
 func (l *outboundLink) flushSocket() {
 	if err := l.flushOutput(); err != nil {
 		l.fail(err)
 	}
 }
 
-// dial starts a connection.
+// dial starts connecting to the control member.
 func (l *outboundLink) dial() {
 	l.lastProgress = l.peering.Host.TurnTime
 	fd, err := eventloop.Dial(l.addr)
@@ -124,14 +124,14 @@
 	}
 }
 
-// scheduleReconnect sets when a control member's link is dialled again: with exponential backoff and jitter.
+// scheduleReconnect sets the time of the next dial, with exponential backoff and jitter.
 func (l *outboundLink) scheduleReconnect() {
 	l.failures++
 	delay := min(maxReconnectDelay, minReconnectDelay<<min(l.failures, maxBackoffDoublings))
 	l.reconnectAt = l.peering.Host.TurnTime + l.peering.withJitter(delay)
 }
 
-// fail closes the link after an error. What is queued on it is dropped.
+// fail closes the link after an error and drops its queued messages.
 func (l *outboundLink) fail(err error) {
 	l.logHandshakeFailure(err)
 	l.Close()
@@ -139,20 +139,20 @@
 	l.handleClosed()
 }
 
-// logHandshakeFailure logs the error with which a link failed before it was established, once for as long as it is the
-// same. A refused connection is not logged, as the other front end may just not run.
+// logHandshakeFailure logs an error that occurred before the link was established, unless it repeats the last one. A
+// refused connection is not logged, as the other front end may simply not be running.
 func (l *outboundLink) logHandshakeFailure(err error) {
 	if l.handshake == nil || l.handshake.Established() {
 		return
 	}
-	if errors.Is(err, unix.ECONNREFUSED) || l.lastRefusal == err.Error() {
+	if errors.Is(err, unix.ECONNREFUSED) || l.lastHandshakeError == err.Error() {
 		return
 	}
-	l.lastRefusal = err.Error()
+	l.lastHandshakeError = err.Error()
 	slog.Warn("link not established", slog.String(keyFrontEnd, l.name), slog.Any(keyError, err))
 }
 
-// tick checks the link's timeouts.
+// tick dials the link when that is due, and closes it if one of its timeouts has passed.
 func (l *outboundLink) tick() {
 	now := l.peering.Host.TurnTime
 	switch l.state() {
@@ -171,7 +171,7 @@
 	}
 }
 
-// Ready handles readiness of the link's socket.
+// Ready handles readiness events of the link's socket.
 func (l *outboundLink) Ready(events uint32) {
 	if l.connecting {
 		l.finishConnecting()
@@ -192,7 +192,7 @@
 	}
 }
 
-// finishConnecting handles the result of the dial.
+// finishConnecting handles the result of the connection attempt.
 func (l *outboundLink) finishConnecting() {
 	if err := eventloop.DialResult(l.FD); err != nil {
 		l.fail(err)
@@ -202,7 +202,7 @@
 	l.UpdateInterest(true)
 }
 
-// readInput reads from the socket and continues the handshake, or decodes messages after its end.
+// readInput reads from the socket, and continues the handshake or decodes the messages after it.
 func (l *outboundLink) readInput() {
 	more := l.Fill()
 	wasEstablished := l.handshake.Established()
@@ -225,9 +225,9 @@
 	}
 }
 
-// handleEstablished begins to send, once the other side has proven its identity.
+// handleEstablished handles the end of the handshake, after which messages can be sent.
 func (l *outboundLink) handleEstablished() {
-	l.failures, l.lastRefusal = 0, ""
+	l.failures, l.lastHandshakeError = 0, ""
 	l.peering.Host.Counters.PeerLinks++
 	remote := &l.handshake.Remote
 	logEstablished(l.name, remote.Incarnation, membership.Control)
@@ -237,22 +237,22 @@
 	l.flushQueue()
 }
 
-// handleClosed handles a link that is closed or could not be established. An attached front end forgets it, as its node
-// decides which control member is dialled when.
+// handleClosed handles a link that was closed or could not be established. A control member schedules a reconnect; an
+// attached front end removes the link, as its node decides which control members to dial.
 func (l *outboundLink) handleClosed() {
 	if l.peering.attachedNode != nil {
-		l.peering.forgetLink(l)
+		l.peering.removeLink(l)
 		return
 	}
 	l.scheduleReconnect()
 	l.peering.controlNode.SendFailed(l.name)
 }
 
-// handleDialFailure handles a dial that failed at once. Nothing was sent, so that a control member's replica is not
-// told of a failed send.
+// handleDialFailure handles a dial that failed immediately. Unlike handleClosed it reports no failed send to a control
+// member's node, as nothing can have been sent.
 func (l *outboundLink) handleDialFailure() {
 	if l.peering.attachedNode != nil {
-		l.peering.forgetLink(l)
+		l.peering.removeLink(l)
 		return
 	}
 	l.scheduleReconnect()
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -1,18 +1,18 @@
-// Package peering connects a front end with the other front ends of its fleet: it runs a node of package fleet, which
-// does no I/O, over sockets and a disk.
+// Package peering connects a front end to the other front ends of its fleet. It runs a node of package fleet, which
+// does no I/O itself, over TCP sockets and a write-ahead log on disk.
 //
 // A front end has one of two roles. A control member listens for links, dials all other control members and has a
-// replica of the records, on disk where a folder is configured. An attached front end listens to nobody; it dials the
-// control members that its node chooses.
+// replica of the replicated log, which is stored on disk if a folder is configured. An attached front end has no
+// listener; it dials the control members that its node chooses.
 //
-// A link is one TCP connection. The front end that dialled it sends over its outbound link; the one that accepted
-// it receives from its inbound link, and sends over that to attached front ends only. Messages are lost with their
-// link: who needs a message sends it again.
+// A link is one TCP connection: an outbound link at the front end that dialed it, and an inbound link at the one that
+// accepted it. Messages are sent over outbound links; over an inbound link they are sent to attached front ends only.
+// When a link is closed, its queued messages are lost, and their senders have to repeat them.
 //
-// The package also serves the admin socket with its status pages, and has hollow front ends, which measure the cost
-// of a large fleet without clients and engines.
+// The package also serves status pages over an admin socket, and contains the hollow front ends with which the control
+// traffic of a large fleet is measured without clients and engines.
 //
-// All of a Peering belongs to the goroutine of its event loop.
+// A Peering must be used from the goroutine of its event loop only.
 package peering
 
 import (
@@ -32,8 +32,8 @@
 	"chutechute/internal/monotime"
 )
 
-// Peering is one front end's part in its fleet: its links, its disk and its fleet node. A server has none where no
-// fleet is configured.
+// Peering is a front end's part in its fleet: its fleet node, links and write-ahead log. A server without a configured
+// fleet has a nil Peering.
 type Peering struct {
 	Program
 	cfg         *config.Peers
@@ -41,51 +41,51 @@
 	jitterState uint64
 	traffic     Traffic
 
-	// The fleet node, by role: fleetNode is the one of the two that is not nil.
+	// The fleet node: fleetNode is whichever of the two others is not nil.
 	fleetNode    fleetNode
 	controlNode  *fleet.Node         // nil at an attached front end
 	attachedNode *fleet.AttachedNode // nil at a control member
 
-	// Idempotent requests and budgets.
+	// Idempotent requests and budgets. The two replicas belong to control members.
 	idempotencyClient   *idempotencyclient.Client
-	idempotencyRegistry *idempotency.Registry // a control member's replica of them
-	budgetAuthority     *budget.Authority     // a control member's replica of them
-	leaseHolder         *budget.LeaseHolder   // nil where no budgets are configured
-	enforcer            *enforce.Enforcer     // nil where no budgets are configured
-	releasingSince      monotime.Micros       // when the release of the budget leases began; 0 before
+	idempotencyRegistry *idempotency.Registry // replica of the registered requests
+	budgetAuthority     *budget.Authority     // replica of the budgets and their leases
+	leaseHolder         *budget.LeaseHolder   // nil if no budgets are configured
+	enforcer            *enforce.Enforcer     // nil if no budgets are configured
+	releasingSince      monotime.Micros       // when the release of the budget leases started; 0 if it has not
 
-	// A control member's disk.
+	// The storage of a control member's replica.
 	store       *wal.Store
 	storeWriter *wal.Writer
-	storeErr    error  // the error after which the disk is not used any more
-	replicaID   uint64 // of the replica on this disk
+	storeErr    error  // the storage error that has disabled the replica
+	replicaID   uint64 // the ID of the replica
 
 	// Connections.
-	outbound      map[string]*outboundLink // by the other front end's name
+	outbound      map[string]*outboundLink // by the remote front end's name
 	inbound       map[*inboundLink]struct{}
 	listener      *linkListener
 	adminListener *adminListener
 
-	// An attached front end's control members.
-	lastHome     string            // the home that was logged last
-	lastRefusals map[string]string // the error with which a handshake failed last, by control member
+	// What an attached front end has logged last.
+	lastHome            string            // its home
+	lastHandshakeErrors map[string]string // the latest handshake error, by control member
 
-	attachedLinks attachedLinks // of a control member
+	attachedLinks attachedLinks // at a control member
 
 	lastTick      monotime.Micros
 	viewChangeLog viewChangeLog
 }
 
-// NewPeering builds a front end's part in a fleet, in the role that its configuration gives it. It returns an error
-// where a control member's folder cannot be created or belongs to another front end; after any other storage error
-// the front end serves without a replica.
+// NewPeering returns a Peering in the role that the configuration specifies. It returns an error if a control member's
+// folder cannot be created or belongs to another front end. After any other storage error the front end runs without a
+// replica.
 func NewPeering(program Program, cfg *config.Peers) (*Peering, error) {
 	p := &Peering{
 		Program:     program,
 		cfg:         cfg,
 		outbound:    map[string]*outboundLink{},
 		inbound:     map[*inboundLink]struct{}{},
-		jitterState: program.Seed | 1, // the generator needs a state other than zero
+		jitterState: program.Seed | 1, // the generator needs a nonzero state
 	}
 	incarnation := randomID()
 	if cfg.Attached != nil && cfg.Attached.IsAttached {
@@ -117,7 +117,7 @@
 	return p, nil
 }
 
-// newIdentity returns what this front end says of itself in handshakes.
+// newIdentity returns the identity that this front end presents in handshakes.
 func (p *Peering) newIdentity(incarnation uint64) *transport.Identity {
 	return &transport.Identity{
 		Site:           p.cfg.Site,
@@ -132,7 +132,7 @@
 	}
 }
 
-// SetNow sets the time for the messages of this turn of the loop.
+// SetNow sets the time at which the messages of this turn of the loop are handled.
 func (p *Peering) SetNow(now monotime.Micros) {
 	p.idempotencyClient.SetNow(now)
 	if p.leaseHolder != nil {
@@ -140,7 +140,7 @@
 	}
 }
 
-// Tick handles all that time alone changes: timeouts of links, heartbeats, leases and what is to be logged of the view.
+// Tick does the periodic work: link timeouts, heartbeats, lease renewals and the logging of view changes.
 func (p *Peering) Tick() {
 	now := p.Host.TurnTime
 	if p.Draining() {
@@ -149,7 +149,7 @@
 	if p.attachedNode != nil {
 		p.reconcileLinks()
 	}
-	p.excusePause()
+	p.extendTimeoutsAfterPause()
 	p.tickConnections()
 	p.fleetNode.Tick(now)
 	p.idempotencyClient.Tick(now)
@@ -174,7 +174,7 @@
 	}
 }
 
-// CarryOut carries out the fleet node's actions, until it has none left.
+// CarryOut executes the fleet node's actions until there are none left.
 func (p *Peering) CarryOut() {
 	for {
 		actions := p.fleetNode.Actions()
@@ -194,29 +194,29 @@
 	}
 }
 
-// send sends a message over the link with another front end.
+// send queues a message on the link to another front end.
 func (p *Peering) send(message fleet.Send) {
 	if message.Incarnation != 0 {
 		p.sendToAttached(message)
 		return
 	}
-	if l := p.outbound[message.To]; l != nil { // an attached front end may have closed it in the meantime
+	if l := p.outbound[message.To]; l != nil { // an attached front end may have closed the link since
 		l.enqueue(message)
 	}
 }
 
-// randomID returns a random number of 62 bits, never zero, that no process has drawn before.
+// randomID returns a random nonzero number of 62 bits, which is in practice unique.
 func randomID() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // it never fails
+	_, _ = rand.Read(b[:]) // never fails
 	return binary.BigEndian.Uint64(b[:])>>2 | 1
 }
 
-// formatID returns an ID or a digest as status pages and the log show it.
+// formatID formats an ID or a digest for status pages and the log.
 func formatID(n uint64) string { return fmt.Sprintf("%016x", n) }
 
-// withJitter returns a random duration from half to one and a half of a duration. The sequence differs from process to
-// process, so that front ends do not reconnect in step.
+// withJitter returns a random duration between 0.5 and 1.5 times the given one. Each process has its own sequence, so
+// that front ends do not reconnect at the same time.
 func (p *Peering) withJitter(duration monotime.Micros) monotime.Micros {
 	p.jitterState ^= p.jitterState << 13
 	p.jitterState ^= p.jitterState >> 7
--- a/internal/peering/status_test.go
+++ b/internal/peering/status_test.go
@@ -12,7 +12,7 @@
 	"chutechute/internal/golden"
 )
 
-// fillFields sets each field of a value, however deep, to a value other than zero, in the order of the fields.
+// fillFields sets every field of a value, recursively and in field order, to a nonzero value.
 func fillFields(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
@@ -45,8 +45,8 @@
 	}
 }
 
-// The JSON that commands print of a running front end keeps its names and their order, with every field set and
-// with none.
+// The JSON keys of the status pages and their order do not change. Each page is compared with all fields set and with
+// none.
 func TestStatusPagesKeepTheirForm(t *testing.T) {
 	var lines []string
 	for _, page := range []any{&Status{}, &ReplicatedRecords{}, &budget.LeaseStatus{}, &budget.Status{}, &budget.Plan{}} {
--- a/internal/peering/statuspage.go
+++ b/internal/peering/statuspage.go
@@ -8,19 +8,19 @@
 	"chutechute/internal/monotime"
 )
 
-// Roles in Status of front ends that are no attached ones.
+// Roles of control members in Status.
 const (
 	roleLeader  = "leader"
 	roleVoter   = "voter"
 	roleLearner = "learner"
 	roleNone    = "none"   // no replica yet
-	roleFailed  = "failed" // no replica any more, after a storage error
+	roleFailed  = "failed" // the replica has stopped after a storage error
 )
 
 const memoryOnlyWarning = "the record is kept in memory only: " +
 	"what was told is lost where a majority of the copies end at once"
 
-// status returns the status page, in either role.
+// status returns the status page of a front end in either role.
 func (p *Peering) status() Status {
 	if p.attachedNode != nil {
 		return p.attachedStatus()
@@ -107,7 +107,7 @@
 	}
 }
 
-// addAttachedMembers adds the attached front ends to a control member's page, where any may attach.
+// addAttachedMembers adds the attached front ends to a control member's page, if any may attach.
 func (p *Peering) addAttachedMembers(s *Status) {
 	server := p.controlNode.MembershipServer()
 	if server == nil {
@@ -129,7 +129,8 @@
 	s.Attached.Undeliverable = p.controlNode.Undeliverable
 }
 
-// attachedStatus returns the status page of an attached front end. It has no replica, and its view is its home's.
+// attachedStatus returns the status page of an attached front end, which has no replica and receives its view from its
+// home.
 func (p *Peering) attachedStatus() Status {
 	view := p.attachedNode.View()
 	s := Status{
@@ -150,7 +151,7 @@
 	return s
 }
 
-// viewMembers returns all front ends of a view but this one, control members first.
+// viewMembers returns all front ends of a view except this one, control members first.
 func (p *Peering) viewMembers(view *membership.View) []MemberStatus {
 	control := []MemberStatus{}
 	var attached []MemberStatus
@@ -167,7 +168,7 @@
 	return append(control, attached...)
 }
 
-// newMemberStatus returns the page's form of an entry of the view.
+// newMemberStatus returns the status of a front end with the given view entry.
 func newMemberStatus(entry membership.Entry, linked bool) MemberStatus {
 	s := MemberStatus{
 		Name:        entry.Name,
@@ -186,7 +187,7 @@
 func newViewStatus(view *membership.View, now monotime.Micros, home string) *ViewStatus {
 	age := view.Age(now)
 	if age == membership.NeverConfirmed {
-		age = -monotime.Millisecond // the page has -1
+		age = -monotime.Millisecond // shown as -1
 	}
 	return &ViewStatus{
 		Enabled:    true,
@@ -197,7 +198,7 @@
 	}
 }
 
-// replicatedRecords returns the idempotent requests in this front end's replica; none where it has no replica.
+// replicatedRecords returns the records of idempotent requests in this front end's replica; none if it has no replica.
 func (p *Peering) replicatedRecords() []idempotency.RecordStatus {
 	if p.controlNode == nil {
 		return []idempotency.RecordStatus{}
--- a/internal/peering/storage.go
+++ b/internal/peering/storage.go
@@ -11,8 +11,8 @@
 	"chutechute/internal/config"
 )
 
-// openStore opens the write-ahead log and returns the state in it; nil where no folder is configured. After any
-// error but those of the configuration the front end serves on without a replica.
+// openStore opens the write-ahead log and returns the persisted state, or nil if no folder is configured. It returns an
+// error only if the folder cannot be created or belongs to another front end; any other error disables the replica.
 func (p *Peering) openStore(cfg *config.Peers) (persisted *replication.PersistedState, err error) {
 	if cfg.Folder == "" {
 		return nil, nil
@@ -34,13 +34,13 @@
 	}
 	if p.store.QuarantinedPath != "" {
 		p.Host.Counters.StoreErrors++
-		slog.Error("the record's file could not be trusted and was set aside; this is an empty disk now",
+		slog.Error("write-ahead log corrupt: folder quarantined, starting with an empty one",
 			slog.String("file", p.store.QuarantinedPath))
 	}
 	return persisted, nil
 }
 
-// persist queues a save of the replica's for the disk. Without a disk it is complete at once, as the replica lives in
+// persist queues a save for the write-ahead log. Without one the save completes at once, as the replica exists in
 // memory only.
 func (p *Peering) persist(save replication.Save) {
 	if p.storeWriter != nil {
@@ -50,7 +50,7 @@
 	p.controlNode.Persisted(p.Host.TurnTime, save.Token, p.storeErr)
 }
 
-// saveCompleted handles the writer's result of a save.
+// saveCompleted passes the result of a save on to the fleet node.
 func (p *Peering) saveCompleted(token uint64, err error) {
 	if err != nil && p.storeErr == nil {
 		p.storageFailed(err)
@@ -58,7 +58,7 @@
 	p.controlNode.Persisted(p.Host.TurnTime, token, err)
 }
 
-// checkReplica handles an error on which the replica has stopped.
+// checkReplica records the error if the replica has stopped because of one.
 func (p *Peering) checkReplica() {
 	if p.controlNode == nil {
 		return
@@ -68,9 +68,9 @@
 	}
 }
 
-// storageFailed records and logs the error after which the disk is not used any more.
+// storageFailed records and logs the storage error that has disabled the replica.
 func (p *Peering) storageFailed(err error) {
 	p.storeErr = err
 	p.Host.Counters.StoreErrors++
-	slog.Error("the record's disk failed: this front end is no copy any more", slog.Any(keyError, err))
+	slog.Error("storage failed: this front end no longer has a replica", slog.Any(keyError, err))
 }
--- a/internal/peering/traffic.go
+++ b/internal/peering/traffic.go
@@ -2,8 +2,8 @@
 
 import "chutechute/fleet/transport"
 
-// Traffic counts what one front end has read and written on its links since its start. Payload is the bodies of
-// messages; the rest of the bytes is framing: headers and handshakes.
+// Traffic counts a front end's messages and bytes on its links since its start. Payload counts message bodies; the
+// remaining bytes are frame headers and handshakes.
 type Traffic struct {
 	MessagesIn  int `json:"messages_in"`
 	MessagesOut int `json:"messages_out"`
@@ -11,9 +11,9 @@
 	PayloadOut  int `json:"payload_out"`
 	BytesIn     int `json:"bytes_in"`
 	BytesOut    int `json:"bytes_out"`
-	// Heartbeats among control members, which are among the messages above.
+	// Heartbeats between control members, which are included above.
 	HeartbeatsIn  int `json:"heartbeats_in"`
-	HeartbeatSize int `json:"heartbeat_size"` // payload bytes of all of them together
+	HeartbeatSize int `json:"heartbeat_size"` // their payload bytes in total
 }
 
 // frameHeaderBytes is the length of a frame with an empty body.
@@ -25,7 +25,8 @@
 // BytesWritten counts n bytes written to a socket.
 func (t *Traffic) BytesWritten(n int) { t.BytesOut += n }
 
-// countSent counts a frame that is about to be written. A message above transport.MaxFrameBody takes several.
+// countSent counts a frame that is about to be written. A message longer than transport.MaxFrameBody has several
+// frames, each of which counts as a message.
 func (t *Traffic) countSent(frame []byte) {
 	t.MessagesOut++
 	t.PayloadOut += len(frame) - frameHeaderBytes
@@ -54,7 +55,7 @@
 	return t
 }
 
-// Minus returns what was counted since an earlier count.
+// Minus returns the difference to an earlier count.
 func (t Traffic) Minus(earlier Traffic) Traffic {
 	t.MessagesIn -= earlier.MessagesIn
 	t.MessagesOut -= earlier.MessagesOut
--- a/internal/peering/viewchangelog.go
+++ b/internal/peering/viewchangelog.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// viewLogInterval is the interval at which changes of the view are logged.
+	// viewLogInterval is the minimum interval between two logs of view changes.
 	viewLogInterval = 1000 * monotime.Millisecond
-	// maxViewLogLines is how many changes of one interval get a line each; more get one line together.
+	// maxViewLogLines is the number of changes up to which each gets its own log line. More are logged as one summary.
 	maxViewLogLines = 8
 )
 
-// viewChangeLog finds what has changed in the view of all front ends since it was logged last.
+// viewChangeLog finds the changes of the view since it was logged last.
 type viewChangeLog struct {
 	nextAt     monotime.Micros
 	lastDigest uint64                 // of the view at the last call of changes
 	lastLogged map[string]loggedState // by front end
 }
 
-// loggedState is the state in which a front end was logged last.
+// loggedState is the state of a front end when the view was last logged.
 type loggedState struct {
 	incarnation uint64
 	state       membership.State
 }
 
-// logViewChanges logs what has changed in the view, at most once in an interval. Changes of control members are
-// logged by the heartbeats among these, so that here a control member logs those of attached front ends only.
+// logViewChanges logs the changes of the view, at most once per viewLogInterval. A control member only logs those of
+// attached front ends here, as logPeerChange logs those of control members.
 func (p *Peering) logViewChanges() {
 	view := p.fleetNode.View()
 	if view == nil || p.Host.TurnTime < p.viewChangeLog.nextAt {
@@ -59,14 +59,14 @@
 		slog.String("first", changes[0].Name))
 }
 
-// changes returns the entries, in the order of their names, whose process or state has changed since the last call.
+// changes returns the entries whose incarnation or state has changed since the last call, sorted by name.
 func (v *viewChangeLog) changes(view *membership.View, attachedOnly bool) (changes []membership.Entry) {
 	if view.Digest() == v.lastDigest {
 		return nil
 	}
 	v.lastDigest = view.Digest()
 	entries := view.Entries()
-	if v.lastLogged == nil || len(v.lastLogged) > 2*len(entries) { // names that left the view must not pile up
+	if v.lastLogged == nil || len(v.lastLogged) > 2*len(entries) { // keeps removed names from accumulating
 		v.dropRemoved(entries)
 	}
 	for _, e := range entries {
@@ -82,7 +82,7 @@
 	return changes
 }
 
-// dropRemoved drops the names that are not among the entries of a view.
+// dropRemoved drops the names that are not in a view's entries.
 func (v *viewChangeLog) dropRemoved(entries []membership.Entry) {
 	present := make(map[string]loggedState, len(entries))
 	for _, e := range entries {
