--- a/cmd/chutechute/copies_test.go
+++ b/cmd/chutechute/copies_test.go
@@ -275,7 +275,7 @@
 	told := insist(t, f, f.FrontEnds[0], load("once", "k", 20)).Rows()
 	for i, n := range f.FrontEnds[:2] {
 		n.SetDiskFull(true)
-		for k := 0; n.LogMatches("is no copy any more") == 0; k++ {
+		for k := 0; n.LogMatches("no longer has a replica") == 0; k++ {
 			require.Less(t, k, 400)
 			try := load(fmt.Sprintf("fill-%d-%d", i, k), "", 1)
 			try.ClientTimeout = time.Second
@@ -340,10 +340,10 @@
 	require.NoError(t, os.WriteFile(filepath.Join(leader.StorageDir, "fail"), nil, 0o600))
 	f.LogStep("a sync of %s fails", leader.Name)
 	insist(t, f, f.FrontEnds[(leader.Index+1)%3], load("after", "k", 5))
-	leader.WaitForLog("is no copy any more")
+	leader.WaitForLog("no longer has a replica")
 	assert.Equal(t, "failed", leader.RawStatus()["role"])
 	insist(t, f, leader, load("through-it", "k", 5))
-	assert.Equal(t, 1, leader.LogMatches("is no copy any more"))
+	assert.Equal(t, 1, leader.LogMatches("no longer has a replica"))
 	f.CheckHistory()
 }
 
