--- a/internal/history/concurrency.go
+++ b/internal/history/concurrency.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// usageChange is a change of the units in use, at the start or the end of an execution.
+// usageChange is a change of the number of units in use, at the start or the end of an execution.
 type usageChange struct {
 	at    int64
 	units float64 // negative at the end of an execution
 	event Event
 }
 
-// CheckConcurrency finds starts at which more units ran on all engines together than the capacity. units returns
-// how much a start takes until the execution ends, 0 if it does not count. maxInUse is the most units that ran at
-// the same time.
+// CheckConcurrency returns a violation for each start at which the units in use on all engines together exceed the
+// capacity. units returns the units that an execution uses from its start to its end, 0 if it is not counted.
+// maxInUse is the highest number of units in use at any time.
 func CheckConcurrency(events []Event, capacity float64, units func(start Event) float64) (
 	violations []Violation, maxInUse float64,
 ) {
@@ -33,8 +33,8 @@
 	return violations, maxInUse
 }
 
-// usageChanges returns the changes of the units in use, in order of time. At the same time, ends come before
-// starts, unless they differ by less than one unit: those keep the order of the executions.
+// usageChanges returns the changes of the number of units in use, ordered by time. Among changes at the same time,
+// ends come before starts. Changes that differ by less than one unit keep the order of their executions.
 func usageChanges(events []Event, units func(start Event) float64) (list []usageChange) {
 	for _, execution := range Executions(events) {
 		if n := units(execution.Start); n > 0 {
--- a/internal/history/consumption.go
+++ b/internal/history/consumption.go
@@ -1,18 +1,19 @@
 package history
 
-// The checks of budgets rest on the executions that engines started. A front end consumes a budget some while before an
-// engine observes the start, and after the client sent the request. So a check reports a violation only where no times
-// of consumption within those bounds keep the limit.
+// The checks of budgets are based on the starts that engines observed. A front end consumes a budget at an unknown time
+// between the client's sending of the request and the start on the engine. A check therefore reports a violation only
+// if the limit is exceeded for all possible times of consumption within those bounds.
 
 // Consumption is the consumption of a budget by one execution.
 type Consumption struct {
-	Event    Event // the start that an engine observed, before which it was consumed
-	Earliest int64 // the earliest time at which it may have been consumed
+	Event    Event // the start that an engine observed: the latest possible time of consumption
+	Earliest int64 // the earliest possible time of consumption
 	Units    float64
 }
 
-// Consumptions returns the consumption of a budget by all executions. units returns how much a start consumes, 0 if it
-// does not count. within is the longest time between consumption and the start on an engine, in microseconds.
+// Consumptions returns the consumption of a budget by each execution. units returns the units that a start consumes,
+// 0 if it is not counted. within is the longest time between the consumption and the start on the engine, in
+// microseconds.
 func Consumptions(events []Event, within int64, units func(start Event) float64) (consumptions []Consumption) {
 	requestedAt := map[string]int64{}
 	for _, event := range events {
@@ -29,7 +30,7 @@
 	return consumptions
 }
 
-// byDeadline is a heap of consumptions, ordered by the time before which each was consumed.
+// byDeadline is a heap of consumptions, ordered by the latest possible time of consumption.
 type byDeadline []Consumption
 
 func (q byDeadline) Len() int           { return len(q) }
--- a/internal/history/execution.go
+++ b/internal/history/execution.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// Execution is the run of one attempt on an engine.
+// Execution is the execution of one attempt on an engine.
 type Execution struct {
 	Start Event
-	End   Event // the zero Event if it has not ended
+	End   Event // the zero Event if the execution has not ended
 }
 
-// endTime returns when the execution ended, or a time after all events if it has not.
+// endTime returns the time at which the execution ended, or a time after all events if it has not ended.
 func (e Execution) endTime() int64 {
 	if e.End.Kind == "" {
 		return math.MaxInt64
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -11,7 +11,7 @@
 
 const second = 1_000_000 // µs
 
-// The events of the histories below, at a time in seconds.
+// sent, ended and onEngine return events of the histories below. Times are in seconds.
 
 func sent(at int64, frontEnd, call, idempotencyKey, orderKey string) history.Event {
 	return history.Event{
@@ -27,8 +27,8 @@
 	}
 }
 
-func onEngine(at int64, what, call, idempotencyKey string) history.Event {
-	return history.Event{At: at * second, Kind: what, Engine: "engine", CallID: call, IdempotencyKey: idempotencyKey}
+func onEngine(at int64, kind, call, idempotencyKey string) history.Event {
+	return history.Event{At: at * second, Kind: kind, Engine: "engine", CallID: call, IdempotencyKey: idempotencyKey}
 }
 
 func TestCheckAcceptsACorrectHistory(t *testing.T) {
@@ -124,7 +124,8 @@
 	apart := func(gap int64) []history.Consumption {
 		return history.Consumptions(twoStarts(10*second, 10*second+gap), within, oneUnit)
 	}
-	// At one a second, the second token is there a second after the first one was taken, up to 0.1 s before its start.
+	// At a rate of one per second, the second token is available one second after the first was taken. Each may be
+	// taken up to 0.1 s before the start on the engine.
 	assert.Empty(t, history.CheckRate(apart(second-within+2), 1, 1))
 	assert.Len(t, history.CheckRate(apart(second-within-2), 1, 1), 1)
 	assert.Empty(t, history.CheckRate(apart(0), 1, 2), "a burst of two")
--- a/internal/history/idempotency.go
+++ b/internal/history/idempotency.go
@@ -6,21 +6,22 @@
 	"strings"
 )
 
-// minOutcomeRetention is for how long, at least, an outcome can be found under its idempotency key, in microseconds.
+// minOutcomeRetention is the minimum time for which an outcome is retained under its idempotency key, in
+// microseconds.
 const minOutcomeRetention = 50_000_000
 
-// ConcurrentRequestsOfKey is the anomaly of two requests of one key that run at the same time.
+// ConcurrentRequestsOfKey is the anomaly of two requests with the same order key that run at the same time.
 const ConcurrentRequestsOfKey = "two requests of a key at once"
 
-// observations is what the checks of idempotent requests read.
+// observations is the input of the checks of idempotent requests.
 type observations struct {
 	events     []Event // of requests with an idempotency key
 	executions []Execution
-	requests   map[string]Event // what clients sent, by call
+	requests   map[string]Event // the RequestSent events, by call ID
 }
 
-// Check returns all violations of the guarantees for idempotent requests. Events without an idempotency key are not
-// looked at.
+// Check returns all violations of the guarantees for requests that are idempotent by key. Events without an
+// idempotency key are ignored.
 func Check(events []Event) (violations []Violation) {
 	events = slices.DeleteFunc(slices.Clone(events), func(e Event) bool { return e.IdempotencyKey == "" })
 	observed := observations{events: events, executions: Executions(events), requests: map[string]Event{}}
@@ -38,7 +39,7 @@
 	return violations
 }
 
-// checkNoConcurrentAttempts finds two attempts of one request that ran at the same time.
+// checkNoConcurrentAttempts finds attempts of the same request that ran at the same time.
 func checkNoConcurrentAttempts(o observations) (violations []Violation) {
 	previous := map[string]Execution{}
 	for _, execution := range o.executions {
@@ -55,7 +56,7 @@
 	return violations
 }
 
-// checkNoAttemptAfterOutcome finds attempts that started after a client had got the rows.
+// checkNoAttemptAfterOutcome finds attempts that started after a client had received the result.
 func checkNoAttemptAfterOutcome(o observations) (violations []Violation) {
 	firstResponses := firstSuccessfulResponses(o.events)
 	for _, execution := range o.executions {
@@ -70,7 +71,7 @@
 	return violations
 }
 
-// firstSuccessfulResponses returns the first response with rows to each request, by idempotency key.
+// firstSuccessfulResponses returns the first successful response to each request, by idempotency key.
 func firstSuccessfulResponses(events []Event) map[string]Event {
 	first := map[string]Event{}
 	for _, event := range events {
@@ -84,8 +85,8 @@
 	return first
 }
 
-// checkSingleOutcome finds clients that got other rows than another client of the same request, or rows that no
-// execution had produced before.
+// checkSingleOutcome finds responses whose rows differ from those of an earlier response to the same request, or
+// were not produced by an execution that finished earlier.
 func checkSingleOutcome(o observations) (violations []Violation) {
 	finished := map[string][]Event{}
 	for _, execution := range o.executions {
@@ -115,15 +116,15 @@
 }
 
 // hasSource reports whether one of the finished executions produced the rows of a response. The rows begin with the
-// call of the execution that produced them.
+// call ID of the execution that produced them.
 func hasSource(response Event, finished []Event) bool {
 	return slices.ContainsFunc(finished, func(end Event) bool {
 		return end.At <= response.At && strings.HasPrefix(response.Body, end.CallID)
 	})
 }
 
-// checkOutcomeRetained finds clients that got a failure of a request although its rows had been delivered before
-// they sent it. They should get the same rows, or be rejected for the time being.
+// checkOutcomeRetained finds calls that failed although the rows of the same request had been delivered before the
+// call was sent. Such a call should return the same rows, or be rejected for the time being.
 func checkOutcomeRetained(o observations) (violations []Violation) {
 	delivered := map[string]Event{}
 	for _, event := range o.events {
@@ -145,7 +146,7 @@
 	return violations
 }
 
-// checkRejectedNeverRan finds rejected calls that an engine executed.
+// checkRejectedNeverRan finds calls that were rejected although an engine executed them.
 func checkRejectedNeverRan(o observations) (violations []Violation) {
 	rejections := map[string]Event{}
 	for _, event := range o.events {
@@ -161,8 +162,8 @@
 	return violations
 }
 
-// checkOrderOfKeys finds requests of one key that ran at the same time, through whichever front ends they came, and
-// requests of one key that did not run in the order in which one front end received them.
+// checkOrderOfKeys finds requests with the same order key that ran at the same time, whichever front ends received
+// them, and requests with the same order key that did not run in the order in which one front end received them.
 func checkOrderOfKeys(o observations) (violations []Violation) {
 	firstCalls := o.firstCalls()
 	byKey := map[string][]Execution{}
@@ -182,8 +183,8 @@
 	return violations
 }
 
-// checkPairOfKey checks two executions of one key, the earlier of which started first. The order is checked for first
-// calls only, as a repeated call has the position of its request.
+// checkPairOfKey checks two executions with the same order key; earlier started first. The order is checked only for
+// the first call of each request, because a repeated call keeps the position of its request.
 func (o observations) checkPairOfKey(earlier, later Execution, firstCalls map[string]Event) (violations []Violation) {
 	if earlier.endTime() > later.Start.At && earlier.Start.IdempotencyKey != later.Start.IdempotencyKey {
 		violations = append(violations, Violation{
--- a/internal/history/rate.go
+++ b/internal/history/rate.go
@@ -7,38 +7,39 @@
 	"slices"
 )
 
-// roundingError is the error that sums of units may have.
+// roundingError is the tolerance for rounding errors in sums of units.
 const roundingError = 1e-9
 
 const microsPerSecond = 1e6
 
-// tokenBucket is a token bucket at a point in time.
+// tokenBucket is the state of a token bucket at a point in time.
 type tokenBucket struct {
-	rate   float64 // tokens a second
-	burst  float64 // the most tokens that it holds
+	rate   float64 // tokens per second
+	burst  float64 // maximum number of tokens
 	tokens float64
 	at     int64 // microseconds
 }
 
-// advance moves the bucket to a later time.
+// advance refills the bucket up to a later time.
 func (b *tokenBucket) advance(to int64) {
 	b.tokens = min(b.burst, b.tokens+b.rate*float64(to-b.at)/microsPerSecond)
 	b.at = to
 }
 
-// holds reports whether there are enough tokens.
-func (b *tokenBucket) holds(units float64) bool { return b.tokens >= units-roundingError }
+// hasTokens reports whether the bucket has the given number of tokens.
+func (b *tokenBucket) hasTokens(units float64) bool { return b.tokens >= units-roundingError }
 
-// fullEnoughAt returns when there will be enough tokens.
-func (b *tokenBucket) fullEnoughAt(units float64) int64 {
+// availableAt returns the time at which the bucket will have the given number of tokens.
+func (b *tokenBucket) availableAt(units float64) int64 {
 	return b.at + int64((units-b.tokens)/b.rate*microsPerSecond) + 1
 }
 
-// CheckRate finds consumptions for which a token bucket would not have had the tokens in time: one that fills at a rate
-// in units a second and holds a burst of units at most.
+// CheckRate returns a violation for each consumption that exceeds the limit of a token bucket, which is refilled with
+// rate units per second and has at most burst units.
 //
-// It serves consumptions in the order of their deadlines, each as soon as there are tokens for it. If any order is in
-// time, this one is.
+// The time of a consumption is known only within bounds. CheckRate takes the tokens in the order of the latest possible
+// times (earliest deadline first), each as soon as the bucket has enough of them. If any order meets all deadlines,
+// this one does.
 func CheckRate(consumptions []Consumption, rate, burst float64) (violations []Violation) {
 	upcoming := slices.Clone(consumptions)
 	slices.SortStableFunc(upcoming, func(a, b Consumption) int { return cmp.Compare(a.Earliest, b.Earliest) })
@@ -53,8 +54,8 @@
 			upcoming = upcoming[1:]
 		}
 		next := waiting[0]
-		if !bucket.holds(next.Units) {
-			wakeup := bucket.fullEnoughAt(next.Units)
+		if !bucket.hasTokens(next.Units) {
+			wakeup := bucket.availableAt(next.Units)
 			if len(upcoming) > 0 {
 				wakeup = min(wakeup, upcoming[0].Earliest)
 			}
@@ -66,7 +67,7 @@
 		deadline := next.Event.At
 		if bucket.at > deadline+1 {
 			violations = append(violations, rateViolation(next, bucket))
-			bucket.tokens, bucket.at = burst, deadline // later ones are judged on their own
+			bucket.tokens, bucket.at = burst, deadline // so that later consumptions are checked independently
 		}
 	}
 	return violations
--- a/internal/history/violation.go
+++ b/internal/history/violation.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Violation is a violation of a guarantee, with the events that show it.
+// Violation is a violation of a guarantee, with the events that prove it.
 type Violation struct {
-	Anomaly string // what went wrong, in words
+	Anomaly string // description of what went wrong
 	Events  []Event
 }
 
-// String formats the violation: the anomaly, and one event a line.
+// String formats the violation: the anomaly, followed by one event per line.
 func (v Violation) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s:", v.Anomaly)
@@ -21,7 +21,7 @@
 	return text.String()
 }
 
-// RelatedEvents returns the last n events, at most, that have an idempotency key or an order key in common with a
+// RelatedEvents returns the last n events, or fewer, that share an idempotency key or an order key with the events of a
 // violation.
 func RelatedEvents(events []Event, violation Violation, n int) (related []Event) {
 	idempotencyKeys := map[string]bool{}
--- a/internal/history/window.go
+++ b/internal/history/window.go
@@ -2,14 +2,15 @@
 
 import "fmt"
 
-// CheckWindow finds windows, in microseconds, in which more than a total was consumed, whenever within its bounds each
-// unit was consumed.
+// CheckWindow returns a violation for each window, of the given length in microseconds, in which more than the total
+// was consumed. The time of a consumption is known only within bounds; a violation is reported only if the total is
+// exceeded for all possible times.
 func CheckWindow(consumptions []Consumption, total float64, window int64) (violations []Violation) {
 	for i, first := range consumptions {
 		sum, earliest := 0.0, first.Earliest
 		for _, consumption := range consumptions[i:] {
 			earliest = min(earliest, consumption.Earliest)
-			if consumption.Event.At-earliest >= window { // they may lie a window apart
+			if consumption.Event.At-earliest >= window { // they may be a whole window apart
 				break
 			}
 			sum += consumption.Units
