--- a/internal/testharness/attached.go
+++ b/internal/testharness/attached.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// WithAttachedFrontEnds is an option of NewFleet: it adds attached front ends, one in each of the zones. They are
-// named a1, a2 and so on, and follow the control members in the list.
+// WithAttachedFrontEnds is an option of NewFleet that adds one attached front end in each of the zones. They are named
+// a1, a2 and so on, and follow the control members in Fleet.FrontEnds.
 func WithAttachedFrontEnds(zones ...string) func(*Fleet) {
 	return func(f *Fleet) {
 		f.FleetSettings["attached"] = map[string]any{"enabled": true}
@@ -23,11 +23,11 @@
 	}
 }
 
-// AddDuplicate adds a second process under a front end's name to the fleet, with proxies of its own to all control
-// members. It is not started.
+// AddDuplicate adds a second front end with the name and storage of an existing one to the fleet, with proxies of its
+// own to all control members. It does not start it.
 func (f *Fleet) AddDuplicate(original *FrontEnd) *FrontEnd {
 	index := len(f.FrontEnds)
-	twin := &FrontEnd{
+	duplicate := &FrontEnd{
 		Fleet:         f,
 		Index:         index,
 		Name:          original.Name,
@@ -39,9 +39,9 @@
 		AdminSocket:   f.adminSocket(fmt.Sprintf("%s-%d", original.Name, index)),
 		Log:           &LogBuffer{},
 	}
-	f.FrontEnds = append(f.FrontEnds, twin)
+	f.FrontEnds = append(f.FrontEnds, duplicate)
 	for _, controlMember := range f.ControlMembers() {
-		f.startProxy(twin, controlMember)
+		f.startProxy(duplicate, controlMember)
 	}
-	return twin
+	return duplicate
 }
--- a/internal/testharness/attachedstub.go
+++ b/internal/testharness/attachedstub.go
@@ -14,8 +14,9 @@
 	"chutechute/internal/fieldcodec"
 )
 
-// AttachedStub is a stub of an attached front end without a process: it authenticates itself to one control member,
-// sends heartbeats, and discards what it receives. Many of them make many changes of the view.
+// AttachedStub is a stub of an attached front end within the test process: it authenticates itself to one control
+// member, sends heartbeats, and discards what it receives. It allows tests to cause many changes of the view without
+// many processes.
 type AttachedStub struct {
 	name    string
 	conn    net.Conn
@@ -29,18 +30,17 @@
 	stubReadBufferSize    = 4096 // bytes
 )
 
-// Numbers of the fields of a hello, of the identity in it, and of an attached front end's heartbeat.
+// Field numbers of a hello, of the identity in it, and of the heartbeat of an attached front end.
 const (
 	helloIdentityField          = 1
 	identitySettingsDigestField = 8
 
 	heartbeatNameField     = 1
-	heartbeatSentTimeField = 2 // microseconds of the sender's clock
+	heartbeatSentTimeField = 2 // in microseconds, by the sender's clock
 )
 
-// CaptureSettingsDigest ends the connections of a path, waits for the hello on the next one, and returns the digest
-// of the settings in it, which the stub of an attached front end has to send. The test fails where no hello passes
-// in time.
+// CaptureSettingsDigest closes the connections of a proxy, waits for the hello on the next connection, and returns the
+// settings digest in it, which an AttachedStub has to send. The test fails if no hello is seen in time.
 func (f *Fleet) CaptureSettingsDigest(proxy *FaultProxy) (digest []byte) {
 	f.T.Helper()
 	hellos := make(chan []byte, 1)
@@ -65,7 +65,7 @@
 	return digest
 }
 
-// bytesField returns the value of a message's field of bytes; nil where it has none.
+// bytesField returns the value of a bytes field of a message; nil if the message doesn't have the field.
 func bytesField(message []byte, number int) (value []byte) {
 	fields := fieldcodec.Decode(message)
 	for fields.Next() {
@@ -76,9 +76,9 @@
 	return value
 }
 
-// AttachStub attaches the stub of a front end to a control member, under a name and an incarnation. The digest of the
-// settings has to be that of the control member's. The test fails where the control member refuses the handshake.
-// The stub is closed with the test.
+// AttachStub attaches a stub front end with the given name and incarnation to a control member. The digest has to be
+// the control member's settings digest. The test fails if the handshake fails. The stub is closed at the end of the
+// test.
 func (f *Fleet) AttachStub(controlMember *FrontEnd, name string, incarnation uint64, digest []byte) *AttachedStub {
 	f.T.Helper()
 	conn, err := net.DialTimeout("tcp4", controlMember.PeerAddr, stubDialTimeout)
@@ -101,7 +101,7 @@
 	return s
 }
 
-// handshake authenticates the stub to the control member of a name.
+// handshake authenticates the stub to the control member with the given name.
 func (s *AttachedStub) handshake(controlMember string, self *transport.Identity) error {
 	_ = s.conn.SetDeadline(time.Now().Add(WaitTimeout))
 	defer func() { _ = s.conn.SetDeadline(time.Time{}) }()
@@ -124,11 +124,11 @@
 	return nil
 }
 
-// sendHeartbeats sends heartbeats that request no view, until the stub is closed or its connection ends.
+// sendHeartbeats sends heartbeats, which don't request a view, until the stub is closed or its connection ends.
 func (s *AttachedStub) sendHeartbeats() {
-	began := time.Now()
+	startedAt := time.Now()
 	for {
-		sentTime := time.Since(began).Microseconds()
+		sentTime := time.Since(startedAt).Microseconds()
 		heartbeat := fieldcodec.Encode(nil)
 		heartbeat.String(heartbeatNameField, &s.name)
 		fieldcodec.IntUpTo(&heartbeat, heartbeatSentTimeField, &sentTime, math.MaxInt64)
@@ -144,7 +144,7 @@
 	}
 }
 
-// discardReceived reads and discards all that the control member sends, until the connection ends.
+// discardReceived reads and discards everything that the control member sends, until the connection ends.
 func (s *AttachedStub) discardReceived() {
 	buffer := make([]byte, stubReadBufferSize)
 	for {
@@ -154,7 +154,7 @@
 	}
 }
 
-// Close closes the stub's connection without a goodbye, and waits until its goroutines have ended.
+// Close closes the stub's connection without announcing that it leaves, and waits until its goroutines have ended.
 func (s *AttachedStub) Close() {
 	select {
 	case <-s.stop:
--- a/internal/testharness/blockablelistener.go
+++ b/internal/testharness/blockablelistener.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// BlockableListener is a TCP listener that can be blocked: while it is, its backlog is full, so that connection
-// attempts hang until it is opened again, or forever. It accepts in a goroutine of its own, so that it can be
-// blocked before its server calls Accept.
+// BlockableListener is a TCP listener that can be blocked. While it is blocked, its backlog is full, so that attempts
+// to connect hang until it is unblocked. It accepts connections in a goroutine of its own, so that it can be blocked
+// before its server calls Accept.
 type BlockableListener struct {
 	net.Listener
-	accepted     chan net.Conn // what Accept returns
+	accepted     chan net.Conn // connections for Accept to return
 	closed       chan struct{} // closed with the listener
-	closeOnce    sync.Once     // guards closing of closed
-	acceptEnded  chan struct{} // closed once no connection is accepted any more; acceptErr is set before
+	closeOnce    sync.Once     // closes closed
+	acceptEnded  chan struct{} // closed once acceptLoop has ended; acceptErr is set before
 	acceptErr    error
 	mu           sync.Mutex
-	unblocked    chan struct{} // closed when the listener is opened; nil while it is open
-	firstBlocked chan struct{} // closed when the accept loop waits, with one connection, for unblocked
+	unblocked    chan struct{} // closed when the listener is unblocked; nil while it isn't blocked
+	firstBlocked chan struct{} // closed when acceptLoop has accepted a connection and waits for unblocked
 	fillers      []net.Conn    // connections that fill the backlog
 }
 
-// backlogDialTimeout is how long a connection that fills the backlog may take: one that takes longer found it full.
+// backlogDialTimeout is the timeout for opening a connection that fills the backlog. A timeout shows that the backlog
+// is full.
 const backlogDialTimeout = 100 * time.Millisecond
 
-// newBlockableListener listens on loopback with the shortest backlog that the system has.
+// newBlockableListener listens on loopback with the shortest backlog that the system supports.
 func newBlockableListener() (*BlockableListener, error) {
 	listener, err := listenWithoutBacklog()
 	if err != nil {
@@ -43,14 +44,14 @@
 	return l, nil
 }
 
-// listenWithoutBacklog listens on loopback with a backlog of 0, which package net can't ask for.
+// listenWithoutBacklog listens on loopback with a backlog of 0, which package net doesn't support.
 func listenWithoutBacklog() (net.Listener, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
 	}
 	file := os.NewFile(uintptr(fd), "listener")
-	defer file.Close() // FileListener has a copy of the descriptor
+	defer file.Close() // FileListener duplicates the descriptor
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		return nil, err
 	}
@@ -60,7 +61,8 @@
 	return net.FileListener(file)
 }
 
-// acceptLoop accepts one connection after the other, and hands each to Accept once the listener is open.
+// acceptLoop accepts connections until the listener is closed, and passes each to Accept once the listener isn't
+// blocked.
 func (l *BlockableListener) acceptLoop() {
 	defer close(l.acceptEnded)
 	for {
@@ -77,7 +79,7 @@
 	}
 }
 
-// waitUnblocked waits until the listener is open.
+// waitUnblocked waits while the listener is blocked.
 func (l *BlockableListener) waitUnblocked() {
 	l.mu.Lock()
 	unblocked, firstBlocked := l.unblocked, l.firstBlocked
@@ -88,7 +90,7 @@
 	}
 }
 
-// Accept returns the next connection, once the listener is open.
+// Accept returns the next connection. It waits while the listener is blocked.
 func (l *BlockableListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.accepted:
@@ -98,8 +100,8 @@
 	}
 }
 
-// Block blocks the listener: it returns once the backlog is full. What the listener accepts leaves the backlog, so
-// that it stays full only once the accept loop has accepted one connection and waits.
+// Block blocks the listener. It returns once the backlog is full. Accepting a connection removes it from the backlog,
+// so Block fills the backlog only after acceptLoop has accepted one connection and waits.
 func (l *BlockableListener) Block() {
 	firstBlocked := make(chan struct{})
 	l.mu.Lock()
--- a/internal/testharness/build.go
+++ b/internal/testharness/build.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	repositoryRoot = "../.." // from the program's own folder
+	repositoryRoot = "../.." // relative to cmd/chutechute
 	programName    = "chutechute"
 )
 
-// deployBuildCommand matches the build command of the deploy file; its group is the command without the output
-// folder and the packages.
+// deployBuildCommand matches the build command in the deploy file. The group is the command without the output folder
+// and the packages.
 var deployBuildCommand = regexp.MustCompile(`(?m)^build = "mkdir -p bin && (.*) -o bin/ \./cmd/\.\.\."$`)
 
-// Build builds the program and the other commands, with the build command of the deploy file, into a new folder. It
-// returns the program's path and a function that removes the folder. It has to be called from the program's own
+// Build builds the program and the other commands into a new folder, with the build command of the deploy file. It
+// returns the program's path and a function that removes the folder. The working directory has to be the program's
 // folder, cmd/chutechute.
 func Build() (program string, remove func(), err error) {
 	deploy, err := os.ReadFile(filepath.Join(repositoryRoot, "deploy", "balancer.toml"))
@@ -32,7 +32,7 @@
 	}
 	command := deployBuildCommand.FindSubmatch(deploy)
 	if command == nil {
-		return "", nil, errors.New("deploy/balancer.toml: build has another form")
+		return "", nil, errors.New("deploy/balancer.toml: build command not found or in an unexpected form")
 	}
 	dir, err := os.MkdirTemp("", programName)
 	if err != nil {
@@ -48,9 +48,9 @@
 	return filepath.Join(dir, programName), remove, nil
 }
 
-// Variant builds the program with one source file replaced by the given text, for faults that can't be injected from
-// outside, and returns the program's path. The file is relative to the repository's root. Variant has to be called
-// from the program's own folder, as Build; the test fails where the variant doesn't build.
+// Variant builds the program with one source file replaced by the given text, and returns the program's path. It serves
+// to inject faults that can't be caused from outside the process. The file's path is relative to the repository's root.
+// The working directory has to be the program's folder, as for Build. The test fails if the build fails.
 func Variant(t *testing.T, file, text string) (program string) {
 	dir := t.TempDir()
 	root, err := filepath.Abs(repositoryRoot)
@@ -67,7 +67,8 @@
 	return program
 }
 
-// buildOverlay is the file that "go build -overlay" reads: which file is read in place of which.
+// buildOverlay is the content of the file for "go build -overlay". Replace maps the path of a source file to the path
+// of its replacement.
 type buildOverlay struct {
 	Replace map[string]string
 }
--- a/internal/testharness/client.go
+++ b/internal/testharness/client.go
@@ -16,16 +16,16 @@
 	"chutechute/internal/history"
 )
 
-// Client is a client of a front end: framed Thrift in the binary protocol, written apart from the program's own
-// codec. It is not safe for concurrent use.
+// Client is a client of a front end. It uses framed Thrift in the binary protocol, implemented independently of the
+// program's own codec. It is not safe for concurrent use.
 type Client struct {
 	T       *testing.T
 	Conn    net.Conn
 	LastSeq int32 // sequence number of the last message sent
 }
 
-// NewClient connects a new client to the front end. Its connection is closed with the test, and has one timeout for all
-// of its reads and writes together.
+// NewClient connects a new client to the front end. All reads and writes have to complete within WaitTimeout from now.
+// The connection is closed at the end of the test.
 func (h *Harness) NewClient() *Client {
 	conn, err := net.Dial("tcp4", h.Addr)
 	require.NoError(h.T, err)
@@ -34,7 +34,7 @@
 	return &Client{T: h.T, Conn: conn}
 }
 
-// NewTLSClient connects a new client by TLS. It returns the error of the handshake where there is one.
+// NewTLSClient connects a new client over TLS. It returns an error if the connection or the handshake fails.
 func (h *Harness) NewTLSClient(config *tls.Config) (*Client, error) {
 	conn, err := tls.DialWithDialer(&net.Dialer{Timeout: WaitTimeout}, "tcp4", h.Addr, config)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return &Client{T: h.T, Conn: conn}, conn.SetDeadline(time.Now().Add(WaitTimeout))
 }
 
-// Types of messages, and of fields, in Thrift's binary protocol.
+// Message and field types of Thrift's binary protocol.
 const (
 	callMessage  = 1
 	replyMessage = 2
@@ -54,22 +54,22 @@
 	fieldsEnd   = 0
 )
 
-// thriftVersion is the first bytes of each message; the message's type follows.
+// thriftVersion is the version at the start of each message. The message's type follows.
 var thriftVersion = []byte{0x80, 1, 0}
 
-// appendText appends the binary form of a string: its length and its bytes.
+// appendText appends the encoding of a string: its length and its bytes.
 func appendText(b []byte, text string) []byte {
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(text))), text...)
 }
 
-// SendMessage sends a message of a Thrift type, and returns its sequence number. The arguments are whole encoded
-// fields.
+// SendMessage sends a message of the given Thrift type and method name, and returns its sequence number. The arguments
+// are completely encoded fields.
 func (c *Client) SendMessage(kind byte, name string, args ...[]byte) int32 {
 	require.NoError(c.T, c.TrySendMessage(kind, name, args...))
 	return c.LastSeq
 }
 
-// TrySendMessage sends a message of a Thrift type, and returns the error of writing.
+// TrySendMessage is SendMessage, but returns the error if the message can't be written.
 func (c *Client) TrySendMessage(kind byte, name string, args ...[]byte) error {
 	c.LastSeq++
 	message := append(bytes.Clone(thriftVersion), kind)
@@ -82,14 +82,14 @@
 	return err
 }
 
-// SendRequest sends a request, and returns its sequence number. The fields of its map are name, value, name, value
-// and so on.
+// SendRequest sends a request with the given statement, and returns its sequence number. The entries of the request's
+// map are given as name, value, name, value and so on.
 func (c *Client) SendRequest(statement string, fields ...string) int32 {
 	require.NoError(c.T, c.TrySendRequest(statement, fields...))
 	return c.LastSeq
 }
 
-// TrySendRequest sends a request with the fields of its map, and returns the error of writing.
+// TrySendRequest is SendRequest, but returns the error if the request can't be written.
 func (c *Client) TrySendRequest(statement string, fields ...string) error {
 	info := []byte{mapField, 0, 1, stringField, stringField, 0, 0, 0, byte(len(fields) / 2)}
 	for _, text := range fields {
@@ -98,18 +98,18 @@
 	return c.TrySendMessage(callMessage, "call", info, appendText([]byte{stringField, 0, 2}, statement))
 }
 
-// RequestID returns the request id of a number: 16 hexadecimal digits.
+// RequestID returns the request id with the given number: 16 hexadecimal digits.
 func RequestID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// SendLookup sends a look-up with the usual fields and the id of a number, and returns its sequence number. The
-// ttl, the client's timeout, is in milliseconds.
+// SendLookup sends a lookup with the request id RequestID(n), and returns its sequence number. ttl is the client
+// time-out in milliseconds.
 func (c *Client) SendLookup(n int, ttl string) int32 {
 	return c.SendRequest("SELECT * FROM s_1.t",
 		"call", RequestID(n), "op", "lookup", "ttl", ttl, "org", "t", "work", "1000.0", "mb", "8")
 }
 
-// SendLoad sends a load with the id and idempotency key of a number, and returns its sequence number. All of them have
-// the same order key. The ttl, the client's timeout, is in milliseconds.
+// SendLoad sends a load with the request id RequestID(n) and the idempotency key n, and returns its sequence number.
+// All loads have the same order key. ttl is the client time-out in milliseconds.
 func (c *Client) SendLoad(n int, ttl string) int32 {
 	return c.SendRequest("INSERT INTO s_1.t",
 		"call", RequestID(n), "op", "load", "ttl", ttl, "dedupe", fmt.Sprint(n), "row", "k", "work", "10.0")
@@ -117,23 +117,23 @@
 
 // Reply is one message from the front end.
 type Reply struct {
-	Seq     int32  // sequence number of the request that it responds to
+	Seq     int32  // sequence number of the request
 	Kind    string // answer, shed, fault or exception
-	Payload string // all after the sequence number
+	Payload string // everything after the sequence number
 }
 
-// Healthy calls the front end's health method, and reports whether it responds that it is healthy.
+// Healthy calls the front end's health method, and reports whether the response is that it is healthy.
 func (c *Client) Healthy() bool {
 	c.SendMessage(callMessage, "health")
 	return strings.HasSuffix(c.ReadReply().Payload, "\x02\x00\x03\x01\x00\x00")
 }
 
-// replyKinds is the kind of reply for each id of the field that a reply's result begins with.
+// replyKinds are the kinds of replies, by the id of the first field of a reply's result.
 var replyKinds = []string{history.Succeeded, history.Rejected, history.Failed}
 
 const exceptionReply = "exception"
 
-// ReadReply reads the next message from the front end. The test fails where none can be read.
+// ReadReply reads the next message from the front end. The test fails if none can be read.
 func (c *Client) ReadReply() Reply {
 	c.T.Helper()
 	reply, err := c.TryReadReply()
@@ -141,7 +141,7 @@
 	return reply
 }
 
-// TryReadReply reads the next message from the front end. It returns the error of reading.
+// TryReadReply is ReadReply, but returns the error if no message can be read.
 func (c *Client) TryReadReply() (Reply, error) {
 	var size uint32
 	if err := binary.Read(c.Conn, binary.BigEndian, &size); err != nil {
@@ -154,8 +154,8 @@
 	return decodeReply(message), nil
 }
 
-// decodeReply decodes a message: version and type (4 bytes), name (with 4 bytes of length), sequence number (4) and,
-// in a reply, a result whose first field has its id in the second and third byte.
+// decodeReply decodes a message: version and type (4 bytes), name (preceded by its length in 4 bytes), sequence number
+// (4 bytes) and, in a reply, a result. The id of the result's first field is in its second and third byte.
 func decodeReply(message []byte) Reply {
 	const typeOffset, nameLengthOffset, nameOffset = 3, 4, 8
 	seqOffset := nameOffset + int(binary.BigEndian.Uint32(message[nameLengthOffset:]))
@@ -171,9 +171,9 @@
 	return reply
 }
 
-// Rows returns the rows of an answer.
-func (p Reply) Rows() string {
+// Rows returns the rows of a reply of the kind answer.
+func (r Reply) Rows() string {
 	const lengthOffset, rowsOffset = 6, 10
-	length := binary.BigEndian.Uint32([]byte(p.Payload[lengthOffset:]))
-	return p.Payload[rowsOffset : rowsOffset+length]
+	length := binary.BigEndian.Uint32([]byte(r.Payload[lengthOffset:]))
+	return r.Payload[rowsOffset : rowsOffset+length]
 }
--- a/internal/testharness/direction.go
+++ b/internal/testharness/direction.go
@@ -14,25 +14,25 @@
 	frameLengthSize  = 4
 	frameKindOffset  = 4
 	frameBodyOffset  = 10
-	maxQueuedFrames  = 4096      // that wait to be written in one direction of a connection
+	maxQueuedFrames  = 4096      // frames that wait to be written, per direction of a connection
 	readBufferSize   = 32 << 10  // bytes
-	duplicationRatio = uint64(3) // one frame in so many is duplicated
+	duplicationRatio = uint64(3) // one in this many frames is duplicated
 )
 
-// lastHandshakeKind is the last of the kinds of the handshake, whose frames come once on a connection.
+// lastHandshakeKind is the highest of the kinds of handshake frames. Those are sent only once per connection.
 const lastHandshakeKind = transport.Welcome
 
-// frameKind returns the kind of a whole frame.
+// frameKind returns the kind of a complete frame.
 func frameKind(frame []byte) transport.Kind { return transport.Kind(frame[frameKindOffset]) }
 
-// ProxyDirection is one direction of all connections of a proxy, with the faults injected into it. Frames pass
-// whole, each with the faults that are set when it arrives. It is safe for concurrent use.
+// ProxyDirection is one direction of all connections of a proxy, with the faults injected into it. It forwards complete
+// frames only, and applies to each the faults that are set when it arrives. It is safe for concurrent use.
 type ProxyDirection struct {
 	random *Random
 
 	mu             sync.Mutex
 	stalled        bool
-	resumed        chan struct{} // closed when a stall ends
+	resumed        chan struct{} // closed and replaced when a stall ends
 	dropping       bool
 	duplicating    bool
 	delay          time.Duration
@@ -49,7 +49,7 @@
 	return &ProxyDirection{random: random, resumed: make(chan struct{})}
 }
 
-// SetStalled stops all traffic in this direction, or resumes it. Connections stay open, and nothing is lost.
+// SetStalled stops or resumes all traffic in this direction. Connections stay open, and nothing is lost.
 func (d *ProxyDirection) SetStalled(stall bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -60,45 +60,46 @@
 	d.stalled = stall
 }
 
-// SetDropping drops all frames that arrive, or forwards them again. Connections stay open.
+// SetDropping sets whether arriving frames are dropped. Connections stay open.
 func (d *ProxyDirection) SetDropping(drop bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.dropping = drop
 }
 
-// SetDelay sets the delay of each frame, a random jitter below the given one that is added to it, and the rate in bytes
-// a second. 0 is no delay, no jitter or no limit. A low rate is what a slow reader looks like.
+// SetDelay sets the delay of each frame, the upper bound of a random jitter that is added to it, and the rate limit in
+// bytes per second. 0 is no delay, no jitter or no limit. A low rate simulates a slow reader.
 func (d *ProxyDirection) SetDelay(delay, jitter time.Duration, bytesPerSecond int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.delay, d.jitter, d.bytesPerSecond = delay, jitter, bytesPerSecond
 }
 
-// SetDuplicating has a random third of all frames after the handshake forwarded twice, or no more.
+// SetDuplicating sets whether frames are duplicated: a random third of all frames after the handshake is forwarded
+// twice.
 func (d *ProxyDirection) SetDuplicating(duplicate bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.duplicating = duplicate
 }
 
-// FrameCounts returns how many frames and bytes were forwarded, and how many frames were dropped. A duplicated frame
-// counts once, with the bytes of both.
+// FrameCounts returns the numbers of forwarded frames, forwarded bytes and dropped frames. A duplicated frame counts as
+// one frame, with the bytes of both copies.
 func (d *ProxyDirection) FrameCounts() (frames, bytes, dropped int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.forwarded, d.forwardedBytes, d.dropped
 }
 
-// PendingFrames returns how many frames have arrived and are neither forwarded nor dropped yet.
+// PendingFrames returns the number of frames that have arrived and are neither forwarded nor dropped yet.
 func (d *ProxyDirection) PendingFrames() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.received - d.forwarded - d.dropped
 }
 
-// Observe has observe called with each frame that arrives, header included; nil ends that. It must neither keep nor
-// change the frame.
+// Observe sets a function that is called with each arriving frame, header included; nil removes it. The function must
+// neither keep nor change the frame.
 func (d *ProxyDirection) Observe(observe func(frame []byte)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,14 +119,14 @@
 	}
 }
 
-// delayedWrite is bytes that are to be written once their time has come.
+// delayedWrite is data to be written at the time due.
 type delayedWrite struct {
 	bytes []byte
 	due   time.Time
 }
 
-// applyFaults applies the faults that are set now to a frame. It returns what is to be written, and for how long
-// nothing more is to be read; ok is false where the frame is dropped.
+// applyFaults applies the current faults to a frame. It returns what to write, and for how long to stop reading
+// afterwards; ok is false if the frame is dropped.
 func (d *ProxyDirection) applyFaults(frame []byte) (write delayedWrite, pause time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -150,9 +151,9 @@
 	return write, pause, true
 }
 
-// forward forwards frames from one connection to the other. It returns once the first has ended and all that came of
-// it is written or thrown away. While heldUntil returns a channel, frames are read but not written until it is
-// closed, so that none is lost with its sender.
+// forward forwards frames from one connection to the other. It returns once the first has ended and everything that was
+// read from it has been written or discarded. If heldUntil returns a channel, frames are read, but are not written
+// until the channel is closed, so that they survive the end of their sender.
 func (d *ProxyDirection) forward(from, to net.Conn, heldUntil func() <-chan struct{}) {
 	queue := make(chan delayedWrite, maxQueuedFrames)
 	written := make(chan struct{})
@@ -174,8 +175,8 @@
 	<-written
 }
 
-// queueFrames takes the whole frames off the front of what was read, queues what is to be written of them, and
-// returns the rest.
+// queueFrames removes the complete frames from the start of the unparsed data, queues those that are not dropped, and
+// returns the rest of the data.
 func (d *ProxyDirection) queueFrames(unparsed []byte, queue chan<- delayedWrite) []byte {
 	for len(unparsed) >= frameLengthSize {
 		size := frameLengthSize + int(binary.BigEndian.Uint32(unparsed))
@@ -193,8 +194,7 @@
 	return unparsed
 }
 
-// writeQueue writes what is queued, each when it is due. Once the connection takes nothing more the rest is thrown
-// away.
+// writeQueue performs the queued writes, each when it is due. After a write has failed, it discards the rest.
 func (d *ProxyDirection) writeQueue(to net.Conn, queue <-chan delayedWrite, heldUntil func() <-chan struct{}) {
 	failed := false
 	for write := range queue {
@@ -211,7 +211,7 @@
 	}
 }
 
-// countWrite counts a frame that was forwarded, or that is lost as its receiver has ended.
+// countWrite counts a frame as forwarded, or as dropped if it is lost because its receiver has ended.
 func (d *ProxyDirection) countWrite(size int, lost bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testharness/discovery.go
+++ b/internal/testharness/discovery.go
@@ -13,8 +13,8 @@
 // discoveryFrameHeader is the length, in bytes, of a discovery frame's sequence number and kind.
 const discoveryFrameHeader = 9
 
-// DiscoveryFrame returns a frame of the discovery service ("journal" on the wire): its length, sequence number and
-// kind, and the records after them.
+// DiscoveryFrame returns a frame of the discovery service: its length, sequence number and kind, followed by the
+// records.
 func DiscoveryFrame(number uint64, kind byte, records ...[]byte) []byte {
 	payload := bytes.Join(records, nil)
 	frame := binary.BigEndian.AppendUint32(nil, uint32(discoveryFrameHeader+len(payload)))
@@ -22,7 +22,8 @@
 	return append(append(frame, kind), payload...)
 }
 
-// DiscoveryRecord returns the discovery record of the engine with the given state. The engine's name has the form s-%x.
+// DiscoveryRecord returns the engine's discovery record with the given state. The engine's name must have the form
+// s-%x.
 func (e *StubEngine) DiscoveryRecord(state byte) []byte {
 	var number uint32
 	fmt.Sscanf(e.Name, "s-%x", &number)
@@ -31,8 +32,8 @@
 	return append(record, make([]byte, 8)...)
 }
 
-// ListenDiscovery closes the listener of the stub discovery service and listens at addr in its place. It returns the
-// error of listening.
+// ListenDiscovery closes the listener of the stub discovery service and opens a new one at addr. It returns an error if
+// it can't listen there.
 func (h *Harness) ListenDiscovery(addr string) (err error) {
 	h.DiscoveryListener.Close()
 	if h.DiscoveryListener, err = net.Listen("tcp4", addr); err == nil {
@@ -41,9 +42,9 @@
 	return err
 }
 
-// AcceptDiscovery accepts the next connection of the front end to the stub discovery service. It returns the
-// connection and the sequence number after which the front end asks for events. The test fails where no connection
-// can be accepted or its number can't be read.
+// AcceptDiscovery accepts the next connection of the front end to the stub discovery service. It returns the connection
+// and the sequence number after which the front end requests events. The test fails if no connection can be accepted or
+// the number can't be read.
 func (h *Harness) AcceptDiscovery() (net.Conn, uint64) {
 	conn, err := h.DiscoveryListener.Accept()
 	require.NoError(h.T, err)
--- a/internal/testharness/engine.go
+++ b/internal/testharness/engine.go
@@ -17,24 +17,24 @@
 	Engine, Method, Path string
 	Header               http.Header
 	Body                 string
-	ReceivedAt           time.Time       // when it was read whole
-	Done                 <-chan struct{} // closed once its connection has ended, or it is answered
+	ReceivedAt           time.Time       // when it had been read completely
+	Done                 <-chan struct{} // closed once the connection has ended or the response was sent
 }
 
-// StubEngine is a stub engine, an HTTP server on loopback whose handler is the test's.
+// StubEngine is a stub engine: an HTTP server on loopback with a handler that the test provides.
 type StubEngine struct {
 	Name   string
 	Addr   *net.TCPAddr
 	Server *httptest.Server
 }
 
-// newEngine returns the stub engine of a number that isn't started yet. It records its requests and gives them to
-// handle.
+// newEngine returns the stub engine with the given number, not yet started. It adds each request to AllRequests and
+// passes it to handle.
 func (h *Harness) newEngine(number int, handle EngineHandler) *StubEngine {
 	engine := &StubEngine{Name: fmt.Sprintf("s-%08x", number)}
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
-		call := EngineRequest{
+		received := EngineRequest{
 			Engine:     engine.Name,
 			Method:     request.Method,
 			Path:       request.URL.Path,
@@ -44,9 +44,9 @@
 			Done:       request.Context().Done(),
 		}
 		h.mu.Lock()
-		h.AllRequests = append(h.AllRequests, call)
+		h.AllRequests = append(h.AllRequests, received)
 		h.mu.Unlock()
-		handle(h, w, call)
+		handle(h, w, received)
 	}))
 	server.Config.ConnState = func(conn net.Conn, state http.ConnState) {
 		if h.OnConnState != nil {
@@ -59,7 +59,7 @@
 	return engine
 }
 
-// start starts the engine, with TLS where config is not nil.
+// start starts the engine, with TLS if config is not nil.
 func (e *StubEngine) start(config *tls.Config) {
 	if config == nil {
 		e.Server.Start()
@@ -69,14 +69,14 @@
 	e.Server.StartTLS()
 }
 
-// closeServer ends all connections of a server, and the server.
+// closeServer closes the server and all of its connections.
 func closeServer(server *httptest.Server) {
 	server.CloseClientConnections()
 	server.Close()
 }
 
-// RestartEngine starts another server, with the same handler, at the address of an engine whose listener was closed. It
-// returns the error of listening.
+// RestartEngine starts a new server, with the same handler, at the address of an engine whose listener was closed. It
+// returns an error if it can't listen there.
 func (h *Harness) RestartEngine(e *StubEngine) error {
 	listener, err := net.Listen("tcp4", e.Addr.String())
 	if err != nil {
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// MakeBlockable has a stub engine listen behind a listener that can be blocked, in place of its own, and returns it. It
-// is called before the engine starts.
+// MakeBlockable replaces the listener of a stub engine by one that can be blocked, and returns the new listener. It
+// must be called before the engine starts.
 func (h *Harness) MakeBlockable(e *StubEngine) *BlockableListener {
 	listener, err := newBlockableListener()
 	require.NoError(h.T, err)
--- a/internal/testharness/engineresponses.go
+++ b/internal/testharness/engineresponses.go
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// EngineHandler handles one request to a stub engine. It is called by several goroutines at once.
+// EngineHandler handles one request to a stub engine. It is called concurrently.
 type EngineHandler func(h *Harness, w http.ResponseWriter, request EngineRequest)
 
-// ResultRow is one row of a result, and the whole result in most tests.
+// ResultRow is one row of a result. In most tests it is the whole result.
 const ResultRow = "x\ty\tz\n"
 
 // RespondResult responds with a result of one page.
 func RespondResult(w http.ResponseWriter, page string) {
 	w.Header().Set("X-Batches", "1")
-	w.Header().Set("Content-Length", strconv.Itoa(len(page))) // engines send no chunks
+	w.Header().Set("Content-Length", strconv.Itoa(len(page))) // engines don't use chunked encoding
 	fmt.Fprint(w, page)
 }
 
-// RespondRaw responds with bytes of the test's own, head included, and closes the connection where closeConn is set.
+// RespondRaw writes the response, which includes the status line and headers, as it is, and then closes the connection
+// if closeConn is set.
 func RespondRaw(w http.ResponseWriter, response string, closeConn bool) {
 	conn := hijack(w)
 	_, _ = io.WriteString(conn, response)
@@ -32,15 +33,15 @@
 	}
 }
 
-// RespondRawTwice responds with bytes of the test's own, head included, and writes more of them after a delay. The
-// connection stays open.
+// RespondRawTwice writes the response, which includes the status line and headers, as it is, and writes more after a
+// delay. The connection stays open.
 func RespondRawTwice(w http.ResponseWriter, response string, delay time.Duration, more string) {
 	conn := hijack(w)
 	_, _ = io.WriteString(conn, response)
 	time.AfterFunc(delay, func() { _, _ = io.WriteString(conn, more) })
 }
 
-// hijack takes the connection over from the HTTP server. Connections here are HTTP/1.1, which can always be taken over.
+// hijack takes over the connection from the HTTP server. It can't fail, as all connections are HTTP/1.1.
 func hijack(w http.ResponseWriter) net.Conn {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -52,10 +53,11 @@
 // runningResponseDelay is how long an engine takes to respond that a query is still running.
 const runningResponseDelay = 50 * time.Millisecond
 
-// SucceedAfterPolls returns a handler under which each query is running for so many responses (to its start and
-// polls), and has ended with one page for each of the rows after them. DELETE succeeds and changes nothing.
+// SucceedAfterPolls returns a handler that responds to the first runningResponses requests of each query (its start and
+// polls) that the query is still running, and to later ones with a result that has one page for each of the rows.
+// DELETE succeeds and has no effect.
 func SucceedAfterPolls(runningResponses int, rows ...string) EngineHandler {
-	requests := map[string]int{} // of each query; guarded by the harness's lock
+	requests := map[string]int{} // number of requests of each query; guarded by the harness's mutex
 	return func(h *Harness, w http.ResponseWriter, request EngineRequest) {
 		if request.Method == http.MethodDelete {
 			w.WriteHeader(http.StatusNoContent)
@@ -81,13 +83,14 @@
 		} else {
 			w.Header().Set("X-Batches", fmt.Sprint(len(rows)))
 		}
-		w.Header().Set("Content-Length", fmt.Sprint(len(rows[page]))) // longer ones would be chunked, which no engine does
+		// Without the header a long page would be sent in chunked encoding, which engines don't use.
+		w.Header().Set("Content-Length", fmt.Sprint(len(rows[page])))
 		io.WriteString(w, rows[page])
 	}
 }
 
-// DelayedStart returns a handler that responds at once with one row; only the start of the request with the given
-// id waits until released has a value or is closed.
+// DelayedStart returns a handler that responds immediately with one row, except to the start of the request with the
+// given id: that response waits until a value is received from released or the channel is closed.
 func DelayedStart(id string, released <-chan bool) EngineHandler {
 	return func(h *Harness, w http.ResponseWriter, request EngineRequest) {
 		if request.Method == http.MethodPost && request.Header.Get("Request-Id") == id {
--- a/internal/testharness/faultproxy.go
+++ b/internal/testharness/faultproxy.go
@@ -6,60 +6,60 @@
 	"time"
 )
 
-// FaultProxy is a fault-injecting TCP proxy on the path from one front end to another. All connections that the first
-// dials to the second pass through it, in both directions. The embedded direction has the faults of what the dialer
-// sends. A proxy is safe for concurrent use.
+// FaultProxy is a fault-injecting TCP proxy on the path from one front end, the dialer, to another, the target. All
+// connections that the dialer opens to the target pass through it. The embedded ProxyDirection has the faults for what
+// the dialer sends. A proxy is safe for concurrent use.
 type FaultProxy struct {
 	*ProxyDirection // from the dialer to the target
-	// ToDialer is the direction from the target to the dialer: the handshake's answer, and the view where the dialer is
-	// an attached front end.
+	// ToDialer has the faults for what the target sends: its part of the handshake, and the view if the dialer is an
+	// attached front end.
 	ToDialer *ProxyDirection
-	Addr     string // host:port that the dialer dials
-	target   string // host:port that the proxy dials
+	Addr     string // host:port that the dialer connects to
+	target   string // host:port that the proxy connects to
 
 	listener net.Listener
 
 	mu                 sync.Mutex
-	cut                bool // connections are refused
+	cut                bool // new connections are refused
 	smallBuffers       bool
 	connectionAttempts int
-	newHeldUntil       <-chan struct{} // heldUntil of new sessions
+	newHeldUntil       <-chan struct{} // heldUntil for new sessions
 	conns              map[net.Conn]bool
 	sessions           map[*proxySession]bool
 }
 
 const (
 	proxyDialTimeout = time.Second
-	// smallBufferSize is the size, in bytes, of the kernel's buffer for one socket of a proxy with small buffers:
-	// what is not read soon stays with its sender.
+	// smallBufferSize is the size in bytes of the kernel buffer of a socket after UseSmallBuffers. With such buffers,
+	// data that is not read soon blocks its sender.
 	smallBufferSize = 4 << 10
 )
 
-// proxySession is one connection of the dialer, with the one to the target that belongs to it.
+// proxySession is a connection of the dialer together with the corresponding connection to the target.
 type proxySession struct {
 	mu        sync.Mutex
-	heldUntil <-chan struct{} // what the dialer sends is held back until it is closed; nil: it is not held back
+	heldUntil <-chan struct{} // frames of the dialer are held back until it is closed; nil: not held back
 }
 
-// held returns the channel until whose closing frames are held back; nil where they are not.
+// held returns the channel until whose closing frames of the dialer are held back; nil if they are not held back.
 func (s *proxySession) held() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.heldUntil
 }
 
-// hold holds frames back until the channel is closed.
+// hold holds back frames of the dialer until the channel is closed.
 func (s *proxySession) hold(until <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.heldUntil = until
 }
 
-// neverHeld is the hold of a direction that has none.
+// neverHeld is the heldUntil argument for the direction to the dialer, whose frames are never held back.
 func neverHeld() <-chan struct{} { return nil }
 
-// NewFaultProxy starts a proxy to a target, given as host:port, that listens on loopback. The error is that of
-// listening.
+// NewFaultProxy starts a proxy to a target, given as host:port, that listens on loopback. It returns an error if it
+// can't listen.
 func NewFaultProxy(target string, random *Random) (*FaultProxy, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// admit counts a new connection of the dialer, and reports whether it is not refused.
+// admit counts a new connection of the dialer, and reports whether it is accepted.
 func (p *FaultProxy) admit(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,10 +105,10 @@
 	return true
 }
 
-// serve connects to the target and forwards both directions until one of the connections has ended.
+// serve connects to the target and forwards in both directions until one of the connections has ended.
 func (p *FaultProxy) serve(dialer net.Conn) {
 	defer p.closeConn(dialer)
-	p.waitResumed() // while the path is stalled new connections are not established either
+	p.waitResumed() // while the direction to the target is stalled, new connections are not established either
 	session := p.addSession()
 	defer p.removeSession(session)
 	target, err := net.DialTimeout("tcp4", p.target, proxyDialTimeout)
@@ -121,13 +121,13 @@
 	}
 	go func() {
 		p.ToDialer.forward(target, dialer, neverHeld)
-		p.closeConn(dialer) // the target has ended the session
+		p.closeConn(dialer) // the target has closed its connection
 		p.closeConn(target)
 	}()
 	p.forward(dialer, target, session.held)
 }
 
-// addTarget registers the connection to the target, and reports whether the path was not cut meanwhile.
+// addTarget registers the connection to the target. It returns false if the path has been cut meanwhile.
 func (p *FaultProxy) addTarget(dialer, target net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,8 +160,9 @@
 	delete(p.sessions, session)
 }
 
-// HoldCurrent holds back what the dialer sends on the connections that are open now, also beyond the end of its
-// process, until release is called. Later connections are not held, so that what arrives after the release is late.
+// HoldCurrent holds back what the dialer sends on the connections that are open now until release is called, even if
+// the dialer's process ends before. Later connections are not affected, so that the frames held back arrive after those
+// of later connections.
 func (p *FaultProxy) HoldCurrent() (release func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,8 +173,8 @@
 	return sync.OnceFunc(func() { close(until) })
 }
 
-// HoldNew ends all connections once, and holds back what the dialer sends on later ones, the handshake included,
-// until release is called.
+// HoldNew closes all open connections, and holds back what the dialer sends on later ones, including its part of the
+// handshake, until release is called.
 func (p *FaultProxy) HoldNew() (release func()) {
 	until := make(chan struct{})
 	p.SetCut(true)
@@ -183,22 +184,22 @@
 	return sync.OnceFunc(func() { close(until) })
 }
 
-// UseSmallBuffers gives new connections small kernel buffers on the way back, so that a dialer that reads slowly
-// blocks its sender.
+// UseSmallBuffers sets small kernel buffers for the direction to the dialer on new connections, so that a dialer that
+// reads slowly blocks the target.
 func (p *FaultProxy) UseSmallBuffers() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.smallBuffers = true
 }
 
-// ConnectionAttempts returns how many connections the dialer has opened, refused ones included.
+// ConnectionAttempts returns the number of connections that the dialer has opened, including refused ones.
 func (p *FaultProxy) ConnectionAttempts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connectionAttempts
 }
 
-// SetCut ends all connections and refuses new ones, or admits them again.
+// SetCut cuts or heals the path. A cut closes all connections and refuses new ones.
 func (p *FaultProxy) SetCut(cut bool) {
 	p.mu.Lock()
 	p.cut = cut
@@ -214,19 +215,19 @@
 	}
 }
 
-// CloseConnections ends all connections once.
+// CloseConnections closes all connections. New ones are accepted.
 func (p *FaultProxy) CloseConnections() {
 	p.SetCut(true)
 	p.SetCut(false)
 }
 
-// SetBothStalled stops all traffic in both directions, or resumes it. Connections stay open.
+// SetBothStalled stops or resumes all traffic in both directions. Connections stay open.
 func (p *FaultProxy) SetBothStalled(stall bool) {
 	p.SetStalled(stall)
 	p.ToDialer.SetStalled(stall)
 }
 
-// Close stops the proxy and ends all its connections.
+// Close stops the proxy and closes all of its connections.
 func (p *FaultProxy) Close() {
 	p.listener.Close()
 	p.SetCut(true)
--- a/internal/testharness/faultproxy_test.go
+++ b/internal/testharness/faultproxy_test.go
@@ -15,18 +15,18 @@
 
 func TestMain(m *testing.M) { os.Exit(RunWithFixedSeed(m)) }
 
-// The kinds of frames of these tests.
+// Kinds of the frames in these tests: one of the handshake, and one that is sent after it.
 const (
 	handshakeKind = 2
 	otherKind     = 4
 )
 
-// frame returns a frame, of which the proxy looks only at the length and the kind.
+// frame returns a frame that has only the parts that the proxy reads, length and kind, and a body.
 func frame(kind byte, body string) []byte {
 	return append([]byte{0, 0, 0, byte(1 + len(body)), kind}, body...)
 }
 
-// proxiedConn is one connection through a proxy, with what has been received at both ends.
+// proxiedConn is one connection through a proxy, with the data received at both ends.
 type proxiedConn struct {
 	proxy            *FaultProxy
 	dialer           net.Conn
@@ -58,14 +58,14 @@
 		receivedByDialer: collect(t, dialer), receivedByTarget: collect(t, target)}
 }
 
-// newProxiedConn opens a connection through a proxy of its own.
+// newProxiedConn opens a connection through a new proxy.
 func newProxiedConn(t *testing.T) *proxiedConn {
 	t.Helper()
 	proxy, listener := newProxy(t)
 	return dial(t, proxy, listener)
 }
 
-// collect reads all that is received on a connection into a buffer.
+// collect reads everything that is received on a connection into a buffer.
 func collect(t *testing.T, conn net.Conn) *LogBuffer {
 	received := &LogBuffer{}
 	var reader sync.WaitGroup
@@ -81,20 +81,20 @@
 	require.NoError(t, err)
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition is met. The test fails if it isn't met in time.
 func eventually(t *testing.T, condition func() bool, description ...any) {
 	t.Helper()
 	require.Eventually(t, condition, WaitTimeout, fastPollInterval, description...)
 }
 
-// requireReceived waits until exactly the frames have been received.
+// requireReceived waits until the data received is exactly the given frames.
 func requireReceived(t *testing.T, received *LogBuffer, frames ...[]byte) {
 	t.Helper()
 	expected := string(bytes.Join(frames, nil))
 	eventually(t, func() bool { return received.String() == expected }, "%q", expected)
 }
 
-// direction is one direction of a connection: who has the faults, who sends, and what was received.
+// direction is one direction of a connection: the proxy's faults for it, its sender, and the data received.
 type direction struct {
 	name     string
 	faults   *ProxyDirection
@@ -110,17 +110,17 @@
 	}
 }
 
-// A stall delays and a loss drops only what passes in the direction that it was set on; the other goes on.
+// Stalling or dropping frames in one direction must not affect the other direction.
 func TestFaultAffectsOnlyItsDirection(t *testing.T) {
 	one, two := frame(otherKind, "one"), frame(otherKind, "two")
 	for i := range 2 {
 		conn := newProxiedConn(t)
-		faulty, sound := conn.directions()[i], conn.directions()[1-i]
+		faulty, healthy := conn.directions()[i], conn.directions()[1-i]
 		t.Run(faulty.name, func(t *testing.T) {
 			faulty.faults.SetStalled(true)
 			write(t, faulty.sender, one)
-			write(t, sound.sender, two)
-			requireReceived(t, sound.received, two)
+			write(t, healthy.sender, two)
+			requireReceived(t, healthy.received, two)
 			assert.Empty(t, faulty.received.String())
 			faulty.faults.SetStalled(false)
 			requireReceived(t, faulty.received, one)
@@ -135,7 +135,7 @@
 	}
 }
 
-// Duplication forwards some frames twice, but none of the handshake.
+// Duplication must forward some frames twice, but none of the handshake.
 func TestDuplicationSparesHandshakeFrames(t *testing.T) {
 	for i := range 2 {
 		conn := newProxiedConn(t)
@@ -154,7 +154,8 @@
 	}
 }
 
-// What a process had sent is held back beyond its end, and arrives after what a later process sent.
+// Frames held back by HoldCurrent must survive the end of their connection, and arrive after the frames of a later
+// connection.
 func TestHeldFramesArriveAfterThoseOfLaterConnection(t *testing.T) {
 	proxy, listener := newProxy(t)
 	old := dial(t, proxy, listener)
@@ -170,13 +171,14 @@
 	requireReceived(t, old.receivedByTarget, frame(otherKind, "old"))
 }
 
-// Holding new connections ends the old one, and delays what the dialer of a new one sends, but not what it is sent.
+// HoldNew must close the open connection, and on new connections delay what the dialer sends, but not what the target
+// sends.
 func TestHoldNewDelaysOnlyDialerOfNewConnection(t *testing.T) {
 	proxy, listener := newProxy(t)
 	before := dial(t, proxy, listener)
 	release := proxy.HoldNew()
 	_, err := before.dialer.Read(make([]byte, 1))
-	assert.Error(t, err, "it is ended")
+	assert.Error(t, err, "the connection is closed")
 	after := dial(t, proxy, listener)
 	write(t, after.dialer, frame(handshakeKind, "hello"))
 	write(t, after.target, frame(handshakeKind, "challenge"))
@@ -187,7 +189,7 @@
 	requireReceived(t, after.receivedByTarget, frame(handshakeKind, "hello"))
 }
 
-// A cut ends both connections at once, and new ones are refused.
+// A cut must close the connections to the dialer and to the target, and new ones must be refused.
 func TestCutClosesBothConnectionsAndRefusesNewOnes(t *testing.T) {
 	conn := newProxiedConn(t)
 	conn.proxy.SetCut(true)
--- a/internal/testharness/fleet.go
+++ b/internal/testharness/fleet.go
@@ -16,29 +16,30 @@
 	"chutechute/internal/testharness/site"
 )
 
-// Fleet is a fleet of front ends, each a process on a loopback address of its own, with a proxy on each path from
-// one to another, and the engines that they share. What clients and engines see is recorded in a history.
+// Fleet is a fleet of front ends, with the engines that they share. Each front end is a process with a loopback address
+// of its own. Connections from one front end to another pass through a proxy. What clients and engines observe is
+// recorded in a history.
 type Fleet struct {
 	T             *testing.T
 	Program       string // path of the executable
-	SiteName      string // the site's name; each fleet has its own, so that processes of two fleets never form one
+	SiteName      string // unique, so that processes of different fleets never connect to each other
 	FrontEnds     []*FrontEnd
-	Engines       []*RecordingEngine // the engines
-	History       *history.Recorder  // what clients and engines saw
+	Engines       []*RecordingEngine
+	History       *history.Recorder // what clients and engines observed
 	Random        *Random
-	Seed          uint64         // of the random numbers
-	Dir           string         // of all files
-	Durable       bool           // control members store the replicated record
-	FleetSettings map[string]any // what else the fleet's section of the installation file has
+	Seed          uint64         // of Random
+	Dir           string         // folder of all files of the front ends
+	Durable       bool           // control members store the replicated log
+	FleetSettings map[string]any // further keys of the fleet section of the installation file
 	observe       func(frame []byte)
 	proxies       map[path]*FaultProxy
 	discovery     *site.StubDiscovery
-	calls         atomic.Int64 // request ids given out
-	script        *strings.Builder
-	began         time.Time
+	lastRequestID atomic.Int64     // number of the last request id that was assigned
+	steps         *strings.Builder // what the test did to the fleet, see LogStep
+	startedAt     time.Time
 }
 
-// path is the direction of connections from one front end, that dials, to another; both by their index.
+// path identifies the connections that one front end dials to another. Both are given by their index.
 type path struct{ from, to int }
 
 const (
@@ -47,25 +48,26 @@
 	fleetZones   = 3
 )
 
-var fleetsMade atomic.Int64
+var fleetCount atomic.Int64
 
-// NewFleet starts a fleet with so many control members, n1, n2 and so on in the zones a, b and c in turn, and two
-// engines, and waits until all front ends serve. Each of the options may change the fleet before anything of it is
-// started. The test fails where a process doesn't serve in time. All is stopped with the test, which prints the
-// script, statuses and logs if it failed.
+// NewFleet starts a fleet with two engines and the given number of control members, and waits until all front ends
+// serve. The control members are named n1, n2 and so on, and are assigned to the zones a, b and c in turn. The options
+// can change the fleet before any of it is started. The test fails if a process doesn't serve in time. Everything is
+// stopped at the end of the test. If the test failed, the list of its steps and the statuses and logs of the front ends
+// are printed.
 func NewFleet(t *testing.T, program string, controlMembers int, options ...func(*Fleet)) *Fleet {
 	f := &Fleet{
 		T:             t,
 		Program:       program,
-		SiteName:      fmt.Sprintf("test-%d-%d", os.Getpid(), fleetsMade.Add(1)),
+		SiteName:      fmt.Sprintf("test-%d-%d", os.Getpid(), fleetCount.Add(1)),
 		Seed:          fleetSeed,
 		Dir:           t.TempDir(),
 		FleetSettings: map[string]any{},
 		proxies:       map[path]*FaultProxy{},
-		script:        &strings.Builder{},
-		began:         time.Now(),
+		steps:         &strings.Builder{},
+		startedAt:     time.Now(),
 	}
-	f.History = &history.Recorder{Now: func() int64 { return time.Since(f.began).Microseconds() }}
+	f.History = &history.Recorder{Now: func() int64 { return time.Since(f.startedAt).Microseconds() }}
 	var err error
 	f.discovery, err = site.NewStubDiscovery()
 	require.NoError(t, err)
@@ -79,14 +81,14 @@
 	f.Random = NewRandom(f.Seed)
 	f.startEngines()
 	f.startProxies()
-	t.Cleanup(f.stop) // before the first starts, so that one that doesn't serve is stopped too
+	t.Cleanup(f.stop) // registered before any process starts, so that one that doesn't serve is stopped too
 	for _, frontEnd := range f.FrontEnds {
 		frontEnd.Start()
 	}
 	return f
 }
 
-// addControlMember adds a front end that the settings list.
+// addControlMember adds a control member to the fleet.
 func (f *Fleet) addControlMember() {
 	index := len(f.FrontEnds)
 	name := fmt.Sprintf("n%d", index+1)
@@ -103,10 +105,10 @@
 	})
 }
 
-// storageDir returns the folder that the front end of a name stores in.
+// storageDir returns the storage folder of the front end with the given name.
 func (f *Fleet) storageDir(name string) string { return filepath.Join(f.Dir, "disk-"+name) }
 
-// adminSocket returns the path of a front end's operators' socket.
+// adminSocket returns the path of the admin socket of the front end with the given name.
 func (f *Fleet) adminSocket(name string) string { return filepath.Join(f.Dir, name+".sock") }
 
 // startEngines starts the engines.
@@ -119,8 +121,8 @@
 	}
 }
 
-// startProxies starts the proxies from each front end to all control members. There are none to attached front ends,
-// which nobody dials.
+// startProxies starts the proxies from each front end to all control members. No front end dials an attached front end,
+// so there are no proxies to those.
 func (f *Fleet) startProxies() {
 	for _, from := range f.FrontEnds {
 		for _, to := range f.ControlMembers() {
@@ -142,11 +144,11 @@
 	return proxy
 }
 
-// stop kills all processes. Of a test that failed it prints the script, and the status and log of each front end.
+// stop kills all processes. If the test failed, it prints the steps, and the status and log of each front end.
 func (f *Fleet) stop() {
 	t := f.T
 	if t.Failed() || testing.Verbose() {
-		t.Logf("seed %d, script:\n%s", f.Seed, f.script)
+		t.Logf("seed %d, steps:\n%s", f.Seed, f.steps)
 	}
 	if t.Failed() {
 		for _, frontEnd := range f.FrontEnds {
@@ -164,19 +166,19 @@
 	}
 }
 
-// LogStep adds a line to the script, the list of what a test did to the fleet and when, in seconds from its start. A
-// test that fails prints it.
+// LogStep adds a line to the list of steps: what the test did to the fleet and when, in seconds since the fleet's
+// start. The list is printed if the test fails.
 func (f *Fleet) LogStep(format string, args ...any) {
-	fmt.Fprintf(f.script, "%8.3f s  %s\n", time.Since(f.began).Seconds(), fmt.Sprintf(format, args...))
+	fmt.Fprintf(f.steps, "%8.3f s  %s\n", time.Since(f.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// WithFrameObserver is an option of NewFleet: observe is called with each frame between front ends, in either
-// direction. It is called by several goroutines at once, and must neither keep nor change the frame.
+// WithFrameObserver is an option of NewFleet that calls observe with each frame between front ends, in either
+// direction. observe is called concurrently, and must neither keep nor change the frame.
 func WithFrameObserver(observe func(frame []byte)) func(*Fleet) {
 	return func(f *Fleet) { f.observe = observe }
 }
 
-// ControlMembers returns the control members: the front ends that the settings list.
+// ControlMembers returns the control members, which the settings list by name.
 func (f *Fleet) ControlMembers() []*FrontEnd { return f.withAttached(false) }
 
 // AttachedFrontEnds returns the attached front ends, which the settings don't list.
@@ -192,7 +194,7 @@
 	return list
 }
 
-// FrontEndByName returns the first front end of a name; nil where there is none.
+// FrontEndByName returns the first front end with the given name; nil if there is none.
 func (f *Fleet) FrontEndByName(name string) *FrontEnd {
 	for _, frontEnd := range f.FrontEnds {
 		if frontEnd.Name == name {
@@ -202,15 +204,15 @@
 	return nil
 }
 
-// CheckHistory checks the history of what clients and engines saw. Each violation fails the test, with the events
-// around it.
+// CheckHistory checks the history of what clients and engines observed. The test fails if there is a violation, and
+// prints each with the events related to it.
 func (f *Fleet) CheckHistory() {
 	f.T.Helper()
-	const eventsAround = 20
+	const maxRelatedEvents = 20
 	events := f.History.Events()
 	for _, violation := range history.Check(events) {
 		f.T.Errorf("%s", violation)
-		for _, event := range history.RelatedEvents(events, violation, eventsAround) {
+		for _, event := range history.RelatedEvents(events, violation, maxRelatedEvents) {
 			f.T.Logf("  %s", event)
 		}
 	}
--- a/internal/testharness/fleetwait.go
+++ b/internal/testharness/fleetwait.go
@@ -9,41 +9,41 @@
 	"chutechute/internal/history"
 )
 
-// WaitFor polls a condition of the fleet until it holds, and adds that to the script. The test fails, with a
-// description of the condition, where it doesn't hold in time.
+// WaitFor polls a condition until it is met, and then adds a step with its description. The test fails, and prints the
+// description, if the condition isn't met in time.
 func (f *Fleet) WaitFor(description string, condition func() bool) {
 	f.T.Helper()
 	require.Eventually(f.T, condition, WaitTimeout, statusPollInterval, "%s", description)
-	f.LogStep("seen: %s", description)
+	f.LogStep("reached: %s", description)
 }
 
-// WaitUntilAllSee waits until each of the front ends sees the one of a name in one of the states. The test fails
-// where they don't in time.
+// WaitUntilAllSee waits until each of the observers sees the front end with the given name in one of the states. The
+// test fails if they don't in time.
 func (f *Fleet) WaitUntilAllSee(observers []*FrontEnd, name string, states ...string) {
 	f.T.Helper()
-	differs := func(observer *FrontEnd) bool { return observer.Name != name && !observer.SeesInState(name, states...) }
+	disagrees := func(observer *FrontEnd) bool { return observer.Name != name && !observer.SeesInState(name, states...) }
 	f.WaitFor(fmt.Sprintf("%s is seen as %v by all", name, states), func() bool {
-		return !slices.ContainsFunc(observers, differs)
+		return !slices.ContainsFunc(observers, disagrees)
 	})
 }
 
-// WaitUntilConverged waits until the fleet has converged: each front end that runs sees all others that run as
-// alive, each attached one has a home and a confirmed view, and all views are equal. The script tells what was
-// missing meanwhile. The test fails where the fleet doesn't converge in time.
+// WaitUntilConverged waits until the fleet has converged: each running front end sees all other running ones as alive,
+// each attached one has a home and a confirmed view, and all views are equal. Meanwhile, each new obstacle is added as
+// a step. The test fails if the fleet doesn't converge in time.
 func (f *Fleet) WaitUntilConverged() {
 	f.T.Helper()
 	last := ""
-	f.WaitFor("all see all", func() bool {
+	f.WaitFor("the fleet has converged", func() bool {
 		obstacle := f.convergenceObstacle()
 		if obstacle != last {
 			last = obstacle
-			f.LogStep("not yet: %s", obstacle)
+			f.LogStep("not converged: %s", obstacle)
 		}
 		return obstacle == ""
 	})
 }
 
-// convergenceObstacle returns why a fleet has not converged; empty where it has.
+// convergenceObstacle returns the first reason why the fleet has not converged; empty if it has.
 func (f *Fleet) convergenceObstacle() string {
 	digest, previous := "", ""
 	for _, frontEnd := range f.FrontEnds {
@@ -62,8 +62,8 @@
 	return ""
 }
 
-// convergenceObstacle returns why a front end with a status (nil: none) has not converged with the others; empty
-// where it has.
+// convergenceObstacle returns the first reason why the front end has not converged with the others; empty if it has.
+// The status is the front end's own; nil if it didn't respond.
 func (n *FrontEnd) convergenceObstacle(status *FrontEndStatus) string {
 	switch {
 	case status == nil:
@@ -82,8 +82,8 @@
 	return ""
 }
 
-// WaitForHome waits until an attached front end has its view from a control member, and returns that. The test
-// fails where it has none in time.
+// WaitForHome waits until an attached front end has a home, and returns the home. The test fails if it has none in
+// time.
 func (n *FrontEnd) WaitForHome() *FrontEnd {
 	n.Fleet.T.Helper()
 	var home *FrontEnd
@@ -98,8 +98,8 @@
 	return home
 }
 
-// WaitForLeader waits until a front end leads a replica group with so many voters, all of which are the replicas of
-// processes that run now, and returns it. The test fails where none does in time.
+// WaitForLeader waits until a front end leads a replica group with the given number of voters, all of which are
+// replicas of running processes, and returns it. The test fails if there is none in time.
 func (f *Fleet) WaitForLeader(voterCount int) *FrontEnd {
 	f.T.Helper()
 	var leader *FrontEnd
@@ -110,7 +110,7 @@
 	return leader
 }
 
-// leader returns the front end that leads with so many voters, as of now; nil where there is none.
+// leader returns the front end that currently leads a group as WaitForLeader describes; nil if there is none.
 func (f *Fleet) leader(voterCount int) (leader *FrontEnd) {
 	runningReplicas := map[string]bool{}
 	var voters []string
@@ -131,8 +131,8 @@
 	return leader
 }
 
-// WaitForEvent waits until the history has an event that matches, and returns the first. The test fails where it
-// has none in time.
+// WaitForEvent waits until the history has an event for which match returns true, and returns the first such event. The
+// test fails if there is none in time.
 func (f *Fleet) WaitForEvent(match func(history.Event) bool) (found history.Event) {
 	f.T.Helper()
 	require.Eventually(f.T, func() bool {
--- a/internal/testharness/frontend.go
+++ b/internal/testharness/frontend.go
@@ -20,26 +20,26 @@
 // FrontEnd is one front end of a fleet, and its process.
 type FrontEnd struct {
 	Fleet       *Fleet
-	Index       int // index in the fleet's list
+	Index       int // index in Fleet.FrontEnds
 	Name        string
 	Zone        string
 	ClientAddr  string     // host:port for clients
-	PeerAddr    string     // host:port for other front ends; empty at an attached one
-	StorageDir  string     // of what it stores
-	AdminSocket string     // path of the operators' socket
-	Cmd         *exec.Cmd  // the process that was started last
-	Log         *LogBuffer // what all its processes have written to standard error
-	StartCount  int        // how many processes were started
-	// Attached is set on a front end that the settings do not list as a control member.
+	PeerAddr    string     // host:port for other front ends; empty if attached
+	StorageDir  string     // folder of the write-ahead log
+	AdminSocket string     // path of the admin socket
+	Cmd         *exec.Cmd  // the last process that was started
+	Log         *LogBuffer // standard error of all its processes
+	StartCount  int        // number of processes that were started
+	// Attached is true for an attached front end, which the settings do not list as a control member.
 	Attached      bool
-	FleetSettings map[string]any // overrides, for this front end, what the fleet has
-	running       bool           // the process was started and not ended by the harness since
+	FleetSettings map[string]any // overrides Fleet.FleetSettings for this front end
+	running       bool           // the harness has started the process and not ended it since
 }
 
-// servingLogMessage is in the line that a process logs once it serves.
+// servingLogMessage is part of the line that a process logs once it serves.
 const servingLogMessage = "msg=serving"
 
-// writeFiles writes the front end's files, and returns their paths.
+// writeFiles writes the configuration and the installation file, and returns their paths.
 func (n *FrontEnd) writeFiles() (config, installation string) {
 	files := site.FrontEndFiles{
 		Name:          n.Name,
@@ -57,8 +57,8 @@
 	return config, installation
 }
 
-// fleetSection returns the fleet's section of the installation file. The addresses of other control members are
-// those of the proxies to them.
+// fleetSection returns the fleet section of the installation file. For other control members it has the addresses of
+// the proxies to them.
 func (n *FrontEnd) fleetSection() map[string]any {
 	var members []site.ControlMember
 	for _, other := range n.Fleet.ControlMembers() {
@@ -80,8 +80,8 @@
 	return section
 }
 
-// Start writes the front end's files and starts its process, and waits until that serves. The test fails where it
-// doesn't in time.
+// Start writes the front end's files, starts its process and waits until it serves. The test fails if it doesn't
+// serve in time.
 func (n *FrontEnd) Start() {
 	n.Fleet.LogStep("start %s", n.Name)
 	n.StartCount++
@@ -96,23 +96,23 @@
 	require.NoError(n.Fleet.T, n.Cmd.Start())
 	n.running = true
 	require.Eventually(n.Fleet.T, func() bool { return n.timesServed() > before }, WaitTimeout, fastPollInterval,
-		"%s does not serve: %s", n.Name, n.Log)
+		"%s did not start to serve: %s", n.Name, n.Log)
 }
 
-// timesServed returns how many of the front end's processes have begun to serve.
+// timesServed returns how many of the front end's processes have started to serve.
 func (n *FrontEnd) timesServed() int { return strings.Count(n.Log.String(), servingLogMessage) }
 
 func (n *FrontEnd) signal(s syscall.Signal) { require.NoError(n.Fleet.T, n.Cmd.Process.Signal(s)) }
 
-// Reload writes the front end's files again, with what its section has now, and has the process read them (SIGHUP).
+// Reload writes the front end's files again, with the current settings, and makes the process reload them (SIGHUP).
 func (n *FrontEnd) Reload() {
 	n.Fleet.LogStep("reload %s", n.Name)
 	n.writeFiles()
 	n.signal(syscall.SIGHUP)
 }
 
-// Terminate terminates the process gracefully (SIGTERM), and waits until it has ended. The test fails where it reports
-// an error, or doesn't end in time.
+// Terminate terminates the process gracefully (SIGTERM), and waits until it has exited. The test fails if it exits with
+// an error, or doesn't exit in time.
 func (n *FrontEnd) Terminate() {
 	n.Fleet.LogStep("terminate %s", n.Name)
 	n.signal(syscall.SIGTERM)
@@ -124,11 +124,11 @@
 		require.NoError(n.Fleet.T, err)
 	case <-time.After(WaitTimeout):
 		_ = n.Cmd.Process.Kill()
-		require.Fail(n.Fleet.T, "it does not end", n.Name)
+		require.Fail(n.Fleet.T, "process did not exit after SIGTERM", n.Name)
 	}
 }
 
-// killIfRunning kills the process, unless the harness has ended it already, and waits until it has ended.
+// killIfRunning kills the process, unless the harness has ended it already, and waits until it has exited.
 func (n *FrontEnd) killIfRunning() {
 	if !n.running {
 		return
@@ -139,38 +139,38 @@
 	_ = n.Cmd.Wait()
 }
 
-// Kill kills the process (SIGKILL); removeStorage also removes what it has stored.
+// Kill kills the process (SIGKILL). If removeStorage is set, it also removes the storage folder.
 func (n *FrontEnd) Kill(removeStorage bool) {
-	n.Fleet.LogStep("kill %s, disk emptied: %v", n.Name, removeStorage)
+	n.Fleet.LogStep("kill %s, storage removed: %v", n.Name, removeStorage)
 	n.killIfRunning()
 	if removeStorage {
 		require.NoError(n.Fleet.T, os.RemoveAll(n.StorageDir))
 	}
 }
 
-// QuitWithStacks has the process write the stacks of all its goroutines to its log and end (SIGQUIT), and waits
-// until it has ended.
+// QuitWithStacks makes the process write the stacks of all goroutines to its log and exit (SIGQUIT), and waits until it
+// has exited.
 func (n *FrontEnd) QuitWithStacks() {
 	n.Fleet.LogStep("quit %s", n.Name)
 	n.signal(syscall.SIGQUIT)
 	n.running = false
-	_ = n.Cmd.Wait() // its error is that of the signal
+	_ = n.Cmd.Wait() // the error only reports the signal
 }
 
 // Pause pauses the process (SIGSTOP).
 func (n *FrontEnd) Pause() {
-	n.Fleet.LogStep("stop %s", n.Name)
+	n.Fleet.LogStep("pause %s", n.Name)
 	n.signal(syscall.SIGSTOP)
 }
 
-// Resume resumes a process that is paused (SIGCONT).
+// Resume resumes a paused process (SIGCONT).
 func (n *FrontEnd) Resume() {
-	n.Fleet.LogStep("continue %s", n.Name)
+	n.Fleet.LogStep("resume %s", n.Name)
 	n.signal(syscall.SIGCONT)
 }
 
-// SetDiskFull limits the size of files that the process may write to the present size of its log, as on a disk that is
-// full, or lifts the limit.
+// SetDiskFull simulates a full disk: it limits the size of the files that the process writes to the present size of its
+// write-ahead log. If full is false, it removes the limit.
 func (n *FrontEnd) SetDiskFull(full bool) {
 	n.Fleet.LogStep("disk of %s full: %v", n.Name, full)
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
@@ -182,13 +182,13 @@
 	require.NoError(n.Fleet.T, unix.Prlimit(n.Cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil))
 }
 
-// WaitForLog waits until the front end's log matches a pattern. The test fails where it doesn't in time.
+// WaitForLog waits until the front end's log matches the pattern. The test fails if it doesn't in time.
 func (n *FrontEnd) WaitForLog(pattern string) {
 	n.Fleet.T.Helper()
 	require.Eventually(n.Fleet.T, func() bool { return n.LogMatches(pattern) > 0 }, WaitTimeout, fastPollInterval, pattern)
 }
 
-// LogMatches returns how often a pattern matches in the front end's log.
+// LogMatches returns the number of matches of the pattern in the front end's log.
 func (n *FrontEnd) LogMatches(pattern string) int {
 	return len(regexp.MustCompile(pattern).FindAllString(n.Log.String(), -1))
 }
--- a/internal/testharness/frontendstatus.go
+++ b/internal/testharness/frontendstatus.go
@@ -19,30 +19,30 @@
 	leaderRole    = "leader"
 )
 
-// MemberStatus is another front end as the one that reports its status sees it.
+// MemberStatus describes another front end as seen by the front end that reports its status.
 type MemberStatus struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
-	State       string `json:"state"` // of the failure detector
+	State       string `json:"state"` // state of the failure detector
 	Incarnation string `json:"incarnation"`
-	Connected   bool   `json:"link"` // it is connected
+	Connected   bool   `json:"link"` // whether there is a link to it
 	Role        string `json:"role"` // control or attached
-	Home        string `json:"home"` // at an attached one: the control member that it has its view from
+	Home        string `json:"home"` // for an attached front end: its home
 }
 
-// AttachedStatus is the part of a front end's status that is about attached front ends.
+// AttachedStatus is the part of a front end's status that concerns attached front ends.
 type AttachedStatus struct {
 	Enabled            bool             `json:"on"`
-	Home               string           `json:"home"`        // the control member that the view comes from; empty: none
-	ViewAgeMS          float64          `json:"view_age_ms"` // since the view was confirmed; -1: never
+	Home               string           `json:"home"`        // empty if there is none
+	ViewAgeMS          float64          `json:"view_age_ms"` // time since the view was last confirmed; -1 if it never was
 	ViewDigest         string           `json:"view_digest"`
-	ViewSize           int              `json:"view_len"` // front ends in the view
-	AttachmentTargets  []string         `json:"targets"`  // control members that it attaches itself to
-	ConnectedFrontEnds int              `json:"links"`    // at a control member: attached front ends that are connected
+	ViewSize           int              `json:"view_len"` // number of front ends in the view
+	AttachmentTargets  []string         `json:"targets"`  // control members to which the front end attaches
+	ConnectedFrontEnds int              `json:"links"`    // at a control member: number of links of attached front ends
 	Counters           map[string]int64 `json:"counters"`
 }
 
-// FrontEndStatus is the status of a front end: what it reports of itself, and how it sees the others.
+// FrontEndStatus is the status of a front end: its own state, and how it sees the others.
 type FrontEndStatus struct {
 	Name        string         `json:"name"`
 	Incarnation string         `json:"incarnation"`
@@ -51,7 +51,7 @@
 	Members     []MemberStatus `json:"members"`
 }
 
-// Member returns how the front end of a name is seen; the zero Member where it is not seen, or where s is nil.
+// Member returns the status of the front end with the given name; the zero MemberStatus if it isn't listed or s is nil.
 func (s *FrontEndStatus) Member(name string) MemberStatus {
 	if s == nil {
 		return MemberStatus{}
@@ -64,17 +64,17 @@
 	return MemberStatus{}
 }
 
-// replicationStatus is the part of a front end's status that is about its replica of the record.
+// replicationStatus is the part of a front end's status that concerns its replica of the replicated log.
 type replicationStatus struct {
 	Replica  string `json:"copy"`
 	Role     string `json:"role"`
 	Replicas []struct {
 		ID    string `json:"copy"`
 		Votes bool   `json:"votes"`
-	} `json:"copies"` // at the leader
+	} `json:"copies"` // of the group; only reported by the leader
 }
 
-// voters returns the identifiers of the replicas that vote.
+// voters returns the IDs of the voters.
 func (s *replicationStatus) voters() (ids []string) {
 	for _, replica := range s.Replicas {
 		if replica.Votes {
@@ -84,7 +84,7 @@
 	return ids
 }
 
-// Status requests a front end's status; nil where it doesn't respond.
+// Status requests the front end's status. It returns nil if the front end doesn't respond.
 func (n *FrontEnd) Status() *FrontEndStatus {
 	var s FrontEndStatus
 	if !n.adminRequest(statusRequest, &s) {
@@ -93,10 +93,11 @@
 	return &s
 }
 
-// RawStatus requests a front end's status, with all that it has; nil where it doesn't respond.
+// RawStatus requests the front end's status and returns all of its fields. It returns nil if the front end doesn't
+// respond.
 func (n *FrontEnd) RawStatus() map[string]any { return n.RawAdminResponse(statusRequest) }
 
-// RawAdminResponse sends a request to the operators' socket and returns the response; nil where there is none.
+// RawAdminResponse sends a request to the admin socket and returns the response; nil if there is none.
 func (n *FrontEnd) RawAdminResponse(request string) map[string]any {
 	var response map[string]any
 	if !n.adminRequest(request, &response) {
@@ -105,8 +106,8 @@
 	return response
 }
 
-// adminRequest sends a request to the operators' socket and decodes the response, in JSON, into a value. It reports
-// whether there was one.
+// adminRequest sends a request to the admin socket and decodes the response, which is JSON, into the given value. It
+// reports whether there was a valid response.
 func (n *FrontEnd) adminRequest(request string, into any) bool {
 	conn, err := net.DialTimeout("unix", n.AdminSocket, adminDialTimeout)
 	if err != nil {
@@ -120,8 +121,8 @@
 	return json.NewDecoder(conn).Decode(into) == nil
 }
 
-// Counter returns one of the counters that a front end has of attached front ends; 0 where it doesn't respond. The
-// test fails where it has no counter of the name.
+// Counter returns the counter with the given name among the counters that concern attached front ends; 0 if the front
+// end doesn't respond. The test fails if there is no such counter.
 func (n *FrontEnd) Counter(name string) int64 {
 	s := n.Status()
 	if s == nil {
@@ -132,8 +133,8 @@
 	return value
 }
 
-// SeesInState reports whether a front end sees the one of a name in one of the states. It doesn't where it doesn't
-// respond.
+// SeesInState reports whether the front end sees the one with the given name in one of the states. It returns false if
+// the front end doesn't respond.
 func (n *FrontEnd) SeesInState(name string, states ...string) bool {
 	s := n.Status()
 	return s != nil && slices.Contains(states, s.Member(name).State)
--- a/internal/testharness/harness.go
+++ b/internal/testharness/harness.go
@@ -19,37 +19,37 @@
 	"chutechute/internal/testharness/site"
 )
 
-// Harness is the test harness of a single front end: its process, the stub engines and the stub discovery service.
+// Harness runs a single front end as a process, with stub engines and a stub discovery service.
 type Harness struct {
 	T                 *testing.T
 	Program           string          // path of the executable
 	Args              []string        // of the process
-	Env               []string        // of the process, besides NODE_CONFIG
+	Env               []string        // of the process, in addition to NODE_CONFIG
 	Cmd               *exec.Cmd       // the process
 	Addr              string          // where the front end listens for clients
-	StartupTime       time.Duration   // from the start of the process until it served
-	Log               *LogBuffer      // what the process has written to standard error
-	Exited            chan error      // has the process's exit once it has ended
+	StartupTime       time.Duration   // from the start of the process until it serves
+	Log               *LogBuffer      // standard error of the process
+	Exited            chan error      // receives the result of Cmd.Wait once the process has ended
 	DiscoveryListener net.Listener    // of the stub discovery service
-	mu                sync.Mutex      // guards the requests, and what handlers share
+	mu                sync.Mutex      // guards AllRequests, and state that handlers share
 	AllRequests       []EngineRequest // all requests that the engines received
 	Engines           []*StubEngine
 	// Settings is the settings document that the process is started with.
 	Settings      map[string]any
 	SocketLimit   int                            // configured limit of open sockets
-	MemoryLimitMB int                            // configured limit of memory, in MiB
-	OnConnState   func(net.Conn, http.ConnState) // sees the states of the engines' connections, where it is not nil
-	// EngineTLS returns the TLS configuration of an engine; nil makes all connections plain.
+	MemoryLimitMB int                            // configured memory limit, in MiB
+	OnConnState   func(net.Conn, http.ConnState) // called on state changes of the engines' connections; may be nil
+	// EngineTLS returns the TLS configuration of an engine. If it is nil, the engines don't use TLS.
 	EngineTLS      func(e *StubEngine) *tls.Config
 	NodeConfig     map[string]any // the node's configuration
-	NodeConfigPath string         // of the configuration's file
+	NodeConfigPath string         // path of the configuration file
 }
 
-// listenLogField matches the address in the line that the process logs when it serves.
+// listenLogField matches the listen address in the line that the process logs once it serves.
 var listenLogField = regexp.MustCompile(`listen=(\S+)`)
 
-// Start starts the program with so many stub engines, which all respond by the handler, and waits until the front
-// end serves. Each of the options may change the harness before engines and process start. The test fails where the
+// Start starts the program with the given number of stub engines, all of which use the handler, and waits until the
+// front end serves. The options can change the harness before the engines and the process start. The test fails if the
 // process doesn't serve in time.
 func Start(t *testing.T, program string, engines int, handler EngineHandler, options ...func(*Harness)) *Harness {
 	h := &Harness{
@@ -88,7 +88,7 @@
 	}
 }
 
-// nodeConfig returns the configuration that the process is started with. It lists all engines.
+// nodeConfig returns the configuration of the process. It lists all engines.
 func (h *Harness) nodeConfig() map[string]any {
 	var engines []site.Engine
 	for _, engine := range h.Engines {
@@ -105,20 +105,20 @@
 	}
 }
 
-// waitServing waits until the process logs its address, and sets the address and the time that this took.
+// waitServing waits until the process logs its address, and sets Addr and StartupTime.
 func (h *Harness) waitServing() {
-	began := time.Now()
+	startedAt := time.Now()
 	require.Eventually(h.T, func() bool {
 		if match := listenLogField.FindStringSubmatch(h.Log.String()); match != nil {
 			h.Addr = match[1]
 		}
 		return h.Addr != ""
 	}, WaitTimeout, fastPollInterval, "%s", h.Log)
-	h.StartupTime = time.Since(began)
+	h.StartupTime = time.Since(startedAt)
 }
 
-// StartProcess writes the configuration and starts the process. The process is killed with the test, which prints
-// its log if it failed.
+// StartProcess writes the configuration and starts the process. The process is killed at the end of the test. If the
+// test failed, the log of the process is printed.
 func (h *Harness) StartProcess(config map[string]any) {
 	h.NodeConfig, h.NodeConfigPath = config, filepath.Join(h.T.TempDir(), "config.json")
 	h.WriteNodeConfig()
@@ -135,7 +135,7 @@
 	})
 }
 
-// WriteNodeConfig replaces the configuration's file, at once, by what the harness has now.
+// WriteNodeConfig atomically replaces the configuration file by NodeConfig.
 func (h *Harness) WriteNodeConfig() {
 	text, err := json.Marshal(h.NodeConfig)
 	require.NoError(h.T, err)
@@ -143,20 +143,20 @@
 	require.NoError(h.T, os.Rename(h.NodeConfigPath+".new", h.NodeConfigPath))
 }
 
-// Requests returns the requests that the engines have received with the method and a path of the given beginning.
+// Requests returns the requests that the engines have received with the given method and a path with the given prefix.
 func (h *Harness) Requests(method, pathPrefix string) (matching []EngineRequest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, call := range h.AllRequests {
-		if call.Method == method && strings.HasPrefix(call.Path, pathPrefix) {
-			matching = append(matching, call)
+	for _, request := range h.AllRequests {
+		if request.Method == method && strings.HasPrefix(request.Path, pathPrefix) {
+			matching = append(matching, request)
 		}
 	}
 	return matching
 }
 
-// WaitForRequests waits until the engines have received at least count such requests, and returns them. The test
-// fails where they don't come in time.
+// WaitForRequests waits until the engines have received at least count requests with the given method and path prefix,
+// and returns them. The test fails if they aren't received in time.
 func (h *Harness) WaitForRequests(count int, method, pathPrefix string) []EngineRequest {
 	h.T.Helper()
 	received := func() bool { return len(h.Requests(method, pathPrefix)) >= count }
@@ -164,7 +164,7 @@
 	return h.Requests(method, pathPrefix)
 }
 
-// WaitForLog waits until the process's log contains a text. The test fails where it doesn't in time.
+// WaitForLog waits until the log of the process contains the text. The test fails if it doesn't in time.
 func (h *Harness) WaitForLog(text string) {
 	h.T.Helper()
 	logged := func() bool { return strings.Contains(h.Log.String(), text) }
--- a/internal/testharness/logbuffer.go
+++ b/internal/testharness/logbuffer.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// LogBuffer is a buffer that is safe for concurrent use. It captures the log of a process.
+// LogBuffer is a buffer that captures the log of a process. It is safe for concurrent use.
 type LogBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -18,7 +18,7 @@
 	return l.buffer.Write(p)
 }
 
-// String returns all that was written so far.
+// String returns everything that was written so far.
 func (l *LogBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testharness/partition.go
+++ b/internal/testharness/partition.go
@@ -1,9 +1,10 @@
 package testharness
 
-// Proxy returns the proxy on the path from one front end to another; nil to an attached one, which nobody dials.
+// Proxy returns the proxy on the path from one front end to another. It is nil if the target is an attached front end,
+// as no front end dials those.
 func (f *Fleet) Proxy(from, to *FrontEnd) *FaultProxy { return f.proxies[path{from.Index, to.Index}] }
 
-// Proxies returns the proxies from a front end to all control members but itself.
+// Proxies returns the proxies from a front end to all control members except itself.
 func (f *Fleet) Proxies(from *FrontEnd) (list []*FaultProxy) {
 	for _, controlMember := range f.ControlMembers() {
 		if controlMember != from {
@@ -23,7 +24,7 @@
 	return list
 }
 
-// SetPartition cuts all paths between two sides of a partition, in both directions, or heals them.
+// SetPartition cuts or heals all paths between the two sides of a partition, in both directions.
 func (f *Fleet) SetPartition(cut bool, left, right []*FrontEnd) {
 	for _, from := range left {
 		for _, to := range right {
@@ -35,8 +36,8 @@
 	}
 }
 
-// SetOutboundPartition cuts the paths from a front end to all control members, or heals them. Connections that
-// others dial to it stay.
+// SetOutboundPartition cuts or heals the paths from a front end to all control members. Connections that other front
+// ends dial to it are not affected.
 func (f *Fleet) SetOutboundPartition(frontEnd *FrontEnd, cut bool) {
 	f.LogStep("cut %s to all others: %v", frontEnd.Name, cut)
 	for _, proxy := range f.Proxies(frontEnd) {
@@ -44,7 +45,8 @@
 	}
 }
 
-// SetInboundPartition cuts the paths from all front ends to one, or heals them. Connections that it dials itself stay.
+// SetInboundPartition cuts or heals the paths from all other front ends to one front end. Connections that it dials
+// itself are not affected.
 func (f *Fleet) SetInboundPartition(frontEnd *FrontEnd, cut bool) {
 	f.LogStep("cut all others to %s: %v", frontEnd.Name, cut)
 	for _, other := range f.FrontEnds {
--- a/internal/testharness/process.go
+++ b/internal/testharness/process.go
@@ -14,15 +14,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// descriptorsSettleTime is for how long a process has to hold the same descriptors to count as started: until then
-// it opens some only to start.
+// descriptorsSettleTime is the time for which the set of a process's open descriptors must not change before the
+// process counts as started. While it starts, it opens some descriptors only temporarily.
 const descriptorsSettleTime = 50 * time.Millisecond
 
 // Signal sends the process a signal.
 func (h *Harness) Signal(s syscall.Signal) { require.NoError(h.T, h.Cmd.Process.Signal(s)) }
 
-// Counter returns the present value of one of the front end's counters. It has the process log all of them
-// (SIGUSR1); the test fails where the counter doesn't appear in time.
+// Counter returns the current value of one of the front end's counters. It makes the process log all counters
+// (SIGUSR1). The test fails if the counter isn't logged in time.
 func (h *Harness) Counter(name string) (n int) {
 	h.T.Helper()
 	line := regexp.MustCompile("(?m)^" + regexp.QuoteMeta(name) + " +([0-9]+)$")
@@ -38,10 +38,10 @@
 	return n
 }
 
-// DescriptorCount returns how many file descriptors the process has open.
+// DescriptorCount returns the number of the process's open file descriptors.
 func (h *Harness) DescriptorCount() int { return len(h.openDescriptors()) }
 
-// openDescriptors returns the numbers of the process's open file descriptors.
+// openDescriptors returns the process's open file descriptors, each as a decimal number.
 func (h *Harness) openDescriptors() (numbers []string) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.Cmd.Process.Pid))
 	require.NoError(h.T, err)
@@ -51,15 +51,16 @@
 	return numbers
 }
 
-// LimitDescriptors limits the process's open file descriptors to those that it has open and so many more. It waits
-// first until what was opened only to start is closed, which is when they stay the same for a while.
+// LimitDescriptors limits the process's file descriptors to those that are open now and the given number of free ones.
+// It first waits until the process has closed the descriptors that it opens only while it starts.
 func (h *Harness) LimitDescriptors(free int) {
 	limit := descriptorLimit(h.settledDescriptors(), free)
 	err := unix.Prlimit(h.Cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: limit}, nil)
 	require.NoError(h.T, err)
 }
 
-// settledDescriptors waits until the process's open file descriptors stay the same, and returns their numbers.
+// settledDescriptors waits until the process's open file descriptors haven't changed for descriptorsSettleTime, and
+// returns them.
 func (h *Harness) settledDescriptors() []string {
 	open, since := h.openDescriptors(), time.Now()
 	for time.Since(since) < descriptorsSettleTime {
@@ -71,8 +72,8 @@
 	return open
 }
 
-// descriptorLimit returns the lowest limit under which so many numbers are free besides the open ones. The system's
-// limit is on the numbers of descriptors, some of which may be unused below the highest open one.
+// descriptorLimit returns the lowest limit below which the given number of descriptors are free. RLIMIT_NOFILE limits
+// the value of a descriptor, not the number of open ones, and there may be unused values below the highest open one.
 func descriptorLimit(open []string, free int) (limit uint64) {
 	for ; free > 0; limit++ {
 		if !slices.Contains(open, strconv.FormatUint(limit, 10)) {
@@ -82,8 +83,8 @@
 	return limit
 }
 
-// ProcessState returns the process's state as proc(5) has it: 'T' where it is stopped. The error is that of reading
-// it, as for a process that has ended.
+// ProcessState returns the process's state as described in proc(5), for instance 'T' if it is stopped. It returns an
+// error if the state can't be read, for instance because the process has ended.
 func (h *Harness) ProcessState() (byte, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", h.Cmd.Process.Pid))
 	if err != nil {
@@ -92,7 +93,7 @@
 	return stat[bytes.LastIndexByte(stat, ')')+2], nil
 }
 
-// PeakMemoryMB returns the peak of the process's resident memory, in MiB.
+// PeakMemoryMB returns the process's peak resident memory, in MiB.
 func (h *Harness) PeakMemoryMB() int {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", h.Cmd.Process.Pid))
 	require.NoError(h.T, err)
--- a/internal/testharness/random.go
+++ b/internal/testharness/random.go
@@ -22,5 +22,5 @@
 	return r.state * 0x2545f4914f6cdd1d
 }
 
-// IntN returns the next number of the sequence, reduced to [0, n). The limit n is above zero.
+// IntN returns the next number of the sequence, reduced to [0, n). n must be positive.
 func (r *Random) IntN(n int) int { return int(r.Uint64() >> 33 % uint64(n)) }
--- a/internal/testharness/recordingengine.go
+++ b/internal/testharness/recordingengine.go
@@ -17,16 +17,17 @@
 )
 
 const (
-	abandonTimeout      = 2 * time.Second // after which an engine ends a query that nobody polls
+	abandonTimeout      = 2 * time.Second // after which an engine ends a query that is not polled
 	abandonPollInterval = 20 * time.Millisecond
-	deduplicationWindow = 25 * time.Second // in which an engine rejects the repeat of an idempotency key
+	deduplicationWindow = 25 * time.Second // in which an engine drops a repeat of an idempotency key
 	longPollTimeout     = 250 * time.Millisecond
 )
 
-// RecordingEngine is an engine that does what engines promise, and records it in the history: each query runs for
-// as long as its statement says ("ms=300"), until it is deleted, or until it was not polled for 2 s. Its result
-// names the call, the idempotency key and the engine, and is repeated up to the size that the statement says
-// ("kb=64"). All engines of a fleet share one table of idempotency keys.
+// RecordingEngine is a stub engine that keeps the guarantees of real engines and records its executions in the history.
+// Each query runs for the time that its statement gives ("ms=300"), unless it is deleted or is not polled for
+// abandonTimeout. A row of its result consists of the call ID, the idempotency key and the engine's name; it is
+// repeated up to the size that the statement gives ("kb=64"). All engines of a fleet share one table of idempotency
+// keys.
 type RecordingEngine struct {
 	Name         string
 	Addr         *net.TCPAddr
@@ -34,29 +35,29 @@
 	deduplicator *keyDeduplicator
 	server       *httptest.Server
 
-	// FailQueries has each query fail as it starts.
+	// FailQueries makes each query fail when it starts.
 	FailQueries atomic.Bool
 
 	mu        sync.Mutex
-	queries   map[string]*query      // by call
-	pollTimes map[string][]time.Time // by call
+	queries   map[string]*query      // by call ID
+	pollTimes map[string][]time.Time // by call ID
 }
 
-// keyDeduplicator is the idempotency keys that the engines of a fleet have run, and when.
+// keyDeduplicator is the table of the idempotency keys that the engines of a fleet have started, and when.
 type keyDeduplicator struct {
 	mu   sync.Mutex
 	keys map[string]time.Time
 }
 
-// admit notes the start of a key, and reports whether it is not a repeat within the window.
-func (s *keyDeduplicator) admit(key string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	last, known := s.keys[key]
+// admit reports whether a key may start, and records its start. A repeat within the window may not start.
+func (d *keyDeduplicator) admit(key string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	last, known := d.keys[key]
 	if known && time.Since(last) < deduplicationWindow {
 		return false
 	}
-	s.keys[key] = time.Now()
+	d.keys[key] = time.Now()
 	return true
 }
 
@@ -68,18 +69,18 @@
 	queryFailed
 )
 
-// query is one query of a recording engine. What changes of it is guarded by the engine's lock.
+// query is one query of a RecordingEngine. Its mutable fields are guarded by the engine's mutex.
 type query struct {
 	call, idempotencyKey string
 	result               string
 	lastPolled           time.Time
-	pollers              int // requests that wait for its end
+	pollers              int // number of requests that wait for its end
 	state                queryState
-	ended                chan struct{} // closed when it is no longer running
+	ended                chan struct{} // closed once it is no longer running
 }
 
-// newRecordingEngine starts an engine that records into a history, and shares a table of idempotency keys with the
-// other engines of its fleet.
+// newRecordingEngine starts an engine that records to the given history and shares the deduplicator with the other
+// engines of its fleet.
 func newRecordingEngine(name string, record *history.Recorder, deduplicator *keyDeduplicator) *RecordingEngine {
 	e := &RecordingEngine{Name: name, record: record, deduplicator: deduplicator,
 		queries: map[string]*query{}, pollTimes: map[string][]time.Time{}}
@@ -88,10 +89,10 @@
 	return e
 }
 
-// Close ends all connections of the engine and its server.
+// Close closes the engine's server and all of its connections.
 func (e *RecordingEngine) Close() { closeServer(e.server) }
 
-// FirstPollAfter returns the time of the first poll of a call's query after since; ok is false where there is none.
+// FirstPollAfter returns the time of the first poll after since of the query of a call; ok is false if there is none.
 func (e *RecordingEngine) FirstPollAfter(call string, since time.Time) (at time.Time, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -103,11 +104,11 @@
 	return at, false
 }
 
-// serve handles one request: POST starts a query, GET polls it, and DELETE ends it. Other paths are of health checks.
+// serve handles one request: POST starts a query, GET polls it, and DELETE ends it. Short paths are health checks.
 func (e *RecordingEngine) serve(out http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		return // the request never came whole
+		return // the request was not received completely
 	}
 	if request.Method == http.MethodPost {
 		e.start(out, request, string(body))
@@ -132,7 +133,7 @@
 	}
 }
 
-// lookUp returns the query of a call, nil where it is unknown, and notes the time of a poll.
+// lookUp returns the query of a call, or nil if it is unknown. If the method is GET, it records the time of the poll.
 func (e *RecordingEngine) lookUp(call, method string) *query {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -142,7 +143,7 @@
 	return e.queries[call]
 }
 
-// start starts the query of a statement, unless it repeats an idempotency key, and responds.
+// start starts the query of a statement, unless its idempotency key is a repeat, and responds.
 func (e *RecordingEngine) start(out http.ResponseWriter, request *http.Request, statement string) {
 	call, key := request.Header.Get("Request-Id"), request.Header.Get("Once-Key")
 	if key != "" && !e.deduplicator.admit(key) {
@@ -166,13 +167,14 @@
 	e.respond(out, q)
 }
 
-// What a statement says of its query, as comments.
+// Parameters of a query, which tests write into comments of its statement.
 var (
 	statementRunTime    = regexp.MustCompile(`ms=(\d+)`)
 	statementResultSize = regexp.MustCompile(`kb=(\d+)`)
 )
 
-// statementNumber returns the number in a statement that the pattern's group matches; 0 where it doesn't match.
+// statementNumber returns the number that the first group of the pattern matches in a statement; 0 if the pattern
+// doesn't match.
 func statementNumber(statement string, pattern *regexp.Regexp) int {
 	match := pattern.FindStringSubmatch(statement)
 	if match == nil {
@@ -182,14 +184,14 @@
 	return number
 }
 
-// result returns the result of a query: a row that is repeated up to the size that the statement says.
+// result returns the result of a query: a row that is repeated up to the size that the statement gives.
 func (e *RecordingEngine) result(call, key, statement string) string {
 	row := fmt.Sprintf("%s\t%s\t%s\n", call, key, e.Name)
 	size := statementNumber(statement, statementResultSize) * 1024
 	return row + strings.Repeat(row, size/len(row))
 }
 
-// run ends a query when its run time is over, or when it is abandoned.
+// run ends a query when its run time has passed, or when it is abandoned.
 func (e *RecordingEngine) run(q *query, runTime time.Duration) {
 	finished := time.After(runTime)
 	ticker := time.NewTicker(abandonPollInterval)
@@ -210,15 +212,15 @@
 	}
 }
 
-// abandoned reports whether nobody has polled a query for abandonTimeout.
+// abandoned reports whether a query has not been polled for abandonTimeout.
 func (e *RecordingEngine) abandoned(q *query) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return q.pollers == 0 && time.Since(q.lastPolled) >= abandonTimeout
 }
 
-// end ends a query that is running, and records how.
-func (e *RecordingEngine) end(q *query, how string, state queryState) {
+// end ends a query with the given state and records an event of the given kind, unless the query has ended before.
+func (e *RecordingEngine) end(q *query, eventKind string, state queryState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if q.state != queryRunning {
@@ -226,10 +228,10 @@
 	}
 	q.state = state
 	close(q.ended)
-	e.record.Add(history.Event{Kind: how, Engine: e.Name, CallID: q.call, IdempotencyKey: q.idempotencyKey})
+	e.record.Add(history.Event{Kind: eventKind, Engine: e.Name, CallID: q.call, IdempotencyKey: q.idempotencyKey})
 }
 
-// respond waits for a query's end for longPollTimeout, and responds with its state.
+// respond waits up to longPollTimeout for the end of a query, and responds with its state.
 func (e *RecordingEngine) respond(out http.ResponseWriter, q *query) {
 	switch e.waitEnd(q) {
 	case queryRunning:
@@ -241,7 +243,7 @@
 	}
 }
 
-// waitEnd waits for a query's end for longPollTimeout, and returns its state.
+// waitEnd waits up to longPollTimeout for the end of a query, and returns its state.
 func (e *RecordingEngine) waitEnd(q *query) queryState {
 	e.mu.Lock()
 	q.pollers++
--- a/internal/testharness/seed.go
+++ b/internal/testharness/seed.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// propertySeed is the seed of property tests for which the command line names none.
+// propertySeed is the seed of property tests if the command line sets none.
 const propertySeed = "20261201"
 
-// RunWithFixedSeed runs a package's tests and returns the exit code. Property tests draw from a fixed seed unless
-// the command line names one by -rapid.seed, so that each run gives the same verdict.
+// RunWithFixedSeed runs a package's tests and returns the exit code. Property tests use a fixed seed unless the command
+// line sets one with -rapid.seed, so that their results are reproducible.
 func RunWithFixedSeed(m *testing.M) int {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed != nil && seed.Value.String() == seed.DefValue {
--- a/internal/testharness/site/discovery.go
+++ b/internal/testharness/site/discovery.go
@@ -6,36 +6,35 @@
 	"time"
 )
 
-// StubDiscovery is a stub discovery service that sends heartbeats and never an event.
+// StubDiscovery is a stub discovery service that sends heartbeats, but never an event.
 type StubDiscovery struct{ listener net.Listener }
 
-// heartbeatFrame is a frame of the discovery service without an event: a length of 9, the sequence number 0 and the
-// kind 0.
+// heartbeatFrame is a frame of the discovery service without an event: length 9, sequence number 0 and kind 0.
 var heartbeatFrame = []byte{0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0}
 
 const heartbeatInterval = time.Second
 
-// NewStubDiscovery starts a discovery service on loopback. The error is that of listening.
+// NewStubDiscovery starts a stub discovery service on loopback. It returns an error if it can't listen.
 func NewStubDiscovery() (*StubDiscovery, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("site: journal: %w", err)
+		return nil, fmt.Errorf("site: discovery: %w", err)
 	}
-	j := &StubDiscovery{listener}
-	go j.serve()
-	return j, nil
+	d := &StubDiscovery{listener}
+	go d.serve()
+	return d, nil
 }
 
-// Addr returns where it listens, as host:port.
-func (j *StubDiscovery) Addr() string { return j.listener.Addr().String() }
+// Addr returns its listen address, as host:port.
+func (d *StubDiscovery) Addr() string { return d.listener.Addr().String() }
 
-// Close stops accepting. Connections that are open get heartbeats until the front end closes them.
-func (j *StubDiscovery) Close() error { return j.listener.Close() }
+// Close stops accepting connections. Open connections receive heartbeats until the front end closes them.
+func (d *StubDiscovery) Close() error { return d.listener.Close() }
 
 // serve accepts connections until the listener is closed.
-func (j *StubDiscovery) serve() {
+func (d *StubDiscovery) serve() {
 	for {
-		conn, err := j.listener.Accept()
+		conn, err := d.listener.Accept()
 		if err != nil {
 			return
 		}
--- a/internal/testharness/site/site.go
+++ b/internal/testharness/site/site.go
@@ -1,5 +1,5 @@
-// Package site writes the files of the front ends of a small site, their configuration and installation, and plays a
-// discovery service that never has an event. Tests use it, and the tool that measures fleets.
+// Package site writes the configuration and installation files of the front ends of a small site, and has a stub
+// discovery service that never sends an event. It is used by tests and by the tool that measures fleets.
 package site
 
 import (
@@ -9,44 +9,45 @@
 	"path/filepath"
 )
 
-// Engine is an engine that the front ends know from their configuration.
+// Engine is an engine that the configuration of the front ends lists.
 type Engine struct {
 	Name    string
 	Address string // host:port
 }
 
-// ControlMember is a control member as the fleet's section of the installation file lists it.
+// ControlMember is an entry of the list of control members in the fleet section of the installation file.
 type ControlMember struct {
 	Name    string `json:"name"`
 	Address string `json:"address"` // host:port for other front ends
 	Zone    string `json:"zone"`
 }
 
-// FrontEndFiles is what is configured for one front end.
+// FrontEndFiles is the content of the files of one front end.
 type FrontEndFiles struct {
 	Name          string
 	ClientAddr    string // host:port for clients
-	Seed          string // of its random numbers, hexadecimal
+	Seed          string // seed of its random numbers, in hexadecimal
 	DiscoveryAddr string // host:port of the discovery service
 	SiteSize      int    // number of front ends of the site
-	SocketLimit   int    // limit of open sockets; 0: the default
+	SocketLimit   int    // limit of open sockets; 0 means DefaultSocketLimit
 	Engines       []Engine
-	FleetSection  map[string]any // the fleet's section of the installation file
+	FleetSection  map[string]any // the fleet section of the installation file
 }
 
-// The configured limits of a front end, besides one core.
+// Configured limits of a front end, in addition to one core.
 const (
-	// MemoryLimitMB is the limit of memory, in MiB. The replicated record takes a share of it, on which all front ends
-	// have to agree.
+	// MemoryLimitMB is the memory limit, in MiB. The replicated log uses a share of it that has to be the same at all
+	// front ends.
 	MemoryLimitMB = 192
-	// DefaultSocketLimit is the limit of open sockets where none is given.
+	// DefaultSocketLimit is the limit of open sockets if FrontEndFiles sets none.
 	DefaultSocketLimit = 1024
 )
 
-// knownPosition is the position of the discovery service's events that the configuration is written at.
+// knownPosition is the position in the discovery service's sequence of events that the endpoint list in the
+// configuration corresponds to.
 const knownPosition = 41
 
-// Write writes the front end's two files into a folder, each at once, and returns their paths.
+// Write writes the front end's two files into a folder, each atomically, and returns their paths.
 func (f *FrontEndFiles) Write(dir string) (config, installation string, err error) {
 	settings := map[string]any{}
 	if err := json.Unmarshal([]byte(Settings), &settings); err != nil {
@@ -61,7 +62,7 @@
 	return config, installation, replaceFile(installation, map[string]any{"fleet": f.FleetSection})
 }
 
-// nodeConfig returns the content of the configuration's file.
+// nodeConfig returns the content of the configuration file.
 func (f *FrontEndFiles) nodeConfig(settings map[string]any) map[string]any {
 	sockets := f.SocketLimit
 	if sockets == 0 {
@@ -78,8 +79,8 @@
 	}
 }
 
-// KnownEndpoints returns the "known" section of a configuration: a list of endpoints, at one position, that has the
-// given engines, all in service.
+// KnownEndpoints returns the "known" section of a configuration: an endpoint list with the given engines, all in
+// service, at knownPosition.
 func KnownEndpoints(engines []Engine) map[string]any {
 	targets := make([]any, 0, len(engines))
 	for _, engine := range engines {
@@ -91,7 +92,7 @@
 	return map[string]any{"pos": knownPosition, "entries": []any{entry}}
 }
 
-// replaceFile writes a file, as JSON, that a reader finds either as it was or whole.
+// replaceFile atomically replaces a file by the JSON encoding of the content.
 func replaceFile(path string, content any) error {
 	text, err := json.Marshal(content)
 	if err != nil {
--- a/internal/testharness/statewatch.go
+++ b/internal/testharness/statewatch.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// WatchStates polls how some front ends see the watched ones until stop is called. Stop returns a text for each
-// time that a watched one was seen in one of the states, which are those that it should not be seen in.
+// WatchStates checks that no observer sees a watched front end in one of the given states. It polls the observers until
+// stop is called; stop returns a description of each violation seen.
 func (f *Fleet) WatchStates(observers, watched []*FrontEnd, states ...string) (stop func() (seen []string)) {
 	stopped := make(chan struct{})
 	var poller sync.WaitGroup
@@ -30,7 +30,7 @@
 	}
 }
 
-// stateViolations returns a text for each watched front end that another sees in one of the states now.
+// stateViolations returns a description for each observer that currently sees a watched front end in one of the states.
 func stateViolations(observers, watched []*FrontEnd, states []string) (violations []string) {
 	for _, observer := range observers {
 		status := observer.Status()
--- a/internal/testharness/workload.go
+++ b/internal/testharness/workload.go
@@ -12,55 +12,55 @@
 
 const (
 	clientDialTimeout = time.Second
-	// clientGrace is how much longer than its timeout a client waits for a response before it gives up.
+	// clientGrace is the time for which a client waits for a response beyond its time-out.
 	clientGrace = time.Second
 )
 
-// NewRequestID returns a request id that no request to this fleet has had yet.
-func (f *Fleet) NewRequestID() string { return RequestID(int(f.calls.Add(1))) }
+// NewRequestID returns a request id that is unique in this fleet.
+func (f *Fleet) NewRequestID() string { return RequestID(int(f.lastRequestID.Add(1))) }
 
-// LoadAttempt is one attempt of a load.
+// LoadAttempt is a load as a client sends it: the first sending of a request, or a repeat.
 type LoadAttempt struct {
-	IdempotencyKey, OrderKey, Statement string        // idempotency key, order key ("" for none) and statement
-	ClientTimeout                       time.Duration // the client's timeout
+	IdempotencyKey, OrderKey, Statement string // OrderKey is "" if there is none
+	ClientTimeout                       time.Duration
 }
 
-// SendLoad sends a load to a front end and returns the response. Its kind is answer, shed or fault, or lost where the
-// connection ended or no response came in time. Request and response are recorded in the history.
-func (f *Fleet) SendLoad(frontEnd *FrontEnd, attempt LoadAttempt) Reply {
+// SendLoad sends a load to a front end and returns the response. Its kind is answer, shed or fault, or lost if the
+// connection ended or no response was received in time. Request and response are recorded in the history.
+func (f *Fleet) SendLoad(frontEnd *FrontEnd, load LoadAttempt) Reply {
 	call := f.NewRequestID()
 	f.History.Add(history.Event{Kind: history.RequestSent, FrontEnd: frontEnd.Name, CallID: call,
-		IdempotencyKey: attempt.IdempotencyKey, OrderKey: attempt.OrderKey, Body: attempt.Statement})
-	fields := []string{"call", call, "op", "load", "ttl", milliseconds(attempt.ClientTimeout),
-		"dedupe", attempt.IdempotencyKey, "work", "10.0"}
-	if attempt.OrderKey != "" {
-		fields = append(fields, "row", attempt.OrderKey)
+		IdempotencyKey: load.IdempotencyKey, OrderKey: load.OrderKey, Body: load.Statement})
+	fields := []string{"call", call, "op", "load", "ttl", milliseconds(load.ClientTimeout),
+		"dedupe", load.IdempotencyKey, "work", "10.0"}
+	if load.OrderKey != "" {
+		fields = append(fields, "row", load.OrderKey)
 	}
-	reply := frontEnd.request(attempt.Statement, fields, attempt.ClientTimeout)
+	reply := frontEnd.request(load.Statement, fields, load.ClientTimeout)
 	body := ""
 	if reply.Kind == history.Succeeded {
 		body = reply.Rows()
 	}
 	f.History.Add(history.Event{Kind: history.RequestEnded, FrontEnd: frontEnd.Name, CallID: call,
-		IdempotencyKey: attempt.IdempotencyKey, OrderKey: attempt.OrderKey, Outcome: reply.Kind, Body: body})
+		IdempotencyKey: load.IdempotencyKey, OrderKey: load.OrderKey, Outcome: reply.Kind, Body: body})
 	return reply
 }
 
-// The look-up of which only the kind of response is of interest.
+// Run time and client time-out of the lookups that FrontEnd.SendLookup sends.
 const (
 	lookupRunTimeMS = 5
 	lookupTimeout   = 4 * time.Second
 )
 
-// SendLookup sends a short look-up without a tenant to the front end and returns the kind of the response: answer,
-// shed, fault or lost.
+// SendLookup sends a short lookup without a tenant to the front end and returns the kind of the response: answer, shed,
+// fault or lost.
 func (n *FrontEnd) SendLookup() string {
 	return n.SendTenantLookup("", lookupRunTimeMS, lookupTimeout).Kind
 }
 
-// SendTenantLookup sends a look-up of a tenant ("" for none) to the front end, which runs for runTimeMS
-// milliseconds and whose client's timeout is ttl. It returns the response, which is lost where none came, and
-// records both in the history.
+// SendTenantLookup sends a lookup of a tenant ("" for none) to the front end and returns the response, whose kind is
+// lost if none was received. The lookup runs for runTimeMS milliseconds; ttl is the client time-out. Request and
+// response are recorded in the history.
 func (n *FrontEnd) SendTenantLookup(tenant string, runTimeMS int, ttl time.Duration) Reply {
 	call := n.Fleet.NewRequestID()
 	statement := fmt.Sprintf("SELECT * FROM s_1.t -- ms=%d tenant=%s", runTimeMS, tenant)
@@ -74,10 +74,10 @@
 	return reply
 }
 
-// milliseconds returns a duration as a request's fields have it.
+// milliseconds formats a duration for a field of a request.
 func milliseconds(d time.Duration) string { return fmt.Sprint(d.Milliseconds()) }
 
-// request sends a request on a connection of its own and returns the response, which is lost where none comes.
+// request sends a request on a new connection and returns the response, whose kind is lost if none was received.
 func (n *FrontEnd) request(statement string, fields []string, ttl time.Duration) Reply {
 	reply, err := n.tryRequest(statement, fields, ttl)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return reply
 }
 
-// tryRequest sends a request on a connection of its own and returns the response.
+// tryRequest sends a request on a new connection and returns the response.
 func (n *FrontEnd) tryRequest(statement string, fields []string, ttl time.Duration) (Reply, error) {
 	conn, err := net.DialTimeout("tcp4", n.ClientAddr, clientDialTimeout)
 	if err != nil {
@@ -101,13 +101,13 @@
 	return client.TryReadReply()
 }
 
-// offeredTimeout is the client's timeout of the look-ups of a workload generator.
-const offeredTimeout = 2 * time.Second
+// generatedLookupTimeout is the client time-out of the lookups of a workload generator.
+const generatedLookupTimeout = 2 * time.Second
 
-// GenerateLookups starts an open-loop workload generator: it sends the front end a tenant's look-ups, perSecond of
-// them, each with a run time of runTimeMS milliseconds, until stop is closed. The generator belongs to the wait
-// group generators, which is done once the last response has come. The counter that is returned is of the requests
-// that were answered.
+// GenerateLookups starts an open-loop workload generator: until stop is closed, it sends lookups of a tenant to the
+// front end at a rate of perSecond, each with a run time of runTimeMS milliseconds. The generator is added to the wait
+// group generators, and is done once it has received the last response. GenerateLookups returns a counter of the
+// lookups that succeeded.
 func (n *FrontEnd) GenerateLookups(
 	generators *sync.WaitGroup, stop <-chan struct{}, tenant string, perSecond float64, runTimeMS int,
 ) *atomic.Int64 {
@@ -115,16 +115,16 @@
 	generators.Go(func() {
 		var requests sync.WaitGroup
 		defer requests.Wait()
-		began := time.Now()
+		startedAt := time.Now()
 		for k := 1; ; k++ {
-			due := began.Add(time.Duration(float64(k) / perSecond * float64(time.Second)))
+			due := startedAt.Add(time.Duration(float64(k) / perSecond * float64(time.Second)))
 			select {
 			case <-stop:
 				return
 			case <-time.After(time.Until(due)):
 			}
 			requests.Go(func() {
-				if n.SendTenantLookup(tenant, runTimeMS, offeredTimeout).Kind == history.Succeeded {
+				if n.SendTenantLookup(tenant, runTimeMS, generatedLookupTimeout).Kind == history.Succeeded {
 					answered.Add(1)
 				}
 			})
