--- a/internal/testharness/faultproxy.go
+++ b/internal/testharness/faultproxy.go
@@ -160,9 +160,9 @@
 	delete(p.sessions, session)
 }
 
-// HoldCurrent holds back what the dialer sends on the connections that are open now until release is called, even if
-// the dialer's process ends before. Later connections are not affected, so that the frames held back arrive after those
-// of later connections.
+// HoldCurrent holds back what the dialer sends on the connections that are open now until release is called,
+// even if the dialer's process ends before. Later connections are not affected, so that the frames held back arrive
+// after those of later connections.
 func (p *FaultProxy) HoldCurrent() (release func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,8 +173,8 @@
 	return sync.OnceFunc(func() { close(until) })
 }
 
-// HoldNew closes all open connections, and holds back what the dialer sends on later ones, including its part of the
-// handshake, until release is called.
+// HoldNew closes all open connections, and holds back what the dialer sends on later ones, including its
+// part of the handshake, until release is called.
 func (p *FaultProxy) HoldNew() (release func()) {
 	until := make(chan struct{})
 	p.SetCut(true)
--- a/internal/testharness/faultproxy_test.go
+++ b/internal/testharness/faultproxy_test.go
@@ -154,8 +154,7 @@
 	}
 }
 
-// Frames held back by HoldCurrent must survive the end of their connection, and arrive after the frames of a later
-// connection.
+// Frames held back on an open connection must survive its end, and arrive after the frames of a later connection.
 func TestHeldFramesArriveAfterThoseOfLaterConnection(t *testing.T) {
 	proxy, listener := newProxy(t)
 	old := dial(t, proxy, listener)
@@ -171,7 +170,7 @@
 	requireReceived(t, old.receivedByTarget, frame(otherKind, "old"))
 }
 
-// HoldNew must close the open connection, and on new connections delay what the dialer sends, but not what the target
+// Holding new connections must close the open one, and on new ones delay what the dialer sends, but not what the target
 // sends.
 func TestHoldNewDelaysOnlyDialerOfNewConnection(t *testing.T) {
 	proxy, listener := newProxy(t)
--- a/internal/testharness/site/settings.go
+++ b/internal/testharness/site/settings.go
@@ -1,6 +1,7 @@
 package site
 
-// Settings is the settings document, in JSON, of a small site with two classes: lookups, and loads with an idempotency key.
+// Settings is the settings document, in JSON, of a small site with two classes: lookups, and loads with an idempotency
+// key.
 const Settings = `{"balancers":1,"rank":0,"zone":"a","discovery":"push","failure_domains":["a"],"host_types":["k"],
 "classes":[{"name":"lookup","on_time":0.4,"aim_stretch":2.5,"give_up":5,"worth":1,"repeat":"safe","group":"all",
   "window":5},
--- a/internal/testharness/workload.go
+++ b/internal/testharness/workload.go
@@ -59,17 +59,17 @@
 }
 
 // SendTenantLookup sends a lookup of a tenant ("" for none) to the front end and returns the response, whose kind is
-// lost if none was received. The lookup runs for runTimeMS milliseconds; ttl is the client time-out. Request and
-// response are recorded in the history.
-func (n *FrontEnd) SendTenantLookup(tenant string, runTimeMS int, ttl time.Duration) Reply {
+// lost if none was received. The lookup runs for runTimeMS milliseconds. Request and response are recorded in the
+// history.
+func (n *FrontEnd) SendTenantLookup(tenant string, runTimeMS int, clientTimeout time.Duration) Reply {
 	call := n.Fleet.NewRequestID()
 	statement := fmt.Sprintf("SELECT * FROM s_1.t -- ms=%d tenant=%s", runTimeMS, tenant)
 	n.Fleet.History.Add(history.Event{Kind: history.RequestSent, FrontEnd: n.Name, CallID: call, Body: statement})
-	fields := []string{"call", call, "op", "lookup", "ttl", milliseconds(ttl), "work", "10.0"}
+	fields := []string{"call", call, "op", "lookup", "ttl", milliseconds(clientTimeout), "work", "10.0"}
 	if tenant != "" {
 		fields = append(fields, "org", tenant)
 	}
-	reply := n.request(statement, fields, ttl)
+	reply := n.request(statement, fields, clientTimeout)
 	n.Fleet.History.Add(history.Event{Kind: history.RequestEnded, FrontEnd: n.Name, CallID: call, Outcome: reply.Kind})
 	return reply
 }
@@ -78,8 +78,8 @@
 func milliseconds(d time.Duration) string { return fmt.Sprint(d.Milliseconds()) }
 
 // request sends a request on a new connection and returns the response, whose kind is lost if none was received.
-func (n *FrontEnd) request(statement string, fields []string, ttl time.Duration) Reply {
-	reply, err := n.tryRequest(statement, fields, ttl)
+func (n *FrontEnd) request(statement string, fields []string, clientTimeout time.Duration) Reply {
+	reply, err := n.tryRequest(statement, fields, clientTimeout)
 	if err != nil {
 		reply.Kind = history.ConnectionLost
 	}
@@ -87,13 +87,13 @@
 }
 
 // tryRequest sends a request on a new connection and returns the response.
-func (n *FrontEnd) tryRequest(statement string, fields []string, ttl time.Duration) (Reply, error) {
+func (n *FrontEnd) tryRequest(statement string, fields []string, clientTimeout time.Duration) (Reply, error) {
 	conn, err := net.DialTimeout("tcp4", n.ClientAddr, clientDialTimeout)
 	if err != nil {
 		return Reply{}, err
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(ttl + clientGrace))
+	_ = conn.SetDeadline(time.Now().Add(clientTimeout + clientGrace))
 	client := &Client{T: n.Fleet.T, Conn: conn}
 	if err := client.TrySendRequest(statement, fields...); err != nil {
 		return Reply{}, err
