--- a/simulation/client.go
+++ b/simulation/client.go
@@ -9,47 +9,49 @@
 )
 
 const (
-	// requestDelay is how long a client's request takes to any front end. It is always the same, so that requests
-	// arrive in the order in which they were sent.
+	// requestDelay is the network delay of a client's request to any front end. It is constant, so that requests arrive
+	// in the order in which they were sent.
 	requestDelay = 500 // µs
-	// minResponseDelay and maxResponseDelay are how long a response takes to the client.
+	// minResponseDelay and maxResponseDelay bound the network delay of a response to a client.
 	minResponseDelay = 100 // µs
 	maxResponseDelay = 2 * ms
-	// clientTimeoutMargin is how long a client waits beyond the request's TTL.
+	// clientTimeoutMargin is how much longer a client waits than the time-out that it sends with the request.
 	clientTimeoutMargin = 100 * ms
-	// connectionCheckInterval is how soon a client notices that the process has ended to which it is connected.
+	// connectionCheckInterval is the time within which a client notices that the process to which it is connected has
+	// ended.
 	connectionCheckInterval = 5 * ms
-	// estimatedCost is the cost that clients report for all requests.
-	estimatedCost = 10 * ms
+	// estimatedWork is the estimated work that clients report for all requests.
+	estimatedWork = 10 * ms
 	// requestClass is the class of all requests.
 	requestClass = "load"
 )
 
-// statementFormat is the statement of a request that runs for a number of milliseconds on an engine.
+// statementFormat is the format of all statements. Its parameter is the execution time on an engine in milliseconds.
 const statementFormat = "INSERT INTO s_1.t -- ms=%d"
 
-// clientRequest is an idempotent request, which its client may send several times.
+// clientRequest is a request that is idempotent by key, which its client may send several times.
 type clientRequest struct {
 	idempotencyKey string
-	orderKey       string // requests with the same one run one at a time, in order; empty: none
+	orderKey       string // empty: none
 	statement      string
-	ttl            monotime.Micros
-	callsLeft      int // how often the client sends it at most, from now on
+	clientTimeout  monotime.Micros
+	callsLeft      int // how many times the client may still send it, including the next call
 }
 
-// call is a request that was sent once, whose client waits for the response.
+// call is one sending of a request by a client, which waits for the response.
 type call struct {
 	simulation *Simulation
 	id         string
 	request    clientRequest
 	frontEnd   *FrontEnd
-	process    *process         // to which the client is connected, nil if none ran
-	submitted  *gateway.Request // nil before the request has arrived
+	process    *process         // the process to which the client is connected; nil if none ran
+	submitted  *gateway.Request // nil until the request has arrived
 	ended      bool
 	onEnd      func(outcome string)
 }
 
-// send sends a request to a front end. onEnd is called with the outcome, one of package history.
+// send sends a request to a front end. It calls onEnd with the outcome, which is one of those that package history
+// defines.
 func (s *Simulation) send(f *FrontEnd, request clientRequest, onEnd func(outcome string)) {
 	s.callCount++
 	c := &call{
@@ -66,7 +68,7 @@
 		return
 	}
 	s.after(requestDelay, func() { c.process.run(c.submit) })
-	s.after(request.ttl+clientTimeoutMargin, c.timeOut)
+	s.after(request.clientTimeout+clientTimeoutMargin, c.timeOut)
 	s.after(connectionCheckInterval, c.checkConnection)
 }
 
@@ -79,7 +81,7 @@
 	c.simulation.History.Add(event)
 }
 
-// submit hands the request to the front end's core.
+// submit submits the request to the front end's core.
 func (c *call) submit() {
 	if c.ended {
 		return // the client has closed its connection
@@ -90,31 +92,31 @@
 		Class:          requestClass,
 		OrderKey:       c.request.orderKey,
 		IdempotencyKey: c.request.idempotencyKey,
-		TTL:            c.request.ttl,
-		EstimatedWork:  estimatedCost,
+		TTL:            c.request.clientTimeout,
+		EstimatedWork:  estimatedWork,
 		Statement:      []byte(c.request.statement),
 	}, c)
 	if err != nil {
 		c.simulation.fail(err)
 	}
-	c.process.runLoop()
-	c.simulation.reach(requestSubmitted, c.frontEnd)
+	c.process.runTurn()
+	c.simulation.reachCrashPoint(requestSubmitted, c.frontEnd)
 }
 
-// Respond delivers the rows of the result.
+// Respond sends the rows of a successful request to the client.
 func (c *call) Respond(rows []byte) { c.respond(history.Succeeded, rows) }
 
-// Reject delivers that nothing of the request has run or will run.
+// Reject tells the client that no part of the request has run or will run.
 func (c *call) Reject(monotime.Micros) { c.respond(history.Rejected, nil) }
 
-// Fail delivers that the request has no result and may have run.
+// Fail tells the client that the request failed and may have run.
 func (c *call) Fail() { c.respond(history.Failed, nil) }
 
 // respond sends the final response over the network.
 func (c *call) respond(outcome string, rows []byte) {
 	s := c.simulation
 	body := string(rows)
-	s.after(0, func() { s.reach(responseSent, c.frontEnd) })
+	s.after(0, func() { s.reachCrashPoint(responseSent, c.frontEnd) })
 	s.after(s.random.between(minResponseDelay, maxResponseDelay), func() { c.end(outcome, body) })
 }
 
@@ -126,10 +128,10 @@
 	c.ended = true
 	c.record(history.Event{Kind: history.RequestEnded, Outcome: outcome, Body: body})
 	c.onEnd(outcome)
-	c.simulation.reach(responseReceived, c.frontEnd)
+	c.simulation.reachCrashPoint(responseReceived, c.frontEnd)
 }
 
-// timeOut closes the client's connection, by which the front end cancels the request.
+// timeOut closes the client's connection, which makes the front end cancel the request.
 func (c *call) timeOut() {
 	if c.ended {
 		return
@@ -138,12 +140,13 @@
 	c.process.run(func() {
 		if c.submitted != nil {
 			c.process.core.Cancel(c.submitted)
-			c.process.runLoop()
+			c.process.runTurn()
 		}
 	})
 }
 
-// checkConnection ends the call if the process has ended, as that closes its connections.
+// checkConnection ends the call if the process has ended, which closes its connections. Otherwise it schedules the next
+// check.
 func (c *call) checkConnection() {
 	switch {
 	case c.ended:
--- a/simulation/crashpoint.go
+++ b/simulation/crashpoint.go
@@ -1,34 +1,35 @@
 package simulation
 
-// crashPoint is a point in the life of a request at which a crash is most likely to break a guarantee.
+// crashPoint is a point in the processing of a request at which a crash is most likely to violate a guarantee.
 type crashPoint string
 
 const (
 	requestSubmitted  crashPoint = "request submitted"
-	attemptAuthorized crashPoint = "attempt authorized" // it may start, and was not sent to its engine yet
+	attemptAuthorized crashPoint = "attempt authorized" // its start was not sent to the engine yet
 	executionStarted  crashPoint = "execution started"
 	executionEnded    crashPoint = "execution ended"
 	responseSent      crashPoint = "response sent"
 	responseReceived  crashPoint = "response received"
 )
 
-// The delay before a crashed front end starts again.
+// The time after which a crashed front end restarts.
 const (
 	minRestartDelay = 50 * ms
 	maxRestartDelay = 4 * second
 )
 
-// The duration of a pause between the authorization of an attempt and its start.
+// The duration of a pause between the authorization of an attempt and the sending of its start.
 const (
 	minPause = 700 * ms
 	maxPause = 6 * second
-	// A pause that shows Mutation.TakeOverWithoutWaiting is shorter than the authorization is valid.
+	// Mutation.TakeOverWithoutWaiting has an effect only if the attempt is still sent after the pause, so the pause ends
+	// while the authorization is valid.
 	minPauseWithinAuthorization = 800 * ms
 	maxPauseWithinAuthorization = 2 * second
 )
 
-// reach marks that a request has reached a crash point at a front end, which may crash or pause there.
-func (s *Simulation) reach(point crashPoint, f *FrontEnd) {
+// reachCrashPoint is called when a request has reached a crash point. It may crash or pause the front end.
+func (s *Simulation) reachCrashPoint(point crashPoint, f *FrontEnd) {
 	if s.options.CrashOneIn == 0 || s.healed || f.process == nil || !s.random.oneIn(s.options.CrashOneIn) {
 		return
 	}
@@ -36,7 +37,7 @@
 	if !s.options.DurableDisks && !emptyDisk {
 		return
 	}
-	s.logFault("at the point %q:", point)
+	s.logFault("at crash point %q:", point)
 	if point == attemptAuthorized && s.random.oneIn(2) {
 		s.pauseBeforeStart(f)
 		return
@@ -45,7 +46,7 @@
 	s.after(s.random.between(minRestartDelay, maxRestartDelay), f.start)
 }
 
-// pauseBeforeStart pauses a front end between the authorization of an attempt and its start.
+// pauseBeforeStart pauses a front end that has not sent the start of an authorized attempt yet.
 func (s *Simulation) pauseBeforeStart(f *FrontEnd) {
 	f.pause()
 	duration := s.random.between(minPause, maxPause)
--- a/simulation/disk.go
+++ b/simulation/disk.go
@@ -14,13 +14,13 @@
 	slowSyncOneIn       = 500
 )
 
-// disk is the part of a front end that outlives a process.
+// disk holds the state of a front end that survives the end of a process.
 type disk struct {
 	replicaID uint64
 	persisted replication.PersistedState
 }
 
-// write persists a Save, as package wal does in its files.
+// write persists a Save, with the same result as package wal.
 func (d *disk) write(save replication.Save) {
 	state := &d.persisted
 	if state.GroupID == 0 {
@@ -38,7 +38,7 @@
 	}
 }
 
-// entriesAfterSnapshot returns the log entries that a snapshot leaves in place.
+// entriesAfterSnapshot returns the log entries that remain after a snapshot was saved.
 func entriesAfterSnapshot(entries []*raftpb.Entry, save replication.Save) (rest []*raftpb.Entry) {
 	if save.DiscardLog {
 		return nil
@@ -51,7 +51,7 @@
 	return rest
 }
 
-// entriesBefore returns the log entries before the first one with at least an index.
+// entriesBefore returns the log entries before the given index.
 func entriesBefore(entries []*raftpb.Entry, index uint64) []*raftpb.Entry {
 	for i, entry := range entries {
 		if entry.GetIndex() >= index {
@@ -61,7 +61,7 @@
 	return entries
 }
 
-// save writes to the disk. A write in flight is lost when the process ends.
+// save schedules a write to the disk. Writes that have not finished are lost if the process ends.
 func (p *process) save(save replication.Save) {
 	if p.simulation.options.Mutation.AcknowledgeBeforeSync {
 		p.node.Persisted(p.now(), save.Token, nil)
@@ -72,7 +72,7 @@
 	}
 }
 
-// finishSync ends a write of all pending saves, in one sync, and begins the next.
+// finishSync completes one sync, which persists all pending saves, and schedules another if there are new ones.
 func (p *process) finishSync() {
 	if !p.isAlive() {
 		return
@@ -83,16 +83,16 @@
 		p.frontEnd.disk.write(save)
 	}
 	for _, save := range batch {
-		// A save that was acknowledged early is acknowledged again, which has no effect.
+		// A save that AcknowledgeBeforeSync has acknowledged is acknowledged again, which has no effect.
 		p.run(func() { p.node.Persisted(p.now(), save.Token, nil) })
 	}
-	p.run(p.runLoop)
+	p.run(p.runTurn)
 	if len(p.pendingSaves) > 0 {
 		p.simulation.after(p.simulation.syncDuration(), p.finishSync)
 	}
 }
 
-// syncDuration draws how long a sync of a disk takes.
+// syncDuration draws the duration of a disk sync.
 func (s *Simulation) syncDuration() monotime.Micros {
 	switch {
 	case !s.options.DurableDisks:
--- a/simulation/engine.go
+++ b/simulation/engine.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// abandonTimeout is how long an engine executes what no front end polls for.
+	// abandonTimeout is the time after which an engine ends an execution that no front end polls for.
 	abandonTimeout = 2 * second
-	// duplicateWindow is for how long an engine drops further starts of an idempotency key.
-	duplicateWindow = 25 * second
+	// dedupeWindow is how long engines drop further starts of an idempotency key that was executed.
+	dedupeWindow = 25 * second
 	// enginePollInterval is the interval at which a front end polls an engine for an execution.
 	enginePollInterval = 250 * ms
-	// minPollDelay is how soon, at least, the pending poll reports the end of an execution.
+	// minPollDelay is the shortest time after which a pending poll reports the end of an execution.
 	minPollDelay = 100 // µs
-	// maxEndDelay is the longest time from the end of an execution to the crash point after it.
+	// maxEndDelay is the longest time from the end of an execution to the crash point executionEnded.
 	maxEndDelay = 5 * ms
-	// failedExecutionOneIn is the average number of executions for each one that fails.
+	// failedExecutionOneIn is the average number of executions per failed one.
 	failedExecutionOneIn = 12
 )
 
-// The delays of messages between front ends and engines.
+// Network delays between front ends and engines.
 const (
 	minEngineDelay         = 200 // µs
 	maxEngineRequestDelay  = 3 * ms
 	maxEngineResponseDelay = 2 * ms
 )
 
-// engine executes what it is sent until that ends by itself, is canceled, or was not polled for a while. It drops
-// duplicates of an idempotency key.
+// engine executes requests. An execution ends by itself, when it is canceled, or when no front end has polled for it
+// for abandonTimeout. Engines drop starts of an idempotency key that is in its dedupe window.
 type engine struct {
 	simulation *Simulation
 	name       string
@@ -51,39 +51,39 @@
 const (
 	running executionState = iota
 	succeeded
-	failed // by itself, or because it was canceled or abandoned
+	failed // with an error, or because it was canceled or abandoned
 )
 
 // execution is a request that an engine executes or has executed.
 type execution struct {
-	attempts   []*attempt // that poll for it; the first one started it
+	attempts   []*attempt // the attempts that poll for it, the first of which started it
 	lastPolled monotime.Micros
 	state      executionState
 	rows       string
 }
 
-// engineRequestDelay draws how long a message takes to an engine.
+// engineRequestDelay draws the network delay of a message to an engine.
 func (s *Simulation) engineRequestDelay() monotime.Micros {
 	return s.random.between(minEngineDelay, maxEngineRequestDelay)
 }
 
-// engineResponseDelay draws how long a message from an engine takes.
+// engineResponseDelay draws the network delay of a message from an engine.
 func (s *Simulation) engineResponseDelay() monotime.Micros {
 	return s.random.between(minEngineDelay, maxEngineResponseDelay)
 }
 
-// isDuplicate reports whether an idempotency key was executed a short while ago, on any engine.
+// isDuplicate reports whether an idempotency key is in its dedupe window, which all engines share.
 func (s *Simulation) isDuplicate(idempotencyKey string) bool {
 	last, known := s.lastExecuted[idempotencyKey]
-	return known && s.now-last < duplicateWindow && !s.options.Mutation.NoDuplicateDetection
+	return known && s.now-last < dedupeWindow && !s.options.Mutation.NoDuplicateDetection
 }
 
-// receiveStart starts the execution of an attempt, unless it is a duplicate. What has become of the process that
-// sent it does not matter.
+// receiveStart starts the execution of an attempt, unless it is a duplicate. It does so even if the process that sent
+// the start has ended since.
 func (e *engine) receiveStart(a *attempt) {
 	s := e.simulation
 	a.state = attemptReceived
-	s.after(s.random.between(0, ms), func() { s.reach(executionStarted, a.process.frontEnd) })
+	s.after(s.random.between(0, ms), func() { s.reachCrashPoint(executionStarted, a.process.frontEnd) })
 	if s.isDuplicate(a.IdempotencyKey) {
 		s.History.Add(history.Event{
 			Kind: history.DuplicateDropped, Engine: e.name, CallID: a.ID, IdempotencyKey: a.IdempotencyKey,
@@ -99,7 +99,7 @@
 	e.checkAbandoned(exec)
 }
 
-// execute starts an execution and schedules its end. The statement tells how long it runs.
+// execute starts an execution and schedules its end, after the time that the statement specifies.
 func (e *engine) execute(a *attempt) *execution {
 	s := e.simulation
 	s.lastExecuted[a.IdempotencyKey] = s.now
@@ -124,15 +124,15 @@
 	return exec
 }
 
-// record adds an event of an execution to the history, with what the attempt that started it says.
-func (e *engine) record(what string, a *attempt) {
+// record adds an event of an execution to the history. a is the attempt that started the execution.
+func (e *engine) record(kind string, a *attempt) {
 	e.simulation.History.Add(history.Event{
-		Kind: what, Engine: e.name, CallID: a.ID, IdempotencyKey: a.IdempotencyKey, OrderKey: a.OrderKey,
+		Kind: kind, Engine: e.name, CallID: a.ID, IdempotencyKey: a.IdempotencyKey, OrderKey: a.OrderKey,
 	})
 }
 
-// poll has an attempt's process poll for an execution now, and again at intervals as long as the process is alive and
-// the attempt has not ended. A paused process does not poll, and continues when it resumes.
+// poll polls for an execution on behalf of an attempt, and schedules the next poll unless the execution has ended. It
+// stops once the attempt or its process has ended. A paused process does not poll until it resumes.
 func (e *engine) poll(exec *execution, a *attempt) {
 	s := e.simulation
 	if !a.process.isAlive() || a.state == attemptEnded {
@@ -148,7 +148,8 @@
 	s.after(enginePollInterval, func() { e.poll(exec, a) })
 }
 
-// checkAbandoned ends an execution that no front end has polled for, and checks again at intervals.
+// checkAbandoned ends an execution that no front end has polled for within abandonTimeout, and otherwise schedules the
+// next check.
 func (e *engine) checkAbandoned(exec *execution) {
 	switch {
 	case exec.state != running:
@@ -159,14 +160,14 @@
 	}
 }
 
-// end ends an execution. Front ends that poll for it learn at once that it has ended by itself.
-func (e *engine) end(exec *execution, what string, state executionState) {
+// end ends an execution. If it ended by itself, the pending polls report that; otherwise the next polls do.
+func (e *engine) end(exec *execution, kind string, state executionState) {
 	s := e.simulation
 	exec.state = state
 	first := exec.attempts[0]
-	e.record(what, first)
-	s.after(s.random.between(0, maxEndDelay), func() { s.reach(executionEnded, first.process.frontEnd) })
-	if what != history.ExecutionFinished {
+	e.record(kind, first)
+	s.after(s.random.between(0, maxEndDelay), func() { s.reachCrashPoint(executionEnded, first.process.frontEnd) })
+	if kind != history.ExecutionFinished {
 		return
 	}
 	for _, a := range exec.attempts {
--- a/simulation/engineclient.go
+++ b/simulation/engineclient.go
@@ -7,7 +7,7 @@
 	"chutechute/scheduler"
 )
 
-// How long it takes to connect to an engine, mostly, and how long a slow connection takes.
+// The longest time that connecting to an engine takes. One connection in slowConnectOneIn is slow.
 const (
 	maxConnectDuration     = 2 * ms
 	maxSlowConnectDuration = 200 * ms
@@ -17,17 +17,17 @@
 // healthCheckLatency is the latency that all health checks report.
 const healthCheckLatency = ms
 
-// attemptState is how far an attempt has come.
+// attemptState is the state of an attempt. An attempt passes the states in order and may skip some.
 type attemptState int
 
 const (
 	attemptConnecting attemptState = iota
-	attemptSent                    // its start was written, or it polls for what another front end started
-	attemptReceived                // its engine knows it
-	attemptEnded                   // the core knows its result
+	attemptSent                    // its start was sent, or it was taken over and not found at its engine yet
+	attemptReceived                // the engine has received its start
+	attemptEnded                   // its result was passed to the core
 )
 
-// attempt is an attempt of a request at an engine, as the process sees it.
+// attempt is the engine client's state of an attempt.
 type attempt struct {
 	*gateway.Attempt
 	process   *process
@@ -37,10 +37,11 @@
 	canceled  bool // by the core
 }
 
-// engineClient is a process's side of the engines. It implements gateway.EngineClient.
+// engineClient is the part of a process that communicates with engines. It implements gateway.EngineClient.
 type engineClient struct{ process *process }
 
-// Start sends an attempt to its engine once a connection is up, or polls for what another front end started.
+// Start connects to the engine and sends it an attempt. If another front end has started the attempt, it polls the
+// engine for it instead.
 func (c engineClient) Start(started *gateway.Attempt) {
 	p := c.process
 	s := p.simulation
@@ -51,11 +52,11 @@
 		s.after(s.engineRequestDelay(), func() { p.run(a.takeOver) })
 		return
 	}
-	s.after(0, func() { s.reach(attemptAuthorized, p.frontEnd) })
+	s.after(0, func() { s.reachCrashPoint(attemptAuthorized, p.frontEnd) })
 	s.after(s.connectDuration(), func() { p.run(a.sendStart) })
 }
 
-// connectDuration draws how long it takes to connect to an engine.
+// connectDuration draws the time that connecting to an engine takes.
 func (s *Simulation) connectDuration() monotime.Micros {
 	duration := s.random.between(0, maxConnectDuration)
 	if s.random.oneIn(slowConnectOneIn) {
@@ -64,11 +65,11 @@
 	return duration
 }
 
-// SetPriority does nothing, as these engines support no priorities.
+// SetPriority does nothing, as simulated engines support no priorities.
 func (c engineClient) SetPriority(*gateway.Attempt) {}
 
-// Cancel ends an attempt early: at once if its start was not written, otherwise by a message to its engine, which
-// is not sent before the engine knows the attempt.
+// Cancel cancels an attempt. If its start was not sent, it ends at once. Otherwise a cancellation is sent to the
+// engine, but not before the engine has received the start.
 func (c engineClient) Cancel(started *gateway.Attempt) {
 	a := c.process.attempts[started]
 	switch {
@@ -88,7 +89,7 @@
 	c.process.core.HealthCheckEnded(engine, scheduler.Succeeded, healthCheckLatency, nil)
 }
 
-// sendStart writes the start, unless it is too late for that.
+// sendStart sends the start of the attempt to the engine, unless StartBy has passed.
 func (a *attempt) sendStart() {
 	if a.state == attemptEnded {
 		return
@@ -102,8 +103,8 @@
 	s.after(s.engineRequestDelay(), func() { a.engine.receiveStart(a) })
 }
 
-// takeOver polls the engine for what another front end started. An engine that does not know it may not have received
-// the start yet; only after a while it is certain that it never will.
+// takeOver polls the engine for an attempt that another front end started. If the engine does not know the attempt, its
+// start may still be in transit, so the attempt is canceled only after abandonTimeout plus one poll interval.
 func (a *attempt) takeOver() {
 	s := a.process.simulation
 	if a.state == attemptEnded {
@@ -126,8 +127,8 @@
 	s.after(enginePollInterval, func() { a.process.run(a.takeOver) })
 }
 
-// sendCancellation cancels the attempt's execution, if there is one, and ends the attempt when the engine has
-// responded.
+// sendCancellation sends a cancellation to the engine, which ends the execution if it still runs. The attempt ends when
+// the engine has responded.
 func (a *attempt) sendCancellation() {
 	s := a.process.simulation
 	s.after(s.engineRequestDelay(), func() {
@@ -151,7 +152,7 @@
 
 func (a *attempt) endCanceled() { a.end(scheduler.Canceled, nil) }
 
-// end tells the core the result of the attempt, unless it has ended.
+// end ends the attempt and passes its result to the core, unless it has ended already.
 func (a *attempt) end(result scheduler.Result, rows []byte) {
 	if a.state == attemptEnded {
 		return
@@ -160,5 +161,5 @@
 	p := a.process
 	delete(p.attempts, a.Attempt)
 	p.core.AttemptEnded(p.now(), a.Attempt, result, rows, nil)
-	p.simulation.after(0, func() { p.run(p.runLoop) })
+	p.simulation.after(0, func() { p.run(p.runTurn) })
 }
--- a/simulation/eventloop.go
+++ b/simulation/eventloop.go
@@ -8,19 +8,19 @@
 	"chutechute/internal/monotime"
 )
 
-// maxSteps is the most events that a simulation may run. One that needs more is a storm of messages.
-const maxSteps = 5_000_000
+// maxEvents is the most events that a simulation may run. More indicate an endless exchange of messages.
+const maxEvents = 5_000_000
 
-var errTooManySteps = errors.New("too many events: a storm of messages")
+var errTooManyEvents = errors.New("event limit exceeded: probably an endless exchange of messages")
 
-// event is something that happens at a point of virtual time.
+// event is a function that runs at a point in virtual time.
 type event struct {
 	at       monotime.Micros
 	sequence uint64 // orders events at the same time
 	run      func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events with the next one at the root.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -39,30 +39,30 @@
 
 // eventLoop runs events in virtual time.
 type eventLoop struct {
-	// Steps is the number of events that ran so far.
-	Steps        int
+	// EventsRun is the number of events that have run so far.
+	EventsRun    int
 	now          monotime.Micros // the true time
 	lastSequence uint64
 	queue        eventQueue
-	failure      error // the first one; it ends the simulation
+	failure      error // the first error, which ends the simulation
 }
 
-// after schedules a function to run after a delay. A negative delay counts as none.
+// after schedules a function to run after a delay. A negative delay counts as zero.
 func (l *eventLoop) after(delay monotime.Micros, run func()) {
 	l.lastSequence++
 	heap.Push(&l.queue, event{at: l.now + max(0, delay), sequence: l.lastSequence, run: run})
 }
 
-// Run runs the events of a duration of true time. It returns the error of a part that found its state inconsistent, or
-// that there were too many events.
+// Run advances true time by a duration and runs all events that are due by then. It returns the error that ended the
+// simulation, if any: a component found its state inconsistent, or there were too many events.
 func (l *eventLoop) Run(duration monotime.Micros) error {
 	until := l.now + duration
 	for len(l.queue) > 0 && l.queue[0].at <= until && l.failure == nil {
 		next := heap.Pop(&l.queue).(event)
 		l.now = next.at
-		l.Steps++
-		if l.Steps > maxSteps {
-			l.fail(errTooManySteps)
+		l.EventsRun++
+		if l.EventsRun > maxEvents {
+			l.fail(errTooManyEvents)
 		}
 		next.run()
 	}
@@ -70,12 +70,12 @@
 	return l.failure
 }
 
-// fail ends the simulation, unless the error is nil.
+// fail ends the simulation with an error. It has no effect if the error is nil.
 func (l *eventLoop) fail(err error) {
 	if l.failure == nil && err != nil {
 		l.failure = fmt.Errorf("simulation: at %.6f s: %w", seconds(l.now), err)
 	}
 }
 
-// seconds returns a time in seconds.
+// seconds converts a time to seconds.
 func seconds(t monotime.Micros) float64 { return float64(t) / float64(second) }
--- a/simulation/faults.go
+++ b/simulation/faults.go
@@ -6,8 +6,8 @@
 	"chutechute/internal/monotime"
 )
 
-// randomFaults are the faults that InjectFaults draws from, with equal probability. Each is given two front ends
-// drawn at random, which may be the same.
+// randomFaults are the faults that InjectFaults draws from. All entries have the same probability, and some faults have
+// two entries. Each fault gets two randomly drawn front ends, which may be the same one.
 var randomFaults = [...]func(s *Simulation, a, b *FrontEnd){
 	(*Simulation).crashOne,
 	(*Simulation).crashOne,
@@ -24,9 +24,9 @@
 	(*Simulation).crashAll,
 }
 
-// InjectFaults injects a fault at intervals of about the given length for a duration of true time, and ends all faults
-// then. No more disks are emptied than the replicated log can bear: one at a time, and the next one only once all
-// replicas have caught up again.
+// InjectFaults injects faults for a duration of true time, at intervals from half to one and a half times the given
+// length, and then ends all faults. It empties one disk at a time, and the next one only when all replicas have caught
+// up, since the replicated log does not survive the loss of more.
 func (s *Simulation) InjectFaults(interval, duration monotime.Micros) {
 	until := s.now + duration
 	var inject func()
@@ -47,7 +47,8 @@
 	inject(s, a, b)
 }
 
-// Heal ends all faults. None is injected any more.
+// Heal ends all network faults, resumes paused front ends and starts those that do not run. Crash points have no effect
+// from then on.
 func (s *Simulation) Heal() {
 	s.logFault("heal")
 	s.healed = true
@@ -58,7 +59,8 @@
 	}
 }
 
-// crashOne crashes a front end and starts it again, with an empty disk where that does no harm.
+// crashOne crashes a front end and schedules its restart. It may empty the disk, but only if all replicas have caught
+// up. Without durable disks, where each crash empties the disk, it crashes no front end otherwise.
 func (s *Simulation) crashOne(f, _ *FrontEnd) {
 	if f.process == nil {
 		return
@@ -74,7 +76,8 @@
 	s.after(s.random.between(minRestartDelay, maxRestartDelay), f.start)
 }
 
-// crashAll crashes all front ends at the same time, which only durable disks outlive.
+// crashAll crashes all front ends at the same time. It does nothing without durable disks, since the state of the
+// replicated log would be lost.
 func (s *Simulation) crashAll(_, _ *FrontEnd) {
 	if !s.options.DurableDisks {
 		return
@@ -90,7 +93,7 @@
 	s.after(s.random.between(50*ms, 10*second), f.resume)
 }
 
-// pauseLeader pauses the first front end that takes itself for the leader.
+// pauseLeader pauses the first front end whose replica considers itself the leader.
 func (s *Simulation) pauseLeader(_, _ *FrontEnd) {
 	for _, f := range s.FrontEnds {
 		if f.isRunning() && f.process.node.Replica().IsLeader() {
@@ -110,7 +113,7 @@
 	s.partition(b, a, s.random.between(100*ms, 8*second))
 }
 
-// partitionInTwo partitions the front ends into two sides.
+// partitionInTwo splits the front ends at random into two groups that cannot reach each other.
 func (s *Simulation) partitionInTwo(_, _ *FrontEnd) {
 	duration := s.random.between(500*ms, 10*second)
 	onFirstSide := map[*FrontEnd]bool{}
@@ -126,34 +129,34 @@
 	}
 }
 
-// partition drops what one front end sends to another for a duration.
+// partition drops all messages from one front end to another for a duration.
 func (s *Simulation) partition(from, to *FrontEnd, duration monotime.Micros) {
 	if from == to {
 		return
 	}
-	way := direction{from: from.index, to: to.index}
+	link := directedLink{from: from.index, to: to.index}
 	s.logFault("partition from %s to %s", from.name, to.name)
-	s.network.partitioned[way] = true
-	s.after(duration, func() { delete(s.network.partitioned, way) })
+	s.network.partitioned[link] = true
+	s.after(duration, func() { delete(s.network.partitioned, link) })
 }
 
 func (s *Simulation) slowNetwork(_, _ *FrontEnd) {
 	s.network.maxDelay = s.random.between(defaultMaxMessageDelay, 400*ms)
-	s.logFault("messages take up to %d ms", s.network.maxDelay/ms)
+	s.logFault("message delay up to %d ms", s.network.maxDelay/ms)
 	s.after(s.random.between(0, 4*second), func() { s.network.maxDelay = defaultMaxMessageDelay })
 }
 
 func (s *Simulation) toggleDuplicates(_, _ *FrontEnd) {
 	s.network.duplicates = !s.network.duplicates
-	s.logFault("duplicates of messages: %v", s.network.duplicates)
+	s.logFault("message duplication: %v", s.network.duplicates)
 }
 
 func (s *Simulation) toggleLongDelays(_, _ *FrontEnd) {
 	s.network.longDelays = !s.network.longDelays
-	s.logFault("long delays of messages: %v", s.network.longDelays)
+	s.logFault("long message delays: %v", s.network.longDelays)
 }
 
-// logFault adds a line to the fault log.
+// logFault appends a message with the current time to the fault log.
 func (s *Simulation) logFault(format string, args ...any) {
 	s.FaultLog = append(s.FaultLog, fmt.Sprintf("%10.6f %s", seconds(s.now), fmt.Sprintf(format, args...)))
 }
--- a/simulation/frontend.go
+++ b/simulation/frontend.go
@@ -13,9 +13,9 @@
 	name          string
 	zone          string
 	clock         clock
-	lastReplicaID uint64 // that of the last disk, 0 before the first
+	lastReplicaID uint64 // the replica ID of the last disk; 0 before the first disk
 	disk          *disk
-	process       *process // nil while none runs
+	process       *process // nil if none runs
 }
 
 func newFrontEnd(s *Simulation, index int) *FrontEnd {
@@ -34,7 +34,7 @@
 // isRunning reports whether the front end has a process that is not paused.
 func (f *FrontEnd) isRunning() bool { return f.process != nil && !f.process.paused }
 
-// now returns what the front end's clock shows.
+// now returns the time of the front end's clock.
 func (f *FrontEnd) now() monotime.Micros { return f.clock.at(f.simulation.now) }
 
 // start starts a process, unless one runs.
@@ -51,7 +51,7 @@
 	p.tick()
 }
 
-// newDisk returns an empty disk with a replica ID of its own.
+// newDisk returns an empty disk with a new replica ID.
 func (f *FrontEnd) newDisk() *disk {
 	id := f.simulation.random.id()
 	if f.simulation.options.Mutation.ReuseReplicaID && f.lastReplicaID != 0 {
@@ -73,7 +73,7 @@
 	}
 }
 
-// pause stops the process without ending it, as a stopped virtual machine does.
+// pause suspends the process, if one runs, as when a virtual machine is suspended.
 func (f *FrontEnd) pause() {
 	if f.isRunning() {
 		f.simulation.logFault("pause %s", f.name)
@@ -81,7 +81,7 @@
 	}
 }
 
-// resume continues a paused process, which then gets all that reached it meanwhile.
+// resume continues a paused process and runs the functions that were deferred while it was paused.
 func (f *FrontEnd) resume() {
 	p := f.process
 	if p == nil || !p.paused {
@@ -94,10 +94,10 @@
 	for _, handle := range deferred {
 		handle()
 	}
-	p.runLoop()
+	p.runTurn()
 }
 
-// String describes the state of the front end, for the message of a failed test.
+// String describes the state of the front end for the messages of failed tests.
 func (f *FrontEnd) String() string {
 	if f.process == nil {
 		return f.name + ": not running"
--- a/simulation/histories_test.go
+++ b/simulation/histories_test.go
@@ -26,20 +26,20 @@
 	second = monotime.Second
 )
 
-// The limits of the budgets, in units of one request.
+// The totals of the budgets, in requests.
 const (
 	maxConcurrency = 6
-	maxRate        = 6 // a second
+	maxRate        = 6 // per second
 	maxBurst       = 8
 )
 
-// maxConsumptionLead is the longest time between the consumption of a budget and the start on an engine, in
-// microseconds: the front end may write the start a quarter second later, and delays and clock drift come on top.
+// maxConsumptionLead is the longest time between the consumption of a budget and the start on an engine: the front end
+// may send the start up to 250 ms later, and the network delay and clock drift are added.
 const maxConsumptionLead = 300 * ms
 
-// requestBudgets returns a budget of concurrent requests and one of requests a second, for the class of the requests.
+// requestBudgets returns a budget of concurrent requests and one of requests per second, for the class of all requests.
 func requestBudgets() *budget.Set {
-	const milli = 1000 // amounts are in thousandths
+	const milli = 1000 // budget amounts are in thousandths
 	set := &budget.Set{Version: 1, Lease: 2 * second, MaxFrontEnds: 5}
 	for _, spec := range []budget.Spec{
 		{
@@ -63,7 +63,7 @@
 	return set
 }
 
-// budgetViolations returns the violations of the limits of requestBudgets.
+// budgetViolations returns the violations of the totals of requestBudgets.
 func budgetViolations(events []history.Event) []history.Violation {
 	oneUnit := func(history.Event) float64 { return 1 }
 	violations, _ := history.CheckConcurrency(events, maxConcurrency, oneUnit)
@@ -71,8 +71,8 @@
 	return append(violations, history.CheckRate(consumptions, maxRate, maxBurst)...)
 }
 
-// optionsOf returns the fleet that a seed stands for.
-func optionsOf(seed uint64, mutation *simulation.Mutation) simulation.Options {
+// optionsForSeed returns the options of the fleet that is simulated with a seed.
+func optionsForSeed(seed uint64, mutation *simulation.Mutation) simulation.Options {
 	options := simulation.Options{
 		FrontEnds:     3 + int(seed%3),
 		Engines:       2,
@@ -93,7 +93,8 @@
 	return options
 }
 
-// The phases of a history, and how often clients send requests and faults are injected while there are any.
+// The durations of the phases of a history, and the load and the faults in the second phase. Heal is called before the
+// last phase.
 const (
 	startDuration     = 3 * second
 	faultDuration     = 30 * second
@@ -103,13 +104,12 @@
 	orderKeys         = 4
 )
 
-// simulate runs one random history and returns the violations in it. An error that ended the run, as a replica
-// found its state inconsistent or messages made a storm, is one of them.
+// simulate runs one random history and returns the violations in it. An error that ended the simulation counts as one.
 func simulate(
 	t *testing.T, seed uint64, mutation *simulation.Mutation,
 ) (*simulation.Simulation, []history.Violation) {
 	cryptotest.SetGlobalRandom(t, seed)
-	options := optionsOf(seed, mutation)
+	options := optionsForSeed(seed, mutation)
 	s, err := simulation.New(options)
 	require.NoError(t, err)
 	require.NoError(t, s.Run(startDuration))
@@ -131,7 +131,8 @@
 	return s, violations
 }
 
-// describe returns the faults, the states of the front ends, and the first violations with the events related to them.
+// describe returns the injected faults, the states of the front ends, and the first violations with their related
+// events.
 func describe(s *simulation.Simulation, violations []history.Violation) string {
 	const maxViolations, maxEvents = 3, 40
 	var text strings.Builder
@@ -150,20 +151,20 @@
 	return text.String()
 }
 
-// recordedHistories is the number of seeds, from seed 1 on, of which testdata has a digest.
+// recordedHistories is the number of seeds, from 1 on, whose digest is in testdata.
 const recordedHistories = 40
 
-// digest returns the number of steps of a simulation and a hash of all that clients and engines observed.
+// digest returns the number of events that the simulation ran and a hash of the recorded history.
 func digest(s *simulation.Simulation) string {
 	hash := sha256.New()
 	for _, e := range s.History.Events() {
 		fmt.Fprintf(hash, "%d %s %q %q %q %q %q %s %q\n",
 			e.At, e.Kind, e.FrontEnd, e.Engine, e.CallID, e.IdempotencyKey, e.OrderKey, e.Outcome, e.Body)
 	}
-	return fmt.Sprintf("%d %x", s.Steps, hash.Sum(nil))
+	return fmt.Sprintf("%d %x", s.EventsRun, hash.Sum(nil))
 }
 
-// seeds returns the seeds to run. CHUTECHUTE_HISTORIES sets how many there are, and CHUTECHUTE_SEED the first one.
+// seeds returns the seeds to run. CHUTECHUTE_HISTORIES sets their number, and CHUTECHUTE_SEED the first one.
 func seeds() (list []uint64) {
 	count, first := recordedHistories, uint64(1)
 	if v, err := strconv.Atoi(os.Getenv("CHUTECHUTE_HISTORIES")); err == nil {
@@ -178,14 +179,14 @@
 	return list
 }
 
-// In random histories of whole fleets, no guarantee is violated whatever fails, and no request is stuck once all faults
-// have ended. The same seed gives the same history.
+// TestHistories checks that random faults in whole fleets violate no guarantee, that no request is still pending some
+// time after all faults have ended, and that a seed gives its recorded history.
 func TestHistories(t *testing.T) {
 	for _, seed := range seeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s, violations := simulate(t, seed, nil)
 			require.Empty(t, violations, "%s", describe(s, violations))
-			require.Zero(t, s.PendingRequests(), "requests are stuck: %s", describe(s, nil))
+			require.Zero(t, s.PendingRequests(), "requests are still pending: %s", describe(s, nil))
 			if seed <= recordedHistories {
 				golden.Entry(t, "testdata/histories.txt", fmt.Sprint("seed-", seed), digest(s))
 			}
--- a/simulation/mutations_test.go
+++ b/simulation/mutations_test.go
@@ -13,10 +13,10 @@
 	"chutechute/simulation"
 )
 
-// changeResponse changes the registry's response to a command of a front end's process.
+// changeResponse modifies the registry's response to a command of a front end's process.
 type changeResponse func(from replication.Incarnation, command *idempotency.Command, response *idempotency.Response)
 
-// changedResponses is a registry that keeps a correct state and gives wrong responses.
+// changedResponses is a registry whose state is correct and whose responses are modified.
 type changedResponses struct {
 	replication.StateMachine
 	change changeResponse
@@ -41,7 +41,7 @@
 	}}
 }
 
-// authorizeOutOfOrder authorizes attempts of requests that wait for another one of their key.
+// authorizeOutOfOrder authorizes attempts of requests that wait for an earlier request of their order key.
 func authorizeOutOfOrder(
 	_ replication.Incarnation, command *idempotency.Command, response *idempotency.Response,
 ) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// authorizeFormerOwner authorizes an attempt of a request that another process owns by now.
+// authorizeFormerOwner authorizes an attempt of a request that another process has taken over.
 func authorizeFormerOwner(
 	from replication.Incarnation, command *idempotency.Command, response *idempotency.Response,
 ) {
@@ -63,7 +63,8 @@
 	}
 }
 
-// transferStarted has a process own a request that another one has started, as if it were not started.
+// transferStarted transfers a request that another process has started to the process that sent the command, as if the
+// request had not been started.
 func transferStarted(
 	from replication.Incarnation, command *idempotency.Command, response *idempotency.Response,
 ) {
@@ -78,13 +79,13 @@
 	response.OwnerRequestID = command.RequestID
 }
 
-// withoutDuplicateDetection adds to a mutation that engines drop no duplicates.
+// withoutDuplicateDetection disables the engines' detection of duplicates in a mutation.
 func withoutDuplicateDetection(mutation *simulation.Mutation) *simulation.Mutation {
 	mutation.NoDuplicateDetection = true
 	return mutation
 }
 
-// earlyExpiry is a registry that has requests expire long before their time.
+// earlyExpiry is a registry whose requests expire 60 s too early.
 type earlyExpiry struct{ replication.StateMachine }
 
 func (r earlyExpiry) DueCommands(now monotime.Micros, detector replication.FailureDetector) [][]byte {
@@ -97,7 +98,7 @@
 	}}
 }
 
-// authorizeLocally is an idempotency store that authorizes all attempts without a committed command.
+// authorizeLocally is an idempotency store that authorizes all attempts without committing a command.
 type authorizeLocally struct{ gateway.IdempotencyStore }
 
 func (s authorizeLocally) Authorize(
@@ -126,7 +127,8 @@
 	}}
 }
 
-// No guarantee rests on the engines' detection of duplicates: without it, the histories violate none either.
+// TestNoGuaranteeRestsOnDuplicateDetection checks that histories violate no guarantee if engines do not detect
+// duplicates.
 func TestNoGuaranteeRestsOnDuplicateDetection(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		_, violations := simulate(t, seed, &simulation.Mutation{NoDuplicateDetection: true})
@@ -134,16 +136,16 @@
 	}
 }
 
-// maxMutationSeeds is the number of seeds with which a mutation has to be detected.
+// maxMutationSeeds is the number of seeds within which a mutation must be detected.
 const maxMutationSeeds = 40
 
-// Each mutation violates a guarantee within a few histories, and the checks detect it. Where a rule is named, they
-// detect a violation of that one.
+// TestChecksDetectMutations checks that the checks of histories detect each mutation, and for some mutations a specific
+// anomaly.
 func TestChecksDetectMutations(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		mutation *simulation.Mutation
-		anomaly  string // empty: any
+		anomaly  string // empty: any anomaly counts
 	}{
 		{"starts without a committed authorization", withLocalAuthorization(), ""},
 		{"delivers rows before they are committed", withResponseBeforeCommit(), ""},
@@ -167,19 +169,19 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			detected, seed := firstDetection(t, test.mutation, test.anomaly)
-			if assert.NotZero(t, seed, "nothing was detected") {
+			if assert.NotZero(t, seed, "no anomaly was detected") {
 				t.Logf("detected with seed %d: %s", seed, detected)
 			}
 		})
 	}
 }
 
-// firstDetection returns an anomaly, or the first one of any kind if none is given, and the first seed with which it is
-// detected; 0 if it is not.
+// firstDetection returns the first seed whose history has the given anomaly, or any anomaly if it is empty, and the
+// anomaly found. The seed is 0 if none was found.
 func firstDetection(t *testing.T, mutation *simulation.Mutation, anomaly string) (detected string, seed uint64) {
 	for seed := uint64(1); seed <= maxMutationSeeds; seed++ {
 		var violations []history.Violation
-		t.Run("", func(t *testing.T) { // a subtest, as the randomness is set for a whole test
+		t.Run("", func(t *testing.T) { // a subtest, since cryptotest sets the randomness for a whole test
 			_, violations = simulate(t, seed, mutation)
 		})
 		for _, violation := range violations {
--- a/simulation/network.go
+++ b/simulation/network.go
@@ -9,27 +9,28 @@
 const (
 	minMessageDelay        = 100 // µs
 	defaultMaxMessageDelay = 2 * ms
-	// maxLongDelay and longDelayOneIn are of the messages that come much later, where that fault is on.
+	// maxLongDelay is the longest additional delay of one message in longDelayOneIn, while long delays are enabled.
 	maxLongDelay   = 20 * second
 	longDelayOneIn = 50
-	// maxDuplicateDelay and duplicateOneIn are of the messages that come twice, where that fault is on.
+	// maxDuplicateDelay is the longest time between the two deliveries of one message in duplicateOneIn, while
+	// duplicates are enabled.
 	maxDuplicateDelay = 50 * ms
 	duplicateOneIn    = 4
 )
 
-// direction is a way between two front ends, by their indexes.
-type direction struct{ from, to int }
+// directedLink identifies the link from one front end to another, by their indexes.
+type directedLink struct{ from, to int }
 
 // network is the state of the network between front ends.
 type network struct {
-	partitioned map[direction]bool
+	partitioned map[directedLink]bool
 	maxDelay    monotime.Micros
-	longDelays  bool // a few messages come much later
-	duplicates  bool // some messages come twice
+	longDelays  bool // some messages are delayed much longer than maxDelay
+	duplicates  bool // some messages are delivered twice
 }
 
 func newNetwork() network {
-	return network{partitioned: map[direction]bool{}, maxDelay: defaultMaxMessageDelay}
+	return network{partitioned: map[directedLink]bool{}, maxDelay: defaultMaxMessageDelay}
 }
 
 // heal ends all faults of the network.
@@ -38,20 +39,20 @@
 	n.maxDelay, n.longDelays, n.duplicates = defaultMaxMessageDelay, false, false
 }
 
-// send sends a message to another front end. It may be lost, late or doubled, as the faults of the network are.
+// send sends a message to another front end. Faults of the network may drop, delay or duplicate it.
 func (p *process) send(message fleet.Send) {
 	s := p.simulation
 	target := s.frontEnd(message.To)
-	way := direction{from: p.frontEnd.index, to: target.index}
-	if s.network.partitioned[way] {
+	link := directedLink{from: p.frontEnd.index, to: target.index}
+	if s.network.partitioned[link] {
 		if message.Kind == transport.Replication {
 			s.after(0, func() { p.run(func() { p.node.SendFailed(message.To) }) })
 		}
 		return
 	}
-	receiver := target.process // a connection ends with the process that it leads to
+	receiver := target.process // a connection ends with this process, so its successor does not get the message
 	deliver := func() {
-		if receiver == nil || target.process != receiver || s.network.partitioned[way] {
+		if receiver == nil || target.process != receiver || s.network.partitioned[link] {
 			return
 		}
 		receiver.run(func() { receiver.receive(p, message) })
@@ -66,7 +67,8 @@
 	}
 }
 
-// receive takes a message from another front end's process. That process was challenged as soon as both ran.
+// receive handles a message from another front end's process. The link counts as challenged when the later of the two
+// processes started.
 func (p *process) receive(sender *process, message fleet.Send) {
 	from := fleet.Link{
 		From:         sender.frontEnd.name,
@@ -74,5 +76,5 @@
 		ChallengedAt: p.frontEnd.clock.at(max(sender.startedAt, p.startedAt)),
 	}
 	p.simulation.fail(p.node.Receive(p.now(), from, message.Kind, message.Body))
-	p.runLoop()
+	p.runTurn()
 }
--- a/simulation/process.go
+++ b/simulation/process.go
@@ -15,7 +15,7 @@
 	"chutechute/scheduler"
 )
 
-// The configuration of every front end.
+// The configuration of all front ends.
 const (
 	raftTickInterval  = 50 * ms
 	heartbeatInterval = 100 * ms
@@ -30,16 +30,16 @@
 	commitTimeout     = 60 * second
 
 	capacityRetryAfter = second / 2
-	minReportInterval  = 20 * ms // of the consumption of budgets
+	minReportInterval  = 20 * ms // between two reports of a lease holder
 
 	maxRegistryBytes  = 4 << 20
 	snapshotLogBytes  = 16 << 10
 	maxOpenRequests   = 10_000
 	maxStatementBytes = 1 << 24
-	budgetInstances   = 1000 // for which the budget authority has room
+	maxBudgetSubjects = 1000
 
-	// loopInterval is the interval at which a process has its parts look at the time.
-	loopInterval = 25 * ms
+	// tickInterval is the time between two ticks of a process.
+	tickInterval = 25 * ms
 )
 
 // process is one run of a front end's program.
@@ -55,12 +55,12 @@
 	leaseHolder  *budget.LeaseHolder // nil without budgets
 	attempts     map[*gateway.Attempt]*attempt
 	pendingSaves []replication.Save
-	nextWakeup   monotime.Micros // when the loop runs for a timer of the core, by the front end's clock
+	nextWakeup   monotime.Micros // the scheduled turn for a timer of the core, by the front end's clock
 	paused       bool
-	deferred     []func() // what reached the process while it was paused
+	deferred     []func() // functions that run when the process resumes
 }
 
-// newProcess returns a process with the state that is on the front end's disk.
+// newProcess returns a process that has recovered its state from the front end's disk.
 func newProcess(f *FrontEnd) (*process, error) {
 	s := f.simulation
 	p := &process{
@@ -89,7 +89,7 @@
 	return p, nil
 }
 
-// nodeConfig returns the configuration of the process as a control member.
+// nodeConfig returns the configuration of the process's node, which is a control member.
 func (p *process) nodeConfig() fleet.Config {
 	s := p.simulation
 	zones := map[string]string{}
@@ -129,10 +129,10 @@
 	if wrap := s.options.Mutation.WrapStateMachine; wrap != nil {
 		registry = wrap(registry)
 	}
-	return []replication.StateMachine{registry, budget.NewAuthority(budget.Options{MaxSubjects: budgetInstances})}
+	return []replication.StateMachine{registry, budget.NewAuthority(budget.Options{MaxSubjects: maxBudgetSubjects})}
 }
 
-// useIdempotencyStore connects the core with the fleet's registry of idempotent requests.
+// useIdempotencyStore connects the core to the fleet's registry of idempotent requests.
 func (p *process) useIdempotencyStore() {
 	config := idempotencyclient.Config{
 		Incarnation:   p.incarnation,
@@ -148,7 +148,7 @@
 	p.core.UseIdempotencyStore(store)
 }
 
-// useBudgets connects the core with the fleet's budgets, if there are any.
+// useBudgets connects the core to the fleet's budgets, if there are any.
 func (p *process) useBudgets() {
 	s := p.simulation
 	if s.options.Budgets == nil {
@@ -170,7 +170,7 @@
 	return endpoints
 }
 
-// notify passes on a notification of a state machine.
+// notify passes a notification from a state machine to the lease holder or the idempotency client, by its topic.
 func (p *process) notify(topic string) {
 	if topic != budget.NotificationTopic {
 		p.idempotency.Notify(p.now(), topic)
@@ -179,13 +179,14 @@
 	}
 }
 
-// now returns what the front end's clock shows.
+// now returns the time of the front end's clock.
 func (p *process) now() monotime.Micros { return p.frontEnd.now() }
 
 // isAlive reports whether the process has not ended. A paused process is alive.
 func (p *process) isAlive() bool { return p.frontEnd.process == p }
 
-// run calls a function in the process: at once, when the process resumes, or never if the process has ended.
+// run calls a function at once if the process runs, or when it resumes if it is paused. It drops the function if the
+// process has ended.
 func (p *process) run(handle func()) {
 	switch {
 	case !p.isAlive():
@@ -200,7 +201,7 @@
 	}
 }
 
-// tick has the parts look at the time, and does so again at each loop interval.
+// tick advances the timers of all components and schedules the next tick.
 func (p *process) tick() {
 	if !p.isAlive() {
 		return
@@ -212,18 +213,18 @@
 		if p.leaseHolder != nil {
 			p.leaseHolder.Tick(now)
 		}
-		p.runLoop()
+		p.runTurn()
 	})
-	p.simulation.after(loopInterval, p.tick)
+	p.simulation.after(tickInterval, p.tick)
 }
 
-// runLoop runs the event loop of the process once.
-func (p *process) runLoop() {
+// runTurn runs one turn of the event loop.
+func (p *process) runTurn() {
 	if !p.isAlive() || p.paused {
 		return
 	}
 	if err := p.node.Replica().Err(); err != nil {
-		p.simulation.fail(err) // no disk fails here, so the replica has found its state inconsistent
+		p.simulation.fail(err) // simulated disks do not fail, so the replica's state is inconsistent
 		return
 	}
 	now := p.now()
@@ -238,18 +239,18 @@
 	p.scheduleWakeup(now)
 }
 
-// scheduleWakeup has the loop run for the next timer of the core, where that is due before the next tick.
+// scheduleWakeup schedules a turn for the next timer of the core if it may expire before the next tick.
 func (p *process) scheduleWakeup(now monotime.Micros) {
 	next, ok := p.core.NextTimer()
-	if !ok || next >= now+loopInterval {
+	if !ok || next >= now+tickInterval {
 		return
 	}
 	if p.nextWakeup > now && p.nextWakeup <= next {
-		return // an earlier one is scheduled
+		return // a turn is already scheduled by then
 	}
 	p.nextWakeup = next
-	delay := p.frontEnd.clock.trueDuration(next-now) + 1 // rounded up
-	p.simulation.after(delay, func() { p.run(p.runLoop) })
+	delay := p.frontEnd.clock.trueDuration(next-now) + 1 // rounded up, so that the timer has expired by then
+	p.simulation.after(delay, func() { p.run(p.runTurn) })
 }
 
 // executeActions executes the actions of the node until it has none.
--- a/simulation/replicas.go
+++ b/simulation/replicas.go
@@ -2,11 +2,11 @@
 
 import "chutechute/fleet/replication"
 
-// maxCatchUpEntries is how many log entries a replica may be behind its leader and still count as caught up.
+// maxCatchUpEntries is the most log entries by which a replica may lag its leader and still count as caught up.
 const maxCatchUpEntries = 16
 
-// allReplicasCaughtUp reports whether the replicated log has a leader with all its replicas, and all of them run
-// and have caught up. Then one more disk may be lost.
+// allReplicasCaughtUp reports whether the replicated log has a leader and the configured number of voters, all of which
+// run and have caught up. Then the replicated log survives the loss of a disk.
 func (s *Simulation) allReplicasCaughtUp() bool {
 	for _, f := range s.FrontEnds {
 		if f.leadsAllReplicas() {
@@ -16,8 +16,8 @@
 	return false
 }
 
-// leadsAllReplicas reports whether the front end runs and takes itself for the leader of as many voters as configured,
-// with no learner.
+// leadsAllReplicas reports whether the front end runs and its replica considers itself the leader, with the configured
+// number of voters and no learners.
 func (f *FrontEnd) leadsAllReplicas() bool {
 	if !f.isRunning() || !f.process.node.Replica().IsLeader() {
 		return false
@@ -26,11 +26,12 @@
 	return len(voters) == f.simulation.options.Replicas && len(learners) == 0
 }
 
-// votersCaughtUp reports whether all voters of this leader run and have caught up with it.
+// votersCaughtUp reports whether all voters of this leader run and have caught up with it. It returns false during a
+// membership change.
 func (f *FrontEnd) votersCaughtUp() bool {
 	leader := f.process.node.Replica()
 	if leader.Reconfiguring() {
-		return false // the majorities of before and after count
+		return false // a majority of both the old and the new voters is needed
 	}
 	voters, _ := leader.Members()
 	for _, voter := range voters {
@@ -42,7 +43,7 @@
 	return true
 }
 
-// runningReplica returns the replica of an ID, nil if its front end does not run.
+// runningReplica returns the replica with the given ID, or nil if its front end does not run.
 func (s *Simulation) runningReplica(id uint64) *replication.Replica {
 	for _, f := range s.FrontEnds {
 		if f.disk != nil && f.disk.replicaID == id && f.isRunning() {
--- a/simulation/simulation.go
+++ b/simulation/simulation.go
@@ -1,11 +1,11 @@
-// Package simulation simulates a whole fleet in one process and in virtual time. Each front end has the real gateway
+// Package simulation simulates a whole fleet in one process and in virtual time. Each front end runs the real gateway
 // core, scheduler, replica, heartbeats and idempotency client, unchanged. The network, disks, clocks, clients and
-// engines are simulated, and one seed determines all of it, the faults that are injected included. What clients and
-// engines observe is recorded with its true time, and package history checks it.
+// engines are simulated, and one seed determines all of their behavior, including the injected faults. What clients
+// and engines observe is recorded with its true time, and package history checks it.
 //
-// Nothing here waits or reads a clock. Events run in the order of their times and, at the same time, in the order
-// in which they were scheduled. So a seed gives the same history again, provided that the caller has made the
-// randomness of the Raft library a function of the seed too, by testing/cryptotest.
+// The simulation never sleeps and reads no real clock. Events run in order of time; events at the same time run in the
+// order in which they were scheduled. So a seed always gives the same history, provided that the caller also seeds the
+// randomness of the Raft library, with testing/cryptotest.
 package simulation
 
 import (
@@ -28,53 +28,52 @@
 // maxClockOffset is the most by which the clocks of two front ends differ at the start.
 const maxClockOffset = 1000 * second
 
-// zoneCount is the number of zones over which the front ends are spread.
+// zoneCount is the number of zones, to which the front ends are assigned in turn.
 const zoneCount = 3
 
 // Options describe a simulated fleet.
 type Options struct {
 	// FrontEnds is the number of front ends, all of which are control members.
 	FrontEnds int
-	// Engines is the number of engines, to which all front ends are connected.
+	// Engines is the number of engines. All front ends use all of them.
 	Engines int
-	// DurableDisks lets disks outlive processes, except where a fault empties them. Otherwise a process starts with an
-	// empty disk, as where front ends keep their replica in memory.
+	// DurableDisks preserves disks when a process ends, except where a fault empties them. Otherwise every process
+	// starts with an empty disk, like a front end that keeps its replica in memory.
 	DurableDisks bool
 	// Replicas is the number of replicas of the fleet's replicated log.
 	Replicas int
-	// CrashOneIn is the average number of crash points passed for each one at which a front end crashes or pauses;
-	// 0 if none does.
+	// CrashOneIn is the average number of crash points per crash point at which a front end crashes or pauses; 0 if it
+	// never does.
 	CrashOneIn int
-	// MaxClockDrift is the most by which a clock is fast or slow, as a share.
+	// MaxClockDrift is the largest deviation of a clock's rate from true time, as a fraction.
 	MaxClockDrift float64
 	// Seed determines all randomness except that of the Raft library.
 	Seed uint64
-	// Mutation is the fault put into the program; nil for the program as it is.
+	// Mutation is a deliberate defect of the program; nil for the unchanged program.
 	Mutation *Mutation
-	// Budgets are the fleet's; nil if there are none.
+	// Budgets are the budgets of the fleet; nil for none.
 	Budgets *budget.Set
 	// Settings are the settings of the site, in JSON.
 	Settings []byte
 }
 
-// Mutation is a fault that is put into the program on purpose, to show that the checks detect it.
+// Mutation is a deliberate defect of the program, which the checks have to detect.
 type Mutation struct {
-	// WrapIdempotencyStore, unless nil, replaces the idempotency store of each front end.
+	// WrapIdempotencyStore, unless nil, returns a replacement for the idempotency store of each front end.
 	WrapIdempotencyStore func(gateway.IdempotencyStore) gateway.IdempotencyStore
-	// WrapStateMachine, unless nil, replaces the replicated registry of idempotent requests.
+	// WrapStateMachine, unless nil, returns a replacement for each replica of the registry of idempotent requests.
 	WrapStateMachine func(replication.StateMachine) replication.StateMachine
-	// ReuseReplicaID gives an emptied disk the replica ID that it had, so that the replica votes again in terms in
-	// which it has voted.
+	// ReuseReplicaID keeps the replica ID of a disk that is emptied, so that the replica may vote twice in a term.
 	ReuseReplicaID bool
 	// AcknowledgeBeforeSync acknowledges writes before they are on the disk.
 	AcknowledgeBeforeSync bool
-	// IgnoreStartBy starts attempts after the latest time at which they may start.
+	// IgnoreStartBy sends the start of an attempt even after gateway.Attempt.StartBy.
 	IgnoreStartBy bool
-	// NoDuplicateDetection has engines execute an idempotency key again. Their detection of duplicates is no fault, but
-	// hides the effect of others.
+	// NoDuplicateDetection makes engines execute every start, also of an idempotency key in its dedupe window. This is
+	// not a defect by itself, but the engines' detection of duplicates would hide the effects of other mutations.
 	NoDuplicateDetection bool
-	// TakeOverWithoutWaiting lets the successor of an owner conclude at once that what its engine does not know will
-	// never start, although a start may still be on its way.
+	// TakeOverWithoutWaiting makes a process that takes over an attempt cancel it at once if the engine does not know
+	// it, although its start may still be in transit.
 	TakeOverWithoutWaiting bool
 }
 
@@ -86,7 +85,7 @@
 	FrontEnds []*FrontEnd
 	// History is what clients and engines observed.
 	History history.Recorder
-	// FaultLog lists the faults that were injected so far, one a line.
+	// FaultLog describes the faults that were injected so far, one per entry.
 	FaultLog []string
 
 	options      Options
@@ -94,10 +93,10 @@
 	settings     *settings.Settings
 	network      network
 	engines      []*engine
-	lastExecuted map[string]monotime.Micros // when an idempotency key was last executed
+	lastExecuted map[string]monotime.Micros // when the last execution started, by idempotency key
 	callCount    int
 	requestCount int
-	healed       bool // no faults are injected any more
+	healed       bool // all faults have ended, and crash points have no effect any more
 }
 
 // New returns a simulated fleet whose front ends start at time 0. It returns an error if the settings are invalid or a
@@ -131,7 +130,7 @@
 	return s, s.failure
 }
 
-// engine returns the engine of a name, nil if there is none.
+// engine returns the engine with the given name, or nil.
 func (s *Simulation) engine(name string) *engine {
 	for _, e := range s.engines {
 		if e.name == name {
@@ -141,7 +140,7 @@
 	return nil
 }
 
-// frontEnd returns the front end of a name, nil if there is none.
+// frontEnd returns the front end with the given name, or nil.
 func (s *Simulation) frontEnd(name string) *FrontEnd {
 	for _, f := range s.FrontEnds {
 		if f.name == name {
@@ -154,7 +153,7 @@
 // randomFrontEnd draws a front end.
 func (s *Simulation) randomFrontEnd() *FrontEnd { return s.FrontEnds[s.random.IntN(len(s.FrontEnds))] }
 
-// PendingRequests returns how many requests the front ends have in their idempotency clients.
+// PendingRequests returns the number of requests in the idempotency clients of all front ends.
 func (s *Simulation) PendingRequests() (count int) {
 	for _, f := range s.FrontEnds {
 		if f.process != nil {
--- a/simulation/traffic.go
+++ b/simulation/traffic.go
@@ -7,7 +7,7 @@
 	"chutechute/internal/monotime"
 )
 
-// Durations of the executions of requests, in milliseconds: of most, and of long ones.
+// Execution times of requests in milliseconds. One request in longExecutionOneIn is a long one.
 const (
 	minExecutionMs     = 5
 	maxExecutionMs     = 800
@@ -16,21 +16,21 @@
 	longExecutionOneIn = 10
 )
 
-// What clients do.
+// The behavior of clients.
 const (
-	minTTL               = second
-	maxTTL               = 12 * second
-	minCalls             = 2 // of one request
-	maxExtraCalls        = 3
-	withoutOrderKeyOneIn = 4
-	resendSucceededOneIn = 4 // requests that succeeded are sent again
-	maxRetryDelay        = second
-	concurrentOneIn      = 6 // retries come together with a call through another front end
+	minClientTimeout     = second
+	maxClientTimeout     = 12 * second
+	minCalls             = 2 // smallest limit on the calls of a request
+	maxExtraCalls        = 3 // largest random addition to that limit
+	withoutOrderKeyOneIn = 4 // requests per request without an order key
+	repeatSucceededOneIn = 4 // successful calls per call that is repeated although it succeeded
+	maxRepeatDelay       = second
+	concurrentOneIn      = 6 // repeats per repeat that may overlap with a second one
 	maxConcurrentDelay   = 20 * ms
 )
 
-// GenerateTraffic has clients send requests for a duration of true time, at random times and so many a second on
-// average. orderKeys is the number of order keys, 0 for requests without one.
+// GenerateTraffic makes clients send new requests at random times for a duration of true time. perSecond is their
+// average rate. orderKeys is the number of different order keys; with 0, all requests are without one.
 func (s *Simulation) GenerateTraffic(perSecond float64, orderKeys int, duration monotime.Micros) {
 	until := s.now + duration
 	var next func()
@@ -38,19 +38,19 @@
 		if s.now >= until {
 			return
 		}
-		s.sendWithRetries(s.randomFrontEnd(), s.newRequest(orderKeys))
+		s.sendWithRepeats(s.randomFrontEnd(), s.newRequest(orderKeys))
 		s.after(monotime.Micros(s.random.ExpFloat64()*float64(second)/perSecond), next)
 	}
 	s.after(0, next)
 }
 
-// newRequest draws a request that was not sent yet.
+// newRequest draws a new request.
 func (s *Simulation) newRequest(orderKeys int) clientRequest {
 	s.requestCount++
 	r := clientRequest{
 		idempotencyKey: fmt.Sprintf("once-%d", s.requestCount),
 		statement:      fmt.Sprintf(statementFormat, s.random.between(minExecutionMs, maxExecutionMs)),
-		ttl:            s.random.between(minTTL, maxTTL),
+		clientTimeout:  s.random.between(minClientTimeout, maxClientTimeout),
 		callsLeft:      minCalls + s.random.IntN(maxExtraCalls+1),
 	}
 	if s.random.oneIn(longExecutionOneIn) {
@@ -62,16 +62,16 @@
 	return r
 }
 
-// sendWithRetries sends a request, and again through random front ends until it succeeds or has no calls left. Now and
-// then it is sent again although it has succeeded, and to two front ends at the same time.
-func (s *Simulation) sendWithRetries(f *FrontEnd, request clientRequest) {
+// sendWithRepeats sends a request and repeats it through random front ends until it succeeds or has no calls left. Some
+// requests are repeated although they have succeeded, and sometimes two repeats are sent, which may overlap.
+func (s *Simulation) sendWithRepeats(f *FrontEnd, request clientRequest) {
 	s.send(f, request, func(outcome string) {
-		if outcome == history.Succeeded && !s.random.oneIn(resendSucceededOneIn) || request.callsLeft <= 1 {
+		if outcome == history.Succeeded && !s.random.oneIn(repeatSucceededOneIn) || request.callsLeft <= 1 {
 			return
 		}
-		retry := request
-		retry.callsLeft--
-		s.sendLater(retry, maxRetryDelay)
+		repeat := request
+		repeat.callsLeft--
+		s.sendLater(repeat, maxRepeatDelay)
 		if s.random.oneIn(concurrentOneIn) {
 			concurrent := request
 			concurrent.callsLeft = 1
@@ -80,8 +80,8 @@
 	})
 }
 
-// sendLater sends a request through a random front end after a delay.
+// sendLater sends a request through a random front end after a random delay.
 func (s *Simulation) sendLater(request clientRequest, maxDelay monotime.Micros) {
 	f := s.randomFrontEnd()
-	s.after(s.random.between(0, maxDelay), func() { s.sendWithRetries(f, request) })
+	s.after(s.random.between(0, maxDelay), func() { s.sendWithRepeats(f, request) })
 }
