--- a/cmd/chutechute/attached_load_test.go
+++ b/cmd/chutechute/attached_load_test.go
@@ -11,119 +11,124 @@
 	"chutechute/internal/testharness"
 )
 
-// loadsOnRecord is how many loads the copy of the record at a front end holds; -1 where it does not answer.
-func loadsOnRecord(n *testharness.FrontEnd) float64 {
+// replicatedLoads returns how many loads the replica of a front end holds, or -1 if the front end does not answer.
+func replicatedLoads(n *testharness.FrontEnd) float64 {
 	if s := n.RawStatus(); s != nil {
 		return s["loads"].(float64)
 	}
 	return -1
 }
 
-// told checks that a load's outcome is found through all front ends of a fleet, the same bytes.
-func told(t *testing.T, f *testharness.Fleet, try testharness.LoadAttempt, body string) {
+// assertSameOutcome checks that every front end of a fleet returns the same rows for a load.
+func assertSameOutcome(t *testing.T, f *testharness.Fleet, load testharness.LoadAttempt, wantRows string) {
 	t.Helper()
 	for _, n := range f.FrontEnds {
-		assert.Equal(t, body, insist(t, f, n, try).Rows(), "%s through %s", try.IdempotencyKey, n.Name)
+		assert.Equal(t, wantRows, sendUntilServed(t, f, n, load).Rows(), "%s through %s", load.IdempotencyKey, n.Name)
 	}
 }
 
-// A fleet of three control members and three attached front ends, one of each in each zone; no faults. Keyed loads are taken by
-// attached ones, and one is repeated at once through all six. What must show: one run of each, the same bytes through any front
-// end, and the same key with another statement is refused.
+// A keyed load that comes in through an attached front end must run exactly once, like one through a control member.
+// The fleet has three control members and three attached front ends, one of each per zone, and no faults. Loads are
+// sent through attached front ends, and one load is sent through all six front ends concurrently. Each runs once,
+// every front end returns the same rows, and the same key with another statement is rejected.
 func TestKeyedLoadThroughAnAttachedFrontEnd(t *testing.T) {
 	t.Parallel()
-	f := testharness.NewFleet(t, program, 3, lasting, testharness.WithAttachedFrontEnds("a", "b", "c"))
+	f := testharness.NewFleet(t, program, 3, withDurableStorage, testharness.WithAttachedFrontEnds("a", "b", "c"))
 	f.WaitForLeader(3)
 	f.WaitUntilConverged()
 	for i, n := range f.AttachedFrontEnds() {
-		try := load(fmt.Sprintf("once-%d", i), "k", 30)
-		told(t, f, try, insist(t, f, n, try).Rows())
+		load := newLoad(fmt.Sprintf("once-%d", i), "k", 30)
+		assertSameOutcome(t, f, load, sendUntilServed(t, f, n, load).Rows())
 	}
-	var all sync.WaitGroup
-	bodies := make([]string, len(f.FrontEnds))
+	var clients sync.WaitGroup
+	rows := make([]string, len(f.FrontEnds))
 	for i, n := range f.FrontEnds {
-		all.Go(func() {
-			if p := f.SendLoad(n, load("at-once", "k", 300)); p.Kind == history.Succeeded {
-				bodies[i] = p.Rows()
+		clients.Go(func() {
+			if reply := f.SendLoad(n, newLoad("at-once", "k", 300)); reply.Kind == history.Succeeded {
+				rows[i] = reply.Rows()
 			}
 		})
 	}
-	all.Wait()
-	for _, b := range bodies {
-		assert.NotEmpty(t, b)
-		assert.Equal(t, bodies[0], b)
+	clients.Wait()
+	for _, got := range rows {
+		assert.NotEmpty(t, got)
+		assert.Equal(t, rows[0], got)
 	}
 	assert.Len(t, history.Executions(f.History.Events()), 1+len(f.AttachedFrontEnds()))
 	n := f.AttachedFrontEnds()[1]
-	assert.Equal(t, history.Rejected, f.SendLoad(n, load("at-once", "k", 301)).Kind)
+	assert.Equal(t, history.Rejected, f.SendLoad(n, newLoad("at-once", "k", 301)).Kind)
 	n.WaitForLog(`reused with another statement.*idempotency_key=at-once`)
 	f.CheckHistory()
 }
 
-// crossing is where what an attached front end asks its home, or is answered, is held up while the home is killed.
-type crossing struct {
-	name   string
-	stall  func(way *testharness.FaultProxy, stall bool)
-	caught func(f *testharness.Fleet, way *testharness.FaultProxy, before float64) bool
+// stallPoint is the message between an attached front end and its home that is stalled while the home is killed.
+type stallPoint struct {
+	name       string
+	setStalled func(proxy *testharness.FaultProxy, stall bool)
+	reached    func(f *testharness.Fleet, proxy *testharness.FaultProxy, loadsBefore float64) bool
 }
 
-func crossings() []crossing {
-	return []crossing{
-		{"the question was not heard", func(way *testharness.FaultProxy, stall bool) { way.SetStalled(stall) },
-			func(_ *testharness.Fleet, way *testharness.FaultProxy, _ float64) bool {
-				return way.PendingFrames() > 0
+func stallPoints() []stallPoint {
+	return []stallPoint{
+		{"the registration has not reached the home",
+			func(proxy *testharness.FaultProxy, stall bool) { proxy.SetStalled(stall) },
+			func(_ *testharness.Fleet, proxy *testharness.FaultProxy, _ float64) bool {
+				return proxy.PendingFrames() > 0
 			}},
-		{"the answer was not heard", func(way *testharness.FaultProxy, stall bool) { way.ToDialer.SetStalled(stall) },
-			func(f *testharness.Fleet, way *testharness.FaultProxy, before float64) bool {
-				return way.ToDialer.PendingFrames() > 0 && loadsOnRecord(f.WaitForLeader(3)) > before
+		{"the response has not reached the attached front end",
+			func(proxy *testharness.FaultProxy, stall bool) { proxy.ToDialer.SetStalled(stall) },
+			func(f *testharness.Fleet, proxy *testharness.FaultProxy, loadsBefore float64) bool {
+				return proxy.ToDialer.PendingFrames() > 0 && replicatedLoads(f.WaitForLeader(3)) > loadsBefore
 			}},
 	}
 }
 
-// The same fleet. Faults: the control member that an attached front end asks through is killed while the question for a load is
-// on its way there, and again while the answer is on its way back; then the leader is killed while a load of an attached one
-// runs. What must show: each load is served and runs once, and its outcome is the same bytes through any front end.
-func TestControlMemberLostInMidLoad(t *testing.T) {
+// A load must neither be lost nor run twice if its attached front end loses a control member. In the fleet of
+// TestKeyedLoadThroughAnAttachedFrontEnd, the home is killed while the registration of a load is on its way there,
+// and again while the response is on its way back. Then the leader is killed while a load of an attached front end
+// runs. Each load is served and runs once, and every front end returns the same rows.
+func TestControlMemberLostDuringLoad(t *testing.T) {
 	t.Parallel()
-	f := testharness.NewFleet(t, program, 3, lasting, testharness.WithAttachedFrontEnds("a", "b", "c"))
-	for i, c := range crossings() {
+	f := testharness.NewFleet(t, program, 3, withDurableStorage, testharness.WithAttachedFrontEnds("a", "b", "c"))
+	for i, point := range stallPoints() {
 		leader := f.WaitForLeader(3)
 		f.WaitUntilConverged()
-		n, home := followerOf(f, leader)
-		f.LogStep("crossing: %s; %s asks through %s", c.name, n.Name, home.Name)
-		way, before := f.Proxy(n, home), loadsOnRecord(leader)
-		c.stall(way, true)
-		try := load(fmt.Sprintf("crossing-%d", i), "k", 30)
+		n, home := attachedToFollower(f, leader)
+		f.LogStep("stall point: %s; %s registers through %s", point.name, n.Name, home.Name)
+		proxy, loadsBefore := f.Proxy(n, home), replicatedLoads(leader)
+		point.setStalled(proxy, true)
+		load := newLoad(fmt.Sprintf("crossing-%d", i), "k", 30)
 		var first sync.WaitGroup
-		first.Go(func() { f.SendLoad(n, try) })
-		f.WaitFor(c.name, func() bool { return c.caught(f, way, before) })
+		first.Go(func() { f.SendLoad(n, load) })
+		f.WaitFor(point.name, func() bool { return point.reached(f, proxy, loadsBefore) })
 		home.Kill(false)
-		c.stall(way, false)
+		point.setStalled(proxy, false)
 		first.Wait()
 		home.Start()
 		f.WaitForLeader(3)
-		told(t, f, try, insist(t, f, n, try).Rows())
+		assertSameOutcome(t, f, load, sendUntilServed(t, f, n, load).Rows())
 	}
 	leader := f.WaitForLeader(3)
 	f.WaitUntilConverged()
-	n, _ := followerOf(f, leader)
-	try := load("leader", "k", 1500)
+	n, _ := attachedToFollower(f, leader)
+	load := newLoad("leader", "k", 1500)
 	var first sync.WaitGroup
-	first.Go(func() { f.SendLoad(n, try) })
+	first.Go(func() { f.SendLoad(n, load) })
 	f.WaitForEvent(func(e history.Event) bool {
-		return e.Kind == history.ExecutionStarted && e.IdempotencyKey == try.IdempotencyKey
+		return e.Kind == history.ExecutionStarted && e.IdempotencyKey == load.IdempotencyKey
 	})
 	leader.Kill(false)
 	first.Wait()
 	leader.Start()
 	f.WaitForLeader(3)
-	told(t, f, try, insist(t, f, n, try).Rows())
-	assert.Len(t, history.Executions(f.History.Events()), 1+len(crossings()))
+	assertSameOutcome(t, f, load, sendUntilServed(t, f, n, load).Rows())
+	assert.Len(t, history.Executions(f.History.Events()), 1+len(stallPoints()))
 	f.CheckHistory()
 }
 
-// followerOf is an attached front end, whose home is not the leader if there is such a one, and its home.
-func followerOf(f *testharness.Fleet, leader *testharness.FrontEnd) (n, home *testharness.FrontEnd) {
+// attachedToFollower returns an attached front end and its home. The home is not the leader, unless the leader is
+// the home of all attached front ends.
+func attachedToFollower(f *testharness.Fleet, leader *testharness.FrontEnd) (n, home *testharness.FrontEnd) {
 	for _, n = range f.AttachedFrontEnds() {
 		if home = n.WaitForHome(); home != leader {
 			break
--- a/cmd/chutechute/attached_lost_test.go
+++ b/cmd/chutechute/attached_lost_test.go
@@ -10,122 +10,131 @@
 	"chutechute/internal/testharness"
 )
 
-// Five control members in three zones, two of them in zone a, and four attached front ends there. Faults: the zone's first
-// control member is killed, then its second. Load: a look-up and a keyed load through each attached one after each loss. What
-// must show: they go on, are seen by all, have links to two others and take their view from one, and nobody who is alive is
-// held for dead at any time.
-func TestControlMemberLostThenItsZonesSecond(t *testing.T) {
+// Attached front ends must stay members when the control members of their zone are lost one after the other. The
+// fleet has five control members in three zones, two of them in zone a, and four attached front ends in zone a. The
+// two control members of zone a are killed, the second after the fleet has converged again. After each loss a
+// look-up and a keyed load are sent through each attached front end. The attached front ends serve them, are seen
+// alive by all, have links to two running control members and follow one of them, and no running front end is seen
+// as dead at any time.
+func TestBothControlMembersOfAZoneLost(t *testing.T) {
 	t.Parallel()
-	copies := func(f *testharness.Fleet) { f.FleetSettings["copies"] = 5 }
-	f := testharness.NewFleet(t, program, 5, lasting, copies, testharness.WithAttachedFrontEnds("a", "a", "a", "a"))
+	fiveReplicas := func(f *testharness.Fleet) { f.FleetSettings["copies"] = 5 }
+	f := testharness.NewFleet(t, program, 5, withDurableStorage, fiveReplicas,
+		testharness.WithAttachedFrontEnds("a", "a", "a", "a"))
 	f.WaitForLeader(5)
 	f.WaitUntilConverged()
 	lost := []*testharness.FrontEnd{f.FrontEnds[0], f.FrontEnds[3]}
-	for _, c := range lost {
-		assert.Equal(t, "a", c.Zone)
+	for _, controlMember := range lost {
+		assert.Equal(t, "a", controlMember.Zone)
 	}
 	for _, n := range f.AttachedFrontEnds() {
-		assert.Equal(t, "a", n.WaitForHome().Zone, "the view comes from the own zone while a control member is there")
+		assert.Equal(t, "a", n.WaitForHome().Zone, "the home is in the own zone while a control member runs there")
 	}
 	alive := map[*testharness.FrontEnd]bool{}
 	for _, n := range f.FrontEnds {
 		alive[n] = true
 	}
-	for _, c := range lost {
-		alive[c] = false
-		var rest []*testharness.FrontEnd
+	for _, controlMember := range lost {
+		alive[controlMember] = false
+		var remaining []*testharness.FrontEnd
 		for _, n := range f.FrontEnds {
 			if alive[n] {
-				rest = append(rest, n)
+				remaining = append(remaining, n)
 			}
 		}
-		stop := f.WatchStates(rest, rest, "dead", "left")
-		c.Kill(true)
-		f.WaitUntilAllSee(rest, c.Name, "dead")
+		stopWatching := f.WatchStates(remaining, remaining, "dead", "left")
+		controlMember.Kill(true)
+		f.WaitUntilAllSee(remaining, controlMember.Name, "dead")
 		f.WaitUntilConverged()
-		f.WaitFor("each has links to two that run", func() bool {
-			return !slices.ContainsFunc(f.AttachedFrontEnds(), func(n *testharness.FrontEnd) bool { return linksTo(n, alive) != 2 })
+		f.WaitFor("each attached front end has links to two running control members", func() bool {
+			return !slices.ContainsFunc(f.AttachedFrontEnds(), func(n *testharness.FrontEnd) bool {
+				return connectedControlMembers(n, alive) != 2
+			})
 		})
 		for _, n := range f.AttachedFrontEnds() {
-			assert.True(t, alive[n.WaitForHome()], "%s follows %s", n.Name, n.WaitForHome().Name)
+			assert.True(t, alive[n.WaitForHome()], "home of %s: %s", n.Name, n.WaitForHome().Name)
 			assert.Equal(t, history.Succeeded, n.SendLookup())
-			insist(t, f, n, load("once-"+c.Name+"-"+n.Name, n.Name, 10))
+			sendUntilServed(t, f, n, newLoad("once-"+controlMember.Name+"-"+n.Name, n.Name, 10))
 		}
-		assert.Empty(t, stop())
+		assert.Empty(t, stopWatching())
 	}
 	f.CheckHistory()
 }
 
-// linksTo is how many control members that run an attached front end has links to.
-func linksTo(n *testharness.FrontEnd, alive map[*testharness.FrontEnd]bool) (links int) {
-	s := n.Status()
-	if s == nil {
+// connectedControlMembers returns the number of running control members to which an attached front end
+// has links.
+func connectedControlMembers(n *testharness.FrontEnd, alive map[*testharness.FrontEnd]bool) (count int) {
+	status := n.Status()
+	if status == nil {
 		return 0
 	}
-	for _, c := range n.Fleet.ControlMembers() {
-		if alive[c] && s.Member(c.Name).Connected {
-			links++
+	for _, controlMember := range n.Fleet.ControlMembers() {
+		if alive[controlMember] && status.Member(controlMember.Name).Connected {
+			count++
 		}
 	}
-	return links
+	return count
 }
 
-// Three control members and six attached front ends, all of them and the first control member in zone a. Faults: the ways from
-// the attached ones to that control member are cut; then all their other ways stand still for longer than a lease too, and go
-// on. No load. What must show: the first control member, which loses all leases at once, doubts itself, and they are seen alive
-// by way of the others; then those doubt themselves too, and all are suspect and not dead until they are heard again, the same
-// processes.
-func TestControlCutOffFromItsAttachedOnly(t *testing.T) {
+// A control member that is cut off only from its attached front ends must not declare them dead. All six attached
+// front ends and the first of three control members are in zone a. The paths from the attached front ends to that
+// control member are cut; later their other paths are stalled for longer than a lease. There is no load. The first
+// control member, which loses all its leases at once, suspects itself, and the attached front ends are seen alive
+// through the other control members. Once these suspect themselves too, all attached front ends are suspect but not
+// dead until the same processes are heard from again.
+func TestHomeCutOffFromItsAttachedFrontEndsOnly(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3, testharness.WithAttachedFrontEnds("a", "a", "a", "a", "a", "a"))
 	f.WaitForLeader(3)
 	f.WaitUntilConverged()
 	home, attached := f.FrontEnds[0], f.AttachedFrontEnds()
-	before := map[string]string{}
+	incarnations := map[string]string{}
 	for _, n := range attached {
 		assert.Equal(t, home, n.WaitForHome())
-		before[n.Name] = n.Status().Incarnation
+		incarnations[n.Name] = n.Status().Incarnation
 	}
-	stop := f.WatchStates(f.FrontEnds, attached, "dead", "left")
+	stopWatching := f.WatchStates(f.FrontEnds, attached, "dead", "left")
 	f.SetPartition(true, attached, f.FrontEnds[:1])
-	f.WaitFor("they are linked to both others, and follow one", func() bool {
+	f.WaitFor("the attached front ends have links to both other control members and follow one of them", func() bool {
 		for _, n := range attached {
-			if s := n.Status(); s == nil || s.Attached.Home == "" || s.Attached.Home == home.Name {
+			if status := n.Status(); status == nil || status.Attached.Home == "" || status.Attached.Home == home.Name {
 				return false
 			}
 		}
-		for _, c := range f.ControlMembers()[1:] {
-			if s := c.Status(); s == nil || s.Attached.ConnectedFrontEnds != len(attached) {
+		for _, controlMember := range f.ControlMembers()[1:] {
+			if status := controlMember.Status(); status == nil || status.Attached.ConnectedFrontEnds != len(attached) {
 				return false
 			}
 		}
 		return true
 	})
-	f.WaitFor("the doubt of the one that is cut off", func() bool { return home.Counter("Doubts") > 0 })
+	f.WaitFor("self-suspicion of the control member that is cut off", func() bool { return home.Counter("Doubts") > 0 })
 	f.WaitUntilConverged()
 
-	f.LogStep("all ways of the attached ones stand still")
-	ways(f, attached, func(way *testharness.FaultProxy) { way.SetBothStalled(true) })
-	f.WaitFor("the doubt of the others", func() bool {
-		return !slices.ContainsFunc(f.ControlMembers(), func(n *testharness.FrontEnd) bool { return n.Counter("Doubts") == 0 })
+	f.LogStep("stall all paths of the attached front ends")
+	forEachProxy(f, attached, func(proxy *testharness.FaultProxy) { proxy.SetBothStalled(true) })
+	f.WaitFor("self-suspicion of all control members", func() bool {
+		return !slices.ContainsFunc(f.ControlMembers(), func(n *testharness.FrontEnd) bool {
+			return n.Counter("Doubts") == 0
+		})
 	})
 	for _, n := range attached {
 		f.WaitUntilAllSee(f.ControlMembers(), n.Name, "suspect")
 	}
-	f.LogStep("they go on")
-	ways(f, attached, func(way *testharness.FaultProxy) { way.SetBothStalled(false) })
+	f.LogStep("resume the paths of the attached front ends")
+	forEachProxy(f, attached, func(proxy *testharness.FaultProxy) { proxy.SetBothStalled(false) })
 	f.WaitUntilConverged()
 	for _, n := range attached {
-		assert.Equal(t, before[n.Name], n.Status().Incarnation)
+		assert.Equal(t, incarnations[n.Name], n.Status().Incarnation)
 	}
-	assert.Empty(t, stop())
+	assert.Empty(t, stopWatching())
 }
 
-// ways does something to all ways from front ends to the control members.
-func ways(f *testharness.Fleet, from []*testharness.FrontEnd, do func(way *testharness.FaultProxy)) {
+// forEachProxy calls do with each proxy on the paths from the given front ends to the control members.
+func forEachProxy(f *testharness.Fleet, from []*testharness.FrontEnd, do func(proxy *testharness.FaultProxy)) {
 	for _, n := range from {
-		for _, way := range f.Proxies(n) {
-			do(way)
+		for _, proxy := range f.Proxies(n) {
+			do(proxy)
 		}
 	}
 }
--- a/cmd/chutechute/attached_slow_test.go
+++ b/cmd/chutechute/attached_slow_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	guests      = 120
-	restless    = 12   // guests that come again: few enough that the parts of the view without them are most
-	rounds      = 5    // times that those come with another process; below the damping of changes of one name
-	mostGrowth  = 16   // MB that a control member may grow by meanwhile
-	mostCatchUp = 16e3 // bytes that a reader may be sent to come up to date: less than the whole view and all changes
+	stubCount       = 120
+	replacedStubs   = 12   // stubs that are replaced; few enough that most parts of the view have none of them
+	stubRounds      = 5    // incarnations of each replaced stub; few enough not to be damped as flapping
+	maxGrowthMB     = 16   // MB that the home's resident memory may grow by meanwhile
+	maxCatchUpBytes = 16e3 // bytes that may be sent to update the view; the whole view and all changes are more
 )
 
-// residentMB is the memory that a front end's process holds.
+// residentMB returns the resident memory of a front end's process in MB.
 func residentMB(t *testing.T, n *testharness.FrontEnd) (mb int) {
 	t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", n.Cmd.Process.Pid))
@@ -30,101 +30,112 @@
 	return mb / 1024
 }
 
-// seesGuests says whether a front end sees all guests, the restless ones with the process of a round.
-func seesGuests(n *testharness.FrontEnd, round int) bool {
-	s := n.Status()
-	if s == nil {
+// seesStubs reports whether a front end sees all stubs alive, the replaced ones with the incarnation of a round.
+func seesStubs(n *testharness.FrontEnd, round int) bool {
+	status := n.Status()
+	if status == nil {
 		return false
 	}
-	for i := range guests {
-		of := 0
-		if i < restless {
-			of = round
+	for i := range stubCount {
+		stubRound := 0
+		if i < replacedStubs {
+			stubRound = round
 		}
-		m := s.Member(guestName(i))
-		if m.State != "alive" || m.Incarnation != fmt.Sprintf("%016x", guestIncarnation(i, of)) {
+		m := status.Member(stubName(i))
+		if m.State != "alive" || m.Incarnation != fmt.Sprintf("%016x", stubIncarnation(i, stubRound)) {
 			return false
 		}
 	}
 	return true
 }
 
-func guestName(i int) string { return fmt.Sprintf("guest-%03d", i) }
+func stubName(i int) string { return fmt.Sprintf("guest-%03d", i) }
 
-func guestIncarnation(i, round int) uint64 { return uint64(1+round)<<32 | uint64(1+i) }
+func stubIncarnation(i, round int) uint64 { return uint64(1+round)<<32 | uint64(1+i) }
 
-// come has a number of guests come to a control member, each with the process of a round.
-func come(f *testharness.Fleet, home *testharness.FrontEnd, many, round int, digest []byte) (list []*testharness.AttachedStub) {
-	f.LogStep("%d guests come to %s, round %d", many, home.Name, round)
-	for i := range many {
-		list = append(list, f.AttachStub(home, guestName(i), guestIncarnation(i, round), digest))
+// attachStubs attaches the first count stubs to a control member, each with the incarnation of a round.
+func attachStubs(
+	f *testharness.Fleet, home *testharness.FrontEnd, count, round int, digest []byte,
+) (stubs []*testharness.AttachedStub) {
+	f.LogStep("attach %d stubs to %s, round %d", count, home.Name, round)
+	for i := range count {
+		stubs = append(stubs, f.AttachStub(home, stubName(i), stubIncarnation(i, round), digest))
 	}
-	return list
+	return stubs
 }
 
-// Three control members, three attached front ends and many guests at one control member. Faults: one attached front end is
-// sent nothing over any of its ways, with small buffers, while what it sends passes; later its ways go on. Load: some guests
-// come again and again with other processes, each a change of all views. What must show: the others see each round, and its
-// home grows little; it gives its links up, and its view is not confirmed; when the ways go on it comes up to date with what
-// differs, not with the whole view.
+// A reader that does not read its view must not make its home buffer without limit, and must not need a full
+// snapshot afterwards. The fleet has three control members, three attached front ends and 120 stubs at one control
+// member. One attached front end gets no data on any of its paths, which have small buffers, while what it sends
+// still passes. Meanwhile some stubs are replaced again and again, each a change of all views. The other front ends
+// see each round, the home's memory grows little, and the slow reader closes its links and keeps its view
+// unconfirmed. When its paths resume, it is brought up to date with the differences only.
 func TestSlowReader(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3, testharness.WithAttachedFrontEnds("a", "a", "b"))
 	f.WaitForLeader(3)
 	f.WaitUntilConverged()
-	slow, sound := f.AttachedFrontEnds()[0], append(f.ControlMembers(), f.AttachedFrontEnds()[1:]...)
+	slow, others := f.AttachedFrontEnds()[0], append(f.ControlMembers(), f.AttachedFrontEnds()[1:]...)
 	home := slow.WaitForHome()
 	digest := f.CaptureSettingsDigest(f.Proxy(slow, home))
-	list := come(f, home, guests, 0, digest)
-	f.WaitFor("all see the guests", func() bool {
+	stubs := attachStubs(f, home, stubCount, 0, digest)
+	f.WaitFor("all see the stubs", func() bool {
 		for _, n := range f.FrontEnds {
-			if !seesGuests(n, 0) {
+			if !seesStubs(n, 0) {
 				return false
 			}
 		}
 		return true
 	})
-	ways(f, []*testharness.FrontEnd{slow}, (*testharness.FaultProxy).UseSmallBuffers)
-	ways(f, []*testharness.FrontEnd{slow}, (*testharness.FaultProxy).CloseConnections)
+	forEachProxy(f, []*testharness.FrontEnd{slow}, (*testharness.FaultProxy).UseSmallBuffers)
+	forEachProxy(f, []*testharness.FrontEnd{slow}, (*testharness.FaultProxy).CloseConnections)
 	f.WaitUntilConverged()
 
-	before, memory := slow.Status().Attached, residentMB(t, home)
-	ways(f, []*testharness.FrontEnd{slow}, func(way *testharness.FaultProxy) { way.ToDialer.SetStalled(true) })
-	f.LogStep("%s is sent nothing", slow.Name)
-	for round := 1; round < rounds; round++ {
-		for _, g := range list[:restless] {
-			g.Close()
+	before, memoryBefore := slow.Status().Attached, residentMB(t, home)
+	forEachProxy(f, []*testharness.FrontEnd{slow}, func(proxy *testharness.FaultProxy) {
+		proxy.ToDialer.SetStalled(true)
+	})
+	f.LogStep("stall all data to %s", slow.Name)
+	for round := 1; round < stubRounds; round++ {
+		for _, stub := range stubs[:replacedStubs] {
+			stub.Close()
 		}
-		list = come(f, home, restless, round, digest)
+		stubs = attachStubs(f, home, replacedStubs, round, digest)
 		f.WaitFor(fmt.Sprintf("the others see round %d", round), func() bool {
-			for _, n := range sound {
-				if !seesGuests(n, round) {
+			for _, n := range others {
+				if !seesStubs(n, round) {
 					return false
 				}
 			}
 			return true
 		})
 	}
-	assert.LessOrEqual(t, residentMB(t, home)-memory, mostGrowth, "MB more at the home of a reader that stands still")
-	assert.False(t, seesGuests(slow, rounds-1))
-	f.WaitFor("it has given up its links", func() bool { return slow.Counter("Losses") >= before.Counters["Losses"]+2 })
-	assert.True(t, slow.SeesInState(home.Name, "alive"), "its view goes on as it was")
+	assert.LessOrEqual(t, residentMB(t, home)-memoryBefore, maxGrowthMB,
+		"MB more resident memory at the home of the stalled reader")
+	assert.False(t, seesStubs(slow, stubRounds-1))
+	f.WaitFor("the slow reader has lost its control members", func() bool {
+		return slow.Counter("Losses") >= before.Counters["Losses"]+2
+	})
+	assert.True(t, slow.SeesInState(home.Name, "alive"), "its view is unchanged")
 
-	sent := bytesBack(f, slow)
-	ways(f, []*testharness.FrontEnd{slow}, func(way *testharness.FaultProxy) { way.ToDialer.SetStalled(false) })
-	f.LogStep("%s is sent what there is", slow.Name)
-	f.WaitFor("it sees the last round", func() bool { return seesGuests(slow, rounds-1) })
+	sentBefore := bytesSentTo(f, slow)
+	forEachProxy(f, []*testharness.FrontEnd{slow}, func(proxy *testharness.FaultProxy) {
+		proxy.ToDialer.SetStalled(false)
+	})
+	f.LogStep("resume the data to %s", slow.Name)
+	f.WaitFor("the slow reader sees the last round", func() bool { return seesStubs(slow, stubRounds-1) })
 	f.WaitUntilConverged()
 	after := slow.Status().Attached.Counters
-	assert.Equal(t, before.Counters["Snapshots"], after["Snapshots"], "of the whole view")
-	assert.Greater(t, after["DigestRepairs"]+after["CatchUps"], before.Counters["DigestRepairs"]+before.Counters["CatchUps"])
-	assert.LessOrEqual(t, bytesBack(f, slow)-sent, int(mostCatchUp))
+	assert.Equal(t, before.Counters["Snapshots"], after["Snapshots"], "snapshots of the whole view")
+	assert.Greater(t, after["DigestRepairs"]+after["CatchUps"],
+		before.Counters["DigestRepairs"]+before.Counters["CatchUps"])
+	assert.LessOrEqual(t, bytesSentTo(f, slow)-sentBefore, int(maxCatchUpBytes))
 }
 
-// bytesBack is how many bytes an attached front end has been sent.
-func bytesBack(f *testharness.Fleet, n *testharness.FrontEnd) (bytes int) {
-	for _, way := range f.Proxies(n) {
-		_, b, _ := way.ToDialer.FrameCounts()
+// bytesSentTo returns how many bytes an attached front end has been sent.
+func bytesSentTo(f *testharness.Fleet, n *testharness.FrontEnd) (bytes int) {
+	for _, proxy := range f.Proxies(n) {
+		_, b, _ := proxy.ToDialer.FrameCounts()
 		bytes += b
 	}
 	return bytes
--- a/cmd/chutechute/attached_stopped_test.go
+++ b/cmd/chutechute/attached_stopped_test.go
@@ -12,65 +12,69 @@
 	"chutechute/internal/testharness"
 )
 
-// stoppedFor is how long a process stands still: longer than leases and doubt, and than a silent link is kept.
-const stoppedFor = 10 * time.Second
+// pauseDuration is how long a process is paused: longer than the leases, the self-suspicion and the time-out of idle
+// links.
+const pauseDuration = 10 * time.Second
 
-// Three control members and three attached front ends. Fault: an attached one is stopped for 10 s while it has one load that
-// runs and one that waits behind it, and its ways stand still when it goes on. Load: those two, repeated through others
-// meanwhile and through itself after. What must show: it is held for dead meanwhile; when it goes on, its own view is as old as
-// the stop until a control member has confirmed it; then all see the same process alive again; and the loads ran as the record
-// allows.
-func TestAttachedStoppedAndGoesOn(t *testing.T) {
+// An attached front end that resumes after a long pause must know that its view is old, and must not run loads that
+// were taken over meanwhile. One of three attached front ends is paused for 10 s while one of its loads runs and a
+// second one waits behind it; its paths are stalled when it resumes. Both loads are repeated through other front
+// ends during the pause, and through itself afterwards. The others see it as dead during the pause. After it, the
+// age of its view is at least the length of the pause until a control member has confirmed the view; then all see
+// the same process alive again. The check of the history covers the loads.
+func TestAttachedFrontEndPausedAndResumed(t *testing.T) {
 	t.Parallel()
-	f := testharness.NewFleet(t, program, 3, lasting, testharness.WithAttachedFrontEnds("a", "b", "c"))
+	f := testharness.NewFleet(t, program, 3, withDurableStorage, testharness.WithAttachedFrontEnds("a", "b", "c"))
 	f.WaitForLeader(3)
 	f.WaitUntilConverged()
 	n, others := f.AttachedFrontEnds()[0], append(f.ControlMembers(), f.AttachedFrontEnds()[1:]...)
 	before := n.Status()
-	running, waiting := load("running", "k", 4000), load("waiting", "k", 20)
-	var all sync.WaitGroup
-	all.Go(func() { f.SendLoad(n, running) })
+	running, waiting := newLoad("running", "k", 4000), newLoad("waiting", "k", 20)
+	var clients sync.WaitGroup
+	clients.Go(func() { f.SendLoad(n, running) })
 	f.WaitForEvent(func(e history.Event) bool {
 		return e.Kind == history.ExecutionStarted && e.IdempotencyKey == running.IdempotencyKey
 	})
-	all.Go(func() { f.SendLoad(n, waiting) })
-	f.WaitFor("it holds both loads", func() bool { return n.RawStatus()["held"] == 2.0 })
-	stopped := time.Now()
+	clients.Go(func() { f.SendLoad(n, waiting) })
+	f.WaitFor("both loads are in progress", func() bool { return n.RawStatus()["held"] == 2.0 })
+	pausedAt := time.Now()
 	n.Pause()
 	f.WaitUntilAllSee(others, n.Name, "dead")
-	all.Go(func() { f.SendLoad(others[0], running) })
-	all.Go(func() { f.SendLoad(others[4], waiting) })
-	time.Sleep(time.Until(stopped.Add(stoppedFor)))
-	ways(f, []*testharness.FrontEnd{n}, func(way *testharness.FaultProxy) { way.SetBothStalled(true) })
+	clients.Go(func() { f.SendLoad(others[0], running) })
+	clients.Go(func() { f.SendLoad(others[4], waiting) })
+	time.Sleep(time.Until(pausedAt.Add(pauseDuration)))
+	forEachProxy(f, []*testharness.FrontEnd{n}, func(proxy *testharness.FaultProxy) { proxy.SetBothStalled(true) })
 	n.Resume()
-	f.WaitFor("it answers again", func() bool { return n.Status() != nil })
+	f.WaitFor("the front end answers again", func() bool { return n.Status() != nil })
 	age := n.Status().Attached.ViewAgeMS
-	assert.GreaterOrEqual(t, age, float64(stoppedFor.Milliseconds()), "nobody has confirmed its view yet")
-	ways(f, []*testharness.FrontEnd{n}, func(way *testharness.FaultProxy) { way.SetBothStalled(false) })
-	f.LogStep("the ways of %s go on", n.Name)
-	f.WaitFor("its view is confirmed", func() bool {
+	assert.GreaterOrEqual(t, age, float64(pauseDuration.Milliseconds()), "no control member has confirmed its view yet")
+	forEachProxy(f, []*testharness.FrontEnd{n}, func(proxy *testharness.FaultProxy) { proxy.SetBothStalled(false) })
+	f.LogStep("resume the paths of %s", n.Name)
+	f.WaitFor("a control member has confirmed its view", func() bool {
 		s := n.Status()
-		return s != nil && s.Attached.ViewAgeMS < float64(stoppedFor.Milliseconds())
+		return s != nil && s.Attached.ViewAgeMS < float64(pauseDuration.Milliseconds())
 	})
 	f.WaitUntilConverged()
 	assert.Equal(t, before.Incarnation, n.Status().Incarnation)
-	for _, o := range others {
-		assert.Equal(t, before.Incarnation, o.Status().Member(n.Name).Incarnation)
+	for _, observer := range others {
+		assert.Equal(t, before.Incarnation, observer.Status().Member(n.Name).Incarnation)
 	}
-	all.Wait()
+	clients.Wait()
 	f.SendLoad(n, running)
-	insist(t, f, n, waiting)
-	insist(t, f, n, load("after", "k", 20))
+	sendUntilServed(t, f, n, waiting)
+	sendUntilServed(t, f, n, newLoad("after", "k", 20))
 	f.CheckHistory()
 }
 
-// lateRounds bounds how often late messages are tried: a hello that comes a second after its challenge is not read at all.
-const lateRounds = 5
+// maxLateHelloRounds bounds the attempts to produce a late hello: a hello that arrives more than a second after its
+// challenge is not read at all.
+const maxLateHelloRounds = 5
 
-// Three control members and two attached front ends. Faults: an attached one is killed after it has dialled its home anew, with its
-// hello on that link held back, and a later process of its name has attached itself when the hello is let go; then the same with an
-// earlier process that had not been heard by anyone before. No load. What must show: the later process stays in all views, and the
-// earlier one's hello is counted as late.
+// A hello that arrives late must not bring back a process that has been superseded. An attached front end connects
+// to its home anew and is killed while its hello is held back. The hello is released after a later process of the
+// same name has attached itself. The same is repeated with an earlier process that no control member has seen
+// before. There is no load. The later process stays in all views, and the hello of the earlier one is counted as
+// late.
 func TestRestartUnderTheSameNameWithLateMessages(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3, testharness.WithAttachedFrontEnds("a", "b"))
@@ -80,59 +84,71 @@
 	others := append(f.ControlMembers(), f.AttachedFrontEnds()[1])
 	for _, known := range []bool{true, false} {
 		late := false
-		for round := 0; round < lateRounds && !late; round++ {
+		for round := 0; round < maxLateHelloRounds && !late; round++ {
 			home, old := n.WaitForHome(), n
 			if !known {
 				n.Kill(false)
 				old = f.AddDuplicate(n)
-				ways(f, []*testharness.FrontEnd{old}, func(way *testharness.FaultProxy) { way.SetStalled(way != f.Proxy(old, home)) })
+				forEachProxy(f, []*testharness.FrontEnd{old}, func(proxy *testharness.FaultProxy) {
+					proxy.SetStalled(proxy != f.Proxy(old, home))
+				})
 			}
 			n, late = replaceWithLateHello(f, old, home, others)
 		}
-		assert.True(t, late, "a late hello was read, of a process that was known: %v", known)
+		assert.True(t, late, "a late hello was read; earlier process known: %v", known)
 	}
-	home := f.Proxy(n, n.WaitForHome())
-	passed, _, _ := home.FrameCounts()
-	f.WaitFor("the later one's heartbeats go on", func() bool { now, _, _ := home.FrameCounts(); return now >= passed+2 })
-	assert.True(t, seenByAll(n, others), "the later process stays")
+	proxy := f.Proxy(n, n.WaitForHome())
+	framesBefore, _, _ := proxy.FrameCounts()
+	f.WaitFor("heartbeats of the later process", func() bool {
+		frames, _, _ := proxy.FrameCounts()
+		return frames >= framesBefore+2
+	})
+	assert.True(t, seenByAll(n, others), "the later process stays in all views")
 }
 
-// replaceWithLateHello has a process of a front end's name follow it, gives it, and says whether a hello of the earlier one was read
-// after that. The earlier one is started, if it was not, when what it says to its home is held back.
-func replaceWithLateHello(f *testharness.Fleet, old, home *testharness.FrontEnd, others []*testharness.FrontEnd) (later *testharness.FrontEnd, late bool) {
+// replaceWithLateHello starts a later process under the name of old and releases a hello of old after the later
+// process has attached itself. It returns the later process, and whether the home counted the hello as late. If old
+// was not started yet, it is started once its data to the home is held back.
+func replaceWithLateHello(
+	f *testharness.Fleet, old, home *testharness.FrontEnd, others []*testharness.FrontEnd,
+) (later *testharness.FrontEnd, late bool) {
 	before := home.Counter("LateOfReplaced")
 	later = f.AddDuplicate(old)
-	ways(f, []*testharness.FrontEnd{later}, func(way *testharness.FaultProxy) { way.SetStalled(true) })
+	forEachProxy(f, []*testharness.FrontEnd{later}, func(proxy *testharness.FaultProxy) { proxy.SetStalled(true) })
 	later.Start()
-	dialled := f.Proxy(later, home).ConnectionAttempts()
-	f.WaitFor("the later process dials its home", func() bool { return f.Proxy(later, home).ConnectionAttempts() > dialled })
+	attemptsBefore := f.Proxy(later, home).ConnectionAttempts()
+	f.WaitFor("the later process connects to its home", func() bool {
+		return f.Proxy(later, home).ConnectionAttempts() > attemptsBefore
+	})
 	release := f.Proxy(old, home).HoldNew()
 	defer release()
-	f.LogStep("what %s sends to %s on new links is held back", old.Name, home.Name)
+	f.LogStep("hold back data from %s to %s on new links", old.Name, home.Name)
 	if old.StartCount == 0 {
 		old.Start()
 	}
-	f.WaitFor("its hello is on the way", func() bool { return f.Proxy(old, home).PendingFrames() > 0 })
+	f.WaitFor("the hello of the earlier process is held back", func() bool {
+		return f.Proxy(old, home).PendingFrames() > 0
+	})
 	old.Kill(false)
 	f.Proxy(later, home).SetStalled(false)
 	f.WaitFor("the home sees the later process", func() bool { return seenByAll(later, []*testharness.FrontEnd{home}) })
 	release()
-	f.LogStep("the earlier process's hello comes")
-	f.WaitFor("it is on", func() bool { return f.Proxy(old, home).PendingFrames() == 0 })
-	ways(f, []*testharness.FrontEnd{later}, func(way *testharness.FaultProxy) { way.SetStalled(false) })
+	f.LogStep("release the hello of the earlier process")
+	f.WaitFor("the hello was forwarded", func() bool { return f.Proxy(old, home).PendingFrames() == 0 })
+	forEachProxy(f, []*testharness.FrontEnd{later}, func(proxy *testharness.FaultProxy) { proxy.SetStalled(false) })
 	f.WaitFor("all see the later process", func() bool { return seenByAll(later, others) })
 	return later, home.Counter("LateOfReplaced") > before
 }
 
-// seenByAll says whether an attached process has a view, and all see just it alive under its name.
-func seenByAll(n *testharness.FrontEnd, by []*testharness.FrontEnd) bool {
-	s := n.Status()
-	if s == nil || s.Attached.ViewAgeMS < 0 {
+// seenByAll reports whether an attached process has a view, and all observers see it alive with its incarnation.
+func seenByAll(n *testharness.FrontEnd, observers []*testharness.FrontEnd) bool {
+	ownStatus := n.Status()
+	if ownStatus == nil || ownStatus.Attached.ViewAgeMS < 0 {
 		return false
 	}
-	return !slices.ContainsFunc(by, func(o *testharness.FrontEnd) bool {
-		seen := o.Status()
-		m := seen.Member(n.Name)
-		return m.State != "alive" || m.Incarnation != s.Incarnation
+	return !slices.ContainsFunc(observers, func(observer *testharness.FrontEnd) bool {
+		status := observer.Status()
+		m := status.Member(n.Name)
+		return m.State != "alive" || m.Incarnation != ownStatus.Incarnation
 	})
 }
--- a/cmd/chutechute/capacity_dials_test.go
+++ b/cmd/chutechute/capacity_dials_test.go
@@ -13,23 +13,24 @@
 	"chutechute/internal/testharness"
 )
 
-// dialStatements is a multiple of all sizes.
+// dialStatements is divisible by all numbers of clients.
 const dialStatements = 9600
 
-// What a statement costs a front end whose engine's connection is used again, or has to be dialled, by statements at once;
-// long. With many more engines than statements a second, all but popular table groups find none that is open.
+// Measures what a statement costs a front end that reuses the connection to an engine, and one that has to dial, by
+// the number of concurrent statements. With many more engines than statements per second, all but popular table
+// groups find no open connection.
 func TestCapacityOfDials(t *testing.T) {
-	longOnly(t)
-	result := procstat.NewResult("dials", "The real program, 8 stand-in engines, 9,600 look-ups by so many clients at once; engines that keep connections, "+
-		"or end each with its answer; processor time of the front end; two runs a size.")
-	ways := []struct {
-		name string
-		ends bool
+	skipUnlessLong(t)
+	result := procstat.NewResult("dials", "The real program, 8 stub engines, 9,600 look-ups by so many clients at "+
+		"once; engines that keep connections, or close each after use; processor time of the front end; two runs per size.")
+	engineModes := []struct {
+		name   string
+		closes bool
 	}{{"used again", false}, {"dialled", true}}
 	for range 2 {
 		for _, clients := range []int{1, 4, 16, 64} {
 			figures := map[string]float64{}
-			for _, way := range ways {
+			for _, mode := range engineModes {
 				var opened atomic.Int64
 				count := func(r *testharness.Harness) {
 					r.OnConnState = func(_ net.Conn, state http.ConnState) {
@@ -39,22 +40,24 @@
 					}
 				}
 				serve := testharness.SucceedAfterPolls(0, testharness.ResultRow)
-				r := start(t, standInEngines, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
-					if way.ends {
+				r := start(t, stubEngines, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
+					if mode.closes {
 						w.Header().Set("Connection", "close")
 					}
 					serve(r, w, c)
 				}, count)
-				list := connected(t, clients, r.NewClient)
-				askAll(t, list, clients) // one each, which learns shapes
+				connections := connectClients(t, clients, r.NewClient)
+				runLookups(t, connections, clients) // one each, so that the statement shapes are known
 				pid := r.Cmd.Process.Pid
-				before, openedBefore := takenBy(t, pid), opened.Load()
-				askAll(t, list, dialStatements)
-				figures["statement, "+way.name+" us"] = micros(takenBy(t, pid).processor-before.processor) / dialStatements
-				figures["connections a statement, "+way.name+" count"] = float64(opened.Load()-openedBefore) / dialStatements
+				before, openedBefore := usageOf(t, pid), opened.Load()
+				runLookups(t, connections, dialStatements)
+				figures["statement, "+mode.name+" us"] =
+					micros(usageOf(t, pid).processorTime-before.processorTime) / dialStatements
+				figures["connections a statement, "+mode.name+" count"] =
+					float64(opened.Load()-openedBefore) / dialStatements
 				require.NoError(t, r.Cmd.Process.Kill())
 			}
-			t.Logf("%2d at once: %v", clients, figures)
+			t.Logf("%2d concurrent statements: %v", clients, figures)
 			result.Points = append(result.Points, scale.Point{Axis: "statements at once", X: float64(clients), Figures: figures})
 		}
 	}
--- a/cmd/chutechute/capacity_test.go
+++ b/cmd/chutechute/capacity_test.go
@@ -16,22 +16,23 @@
 	"chutechute/internal/testharness"
 )
 
-// longOnly skips what measures: it is no part of CI.
-func longOnly(t *testing.T) {
+// skipUnlessLong skips a measurement, which is not part of CI.
+func skipUnlessLong(t *testing.T) {
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("measures: make scale-full")
 	}
 }
 
-// taken is what a process has taken of the machine.
-type taken struct {
-	processor                      time.Duration
+// processUsage is what a process uses of the machine.
+type processUsage struct {
+	processorTime                  time.Duration
 	residentBytes, descriptorCount float64
 }
 
-func takenBy(t *testing.T, pid int) (v taken) {
+// usageOf returns what a process uses now.
+func usageOf(t *testing.T, pid int) (v processUsage) {
 	var err error
-	v.processor, err = procstat.ProcessorTime(pid)
+	v.processorTime, err = procstat.ProcessorTime(pid)
 	require.NoError(t, err)
 	v.residentBytes, err = procstat.ResidentMemory(pid)
 	require.NoError(t, err)
@@ -40,23 +41,25 @@
 	return v
 }
 
-// micros is a span in microseconds.
+// micros returns a duration in microseconds.
 func micros(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1000 }
 
-// The limits of front ends whose connections are counted: large enough for all sizes, and the same for each.
+// Limits and load of the front ends whose client connections are measured. The limits suffice for all sizes and are
+// the same for each.
 const (
-	socketsEach    = 4 // limits.sockets a client connection, of which clients get a third
-	capacityMB     = 768
-	warmClients    = 20
-	busyStatements = 12_000
-	busyOneIn      = 10 // of the connections
-	standInEngines = 8
+	socketsPerClient  = 4 // limits.sockets per client connection; clients get a third of the limit
+	capacityMemoryMB  = 768
+	warmClients       = 20
+	busyStatements    = 12_000
+	busyClientDivisor = 10 // one in so many connections is busy
+	stubEngines       = 8
 
-	usersConnections = 22_000_000 / 2700 // of a front end, by the users' list
+	connectionsPerFrontEnd = 22_000_000 / 2700 // client connections per front end, from the users' figures
 )
 
-// connected gives so many connections that have been answered once, so that they may stay.
-func connected(t *testing.T, count int, connect func() *testharness.Client) (list []*testharness.Client) {
+// connectClients opens connections and gets the answer to a health check on each: a front end may close a connection
+// that has had no answer.
+func connectClients(t *testing.T, count int, connect func() *testharness.Client) (list []*testharness.Client) {
 	for range count {
 		client := connect()
 		require.True(t, client.Healthy())
@@ -66,17 +69,18 @@
 	return list
 }
 
-// atOnce is how many statements run at a time at most: a herd of hundreds is refused in part by a front end that knows no usual answer
-// time yet, and would measure refusals.
-const atOnce = 64
+// maxConcurrentStatements is how many statements are in flight at most. A front end that has no estimates yet
+// rejects part of a burst of hundreds, so that the rejections would be measured.
+const maxConcurrentStatements = 64
 
-// askAll sends so many look-ups, over each client in turn, as many at once as there are clients, but no more than atOnce.
-func askAll(t *testing.T, clients []*testharness.Client, statements int) {
-	var all sync.WaitGroup
-	workers := min(atOnce, len(clients))
+// runLookups sends look-ups over the clients in turn. As many are in flight as there are clients, but no more than
+// maxConcurrentStatements.
+func runLookups(t *testing.T, clients []*testharness.Client, statements int) {
+	var generators sync.WaitGroup
+	workers := min(maxConcurrentStatements, len(clients))
 	each := statements / workers
 	for n := range workers {
-		all.Go(func() {
+		generators.Go(func() {
 			client := n
 			for i := range each {
 				clients[client].SendLookup(n*each+i+1, "5000")
@@ -90,40 +94,43 @@
 			}
 		})
 	}
-	all.Wait()
+	generators.Wait()
 	require.False(t, t.Failed())
 }
 
-// What client connections cost a front end: idle, and with statements over a tenth of them; long.
+// Measures what client connections cost a front end: idle ones, and with statements over a tenth of them.
 func TestCapacityOfConnections(t *testing.T) {
-	longOnly(t)
-	result := procstat.NewResult("connections", fmt.Sprintf("The real program, %d stand-in engines, limits.memory_mb %d; all connections' "+
-		"resident bytes and descriptors as differences to %d connections, idle ones after one health call; then %d look-ups over a "+
-		"tenth of them, with the front end's processor time; the kernel's memory for sockets is not in it; two runs a size.",
-		standInEngines, capacityMB, warmClients, busyStatements))
+	skipUnlessLong(t)
+	result := procstat.NewResult("connections", fmt.Sprintf(
+		"The real program, %d stub engines, limits.memory_mb %d; resident bytes and descriptors of all connections as "+
+			"differences to %d connections, idle ones after one health check; then %d look-ups over a tenth of them, with "+
+			"the front end's processor time; without the kernel's memory for sockets; two runs per size.",
+		stubEngines, capacityMemoryMB, warmClients, busyStatements))
 	for range 2 {
-		for _, count := range []int{100, 300, 1000, 3000, usersConnections} {
-			r := start(t, standInEngines, testharness.SucceedAfterPolls(0, testharness.ResultRow),
-				func(r *testharness.Harness) { r.SocketLimit, r.MemoryLimitMB = socketsEach*count+1024, capacityMB })
+		for _, count := range []int{100, 300, 1000, 3000, connectionsPerFrontEnd} {
+			r := start(t, stubEngines, testharness.SucceedAfterPolls(0, testharness.ResultRow),
+				func(r *testharness.Harness) {
+					r.SocketLimit, r.MemoryLimitMB = socketsPerClient*count+1024, capacityMemoryMB
+				})
 			pid := r.Cmd.Process.Pid
-			askAll(t, connected(t, warmClients, r.NewClient), 400)
-			before := takenBy(t, pid)
-			clients := connected(t, count, r.NewClient)
-			time.Sleep(300 * time.Millisecond) // what the last of them left to do
-			idle := takenBy(t, pid)
-			askAll(t, clients[:count/busyOneIn], busyStatements)
-			busy := takenBy(t, pid)
+			runLookups(t, connectClients(t, warmClients, r.NewClient), 400)
+			before := usageOf(t, pid)
+			clients := connectClients(t, count, r.NewClient)
+			time.Sleep(300 * time.Millisecond) // for work that is left over from the last connections
+			idle := usageOf(t, pid)
+			runLookups(t, clients[:count/busyClientDivisor], busyStatements)
+			busy := usageOf(t, pid)
 			figures := map[string]float64{
 				"idle resident bytes":    idle.residentBytes - before.residentBytes,
 				"idle descriptors count": idle.descriptorCount - before.descriptorCount,
-				"accept us":              micros(idle.processor-before.processor) / float64(count),
+				"accept us":              micros(idle.processorTime-before.processorTime) / float64(count),
 				"busy resident bytes":    busy.residentBytes - before.residentBytes,
-				"statement processor us": micros(busy.processor-idle.processor) / busyStatements,
+				"statement processor us": micros(busy.processorTime-idle.processorTime) / busyStatements,
 			}
 			t.Logf("%5d connections: %v", count, figures)
 			result.Points = append(result.Points, scale.Point{Axis: "connections", X: float64(count), Figures: figures})
 			require.NoError(t, r.Cmd.Process.Kill())
-			for _, client := range clients { // or this process runs out of descriptors
+			for _, client := range clients { // or the test process runs out of descriptors
 				client.Conn.Close()
 			}
 		}
@@ -131,27 +138,30 @@
 	require.NoError(t, procstat.SaveResult(result))
 }
 
-// What idle client connections by TLS cost a front end; long.
+// Measures what idle TLS client connections cost a front end.
 func TestCapacityOfTLSConnections(t *testing.T) {
-	longOnly(t)
-	result := procstat.NewResult("connections-tls", fmt.Sprintf("The real program with TLS for clients, whole handshakes, limits.memory_mb %d; "+
-		"all connections' resident bytes as differences to %d connections, after one health call each; two runs a size.",
-		capacityMB, warmClients))
+	skipUnlessLong(t)
+	result := procstat.NewResult("connections-tls", fmt.Sprintf(
+		"The real program with TLS for clients, full handshakes, limits.memory_mb %d; resident bytes of all "+
+			"connections as differences to %d connections, after one health check each; two runs per size.",
+		capacityMemoryMB, warmClients))
 	for range 2 {
 		for _, count := range []int{100, 300, 1000, 2000} {
 			town := newTown(t, "none", "")
 			r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), town.installed,
-				func(r *testharness.Harness) { r.SocketLimit, r.MemoryLimitMB = socketsEach*count+1024, capacityMB })
+				func(r *testharness.Harness) {
+					r.SocketLimit, r.MemoryLimitMB = socketsPerClient*count+1024, capacityMemoryMB
+				})
 			config, _ := town.client("", town.ca)
 			connect := func() *testharness.Client { return town.must(r, config) }
-			connected(t, warmClients, connect)
-			before := takenBy(t, r.Cmd.Process.Pid)
-			connected(t, count, connect)
+			connectClients(t, warmClients, connect)
+			before := usageOf(t, r.Cmd.Process.Pid)
+			connectClients(t, count, connect)
 			time.Sleep(300 * time.Millisecond)
-			idle := takenBy(t, r.Cmd.Process.Pid)
+			idle := usageOf(t, r.Cmd.Process.Pid)
 			figures := map[string]float64{
 				"idle resident bytes": idle.residentBytes - before.residentBytes,
-				"handshake us":        micros(idle.processor-before.processor) / float64(count),
+				"handshake us":        micros(idle.processorTime-before.processorTime) / float64(count),
 			}
 			t.Logf("%5d TLS connections: %v", count, figures)
 			result.Points = append(result.Points, scale.Point{Axis: "TLS connections", X: float64(count), Figures: figures})
@@ -161,37 +171,37 @@
 	require.NoError(t, procstat.SaveResult(result))
 }
 
-// What a reload costs a front end, by engines and by tenants in its configuration; long.
+// Measures what a reload costs a front end, by the number of engines and of tenants in its configuration.
 func TestCapacityOfReloads(t *testing.T) {
-	longOnly(t)
-	result := procstat.NewResult("reloads", "SIGHUP to the log's word that the configuration is in force, seen each millisecond; processor time "+
-		"of the front end for one; the mean of five; two runs a size. settings themselves take effect at the next start only.")
+	skipUnlessLong(t)
+	result := procstat.NewResult("reloads", "SIGHUP to the log line of the reload, seen each millisecond; processor time "+
+		"of the front end per reload; the mean of five; two runs per size. The settings take effect at the next start only.")
 	const reloads = 5
 	for range 2 {
 		for _, axis := range []string{"engines", "tenants"} {
 			for _, count := range []int{64, 1024, 8192, 34000} {
 				r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), func(r *testharness.Harness) {
-					r.MemoryLimitMB = capacityMB
+					r.MemoryLimitMB = capacityMemoryMB
 					if axis == "tenants" {
-						r.Settings["tenants"] = manyTenants(count)
+						r.Settings["tenants"] = tenantSettings(count)
 					}
 				})
 				if axis == "engines" {
-					r.NodeConfig["known"] = manyKnown(count)
+					r.NodeConfig["known"] = engineList(count)
 				}
 				r.WriteNodeConfig()
 				info, err := os.Stat(r.NodeConfigPath)
 				require.NoError(t, err)
-				before, began := takenBy(t, r.Cmd.Process.Pid), time.Now()
+				before, startedAt := usageOf(t, r.Cmd.Process.Pid), time.Now()
 				for n := range reloads {
 					r.Signal(syscall.SIGHUP)
-					awaitReloads(t, r, n+1)
+					waitForReloads(t, r, n+1)
 				}
-				span := time.Since(began) / reloads
-				after := takenBy(t, r.Cmd.Process.Pid)
+				span := time.Since(startedAt) / reloads
+				after := usageOf(t, r.Cmd.Process.Pid)
 				figures := map[string]float64{
 					"reload ms":           ms(span),
-					"reload processor us": micros(after.processor-before.processor) / reloads,
+					"reload processor us": micros(after.processorTime-before.processorTime) / reloads,
 					"file bytes":          float64(info.Size()),
 					"resident more bytes": after.residentBytes - before.residentBytes,
 				}
@@ -204,8 +214,8 @@
 	require.NoError(t, procstat.SaveResult(result))
 }
 
-// manyTenants are the settings' tenants, "t" among them.
-func manyTenants(count int) (list []any) {
+// tenantSettings returns the settings of so many tenants, "t" among them.
+func tenantSettings(count int) (list []any) {
 	for i := range count {
 		name := fmt.Sprintf("tenant-%05d", i)
 		if i == 0 {
@@ -216,59 +226,63 @@
 	return list
 }
 
-// manyKnown is a configuration's list of so many engines.
-func manyKnown(count int) any {
+// engineList returns the value of "known" in a configuration that lists so many engines.
+func engineList(count int) any {
 	var targets []any
 	for i := range count {
-		targets = append(targets, map[string]any{"uid": fmt.Sprintf("s-%08x", i), "endpoint": fmt.Sprintf("127.1.%d.%d:8080", i>>8, i&255),
-			"az": "a", "model": "k", "pod_group": 0, "state": "in_service", "capacity_hint": 1, "boot_ms": 0})
+		targets = append(targets, map[string]any{"uid": fmt.Sprintf("s-%08x", i),
+			"endpoint": fmt.Sprintf("127.1.%d.%d:8080", i>>8, i&255),
+			"az":       "a", "model": "k", "pod_group": 0, "state": "in_service", "capacity_hint": 1, "boot_ms": 0})
 	}
 	hosts := map[string]any{"rev": 1, "all": true, "targets": targets}
 	return map[string]any{"pos": 41, "entries": []any{map[string]any{"pos": 41, "hosts": hosts}}}
 }
 
-// awaitReloads waits until the front end's log tells of so many reloads.
-func awaitReloads(t *testing.T, r *testharness.Harness, count int) {
+// waitForReloads waits until the front end has logged so many reloads.
+func waitForReloads(t *testing.T, r *testharness.Harness, count int) {
 	require.Eventually(t, func() bool {
 		return strings.Count(r.Log.String(), "msg=reloaded") >= count
 	}, testharness.WaitTimeout, time.Millisecond, "%s", r.Log)
 }
 
-// What loads on record cost the processes that keep it, by clients at once, and what they take there; long.
+// Measures what loads cost the front ends that replicate them, by the number of concurrent clients, and how many
+// bytes they take in the replicated state.
 func TestCapacityOfLoads(t *testing.T) {
-	longOnly(t)
-	result := procstat.NewResult("loads", "Three processes of the real program, the record in memory only, stand-in engines that answer at once, "+
-		"all on one machine; processor time of the front ends, the leader's among it; two runs a size.")
+	skipUnlessLong(t)
+	result := procstat.NewResult("loads", "Three processes of the real program on one machine, replicated log in memory "+
+		"only, stub engines that answer at once; processor time of the front ends, including the leader; two runs per size.")
 	for range 2 {
 		f := testharness.NewFleet(t, program, 3)
 		f.WaitForLeader(3)
-		times(t, f, "warm", 3, 20)
+		measureLoads(t, f, "warm", 3, 20)
 		for _, clients := range []int{3, 12, 48, 96} {
 			leader := f.WaitForLeader(3)
-			all := func() (sum time.Duration) {
+			totalCPU := func() (sum time.Duration) {
 				for _, n := range f.FrontEnds {
-					sum += takenBy(t, n.Cmd.Process.Pid).processor
+					sum += usageOf(t, n.Cmd.Process.Pid).processorTime
 				}
 				return sum
 			}
 			loads := max(60, 2400/clients) * clients
-			began, committed, allBefore, leaderBefore := time.Now(), commits(f), all(), takenBy(t, leader.Cmd.Process.Pid).processor
-			served := len(times(t, f, fmt.Sprintf("many-%d", clients), clients, loads/clients))
-			span := time.Since(began).Seconds()
+			startedAt, committed, totalBefore, leaderBefore :=
+				time.Now(), commitCount(f), totalCPU(), usageOf(t, leader.Cmd.Process.Pid).processorTime
+			served := len(measureLoads(t, f, fmt.Sprintf("many-%d", clients), clients, loads/clients))
+			span := time.Since(startedAt).Seconds()
 			figures := map[string]float64{
-				"loads /s":                  float64(served) / span,
-				"commits /s":                (commits(f) - committed) / span,
-				"a load, commits count":     (commits(f) - committed) / float64(served),
-				"a load, leader us":         micros(takenBy(t, leader.Cmd.Process.Pid).processor-leaderBefore) / float64(served),
-				"a load, all front ends us": micros(all()-allBefore) / float64(served),
+				"loads /s":              float64(served) / span,
+				"commits /s":            (commitCount(f) - committed) / span,
+				"a load, commits count": (commitCount(f) - committed) / float64(served),
+				"a load, leader us": micros(usageOf(t, leader.Cmd.Process.Pid).processorTime-leaderBefore) /
+					float64(served),
+				"a load, all front ends us": micros(totalCPU()-totalBefore) / float64(served),
 			}
 			t.Logf("%3d clients: %v", clients, figures)
 			result.Points = append(result.Points, scale.Point{Axis: "clients", X: float64(clients), Figures: figures})
 			status := f.WaitForLeader(3).RawStatus()
-			held, bytes := status["loads"].(float64), status["load_bytes"].(float64)
-			result.Points = append(result.Points, scale.Point{Axis: "loads on record", X: held,
+			loadCount, bytes := status["loads"].(float64), status["load_bytes"].(float64)
+			result.Points = append(result.Points, scale.Point{Axis: "loads on record", X: loadCount,
 				Figures: map[string]float64{"record bytes": bytes}})
-			t.Logf("%.0f loads on record, %.0f bytes", held, bytes)
+			t.Logf("%.0f loads in the replicated state, %.0f bytes", loadCount, bytes)
 		}
 		for _, n := range f.FrontEnds {
 			n.Kill(true)
@@ -277,16 +291,17 @@
 	require.NoError(t, procstat.SaveResult(result))
 }
 
-// How long no load is served after the front end that leads the record is lost with what it holds, by front ends; long.
+// Measures how long no load is served after the leader of the replicated log is lost with its disk, by the number of
+// front ends.
 func TestCapacityOfPrimaryChanges(t *testing.T) {
-	longOnly(t)
+	skipUnlessLong(t)
 	const changes = 8
-	result := procstat.NewResult("primary-changes", fmt.Sprintf("Processes of the real program, the record in memory only; from the kill of the "+
-		"leader's process to the answer of a load through another front end, %d times a run, a dead leader started again after each; "+
-		"two runs a size.", changes))
+	result := procstat.NewResult("primary-changes", fmt.Sprintf("Processes of the real program, the "+
+		"replicated log in memory only; from the kill of the leader's process to the answer of a load through another "+
+		"front end, %d times per run, the killed leader started again after each; two runs per size.", changes))
 	for range 2 {
 		for _, frontEnds := range []int{3, 5, 9, 15} {
-			gaps := primaryChanges(t, frontEnds, changes)
+			gaps := leaderChangeGaps(t, frontEnds, changes)
 			median, _ := quantiles(gaps)
 			figures := map[string]float64{"median ms": ms(median), "most ms": ms(gaps[len(gaps)-1])}
 			t.Logf("%2d front ends: %v", frontEnds, figures)
@@ -296,15 +311,16 @@
 	require.NoError(t, procstat.SaveResult(result))
 }
 
-// primaryChanges loses the leader of a fleet's record so many times, and gives how long no load was served after each.
-func primaryChanges(t *testing.T, frontEnds, changes int) (gaps []time.Duration) {
+// leaderChangeGaps kills the leader of a fleet's log so many times, and returns how long no load was served after
+// each.
+func leaderChangeGaps(t *testing.T, frontEnds, changes int) (gaps []time.Duration) {
 	f := testharness.NewFleet(t, program, frontEnds)
 	for round := range changes {
-		leader := f.WaitForLeader(3) // copies, by default
+		leader := f.WaitForLeader(3) // the default number of replicas
 		other := f.FrontEnds[(leader.Index+1)%frontEnds]
 		leader.Kill(true)
 		killed := time.Now()
-		insist(t, f, other, load(fmt.Sprintf("after-%d", round), "", 0))
+		sendUntilServed(t, f, other, newLoad(fmt.Sprintf("after-%d", round), "", 0))
 		gaps = append(gaps, time.Since(killed))
 		leader.Start()
 	}
--- a/cmd/chutechute/copies_test.go
+++ b/cmd/chutechute/copies_test.go
@@ -17,40 +17,45 @@
 	"chutechute/internal/testharness"
 )
 
-// load is a load that takes so many milliseconds.
-func load(once, key string, ms int) testharness.LoadAttempt {
-	return testharness.LoadAttempt{IdempotencyKey: once, OrderKey: key, Statement: fmt.Sprintf("INSERT INTO s_1.t -- ms=%d", ms), ClientTimeout: 8 * time.Second}
+// newLoad returns a load with an idempotency key and an order key ("" for none) that runs for so many milliseconds.
+func newLoad(idempotencyKey, orderKey string, runTimeMS int) testharness.LoadAttempt {
+	return testharness.LoadAttempt{IdempotencyKey: idempotencyKey, OrderKey: orderKey,
+		Statement: fmt.Sprintf("INSERT INTO s_1.t -- ms=%d", runTimeMS), ClientTimeout: 8 * time.Second}
 }
 
-func lasting(f *testharness.Fleet) { f.Durable = true }
+// withDurableStorage has control members store the replicated log on disk.
+func withDurableStorage(f *testharness.Fleet) { f.Durable = true }
 
-// insist repeats a load through a front end until it is served.
-func insist(t *testing.T, f *testharness.Fleet, n *testharness.FrontEnd, try testharness.LoadAttempt) testharness.Reply {
+// sendUntilServed repeats a load through a front end until it is served, and returns the response.
+func sendUntilServed(
+	t *testing.T, f *testharness.Fleet, n *testharness.FrontEnd, load testharness.LoadAttempt,
+) testharness.Reply {
 	t.Helper()
-	for until := time.Now().Add(testharness.WaitTimeout); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-		if p := f.SendLoad(n, try); p.Kind == history.Succeeded {
-			return p
+	for end := time.Now().Add(testharness.WaitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		if reply := f.SendLoad(n, load); reply.Kind == history.Succeeded {
+			return reply
 		}
 	}
-	require.Fail(t, "not served", "%+v through %s", try, n.Name)
+	require.Fail(t, "not served", "%+v through %s", load, n.Name)
 	return testharness.Reply{}
 }
 
-// Three front ends with the record in memory only. One machine after another is lost and replaced, until no original one is
-// left: every outcome that was told is found through any of them, the same bytes, and nothing runs again.
+// Known outcomes must survive the loss of every machine that held them, if one is lost at a time. The front ends
+// hold the replicated log in memory only. Each is killed and replaced in turn, until no original process is left.
+// Each outcome that a client got is found through every front end with the same rows, and no load runs again.
 func TestMachineLostWithItsDisk(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3)
 	f.WaitForLeader(3)
-	told := map[string]string{}
+	outcomes := map[string]string{}
 	for round, n := range f.FrontEnds {
-		try := load(fmt.Sprintf("once-%d", round), "k", 30)
-		told[try.IdempotencyKey] = insist(t, f, n, try).Rows()
+		load := newLoad(fmt.Sprintf("once-%d", round), "k", 30)
+		outcomes[load.IdempotencyKey] = sendUntilServed(t, f, n, load).Rows()
 		n.Kill(true)
 		for _, other := range f.FrontEnds {
 			if other != n {
-				for once, body := range told {
-					assert.Equal(t, body, insist(t, f, other, load(once, "k", 30)).Rows())
+				for idempotencyKey, rows := range outcomes {
+					assert.Equal(t, rows, sendUntilServed(t, f, other, newLoad(idempotencyKey, "k", 30)).Rows())
 				}
 			}
 		}
@@ -61,46 +66,55 @@
 	f.CheckHistory()
 }
 
-// A front end is lost with its disk at each interesting point of a load, and the client repeats through another. Nothing runs
-// twice at once, nothing runs after its outcome was told, and what had not begun is served.
+// A load must not run twice concurrently, nor after a client got its outcome, when its owner is lost with its disk
+// and the client repeats it through another front end. The owner is killed in each phase of a load. A load that has
+// not started is served by the repeat.
 func TestOwnerLostAtEachPoint(t *testing.T) {
 	t.Parallel()
-	f := testharness.NewFleet(t, program, 3, lasting)
+	f := testharness.NewFleet(t, program, 3, withDurableStorage)
 	f.WaitForLeader(3)
-	points := []struct {
-		name   string
-		reach  func(once string) // waits until the load is there
-		served bool              // a repeat has to be served
+	phases := []struct {
+		name         string
+		waitFor      func(idempotencyKey string) // waits until the load is in this phase
+		mustBeServed bool                        // the repeat must be served
 	}{
-		{"taken", func(string) { time.Sleep(2 * time.Millisecond) }, false},
-		{"waits for its turn", func(string) { time.Sleep(200 * time.Millisecond) }, true},
-		{"begun", func(once string) {
-			f.WaitForEvent(func(e history.Event) bool { return e.Kind == history.ExecutionStarted && e.IdempotencyKey == once })
+		{"received", func(string) { time.Sleep(2 * time.Millisecond) }, false},
+		{"waiting", func(string) { time.Sleep(200 * time.Millisecond) }, true},
+		{"started", func(idempotencyKey string) {
+			f.WaitForEvent(func(e history.Event) bool {
+				return e.Kind == history.ExecutionStarted && e.IdempotencyKey == idempotencyKey
+			})
 		}, false},
-		{"over at the engine", func(once string) {
-			f.WaitForEvent(func(e history.Event) bool { return e.Kind == history.ExecutionFinished && e.IdempotencyKey == once })
+		{"finished at the engine", func(idempotencyKey string) {
+			f.WaitForEvent(func(e history.Event) bool {
+				return e.Kind == history.ExecutionFinished && e.IdempotencyKey == idempotencyKey
+			})
 		}, false},
-		{"told", func(once string) {
-			f.WaitForEvent(func(e history.Event) bool { return e.Kind == history.RequestEnded && e.IdempotencyKey == once })
+		{"answered", func(idempotencyKey string) {
+			f.WaitForEvent(func(e history.Event) bool {
+				return e.Kind == history.RequestEnded && e.IdempotencyKey == idempotencyKey
+			})
 		}, true},
 	}
-	for i, p := range points {
+	for i, phase := range phases {
 		owner, other := f.FrontEnds[i%3], f.FrontEnds[(i+1)%3]
-		f.LogStep("point: %s", p.name)
+		f.LogStep("phase: %s", phase.name)
 		key := fmt.Sprintf("key-%d", i)
 		var first sync.WaitGroup
-		if p.name == "waits for its turn" { // behind one that another front end runs
-			first.Go(func() { f.SendLoad(f.FrontEnds[(i+2)%3], load("before", key, 800)) })
-			f.WaitForEvent(func(e history.Event) bool { return e.Kind == history.ExecutionStarted && e.IdempotencyKey == "before" })
+		if phase.name == "waiting" { // behind a load that another front end runs
+			first.Go(func() { f.SendLoad(f.FrontEnds[(i+2)%3], newLoad("before", key, 800)) })
+			f.WaitForEvent(func(e history.Event) bool {
+				return e.Kind == history.ExecutionStarted && e.IdempotencyKey == "before"
+			})
 		}
-		try := load("once-"+fmt.Sprint(i), key, 100)
-		first.Go(func() { f.SendLoad(owner, try) })
-		p.reach(try.IdempotencyKey)
+		load := newLoad("once-"+fmt.Sprint(i), key, 100)
+		first.Go(func() { f.SendLoad(owner, load) })
+		phase.waitFor(load.IdempotencyKey)
 		owner.Kill(true)
-		if p.served {
-			insist(t, f, other, try)
+		if phase.mustBeServed {
+			sendUntilServed(t, f, other, load)
 		} else {
-			f.SendLoad(other, try)
+			f.SendLoad(other, load)
 		}
 		first.Wait()
 		owner.Start()
@@ -109,83 +123,85 @@
 	f.CheckHistory()
 }
 
-// A client repeats at once through all front ends: one run, the same bytes for all. The same key with another statement is
-// refused, and the log names it.
-func TestRepeatsAtOnceAndForeignStatement(t *testing.T) {
+// A load that is sent concurrently through all front ends must run once, with the same rows for every client. The
+// same key with another statement is rejected, and the log has the key.
+func TestConcurrentRepeatsAndReusedKey(t *testing.T) {
 	t.Parallel()
-	f := testharness.NewFleet(t, program, 3, lasting)
+	f := testharness.NewFleet(t, program, 3, withDurableStorage)
 	f.WaitForLeader(3)
-	var all sync.WaitGroup
-	bodies := make([]string, 6)
-	for i := range bodies {
-		all.Go(func() {
-			if p := f.SendLoad(f.FrontEnds[i%3], load("once", "k", 300)); p.Kind == history.Succeeded {
-				bodies[i] = p.Rows()
+	var clients sync.WaitGroup
+	rows := make([]string, 6)
+	for i := range rows {
+		clients.Go(func() {
+			if reply := f.SendLoad(f.FrontEnds[i%3], newLoad("once", "k", 300)); reply.Kind == history.Succeeded {
+				rows[i] = reply.Rows()
 			}
 		})
 	}
-	all.Wait()
-	for _, b := range bodies {
-		assert.NotEmpty(t, b)
-		assert.Equal(t, bodies[0], b)
+	clients.Wait()
+	for _, got := range rows {
+		assert.NotEmpty(t, got)
+		assert.Equal(t, rows[0], got)
 	}
 	assert.Len(t, history.Executions(f.History.Events()), 1)
-	other := load("once", "k", 301)
-	assert.Equal(t, history.Rejected, f.SendLoad(f.FrontEnds[1], other).Kind)
+	reused := newLoad("once", "k", 301)
+	assert.Equal(t, history.Rejected, f.SendLoad(f.FrontEnds[1], reused).Kind)
 	f.FrontEnds[1].WaitForLog(`reused with another statement.*idempotency_key=once`)
 	f.CheckHistory()
 }
 
-// Without a majority a load that has not begun is refused, one whose outcome can't be kept by its deadline is failed, and
-// look-ups go on as ever. Once there is a majority again all is found.
+// Without a majority a load that has not started must be rejected, and one whose outcome cannot be committed by its
+// deadline must fail; look-ups are served as before. With a majority again, the outcome is found through every front
+// end.
 func TestNoMajority(t *testing.T) {
 	t.Parallel()
-	f := testharness.NewFleet(t, program, 3, lasting)
+	f := testharness.NewFleet(t, program, 3, withDurableStorage)
 	f.WaitForLeader(3)
 	n := f.FrontEnds[0]
-	var all sync.WaitGroup
-	all.Go(func() {
-		try := load("under-way", "k", 1500)
-		try.ClientTimeout = 3 * time.Second
-		assert.Equal(t, history.Failed, f.SendLoad(n, try).Kind)
+	var clients sync.WaitGroup
+	clients.Go(func() {
+		load := newLoad("under-way", "k", 1500)
+		load.ClientTimeout = 3 * time.Second
+		assert.Equal(t, history.Failed, f.SendLoad(n, load).Kind)
 	})
 	f.WaitForEvent(func(e history.Event) bool { return e.Kind == history.ExecutionStarted })
 	f.SetPartition(true, f.FrontEnds[:1], f.FrontEnds[1:])
 	f.SetPartition(true, f.FrontEnds[1:2], f.FrontEnds[2:])
-	try := load("new", "", 10)
-	try.ClientTimeout = 2 * time.Second
-	assert.Equal(t, history.Rejected, f.SendLoad(n, try).Kind)
-	look := n.SendLookup()
-	assert.Equal(t, history.Succeeded, look)
-	all.Wait()
+	load := newLoad("new", "", 10)
+	load.ClientTimeout = 2 * time.Second
+	assert.Equal(t, history.Rejected, f.SendLoad(n, load).Kind)
+	lookup := n.SendLookup()
+	assert.Equal(t, history.Succeeded, lookup)
+	clients.Wait()
 	f.SetPartition(false, f.FrontEnds[:1], f.FrontEnds[1:])
 	f.SetPartition(false, f.FrontEnds[1:2], f.FrontEnds[2:])
-	kept := insist(t, f, f.FrontEnds[2], load("under-way", "k", 1500)).Rows()
-	assert.Equal(t, kept, insist(t, f, n, load("under-way", "k", 1500)).Rows())
+	rows := sendUntilServed(t, f, f.FrontEnds[2], newLoad("under-way", "k", 1500)).Rows()
+	assert.Equal(t, rows, sendUntilServed(t, f, n, newLoad("under-way", "k", 1500)).Rows())
 	f.CheckHistory()
 }
 
-// The leader is cut off one way, stands still, and hears only one neighbour, in turn, while loads come. It may believe what it
-// will: nothing runs twice, and what it had in hand does not begin after others have decided.
-func TestLeaderCutAndStopped(t *testing.T) {
+// The leader of the replicated log must not start loads on outdated state. Under a stream of loads its outbound
+// links are cut, then it is paused for 5 s, then its inbound links are cut. No load runs twice, and the leader
+// starts nothing that others have decided meanwhile.
+func TestLeaderPartitionedAndPaused(t *testing.T) {
 	t.Parallel()
-	f := testharness.NewFleet(t, program, 3, lasting)
-	var all sync.WaitGroup
+	f := testharness.NewFleet(t, program, 3, withDurableStorage)
+	var clients sync.WaitGroup
 	stop := make(chan struct{})
-	defer func() { close(stop); all.Wait() }()
+	defer func() { close(stop); clients.Wait() }()
 	leader := f.WaitForLeader(3)
 	for i, n := range f.FrontEnds {
-		all.Go(func() {
+		clients.Go(func() {
 			for k := 0; ; k++ {
 				select {
 				case <-stop:
 					return
 				case <-time.After(30 * time.Millisecond):
 				}
-				try := load(fmt.Sprintf("once-%d-%d", i, k), fmt.Sprintf("key-%d", k%2), 20)
-				try.ClientTimeout = 3 * time.Second
-				if p := f.SendLoad(n, try); p.Kind != history.Succeeded && k%2 == 0 {
-					f.SendLoad(f.FrontEnds[(i+1)%3], try)
+				load := newLoad(fmt.Sprintf("once-%d-%d", i, k), fmt.Sprintf("key-%d", k%2), 20)
+				load.ClientTimeout = 3 * time.Second
+				if reply := f.SendLoad(n, load); reply.Kind != history.Succeeded && k%2 == 0 {
+					f.SendLoad(f.FrontEnds[(i+1)%3], load)
 				}
 			}
 		})
@@ -202,35 +218,36 @@
 	time.Sleep(2 * time.Second)
 	f.SetInboundPartition(leader, false)
 	f.WaitForLeader(3)
-	insist(t, f, f.FrontEnds[0], load("last", "key-0", 10))
+	sendUntilServed(t, f, f.FrontEnds[0], newLoad("last", "key-0", 10))
 	f.CheckHistory()
 }
 
-// One way flaps every 300 ms: commits go on in between, and no storm of elections comes of it.
+// A link that flaps every 300 ms must not stop commits, nor cause an election for each cut.
 func TestFlappingLink(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3)
 	leader := f.WaitForLeader(3)
 	other := f.FrontEnds[(leader.Index+1)%3]
-	before := elections(f)
+	before := electionCount(f)
 	served := 0
 	for i := range 20 {
 		f.Proxy(leader, other).SetCut(i%2 == 0)
 		f.Proxy(other, leader).SetCut(i%2 == 0)
 		until := time.Now().Add(300 * time.Millisecond)
-		try := load(fmt.Sprintf("once-%d", i), "k", 5)
-		try.ClientTimeout = 2 * time.Second
-		if f.SendLoad(other, try).Kind == history.Succeeded {
+		load := newLoad(fmt.Sprintf("once-%d", i), "k", 5)
+		load.ClientTimeout = 2 * time.Second
+		if f.SendLoad(other, load).Kind == history.Succeeded {
 			served++
 		}
 		time.Sleep(time.Until(until))
 	}
 	assert.GreaterOrEqual(t, served, 10, "of 20")
-	assert.LessOrEqual(t, elections(f)-before, 12.0, "in 20 cuts")
+	assert.LessOrEqual(t, electionCount(f)-before, 12.0, "in 20 cuts")
 	f.CheckHistory()
 }
 
-func elections(f *testharness.Fleet) (n float64) {
+// electionCount returns the number of elections that all front ends have counted.
+func electionCount(f *testharness.Fleet) (n float64) {
 	for _, x := range f.FrontEnds {
 		if s := x.RawStatus(); s != nil {
 			n += s["elections"].(float64)
@@ -239,13 +256,14 @@
 	return n
 }
 
-// All processes are killed at one instant: with folders all that was told is there. A file that was cut or flipped meanwhile
-// is set aside, and its front end comes back as an empty disk that others fill.
-func TestAllKilledAtOnceAndSpoiltFile(t *testing.T) {
+// All outcomes that clients got must survive when all processes are killed at the same time and have durable
+// storage. A write-ahead log in which a bit was flipped meanwhile is quarantined, and its front end comes back with
+// an empty disk that the others fill.
+func TestAllKilledAtOnceAndCorruptLog(t *testing.T) {
 	t.Parallel()
-	f := testharness.NewFleet(t, program, 3, lasting)
+	f := testharness.NewFleet(t, program, 3, withDurableStorage)
 	f.WaitForLeader(3)
-	told := insist(t, f, f.FrontEnds[0], load("once", "k", 20)).Rows()
+	rows := sendUntilServed(t, f, f.FrontEnds[0], newLoad("once", "k", 20)).Rows()
 	for _, n := range f.FrontEnds {
 		n.Kill(false)
 	}
@@ -254,40 +272,42 @@
 	require.NoError(t, err)
 	b[len(b)/2] ^= 0x10
 	require.NoError(t, os.WriteFile(file, b, 0o600))
-	f.LogStep("flip a bit of %s", file)
+	f.LogStep("flip a bit in %s", file)
 	for _, n := range f.FrontEnds {
 		n.Start()
 	}
 	f.WaitForLeader(3)
 	f.FrontEnds[2].WaitForLog("was set aside")
 	for _, n := range f.FrontEnds {
-		assert.Equal(t, told, insist(t, f, n, load("once", "k", 20)).Rows())
+		assert.Equal(t, rows, sendUntilServed(t, f, n, newLoad("once", "k", 20)).Rows())
 	}
 	f.CheckHistory()
 }
 
-// A disk is full on one copy, then on two: the copy steps down at once, and its front end goes on. With two the record has no
-// majority: loads are refused, look-ups served. With room again and a restart all is there.
+// A replica with a full disk must stop being one at once, while its front end continues to serve. The disk fills up
+// on one replica, then on a second one. Without a majority loads are rejected and look-ups are served. With free
+// space and after a restart all outcomes are found.
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
-	f := testharness.NewFleet(t, program, 3, lasting, func(f *testharness.Fleet) { f.FleetSettings["replace_s"] = 600 })
+	f := testharness.NewFleet(t, program, 3, withDurableStorage,
+		func(f *testharness.Fleet) { f.FleetSettings["replace_s"] = 600 })
 	f.WaitForLeader(3)
-	told := insist(t, f, f.FrontEnds[0], load("once", "k", 20)).Rows()
+	rows := sendUntilServed(t, f, f.FrontEnds[0], newLoad("once", "k", 20)).Rows()
 	for i, n := range f.FrontEnds[:2] {
 		n.SetDiskFull(true)
 		for k := 0; n.LogMatches("is no copy any more") == 0; k++ {
 			require.Less(t, k, 400)
-			try := load(fmt.Sprintf("fill-%d-%d", i, k), "", 1)
-			try.ClientTimeout = time.Second
-			f.SendLoad(f.FrontEnds[2], try)
+			load := newLoad(fmt.Sprintf("fill-%d-%d", i, k), "", 1)
+			load.ClientTimeout = time.Second
+			f.SendLoad(f.FrontEnds[2], load)
 		}
 		if i == 0 {
-			insist(t, f, n, load("one-left", "k", 10))
+			sendUntilServed(t, f, n, newLoad("one-left", "k", 10))
 		}
 	}
-	try := load("two-left", "", 10)
-	try.ClientTimeout = 1500 * time.Millisecond
-	assert.Equal(t, history.Rejected, f.SendLoad(f.FrontEnds[2], try).Kind)
+	load := newLoad("two-left", "", 10)
+	load.ClientTimeout = 1500 * time.Millisecond
+	assert.Equal(t, history.Rejected, f.SendLoad(f.FrontEnds[2], load).Kind)
 	assert.Equal(t, history.Succeeded, f.FrontEnds[0].SendLookup())
 	for _, n := range f.FrontEnds[:2] {
 		n.Kill(false)
@@ -295,13 +315,14 @@
 	}
 	f.WaitForLeader(3)
 	for _, n := range f.FrontEnds {
-		assert.Equal(t, told, insist(t, f, n, load("once", "k", 20)).Rows())
+		assert.Equal(t, rows, sendUntilServed(t, f, n, newLoad("once", "k", 20)).Rows())
 	}
 	f.CheckHistory()
 }
 
-// badDisk is the store's sync on a disk that takes half a second, or fails once and then succeeds, as files in the folder say.
-const badDisk = `package wal
+// faultySync replaces the source file of the write-ahead log's fsync. The sync takes half a second while the folder
+// has a file named slow, and fails once if it has a file named fail.
+const faultySync = `package wal
 
 import (
 	"errors"
@@ -322,75 +343,80 @@
 }
 `
 
-// The leader's disk takes half a second for each sync: the other two are a majority without it, and loads go on. Then a sync of
-// it fails once: the copy ends at once and does not try again, though the disk would, and its front end goes on.
+// A slow disk of the leader must not slow down commits, since the other two replicas are a majority. After a single
+// failed sync the replica must stop at once and not try again, although the disk would succeed; its front end
+// continues to serve.
 func TestSlowAndFailingDiskOfTheLeader(t *testing.T) {
 	t.Parallel()
-	bad := testharness.Variant(t, "fleet/replication/wal/sync.go", badDisk)
-	f := testharness.NewFleet(t, bad, 3, lasting)
+	faulty := testharness.Variant(t, "fleet/replication/wal/sync.go", faultySync)
+	f := testharness.NewFleet(t, faulty, 3, withDurableStorage)
 	leader := f.WaitForLeader(3)
 	require.NoError(t, os.WriteFile(filepath.Join(leader.StorageDir, "slow"), nil, 0o600))
-	f.LogStep("the disk of %s is slow", leader.Name)
-	began := time.Now()
+	f.LogStep("slow down the disk of %s", leader.Name)
+	startedAt := time.Now()
 	for i := range 10 {
-		insist(t, f, f.FrontEnds[i%3], load(fmt.Sprintf("once-%d", i), "k", 5))
+		sendUntilServed(t, f, f.FrontEnds[i%3], newLoad(fmt.Sprintf("once-%d", i), "k", 5))
 	}
-	// Thirty commits, each of which would take half a second at least.
-	assert.Less(t, time.Since(began), 10*500*time.Millisecond)
+	// Three commits for each of the ten loads; with each waiting for the slow disk this would take 15 s.
+	assert.Less(t, time.Since(startedAt), 10*500*time.Millisecond)
 	require.NoError(t, os.WriteFile(filepath.Join(leader.StorageDir, "fail"), nil, 0o600))
-	f.LogStep("a sync of %s fails", leader.Name)
-	insist(t, f, f.FrontEnds[(leader.Index+1)%3], load("after", "k", 5))
+	f.LogStep("fail a sync of %s", leader.Name)
+	sendUntilServed(t, f, f.FrontEnds[(leader.Index+1)%3], newLoad("after", "k", 5))
 	leader.WaitForLog("is no copy any more")
 	assert.Equal(t, "failed", leader.RawStatus()["role"])
-	insist(t, f, leader, load("through-it", "k", 5))
+	sendUntilServed(t, f, leader, newLoad("through-it", "k", 5))
 	assert.Equal(t, 1, leader.LogMatches("is no copy any more"))
 	f.CheckHistory()
 }
 
-// A lost disk comes back under its name while the leader is cut off: it gets no vote, so there are never two leaders of one
-// term, and it is a copy again only once the rest has made it one.
-func TestDiskLostUnderItsOldName(t *testing.T) {
+// A front end that comes back with an empty disk under its old name must not vote, or there could be two leaders in
+// one term. It comes back while the leader is cut off, and becomes a replica again only once the others have made it
+// one.
+func TestEmptyDiskUnderAnOldNameDoesNotVote(t *testing.T) {
 	t.Parallel()
-	f := testharness.NewFleet(t, program, 3, lasting)
+	f := testharness.NewFleet(t, program, 3, withDurableStorage)
 	leader := f.WaitForLeader(3)
 	a, b := f.FrontEnds[(leader.Index+1)%3], f.FrontEnds[(leader.Index+2)%3]
-	told := insist(t, f, leader, load("once", "k", 20)).Rows()
+	rows := sendUntilServed(t, f, leader, newLoad("once", "k", 20)).Rows()
 	f.SetPartition(true, []*testharness.FrontEnd{leader}, []*testharness.FrontEnd{a, b})
 	a.Kill(true)
 	a.Start()
-	try := load("during", "", 10)
-	try.ClientTimeout = 2 * time.Second
+	load := newLoad("during", "", 10)
+	load.ClientTimeout = 2 * time.Second
 	for _, n := range f.FrontEnds {
-		assert.Equal(t, history.Rejected, f.SendLoad(n, try).Kind, "through %s", n.Name)
+		assert.Equal(t, history.Rejected, f.SendLoad(n, load).Kind, "through %s", n.Name)
 	}
 	assert.NotEqual(t, "leader", a.RawStatus()["role"])
-	assert.NotEqual(t, "leader", b.RawStatus()["role"], "with the vote of an empty disk")
+	assert.NotEqual(t, "leader", b.RawStatus()["role"], "elected with the vote of an empty disk")
 	f.SetPartition(false, []*testharness.FrontEnd{leader}, []*testharness.FrontEnd{a, b})
 	f.WaitForLeader(3)
-	assert.Equal(t, told, insist(t, f, a, load("once", "k", 20)).Rows())
+	assert.Equal(t, rows, sendUntilServed(t, f, a, newLoad("once", "k", 20)).Rows())
 	f.CheckHistory()
 }
 
-// Five copies, two lost at once with their disks, one of them the leader and holder of the load.
+// With five replicas, outcomes must survive the loss of two with their disks, one of them the leader and owner of
+// the load.
 func TestTwoOfFiveLost(t *testing.T) {
 	t.Parallel()
-	f := testharness.NewFleet(t, program, 5, lasting, func(f *testharness.Fleet) { f.FleetSettings["copies"] = 5 })
+	f := testharness.NewFleet(t, program, 5, withDurableStorage,
+		func(f *testharness.Fleet) { f.FleetSettings["copies"] = 5 })
 	leader := f.WaitForLeader(5)
 	other := f.FrontEnds[(leader.Index+1)%5]
-	told := insist(t, f, leader, load("once", "k", 20)).Rows()
+	rows := sendUntilServed(t, f, leader, newLoad("once", "k", 20)).Rows()
 	leader.Kill(true)
 	other.Kill(true)
 	rest := f.FrontEnds[(leader.Index+2)%5]
-	assert.Equal(t, told, insist(t, f, rest, load("once", "k", 20)).Rows())
+	assert.Equal(t, rows, sendUntilServed(t, f, rest, newLoad("once", "k", 20)).Rows())
 	leader.Start()
 	other.Start()
 	f.WaitForLeader(5)
-	assert.Equal(t, told, insist(t, f, other, load("once", "k", 20)).Rows())
+	assert.Equal(t, rows, sendUntilServed(t, f, other, newLoad("once", "k", 20)).Rows())
 	f.CheckHistory()
 }
 
-// What passes between front ends is delayed, doubled and stalled half open: links are made anew, and the rules hold.
-func TestBadWays(t *testing.T) {
+// Front ends must connect anew and keep their guarantees when messages between them are delayed and duplicated, and
+// when a path stalls in one direction.
+func TestDelayedDuplicatedAndStalledMessages(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3)
 	f.WaitForLeader(3)
@@ -403,20 +429,21 @@
 		}
 	}
 	for i := range 10 {
-		insist(t, f, f.FrontEnds[i%3], load(fmt.Sprintf("once-%d", i), "k", 10))
+		sendUntilServed(t, f, f.FrontEnds[i%3], newLoad(fmt.Sprintf("once-%d", i), "k", 10))
 	}
 	leader := f.WaitForLeader(3)
 	other := f.FrontEnds[(leader.Index+1)%3]
 	f.Proxy(leader, other).SetStalled(true)
 	f.LogStep("stall %s to %s", leader.Name, other.Name)
-	insist(t, f, other, load("stalled", "k", 10))
+	sendUntilServed(t, f, other, newLoad("stalled", "k", 10))
 	f.Proxy(leader, other).SetStalled(false)
 	f.WaitForLeader(3)
 	f.CheckHistory()
 }
 
-// A ring in which each hears only its neighbour: what can't go directly goes by way of the third, and loads are served.
-func TestRingOfThree(t *testing.T) {
+// Loads must be served when each front end is reached from only one neighbor: messages that cannot be sent directly
+// are relayed by the third front end.
+func TestOneWayRingRelaysMessages(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3)
 	f.WaitForLeader(3)
@@ -425,17 +452,17 @@
 		f.Proxy(f.FrontEnds[(i+1)%3], n).SetCut(true)
 	}
 	for i, n := range f.FrontEnds {
-		insist(t, f, n, load(fmt.Sprintf("once-%d", i), "k", 10))
+		sendUntilServed(t, f, n, newLoad(fmt.Sprintf("once-%d", i), "k", 10))
 	}
 	f.CheckHistory()
 }
 
-// Operators ask a front end about its fleet, and a configuration that can't be used is named by its key.
+// The fleet commands must show the status, the members and the loads of a fleet.
 func TestFleetCommands(t *testing.T) {
 	t.Parallel()
-	f := testharness.NewFleet(t, program, 3, lasting)
+	f := testharness.NewFleet(t, program, 3, withDurableStorage)
 	f.WaitForLeader(3)
-	insist(t, f, f.FrontEnds[0], load("once-shown", "k", 10))
+	sendUntilServed(t, f, f.FrontEnds[0], newLoad("once-shown", "k", 10))
 	run := func(args ...string) string {
 		cmd := exec.Command(program, append([]string{"fleet", "--socket", f.FrontEnds[0].AdminSocket}, args...)...)
 		out, err := cmd.CombinedOutput()
--- a/cmd/chutechute/fleet_off_test.go
+++ b/cmd/chutechute/fleet_off_test.go
@@ -13,38 +13,38 @@
 	"chutechute/internal/testharness"
 )
 
-// holds is what a process holds: descriptors by kind, and threads.
-func holds(t require.TestingT, pid int) (fds map[string]int, threads int) {
+// processResources returns a process's descriptors by kind, and its number of threads.
+func processResources(t require.TestingT, pid int) (descriptors map[string]int, threads int) {
 	dir := fmt.Sprintf("/proc/%d", pid)
-	list, err := os.ReadDir(dir + "/fd")
+	entries, err := os.ReadDir(dir + "/fd")
 	require.NoError(t, err)
-	fds = map[string]int{}
-	for _, fd := range list {
-		if to, err := os.Readlink(dir + "/fd/" + fd.Name()); err == nil {
-			kind, _, _ := strings.Cut(to, ":") // socket:[123] is a socket
-			fds[kind]++
+	descriptors = map[string]int{}
+	for _, fd := range entries {
+		if target, err := os.Readlink(dir + "/fd/" + fd.Name()); err == nil {
+			kind, _, _ := strings.Cut(target, ":") // such as socket:[123]
+			descriptors[kind]++
 		}
 	}
 	tasks, err := os.ReadDir(dir + "/task")
 	require.NoError(t, err)
-	return fds, len(tasks)
+	return descriptors, len(tasks)
 }
 
-// Without a fleet section there is no socket, thread or file more than a front end without installation has: the descriptors
-// are the same, by kind, and threads as many but for what the runtime starts as it likes.
+// A front end whose fleet is disabled must not open more descriptors or create more files than one without an
+// installation file. Descriptors are compared by kind; the Go runtime may start up to two threads more.
 func TestFleetOffCostsNothing(t *testing.T) {
-	path, disk := t.TempDir()+"/installation.json", t.TempDir()+"/disk"
-	require.NoError(t, os.WriteFile(path, []byte(`{"fleet":{"enabled":false,"site":"x","members":[],"folder":"`+disk+`",
+	path, folder := t.TempDir()+"/installation.json", t.TempDir()+"/disk"
+	require.NoError(t, os.WriteFile(path, []byte(`{"fleet":{"enabled":false,"site":"x","members":[],"folder":"`+folder+`",
 		"attached":{"enabled":true},"zone":"a"}}`), 0o600))
-	count := func(args ...string) (fds map[string]int, threads int) {
+	measure := func(args ...string) (descriptors map[string]int, threads int) {
 		r := start(t, 0, nil, func(r *testharness.Harness) { r.Args = args })
 		time.Sleep(200 * time.Millisecond)
-		return holds(t, r.Cmd.Process.Pid)
+		return processResources(t, r.Cmd.Process.Pid)
 	}
-	without, few := count()
-	with, many := count("serve", "--installation", path)
+	without, threadsWithout := measure()
+	with, threadsWith := measure("serve", "--installation", path)
 	assert.Equal(t, without, with)
-	assert.LessOrEqual(t, many, few+2)
-	_, err := os.Stat(disk)
+	assert.LessOrEqual(t, threadsWith, threadsWithout+2)
+	_, err := os.Stat(folder)
 	assert.True(t, os.IsNotExist(err))
 }
