--- a/cmd/chutechute/config.go
+++ b/cmd/chutechute/config.go
@@ -17,16 +17,16 @@
 		Use:   "config",
 		Short: "Check or show the configuration",
 		Args:  cobra.NoArgs,
-		RunE:  func(*cobra.Command, []string) error { return errors.New("config: check or show?") },
+		RunE:  func(*cobra.Command, []string) error { return errors.New("config: missing subcommand: check or show") },
 	}
 	cmd.AddCommand(&cobra.Command{
 		Use:   "check",
-		Short: "Say whether the files can be used",
-		Long: `Check reads the configuration that NODE_CONFIG names and the installation file, as the start of the front end
-does, and names the faulty key where one can't be used. Where only one of the two is given, that one is checked.`,
+		Short: "Check that the configuration files are valid",
+		Long: `Check reads the configuration file that NODE_CONFIG names and the installation file, as the front end does at
+startup, and names the key of an invalid value. If only one of the two files is given, only that one is checked.`,
 		Args: cobra.NoArgs,
 		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
-			if _, _, err := o.read(); err != nil {
+			if _, _, err := o.readFiles(); err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "ok")
@@ -34,19 +34,19 @@
 		}),
 	}, &cobra.Command{
 		Use:   "show",
-		Short: "Print the installation as it is evaluated, with defaults, and the node's limits",
+		Short: "Print the evaluated installation file with its defaults, and the node's limits",
 		Args:  cobra.NoArgs,
 		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
-			cfg, file, err := o.read()
+			cfg, file, err := o.readFiles()
 			if err != nil {
 				return err
 			}
 			shown := struct {
-				Node         *node                `json:"node,omitempty"`
+				Node         *nodeConfig          `json:"node,omitempty"`
 				Installation *config.Installation `json:"installation,omitempty"`
 			}{Installation: file}
 			if cfg != nil {
-				shown.Node = &node{cfg.Name, cfg.Listen.String(), cfg.Discovery.String(), cfg.MemoryMB, cfg.Sockets}
+				shown.Node = &nodeConfig{cfg.Name, cfg.Listen.String(), cfg.Discovery.String(), cfg.MemoryMB, cfg.Sockets}
 				if cfg.Statements != nil {
 					shown.Installation.Statement.CacheMB = float64(cfg.Statements.CacheBytes) / (1 << 20)
 				}
@@ -59,8 +59,8 @@
 	return cmd
 }
 
-// node is what show tells of the node's own configuration.
-type node struct {
+// nodeConfig is the part of the front end's own configuration that 'config show' prints.
+type nodeConfig struct {
 	Name     string `json:"name"`
 	Listen   string `json:"listen"`
 	Journal  string `json:"journal"`
@@ -68,14 +68,14 @@
 	Sockets  int    `json:"sockets"`
 }
 
-// read reads the files that are given: each is nil where it is not. Together they are checked against one
-// another.
-func (o *options) read() (cfg *config.Config, file *config.Installation, err error) {
-	named := os.Getenv("NODE_CONFIG") != ""
-	if !named && o.installation == "" {
+// readFiles reads the configuration that NODE_CONFIG names and the installation file. The one that is not given is nil;
+// if both are given, they are also checked against each other.
+func (o *options) readFiles() (cfg *config.Config, file *config.Installation, err error) {
+	hasConfig := os.Getenv("NODE_CONFIG") != ""
+	if !hasConfig && o.installation == "" {
 		return nil, nil, errors.New("neither NODE_CONFIG nor --installation is given")
 	}
-	if named {
+	if hasConfig {
 		if cfg, err = config.Load(os.Getenv, o.installation); err != nil {
 			return nil, nil, err
 		}
@@ -86,7 +86,7 @@
 	if file, err = config.ReadInstallation(o.installation); err != nil {
 		return nil, nil, err
 	}
-	if !named {
+	if !hasConfig {
 		_, err = file.Statement.Options(file.Statement.RuleClasses())
 	}
 	return cfg, file, err
--- a/cmd/chutechute/fleet.go
+++ b/cmd/chutechute/fleet.go
@@ -18,62 +18,72 @@
 	"chutechute/internal/peering"
 )
 
-// adminWait bounds an operator's question.
-const adminWait = 5 * time.Second
+// adminTimeout limits connecting to the admin socket, and then again the request with its response.
+const adminTimeout = 5 * time.Second
 
-// asking is a command whose sub-commands put questions to the front end that runs on this machine.
-type asking struct {
+// adminCommand is a command whose subcommands send requests to the front end that runs on this machine.
+type adminCommand struct {
 	*cobra.Command
 	o            *options
 	json         bool
 	socket, name string
 }
 
-func newAsking(o *options, use, short, long, none string) *asking {
-	a := &asking{o: o, Command: &cobra.Command{Use: use, Short: short, Long: long, Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return errors.New(none) }}}
+// newAdminCommand returns a command that has no subcommands yet. noSubcommand is its error text if none is given.
+func newAdminCommand(o *options, use, short, long, noSubcommand string) *adminCommand {
+	a := &adminCommand{o: o, Command: &cobra.Command{Use: use, Short: short, Long: long, Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error { return errors.New(noSubcommand) }}}
 	a.PersistentFlags().BoolVar(&a.json, "json", false, "print JSON")
-	a.PersistentFlags().StringVar(&a.socket, "socket", "", "the operators' `path`, in place of the installation's")
-	a.PersistentFlags().StringVar(&a.name, "name", "", "the front end's name, where the path holds {name}; NODE_NAME otherwise")
+	a.PersistentFlags().StringVar(&a.socket, "socket", "",
+		"the admin socket's `path`, in place of the installation file's")
+	a.PersistentFlags().StringVar(&a.name, "name", "",
+		"the front end's name, which replaces {name} in the installation file's path; NODE_NAME if not given")
 	return a
 }
 
-// add adds a sub-command that asks and prints; question has its arguments.
-func (a *asking) add(use, short string, args cobra.PositionalArgs, question func(args []string) string, print func(*cobra.Command, []byte) error) {
-	a.AddCommand(&cobra.Command{Use: use, Short: short, Args: args, RunE: cli.Does(func(cmd *cobra.Command, args []string) error {
-		path, err := a.o.adminPath(a.socket, a.name)
-		if err != nil {
-			return err
-		}
-		var text json.RawMessage
-		if err := askAdmin(path, question(args), &text); err != nil {
-			return err
-		}
-		if a.json {
-			_, err := fmt.Fprintln(cmd.OutOrStdout(), string(text))
-			return err
-		}
-		return print(cmd, text)
-	})})
+// add adds a subcommand that sends a request to the front end and prints the response. makeRequest returns the request
+// for the subcommand's arguments; printResponse prints the response as text.
+func (a *adminCommand) add(
+	use, short string, args cobra.PositionalArgs, makeRequest func(args []string) string,
+	printResponse func(*cobra.Command, []byte) error,
+) {
+	a.AddCommand(&cobra.Command{Use: use, Short: short, Args: args,
+		RunE: cli.Does(func(cmd *cobra.Command, args []string) error {
+			path, err := a.o.adminPath(a.socket, a.name)
+			if err != nil {
+				return err
+			}
+			var text json.RawMessage
+			if err := sendAdminRequest(path, makeRequest(args), &text); err != nil {
+				return err
+			}
+			if a.json {
+				_, err := fmt.Fprintln(cmd.OutOrStdout(), string(text))
+				return err
+			}
+			return printResponse(cmd, text)
+		})})
 }
 
 func newFleet(o *options) *cobra.Command {
-	a := newAsking(o, "fleet", "Ask a front end about its fleet", `Fleet asks the front end that runs on this machine, over the operators' socket that the installation file names
-(fleet.admin), or over the one given.`, "fleet: status, members or ledger?")
+	a := newAdminCommand(o, "fleet", "Show the state of the fleet as a front end sees it",
+		`Fleet asks the front end that runs on this machine, over the admin socket that the installation file names
+(fleet.admin), or over the one given by --socket.`, "fleet: missing subcommand: status, members or ledger")
 	for _, c := range []struct {
-		use, short, question string
-		print                func(cmd *cobra.Command, text []byte) error
+		use, short, request string
+		printResponse       func(cmd *cobra.Command, text []byte) error
 	}{
-		{"status", "How this front end and the record stand", "status", printStatus},
-		{"members", "Which front ends are there, as this one sees them", "status", printMembers},
-		{"ledger", "The loads on record", "ledger", printLedger},
+		{"status", "Show the state of the front end and of the replicated log", "status", printStatus},
+		{"members", "List the front ends of the fleet, as this one sees them", "status", printMembers},
+		{"ledger", "List the loads that are registered in the replicated log", "ledger", printLedger},
 	} {
-		a.add(c.use, c.short, cobra.NoArgs, func([]string) string { return c.question }, c.print)
+		a.add(c.use, c.short, cobra.NoArgs, func([]string) string { return c.request }, c.printResponse)
 	}
 	return a.Command
 }
 
-// adminPath is the operators' socket of the front end.
+// adminPath returns the path of the front end's admin socket: socket, unless it is empty, or the one that the
+// installation file gives a front end of this name.
 func (o *options) adminPath(socket, name string) (string, error) {
 	if socket != "" {
 		return socket, nil
@@ -94,25 +104,27 @@
 	return strings.ReplaceAll(file.Fleet.AdminSocket, "{name}", name), nil
 }
 
-func askAdmin(path, question string, into any) error {
-	conn, err := net.DialTimeout("unix", path, adminWait)
+// sendAdminRequest sends a request, which is a line of text, to an admin socket, and decodes the response, which is
+// JSON.
+func sendAdminRequest(path, request string, response any) error {
+	conn, err := net.DialTimeout("unix", path, adminTimeout)
 	if err != nil {
-		return fmt.Errorf("no front end answers: %w", err)
+		return fmt.Errorf("connecting to the front end's admin socket: %w", err)
 	}
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(adminWait)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(adminTimeout)); err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintln(conn, question); err != nil {
+	if _, err := fmt.Fprintln(conn, request); err != nil {
 		return err
 	}
-	if err := json.NewDecoder(bufio.NewReader(conn)).Decode(into); err != nil {
-		return fmt.Errorf("the front end's answer: %w", err)
+	if err := json.NewDecoder(bufio.NewReader(conn)).Decode(response); err != nil {
+		return fmt.Errorf("reading the front end's response: %w", err)
 	}
 	return nil
 }
 
-// table prints rows in columns.
+// table prints lines of cells in aligned columns.
 func table(cmd *cobra.Command, rows func(line func(cells ...any))) error {
 	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 	rows(func(cells ...any) {
@@ -156,11 +168,11 @@
 			line("COPIES DIFFER", fmt.Sprintf("seen %d times: keep all folders and report it", s.Divergent))
 		}
 		for _, c := range s.Replicas {
-			how := "votes"
+			role := "votes"
 			if !c.Voter {
-				how = "catches up"
+				role = "catches up"
 			}
-			line("copy", fmt.Sprintf("%s on %s, zone %q, %s", c.ReplicaID, c.Name, c.Zone, how))
+			line("copy", fmt.Sprintf("%s on %s, zone %q, %s", c.ReplicaID, c.Name, c.Zone, role))
 		}
 		if s.Warning != "" {
 			line("note", s.Warning)
@@ -168,7 +180,7 @@
 	})
 }
 
-// printView tells how the view of all front ends stands.
+// printView prints the state of this front end's view of all front ends.
 func printView(line func(...any), a *peering.ViewStatus) {
 	line("home", nameOr(a.Home, "none"))
 	age := fmt.Sprintf("%d ms old", a.ViewAgeMS)
@@ -179,13 +191,14 @@
 	if len(a.Targets) > 0 {
 		line("attached to", strings.Join(a.Targets, ", "))
 	} else {
-		line("attached here", fmt.Sprintf("%d; %d questions passed on, %d messages that found no way", a.Links, a.Forwarded, a.Undeliverable))
+		line("attached here", fmt.Sprintf("%d; %d questions passed on, %d messages that found no way",
+			a.Links, a.Forwarded, a.Undeliverable))
 	}
 }
 
-func nameOr(name, otherwise string) string {
+func nameOr(name, fallback string) string {
 	if name == "" {
-		return otherwise
+		return fallback
 	}
 	return name
 }
@@ -210,7 +223,7 @@
 	})
 }
 
-// printAllMembers prints the front ends of both roles.
+// printAllMembers prints the control members and the attached front ends.
 func printAllMembers(cmd *cobra.Command, s *peering.Status) error {
 	err := table(cmd, func(line func(...any)) {
 		line("NAME", "ROLE", "ZONE", "STATE", "HOME", "LINK", "PROCESS")
@@ -219,7 +232,7 @@
 			if m.Linked {
 				link = "up"
 			} else if m.Role == "control" && s.Role != "attached" {
-				link = "down" // control members keep one with each other
+				link = "down" // each control member has links to all others
 			}
 			line(m.Name, m.Role, nameOr(m.Zone, "-"), m.State, nameOr(m.Home, "-"), link, m.Incarnation)
 		}
@@ -239,10 +252,10 @@
 		return err
 	}
 	if s.Status.Role == "attached" {
-		return errors.New("this front end is attached and keeps no copy of the record: ask a control member")
+		return errors.New("this front end is attached and has no replica: ask a control member")
 	}
 	if s.Status.Group == "0000000000000000" {
-		return errors.New("this front end is no copy of the record: ask one that 'fleet status' names")
+		return errors.New("this front end has no replica: ask one that 'fleet status' lists")
 	}
 	return table(cmd, func(line func(...any)) {
 		line("DEDUPE", "KEY", "CLASS", "PHASE", "EPOCH", "PLACE", "OWNER", "STARTS")
--- a/cmd/chutechute/identity.go
+++ b/cmd/chutechute/identity.go
@@ -20,17 +20,19 @@
 	asJSON := false
 	cmd := &cobra.Command{
 		Use:   "identity",
-		Short: "Look into callers and their rights",
+		Short: "Check callers and their rights",
 		Args:  cobra.NoArgs,
-		RunE:  func(*cobra.Command, []string) error { return errors.New("identity: check, whoami or rights?") },
+		RunE: func(*cobra.Command, []string) error {
+			return errors.New("identity: missing subcommand: check, whoami or rights")
+		},
 	}
 	cmd.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
 	cmd.AddCommand(&cobra.Command{
 		Use:   "check",
-		Short: "Say whether the installation's identity section and its key files can be used",
+		Short: "Check that the installation file's identity section and its key files are valid",
 		Args:  cobra.NoArgs,
 		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
-			_, cfg, err := o.guard()
+			_, cfg, err := o.newGuard()
 			if err != nil {
 				return err
 			}
@@ -39,10 +41,10 @@
 		}),
 	}, &cobra.Command{
 		Use:   "whoami",
-		Short: "Say which caller a token on standard input stands for",
+		Short: "Print the caller that a token on standard input belongs to",
 		Args:  cobra.NoArgs,
 		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
-			guard, _, err := o.guard()
+			guard, _, err := o.newGuard()
 			if err != nil {
 				return err
 			}
@@ -59,53 +61,56 @@
 		}),
 	}, &cobra.Command{
 		Use:   "rights CALLER [GROUP ...]",
-		Short: "Say what a caller may send, for tables of these groups",
+		Short: "Print what a caller may send, for tables of these groups",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: cli.Does(func(cmd *cobra.Command, args []string) error {
-			guard, cfg, err := o.guard()
+			guard, cfg, err := o.newGuard()
 			if err != nil {
 				return err
 			}
-			return rights(cmd.OutOrStdout(), asJSON, guard, cfg, args[0], args[1:])
+			return printRights(cmd.OutOrStdout(), asJSON, guard, cfg, args[0], args[1:])
 		}),
 	})
 	return cmd
 }
 
-// guard is one set as the front end's would be, with the keys as they are in their files.
-func (o *options) guard() (*identity.Guard, *config.Config, error) {
-	cfg, _, err := o.read()
+// newGuard returns a Guard with the options of the front end, and with the current contents of the files of keys and of
+// revoked tokens.
+func (o *options) newGuard() (*identity.Guard, *config.Config, error) {
+	cfg, _, err := o.readFiles()
 	switch {
 	case err != nil:
 		return nil, nil, err
 	case cfg == nil:
-		return nil, nil, errors.New("NODE_CONFIG is not set: classes and tenants are those of its settings")
+		return nil, nil, errors.New("NODE_CONFIG is not set: its settings define the classes and tenants")
 	case cfg.Callers == nil:
-		return nil, nil, errors.New("identity is off: --installation names no file with identity.enabled")
+		return nil, nil, errors.New("identity is off: no installation file with identity.enabled is given by --installation")
 	}
 	guard, err := identity.New(*cfg.Callers, cfg.Settings.ClassNames(), token.Verifier{})
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, one := range cfg.Identity().Issuers {
-		keys, err := keyfiles.Keys(one.Keys)
+	for _, issuer := range cfg.Identity().Issuers {
+		keys, err := keyfiles.Keys(issuer.Keys)
 		if err != nil {
-			return nil, nil, fmt.Errorf("issuer %q: %w", one.Name, err)
+			return nil, nil, fmt.Errorf("issuer %q: %w", issuer.Name, err)
 		}
-		guard.SetKeys(one.Name, keys)
+		guard.SetKeys(issuer.Name, keys)
 	}
 	if path := cfg.Identity().Revoked; path != "" {
-		list, err := keyfiles.Revoked(path)
+		revocations, err := keyfiles.Revoked(path)
 		if err != nil {
 			return nil, nil, err
 		}
-		guard.SetRevocations(list)
+		guard.SetRevocations(revocations)
 	}
 	return guard, cfg, nil
 }
 
-// rights prints, for each class and group, whether a caller may.
-func rights(out io.Writer, asJSON bool, guard *identity.Guard, cfg *config.Config, name string, groups []string) error {
+// printRights prints, for each class and group, whether a caller may send queries.
+func printRights(
+	out io.Writer, asJSON bool, guard *identity.Guard, cfg *config.Config, name string, groups []string,
+) error {
 	caller := identity.Caller{Name: name}
 	known := false
 	for _, rule := range cfg.Callers.Callers {
@@ -114,27 +119,28 @@
 		}
 	}
 	if !known {
-		return fmt.Errorf("no caller %q", name)
+		return fmt.Errorf("identity.callers has no caller %q", name)
 	}
 	if len(groups) == 0 {
 		groups = []string{"0"}
 	}
-	type answer struct {
+	type right struct {
 		Class   string `json:"class"`
 		Group   int    `json:"group"`
 		Allowed bool   `json:"allowed"`
 	}
-	var list []answer
+	var list []right
 	text := "tenant " + caller.Tenant
 	for _, class := range cfg.Settings.ClassNames() {
 		for _, g := range groups {
 			n := 0
 			if _, err := fmt.Sscan(g, &n); err != nil {
-				return fmt.Errorf("group %q is no number", g)
+				return fmt.Errorf("group %q is not a number", g)
 			}
 			_, err := guard.Authorize(caller, "", class, n)
-			list = append(list, answer{class, n, err == nil})
-			text += fmt.Sprintf("\n%-20s group %-6d %s", class, n, map[bool]string{true: "allowed", false: "denied"}[err == nil])
+			list = append(list, right{class, n, err == nil})
+			text += fmt.Sprintf("\n%-20s group %-6d %s",
+				class, n, map[bool]string{true: "allowed", false: "denied"}[err == nil])
 		}
 	}
 	return cli.Show(out, asJSON, map[string]any{"caller": name, "tenant": caller.Tenant, "rights": list}, text)
--- a/cmd/chutechute/keys.go
+++ b/cmd/chutechute/keys.go
@@ -11,11 +11,12 @@
 	"chutechute/internal/cli"
 )
 
-// keeper is the program beside this one that keeps keys.
-const keeper = "chutechute-keys"
+// keysProgram is the program for keys and certificates. It is installed in the same folder as this one.
+const keysProgram = "chutechute-keys"
 
-// newBeside is a command that the keeper carries out, flags and all.
-func newBeside(use, short string) *cobra.Command {
+// newDelegated returns a command that replaces this process by keysProgram, which parses the flags and arguments
+// itself.
+func newDelegated(use, short string) *cobra.Command {
 	return &cobra.Command{
 		Use:                use,
 		Short:              short,
@@ -25,9 +26,9 @@
 			if err != nil {
 				return err
 			}
-			program := filepath.Join(filepath.Dir(self), keeper)
+			program := filepath.Join(filepath.Dir(self), keysProgram)
 			err = syscall.Exec(program, append([]string{"chutechute", use}, args...), os.Environ())
-			return fmt.Errorf("%s: %w", program, err) // it returns only where it can't
+			return fmt.Errorf("%s: %w", program, err) // Exec returns only if it has failed
 		}),
 	}
 }
--- a/cmd/chutechute/main.go
+++ b/cmd/chutechute/main.go
@@ -1,5 +1,6 @@
-// Command chutechute is the front end: it takes queries from clients, decides when and on which engine
-// each runs, and passes the results on. Sub-commands check its files and explain statements.
+// Command chutechute is the front end: it takes queries from clients, decides when and on which engine each runs, and
+// passes the results on. Other subcommands check its files, explain statements and ask a running front end for its
+// state.
 package main
 
 import (
@@ -14,7 +15,7 @@
 
 func main() { cli.Main(newRoot()) }
 
-// options are the flags that commands share.
+// options are the flags that several commands share.
 type options struct {
 	installation string
 	logFormat    string
@@ -26,17 +27,19 @@
 	root := &cobra.Command{
 		Use:   "chutechute",
 		Short: "A front end for query engines",
-		Long:  "chutechute takes queries from clients, decides when and on which engine each runs, and passes the results on.\nAlone it serves, as 'chutechute serve' does.",
-		Args:  cobra.NoArgs,
+		Long: `chutechute takes queries from clients, decides when and on which engine each runs, and passes the results on.
+Without a subcommand it does the same as 'chutechute serve'.`,
+		Args: cobra.NoArgs,
 	}
 	root.PersistentFlags().StringVar(&o.installation, "installation", "",
-		"the installation `file`, as deploy/chutechute.jsonnet; all that it sets is off without it")
+		"the installation `file`, such as deploy/chutechute.jsonnet; without it all features that it configures are off")
 	serve := newServe(&o)
 	addLogFlags(root, &o)
 	addLogFlags(serve, &o)
 	root.RunE = serve.RunE
 	root.AddCommand(serve, newConfig(&o), newStatement(&o), newIdentity(&o), newFleet(&o), newBudget(&o), newVersion(),
-		newBeside("keys", "Keep the keys that sign tokens"), newBeside("cert", "Make certificates for trials"))
+		newDelegated("keys", "Manage the keys that sign tokens"),
+		newDelegated("cert", "Issue certificates for development and tests"))
 	return root
 }
 
@@ -45,11 +48,11 @@
 	cmd.Flags().StringVar(&o.logLevel, "log-level", "info", "debug, info, warn or error")
 }
 
-// logger is the log on standard error in the form asked for.
+// logger returns a logger to standard error with the format and level of the flags.
 func (o *options) logger() (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(o.logLevel)); err != nil {
-		return nil, fmt.Errorf("--log-level: %q is none of debug, info, warn and error", o.logLevel)
+		return nil, fmt.Errorf("--log-level: %q is not debug, info, warn or error", o.logLevel)
 	}
 	h := &slog.HandlerOptions{Level: level}
 	switch o.logFormat {
--- a/cmd/chutechute/serve.go
+++ b/cmd/chutechute/serve.go
@@ -18,9 +18,9 @@
 func newServe(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "serve",
-		Short: "Serve until a signal ends it",
-		Long: `Serve runs the front end in the foreground. NODE_CONFIG names its configuration. SIGTERM or SIGINT begins a
-planned exit, SIGHUP reads the configuration and the installation file again, SIGUSR1 prints the counters.`,
+		Short: "Run the front end until a signal ends it",
+		Long: `Serve runs the front end in the foreground. NODE_CONFIG names its configuration file. SIGTERM or SIGINT starts
+a graceful shutdown, SIGHUP reloads the configuration and the installation file, SIGUSR1 prints the counters.`,
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			log, err := o.logger()
@@ -35,10 +35,12 @@
 	}
 }
 
+// serve runs a front end and handles the signals of the process.
 func serve(installation string, log *slog.Logger) error {
-	signals := make(chan os.Signal, 16) // from the first on: a signal that nobody awaits would end the program
+	signals := make(chan os.Signal, 16) // first of all: a signal without a handler would end the process
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE, syscall.SIGXFSZ) // a file that may not grow is an error of its write
+	// Writes to a closed pipe, and to a file that has reached the size limit, return an error instead.
+	signal.Ignore(syscall.SIGPIPE, syscall.SIGXFSZ)
 	cfg, err := config.Load(os.Getenv, installation)
 	if err != nil {
 		return err
@@ -56,7 +58,7 @@
 			case syscall.SIGUSR1:
 				server.PrintCounters()
 			case syscall.SIGHUP:
-				go server.Reload() // it may take a while, and SIGTERM is not to wait for it
+				go server.Reload() // it may take long, and SIGTERM must not wait for it
 			default:
 				server.Drain()
 			}
--- a/cmd/chutechute/statement.go
+++ b/cmd/chutechute/statement.go
@@ -20,18 +20,18 @@
 func newStatement(o *options) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "statement",
-		Short: "Look into statements",
+		Short: "Inspect statements",
 		Args:  cobra.NoArgs,
-		RunE:  func(*cobra.Command, []string) error { return errors.New("statement: explain?") },
+		RunE:  func(*cobra.Command, []string) error { return errors.New("statement: missing subcommand: explain") },
 	}
 	cmd.AddCommand(&cobra.Command{
 		Use:   "explain [file ...]",
-		Short: "Print what is read from statements, a line of JSON for each",
-		Long: `Explain reads statements that NUL bytes part, from files or from standard input, and prints for each what the
-front end would make of it when nothing was learned yet. Classes come from the rules of --installation, and from
-NODE_CONFIG's settings where that is set.`,
+		Short: "Print what the front end finds in statements, one line of JSON for each",
+		Long: `Explain reads statements that are separated by NUL bytes, from files or from standard input, and prints for
+each what a front end that has not learned from any query yet would derive from it. Classes come from the rules of
+--installation, and from NODE_CONFIG's settings if that is set.`,
 		RunE: cli.Does(func(cmd *cobra.Command, files []string) error {
-			reader, classes, err := o.reader()
+			reader, classes, err := o.newReader()
 			if err != nil {
 				return err
 			}
@@ -39,11 +39,11 @@
 			x := explainer{reader: reader, classes: classes, out: json.NewEncoder(out)}
 			x.out.SetEscapeHTML(false)
 			if len(files) == 0 {
-				err = x.all(cmd.InOrStdin())
+				err = x.explainAll(cmd.InOrStdin())
 			}
 			for _, name := range files {
 				if err == nil {
-					err = x.file(name)
+					err = x.explainFile(name)
 				}
 			}
 			return errors.Join(err, out.Flush())
@@ -52,11 +52,11 @@
 	return cmd
 }
 
-// reader is one that is set as the front end's would be.
-func (o *options) reader() (*statement.Reader, []statement.Class, error) {
+// newReader returns a Reader with the options of the front end, and the classes that it classifies into.
+func (o *options) newReader() (*statement.Reader, []statement.Class, error) {
 	options := &statement.Options{}
 	if o.installation != "" || os.Getenv("NODE_CONFIG") != "" {
-		cfg, file, err := o.read()
+		cfg, file, err := o.readFiles()
 		if err != nil {
 			return nil, nil, err
 		}
@@ -77,7 +77,7 @@
 	return r, options.Classes, err
 }
 
-// explanation is what is printed of a statement.
+// explanation is what is printed for a statement.
 type explanation struct {
 	Class      string      `json:"class"`
 	Verb       string      `json:"verb"`
@@ -89,7 +89,7 @@
 	CostHighMS float64     `json:"cost_high_ms"`
 	MemoryMB   float64     `json:"memory_mb"`
 	Repeatable bool        `json:"repeatable"`
-	Error      *fault      `json:"error"`
+	Error      *parseError `json:"error"`
 }
 
 type tableRole struct {
@@ -97,7 +97,7 @@
 	Role string `json:"role"`
 }
 
-type fault struct {
+type parseError struct {
 	Line    int    `json:"line"`
 	Column  int    `json:"column"`
 	Message string `json:"message"`
@@ -109,17 +109,18 @@
 	out     *json.Encoder
 }
 
-func (x *explainer) file(name string) error {
+func (x *explainer) explainFile(name string) error {
 	f, err := os.Open(name)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	return x.all(f)
+	return x.explainAll(f)
 }
 
-// all explains the statements of one stream. What follows the last NUL is one more unless it is empty.
-func (x *explainer) all(in io.Reader) error {
+// explainAll explains the statements of one stream. Text after the last NUL byte is one more statement, unless it is
+// blank.
+func (x *explainer) explainAll(in io.Reader) error {
 	r := bufio.NewReader(in)
 	for {
 		text, err := r.ReadBytes(0)
@@ -141,13 +142,14 @@
 func (x *explainer) explain(text []byte) explanation {
 	e := explanation{Tables: []tableRole{}, Group: x.reader.TableGroup(text)}
 	reading, err := x.reader.Read(text)
-	var at *syntax.Error
-	if errors.As(err, &at) {
-		e.Error = &fault{at.Line, at.Column, at.Message}
-		// What becomes of it may still be set: one class for all that can't be read.
-		if done, err := x.reader.Complete(statement.Call{Text: text, Class: -1}); err == nil {
-			e.Class = x.classes[done.Class].Name
-			e.CostMS, e.CostHighMS, e.MemoryMB = round(done.CostMS), round(done.CostUpperBoundMS), round(done.MemoryMB)
+	var syntaxErr *syntax.Error
+	if errors.As(err, &syntaxErr) {
+		e.Error = &parseError{syntaxErr.Line, syntaxErr.Column, syntaxErr.Message}
+		// The installation file may set a class for all statements that can't be parsed (statement.unparsed_class).
+		if completion, err := x.reader.Complete(statement.Call{Text: text, Class: -1}); err == nil {
+			e.Class = x.classes[completion.Class].Name
+			e.CostMS, e.CostHighMS, e.MemoryMB = round(completion.CostMS), round(completion.CostUpperBoundMS),
+				round(completion.MemoryMB)
 		}
 		return e
 	}
@@ -168,5 +170,5 @@
 	return e
 }
 
-// round keeps three decimals.
+// round rounds to three decimals.
 func round(x float64) float64 { return math.Round(x*1000) / 1000 }
--- a/cmd/chutechute/version.go
+++ b/cmd/chutechute/version.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 )
 
-// version is that of the newest heading in CHANGELOG.md.
+// version is the version in the newest heading of CHANGELOG.md.
 const version = "0.3.0"
 
 func newVersion() *cobra.Command {
@@ -16,7 +16,8 @@
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			fmt.Fprintf(cmd.OutOrStdout(), "chutechute %s (%s, %s/%s)\n", version, runtime.Version(), runtime.GOOS, runtime.GOARCH)
+			fmt.Fprintf(cmd.OutOrStdout(), "chutechute %s (%s, %s/%s)\n",
+				version, runtime.Version(), runtime.GOOS, runtime.GOARCH)
 		},
 	}
 }
