--- a/cmd/chutechute-eval/main.go
+++ b/cmd/chutechute-eval/main.go
@@ -1,5 +1,5 @@
-// Command chutechute-eval evaluates a Jsonnet file and prints what it comes to as JSON. The front end runs it to read its
-// installation file: Jsonnet's library would cost each idle front end 1.6 MB of memory for what happens once.
+// Command chutechute-eval evaluates a Jsonnet file and prints the resulting JSON. The front end runs it to read its
+// installation file: the Jsonnet library, needed only for that, would cost each idle front end 1.6 MB of memory.
 package main
 
 import (
--- a/cmd/chutechute-keys/main.go
+++ b/cmd/chutechute-keys/main.go
@@ -1,5 +1,6 @@
-// Command chutechute-keys keeps the keys that sign tokens and makes certificates for trials. 'chutechute keys' and 'chutechute cert'
-// run it: what it takes would cost each idle front end 0.2 MB of memory.
+// Command chutechute-keys manages the keys that sign tokens and issues certificates for development and tests.
+// 'chutechute keys' and 'chutechute cert' run it: as a part of chutechute it would cost each idle front end 0.2 MB of
+// memory.
 package main
 
 import (
@@ -12,10 +13,10 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "chutechute", Short: "Keep keys and make certificates", Args: cobra.NoArgs}
+	root := &cobra.Command{Use: "chutechute", Short: "Manage keys and issue certificates", Args: cobra.NoArgs}
 	root.AddCommand(newKeys(), newCert())
 	cli.Main(root)
 }
 
-// wall is the time of the system's clock.
-func wall() monotime.Micros { return time.Now().UnixMicro() }
+// wallClock returns the current time of the system's clock.
+func wallClock() monotime.Micros { return time.Now().UnixMicro() }
