--- a/cmd/chutechute-scale/fit.go
+++ b/cmd/chutechute-scale/fit.go
@@ -14,16 +14,16 @@
 	"chutechute/internal/scale"
 )
 
-var errNoSeries = errors.New("no figure has been measured at three sizes or more")
+var errNoSeries = errors.New("no figure was measured at three or more sizes")
 
 func newFit() *cobra.Command {
 	var to float64
 	cmd := &cobra.Command{
 		Use:   "fit FILE...",
-		Short: "Fit what runs of several sizes measured",
-		Long: `Fit fits each figure that the results have at three sizes or more by a straight line and by a power law, both by least
-squares, and says what each misses. The value at the size asked for is by the one that misses less as a share; beyond the
-measured range it is an extrapolation, and the line says how far.`,
+		Short: "Fit curves to the figures of runs of several sizes",
+		Long: `Fit fits a straight line and a power law to each figure that the results have at three or more sizes, both by
+least squares, and prints the residual of each. The value at the size of --to is computed from the one with the smaller
+relative residual; beyond the measured range it is an extrapolation, and the output says how far.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, files []string) error {
 			if !(to > 0) {
@@ -41,35 +41,37 @@
 			if len(fits) == 0 {
 				return cli.Fail(errNoSeries)
 			}
-			return cli.Fail(showFits(cmd.OutOrStdout(), fits, to))
+			return cli.Fail(printFits(cmd.OutOrStdout(), fits, to))
 		},
 	}
-	cmd.Flags().Float64Var(&to, "to", scale.TargetFrontEnds, "the size that values are given for")
+	cmd.Flags().Float64Var(&to, "to", scale.TargetFrontEnds, "the size to compute values for")
 	return cmd
 }
 
-func showFits(out io.Writer, fits []scale.Fit, to float64) error {
+func printFits(out io.Writer, fits []scale.Fit, to float64) error {
 	return table(out, func(line func(...any)) {
-		line("FIGURE", "MEASURED", "POWER LAW", "MISSES", "STRAIGHT LINE", "MISSES", "REPEATS DIFFER", fmt.Sprintf("AT %g", to), "BY")
+		line("FIGURE", "MEASURED", "POWER LAW", "MISSES", "STRAIGHT LINE", "MISSES", "REPEATS DIFFER",
+			fmt.Sprintf("AT %g", to), "BY")
 		for i := range fits {
 			f := &fits[i]
-			power, misses := "-", "-"
+			power, residual := "-", "-"
 			if f.Power != nil {
-				power, misses = fmt.Sprintf("%.3g * x^%.2f", f.Power.Intercept, f.Power.Slope), fmt.Sprintf("%.1f%%", 100*f.Power.Residual)
+				power, residual = fmt.Sprintf("%.3g * x^%.2f", f.Power.Intercept, f.Power.Slope),
+					fmt.Sprintf("%.1f%%", 100*f.Power.Residual)
 			}
 			value, law, beyond := f.At(to)
 			by := law
 			if beyond > 1 {
 				by += fmt.Sprintf(", extrapolated %.1f times beyond the largest", beyond)
 			}
-			line(f.Figure, fmt.Sprintf("%g to %g, %d runs", f.From, f.To, f.Samples), power, misses,
+			line(f.Figure, fmt.Sprintf("%g to %g, %d runs", f.From, f.To, f.Samples), power, residual,
 				fmt.Sprintf("%.3g + %.3g * x", f.Linear.Intercept, f.Linear.Slope), fmt.Sprintf("%.3g", f.Linear.Residual),
 				fmt.Sprintf("%.1f%%", 100*f.RepeatDiffers), fmt.Sprintf("%.4g %s", value, f.Unit), by)
 		}
 	})
 }
 
-// table prints rows in columns.
+// table prints lines of cells in aligned columns.
 func table(out io.Writer, rows func(line func(cells ...any))) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	rows(func(cells ...any) {
--- a/cmd/chutechute-scale/hollow.go
+++ b/cmd/chutechute-scale/hollow.go
@@ -12,23 +12,23 @@
 	"chutechute/internal/scale/sockets"
 )
 
-// hollowCommand is how run starts this program again.
+// hollowCommand is the hidden subcommand by which run starts this program again, as a worker.
 const hollowCommand = "hollow"
 
 func newHollow() *cobra.Command {
-	var most time.Duration
+	var maxDuration time.Duration
 	cmd := &cobra.Command{
 		Use:    hollowCommand,
-		Short:  "Carry hollow front ends, as run asks for on standard input",
+		Short:  "Run hollow front ends, as requested by run over standard input",
 		Args:   cobra.NoArgs,
 		Hidden: true,
 		RunE: cli.Does(func(*cobra.Command, []string) error {
-			// Links that end with a front end are what faults are about, and not worth a line each.
+			// Errors only: faults break links on purpose, so that those are not worth a log line each.
 			slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
-			runtime.GOMAXPROCS(1) // as the program does
-			return sockets.Work(os.Stdin, os.Stdout, most)
+			runtime.GOMAXPROCS(1) // as in the real front end
+			return sockets.Work(os.Stdin, os.Stdout, maxDuration)
 		}),
 	}
-	cmd.Flags().DurationVar(&most, "most", time.Minute, "after which it ends in any case")
+	cmd.Flags().DurationVar(&maxDuration, "most", time.Minute, "how long the process runs at most")
 	return cmd
 }
--- a/cmd/chutechute-scale/main.go
+++ b/cmd/chutechute-scale/main.go
@@ -1,5 +1,5 @@
-// Command chutechute-scale measures what a fleet's control traffic costs by its size, over loopback sockets or in virtual time, and
-// fits what was measured.
+// Command chutechute-scale measures how the cost of a fleet's control traffic grows with the fleet's size, over
+// loopback sockets or in virtual time, and fits curves to the results.
 package main
 
 import (
@@ -13,9 +13,9 @@
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "chutechute-scale",
-		Short: "Measure a fleet's control traffic by its size",
+		Short: "Measure how a fleet's control traffic grows with its size",
 		Args:  cobra.NoArgs,
-		RunE:  func(*cobra.Command, []string) error { return errNoCommand },
+		RunE:  func(*cobra.Command, []string) error { return errNoSubcommand },
 	}
 	root.AddCommand(newRun(), newFit(), newHollow())
 	return root
--- a/cmd/chutechute-scale/main_test.go
+++ b/cmd/chutechute-scale/main_test.go
@@ -23,7 +23,7 @@
 	return stdout.String(), err
 }
 
-// What is asked for wrongly is refused with the flag's name, and nothing starts.
+// Invalid flags are rejected with the name of the flag, and nothing is started.
 func TestRunNamesTheFlag(t *testing.T) {
 	for _, c := range []struct{ flag, value, want string }{
 		{"--control", "81", "--control: 81"},
@@ -42,7 +42,7 @@
 	}
 }
 
-// In virtual time what is asked for is checked alike, and a run gives figures of both roles.
+// A run in virtual time rejects invalid flags too, and measures both roles.
 func TestRunInVirtualTime(t *testing.T) {
 	for _, c := range []struct{ flag, value, want string }{
 		{"--control", "1", "--control: 1"},
