--- a/docs/codebase_test.go
+++ b/docs/codebase_test.go
@@ -167,9 +167,9 @@
 		case *ast.CallExpr:
 			switch name := calledName(n); {
 			case len(n.Args) < 2:
-			case name == "add" || name == "newBeside":
+			case name == "add" || name == "newDelegated":
 				c.command(n.Args[0])
-			case name == "newAsking" || strings.HasSuffix(name, "Var"): // after the options, or after the variable
+			case name == "newAdminCommand" || strings.HasSuffix(name, "Var"): // after the options, or after the variable
 				c.command(n.Args[1])
 			}
 		case *ast.CompositeLit:
