--- a/cmd/chutechute/capacity_test.go
+++ b/cmd/chutechute/capacity_test.go
@@ -139,11 +139,11 @@
 		capacityMB, warmClients))
 	for range 2 {
 		for _, count := range []int{100, 300, 1000, 2000} {
-			town := newTown(t, "none", "")
-			r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), town.installed,
+			town := newTLSFixture(t, "none", "")
+			r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), town.useInstallation,
 				func(r *testharness.Harness) { r.SocketLimit, r.MemoryLimitMB = socketsEach*count+1024, capacityMB })
-			config, _ := town.client("", town.ca)
-			connect := func() *testharness.Client { return town.must(r, config) }
+			config, _ := town.clientConfig("", town.ca)
+			connect := func() *testharness.Client { return town.connect(r, config) }
 			connected(t, warmClients, connect)
 			before := takenBy(t, r.Cmd.Process.Pid)
 			connected(t, count, connect)
--- a/cmd/chutechute/client_gone_test.go
+++ b/cmd/chutechute/client_gone_test.go
@@ -14,8 +14,8 @@
 	"chutechute/internal/testharness"
 )
 
-// asleep stops the front end while f runs, so that all that f does comes in one turn.
-func asleep(r *testharness.Harness, f func()) {
+// whileStopped stops the front end while f runs, so that it receives all that f sends in one turn of its event loop.
+func whileStopped(r *testharness.Harness, f func()) {
 	r.Signal(syscall.SIGSTOP)
 	stopped := func() bool {
 		state, err := r.ProcessState()
@@ -26,35 +26,37 @@
 	r.Signal(syscall.SIGCONT)
 }
 
-// settled waits until the front end has taken the news of as many clients' ends.
-func settled(r *testharness.Harness, left int) {
-	require.Eventually(r.T, func() bool { return r.Counter("connections ended by their clients") == left }, testharness.WaitTimeout, 5*time.Millisecond)
+// waitForClientDisconnects waits until the front end has counted that many connections that clients have closed.
+func waitForClientDisconnects(r *testharness.Harness, count int) {
+	require.Eventually(r.T, func() bool { return r.Counter("connections ended by their clients") == count },
+		testharness.WaitTimeout, 5*time.Millisecond)
 }
 
-// Nothing begins for a client whose end has come in, however much it sent before: of a burst longer than one turn's share the rest
-// was taken in later turns, and what the first turn took had begun by then.
-func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
-	for name, leave := range map[string]func(c net.Conn){
+// No request is started for a client that has disconnected, however many it sent before. A burst of more requests than
+// one turn takes in was once spread over several turns, and those of the first were started before the disconnect was
+// seen.
+func TestNoRequestStartsForADisconnectedClient(t *testing.T) {
+	for name, disconnect := range map[string]func(c net.Conn){
 		"closed":      func(c net.Conn) { c.Close() },
 		"reset":       func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() },
 		"half-closed": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow))
-			old, other := r.NewClient(), r.NewClient()
-			require.True(t, old.Healthy() && other.Healthy())
-			asleep(r, func() {
-				fresh := r.NewClient() // it is accepted with its end behind its requests
-				for i, c := range []*testharness.Client{old, fresh} {
+			existing, other := r.NewClient(), r.NewClient()
+			require.True(t, existing.Healthy() && other.Healthy())
+			whileStopped(r, func() {
+				fresh := r.NewClient() // accepted with its requests and its disconnect already received
+				for i, c := range []*testharness.Client{existing, fresh} {
 					for n := range 100 {
 						c.SendLookup(1000*i+n, "5000")
 					}
-					leave(c.Conn)
+					disconnect(c.Conn)
 				}
 				other.SendLookup(5000, "5000")
 			})
 			assert.Equal(t, "answer", other.ReadReply().Kind)
-			settled(r, 2)
+			waitForClientDisconnects(r, 2)
 			posts := r.Requests("POST", "/")
 			require.Len(t, posts, 1)
 			assert.Equal(t, testharness.RequestID(5000), posts[0].Header.Get("Request-Id"))
@@ -62,13 +64,13 @@
 	}
 }
 
-// The end of a client is seen though nothing is read from it, as it leaves its answers unread: its running load is given up, and
-// what waited behind that in the key's line never begins.
-func TestEndOfAClientThatIsNotReadFrom(t *testing.T) {
-	big := strings.Repeat(testharness.ResultRow, 900) // in rows of an answer's most
+// The disconnect of a client is seen although the front end has stopped reading from it because it doesn't read its
+// responses. Its running load is ended, and the load queued behind that for the same order key is never started.
+func TestDisconnectOfAClientThatIsNotRead(t *testing.T) {
+	page := strings.Repeat(testharness.ResultRow, 900) // one page, close to the maximum size
 	var pages []string
 	for range 7 {
-		pages = append(pages, big)
+		pages = append(pages, page)
 	}
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		load := testharness.RequestID(1)
@@ -87,9 +89,10 @@
 	c.SendLoad(1, "20000")
 	c.SendLoad(2, "20000")
 	r.WaitForRequests(1, "GET", "/v1/store/"+testharness.RequestID(1))
-	for n := 10; ; n++ { // until its answers stand in the front end's own buffer, and no more is read from it
+	for n := 10; ; n++ { // until responses fill the front end's buffer, and it stops reading from the client
 		for i := range 20 {
-			if c.TrySendRequest("SELECT * FROM s_1.t", "call", testharness.RequestID(100*n+i), "op", "lookup", "ttl", "5000", "org", "t", "work", "1.0") != nil {
+			if c.TrySendRequest("SELECT * FROM s_1.t", "call", testharness.RequestID(100*n+i), "op", "lookup", "ttl", "5000",
+				"org", "t", "work", "1.0") != nil {
 				break
 			}
 		}
@@ -102,47 +105,49 @@
 		require.Less(t, n, 400)
 	}
 	require.NoError(t, c.Conn.(*net.TCPConn).CloseWrite())
-	begun := time.Now()
+	disconnected := time.Now()
 	r.WaitForRequests(1, "DELETE", "/v1/store/"+testharness.RequestID(1))
-	assert.Less(t, time.Since(begun), 2*time.Second)
+	assert.Less(t, time.Since(disconnected), 2*time.Second)
 	assert.True(t, r.NewClient().Healthy())
 	time.Sleep(100 * time.Millisecond)
 	for _, p := range r.Requests("POST", "/") {
-		assert.NotEqual(t, testharness.RequestID(2), p.Header.Get("Request-Id"), "the key's next began for a client that had left")
+		assert.NotEqual(t, testharness.RequestID(2), p.Header.Get("Request-Id"),
+			"the next load of the order key was started for a disconnected client")
 	}
 }
 
-// A cancel that comes with its request in one turn keeps it from beginning, and it names the connection's own request, whatever
-// number or id another client uses.
+// A cancel that is received in the same turn as its request keeps the request from being started. It applies to the
+// request of its own connection, even if another client uses the same sequence number.
 func TestCancelInTheSameTurn(t *testing.T) {
 	r := start(t, 1, testharness.SucceedAfterPolls(1, testharness.ResultRow))
 	a, b := r.NewClient(), r.NewClient()
 	require.True(t, a.Healthy() && b.Healthy())
-	asleep(r, func() {
+	whileStopped(r, func() {
 		seq := a.SendLookup(1, "5000")
 		b.SendLookup(2, "5000")
-		require.Equal(t, seq, b.LastSeq, "both have the same number")
+		require.Equal(t, seq, b.LastSeq, "both have the same sequence number")
 		a.SendMessage(4, "cancel", []byte{8, 0, 1, 0, 0, 0, byte(seq)})
 	})
 	assert.Equal(t, "answer", b.ReadReply().Kind)
-	assert.True(t, a.Healthy(), "the next message is the answer to health")
+	assert.True(t, a.Healthy(), "the next message is the response to health")
 	posts := r.Requests("POST", "/")
 	require.Len(t, posts, 1)
 	assert.Equal(t, testharness.RequestID(2), posts[0].Header.Get("Request-Id"))
 }
 
-// Half a message, or one that can't be read, ends what its client has said: what was taken before is still answered.
-func TestAnswersBeforeBadInput(t *testing.T) {
-	for name, junk := range map[string]string{"garbled": "\x00\x00\x00\x0cabcdefghijkl", "half": "\x00\x00\x01\x00\x80\x01"} {
+// An incomplete or malformed message ends its client's input, but the requests received before it are still answered.
+func TestRequestsBeforeMalformedInputAreAnswered(t *testing.T) {
+	for name, junk := range map[string]string{"garbled": "\x00\x00\x00\x0cabcdefghijkl",
+		"half": "\x00\x00\x01\x00\x80\x01"} {
 		t.Run(name, func(t *testing.T) {
 			r := start(t, 1, testharness.SucceedAfterPolls(60, testharness.ResultRow)) // three seconds
 			c := r.NewClient()
-			load2(c, 1)
+			sendUnorderedLoad(c, 1)
 			_, err := c.Conn.Write([]byte(junk))
 			require.NoError(t, err)
 			assert.Equal(t, "answer", c.ReadReply().Kind)
 			_, err = c.Conn.Read(make([]byte, 1))
-			assert.Error(t, err, "and then it is closed")
+			assert.Error(t, err, "the connection is closed after the response")
 			assert.Empty(t, r.Requests("DELETE", "/"))
 		})
 	}
--- a/cmd/chutechute/clients_test.go
+++ b/cmd/chutechute/clients_test.go
@@ -16,7 +16,8 @@
 	"chutechute/internal/testharness"
 )
 
-// streams_per_conn is about engines: a client may have 32 requests open whatever it says.
+// A client may have 32 requests open on its connection, whatever the setting streams_per_conn, which applies to
+// engines.
 func TestClientsMayHave32Open(t *testing.T) {
 	r := start(t, 1, testharness.SucceedAfterPolls(4, testharness.ResultRow))
 	c := r.NewClient()
@@ -32,22 +33,23 @@
 	assert.Len(t, seen, 32)
 }
 
-// Engines use the descriptors that clients leave, but clients who come later are still taken in and the
-// queries whose connections they cost go on.
-func TestClientsTakeDescriptorsBack(t *testing.T) {
-	r := start(t, 1, testharness.SucceedAfterPolls(5, testharness.ResultRow), func(r *testharness.Harness) { r.SocketLimit = 64 })
+// Connections to engines may use the descriptors that clients leave free, but new clients still get descriptors, and
+// the queries whose connections are closed for them go on.
+func TestClientsReclaimDescriptorsFromEngines(t *testing.T) {
+	r := start(t, 1, testharness.SucceedAfterPolls(5, testharness.ResultRow),
+		func(r *testharness.Harness) { r.SocketLimit = 64 })
 	a, b := r.NewClient(), r.NewClient()
 	for i := range 30 {
-		load2(a, i)
-		load2(b, 100+i)
+		sendUnorderedLoad(a, i)
+		sendUnorderedLoad(b, 100+i)
 	}
 	r.WaitForRequests(10, "POST", "/")
 	for range 18 {
 		assert.True(t, r.NewClient().Healthy())
 	}
 	assert.Eventually(t, func() bool {
-		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.Cmd.Process.Pid))
-		return err == nil && len(fds) <= 64
+		descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.Cmd.Process.Pid))
+		return err == nil && len(descriptors) <= 64
 	}, testharness.WaitTimeout, time.Millisecond)
 	for range 30 {
 		assert.Equal(t, "answer", a.ReadReply().Kind)
@@ -56,10 +58,12 @@
 	assert.Len(t, r.Requests("POST", "/"), 60)
 }
 
-// Malformed input costs its sender the connection, or an exception where the frame is whole, and nobody else.
+// On malformed input the sender's connection is closed, or it gets an exception if the frame is complete; other clients
+// are not affected.
 func TestMalformedInput(t *testing.T) {
 	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow))
-	for _, junk := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x0cabcdefghijkl", "\xff\xff\xff\xff", "\x00\x00\x00\x00"} {
+	for _, junk := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x0cabcdefghijkl", "\xff\xff\xff\xff",
+		"\x00\x00\x00\x00"} {
 		c := r.NewClient()
 		_, err := c.Conn.Write([]byte(junk))
 		require.NoError(t, err)
@@ -95,85 +99,91 @@
 	assert.Len(t, r.Requests("POST", "/"), 1)
 }
 
-// Who says nothing, or half of something, is closed within 3 s; who has had an answer may stay for good.
+// A client that sends nothing or an incomplete message is disconnected within 3 s. One that has been answered may stay
+// connected and idle.
 func TestSilentClients(t *testing.T) {
 	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow))
-	usual, nothing, half, later := r.NewClient(), r.NewClient(), r.NewClient(), r.NewClient()
-	require.True(t, usual.Healthy() && later.Healthy())
-	for _, c := range []*testharness.Client{half, later} {
+	answered, silent, incomplete, later := r.NewClient(), r.NewClient(), r.NewClient(), r.NewClient()
+	require.True(t, answered.Healthy() && later.Healthy())
+	for _, c := range []*testharness.Client{incomplete, later} {
 		_, err := c.Conn.Write([]byte{0, 0, 1, 0, 0x80, 1})
 		require.NoError(t, err)
 	}
-	begun := time.Now()
-	for _, c := range []*testharness.Client{nothing, half, later} {
+	started := time.Now()
+	for _, c := range []*testharness.Client{silent, incomplete, later} {
 		_, err := c.Conn.Read(make([]byte, 1))
 		assert.ErrorIs(t, err, io.EOF)
 	}
-	assert.Greater(t, time.Since(begun), time.Second, "time to send is left")
+	assert.Greater(t, time.Since(started), time.Second, "clients have some time to send")
 	time.Sleep(2 * time.Second)
-	assert.True(t, usual.Healthy())
+	assert.True(t, answered.Healthy())
 	r.Signal(syscall.SIGUSR1)
 	r.WaitForLog("connections closed for half a message or none 3")
 }
 
-// Who says only what nobody answers is closed as one who says nothing; who waits for an answer is not.
-func TestClientsWithoutAWordAreClosed(t *testing.T) {
+// A client that sends only messages without a response, such as cancels, is disconnected like one that sends nothing.
+// One that waits for a response is not.
+func TestClientsThatOnlyCancelAreClosed(t *testing.T) {
 	r := start(t, 1, testharness.SucceedAfterPolls(70, testharness.ResultRow)) // three and a half seconds
-	idle, waits := r.NewClient(), r.NewClient()
-	load2(waits, 1)
+	canceling, waiting := r.NewClient(), r.NewClient()
+	sendUnorderedLoad(waiting, 1)
 	go func() {
 		for n := range 40 {
-			if idle.TrySendMessage(4, "cancel", []byte{8, 0, 1, 0, 0, 0, byte(n)}) != nil {
+			if canceling.TrySendMessage(4, "cancel", []byte{8, 0, 1, 0, 0, 0, byte(n)}) != nil {
 				return
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 	}()
-	_, err := idle.Conn.Read(make([]byte, 1))
+	_, err := canceling.Conn.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
-	assert.Equal(t, "answer", waits.ReadReply().Kind)
+	assert.Equal(t, "answer", waiting.ReadReply().Kind)
 }
 
-// Those who say nothing give way to newcomers, before any who have been answered.
-func TestSilentClientsGiveWay(t *testing.T) {
-	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), func(r *testharness.Harness) { r.SocketLimit = 64 }) // 29 clients
-	var usual []*testharness.Client
+// When descriptors are short, clients that have sent nothing are closed for new ones, before any that have been
+// answered.
+func TestSilentClientsAreClosedForNewOnes(t *testing.T) {
+	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow),
+		func(r *testharness.Harness) { r.SocketLimit = 64 }) // 29 clients
+	var answered []*testharness.Client
 	for range 10 {
 		c := r.NewClient()
 		require.True(t, c.Healthy())
-		usual = append(usual, c)
+		answered = append(answered, c)
 	}
 	for range 60 {
 		r.NewClient()
 	}
 	assert.True(t, r.NewClient().Healthy())
-	for _, c := range usual {
+	for _, c := range answered {
 		assert.True(t, c.Healthy())
 	}
 }
 
-// A newcomer whose request is on its way keeps its place; who has been idle longest gives way. Closed in between,
-// the request counted as taken, and later ones of its key broke the order.
-func TestNewcomersKeepTheirPlace(t *testing.T) {
+// When descriptors are short, the client that has been idle longest is closed, not a new one whose request may be about
+// to arrive. A request that arrived at a connection closed that way would count as received, and later ones of its
+// order key would overtake it.
+func TestNewClientsAreNotClosedForOthers(t *testing.T) {
 	for {
-		r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), func(r *testharness.Harness) { r.SocketLimit = 64 }) // 29 clients
+		r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow),
+			func(r *testharness.Harness) { r.SocketLimit = 64 }) // 29 clients
 		for range 28 {
 			require.True(t, r.NewClient().Healthy())
 		}
-		begun := time.Now()
-		fresh := r.NewClient()
+		started := time.Now()
+		newClient := r.NewClient()
 		require.True(t, r.NewClient().Healthy())
-		if time.Since(begun) > 500*time.Millisecond {
-			continue // it is no newcomer any more
+		if time.Since(started) > 500*time.Millisecond {
+			continue // the machine was too slow: it no longer counts as new
 		}
-		fresh.SendLookup(1, "5000")
-		assert.Equal(t, "answer", fresh.ReadReply().Kind)
+		newClient.SendLookup(1, "5000")
+		assert.Equal(t, "answer", newClient.ReadReply().Kind)
 		return
 	}
 }
 
-// What a client was answered before its connection had to end still reaches it, though it goes on sending.
-func TestAnswersOutliveTheClose(t *testing.T) {
+// A response that precedes the closing of a connection reaches the client even if it keeps sending.
+func TestResponsesAreDeliveredBeforeTheClose(t *testing.T) {
 	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow))
 	c := r.NewClient()
 	c.SendMessage(1, "nonsense")
@@ -184,8 +194,9 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// A client that sends thousands of messages at once does not hold up the others: only so many are taken in a turn.
-func TestBusyClientTakesTurns(t *testing.T) {
+// A client that sends thousands of messages at once does not delay the others: the messages read from a client per turn
+// of the event loop are limited.
+func TestBusyClientDoesNotDelayOthers(t *testing.T) {
 	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow))
 	busy, other := r.NewClient(), r.NewClient()
 	require.True(t, busy.Healthy() && other.Healthy())
@@ -201,18 +212,20 @@
 		assert.Equal(t, "exception", busy.ReadReply().Kind)
 	}
 	assert.Equal(t, "answer", busy.ReadReply().Kind)
-	p := r.Requests("POST", "/")
-	require.Len(t, p, 2)
-	assert.Equal(t, testharness.RequestID(2), p[0].Header.Get("Request-Id"))
-	assert.Greater(t, p[1].ReceivedAt.Sub(p[0].ReceivedAt), 20*time.Millisecond, "the busy one is not a hundred turns behind")
+	posts := r.Requests("POST", "/")
+	require.Len(t, posts, 2)
+	assert.Equal(t, testharness.RequestID(2), posts[0].Header.Get("Request-Id"))
+	assert.Greater(t, posts[1].ReceivedAt.Sub(posts[0].ReceivedAt), 20*time.Millisecond,
+		"the busy client was not limited in each turn")
 }
 
-// The memory of all clients together is bounded, not that of each: many half messages do not end the program.
+// The memory for all clients together is limited, not only that for each: many incomplete messages don't exhaust it.
 func TestMemoryOfAllClients(t *testing.T) {
-	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), func(r *testharness.Harness) { r.MemoryLimitMB = 32 })
-	half := append([]byte{0, 3, 0xff, 0, 0x80, 1, 0, 1}, make([]byte, 200_000)...)
+	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow),
+		func(r *testharness.Harness) { r.MemoryLimitMB = 32 })
+	incomplete := append([]byte{0, 3, 0xff, 0, 0x80, 1, 0, 1}, make([]byte, 200_000)...)
 	for range 200 {
-		_, _ = r.NewClient().Conn.Write(half) // it may be closed meanwhile
+		_, _ = r.NewClient().Conn.Write(incomplete) // the connection may have been closed meanwhile
 	}
 	c := r.NewClient()
 	c.SendLookup(1, "5000")
@@ -220,13 +233,16 @@
 	assert.Less(t, r.PeakMemoryMB(), 32)
 }
 
-// An answered request leaves nothing behind, whatever time its client gave it.
-func TestAnsweredRequestsAreLetGo(t *testing.T) {
-	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), func(r *testharness.Harness) { r.MemoryLimitMB = 32 })
+// The memory of an answered request is freed, however long its client's time-out.
+func TestAnsweredRequestsAreFreed(t *testing.T) {
+	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow),
+		func(r *testharness.Harness) { r.MemoryLimitMB = 32 })
 	c := r.NewClient()
-	require.NoError(t, c.Conn.SetDeadline(time.Now().Add(2*time.Minute))) // of all 8,000, where other clients have theirs for a few
+	// For all 8,000 requests; the default deadline is for a few.
+	require.NoError(t, c.Conn.SetDeadline(time.Now().Add(2*time.Minute)))
 	for i := range 8000 {
-		c.SendRequest("INSERT INTO s_1.t", "call", testharness.RequestID(i), "op", "load", "ttl", "3600000", "dedupe", fmt.Sprint(i),
+		c.SendRequest("INSERT INTO s_1.t", "call", testharness.RequestID(i), "op", "load", "ttl", "3600000",
+			"dedupe", fmt.Sprint(i),
 			"row", strings.Repeat(testharness.RequestID(i), 200))
 		require.Equal(t, "answer", c.ReadReply().Kind)
 	}
--- a/cmd/chutechute/elf_test.go
+++ b/cmd/chutechute/elf_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The bench of large fleets loads a library of its own into each front end, which only a program that is linked
-// dynamically takes. The tests' program is built as the deploy file has it.
+// The benchmark of large fleets preloads a library into each front end, which takes a dynamically linked executable.
+// The program under test is built with the build command of the deploy file.
 func TestBuildIsLinkedDynamically(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	require.NoError(t, err)
-	assert.Regexp(t, `(?m)^run = "exec bin/chutechute"$`, string(deploy), "run has to become the front end itself")
+	assert.Regexp(t, `(?m)^run = "exec bin/chutechute"$`, string(deploy), "the run command has to exec the front end")
 	file, err := elf.Open(program)
 	require.NoError(t, err)
 	defer file.Close()
--- a/cmd/chutechute/endings_test.go
+++ b/cmd/chutechute/endings_test.go
@@ -19,16 +19,18 @@
 	"chutechute/internal/testharness"
 )
 
-// patient has loads be held for longer than any test waits: the wait for an attempt's end is no jam that they lapse in.
-func patient(r *testharness.Harness) {
+// setLongLoadTimeouts lets loads stay queued for longer than any of these tests takes, so that none is shed while it
+// waits for an attempt of an earlier load to end.
+func setLongLoadTimeouts(r *testharness.Harness) {
 	load := r.Settings["classes"].([]any)[1].(map[string]any)
 	load["on_time"], load["give_up"] = 8, 60
 }
 
-// A DELETE whose connection does not come up in time is tried for again, over one that is left too. It was left undelivered, and
-// the next of the key started when the engine was held to have given the query up by itself, a moment before it had.
-func TestDeleteOutlivesALateConnection(t *testing.T) {
-	var door *testharness.BlockableListener
+// A DELETE whose connection is not established in time is sent again, on another connection if there is one. It was
+// once dropped: the next load of the order key was then started when the abandon time-out was assumed to have passed, a
+// moment before the engine had abandoned the query.
+func TestDeleteIsRetriedAfterALateConnection(t *testing.T) {
+	var listener *testharness.BlockableListener
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		switch {
 		case c.Method == "DELETE":
@@ -39,41 +41,41 @@
 			time.Sleep(250 * time.Millisecond)
 			w.WriteHeader(202)
 		}
-	}, patient, func(r *testharness.Harness) { door = r.MakeBlockable(r.Engines[0]) })
+	}, setLongLoadTimeouts, func(r *testharness.Harness) { listener = r.MakeBlockable(r.Engines[0]) })
 	c := r.NewClient()
 	c.SendLoad(1, "1000")
 	c.SendLoad(2, "60000")
 	r.WaitForRequests(2, "GET", "/v1/store/"+testharness.RequestID(1))
-	door.Block()
+	listener.Block()
 	assert.NotEqual(t, "answer", c.ReadReply().Kind)
 	deleted := r.WaitForRequests(1, "DELETE", "/v1/store/"+testharness.RequestID(1))
-	door.Unblock()
+	listener.Unblock()
 	assert.Equal(t, "answer", c.ReadReply().Kind)
 	posts := r.Requests("POST", "/")
 	require.Len(t, posts, 2)
 	assert.Greater(t, posts[1].ReceivedAt, deleted[0].ReceivedAt)
 }
 
-// A query counts as asked after until its engine has answered the last question, however late that is: the engine counts its 2 s
-// from then.
-func TestUnaskedCountsFromTheLastAnswer(t *testing.T) {
+// The abandon time-out of 2 s is counted from the engine's response to the last poll, however late that is, as the
+// engine counts it from then.
+func TestAbandonTimeoutCountsFromTheLastResponse(t *testing.T) {
 	var gets atomic.Int32
 	var answered atomic.Int64
 	r := start(t, 2, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		switch {
 		case c.Method == "DELETE":
-			testharness.RespondRaw(w, "", false) // it never arrives
+			testharness.RespondRaw(w, "", false) // no response
 		case c.Header.Get("Request-Id") == testharness.RequestID(2):
 			testharness.RespondResult(w, testharness.ResultRow)
 		case c.Method == "GET" && strings.Contains(c.Path, testharness.RequestID(1)) && gets.Add(1) == 2:
-			time.Sleep(900 * time.Millisecond) // it stands still
+			time.Sleep(900 * time.Millisecond) // the engine is unresponsive
 			answered.Store(time.Now().UnixNano())
 			w.WriteHeader(202)
 		default:
 			time.Sleep(250 * time.Millisecond)
 			w.WriteHeader(202)
 		}
-	}, patient)
+	}, setLongLoadTimeouts)
 	c := r.NewClient()
 	c.SendLoad(1, "700")
 	assert.NotEqual(t, "answer", c.ReadReply().Kind)
@@ -84,11 +86,12 @@
 	assert.GreaterOrEqual(t, posts[1].ReceivedAt.UnixNano()-answered.Load(), int64(2*time.Second))
 }
 
-// held starts a front end whose engine keeps load 1 running until released, and has it planned to end.
-func held(t *testing.T) (r *testharness.Harness, c *testharness.Client, release *atomic.Bool) {
+// startWithRunningLoad starts a front end and sends it a load, which the engine keeps running until release is set.
+func startWithRunningLoad(t *testing.T) (r *testharness.Harness, c *testharness.Client, release *atomic.Bool) {
 	release = &atomic.Bool{}
 	r = start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
-		if load := testharness.RequestID(1); !release.Load() && (c.Header.Get("Request-Id") == load || strings.Contains(c.Path, load)) {
+		if load := testharness.RequestID(1); !release.Load() &&
+			(c.Header.Get("Request-Id") == load || strings.Contains(c.Path, load)) {
 			time.Sleep(20 * time.Millisecond)
 			w.WriteHeader(202)
 			return
@@ -96,24 +99,26 @@
 		testharness.RespondResult(w, testharness.ResultRow)
 	})
 	c = r.NewClient()
-	load2(c, 1)
+	sendUnorderedLoad(c, 1)
 	r.WaitForRequests(1, "POST", "/")
 	return r, c, release
 }
 
-// As the front end ends, a connection that rests is ended while others are still answered. What crosses that end is read off and
-// never sent on, so that its client may send it again; a reset would have told it nothing.
-func TestRestingConnectionsEndFirst(t *testing.T) {
-	r, c, release := held(t)
-	resting := r.NewClient()
-	require.True(t, resting.Healthy())
+// During a graceful shutdown idle connections are closed while requests on others are still running. Requests that
+// arrive on a closed connection are read and discarded: the client sees the end of the connection and may send them
+// again, where a reset would leave open whether they ran.
+func TestShutdownClosesIdleConnectionsFirst(t *testing.T) {
+	r, c, release := startWithRunningLoad(t)
+	idle := r.NewClient()
+	require.True(t, idle.Healthy())
 	r.Signal(syscall.SIGTERM)
 	r.Signal(syscall.SIGTERM)
-	_, err := resting.TryReadReply()
+	_, err := idle.TryReadReply()
 	require.ErrorIs(t, err, io.EOF)
 	require.NotContains(t, r.Log.String(), "phase=stopped")
 	for n := range 3 {
-		require.NoError(t, resting.TrySendRequest("INSERT INTO s_1.t", "call", testharness.RequestID(10+n), "op", "load", "ttl", "9000", "dedupe", "x", "work", "1.0"))
+		require.NoError(t, idle.TrySendRequest("INSERT INTO s_1.t", "call", testharness.RequestID(10+n), "op", "load",
+			"ttl", "9000", "dedupe", "x", "work", "1.0"))
 		time.Sleep(20 * time.Millisecond)
 	}
 	release.Store(true)
@@ -125,23 +130,23 @@
 	assert.Contains(t, r.Log.String(), "requests taken                                1\n")
 }
 
-// What has come on a resting connection before it is ended is served whole, however late the front end reads it; so is a request
-// of someone who had connected, but was not accepted yet, when the listener is closed.
-func TestWhatHasComeBeforeTheEndIsServed(t *testing.T) {
-	r, c, release := held(t)
-	resting := r.NewClient()
-	require.True(t, resting.Healthy())
+// A request that arrived on an idle connection before the shutdown closes it is served, however late the front end
+// reads it. So is the request of a client whose connection is in the backlog when the listener is closed.
+func TestShutdownServesRequestsAlreadySent(t *testing.T) {
+	r, c, release := startWithRunningLoad(t)
+	idle := r.NewClient()
+	require.True(t, idle.Healthy())
 	var late *testharness.Client
-	asleep(r, func() {
+	whileStopped(r, func() {
 		r.Signal(syscall.SIGTERM)
 		late = r.NewClient()
 		late.SendLookup(2, "5000")
-		load2(resting, 3)
-		time.Sleep(700 * time.Millisecond) // the phases of the end are all due when it wakes
+		sendUnorderedLoad(idle, 3)
+		time.Sleep(700 * time.Millisecond) // all phases of the shutdown are due when the process continues
 	})
 	assert.Equal(t, "answer", late.ReadReply().Kind)
-	assert.Equal(t, "answer", resting.ReadReply().Kind)
-	for _, other := range []*testharness.Client{late, resting} {
+	assert.Equal(t, "answer", idle.ReadReply().Kind)
+	for _, other := range []*testharness.Client{late, idle} {
 		_, err := other.TryReadReply()
 		assert.ErrorIs(t, err, io.EOF)
 	}
@@ -150,16 +155,18 @@
 	assert.NoError(t, <-r.Exited)
 }
 
-// Who connects in the last moment before the listener is closed is served too; closed on them unread, they were reset.
-func TestListenQueueIsServedBeforeItCloses(t *testing.T) {
+// A client that connects just before the shutdown closes the listener is served. Its connection was once reset, as the
+// listener was closed with connections in its backlog.
+func TestShutdownServesTheListenBacklog(t *testing.T) {
 	text, err := os.ReadFile("../../internal/server/server.go")
 	require.NoError(t, err)
 	const closing = "if phase < gateway.Closing && now >= gateway.Closing {"
 	require.Contains(t, string(text), closing)
-	require.NotContains(t, string(text), `"time"`, "the variant brings the import")
-	slow := strings.Replace(string(text), closing, closing+"\ntime.Sleep(400*time.Millisecond)\n", 1)
-	slow = strings.Replace(slow, "import (", "import (\n\"time\"", 1)
-	r := testharness.Start(t, testharness.Variant(t, "internal/server/server.go", slow), 1, testharness.SucceedAfterPolls(0, testharness.ResultRow))
+	require.NotContains(t, string(text), `"time"`, "the variant adds the import")
+	variant := strings.Replace(string(text), closing, closing+"\ntime.Sleep(400*time.Millisecond)\n", 1)
+	variant = strings.Replace(variant, "import (", "import (\n\"time\"", 1)
+	r := testharness.Start(t, testharness.Variant(t, "internal/server/server.go", variant), 1,
+		testharness.SucceedAfterPolls(0, testharness.ResultRow))
 	r.Signal(syscall.SIGTERM)
 	r.WaitForLog("phase=closing")
 	c := r.NewClient()
@@ -168,23 +175,25 @@
 	assert.NoError(t, <-r.Exited)
 }
 
-// What comes on a connection after its answer is another request's at best: a second copy some milliseconds late was given to the
-// next request as its rows, and half a line stood before the next answer.
-func TestNothingLateReachesAnotherRequest(t *testing.T) {
-	for name, more := range map[string]string{"second copy": whole, "half a line": whole[:20], "no news": "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"} {
+// Bytes that an engine sends after a response are not taken for the response to the next request on the connection. A
+// duplicate that was some milliseconds late was once taken for the next request's result, and an incomplete line was
+// put before the next response.
+func TestLateBytesDoNotReachAnotherRequest(t *testing.T) {
+	for name, lateBytes := range map[string]string{"second copy": completeResponse, "half a line": completeResponse[:20],
+		"no news": "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"} {
 		for _, pause := range []time.Duration{0, 150 * time.Millisecond} {
 			r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 				if c.Header.Get("Request-Id") == testharness.RequestID(1) {
-					testharness.RespondRawTwice(w, whole, 5*time.Millisecond, more)
+					testharness.RespondRawTwice(w, completeResponse, 5*time.Millisecond, lateBytes)
 					return
 				}
 				testharness.RespondResult(w, "own\trow\tonly\n")
 			})
 			c := r.NewClient()
-			load2(c, 1)
+			sendUnorderedLoad(c, 1)
 			assert.Equal(t, testharness.ResultRow, c.ReadReply().Rows())
 			time.Sleep(pause)
-			load2(c, 2)
+			sendUnorderedLoad(c, 2)
 			p := c.ReadReply()
 			require.Equal(t, "answer", p.Kind, name)
 			assert.Equal(t, "own\trow\tonly\n", p.Rows(), name)
@@ -194,9 +203,10 @@
 	}
 }
 
-// A copy of "no news" passes for the answer to the next question of the same query, and that one's answer is still to come when the
-// query has ended: the connection rests for longer, so that it does not become another query's.
-func TestNoNewsTwiceStaysWithItsQuery(t *testing.T) {
+// A duplicate of a 202 response is taken for the response to the next poll of the same query, so that one response is
+// still to come when the query has ended. The connection stays unused for longer, so that this response is not taken
+// for another query's.
+func TestDuplicateStillRunningResponseStaysWithItsQuery(t *testing.T) {
 	var gets atomic.Int32
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		switch {
@@ -207,52 +217,53 @@
 			if err != nil {
 				return
 			}
-			go func() { // one answer more than questions, from here on
-				say := func(s string) { _, _ = io.WriteString(conn, s) }
-				question := func() { _, _ = http.ReadRequest(in.Reader) }
-				const none = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
-				say(none)
-				question()
-				say(none) // the copy, or as good as one
-				question()
+			go func() { // sends one response more than it reads requests
+				respond := func(s string) { _, _ = io.WriteString(conn, s) }
+				readPoll := func() { _, _ = http.ReadRequest(in.Reader) }
+				const stillRunning = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+				respond(stillRunning)
+				readPoll()
+				respond(stillRunning) // the duplicate
+				readPoll()
 				gets.Add(1)
-				say(whole)
+				respond(completeResponse)
 				time.Sleep(120 * time.Millisecond)
-				say(whole)
+				respond(completeResponse)
 			}()
 		}
 	})
 	c := r.NewClient()
-	load2(c, 1)
+	sendUnorderedLoad(c, 1)
 	assert.Equal(t, testharness.ResultRow, c.ReadReply().Rows())
 	time.Sleep(80 * time.Millisecond)
-	load2(c, 2)
+	sendUnorderedLoad(c, 2)
 	p := c.ReadReply()
 	require.Equal(t, "answer", p.Kind)
 	assert.Equal(t, "own\trow\tonly\n", p.Rows())
 	assert.EqualValues(t, 1, gets.Load())
 }
 
-// An engine that drains refuses new connections and runs on. That the only one left was reset says nothing of its process: taken
-// for gone, it had the next of the key started beside what ran there.
-func TestResetByADrainingEngineIsNoEnd(t *testing.T) {
-	var cut atomic.Int64
+// A draining engine refuses new connections and keeps running its queries, so a reset of its only connection does not
+// mean that its process has ended. Taken for that, it once had the next load of the order key started while the first
+// still ran.
+func TestResetByADrainingEngineDoesNotEndTheQuery(t *testing.T) {
+	var resetAt atomic.Int64
 	r := start(t, 2, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		switch {
-		case c.Method == "POST" && cut.Load() != 0:
+		case c.Method == "POST" && resetAt.Load() != 0:
 			testharness.RespondResult(w, testharness.ResultRow)
-		case c.Method == "GET" && cut.Load() == 0:
+		case c.Method == "GET" && resetAt.Load() == 0:
 			for _, e := range r.Engines {
 				if e.Name == c.Engine {
 					e.Server.Listener.Close()
 				}
 			}
-			cut.Store(time.Now().UnixNano())
+			resetAt.Store(time.Now().UnixNano())
 			panic(http.ErrAbortHandler)
 		default:
 			w.WriteHeader(202)
 		}
-	}, patient)
+	}, setLongLoadTimeouts)
 	c := r.NewClient()
 	c.SendLoad(1, "60000")
 	r.WaitForRequests(1, "GET", "/v1/store/"+testharness.RequestID(1))
@@ -262,33 +273,36 @@
 	}
 	posts := r.Requests("POST", "/")
 	require.GreaterOrEqual(t, len(posts), 2)
-	assert.GreaterOrEqual(t, posts[1].ReceivedAt.UnixNano()-cut.Load(), int64(2*time.Second))
+	assert.GreaterOrEqual(t, posts[1].ReceivedAt.UnixNano()-resetAt.Load(), int64(2*time.Second))
 }
 
-// A process that dies ends all its connections in one moment and refuses new ones: what ran there and may run twice is sent elsewhere
-// at once, and what may not, or has others wait in order, after the 2 s for which an engine goes on unasked.
+// An engine process that dies closes all its connections at once and refuses new ones. Its idempotent queries are
+// retried elsewhere at once. What must not run twice, or has later queries of its order key waiting, is retried only
+// after the abandon time-out of 2 s.
 func TestDeadProcessIsNotWaitedFor(t *testing.T) {
 	for _, op := range []string{"lookup", "load"} {
-		var died atomic.Int64
+		var diedAt atomic.Int64
 		r := start(t, 2, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
-			if died.Load() != 0 {
+			if diedAt.Load() != 0 {
 				testharness.RespondResult(w, testharness.ResultRow)
 				return
 			}
 			time.Sleep(250 * time.Millisecond)
 			w.WriteHeader(202)
-		}, patient)
+		}, setLongLoadTimeouts)
 		c := r.NewClient()
 		for n := range 8 {
-			c.SendRequest("SELECT 1 FROM s_1.t", "call", testharness.RequestID(n), "op", op, "ttl", "60000", "dedupe", testharness.RequestID(n), "work", "1.0")
+			c.SendRequest("SELECT 1 FROM s_1.t", "call", testharness.RequestID(n), "op", op, "ttl", "60000",
+				"dedupe", testharness.RequestID(n), "work", "1.0")
 		}
 		var first []testharness.EngineRequest
-		require.Eventually(t, func() bool { first = r.Requests("POST", "/"); return len(first) == 8 }, testharness.WaitTimeout, time.Millisecond)
+		require.Eventually(t, func() bool { first = r.Requests("POST", "/"); return len(first) == 8 },
+			testharness.WaitTimeout, time.Millisecond)
 		dead := r.Engines[0]
 		if first[0].Engine != dead.Name {
 			dead = r.Engines[1]
 		}
-		died.Store(time.Now().UnixNano())
+		diedAt.Store(time.Now().UnixNano())
 		dead.Server.Listener.Close()
 		dead.Server.CloseClientConnections()
 		for range 8 {
@@ -296,22 +310,23 @@
 		}
 		posts := r.Requests("POST", "/")
 		require.Greater(t, len(posts), 8)
-		waited := posts[8].ReceivedAt.UnixNano() - died.Load()
+		delay := posts[8].ReceivedAt.UnixNano() - diedAt.Load()
 		if op == "lookup" {
-			assert.Less(t, waited, int64(2*time.Second), "sooner than by waiting for it unasked")
+			assert.Less(t, delay, int64(2*time.Second), "retried before the abandon time-out")
 		} else {
-			assert.GreaterOrEqual(t, waited, int64(2*time.Second))
+			assert.GreaterOrEqual(t, delay, int64(2*time.Second))
 		}
-		assert.Less(t, r.Counter("connections to engines"), 250, "those that wait for each other's dial in turn without a pause")
+		assert.Less(t, r.Counter("connections to engines"), 250, "waiting queries dial again and again without a pause")
 	}
 }
 
-// Another process at the address of one that died knows nothing of what ran there: its word on that is no end for a key's next.
+// A new process at the address of one that died responds that it doesn't know the old one's queries. That doesn't prove
+// that they have ended, so the next load of the order key still waits for the abandon time-out.
 func TestNewProcessAtAnOldAddress(t *testing.T) {
-	var died atomic.Int64
+	var diedAt atomic.Int64
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		switch {
-		case died.Load() == 0:
+		case diedAt.Load() == 0:
 			time.Sleep(50 * time.Millisecond)
 			w.WriteHeader(202)
 		case c.Method == "DELETE":
@@ -321,12 +336,12 @@
 		default:
 			testharness.RespondResult(w, testharness.ResultRow)
 		}
-	}, patient, func(r *testharness.Harness) { r.Args = []string{"serve", "--log-level", "debug"} })
+	}, setLongLoadTimeouts, func(r *testharness.Harness) { r.Args = []string{"serve", "--log-level", "debug"} })
 	c := r.NewClient()
 	c.SendLoad(1, "60000")
 	c.SendLoad(2, "60000")
 	r.WaitForRequests(1, "GET", "/v1/store/"+testharness.RequestID(1))
-	died.Store(time.Now().UnixNano())
+	diedAt.Store(time.Now().UnixNano())
 	r.Engines[0].Server.Listener.Close()
 	r.Engines[0].Server.CloseClientConnections()
 	r.WaitForLog("refused=true")
@@ -334,52 +349,56 @@
 	for range 2 {
 		require.Equal(t, "answer", c.ReadReply().Kind)
 	}
-	assert.GreaterOrEqual(t, r.Requests("POST", "/")[1].ReceivedAt.UnixNano()-died.Load(), int64(2*time.Second))
+	assert.GreaterOrEqual(t, r.Requests("POST", "/")[1].ReceivedAt.UnixNano()-diedAt.Load(), int64(2*time.Second))
 	assert.NotEmpty(t, r.Requests("GET", "/v1/store/"+testharness.RequestID(1)))
 }
 
-// A connection that comes up after its time carries nothing, and one that comes up in time carries nothing to an engine of which the
-// list has told meanwhile that it drains.
-func TestLateConnectionsCarryNothing(t *testing.T) {
+// No request is sent on a connection that is established after the dial time-out, or in time to an engine that has been
+// reported as draining meanwhile.
+func TestLateConnectionsCarryNoRequest(t *testing.T) {
 	for name, drain := range map[string]bool{"late": false, "in time, but it drains": true} {
 		t.Run(name, func(t *testing.T) {
-			var doors []*testharness.BlockableListener
+			var listeners []*testharness.BlockableListener
 			r := start(t, 2, testharness.SucceedAfterPolls(0, testharness.ResultRow), func(r *testharness.Harness) {
 				for _, e := range r.Engines {
-					doors = append(doors, r.MakeBlockable(e))
+					listeners = append(listeners, r.MakeBlockable(e))
 				}
 				if drain {
 					r.Settings["limits"].(map[string]any)["dial_timeout"] = 8
 				}
 			})
-			journal, _ := r.AcceptDiscovery()
-			for _, d := range doors {
-				d.Block()
+			discoveryConn, _ := r.AcceptDiscovery()
+			for _, l := range listeners {
+				l.Block()
 			}
 			c := r.NewClient()
-			load2(c, 1)
-			require.Eventually(t, func() bool { return r.Counter("connections to engines") > 0 }, testharness.WaitTimeout, time.Millisecond)
+			sendUnorderedLoad(c, 1)
+			require.Eventually(t, func() bool { return r.Counter("connections to engines") > 0 },
+				testharness.WaitTimeout, time.Millisecond)
 			if drain {
-				_, err := journal.Write(testharness.DiscoveryFrame(42, 2, r.Engines[0].DiscoveryRecord(1), r.Engines[1].DiscoveryRecord(1)))
+				_, err := discoveryConn.Write(testharness.DiscoveryFrame(42, 2, r.Engines[0].DiscoveryRecord(1),
+					r.Engines[1].DiscoveryRecord(1)))
 				require.NoError(t, err)
-				require.Eventually(t, func() bool { return r.Counter("attempts never run") > 0 }, testharness.WaitTimeout, time.Millisecond)
+				require.Eventually(t, func() bool { return r.Counter("attempts never run") > 0 },
+					testharness.WaitTimeout, time.Millisecond)
 			} else {
-				require.Eventually(t, func() bool { return r.Counter("attempts without a connection") > 0 }, testharness.WaitTimeout, time.Millisecond)
+				require.Eventually(t, func() bool { return r.Counter("attempts without a connection") > 0 },
+					testharness.WaitTimeout, time.Millisecond)
 				c.Conn.Close()
-				settled(r, 1)
+				waitForClientDisconnects(r, 1)
 			}
-			for _, d := range doors {
-				d.Unblock()
+			for _, l := range listeners {
+				l.Unblock()
 			}
-			time.Sleep(1200 * time.Millisecond) // the system tries for a connection again after a second
+			time.Sleep(1200 * time.Millisecond) // the kernel retries a connection after a second
 			assert.Empty(t, r.Requests("POST", "/"))
 		})
 	}
 }
 
-// Stopped under load, the front end loses nothing: each request that a client has sent is answered, or its connection ended without
-// a reset and nothing of it was sent on, so that it may go again.
-func TestStoppedUnderLoad(t *testing.T) {
+// A graceful shutdown under load loses no request: each one is answered, or its connection is closed without a reset
+// and no engine got the request, so that the client may send it again.
+func TestShutdownUnderLoad(t *testing.T) {
 	r := start(t, 3, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		time.Sleep(time.Duration(len(c.Body)%7) * 10 * time.Millisecond)
 		testharness.RespondResult(w, testharness.ResultRow)
@@ -387,47 +406,50 @@
 	const clients = 24
 	var mu sync.Mutex
 	var answered int
-	open := map[string]error{} // requests that got no answer, and how their connection ended
-	var all sync.WaitGroup
+	unanswered := map[string]error{} // errors of the connections by their unanswered requests
+	var workers sync.WaitGroup
 	for k := range clients {
 		c := r.NewClient()
-		all.Add(1)
+		workers.Add(1)
 		go func() {
-			defer all.Done()
+			defer workers.Done()
 			for n := 0; ; n++ {
 				id := testharness.RequestID(1000*k + n)
-				err := c.TrySendRequest("SELECT * FROM s_1.t"+strings.Repeat(" ", (k+n)%7), "call", id, "op", "lookup", "ttl", "5000", "org", "t", "work", "1.0")
+				err := c.TrySendRequest("SELECT * FROM s_1.t"+strings.Repeat(" ", (k+n)%7), "call", id, "op", "lookup",
+					"ttl", "5000", "org", "t", "work", "1.0")
 				if err == nil {
 					_, err = c.TryReadReply()
 				}
 				mu.Lock()
 				if err != nil {
-					open[id] = err
+					unanswered[id] = err
 					mu.Unlock()
 					return
 				}
 				answered++
 				mu.Unlock()
-				if k%2 == 0 { // half of them rest now and then
+				if k%2 == 0 { // half of the clients pause now and then
 					time.Sleep(time.Duration(n%5) * 10 * time.Millisecond)
 				}
 			}
 		}()
 	}
-	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return answered > 500 }, testharness.WaitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return answered > 500 },
+		testharness.WaitTimeout, time.Millisecond)
 	r.Signal(syscall.SIGTERM)
 	assert.NoError(t, <-r.Exited)
-	all.Wait()
-	assert.Len(t, open, clients, "each connection ends under a request at last")
+	workers.Wait()
+	assert.Len(t, unanswered, clients, "each connection ends with one unanswered request")
 	for _, p := range r.Requests("POST", "/") {
-		assert.NotContains(t, open, p.Header.Get("Request-Id"), "it was sent on and not answered")
+		assert.NotContains(t, unanswered, p.Header.Get("Request-Id"), "sent to an engine, but not answered")
 	}
-	for id, err := range open {
+	for id, err := range unanswered {
 		assert.NotErrorIs(t, err, syscall.ECONNRESET, id)
 	}
 }
 
-// A front end that starts is ready at once, whatever else fails: no journal service, engines that let nobody in, clients that crowd.
+// A front end is ready soon after its start even if the discovery service is down, engines accept no connections and
+// many clients connect at once.
 func TestReadyWhateverElseFails(t *testing.T) {
 	for range 5 {
 		r := start(t, 3, testharness.SucceedAfterPolls(0, testharness.ResultRow), func(r *testharness.Harness) {
@@ -439,14 +461,14 @@
 		for range 200 {
 			r.NewClient().SendLookup(1, "5000")
 		}
-		begun := time.Now()
+		started := time.Now()
 		require.True(t, r.NewClient().Healthy())
-		t.Log("served after", r.StartupTime, "healthy after", time.Since(begun))
-		assert.Less(t, r.StartupTime+time.Since(begun), 10*time.Second, "by the operators' terms")
+		t.Log("served after", r.StartupTime, "healthy after", time.Since(started))
+		assert.Less(t, r.StartupTime+time.Since(started), 10*time.Second, "the operators require it")
 	}
 }
 
-// What the README has a new operator do: the example's configuration is usable as it stands, and its settings serve.
+// The example configuration of the README is valid as it is, and a front end serves with its settings.
 func TestExampleOfTheReadme(t *testing.T) {
 	const example = "../../deploy/example.json"
 	cmd := exec.Command(program, "config", "check")
@@ -457,9 +479,11 @@
 	require.NoError(t, err)
 	var config struct{ Settings map[string]any }
 	require.NoError(t, json.Unmarshal(text, &config))
-	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), func(r *testharness.Harness) { r.Settings = config.Settings })
+	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow),
+		func(r *testharness.Harness) { r.Settings = config.Settings })
 	c := r.NewClient()
-	c.SendRequest("SELECT * FROM s_1.t", "call", testharness.RequestID(1), "op", "lookup", "ttl", "5000", "org", "desk", "work", "10.0")
+	c.SendRequest("SELECT * FROM s_1.t", "call", testharness.RequestID(1), "op", "lookup", "ttl", "5000", "org", "desk",
+		"work", "10.0")
 	assert.Equal(t, "answer", c.ReadReply().Kind)
 	r.Signal(syscall.SIGTERM)
 	_, err = c.TryReadReply()
--- a/cmd/chutechute/engine_faults_test.go
+++ b/cmd/chutechute/engine_faults_test.go
@@ -15,16 +15,16 @@
 	"chutechute/internal/testharness"
 )
 
-// A time-out is not the end of an attempt: the next is sent only once the DELETE is known to have arrived.
-func TestResendsOnlyAfterTheDelete(t *testing.T) {
-	var deleted atomic.Int64
+// An attempt that has timed out may still be running: the retry is sent only once its DELETE has been answered.
+func TestRetryWaitsForTheDelete(t *testing.T) {
+	var deletedAt atomic.Int64
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		switch {
 		case c.Method == "DELETE":
 			time.Sleep(300 * time.Millisecond)
-			deleted.CompareAndSwap(0, time.Now().UnixNano())
+			deletedAt.CompareAndSwap(0, time.Now().UnixNano())
 			w.WriteHeader(204)
-		case deleted.Load() != 0 && c.Method == "POST":
+		case deletedAt.Load() != 0 && c.Method == "POST":
 			testharness.RespondResult(w, testharness.ResultRow)
 		default:
 			time.Sleep(20 * time.Millisecond)
@@ -36,18 +36,18 @@
 	assert.Equal(t, "answer", c.ReadReply().Kind)
 	posts := r.Requests("POST", "/")
 	require.Len(t, posts, 2)
-	assert.Greater(t, posts[1].ReceivedAt.UnixNano(), deleted.Load())
+	assert.Greater(t, posts[1].ReceivedAt.UnixNano(), deletedAt.Load())
 }
 
-// At its deadline a request is answered though its attempt is still out, and the next of its key waits
-// until that has been given up.
+// At its deadline a request is answered although its attempt is still running, and the next load of its order key waits
+// until that attempt's DELETE has been answered.
 func TestDeadlineAnswersWhileTheKeyWaits(t *testing.T) {
-	var deleted atomic.Int64
+	var deletedAt atomic.Int64
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		switch {
 		case c.Method == "DELETE":
 			time.Sleep(400 * time.Millisecond)
-			deleted.Store(time.Now().UnixNano())
+			deletedAt.Store(time.Now().UnixNano())
 			w.WriteHeader(204)
 		case c.Header.Get("Request-Id") == testharness.RequestID(2):
 			testharness.RespondResult(w, testharness.ResultRow)
@@ -65,18 +65,20 @@
 	assert.Equal(t, first, p.Seq)
 	assert.Equal(t, "shed", p.Kind)
 	assert.Contains(t, p.Payload, "pushback")
-	assert.GreaterOrEqual(t, time.Since(sent), 600*time.Millisecond, "given up early") // less what counts as held back
-	assert.Zero(t, deleted.Load(), "the answer waited for the engine")
+	// The time-out less the time that counts as queued.
+	assert.GreaterOrEqual(t, time.Since(sent), 600*time.Millisecond, "shed too early")
+	assert.Zero(t, deletedAt.Load(), "the response waited for the engine")
 	assert.Equal(t, "answer", c.ReadReply().Kind)
-	assert.Greater(t, r.Requests("POST", "/")[1].ReceivedAt.UnixNano(), deleted.Load())
+	assert.Greater(t, r.Requests("POST", "/")[1].ReceivedAt.UnixNano(), deletedAt.Load())
 }
 
-// An engine that says nothing is left alone until it has given up by itself, and the answer is in time.
+// A request whose engine accepts connections but never responds is answered before its client's time-out.
 func TestSilentEngine(t *testing.T) {
-	silence, err := net.Listen("tcp4", "127.0.0.1:0") // accepts and never reads
+	silent, err := net.Listen("tcp4", "127.0.0.1:0") // the kernel accepts connections, and nobody reads from them
 	require.NoError(t, err)
-	defer silence.Close()
-	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), func(r *testharness.Harness) { r.Engines[0].Addr = silence.Addr().(*net.TCPAddr) })
+	defer silent.Close()
+	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow),
+		func(r *testharness.Harness) { r.Engines[0].Addr = silent.Addr().(*net.TCPAddr) })
 	c := r.NewClient()
 	c.SendLookup(1, "1500")
 	assert.Equal(t, "shed", c.ReadReply().Kind)
@@ -84,8 +86,8 @@
 	r.WaitForLog("answers refused                               1")
 }
 
-// An engine that refuses all at once looks idle. It is tried now and then, not with every query: those
-// used up their attempts on it while the others had room.
+// An engine that rejects every query at once looks idle. It gets a query only now and then: queries once used up their
+// attempts on it while other engines had capacity.
 func TestFullEngineIsNotFlooded(t *testing.T) {
 	r := start(t, 2, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		if c.Engine == "s-00000001" {
@@ -96,22 +98,23 @@
 		testharness.RespondResult(w, testharness.ResultRow)
 	})
 	c := r.NewClient()
-	begun := time.Now()
+	started := time.Now()
 	for i := range 200 {
 		c.SendLookup(i, "5000")
 		require.Equal(t, "answer", c.ReadReply().Kind)
 	}
-	tries := 0
+	attempts := 0
 	for _, p := range r.Requests("POST", "/") {
 		if p.Engine == "s-00000001" {
-			tries++
+			attempts++
 		}
 	}
-	assert.Less(t, tries, 10+int(time.Since(begun)/(20*time.Millisecond)))
+	assert.Less(t, attempts, 10+int(time.Since(started)/(20*time.Millisecond)))
 }
 
-// No connection owns a query: one that has started is asked after on another connection, not started again.
-func TestBrokenPollGoesOn(t *testing.T) {
+// A query is not bound to a connection: one whose connection breaks during a poll is polled on another, not started
+// again.
+func TestPollContinuesOnAnotherConnection(t *testing.T) {
 	var gets atomic.Int32
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		switch {
@@ -129,59 +132,70 @@
 	assert.Len(t, r.Requests("POST", "/"), 1)
 }
 
-// A spoilt answer is not passed on, nor does it cost the query: its engine has run it and gives its answer
-// again. What comes beside a good answer does not spoil it.
-func TestSpoiltAnswers(t *testing.T) {
+// A malformed response is not passed to the client and doesn't fail the query: the engine has run it and is polled for
+// the result again. Interim responses before a valid response, and bytes after it, do no harm.
+func TestMalformedEngineResponses(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer string
-		end    bool
-		asked  int // how often the answer is asked for again
+		response  string
+		closeConn bool
+		polls     int // how often the result is polled for again
 	}{
-		"noise":            {"\x00\xff\x17 noise", false, 1},
-		"no status":        {"HTTP/1.1 2x0 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n" + testharness.ResultRow, false, 1},
+		"noise": {"\x00\xff\x17 noise", false, 1},
+		"no status": {
+			"HTTP/1.1 2x0 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n" + testharness.ResultRow, false, 1,
+		},
 		"head without end": {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Noise: 0123456789\r\n", 1000), false, 1},
 		"no length":        {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\n\r\n" + testharness.ResultRow, false, 1},
-		"3 GB":             {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 3000000000\r\n\r\n" + testharness.ResultRow, false, 1},
-		"length too long":  {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 9\r\n\r\n" + testharness.ResultRow, false, 1},
-		"length too short": {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 4\r\n\r\n" + testharness.ResultRow, false, 1},
-		"noise for rows":   {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n!!!!!!", false, 1},
-		"no pages":         {"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n" + testharness.ResultRow, false, 1},
-		"cut off":          {whole[:len(whole)-2], true, 1},
-		"ended":            {"", true, 1},
-		"never comes":      {"", false, 1},
-		"interim answers":  {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + whole, false, 0},
-		"second copy":      {whole + whole, false, 0},
-		"noise after":      {whole + "\x00\xff\x17 noise", false, 0},
+		"3 GB": {
+			"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 3000000000\r\n\r\n" + testharness.ResultRow, false, 1,
+		},
+		"length too long": {
+			"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 9\r\n\r\n" + testharness.ResultRow, false, 1,
+		},
+		"length too short": {
+			"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 4\r\n\r\n" + testharness.ResultRow, false, 1,
+		},
+		"noise for rows": {"HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n!!!!!!", false, 1},
+		"no pages":       {"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n" + testharness.ResultRow, false, 1},
+		"cut off":        {completeResponse[:len(completeResponse)-2], true, 1},
+		"ended":          {"", true, 1},
+		"never comes":    {"", false, 1},
+		"interim answers": {
+			"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + completeResponse, false, 0,
+		},
+		"second copy": {completeResponse + completeResponse, false, 0},
+		"noise after": {completeResponse + "\x00\xff\x17 noise", false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, got testharness.EngineRequest) {
 				if got.Method == "POST" {
-					testharness.RespondRaw(w, c.answer, c.end)
+					testharness.RespondRaw(w, c.response, c.closeConn)
 					return
 				}
 				testharness.RespondResult(w, testharness.ResultRow)
 			})
 			client := r.NewClient()
-			load2(client, 1)
+			sendUnorderedLoad(client, 1)
 			p := client.ReadReply()
 			require.Equal(t, "answer", p.Kind)
 			assert.Equal(t, testharness.ResultRow, p.Rows())
 			assert.Len(t, r.Requests("POST", "/"), 1)
-			assert.Len(t, r.Requests("GET", "/v1/store/"+testharness.RequestID(1)+"/0"), c.asked)
+			assert.Len(t, r.Requests("GET", "/v1/store/"+testharness.RequestID(1)+"/0"), c.polls)
 			assert.Empty(t, r.Requests("DELETE", "/"))
 		})
 	}
 }
 
-// A start may still be read after the engine has said that it knows nothing of it, where it was met with silence, where its
-// connection was ended (by a machine that was away and is back), or where something else came in place of its answer (a late
-// copy of another). Taken for its end, each had a second copy sent while the first was out.
-func TestDoubtfulStartIsNotSentAgainEarly(t *testing.T) {
+// An engine that responds to a poll that it doesn't know the query may still read the start later, if it did not
+// respond to the start, closed its connection (as a machine does that was unreachable for a while), or sent another
+// response (a late duplicate) instead. Each of these was once taken for the end of the attempt, and a second one was
+// sent while the first could still run.
+func TestUnknownStartIsNotRetriedEarly(t *testing.T) {
 	stray := "HTTP/1.1 200 OK\r\nX-Batch: 3\r\nContent-Length: 6\r\n\r\n" + testharness.ResultRow
 	for name, first := range map[string]struct {
-		answer string
-		end    bool
+		response  string
+		closeConn bool
 	}{"unread": {"", false}, "severed": {"", true}, "spoilt": {stray, true}} {
 		t.Run(name, func(t *testing.T) {
 			var posts atomic.Int32
@@ -192,27 +206,27 @@
 				case c.Method == "DELETE":
 					w.WriteHeader(204)
 				case posts.Add(1) == 1:
-					testharness.RespondRaw(w, first.answer, first.end)
+					testharness.RespondRaw(w, first.response, first.closeConn)
 				default:
 					testharness.RespondResult(w, testharness.ResultRow)
 				}
 			})
 			c := r.NewClient()
-			load2(c, 1)
+			sendUnorderedLoad(c, 1)
 			assert.Equal(t, "answer", c.ReadReply().Kind)
-			p := r.Requests("POST", "/")
-			require.Len(t, p, 2)
-			assert.GreaterOrEqual(t, p[1].ReceivedAt.Sub(p[0].ReceivedAt), 2*time.Second)
+			starts := r.Requests("POST", "/")
+			require.Len(t, starts, 2)
+			assert.GreaterOrEqual(t, starts[1].ReceivedAt.Sub(starts[0].ReceivedAt), 2*time.Second)
 			assert.Len(t, r.Requests("GET", "/"), 1)
-			require.Len(t, r.Requests("DELETE", "/"), 1, "what came late is not ended")
-			assert.Less(t, r.Requests("DELETE", "/")[0].ReceivedAt, p[1].ReceivedAt)
+			require.Len(t, r.Requests("DELETE", "/"), 1, "no DELETE for a start that arrives late")
+			assert.Less(t, r.Requests("DELETE", "/")[0].ReceivedAt, starts[1].ReceivedAt)
 		})
 	}
 }
 
-// A DELETE that is met with silence may not have arrived: it is sent again on another connection, and the next
-// attempt waits for its answer. Waiting for the engine to give up by itself let attempts overlap.
-func TestSilentDeleteIsSentAgain(t *testing.T) {
+// A DELETE without a response may not have arrived: it is sent again on another connection, and the next attempt waits
+// for the response. Attempts once overlapped where the abandon time-out was waited for instead.
+func TestUnansweredDeleteIsSentAgain(t *testing.T) {
 	var deletes atomic.Int32
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		switch {
@@ -234,13 +248,14 @@
 	assert.Len(t, r.Requests("DELETE", "/"), 2)
 }
 
-// An engine that drains refuses new connections and runs on: a query that has lost its connection is asked after
-// on one that is left. Taken for gone, its key's next query was sent beside it.
+// A draining engine refuses new connections and keeps running its queries: a query that has lost its connection is
+// polled on one that is left. It was once taken for ended, and the next load of its order key was sent while it still
+// ran.
 func TestDrainingEngineRefusesConnections(t *testing.T) {
-	var asked atomic.Int32
+	var polls atomic.Int32
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		switch {
-		case c.Method == "GET" && strings.Contains(c.Path, testharness.RequestID(2)) && asked.Add(1) == 1:
+		case c.Method == "GET" && strings.Contains(c.Path, testharness.RequestID(2)) && polls.Add(1) == 1:
 			r.Engines[0].Server.Listener.Close()
 			testharness.RespondRaw(w, "", false)
 		case c.Method == "GET" && strings.Contains(c.Path, testharness.RequestID(2)):
@@ -251,7 +266,7 @@
 		}
 	})
 	c := r.NewClient()
-	load2(c, 1) // keeps a connection
+	sendUnorderedLoad(c, 1) // keeps a connection open
 	r.WaitForRequests(1, "GET", "/v1/store/"+testharness.RequestID(1))
 	c.SendLoad(2, "9000")
 	p := c.ReadReply()
@@ -260,9 +275,10 @@
 	assert.Len(t, r.Requests("POST", "/"), 2)
 }
 
-// Where an engine goes on to answer others, a silent connection is not waited for as if it stood still.
+// While an engine responds on other connections, a query on one without responses is polled elsewhere without waiting
+// for as long as for an unresponsive engine.
 func TestSilentConnectionOfALiveEngine(t *testing.T) {
-	for range 5 { // a slow machine may miss the second
+	for range 5 { // a slow machine may not make it within the second
 		r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 			if c.Method == "POST" && c.Header.Get("Request-Id") == testharness.RequestID(1) {
 				testharness.RespondRaw(w, "", false)
@@ -276,18 +292,18 @@
 			w.WriteHeader(202)
 		})
 		c := r.NewClient()
-		load2(c, 2)
-		load2(c, 1)
+		sendUnorderedLoad(c, 2)
+		sendUnorderedLoad(c, 1)
 		require.Equal(t, "answer", c.ReadReply().Kind)
-		post, asked := r.Requests("POST", "/"), r.WaitForRequests(1, "GET", "/v1/store/"+testharness.RequestID(1))
-		if asked[0].ReceivedAt.Sub(post[1].ReceivedAt) < 900*time.Millisecond {
+		posts, polls := r.Requests("POST", "/"), r.WaitForRequests(1, "GET", "/v1/store/"+testharness.RequestID(1))
+		if polls[0].ReceivedAt.Sub(posts[1].ReceivedAt) < 900*time.Millisecond {
 			return
 		}
 	}
-	t.Error("the silence was waited for")
+	t.Error("the query was polled only once its connection had timed out")
 }
 
-// A connection that is reset before it has carried anything costs neither the query nor its engine.
+// A connection that is reset while it is new or idle neither fails a query nor counts against the engine.
 func TestResetOfNewAndIdleConnections(t *testing.T) {
 	var conns atomic.Int32
 	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), func(r *testharness.Harness) {
@@ -300,7 +316,7 @@
 	})
 	c := r.NewClient()
 	for i := range 5 {
-		load2(c, i)
+		sendUnorderedLoad(c, i)
 		assert.Equal(t, "answer", c.ReadReply().Kind)
 	}
 	assert.Len(t, r.Requests("POST", "/"), 5)
--- a/cmd/chutechute/engine_tls_test.go
+++ b/cmd/chutechute/engine_tls_test.go
@@ -19,62 +19,69 @@
 	"chutechute/internal/testharness"
 )
 
-// behind has engines show certificates for their ids, or for what name makes of them, and ask the front end for one.
-func behind(t *testing.T, name func(id string) string) func(*testharness.Harness) {
+// withEngineTLS gives the engines TLS certificates for their ids, or for the names that name makes of these, and has
+// them require a client certificate of the front end.
+func withEngineTLS(t *testing.T, name func(id string) string) func(*testharness.Harness) {
 	dir := t.TempDir()
-	at := func(file string) string { return filepath.Join(dir, file) }
+	inDir := func(file string) string { return filepath.Join(dir, file) }
 	ca, err := certs.NewCA("engines", time.Hour)
 	require.NoError(t, err)
-	require.NoError(t, ca.Write(at("ca.pem"), at("ca.key")))
-	front, err := ca.Leaf(certs.Request{Name: "front", For: time.Hour})
+	require.NoError(t, ca.Write(inDir("ca.pem"), inDir("ca.key")))
+	frontEnd, err := ca.Leaf(certs.Request{Name: "front", For: time.Hour})
 	require.NoError(t, err)
-	require.NoError(t, front.Write(at("front.pem"), at("front.key")))
-	require.NoError(t, os.WriteFile(at("i.jsonnet"), []byte(`{ tls: { engines: { enabled: true, cas: ['ca.pem'], name: '{id}.engines',
+	require.NoError(t, frontEnd.Write(inDir("front.pem"), inDir("front.key")))
+	require.NoError(t, os.WriteFile(inDir("i.jsonnet"),
+		[]byte(`{ tls: { engines: { enabled: true, cas: ['ca.pem'], name: '{id}.engines',
 		certificate: { certificate: 'front.pem', key: 'front.key' } } }, identity: { watch_s: 0.02 } }`), 0o600))
 	return func(r *testharness.Harness) {
-		r.Args = []string{"serve", "--installation", at("i.jsonnet")}
+		r.Args = []string{"serve", "--installation", inDir("i.jsonnet")}
 		r.Settings["limits"].(map[string]any)["dial_timeout"] = 2.0
 		r.EngineTLS = func(e *testharness.StubEngine) *tls.Config {
 			leaf, err := ca.Leaf(certs.Request{Name: e.Name, DNS: []string{name(e.Name) + ".engines"}, For: time.Hour})
 			require.NoError(t, err)
-			return &tls.Config{Certificates: []tls.Certificate{leaf.TLS()}, ClientCAs: ca.Pool(), ClientAuth: tls.RequireAndVerifyClientCert}
+			return &tls.Config{Certificates: []tls.Certificate{leaf.TLS()},
+				ClientCAs: ca.Pool(), ClientAuth: tls.RequireAndVerifyClientCert}
 		}
 	}
 }
 
-func own(id string) string { return id }
+func sameID(id string) string { return id }
 
-// Queries run on engines over TLS as without: many at once, results of many pages, calls one after another on one connection.
-func TestEnginesByTLS(t *testing.T) {
+// Queries run on engines over TLS as they do without: many at once, with results of several pages, and several queries
+// one after another on a connection.
+func TestEnginesOverTLS(t *testing.T) {
 	page := strings.Repeat("aaaaaaaaaa\tbbbbbbbbbbbb\tcccccccccccc\n", 160)
 	var opened atomic.Int32
-	r := start(t, 2, testharness.SucceedAfterPolls(1, page, page, page, page, page, page), behind(t, own), func(r *testharness.Harness) {
-		r.OnConnState = func(_ net.Conn, s http.ConnState) {
-			if s == http.StateNew {
-				opened.Add(1)
+	r := start(t, 2, testharness.SucceedAfterPolls(1, page, page, page, page, page, page), withEngineTLS(t, sameID),
+		func(r *testharness.Harness) {
+			r.OnConnState = func(_ net.Conn, s http.ConnState) {
+				if s == http.StateNew {
+					opened.Add(1)
+				}
 			}
-		}
-	})
+		})
 	c := r.NewClient()
-	const rounds, each = 3, 8
+	const rounds, perRound = 3, 8
 	for round := range rounds {
-		for n := range each {
-			c.SendRequest("SELECT 1 FROM s_1.t -- "+strings.Repeat("x", 20_000), "call", testharness.RequestID(100*round+n), "op", "lookup", "ttl", "9000", "work", "100")
+		for n := range perRound {
+			c.SendRequest("SELECT 1 FROM s_1.t -- "+strings.Repeat("x", 20_000), "call", testharness.RequestID(100*round+n),
+				"op", "lookup", "ttl", "9000", "work", "100")
 		}
-		for range each {
+		for range perRound {
 			p := c.ReadReply()
 			require.Equal(t, "answer", p.Kind)
 			assert.Equal(t, strings.Repeat(page, 6), p.Rows())
 		}
-		time.Sleep(400 * time.Millisecond) // that a connection rests between two queries
+		time.Sleep(400 * time.Millisecond) // longer than a connection stays unused between two queries
 	}
-	assert.Len(t, r.Requests("POST", "/"), rounds*each, "none was sent twice")
-	assert.Less(t, int(opened.Load()), rounds*each, "connections are used again")
+	assert.Len(t, r.Requests("POST", "/"), rounds*perRound, "no query was sent twice")
+	assert.Less(t, int(opened.Load()), rounds*perRound, "connections are reused")
 }
 
-// An engine that can't show its own name gets nothing, not even a byte of a query; the others serve.
-func TestEngineOfAnotherName(t *testing.T) {
-	r := start(t, 2, testharness.SucceedAfterPolls(0, testharness.ResultRow), behind(t, func(id string) string { return "s-00000001" }))
+// An engine whose certificate is for another name gets no request; the other engines serve.
+func TestEngineWithAnotherName(t *testing.T) {
+	r := start(t, 2, testharness.SucceedAfterPolls(0, testharness.ResultRow),
+		withEngineTLS(t, func(id string) string { return "s-00000001" }))
 	c := r.NewClient()
 	for n := range 10 {
 		c.SendLookup(n, "5000")
@@ -86,17 +93,18 @@
 	for _, call := range r.Requests("POST", "/") {
 		assert.Equal(t, "s-00000001", call.Engine)
 	}
-	r = start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), behind(t, func(string) string { return "elsewhere" }))
+	r = start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow),
+		withEngineTLS(t, func(string) string { return "elsewhere" }))
 	c = r.NewClient()
 	c.SendLookup(1, "1500")
-	assert.Equal(t, "shed", c.ReadReply().Kind, "it never ran")
+	assert.Equal(t, "shed", c.ReadReply().Kind, "the query never ran")
 	assert.Empty(t, r.Requests("POST", "/"))
 	r.WaitForLog("handshake")
 }
 
-// A connection that ends once a start has come whole on it says no more over TLS than without: a keyed load is asked after before
-// it is sent again, and what was asked for is answered once.
-func TestResetsByTLS(t *testing.T) {
+// A connection that is closed after a start has arrived on it is handled over TLS as without: a load is polled before
+// it is sent again, and its client gets one response.
+func TestResetsOverTLS(t *testing.T) {
 	var posts atomic.Int32
 	r := start(t, 2, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		switch {
@@ -107,24 +115,25 @@
 		default:
 			testharness.RespondResult(w, testharness.ResultRow)
 		}
-	}, behind(t, own))
+	}, withEngineTLS(t, sameID))
 	c := r.NewClient()
 	c.SendLoad(1, "9000")
 	assert.Equal(t, "answer", c.ReadReply().Kind)
-	assert.Len(t, r.Requests("POST", "/"), 1, "its news was asked for instead")
+	assert.Len(t, r.Requests("POST", "/"), 1, "it was polled instead")
 	assert.Len(t, r.Requests("GET", "/v1/store/"+testharness.RequestID(1)), 1)
 	assert.True(t, c.Healthy())
 }
 
-// Engines that shake hands slowly or never hold up neither the loop nor queries for others.
+// An engine that never completes the TLS handshake delays neither the event loop nor queries to other engines.
 func TestSilentHandshakeWithEngine(t *testing.T) {
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer silent.Close()
-	r := start(t, 2, testharness.SucceedAfterPolls(0, testharness.ResultRow), behind(t, own), func(r *testharness.Harness) {
-		r.Settings["limits"].(map[string]any)["dial_timeout"] = 0.25
-		r.Engines[0].Addr = silent.Addr().(*net.TCPAddr)
-	})
+	r := start(t, 2, testharness.SucceedAfterPolls(0, testharness.ResultRow), withEngineTLS(t, sameID),
+		func(r *testharness.Harness) {
+			r.Settings["limits"].(map[string]any)["dial_timeout"] = 0.25
+			r.Engines[0].Addr = silent.Addr().(*net.TCPAddr)
+		})
 	c := r.NewClient()
 	for n := range 8 {
 		c.SendRequest("SELECT 1 FROM s_1.t", "call", testharness.RequestID(n), "op", "lookup", "ttl", "5000", "work", "100")
--- a/cmd/chutechute/facts_test.go
+++ b/cmd/chutechute/facts_test.go
@@ -12,10 +12,11 @@
 	"chutechute/internal/testharness"
 )
 
-// Priorities go to engines where the settings say that they are heeded, with the start and for what runs; a memory grant never goes
-// where the engine alone sets it. Where the settings say nothing of all this, none of it is on the wire, and notes say nothing.
-func TestPrioritiesAndNotesBySettings(t *testing.T) {
-	for _, on := range []bool{false, true} {
+// Where the settings enable priorities, a query's priority is sent to its engine with the start, and again when it
+// changes while the query runs; where they enable progress reports, these are counted. Without these settings no
+// priority is sent and progress reports are ignored. A memory grant is sent in neither case, as grants is false.
+func TestPrioritiesAndProgressReportsBySettings(t *testing.T) {
+	for _, enabled := range []bool{false, true} {
 		r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 			switch {
 			case c.Method == "PUT" || c.Method == "DELETE":
@@ -30,20 +31,21 @@
 				w.WriteHeader(202)
 			}
 		}, func(r *testharness.Harness) {
-			d := r.Settings["domain"].(map[string]any)
-			d["lanes_count"], d["grants"], d["tells_cost"] = on, false, on
-			if on {
-				d["note_period"] = 0.05
+			domain := r.Settings["domain"].(map[string]any)
+			domain["lanes_count"], domain["grants"], domain["tells_cost"] = enabled, false, enabled
+			if enabled {
+				domain["note_period"] = 0.05
 			}
 		})
 		c := r.NewClient()
-		// Its aim passes while it runs: from then on it may wait.
-		c.SendRequest("SELECT * FROM s_1.t", "call", testharness.RequestID(1), "op", "lookup", "ttl", "5000", "org", "t", "work", "100.0", "mb", "8")
+		// Its latency objective passes while it runs, which lowers its priority to 0.
+		c.SendRequest("SELECT * FROM s_1.t", "call", testharness.RequestID(1), "op", "lookup", "ttl", "5000", "org", "t",
+			"work", "100.0", "mb", "8")
 		assert.Equal(t, "answer", c.ReadReply().Kind)
 		post, put := r.Requests("POST", "/")[0], r.Requests("PUT", "/")
 		assert.NotContains(t, post.Header, "X-Reserve")
-		assert.Equal(t, on, r.Counter("notes on running attempts") > 0)
-		if !on {
+		assert.Equal(t, enabled, r.Counter("notes on running attempts") > 0)
+		if !enabled {
 			assert.NotContains(t, post.Header, "X-Weight-Class")
 			assert.Empty(t, put)
 			continue
@@ -56,8 +58,9 @@
 	}
 }
 
-// The loser of two copies is given up once the other has served: one answer, and nothing of it runs on.
-func TestLoserOfTwoCopiesIsGivenUp(t *testing.T) {
+// Once one attempt of a hedged request has succeeded, the other one is canceled with a DELETE, and the client gets one
+// response.
+func TestLosingHedgedAttemptIsCanceled(t *testing.T) {
 	r := start(t, 2, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		posts := r.Requests("POST", "/")
 		slow := len(posts) > 10 && c.Engine == posts[10].Engine
@@ -72,7 +75,7 @@
 		}
 	}, func(r *testharness.Harness) { r.Settings["limits"].(map[string]any)["may_duplicate"] = true })
 	c := r.NewClient()
-	for n := range 10 { // a usual one takes no time
+	for n := range 10 { // typical queries take no time, so that a slow one is hedged
 		c.SendLookup(n, "9000")
 		require.Equal(t, "answer", c.ReadReply().Kind)
 	}
@@ -85,6 +88,7 @@
 	assert.NotEqual(t, posts[10].Engine, posts[11].Engine)
 	deleted := r.WaitForRequests(1, "DELETE", "/v1/store/"+testharness.RequestID(10))
 	assert.Equal(t, posts[10].Engine, deleted[0].Engine)
-	assert.True(t, c.Healthy(), "the next message is the answer to health")
-	assert.Eventually(t, func() bool { return r.Counter("attempts given up for clients") == 1 }, testharness.WaitTimeout, time.Millisecond)
+	assert.True(t, c.Healthy(), "the next message is the response to health")
+	assert.Eventually(t, func() bool { return r.Counter("attempts given up for clients") == 1 },
+		testharness.WaitTimeout, time.Millisecond)
 }
--- a/cmd/chutechute/harness_test.go
+++ b/cmd/chutechute/harness_test.go
@@ -7,7 +7,7 @@
 	"chutechute/internal/testharness"
 )
 
-var program string
+var program string // path of the executable under test
 
 func TestMain(m *testing.M) {
 	built, remove, err := testharness.Build()
@@ -20,7 +20,10 @@
 	os.Exit(code)
 }
 
-// start runs the program with engines that answer so.
-func start(t *testing.T, engines int, do testharness.EngineHandler, change ...func(*testharness.Harness)) *testharness.Harness {
-	return testharness.Start(t, program, engines, do, change...)
+// start starts the program with that many stub engines, which all respond by the handler. Each of the options may
+// change the harness before.
+func start(
+	t *testing.T, engines int, handler testharness.EngineHandler, options ...func(*testharness.Harness),
+) *testharness.Harness {
+	return testharness.Start(t, program, engines, handler, options...)
 }
--- a/cmd/chutechute/identity_test.go
+++ b/cmd/chutechute/identity_test.go
@@ -24,45 +24,51 @@
 	"chutechute/internal/testharness"
 )
 
-const rightsOfAll = `[{ effect: 'allow', callers: ['*'], classes: ['lookup'] }, { effect: 'allow', callers: ['booking'], classes: ['load'] },
+// defaultRights are the rights rules of most tests: all callers may send look-ups, booking may also send loads, and
+// desk may not use table groups 90 to 99.
+const defaultRights = `[{ effect: 'allow', callers: ['*'], classes: ['lookup'] }, ` +
+	`{ effect: 'allow', callers: ['booking'], classes: ['load'] },
   { effect: 'deny', callers: ['desk'], groups: ['90-99'] }]`
 
-// office is an issuer of tokens and the installation that goes by them.
-type office struct {
-	t                        *testing.T
-	dir, installation        string
-	private, public, revoked string
+// tokenFixture has the key sets and the revocation list of a token issuer, and an installation file that names them.
+type tokenFixture struct {
+	t                     *testing.T
+	dir, installationPath string
+	// Paths of the private and public key sets and of the revocation list.
+	privateKeys, publicKeys, revocations string
 }
 
-func newOffice(t *testing.T) *office {
+func newTokenFixture(t *testing.T) *tokenFixture {
 	dir := t.TempDir()
-	o := &office{t, dir, filepath.Join(dir, "i.jsonnet"), filepath.Join(dir, "p.jwks"), filepath.Join(dir, "k.jwks"),
+	f := &tokenFixture{t, dir, filepath.Join(dir, "i.jsonnet"), filepath.Join(dir, "p.jwks"), filepath.Join(dir, "k.jwks"),
 		filepath.Join(dir, "revoked.json")}
-	o.rotate("a", 0, 0)
-	o.revoke(`{}`)
-	o.write(rightsOfAll, "")
-	return o
+	f.rotateKeys("a", 0, 0)
+	f.writeRevocations(`{}`)
+	f.writeInstallation(defaultRights, "")
+	return f
 }
 
-// write writes the installation file with these rights and whatever else.
-func (o *office) write(rights, more string) {
+// writeInstallation writes the installation file with the given rights and further members of its identity section.
+func (f *tokenFixture) writeInstallation(rights, more string) {
 	text := fmt.Sprintf(`{ identity: { enabled: true, watch_s: 0.02, revoked: 'revoked.json',
 		issuers: [{ name: 'legon', audiences: ['front'], keys: 'k.jwks' }],
 		callers: [{ name: 'booking', tenant: 't', issuer: 'legon', subject: 'booking' },
 			{ name: 'desk', tenant: 't', issuer: 'legon', subject: 'desk-*' }],
 		rights: %s, %s } }`, rights, more)
-	require.NoError(o.t, os.WriteFile(o.installation, []byte(text), 0o600))
+	require.NoError(f.t, os.WriteFile(f.installationPath, []byte(text), 0o600))
 }
 
-func (o *office) revoke(text string) {
-	require.NoError(o.t, keyfiles.Write(o.revoked, []byte(text), 0o600))
+// writeRevocations writes the revocation list.
+func (f *tokenFixture) writeRevocations(text string) {
+	require.NoError(f.t, keyfiles.Write(f.revocations, []byte(text), 0o600))
 }
 
-// rotate adds a key that signs from a time on, and lets those before it end at another, both as seconds of Unix time.
-func (o *office) rotate(id string, from, end int64) {
+// rotateKeys adds a key that signs from a time on, and retires all others at another time. Both are in seconds of Unix
+// time; no key is retired where end is zero.
+func (f *tokenFixture) rotateKeys(id string, from, end int64) {
 	k, err := token.Generate(id, "EdDSA")
-	require.NoError(o.t, err)
-	require.NoError(o.t, keyfiles.Change(o.private, o.public, func(s *token.KeySet) error {
+	require.NoError(f.t, err)
+	require.NoError(f.t, keyfiles.Change(f.privateKeys, f.publicKeys, func(s *token.KeySet) error {
 		for _, old := range s.List() {
 			if end > 0 {
 				if err := s.Retire(old.ID, end*monotime.Second); err != nil {
@@ -74,46 +80,48 @@
 	}))
 }
 
-// sign signs a token with one of the keys.
-func (o *office) sign(key, subject, id string) string {
-	text, err := os.ReadFile(o.private)
-	require.NoError(o.t, err)
+// signToken returns a token for the subject, valid for an hour, signed with the key of the given id.
+func (f *tokenFixture) signToken(key, subject, id string) string {
+	text, err := os.ReadFile(f.privateKeys)
+	require.NoError(f.t, err)
 	keys, err := token.ParsePrivateKeys(text)
-	require.NoError(o.t, err)
+	require.NoError(f.t, err)
 	for _, k := range keys {
 		if k.ID == key {
 			signed, err := token.Sign(k, identity.Claims{Issuer: "legon", Subject: subject, ID: id, Audiences: []string{"front"},
 				Expires: time.Now().Add(time.Hour).UnixMicro()})
-			require.NoError(o.t, err)
+			require.NoError(f.t, err)
 			return signed
 		}
 	}
-	o.t.Fatalf("no key %q", key)
+	f.t.Fatalf("no key %q", key)
 	return ""
 }
 
-func (o *office) installed(r *testharness.Harness) {
-	r.Args = []string{"serve", "--installation", o.installation}
+// useInstallation has the process use the installation file.
+func (f *tokenFixture) useInstallation(r *testharness.Harness) {
+	r.Args = []string{"serve", "--installation", f.installationPath}
 }
 
-// with asks with a token: for a look-up, or for a load of key k.
-func with(c *testharness.Client, n int, class, statement, token string, fields ...string) int32 {
-	return c.SendRequest(statement, append([]string{"call", testharness.RequestID(n), "op", class, "ttl", "9000", "dedupe", fmt.Sprint(n), "row", "k",
-		"work", "10", "token", token}, fields...)...)
+// sendWithToken asks sendWithToken a token: for a look-up, or for a load of key k.
+func sendWithToken(c *testharness.Client, n int, class, statement, token string, fields ...string) int32 {
+	return c.SendRequest(statement,
+		append([]string{"call", testharness.RequestID(n), "op", class, "ttl", "9000", "dedupe", fmt.Sprint(n), "row", "k",
+			"work", "10", "token", token}, fields...)...)
 }
 
-// Callers do what they have the right to, under their own tenant, and nothing else; what they may not is answered at once
-// and says that it never ran.
+// Callers may send what their rights allow, under their own tenant, and nothing else. Other requests are rejected with
+// a response that says that they never ran.
 func TestRightsOfCallers(t *testing.T) {
-	o := newOffice(t)
-	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), o.installed)
+	issuer := newTokenFixture(t)
+	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), issuer.useInstallation)
 	c := r.NewClient()
-	desk, booking := o.sign("a", "desk-1", ""), o.sign("a", "booking", "")
+	desk, booking := issuer.signToken("a", "desk-1", ""), issuer.signToken("a", "booking", "")
 	posts := 0
 	for i, one := range []struct {
 		class, statement, token string
 		fields                  []string
-		what, why               string
+		kind, message           string
 	}{
 		{"lookup", "SELECT 1 FROM s_1.t", desk, nil, "answer", ""},
 		{"lookup", "SELECT 1 FROM s_1.t", desk, []string{"org", "t"}, "answer", ""},
@@ -123,24 +131,24 @@
 		{"lookup", "SELECT 1 FROM s_95.t", booking, nil, "answer", ""},
 		{"lookup", "SELECT 1 FROM s_1.t", "", nil, "fault", "no proof"},
 		{"lookup", "SELECT 1 FROM s_1.t", desk[:len(desk)-6], nil, "fault", "bad proof"},
-		{"lookup", "SELECT 1 FROM s_1.t", o.sign("a", "kiosk", ""), nil, "fault", "unknown"},
+		{"lookup", "SELECT 1 FROM s_1.t", issuer.signToken("a", "kiosk", ""), nil, "fault", "unknown"},
 		{"lookup", "SELECT 1 FROM s_1.t", desk, []string{"org", "u"}, "exception", "unknown tenant"},
 	} {
-		with(c, i, one.class, one.statement, one.token, one.fields...)
+		sendWithToken(c, i, one.class, one.statement, one.token, one.fields...)
 		p := c.ReadReply()
-		assert.Equal(t, one.what, p.Kind, "%d: %s", i, p.Payload)
-		assert.Contains(t, p.Payload, one.why, i)
-		if one.what == "fault" {
+		assert.Equal(t, one.kind, p.Kind, "%d: %s", i, p.Payload)
+		assert.Contains(t, p.Payload, one.message, i)
+		if one.kind == "fault" {
 			assert.Contains(t, p.Payload, "never_ran")
 		}
-		if one.what == "answer" {
+		if one.kind == "answer" {
 			posts++
 		}
 	}
 	got := r.Requests("POST", "/")
 	assert.Len(t, got, posts)
 	for _, p := range got {
-		assert.NotContains(t, fmt.Sprint(p.Header, p.Body), desk, "no engine sees a token")
+		assert.NotContains(t, fmt.Sprint(p.Header, p.Body), desk, "tokens are not sent to engines")
 	}
 	r.WaitForLog("no right")
 	for _, text := range []string{desk, booking, desk[:40]} {
@@ -148,28 +156,29 @@
 	}
 }
 
-// A load without the right never enters its key's line. One whose right ends while it waits in line is finished.
-func TestRightsAndTheLine(t *testing.T) {
-	o := newOffice(t)
+// A load whose caller lacks the right is rejected before it is queued for its order key. One whose caller loses the
+// right while it is queued still runs.
+func TestRightsAndTheOrderKeyQueue(t *testing.T) {
+	issuer := newTokenFixture(t)
 	release := make(chan bool)
-	r := start(t, 1, testharness.DelayedStart(testharness.RequestID(1), release), o.installed)
+	r := start(t, 1, testharness.DelayedStart(testharness.RequestID(1), release), issuer.useInstallation)
 	c := r.NewClient()
-	booking, desk := o.sign("a", "booking", ""), o.sign("a", "desk-1", "")
-	first := with(c, 1, "load", "INSERT INTO s_1.t VALUES (1)", booking)
+	booking, desk := issuer.signToken("a", "booking", ""), issuer.signToken("a", "desk-1", "")
+	first := sendWithToken(c, 1, "load", "INSERT INTO s_1.t VALUES (1)", booking)
 	r.WaitForRequests(1, "POST", "/")
-	refused := with(c, 2, "load", "INSERT INTO s_1.t VALUES (2)", desk)
+	rejected := sendWithToken(c, 2, "load", "INSERT INTO s_1.t VALUES (2)", desk)
 	p := c.ReadReply()
-	assert.Equal(t, []any{refused, "fault"}, []any{p.Seq, p.Kind}, "at once, while the first still runs")
-	waiting := with(c, 3, "load", "INSERT INTO s_1.t VALUES (3)", booking)
+	assert.Equal(t, []any{rejected, "fault"}, []any{p.Seq, p.Kind}, "rejected at once, while the first still runs")
+	queued := sendWithToken(c, 3, "load", "INSERT INTO s_1.t VALUES (3)", booking)
 	assert.True(t, r.NewClient().Healthy())
-	o.write(`[{ effect: 'allow', callers: ['*'], classes: ['lookup'] }]`, "")
+	issuer.writeInstallation(`[{ effect: 'allow', callers: ['*'], classes: ['lookup'] }]`, "")
 	r.Signal(syscall.SIGHUP)
 	r.WaitForLog("reloaded")
-	late := with(c, 4, "load", "INSERT INTO s_1.t VALUES (4)", booking)
+	late := sendWithToken(c, 4, "load", "INSERT INTO s_1.t VALUES (4)", booking)
 	p = c.ReadReply()
 	assert.Equal(t, []any{late, "fault"}, []any{p.Seq, p.Kind})
 	close(release)
-	for _, seq := range []int32{first, waiting} {
+	for _, seq := range []int32{first, queued} {
 		p = c.ReadReply()
 		assert.Equal(t, []any{seq, "answer"}, []any{p.Seq, p.Kind})
 	}
@@ -180,76 +189,78 @@
 	assert.Equal(t, []string{testharness.RequestID(1), testharness.RequestID(3)}, ids)
 }
 
-// What is revoked is refused on connections that are open, within a second or two of the file's change; what was taken
-// before is answered, once.
+// Requests with a revoked token are rejected on open connections soon after the revocation list has changed; requests
+// received before are answered, once.
 func TestRevocationInService(t *testing.T) {
-	o := newOffice(t)
+	issuer := newTokenFixture(t)
 	release := make(chan bool)
-	r := start(t, 1, testharness.DelayedStart(testharness.RequestID(1), release), o.installed)
+	r := start(t, 1, testharness.DelayedStart(testharness.RequestID(1), release), issuer.useInstallation)
 	busy, idle := r.NewClient(), r.NewClient()
-	one, two := o.sign("a", "desk-1", "t1"), o.sign("a", "desk-1", "t2")
-	with(busy, 1, "lookup", "SELECT 1 FROM s_1.t", one)
-	with(idle, 2, "lookup", "SELECT 1 FROM s_1.t", one)
+	revokedToken, validToken := issuer.signToken("a", "desk-1", "t1"), issuer.signToken("a", "desk-1", "t2")
+	sendWithToken(busy, 1, "lookup", "SELECT 1 FROM s_1.t", revokedToken)
+	sendWithToken(idle, 2, "lookup", "SELECT 1 FROM s_1.t", revokedToken)
 	assert.Equal(t, "answer", idle.ReadReply().Kind)
 	r.WaitForRequests(1, "POST", "/")
-	o.revoke(`{"legon": {"jti": ["t1"]}}`)
+	issuer.writeRevocations(`{"legon": {"jti": ["t1"]}}`)
 	n := 10
 	require.Eventually(t, func() bool {
 		n++
-		with(idle, n, "lookup", "SELECT 1 FROM s_1.t", one)
+		sendWithToken(idle, n, "lookup", "SELECT 1 FROM s_1.t", revokedToken)
 		return idle.ReadReply().Kind == "fault"
 	}, testharness.WaitTimeout, 5*time.Millisecond)
-	with(idle, 3, "lookup", "SELECT 1 FROM s_1.t", two)
+	sendWithToken(idle, 3, "lookup", "SELECT 1 FROM s_1.t", validToken)
 	assert.Equal(t, "answer", idle.ReadReply().Kind)
 	close(release)
 	assert.Equal(t, "answer", busy.ReadReply().Kind)
-	assert.True(t, busy.Healthy(), "answered once")
-	// A list that can't be read leaves what was revoked as it is.
-	o.revoke(`{"legon": `)
+	assert.True(t, busy.Healthy(), "the next message is the response to health")
+	// An unreadable list leaves the old one in force.
+	issuer.writeRevocations(`{"legon": `)
 	r.WaitForLog("the last good content stays in force")
-	with(idle, 4, "lookup", "SELECT 1 FROM s_1.t", one)
+	sendWithToken(idle, 4, "lookup", "SELECT 1 FROM s_1.t", revokedToken)
 	assert.Equal(t, "fault", idle.ReadReply().Kind)
 }
 
-// A reload that fails for want of a key file changes nothing: the files of before are still taken over as they change.
-func TestFailedReloadGoesOnWatching(t *testing.T) {
-	o := newOffice(t)
-	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), o.installed)
+// A reload that fails because a key file is missing changes nothing: the files of the old configuration are still
+// watched and reloaded.
+func TestFailedReloadKeepsWatching(t *testing.T) {
+	issuer := newTokenFixture(t)
+	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), issuer.useInstallation)
 	c := r.NewClient()
-	text, err := os.ReadFile(o.installation)
+	text, err := os.ReadFile(issuer.installationPath)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(o.installation, []byte(strings.Replace(string(text), "k.jwks", "nowhere.jwks", 1)), 0o600))
+	require.NoError(t,
+		os.WriteFile(issuer.installationPath, []byte(strings.Replace(string(text), "k.jwks", "nowhere.jwks", 1)), 0o600))
 	r.Signal(syscall.SIGHUP)
 	r.WaitForLog("the old configuration stays in force")
-	o.rotate("b", 0, 0)
-	token, n := o.sign("b", "desk-1", ""), 0
+	issuer.rotateKeys("b", 0, 0)
+	token, n := issuer.signToken("b", "desk-1", ""), 0
 	require.Eventually(t, func() bool {
 		n++
-		with(c, n, "lookup", "SELECT 1 FROM s_1.t", token)
+		sendWithToken(c, n, "lookup", "SELECT 1 FROM s_1.t", token)
 		return c.ReadReply().Kind == "answer"
 	}, testharness.WaitTimeout, 50*time.Millisecond)
 }
 
-// Keys rotate again and again under load, while clients hold old and new keys: nobody is refused whose key holds, nor let in
-// whose key has ended. Who should pass at each moment is known from the times in the key set; within the moments
-// round an end either is right. CHUTECHUTE_LONG=1 goes on for a minute.
+// Keys are rotated repeatedly under load, while clients use tokens of old and new keys: no token of a valid key is
+// rejected and no token of a retired key is accepted. The times in the key set tell which outcome is right; shortly
+// before and after a key's end both are. CHUTECHUTE_LONG=1 runs for a minute.
 func TestRotationUnderLoad(t *testing.T) {
-	span := 6 * time.Second
+	duration := 6 * time.Second
 	if os.Getenv("CHUTECHUTE_LONG") != "" {
-		span = time.Minute
+		duration = time.Minute
 	}
-	o := newOffice(t)
-	r := start(t, 2, testharness.SucceedAfterPolls(0, testharness.ResultRow), o.installed)
-	type held struct {
+	issuer := newTokenFixture(t)
+	r := start(t, 2, testharness.SucceedAfterPolls(0, testharness.ResultRow), issuer.useInstallation)
+	type signingKey struct {
 		token     string
 		from, end time.Time // zero: no end yet
 	}
 	var mu sync.Mutex
-	keys := []*held{{token: o.sign("a", "desk-1", "")}}
+	keys := []*signingKey{{token: issuer.signToken("a", "desk-1", "")}}
 	var stop atomic.Bool
-	var passed, refused, wrong atomic.Int32
+	var accepted, rejected, wrong atomic.Int32
 	var workers sync.WaitGroup
-	const slack, known = 300 * time.Millisecond, 2 * time.Second // by when the front end has read a key at the latest
+	const slack, loadTime = 300 * time.Millisecond, 2 * time.Second // loadTime: by then the front end has loaded a new key
 	for worker := range 4 {
 		c := r.NewClient()
 		require.NoError(t, c.Conn.SetDeadline(time.Now().Add(2*time.Minute)))
@@ -259,10 +270,10 @@
 				k := *keys[max(0, len(keys)-1-n%4)]
 				mu.Unlock()
 				before := time.Now()
-				with(c, 1_000_000*(worker+1)+n, "lookup", "SELECT 1 FROM s_1.t", k.token)
+				sendWithToken(c, 1_000_000*(worker+1)+n, "lookup", "SELECT 1 FROM s_1.t", k.token)
 				p := c.ReadReply()
 				after := time.Now()
-				mustPass := before.After(k.from.Add(known)) && (k.end.IsZero() || after.Before(k.end.Add(-slack)))
+				mustPass := before.After(k.from.Add(loadTime)) && (k.end.IsZero() || after.Before(k.end.Add(-slack)))
 				mustFail := !k.end.IsZero() && before.After(k.end.Add(slack))
 				switch {
 				case p.Kind == "answer" && mustFail, p.Kind != "answer" && mustPass:
@@ -270,56 +281,59 @@
 					t.Errorf("%s, must pass %v, must fail %v: %s", p.Kind, mustPass, mustFail, p.Payload)
 					return
 				case p.Kind == "answer":
-					passed.Add(1)
+					accepted.Add(1)
 				default:
-					refused.Add(1)
+					rejected.Add(1)
 				}
 			}
 		})
 	}
-	for n, began := 0, time.Now(); time.Since(began) < span; n++ { // a rotation a second, as JWK times are whole seconds
+	// One rotation per second, as JWK times are whole seconds.
+	for n, started := 0, time.Now(); time.Since(started) < duration; n++ {
 		now := time.Now()
 		end := now.Unix() + 2
 		id := fmt.Sprint("k", n)
-		o.rotate(id, now.Unix(), end)
+		issuer.rotateKeys(id, now.Unix(), end)
 		mu.Lock()
 		for _, k := range keys {
 			if k.end.IsZero() {
 				k.end = time.Unix(end, 0)
 			}
 		}
-		keys = append(keys, &held{token: o.sign(id, "desk-1", ""), from: time.Now()})
+		keys = append(keys, &signingKey{token: issuer.signToken(id, "desk-1", ""), from: time.Now()})
 		mu.Unlock()
 		time.Sleep(time.Second)
 	}
 	stop.Store(true)
 	workers.Wait()
-	t.Logf("%d let in, %d refused, %d wrongly", passed.Load(), refused.Load(), wrong.Load())
-	assert.Positive(t, passed.Load())
-	assert.Positive(t, refused.Load())
+	t.Logf("%d accepted, %d rejected, %d wrong", accepted.Load(), rejected.Load(), wrong.Load())
+	assert.Positive(t, accepted.Load())
+	assert.Positive(t, rejected.Load())
 }
 
-// A flood of bad tokens costs a bounded number of signatures, and good callers are served beside it.
+// A flood of invalid tokens leads to a limited number of signature checks, and callers with valid tokens are still
+// served.
 func TestFloodOfBadTokensInService(t *testing.T) {
-	o := newOffice(t)
-	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), o.installed)
-	good := o.sign("a", "desk-1", "")
+	issuer := newTokenFixture(t)
+	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), issuer.useInstallation)
+	validToken := issuer.signToken("a", "desk-1", "")
 	c := r.NewClient()
-	with(c, 1, "lookup", "SELECT 1 FROM s_1.t", good)
+	sendWithToken(c, 1, "lookup", "SELECT 1 FROM s_1.t", validToken)
 	require.Equal(t, "answer", c.ReadReply().Kind)
-	bad := r.NewClient()
-	const floods = 3000
+	flooder := r.NewClient()
+	const invalidTokens = 3000
 	go func() {
-		for n := range floods {
-			with(bad, 100+n, "lookup", "SELECT 1 FROM s_1.t", fmt.Sprintf("%s%06d", good[:len(good)-6], n))
+		for n := range invalidTokens {
+			sendWithToken(flooder, 100+n, "lookup", "SELECT 1 FROM s_1.t",
+				fmt.Sprintf("%s%06d", validToken[:len(validToken)-6], n))
 		}
 	}()
 	for n := range 50 {
-		with(c, 10_000+n, "lookup", "SELECT 1 FROM s_1.t", good)
+		sendWithToken(c, 10_000+n, "lookup", "SELECT 1 FROM s_1.t", validToken)
 		assert.Equal(t, "answer", c.ReadReply().Kind)
 	}
-	for range floods {
-		assert.Contains(t, []string{"fault", "shed"}, bad.ReadReply().Kind)
+	for range invalidTokens {
+		assert.Contains(t, []string{"fault", "shed"}, flooder.ReadReply().Kind)
 	}
 	r.Signal(syscall.SIGUSR1)
 	r.WaitForLog("signatures checked")
@@ -330,44 +344,46 @@
 			require.NoError(t, err)
 		}
 	}
-	assert.Less(t, checked, floods/2)
+	assert.Less(t, checked, invalidTokens/2)
 }
 
-// The commands keep keys, sign, and say who and what.
+// The commands manage keys, sign tokens, and show the caller of a token and its rights.
 func TestIdentityCommands(t *testing.T) {
-	o := newOffice(t)
+	issuer := newTokenFixture(t)
 	var settings map[string]any
 	require.NoError(t, json.Unmarshal([]byte(testharness.Settings), &settings))
-	text, err := json.Marshal(map[string]any{"listen": "127.0.0.1:0", "journal": "127.0.0.1:1", "seed": "1", "settings": settings})
+	text, err := json.Marshal(map[string]any{"listen": "127.0.0.1:0", "journal": "127.0.0.1:1", "seed": "1",
+		"settings": settings})
 	require.NoError(t, err)
-	config := filepath.Join(o.dir, "config.json")
+	config := filepath.Join(issuer.dir, "config.json")
 	require.NoError(t, os.WriteFile(config, text, 0o600))
 	env := []string{"NODE_CONFIG=" + config}
 	run := func(input string, args ...string) string {
-		out, errs, code := command(t, input, env, args...)
-		require.Zero(t, code, "%v: %s", args, errs)
+		out, stderr, code := runCommand(t, input, env, args...)
+		require.Zero(t, code, "%v: %s", args, stderr)
 		return out
 	}
-	files := []string{"--private", o.private, "--public", o.public}
+	files := []string{"--private", issuer.privateKeys, "--public", issuer.publicKeys}
 	keys := func(args ...string) string { return run("", append(append([]string{"keys"}, args...), files...)...) }
-	assert.Equal(t, "ok\n", run("", "identity", "check", "--installation", o.installation))
+	assert.Equal(t, "ok\n", run("", "identity", "check", "--installation", issuer.installationPath))
 	keys("rotate", "--ahead", "0s", "--overlap", "1h", "--alg", "ES256")
 	var list []token.KeyInfo
 	require.NoError(t, json.Unmarshal([]byte(keys("list", "--json")), &list))
 	require.Len(t, list, 2)
 	assert.Positive(t, list[0].Until)
 	signed := strings.TrimSpace(keys("sign", "--issuer", "legon", "--subject", "desk-7", "--audience", "front"))
-	assert.JSONEq(t, `{"caller":"desk","tenant":"t"}`, run(signed, "identity", "whoami", "--json", "--installation", o.installation))
-	out := run("", "identity", "rights", "desk", "5", "95", "--installation", o.installation)
+	assert.JSONEq(t, `{"caller":"desk","tenant":"t"}`,
+		run(signed, "identity", "whoami", "--json", "--installation", issuer.installationPath))
+	out := run("", "identity", "rights", "desk", "5", "95", "--installation", issuer.installationPath)
 	assert.Regexp(t, `lookup +group 5 +allowed`, out)
 	assert.Regexp(t, `lookup +group 95 +denied`, out)
 	assert.Regexp(t, `load +group 5 +denied`, out)
 	keys("retire", list[1].ID)
-	_, errs, code := command(t, signed, env, "identity", "whoami", "--installation", o.installation)
+	_, stderr, code := runCommand(t, signed, env, "identity", "whoami", "--installation", issuer.installationPath)
 	assert.Equal(t, 1, code)
-	assert.Contains(t, errs, "bad proof")
+	assert.Contains(t, stderr, "bad proof")
 	dir := t.TempDir()
-	for _, name := range []string{"front", "desk"} { // the authority is made once
+	for _, name := range []string{"front", "desk"} { // the certificate authority is created by the first call only
 		run("", "cert", "dev", "--dir", dir, "--name", name, "--dns", name, "--uri", "spiffe://legon/"+name)
 	}
 	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, "desk.pem"), filepath.Join(dir, "desk.key"))
@@ -378,11 +394,12 @@
 	require.True(t, roots.AppendCertsFromPEM(ca))
 	_, err = pair.Leaf.Verify(x509.VerifyOptions{Roots: roots, DNSName: "desk"})
 	assert.NoError(t, err)
-	secret, err := os.ReadFile(o.private)
+	secret, err := os.ReadFile(issuer.privateKeys)
 	require.NoError(t, err)
 	var set struct{ Keys []struct{ D string } }
 	require.NoError(t, json.Unmarshal(secret, &set))
-	for _, shown := range []string{keys("list"), run("", "config", "show", "--installation", o.installation), out} {
-		assert.NotContains(t, shown, set.Keys[0].D)
+	for _, output := range []string{keys("list"),
+		run("", "config", "show", "--installation", issuer.installationPath), out} {
+		assert.NotContains(t, output, set.Keys[0].D)
 	}
 }
--- a/cmd/chutechute/idle_holds_test.go
+++ b/cmd/chutechute/idle_holds_test.go
@@ -18,11 +18,11 @@
 	"chutechute/internal/testharness"
 )
 
-// maxIdleThreads bounds the threads of an idle front end. The runtime starts them as it needs them: in 60 starts of the
-// program at 9b51463, beside other load, there were 6 to 10.
+// maxIdleThreads bounds the threads of an idle front end. The Go runtime starts threads as it needs them: 60 starts of
+// the program at commit 9b51463, on a machine under other load, had 6 to 10.
 const maxIdleThreads = 12
 
-// pollingDescriptors returns what a process's sockets and anonymous inodes are, sorted.
+// pollingDescriptors returns the kinds of the sockets and anonymous inodes that a process has open, sorted.
 func pollingDescriptors(t *testing.T, pid int) (kinds []string) {
 	t.Helper()
 	folder := fmt.Sprintf("/proc/%d/fd", pid)
@@ -39,22 +39,22 @@
 	return kinds
 }
 
-// An idle front end without an installation file holds the sockets and goroutines that it held before the fleet's parts
-// were restructured, and no more threads: these parts are off.
+// An idle front end without an installation file has the recorded sockets and goroutines, those from before the fleet's
+// code was restructured, and no more than maxIdleThreads threads: the fleet is off.
 func TestIdleFrontEndHoldsNothingOfTheFleet(t *testing.T) {
 	r := testharness.Start(t, program, 0, nil)
 	time.Sleep(300 * time.Millisecond)
-	holds := pollingDescriptors(t, r.Cmd.Process.Pid)
+	descriptors := pollingDescriptors(t, r.Cmd.Process.Pid)
 	threads, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", r.Cmd.Process.Pid))
 	require.NoError(t, err)
 	assert.LessOrEqual(t, len(threads), maxIdleThreads)
 	require.NoError(t, r.Cmd.Process.Signal(syscall.SIGQUIT))
 	<-r.Exited
-	started := 0 // goroutines that the program itself started: the runtime starts its own when it needs them
+	started := 0 // goroutines that the program itself started; the runtime starts its own as it needs them
 	for _, by := range regexp.MustCompile(`(?m)^created by (\S+)`).FindAllStringSubmatch(r.Log.String(), -1) {
 		if !strings.HasPrefix(by[1], "runtime.") {
 			started++
 		}
 	}
-	golden.Lines(t, "testdata/idle.txt", append(holds, fmt.Sprint(started, " goroutines")))
+	golden.Lines(t, "testdata/idle.txt", append(descriptors, fmt.Sprint(started, " goroutines")))
 }
--- a/cmd/chutechute/main_test.go
+++ b/cmd/chutechute/main_test.go
@@ -15,13 +15,14 @@
 	"chutechute/internal/testharness"
 )
 
-// What a client sent goes to the engine byte for byte, and all pages come back in order and unchanged.
+// The statement reaches the engine byte for byte, and all pages of the result are returned in order and unchanged.
 func TestServesAllPagesUnchanged(t *testing.T) {
 	r := start(t, 1, testharness.SucceedAfterPolls(2, "a\tb\tc\n", "d\te\tf\n", "g\th\ti\n"))
 	c := r.NewClient()
 	require.True(t, c.Healthy())
 	statement := "INSERT INTO s_7.t -- \u00e9\nVALUES ('x''y')"
-	c.SendRequest(statement, "call", "9b1f03aa5c7e2d41", "op", "load", "ttl", "9000", "org", "t", "dedupe", "5c0f", "row", "k")
+	c.SendRequest(statement, "call", "9b1f03aa5c7e2d41", "op", "load", "ttl", "9000", "org", "t", "dedupe", "5c0f",
+		"row", "k")
 	p := c.ReadReply()
 	assert.Equal(t, "answer", p.Kind)
 	assert.Equal(t, "a\tb\tc\nd\te\tf\ng\th\ti\n", p.Rows())
@@ -33,14 +34,15 @@
 	assert.Equal(t, statement, post[0].Body)
 }
 
-// With far more queries running than descriptors, each is still asked after in turn: engines give up
-// what is not asked for in 2 s. All must end by the 200 of their engine, at the first attempt.
+// With far more running queries than descriptors for them, each is still polled in turn: engines abandon a query that
+// is not polled for 2 s. All queries must succeed at their first attempt.
 func TestScarceDescriptors(t *testing.T) {
-	r := start(t, 1, testharness.SucceedAfterPolls(3, testharness.ResultRow), func(r *testharness.Harness) { r.SocketLimit = 64 })
+	r := start(t, 1, testharness.SucceedAfterPolls(3, testharness.ResultRow),
+		func(r *testharness.Harness) { r.SocketLimit = 64 })
 	a, b := r.NewClient(), r.NewClient()
 	for i := range 30 {
-		load2(a, i)
-		load2(b, 100+i)
+		sendUnorderedLoad(a, i)
+		sendUnorderedLoad(b, 100+i)
 	}
 	for range 30 {
 		assert.Equal(t, "answer", a.ReadReply().Kind)
@@ -50,33 +52,35 @@
 	assert.Empty(t, r.Requests("DELETE", "/"))
 }
 
-// load2 asks for a load without a key, which no attempt's time-out cuts short.
-func load2(c *testharness.Client, n int) int32 {
-	return c.SendRequest("INSERT INTO s_1.t", "call", testharness.RequestID(n), "op", "load", "ttl", "15000", "dedupe", fmt.Sprint(n), "work", "10.0")
+// sendUnorderedLoad sends a load without an order key, whose attempt does not time out. It returns the sequence number.
+func sendUnorderedLoad(c *testharness.Client, n int) int32 {
+	return c.SendRequest("INSERT INTO s_1.t", "call", testharness.RequestID(n), "op", "load", "ttl", "15000",
+		"dedupe", fmt.Sprint(n), "work", "10.0")
 }
 
-// Cancel frees a request: no answer, and its attempt is given up.
+// A canceled request gets no response, and its attempt is ended with a DELETE.
 func TestCancel(t *testing.T) {
 	r := start(t, 1, testharness.SucceedAfterPolls(1000, testharness.ResultRow))
 	c := r.NewClient()
-	seq := load2(c, 1)
+	seq := sendUnorderedLoad(c, 1)
 	r.WaitForRequests(1, "GET", "/v1/store/"+testharness.RequestID(1)+"/0")
 	c.SendMessage(4, "cancel", []byte{8, 0, 1, 0, 0, 0, byte(seq)})
 	r.WaitForRequests(1, "DELETE", "/v1/store/"+testharness.RequestID(1))
-	assert.True(t, c.Healthy(), "the next message is the answer to health")
+	assert.True(t, c.Healthy(), "the next message is the response to health")
 }
 
-// A client that goes away leaves nothing running.
-func TestClientGone(t *testing.T) {
+// When a client disconnects, its running query is ended with a DELETE.
+func TestClientDisconnect(t *testing.T) {
 	r := start(t, 1, testharness.SucceedAfterPolls(1000, testharness.ResultRow))
 	c := r.NewClient()
-	load2(c, 1)
+	sendUnorderedLoad(c, 1)
 	r.WaitForRequests(1, "GET", "/v1/store/"+testharness.RequestID(1)+"/0")
 	c.Conn.Close()
 	r.WaitForRequests(1, "DELETE", "/v1/store/"+testharness.RequestID(1))
 }
 
-// What never ran is sent again; a page that is lost fails the attempt; nothing is served in part.
+// A request is retried after an attempt that was rejected, failed or lost its connection, and after one that lost a
+// page of its result; the client gets the whole result of the retry.
 func TestOutcomes(t *testing.T) {
 	for name, first := range map[string]testharness.EngineHandler{
 		"full": func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
@@ -120,8 +124,8 @@
 	}
 }
 
-// Long queries fill their share of an engine, not that of shorter ones, which cost it little: lookups were held
-// and refused behind them.
+// Long queries that use up their share of an engine do not delay short ones, which cost it little. Look-ups were once
+// queued behind them and rejected.
 func TestShortQueriesPassLongOnes(t *testing.T) {
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		if c.Header.Get("Kind") == "lookup" {
@@ -132,22 +136,23 @@
 		w.WriteHeader(202)
 	}, func(r *testharness.Harness) { r.Settings["domain"].(map[string]any)["cpu_of_kind"] = []int{1} })
 	c := r.NewClient()
-	for i := range 4 { // of two threads each, where four is the share
-		load2(c, i)
+	for i := range 4 { // of two threads each, where the share is four threads
+		sendUnorderedLoad(c, i)
 	}
 	r.WaitForRequests(2, "POST", "/")
-	require.True(t, c.Healthy(), "all are taken")
+	require.True(t, c.Healthy(), "all loads have been received")
 	c.SendLookup(5, "5000")
 	assert.Equal(t, "answer", c.ReadReply().Kind)
 	assert.Len(t, r.Requests("POST", "/"), 3)
 }
 
-const whole = "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n" + testharness.ResultRow
+// completeResponse is an engine's response that ends a query, with a result of one page.
+const completeResponse = "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n" + testharness.ResultRow
 
-// The first query of a table group goes to the same engine of twelve, whatever strings, comments, aliases
-// and the schema staging say beside it.
-func TestGroups(t *testing.T) {
-	home := ""
+// Statements of one table group go first to the same one of twelve engines; text in strings and comments, aliases and
+// the staging schema don't change the group.
+func TestTableGroups(t *testing.T) {
+	preferredEngine := ""
 	for i, statement := range []string{
 		"SELECT * FROM sales_17.orders",
 		"select 'from x_3.y' from /* s_4.t /* s_5.t */ */ \"sales_17\".\"orders\" -- s_9.t",
@@ -160,19 +165,20 @@
 		c.SendRequest(statement, "call", testharness.RequestID(i), "op", "lookup", "ttl", "5000", "work", "10.0")
 		require.Equal(t, "answer", c.ReadReply().Kind)
 		if i == 0 {
-			home = r.Requests("POST", "/")[0].Engine
+			preferredEngine = r.Requests("POST", "/")[0].Engine
 		}
-		assert.Equal(t, home, r.Requests("POST", "/")[0].Engine, statement)
+		assert.Equal(t, preferredEngine, r.Requests("POST", "/")[0].Engine, statement)
 	}
 }
 
-// The journal is followed from the last event known, over broken and silent connections; an engine that
-// drains gets nothing new.
-func TestJournal(t *testing.T) {
+// The discovery watch resumes from the last event received after its connection was closed or went silent; a draining
+// engine gets no new queries.
+func TestDiscoveryWatch(t *testing.T) {
 	r := start(t, 2, testharness.SucceedAfterPolls(0, testharness.ResultRow))
 	conn, last := r.AcceptDiscovery()
 	require.EqualValues(t, 41, last)
-	_, err := conn.Write(append(testharness.DiscoveryFrame(41, 0), testharness.DiscoveryFrame(42, 2, r.Engines[0].DiscoveryRecord(1))...))
+	_, err := conn.Write(append(testharness.DiscoveryFrame(41, 0),
+		testharness.DiscoveryFrame(42, 2, r.Engines[0].DiscoveryRecord(1))...))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
 		r.Signal(syscall.SIGUSR1)
@@ -187,15 +193,15 @@
 		assert.Equal(t, r.Engines[1].Name, p.Engine)
 	}
 	conn.Close()
-	conn, last = r.AcceptDiscovery() // which stays silent from here
+	conn, last = r.AcceptDiscovery() // stays silent from here on
 	assert.EqualValues(t, 42, last)
 	_, last = r.AcceptDiscovery()
 	assert.EqualValues(t, 42, last)
 	conn.Close()
 }
 
-// What waits for a connection to an engine is not sent there once the engine drains.
-func TestDrainWithdrawsWhatWaits(t *testing.T) {
+// A request that waits for a connection to an engine is not sent there once the engine drains.
+func TestWaitingRequestsAreNotSentToADrainingEngine(t *testing.T) {
 	release := make(chan struct{})
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		<-release
@@ -204,10 +210,10 @@
 	conn, _ := r.AcceptDiscovery()
 	a, b := r.NewClient(), r.NewClient()
 	for i := range 30 {
-		load2(a, i)
-		load2(b, 100+i)
+		sendUnorderedLoad(a, i)
+		sendUnorderedLoad(b, 100+i)
 	}
-	require.True(t, a.Healthy() && b.Healthy(), "all are taken")
+	require.True(t, a.Healthy() && b.Healthy(), "all loads have been received")
 	r.WaitForRequests(10, "POST", "/")
 	_, err := conn.Write(testharness.DiscoveryFrame(42, 2, r.Engines[0].DiscoveryRecord(1)))
 	require.NoError(t, err)
--- a/cmd/chutechute/places_test.go
+++ b/cmd/chutechute/places_test.go
@@ -17,53 +17,58 @@
 	"chutechute/internal/testharness"
 )
 
-// Where the system has no descriptor left, those who wait to connect wait without costing turns of the loop, and get in once one is
-// free. The one that waits kept the loop from resting.
-func TestNoDescriptorIsWaitedForAtRest(t *testing.T) {
-	r := start(t, 0, nil) // requests are held, as there is no engine: their clients can't be done without
-	journal, _ := r.AcceptDiscovery()
-	defer journal.Close()
+// Where the process has no descriptor left, clients in the backlog wait without the event loop spinning, and are
+// accepted once a descriptor is free. A waiting client once kept the loop busy.
+func TestWaitingForADescriptorDoesNotBusyLoop(t *testing.T) {
+	r := start(t, 0, nil) // without an engine requests stay queued, so that their clients' connections are not closed
+	discoveryConn, _ := r.AcceptDiscovery()
+	defer discoveryConn.Close()
 	r.LimitDescriptors(2)
-	var all []*testharness.Client
-	for waits := false; !waits; {
-		n := len(all) + 1
+	var clients []*testharness.Client
+	for waiting := false; !waiting; {
+		n := len(clients) + 1
 		require.Less(t, n, 50)
 		c := r.NewClient()
-		c.SendRequest("INSERT INTO s_1.t", "call", testharness.RequestID(n), "op", "load", "ttl", "20000", "dedupe", fmt.Sprint(n), "work", "10.0")
-		for tries := 0; r.Counter("requests taken") < n && !waits; tries++ {
-			waits = tries > 20 && strings.Contains(r.Log.String(), "msg=accept")
+		c.SendRequest("INSERT INTO s_1.t", "call", testharness.RequestID(n), "op", "load", "ttl", "20000",
+			"dedupe", fmt.Sprint(n), "work", "10.0")
+		for tries := 0; r.Counter("requests taken") < n && !waiting; tries++ {
+			waiting = tries > 20 && strings.Contains(r.Log.String(), "msg=accept")
 			time.Sleep(5 * time.Millisecond)
 		}
-		all = append(all, c)
+		clients = append(clients, c)
 	}
-	begun, before := time.Now(), strings.Count(r.Log.String(), "msg=accept")
+	started, before := time.Now(), strings.Count(r.Log.String(), "msg=accept")
 	time.Sleep(500 * time.Millisecond)
 	tries := strings.Count(r.Log.String(), "msg=accept") - before
-	assert.Positive(t, tries, "the last one waits still")
-	assert.Less(t, tries, 2+int(time.Since(begun)/(20*time.Millisecond)), "one a tick")
-	taken := r.Counter("requests taken")
-	all[0].Conn.Close()
-	require.Eventually(t, func() bool { return r.Counter("requests taken") == taken+1 }, testharness.WaitTimeout, time.Millisecond)
+	assert.Positive(t, tries, "the last client still waits")
+	assert.Less(t, tries, 2+int(time.Since(started)/(20*time.Millisecond)), "one attempt per tick")
+	received := r.Counter("requests taken")
+	clients[0].Conn.Close()
+	require.Eventually(t, func() bool { return r.Counter("requests taken") == received+1 },
+		testharness.WaitTimeout, time.Millisecond)
 }
 
-// A client that takes the last descriptor and says nothing yet keeps its place: nobody waits behind it. It was closed unread where
-// its first bytes came after its connection had been accepted.
-func TestLastDescriptorServesWhoTookIt(t *testing.T) {
+// A client on the last free descriptor that has not sent anything yet keeps its connection as long as no other client
+// waits. It was once closed if its first bytes arrived after its connection had been accepted.
+func TestClientOnTheLastDescriptorIsServed(t *testing.T) {
 	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow))
-	journal, _ := r.AcceptDiscovery()
-	defer journal.Close()
+	discoveryConn, _ := r.AcceptDiscovery()
+	defer discoveryConn.Close()
 	r.LimitDescriptors(1)
 	c := r.NewClient()
-	require.Eventually(t, func() bool { return r.Counter("connections from clients") == 1 }, testharness.WaitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return r.Counter("connections from clients") == 1 },
+		testharness.WaitTimeout, time.Millisecond)
 	c.SendRequest("SELECT * FROM s_1.t", "call", testharness.RequestID(1), "op", "lookup", "ttl", "5000", "work", "1.0")
-	require.Eventually(t, func() bool { return r.Counter("requests taken") == 1 }, testharness.WaitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return r.Counter("requests taken") == 1 },
+		testharness.WaitTimeout, time.Millisecond)
 	assert.Zero(t, r.Counter("connections ended by their clients"))
 }
 
-// Clients that rest, say half of something or nothing fill their share while discovery is down; the watch is made again, engines
-// get their connections and new clients their turn all the same.
-func TestPlacesWhileDiscoveryIsDown(t *testing.T) {
-	r := start(t, 3, testharness.SucceedAfterPolls(0, testharness.ResultRow), func(r *testharness.Harness) { r.SocketLimit = 64 })
+// While discovery is down, clients that are idle, have sent half a message or nothing use up the clients' descriptors.
+// The discovery watch, connections to engines and new clients still get descriptors.
+func TestDescriptorsWhileDiscoveryIsDown(t *testing.T) {
+	r := start(t, 3, testharness.SucceedAfterPolls(0, testharness.ResultRow),
+		func(r *testharness.Harness) { r.SocketLimit = 64 })
 	conn, _ := r.AcceptDiscovery()
 	conn.Close()
 	addr := r.DiscoveryListener.Addr().String()
@@ -80,25 +85,27 @@
 		}
 	}
 	require.NoError(t, r.ListenDiscovery(addr))
-	back, last := r.AcceptDiscovery()
+	watch, last := r.AcceptDiscovery()
 	assert.EqualValues(t, 41, last)
-	_, err := back.Write(testharness.DiscoveryFrame(42, 2, r.Engines[0].DiscoveryRecord(1)))
+	_, err := watch.Write(testharness.DiscoveryFrame(42, 2, r.Engines[0].DiscoveryRecord(1)))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return r.Counter("frames from the journal") == 1 }, testharness.WaitTimeout, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return r.Counter("frames from the journal") == 1 },
+		testharness.WaitTimeout, 5*time.Millisecond)
 	for n := range 20 {
 		c := r.NewClient()
-		c.SendRequest(fmt.Sprintf("SELECT * FROM s_%d.t", n), "call", testharness.RequestID(n), "op", "lookup", "ttl", "5000", "work", "1.0")
+		c.SendRequest(fmt.Sprintf("SELECT * FROM s_%d.t", n), "call", testharness.RequestID(n), "op", "lookup",
+			"ttl", "5000", "work", "1.0")
 		require.Equal(t, "answer", c.ReadReply().Kind)
 	}
 	assert.LessOrEqual(t, r.DescriptorCount(), 64)
 	for _, p := range r.Requests("POST", "/") {
-		assert.NotEqual(t, r.Engines[0].Name, p.Engine, "it drains")
+		assert.NotEqual(t, r.Engines[0].Name, p.Engine, "the engine is draining")
 	}
 }
 
-// Nothing of one request is used for another, whatever is recycled meanwhile: numbers of sequence, connections, descriptors, and
-// settings by a reload, those that can't be used too.
-func TestNothingOfAnotherRequest(t *testing.T) {
+// No data of one request gets into another, although sequence numbers, connections and descriptors are reused, and
+// valid and invalid configurations are reloaded meanwhile.
+func TestRequestsAreIsolated(t *testing.T) {
 	r := start(t, 3, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		if c.Method != "POST" {
 			w.WriteHeader(204)
@@ -112,42 +119,43 @@
 	})
 	const clients, rounds = 4, 60
 	for round := range rounds {
-		var all []*testharness.Client
+		var open []*testharness.Client
 		for k := range clients {
 			c := r.NewClient()
 			n := round*clients + k
-			op, once := "lookup", ""
+			op, key := "lookup", ""
 			if n%3 == 0 {
-				op, once = "load", fmt.Sprintf("once-%d", n)
+				op, key = "load", fmt.Sprintf("once-%d", n)
 			}
 			tenant := []string{"t", "u"}[n%2]
-			c.SendRequest(fmt.Sprintf("SELECT %d FROM s_%d.t", n, n%5), "call", testharness.RequestID(n), "op", op, "ttl", "9000", "org", tenant, "dedupe", once,
-				"row", once, "work", "1.0")
+			c.SendRequest(fmt.Sprintf("SELECT %d FROM s_%d.t", n, n%5), "call", testharness.RequestID(n), "op", op,
+				"ttl", "9000", "org", tenant, "dedupe", key,
+				"row", key, "work", "1.0")
 			if n%7 == 0 {
 				c.Conn.Close()
 				continue
 			}
-			all = append(all, c)
+			open = append(open, c)
 		}
 		if round%10 == 0 {
 			r.NodeConfig["journal"] = []any{7, r.DiscoveryListener.Addr().String()}[round/10%2]
 			r.WriteNodeConfig()
 			r.Signal(syscall.SIGHUP)
 		}
-		for _, c := range all {
+		for _, c := range open {
 			p := c.ReadReply()
 			require.Equal(t, "answer", p.Kind)
-			part := strings.Split(strings.TrimSuffix(p.Rows(), "\n"), "\t")
+			fields := strings.Split(strings.TrimSuffix(p.Rows(), "\n"), "\t")
 			var n int
-			_, err := fmt.Sscanf(part[0], "%x", &n)
+			_, err := fmt.Sscanf(fields[0], "%x", &n)
 			require.NoError(t, err)
 			require.Equal(t, round, n/clients)
 			want := "lookup/"
 			if n%3 == 0 {
 				want = fmt.Sprintf("load/once-%d", n)
 			}
-			require.Equal(t, want, part[1])
-			require.Equal(t, fmt.Sprintf("SELECT %d FROM s_%d.t", n, n%5), part[2])
+			require.Equal(t, want, fields[1])
+			require.Equal(t, fmt.Sprintf("SELECT %d FROM s_%d.t", n, n%5), fields[2])
 			c.Conn.Close()
 		}
 	}
@@ -158,22 +166,23 @@
 	}
 }
 
-// Loads run at an engine that drains: it takes no new connections, and goes on with what is asked after. Clients without end come
-// for the descriptors that are left. The connection by which a load was asked after was closed for one of them; none could be made
-// again, and the key's next began while the engine still had the load (herd+crowd+brink of the second deployment, seed 347353815773).
+// Loads run on a draining engine, which refuses new connections and keeps running what is polled. Meanwhile many
+// clients connect and need the remaining descriptors. The connection on which a load was polled was once closed for one
+// of them; no other could be established, and the next load of the order key was started while the engine still ran the
+// first (scenario herd+crowd+brink of the second deployment, seed 347353815773).
 func TestConnectionsToADrainingEngineAreKept(t *testing.T) {
 	const engines, loads, lookups, newcomers = 12, 16, 50, 200
 	released := make(chan struct{})
 	var mu sync.Mutex
-	closed := map[string]int{} // connections that ended, by the engine's address
-	var cut atomic.Int32       // questions about loads whose connection was closed before they were answered
+	closed := map[string]int{}        // closed connections by their engine's address
+	var interruptedPolls atomic.Int32 // polls of loads whose connection was closed before the response
 	r := start(t, engines, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
 		select {
 		case <-released:
 			testharness.RespondResult(w, testharness.ResultRow)
 		case <-c.Done:
 			if path := strings.Split(c.Path, "/"); c.Method == "GET" && path[3] < testharness.RequestID(100) {
-				cut.Add(1)
+				interruptedPolls.Add(1)
 			}
 		case <-time.After(50 * time.Millisecond):
 			w.WriteHeader(202)
@@ -190,26 +199,29 @@
 	})
 	client := r.NewClient()
 	for n := range loads {
-		client.SendRequest(fmt.Sprintf("INSERT INTO s_%d.t", n), "call", testharness.RequestID(1+n), "op", "load", "ttl", "60000", "dedupe", fmt.Sprint(n),
+		client.SendRequest(fmt.Sprintf("INSERT INTO s_%d.t", n), "call", testharness.RequestID(1+n), "op", "load",
+			"ttl", "60000", "dedupe", fmt.Sprint(n),
 			"row", fmt.Sprint(n), "work", "10.0")
 	}
-	at := map[string][]string{} // loads by their engines
-	drains := r.Engines[0]
+	loadsByEngine := map[string][]string{} // request ids of the loads
+	draining := r.Engines[0]
 	for _, p := range r.WaitForRequests(loads, "POST", "/") {
-		at[p.Engine] = append(at[p.Engine], p.Header.Get("Request-Id"))
+		loadsByEngine[p.Engine] = append(loadsByEngine[p.Engine], p.Header.Get("Request-Id"))
 	}
 	for _, e := range r.Engines {
-		if len(at[e.Name]) > len(at[drains.Name]) {
-			drains = e
+		if len(loadsByEngine[e.Name]) > len(loadsByEngine[draining.Name]) {
+			draining = e
 		}
 	}
-	require.Greater(t, len(at[drains.Name]), 1)
-	require.NoError(t, drains.Server.Listener.Close())
-	many := [2]*testharness.Client{r.NewClient(), r.NewClient()}
+	require.Greater(t, len(loadsByEngine[draining.Name]), 1)
+	require.NoError(t, draining.Server.Listener.Close())
+	lookupClients := [2]*testharness.Client{r.NewClient(), r.NewClient()}
 	for n := range lookups {
-		many[n%2].SendRequest(fmt.Sprintf("SELECT * FROM s_%d.t", n), "call", testharness.RequestID(100+n), "op", "lookup", "ttl", "60000", "work", "1.0")
+		lookupClients[n%2].SendRequest(fmt.Sprintf("SELECT * FROM s_%d.t", n), "call", testharness.RequestID(100+n),
+			"op", "lookup", "ttl", "60000", "work", "1.0")
 	}
-	require.Eventually(t, func() bool { return len(r.Requests("GET", "/")) > 10*lookups }, testharness.WaitTimeout, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return len(r.Requests("GET", "/")) > 10*lookups },
+		testharness.WaitTimeout, 5*time.Millisecond)
 	for range newcomers {
 		c := r.NewClient()
 		_, err := c.Conn.Write([]byte{0, 0, 1, 0, 0x80, 1})
@@ -217,15 +229,16 @@
 			defer c.Conn.Close()
 		}
 	}
-	for _, load := range at[drains.Name] {
-		asked := func() int { return len(r.Requests("GET", "/v1/store/"+load)) }
-		before := asked()
-		require.Eventually(t, func() bool { return asked() > before+20 }, testharness.WaitTimeout, 5*time.Millisecond, "load %s is asked after no more", load)
+	for _, load := range loadsByEngine[draining.Name] {
+		polls := func() int { return len(r.Requests("GET", "/v1/store/"+load)) }
+		before := polls()
+		require.Eventually(t, func() bool { return polls() > before+20 },
+			testharness.WaitTimeout, 5*time.Millisecond, "load %s is no longer polled", load)
 	}
 	mu.Lock()
-	assert.Zero(t, closed[drains.Addr.String()], "connections to the engine that drains were closed")
+	assert.Zero(t, closed[draining.Addr.String()], "connections to the draining engine were closed")
 	mu.Unlock()
-	assert.Zero(t, cut.Load(), "connections were closed under questions about loads")
+	assert.Zero(t, interruptedPolls.Load(), "connections were closed during polls of loads")
 	assert.LessOrEqual(t, r.DescriptorCount(), 64)
 	close(released)
 	for range loads {
--- a/cmd/chutechute/tls_test.go
+++ b/cmd/chutechute/tls_test.go
@@ -21,63 +21,70 @@
 	"chutechute/internal/testharness"
 )
 
-// town is an authority, a front end with TLS that goes by it, and its clients.
-type town struct {
-	t                           *testing.T
-	dir, installation           string
-	cert, key, clientCA, revoke string
-	ca                          *certs.CA
+// tlsFixture has a certificate authority, the certificate files and installation of a front end that trusts it, and its
+// clients' TLS configurations.
+type tlsFixture struct {
+	t                        *testing.T
+	dir, installationPath    string
+	cert, key, clientCA, crl string // paths
+	ca                       *certs.CA
 }
 
-func newTown(t *testing.T, clientAuth, identity string) *town {
+// newTLSFixture creates the files; clientAuth is the setting client_auth, and identity has members of the identity
+// section.
+func newTLSFixture(t *testing.T, clientAuth, identity string) *tlsFixture {
 	dir := t.TempDir()
-	w := &town{t: t, dir: dir, installation: filepath.Join(dir, "i.jsonnet"), cert: filepath.Join(dir, "cert.pem"),
-		key: filepath.Join(dir, "key.pem"), clientCA: filepath.Join(dir, "ca.pem"), revoke: filepath.Join(dir, "crl.pem")}
+	f := &tlsFixture{t: t, dir: dir, installationPath: filepath.Join(dir, "i.jsonnet"),
+		cert: filepath.Join(dir, "cert.pem"), key: filepath.Join(dir, "key.pem"),
+		clientCA: filepath.Join(dir, "ca.pem"), crl: filepath.Join(dir, "crl.pem")}
 	var err error
-	w.ca, err = certs.NewCA("town", time.Hour)
+	f.ca, err = certs.NewCA("town", time.Hour)
 	require.NoError(t, err)
-	w.writeCAs(w.ca)
-	w.writeLeaf(w.ca)
-	w.writeCRL(1, time.Hour)
-	text := fmt.Sprintf(`{ tls: { enabled: true, certificates: [{ certificate: 'cert.pem', key: 'key.pem' }], client_auth: '%s',
+	f.writeClientCAs(f.ca)
+	f.writeServerCertificate(f.ca)
+	f.writeCRL(1, time.Hour)
+	text := fmt.Sprintf(
+		`{ tls: { enabled: true, certificates: [{ certificate: 'cert.pem', key: 'key.pem' }], client_auth: '%s',
 		client_cas: ['ca.pem'], crls: ['crl.pem'], handshakes: { pending: 8 } },
 		identity: { watch_s: 0.02, %s } }`, clientAuth, identity)
-	require.NoError(t, os.WriteFile(w.installation, []byte(text), 0o600))
-	return w
+	require.NoError(t, os.WriteFile(f.installationPath, []byte(text), 0o600))
+	return f
 }
 
-func (w *town) installed(r *testharness.Harness) {
-	r.Args = []string{"serve", "--installation", w.installation, "--log-level", "debug"}
+// useInstallation has the process use the installation file.
+func (f *tlsFixture) useInstallation(r *testharness.Harness) {
+	r.Args = []string{"serve", "--installation", f.installationPath, "--log-level", "debug"}
 }
 
-func (w *town) writeCAs(list ...*certs.CA) {
+func (f *tlsFixture) writeClientCAs(list ...*certs.CA) {
 	var all []byte
 	for _, ca := range list {
 		text, _, err := ca.PEM()
-		require.NoError(w.t, err)
+		require.NoError(f.t, err)
 		all = append(all, text...)
 	}
-	require.NoError(w.t, keyfiles.Write(w.clientCA, all, 0o644))
+	require.NoError(f.t, keyfiles.Write(f.clientCA, all, 0o644))
 }
 
-// writeLeaf gives the server a new pair, its two files one after the other.
-func (w *town) writeLeaf(ca *certs.CA) {
+// writeServerCertificate gives the front end a new certificate, then its key.
+func (f *tlsFixture) writeServerCertificate(ca *certs.CA) {
 	leaf, err := ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, For: time.Hour})
-	require.NoError(w.t, err)
+	require.NoError(f.t, err)
 	cert, key, err := leaf.PEM()
-	require.NoError(w.t, err)
-	require.NoError(w.t, keyfiles.Write(w.cert, cert, 0o644))
-	require.NoError(w.t, keyfiles.Write(w.key, key, 0o600))
+	require.NoError(f.t, err)
+	require.NoError(f.t, keyfiles.Write(f.cert, cert, 0o644))
+	require.NoError(f.t, keyfiles.Write(f.key, key, 0o600))
 }
 
-func (w *town) writeCRL(number int64, within time.Duration, revoked ...*x509.Certificate) {
-	text, err := w.ca.Revoke(number, within, revoked...)
-	require.NoError(w.t, err)
-	require.NoError(w.t, keyfiles.Write(w.revoke, text, 0o644))
+func (f *tlsFixture) writeCRL(number int64, within time.Duration, revoked ...*x509.Certificate) {
+	text, err := f.ca.Revoke(number, within, revoked...)
+	require.NoError(f.t, err)
+	require.NoError(f.t, keyfiles.Write(f.crl, text, 0o644))
 }
 
-// client is a configuration for clients who trust these authorities, with a certificate of the first where a URI is given.
-func (w *town) client(uri string, trusted ...*certs.CA) (*tls.Config, *certs.Pair) {
+// clientConfig returns the TLS configuration of a client that trusts the given authorities. Where a URI is given, it
+// has a certificate for that URI by the first of them, which is returned too.
+func (f *tlsFixture) clientConfig(uri string, trusted ...*certs.CA) (*tls.Config, *certs.Pair) {
 	config := &tls.Config{RootCAs: x509.NewCertPool(), ServerName: "front"}
 	for _, ca := range trusted {
 		config.RootCAs.AddCert(ca.Certificate)
@@ -86,35 +93,39 @@
 		return config, nil
 	}
 	leaf, err := trusted[0].Leaf(certs.Request{Name: uri, URIs: []string{uri}, For: time.Hour})
-	require.NoError(w.t, err)
+	require.NoError(f.t, err)
 	config.Certificates = []tls.Certificate{leaf.TLS()}
 	return config, leaf
 }
 
-func (w *town) must(r *testharness.Harness, config *tls.Config) *testharness.Client {
+// connect connects a client; the test fails where the handshake does.
+func (f *tlsFixture) connect(r *testharness.Harness, config *tls.Config) *testharness.Client {
 	c, err := r.NewTLSClient(config)
-	require.NoError(w.t, err)
+	require.NoError(f.t, err)
 	return c
 }
 
-const townRights = `enabled: true, callers: [{ name: 'booking', tenant: 't', sans: ['spiffe://town/booking'] },
+// certificateRights is an identity section with callers that are identified by the URIs of their certificates.
+const certificateRights = `enabled: true, callers: [{ name: 'booking', tenant: 't', sans: ['spiffe://town/booking'] },
 	{ name: 'desk', tenant: 't', sans: ['spiffe://town/desk/*'] }],
-	rights: [{ effect: 'allow', callers: ['*'], classes: ['lookup'] }, { effect: 'allow', callers: ['booking'], classes: ['load'] }]`
+	rights: [{ effect: 'allow', callers: ['*'], classes: ['lookup'] }, ` +
+	`{ effect: 'allow', callers: ['booking'], classes: ['load'] }]`
 
-// Calls are served over TLS as without: results of many pages, many calls at once, messages in pieces of records. What is
-// no TLS is closed.
+// Requests are served over TLS as they are without: results of several pages, many requests at once, and messages
+// larger than a TLS record. Connections without TLS are closed.
 func TestTLS(t *testing.T) {
-	w := newTown(t, "none", "")
+	fixture := newTLSFixture(t, "none", "")
 	page := strings.Repeat("aaaaaaaaaa\tbbbbbbbbbbbb\tcccccccccccc\n", 160)
-	r := start(t, 2, testharness.SucceedAfterPolls(0, page, page, page, page, page, page, page), w.installed)
-	config, _ := w.client("", w.ca)
+	r := start(t, 2, testharness.SucceedAfterPolls(0, page, page, page, page, page, page, page), fixture.useInstallation)
+	config, _ := fixture.clientConfig("", fixture.ca)
 	config.ClientSessionCache = tls.NewLRUClientSessionCache(4)
 	for round := range 2 {
-		c := w.must(r, config)
+		c := fixture.connect(r, config)
 		require.True(t, c.Healthy())
 		assert.Equal(t, round == 1, c.Conn.(*tls.Conn).ConnectionState().DidResume)
 		for n := range 32 {
-			c.SendRequest("SELECT 1 FROM s_1.t -- "+strings.Repeat("x", 20_000), "call", testharness.RequestID(100*round+n), "op", "lookup", "ttl", "9000", "work", "10")
+			c.SendRequest("SELECT 1 FROM s_1.t -- "+strings.Repeat("x", 20_000), "call", testharness.RequestID(100*round+n),
+				"op", "lookup", "ttl", "9000", "work", "10")
 		}
 		for range 32 {
 			p := c.ReadReply()
@@ -128,110 +139,117 @@
 	assert.Error(t, err)
 	other, err := certs.NewCA("elsewhere", time.Hour)
 	require.NoError(t, err)
-	config, _ = w.client("", other)
+	config, _ = fixture.clientConfig("", other)
 	_, err = r.NewTLSClient(config)
-	assert.Error(t, err, "a client that does not know the authority")
-	assert.True(t, w.must(r, func() *tls.Config { c, _ := w.client("", w.ca); return c }()).Healthy())
+	assert.Error(t, err, "the client does not trust the authority")
+	assert.True(t,
+		fixture.connect(r, func() *tls.Config { c, _ := fixture.clientConfig("", fixture.ca); return c }()).Healthy())
 }
 
-// A client's certificate stands for its caller: it may do what that one may. One of another authority gets no connection.
+// A client's certificate identifies its caller, whose rights apply. A certificate of another authority, or none, gets
+// no connection.
 func TestClientCertificates(t *testing.T) {
-	w := newTown(t, "require", townRights)
-	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), w.installed)
+	fixture := newTLSFixture(t, "require", certificateRights)
+	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), fixture.useInstallation)
 	for uri, want := range map[string][2]string{"spiffe://town/booking": {"answer", "answer"},
 		"spiffe://town/desk/4": {"answer", "fault"}, "spiffe://town/kiosk": {"fault", "fault"}} {
-		config, _ := w.client(uri, w.ca)
-		c := w.must(r, config)
-		with(c, 1, "lookup", "SELECT 1 FROM s_1.t", "")
+		config, _ := fixture.clientConfig(uri, fixture.ca)
+		c := fixture.connect(r, config)
+		sendWithToken(c, 1, "lookup", "SELECT 1 FROM s_1.t", "")
 		assert.Equal(t, want[0], c.ReadReply().Kind, uri)
-		with(c, 2, "load", "INSERT INTO s_1.t VALUES (1)", "")
+		sendWithToken(c, 2, "load", "INSERT INTO s_1.t VALUES (1)", "")
 		assert.Equal(t, want[1], c.ReadReply().Kind, uri)
 	}
 	other, err := certs.NewCA("town", time.Hour)
 	require.NoError(t, err)
 	for _, uri := range []string{"", "spiffe://town/booking"} {
-		config, _ := w.client(uri, other, w.ca)
+		config, _ := fixture.clientConfig(uri, other, fixture.ca)
 		c, err := r.NewTLSClient(config)
-		if err == nil { // TLS 1.3 clients hear of it with their first read
+		if err == nil { // TLS 1.3 clients get the error with their first read
 			_, err = c.Conn.Read(make([]byte, 1))
 		}
 		assert.Error(t, err, "%q", uri)
 	}
 }
 
-// A revoked certificate is refused on a connection that is idle, on one with a call open, and where it resumes a session; what
-// was taken is answered, once. A list that is badly signed changes nothing, and one past its time refuses all.
+// Requests with a revoked certificate are rejected on an idle connection, on one with an open request, which is still
+// answered, and on one that resumes a session. A list with an invalid signature changes nothing, and while the list is
+// expired all certificates are rejected.
 func TestRevokedCertificates(t *testing.T) {
-	w := newTown(t, "require", townRights)
+	fixture := newTLSFixture(t, "require", certificateRights)
 	release := make(chan bool)
-	r := start(t, 1, testharness.DelayedStart(testharness.RequestID(1), release), w.installed)
-	config, leaf := w.client("spiffe://town/desk/4", w.ca)
+	r := start(t, 1, testharness.DelayedStart(testharness.RequestID(1), release), fixture.useInstallation)
+	config, leaf := fixture.clientConfig("spiffe://town/desk/4", fixture.ca)
 	config.ClientSessionCache = tls.NewLRUClientSessionCache(4)
-	busy, idle := w.must(r, config), w.must(r, config)
+	busy, idle := fixture.connect(r, config), fixture.connect(r, config)
 	n := 10
-	ask := func(c *testharness.Client) string {
+	lookup := func(c *testharness.Client) string {
 		n++
-		with(c, n, "lookup", "SELECT 1 FROM s_1.t", "")
+		sendWithToken(c, n, "lookup", "SELECT 1 FROM s_1.t", "")
 		return c.ReadReply().Kind
 	}
-	with(busy, 1, "lookup", "SELECT 1 FROM s_1.t", "")
-	require.Equal(t, "answer", ask(idle))
+	sendWithToken(busy, 1, "lookup", "SELECT 1 FROM s_1.t", "")
+	require.Equal(t, "answer", lookup(idle))
 	r.WaitForRequests(1, "POST", "/")
-	w.writeCRL(2, time.Hour, leaf.Certificate)
-	began := time.Now()
-	require.Eventually(t, func() bool { return ask(idle) == "fault" }, testharness.WaitTimeout, 5*time.Millisecond)
-	t.Logf("refused %s after the list was written, with a look each 20 ms", time.Since(began).Round(time.Millisecond))
-	again := w.must(r, config)
-	assert.Equal(t, "fault", ask(again))
+	fixture.writeCRL(2, time.Hour, leaf.Certificate)
+	started := time.Now()
+	require.Eventually(t, func() bool { return lookup(idle) == "fault" }, testharness.WaitTimeout, 5*time.Millisecond)
+	t.Logf("rejected %s after the list was written, with files checked every 20 ms",
+		time.Since(started).Round(time.Millisecond))
+	resumed := fixture.connect(r, config)
+	assert.Equal(t, "fault", lookup(resumed))
 	close(release)
 	assert.Equal(t, "answer", busy.ReadReply().Kind)
-	assert.Equal(t, "fault", ask(busy))
-	fresh, _ := w.client("spiffe://town/desk/5", w.ca)
-	other := w.must(r, fresh)
-	assert.Equal(t, "answer", ask(other))
+	assert.Equal(t, "fault", lookup(busy))
+	otherConfig, _ := fixture.clientConfig("spiffe://town/desk/5", fixture.ca)
+	other := fixture.connect(r, otherConfig)
+	assert.Equal(t, "answer", lookup(other))
 
 	stranger, err := certs.NewCA("town", time.Hour)
 	require.NoError(t, err)
 	text, err := stranger.Revoke(3, time.Hour)
 	require.NoError(t, err)
-	require.NoError(t, keyfiles.Write(w.revoke, text, 0o644))
+	require.NoError(t, keyfiles.Write(fixture.crl, text, 0o644))
 	r.WaitForLog("the last good content stays in force")
-	assert.Equal(t, "fault", ask(idle))
-	w.writeCRL(4, -time.Second)
-	require.Eventually(t, func() bool { return ask(other) == "fault" }, testharness.WaitTimeout, 5*time.Millisecond, "past its time")
-	w.writeCRL(5, time.Hour)
-	require.Eventually(t, func() bool { return ask(other) == "answer" && ask(idle) == "answer" }, testharness.WaitTimeout, 5*time.Millisecond)
+	assert.Equal(t, "fault", lookup(idle))
+	fixture.writeCRL(4, -time.Second)
+	require.Eventually(t, func() bool { return lookup(other) == "fault" },
+		testharness.WaitTimeout, 5*time.Millisecond, "the list has expired")
+	fixture.writeCRL(5, time.Hour)
+	require.Eventually(t, func() bool { return lookup(other) == "answer" && lookup(idle) == "answer" },
+		testharness.WaitTimeout, 5*time.Millisecond)
 }
 
-// Server certificates, the clients' authority and their certificates change again and again under load: who should be let in
-// always is, and nobody else. Pairs are written one file after the other, so each is half new for a moment.
+// Server certificates, the clients' authority and their certificates are changed repeatedly under load: clients with a
+// valid certificate are always served, and no others. A certificate is written before its key, so they don't match for
+// a moment.
 func TestCertificatesRotateUnderLoad(t *testing.T) {
-	span := 4 * time.Second
+	duration := 4 * time.Second
 	if os.Getenv("CHUTECHUTE_LONG") != "" {
-		span = time.Minute
+		duration = time.Minute
 	}
-	w := newTown(t, "require", townRights)
-	r := start(t, 2, testharness.SucceedAfterPolls(0, testharness.ResultRow), w.installed)
-	type age struct {
+	fixture := newTLSFixture(t, "require", certificateRights)
+	r := start(t, 2, testharness.SucceedAfterPolls(0, testharness.ResultRow), fixture.useInstallation)
+	type generation struct {
 		ca     *certs.CA
 		config *tls.Config
 		from   time.Time
 		until  time.Time // zero: no end yet
 	}
 	var mu sync.Mutex
-	first, _ := w.client("spiffe://town/desk/0", w.ca)
-	ages := []*age{{ca: w.ca, config: first}}
+	first, _ := fixture.clientConfig("spiffe://town/desk/0", fixture.ca)
+	generations := []*generation{{ca: fixture.ca, config: first}}
 	var stop atomic.Bool
-	var in, out atomic.Int32
+	var accepted, rejected atomic.Int32
 	var workers sync.WaitGroup
-	const slack = 1200 * time.Millisecond // by when the front end has read the files at the latest
+	const slack = 1200 * time.Millisecond // by then the front end has loaded changed files
 	for worker := range 3 {
 		workers.Go(func() {
 			for n := 0; !stop.Load(); n++ {
 				mu.Lock()
-				a := *ages[max(0, len(ages)-1-n%4)]
+				a := *generations[max(0, len(generations)-1-n%4)]
 				roots := x509.NewCertPool()
-				for _, one := range ages {
+				for _, one := range generations {
 					roots.AddCert(one.ca.Certificate)
 				}
 				mu.Unlock()
@@ -239,57 +257,57 @@
 				config.RootCAs = roots
 				before := time.Now()
 				c, err := r.NewTLSClient(config)
-				what := "closed"
+				outcome := "closed"
 				if err == nil {
-					with(c, 1_000_000*(worker+1)+n, "lookup", "SELECT 1 FROM s_1.t", "")
+					sendWithToken(c, 1_000_000*(worker+1)+n, "lookup", "SELECT 1 FROM s_1.t", "")
 					if _, err = c.Conn.Read(nil); err == nil {
-						what = answered(c)
+						outcome = readOutcome(c)
 					}
 					c.Conn.Close()
 				}
 				after := time.Now()
 				mustPass := before.After(a.from.Add(slack)) && (a.until.IsZero() || after.Before(a.until))
 				mustFail := !a.until.IsZero() && before.After(a.until.Add(slack))
-				if what == "answer" {
-					in.Add(1)
+				if outcome == "answer" {
+					accepted.Add(1)
 				} else {
-					out.Add(1)
+					rejected.Add(1)
 				}
-				if what == "answer" && mustFail || what != "answer" && mustPass {
-					t.Errorf("%s (%v), must pass %v, must fail %v", what, err, mustPass, mustFail)
+				if outcome == "answer" && mustFail || outcome != "answer" && mustPass {
+					t.Errorf("%s (%v), must pass %v, must fail %v", outcome, err, mustPass, mustFail)
 					return
 				}
 			}
 		})
 	}
-	for n, began := 0, time.Now(); time.Since(began) < span; n++ {
+	for n, started := 0, time.Now(); time.Since(started) < duration; n++ {
 		ca, err := certs.NewCA(fmt.Sprint("town ", n), time.Hour)
 		require.NoError(t, err)
-		config, _ := w.client("spiffe://town/desk/1", ca)
+		config, _ := fixture.clientConfig("spiffe://town/desk/1", ca)
 		mu.Lock()
-		last := ages[len(ages)-1]
-		ages = append(ages, &age{ca: ca, config: config, from: time.Now()})
+		last := generations[len(generations)-1]
+		generations = append(generations, &generation{ca: ca, config: config, from: time.Now()})
 		mu.Unlock()
-		w.writeCAs(w.ca, last.ca, ca) // w.ca signs the list of what is revoked
-		w.writeLeaf(ca)
+		fixture.writeClientCAs(fixture.ca, last.ca, ca) // fixture.ca signs the revocation list
+		fixture.writeServerCertificate(ca)
 		time.Sleep(700 * time.Millisecond)
-		if last.ca != w.ca {
+		if last.ca != fixture.ca {
 			mu.Lock()
 			last.until = time.Now()
 			mu.Unlock()
-			w.writeCAs(w.ca, ca)
+			fixture.writeClientCAs(fixture.ca, ca)
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
 	stop.Store(true)
 	workers.Wait()
-	t.Logf("%d let in, %d turned away", in.Load(), out.Load())
-	assert.Positive(t, in.Load())
-	assert.Positive(t, out.Load())
+	t.Logf("%d accepted, %d rejected", accepted.Load(), rejected.Load())
+	assert.Positive(t, accepted.Load())
+	assert.Positive(t, rejected.Load())
 }
 
-// answered reads an answer from a connection that may also be closed.
-func answered(c *testharness.Client) string {
+// readOutcome reads a response from a connection that may be closed instead, and returns answer, refused or closed.
+func readOutcome(c *testharness.Client) string {
 	var b [4]byte
 	if _, err := c.Conn.Read(b[:1]); err != nil {
 		return "closed"
@@ -305,39 +323,40 @@
 	return "refused"
 }
 
-// Half a pair, a key that others may read, and a folder in the place of a file never come into force.
-func TestHalfAPairIsNotInForce(t *testing.T) {
-	w := newTown(t, "none", "")
-	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), w.installed)
-	config, _ := w.client("", w.ca)
+// A certificate without its new key, and a key file that others may read, are not loaded.
+func TestPartialCertificatePairIsNotLoaded(t *testing.T) {
+	fixture := newTLSFixture(t, "none", "")
+	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), fixture.useInstallation)
+	config, _ := fixture.clientConfig("", fixture.ca)
 	serial := func() string {
-		c := w.must(r, config)
+		c := fixture.connect(r, config)
 		assert.True(t, c.Healthy())
 		return c.Conn.(*tls.Conn).ConnectionState().PeerCertificates[0].SerialNumber.String()
 	}
-	was := serial()
-	leaf, err := w.ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, For: time.Hour})
+	previous := serial()
+	leaf, err := fixture.ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, For: time.Hour})
 	require.NoError(t, err)
 	cert, key, err := leaf.PEM()
 	require.NoError(t, err)
-	require.NoError(t, keyfiles.Write(w.cert, cert, 0o644))
+	require.NoError(t, keyfiles.Write(fixture.cert, cert, 0o644))
 	r.WaitForLog("cert.pem")
-	assert.Equal(t, was, serial())
-	require.NoError(t, keyfiles.Write(w.key, key, 0o644))
+	assert.Equal(t, previous, serial())
+	require.NoError(t, keyfiles.Write(fixture.key, key, 0o644))
 	r.WaitForLog("others may read it")
-	assert.Equal(t, was, serial())
-	require.NoError(t, keyfiles.Write(w.key, key, 0o600))
-	require.Eventually(t, func() bool { return serial() == leaf.Certificate.SerialNumber.String() }, testharness.WaitTimeout, 5*time.Millisecond)
+	assert.Equal(t, previous, serial())
+	require.NoError(t, keyfiles.Write(fixture.key, key, 0o600))
+	require.Eventually(t, func() bool { return serial() == leaf.Certificate.SerialNumber.String() },
+		testharness.WaitTimeout, 5*time.Millisecond)
 	assert.NotContains(t, r.Log.String(), "PRIVATE")
 }
 
-// Hundreds of connections that begin a handshake and go no further, or send noise, hold up neither look-ups on connections that
-// are there nor, for long, newcomers; the front end holds no more for them than it may.
+// Hundreds of connections that start a handshake and don't complete it, or send noise, delay neither look-ups on
+// established connections nor, for long, new clients, and their memory is limited.
 func TestHandshakeFlood(t *testing.T) {
-	w := newTown(t, "none", "")
-	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), w.installed)
-	config, _ := w.client("", w.ca)
-	c := w.must(r, config)
+	fixture := newTLSFixture(t, "none", "")
+	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), fixture.useInstallation)
+	config, _ := fixture.clientConfig("", fixture.ca)
+	c := fixture.connect(r, config)
 	require.True(t, c.Healthy())
 	for n := range 250 {
 		conn, err := net.Dial("tcp4", r.Addr)
@@ -354,27 +373,28 @@
 		c.SendLookup(n, "5000")
 		assert.Equal(t, "answer", c.ReadReply().Kind)
 	}
-	assert.True(t, w.must(r, config).Healthy(), "a newcomer gets its turn")
+	assert.True(t, fixture.connect(r, config).Healthy(), "a new client is served")
 	assert.Less(t, r.PeakMemoryMB(), 64)
 }
 
-// The name that a client asks for chooses the certificate, and the first is for those who ask for none that is there. What ends
-// soon is warned of.
+// The server name that a client sends selects the certificate; the first one is used for unknown names. A warning is
+// logged for certificates that expire soon.
 func TestServerNamesAndExpiry(t *testing.T) {
-	w := newTown(t, "none", "")
-	text, err := os.ReadFile(w.installation)
+	fixture := newTLSFixture(t, "none", "")
+	text, err := os.ReadFile(fixture.installationPath)
 	require.NoError(t, err)
-	leaf, err := w.ca.Leaf(certs.Request{Name: "other", DNS: []string{"other"}, For: time.Hour})
+	leaf, err := fixture.ca.Leaf(certs.Request{Name: "other", DNS: []string{"other"}, For: time.Hour})
 	require.NoError(t, err)
-	require.NoError(t, leaf.Write(filepath.Join(w.dir, "other.pem"), filepath.Join(w.dir, "other.key")))
-	more := strings.Replace(string(text), "key: 'key.pem' }", "key: 'key.pem' }, { certificate: 'other.pem', key: 'other.key' }", 1)
-	require.NoError(t, os.WriteFile(w.installation, []byte(more), 0o600))
-	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), w.installed)
-	for asked, shown := range map[string]string{"front": "front", "other": "other", "neither": "front"} {
-		config, _ := w.client("", w.ca)
-		config.ServerName, config.InsecureSkipVerify = asked, true // what is shown is looked at here
-		c := w.must(r, config)
-		assert.Equal(t, shown, c.Conn.(*tls.Conn).ConnectionState().PeerCertificates[0].DNSNames[0])
+	require.NoError(t, leaf.Write(filepath.Join(fixture.dir, "other.pem"), filepath.Join(fixture.dir, "other.key")))
+	more := strings.Replace(string(text), "key: 'key.pem' }",
+		"key: 'key.pem' }, { certificate: 'other.pem', key: 'other.key' }", 1)
+	require.NoError(t, os.WriteFile(fixture.installationPath, []byte(more), 0o600))
+	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), fixture.useInstallation)
+	for serverName, certificateName := range map[string]string{"front": "front", "other": "other", "neither": "front"} {
+		config, _ := fixture.clientConfig("", fixture.ca)
+		config.ServerName, config.InsecureSkipVerify = serverName, true // the test itself checks the certificate
+		c := fixture.connect(r, config)
+		assert.Equal(t, certificateName, c.Conn.(*tls.Conn).ConnectionState().PeerCertificates[0].DNSNames[0])
 	}
 	r.WaitForLog("expires soon")
 	r.WaitForLog("other.pem")
