--- a/cmd/chutechute/capacity_test.go
+++ b/cmd/chutechute/capacity_test.go
@@ -147,13 +147,13 @@
 		capacityMemoryMB, warmClients))
 	for range 2 {
 		for _, count := range []int{100, 300, 1000, 2000} {
-			town := newTown(t, "none", "")
-			r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), town.installed,
+			fixture := newTLSFixture(t, "none", "")
+			r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow), fixture.useInstallation,
 				func(r *testharness.Harness) {
 					r.SocketLimit, r.MemoryLimitMB = socketsPerClient*count+1024, capacityMemoryMB
 				})
-			config, _ := town.client("", town.ca)
-			connect := func() *testharness.Client { return town.must(r, config) }
+			config, _ := fixture.clientConfig("", fixture.ca)
+			connect := func() *testharness.Client { return fixture.connect(r, config) }
 			connectClients(t, warmClients, connect)
 			before := usageOf(t, r.Cmd.Process.Pid)
 			connectClients(t, count, connect)
--- a/cmd/chutechute/fleet_measure_test.go
+++ b/cmd/chutechute/fleet_measure_test.go
@@ -74,12 +74,12 @@
 		median, p99 = quantiles(spans)
 		t.Logf("%-6s 24 clients: %.1f ms at the median, %.1f at p99, %.0f loads a second, %.0f commits a second",
 			mode.name, ms(median), ms(p99), float64(len(spans))/span, (commitCount(f)-commitsBefore)/span)
-		cpuBefore, n := cpuSeconds(t, f.FrontEnds[0]), 1000
+		cpuBefore, n := frontEndCPUSeconds(t, f.FrontEnds[0]), 1000
 		for range n {
 			require.Equal(t, history.Succeeded, f.FrontEnds[0].SendLookup())
 		}
 		t.Logf("%-6s a look-up takes %.0f us of a core, with one client and no other load", mode.name,
-			(cpuSeconds(t, f.FrontEnds[0])-cpuBefore)*1e6/float64(n))
+			(frontEndCPUSeconds(t, f.FrontEnds[0])-cpuBefore)*1e6/float64(n))
 		var lookupSpans []time.Duration
 		var stop atomic.Bool
 		var clients sync.WaitGroup
@@ -143,8 +143,8 @@
 	return n
 }
 
-// cpuSeconds returns how much processor time a front end has used.
-func cpuSeconds(t *testing.T, n *testharness.FrontEnd) float64 {
+// frontEndCPUSeconds returns the processor time that a front end of a fleet has used, in seconds.
+func frontEndCPUSeconds(t *testing.T, n *testharness.FrontEnd) float64 {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", n.Cmd.Process.Pid))
 	require.NoError(t, err)
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')'):]))
--- a/internal/keyfiles/watch.go
+++ b/internal/keyfiles/watch.go
@@ -97,5 +97,5 @@
 		slog.Error("the last good content stays in force", "file", f.Path, "error", err)
 		return
 	}
-	slog.Info("file reloaded", "file", f.Path)
+	slog.Info("file content updated", "file", f.Path)
 }
