--- a/statement/lex/bytes.go
+++ b/statement/lex/bytes.go
@@ -5,7 +5,7 @@
 	"unicode/utf8"
 )
 
-// byteClass classifies a byte by the tokens that begin with it.
+// byteClass groups bytes by the kind of token that they can begin.
 type byteClass uint8
 
 const (
@@ -17,7 +17,7 @@
 	classPunctuation
 )
 
-// byteClasses is the class of each byte.
+// byteClasses maps each byte to its class.
 var byteClasses = func() (t [256]byteClass) {
 	for c := range 256 {
 		switch b := byte(c); {
@@ -36,7 +36,7 @@
 	return t
 }()
 
-// isLetterOrDigit returns whether a byte may stand within a word. All bytes of multi-byte characters count as letters.
+// isLetterOrDigit returns whether a byte may occur within a word. All bytes of multi-byte characters count as letters.
 func isLetterOrDigit(c byte) bool {
 	class := byteClasses[c]
 	return class == classLetter || class == classDigit
--- a/statement/lex/lexer.go
+++ b/statement/lex/lexer.go
@@ -2,29 +2,29 @@
 
 import "strings"
 
-// Lexer returns the tokens of one text. Its zero value with a Text is ready for use.
+// Lexer splits a text into tokens. A Lexer with only Text set is ready for use.
 type Lexer struct {
 	Text string
-	// Lenient makes a character that begins no token an Operator token instead of an Illegal one.
+	// If Lenient is set, a character that cannot begin a token becomes an Operator token instead of an Illegal one.
 	Lenient bool
 	// ErrorMessage describes the last Illegal token.
 	ErrorMessage string
 
 	offset       int   // of the next byte to read
-	bracketDepth int   // of open square brackets
+	bracketDepth int   // number of open square brackets
 	previous     Token // the last token returned
 }
 
-// Reset makes the lexer ready for another text. Lenient is off then.
+// Reset prepares the lexer for another text and turns Lenient off.
 func (l *Lexer) Reset(text string) { *l = Lexer{Text: text} }
 
-// Next returns the next token, and EOF after the last. After an Illegal token the rest of the text is discarded.
+// Next returns the next token, or EOF after the last one. An Illegal token extends to the end of the text.
 func (l *Lexer) Next() Token {
 	l.previous = l.scan()
 	return l.previous
 }
 
-// scan skips white space and comments and returns the token behind them.
+// scan skips white space and comments and returns the token after them.
 func (l *Lexer) scan() Token {
 	for l.offset < len(l.Text) {
 		c := l.Text[l.offset]
@@ -59,7 +59,7 @@
 	return Token{EOF, len(l.Text), len(l.Text)}
 }
 
-// scanOther scans the tokens that begin with a byte of no class: quoted ones, parameters and colons.
+// scanOther scans tokens that begin with a byte of classOther: quoted tokens, parameters and colons.
 func (l *Lexer) scanOther(c byte) Token {
 	start := l.offset
 	switch c {
@@ -75,10 +75,11 @@
 	case ':':
 		return l.scanColon()
 	}
-	return l.scanUnexpected(start, "a character that no token begins with")
+	return l.scanUnexpected(start, "an unexpected character")
 }
 
-// scanUnexpected returns an Illegal token for a character that begins no token or, with Lenient, an Operator.
+// scanUnexpected handles a character that cannot begin a token. It returns an Illegal token or, if Lenient is set, the
+// character as an Operator token.
 func (l *Lexer) scanUnexpected(start int, message string) Token {
 	if !l.Lenient {
 		return l.scanIllegal(start, message)
@@ -87,13 +88,13 @@
 	return Token{Operator, start, l.offset}
 }
 
-// scanIllegal returns the rest of the text as an Illegal token, with an error message.
+// scanIllegal returns the text from start to its end as an Illegal token and sets the error message.
 func (l *Lexer) scanIllegal(start int, message string) Token {
 	l.ErrorMessage, l.offset = message, len(l.Text)
 	return Token{Illegal, start, len(l.Text)}
 }
 
-// peek returns the byte n behind the current one, or 0 behind the end of the text.
+// peek returns the byte n positions after the current one, or 0 past the end of the text.
 func (l *Lexer) peek(n int) byte {
 	if l.offset+n < len(l.Text) {
 		return l.Text[l.offset+n]
@@ -101,7 +102,7 @@
 	return 0
 }
 
-// skipLineComment skips a comment up to and including the end of its line.
+// skipLineComment skips a -- comment, including the newline that ends it.
 func (l *Lexer) skipLineComment() {
 	if i := strings.IndexByte(l.Text[l.offset:], '\n'); i >= 0 {
 		l.offset += i + 1
@@ -110,7 +111,7 @@
 	}
 }
 
-// skipBlockComment skips a block comment, which may hold nested ones. It returns whether the comment ends.
+// skipBlockComment skips a block comment, which may contain nested ones. It returns false if the comment is not closed.
 func (l *Lexer) skipBlockComment() bool {
 	depth := 0
 	for l.offset+1 < len(l.Text) {
--- a/statement/lex/literals.go
+++ b/statement/lex/literals.go
@@ -28,7 +28,7 @@
 	return Token{Word, start, l.offset}
 }
 
-// scanNumber scans an integer, a decimal number with or without exponent, or an integer with the prefix 0x, 0o or 0b.
+// scanNumber scans an integer, a decimal number with an optional exponent, or an integer with the prefix 0x, 0o or 0b.
 func (l *Lexer) scanNumber() Token {
 	start := l.offset
 	if l.Text[l.offset] == '0' && strings.IndexByte("xXoObB", l.peek(1)) >= 0 && l.peek(1) != 0 {
@@ -42,7 +42,7 @@
 		l.skipDigits()
 	}
 	if c := l.peek(0); c == 'e' || c == 'E' {
-		prefix := 1 // the e, and a sign
+		prefix := 1 // length of the e and an optional sign
 		if sign := l.peek(1); sign == '+' || sign == '-' {
 			prefix = 2
 		}
@@ -73,7 +73,7 @@
 		l.offset++
 	}
 	if l.peek(0) != '$' {
-		return l.scanUnexpected(start, "a dollar sign that begins neither a parameter nor a text")
+		return l.scanUnexpected(start, "a dollar sign that begins neither a parameter nor a string")
 	}
 	l.offset++
 	tag := l.Text[start:l.offset]
@@ -85,8 +85,9 @@
 	return Token{String, start, l.offset}
 }
 
-// scanQuoted scans a string or a name up to its closing quote. A doubled quote stands for itself, and a backslash
-// escapes the next byte where escapes is set. The token begins at start; the opening quote is the current byte.
+// scanQuoted scans a string or a quoted name. The current byte is the opening quote; the token begins at start, which
+// is earlier if the quote has a prefix. A doubled quote is an escaped quote. If escapes is set, a backslash escapes the
+// next byte.
 func (l *Lexer) scanQuoted(start int, quote byte, escapes bool, kind Kind) Token {
 	for l.offset++; l.offset < len(l.Text); l.offset++ {
 		switch c := l.Text[l.offset]; {
--- a/statement/lex/operators.go
+++ b/statement/lex/operators.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// scanPunctuation returns a punctuation character as a token.
+// scanPunctuation returns a punctuation character as an Operator token and tracks the depth of square brackets.
 func (l *Lexer) scanPunctuation(c byte) Token {
 	switch c {
 	case '[':
@@ -14,8 +14,8 @@
 	return Token{Operator, l.offset - 1, l.offset}
 }
 
-// scanOperator scans the longest operator. As in PostgreSQL, an operator of several characters does not end in a sign
-// unless it holds a character that no standard operator has: in a=-1 the sign is the number's.
+// scanOperator scans the longest operator. As in PostgreSQL, an operator of several characters ends in + or - only if
+// it contains one of ~!@#%^&|. In a=-1, therefore, the operator is = and the minus sign belongs to the number.
 func (l *Lexer) scanOperator() Token {
 	start := l.offset
 	special := false
@@ -33,8 +33,8 @@
 	return Token{Operator, start, l.offset}
 }
 
-// scanColon scans ::, := or a parameter. Within brackets, a colon behind a bound separates the bounds of a slice
-// instead.
+// scanColon scans ::, := or a parameter. Within square brackets, a colon after a value is the separator of an array
+// slice instead.
 func (l *Lexer) scanColon() Token {
 	start := l.offset
 	switch c := l.peek(1); {
@@ -50,7 +50,7 @@
 	return Token{Operator, start, l.offset}
 }
 
-// followsSliceBound returns whether the current byte follows the lower bound of a slice.
+// followsSliceBound returns whether the current byte follows the lower bound of an array slice.
 func (l *Lexer) followsSliceBound() bool {
 	if l.bracketDepth == 0 {
 		return false
@@ -59,7 +59,7 @@
 	case Number, Parameter:
 		return true
 	case Word, QuotedIdentifier:
-		return l.previous.End == l.offset // in [case when a then :b end] a space separates them
+		return l.previous.End == l.offset // adjacent, unlike in [case when a then :b end]
 	}
 	return l.previous.Kind == Operator && (l.Text[l.previous.End-1] == ')' || l.Text[l.previous.End-1] == ']')
 }
