--- a/statement/syntax/call.go
+++ b/statement/syntax/call.go
@@ -1,12 +1,12 @@
 package syntax
 
-// aggregateFunctions are functions that read all rows of a group.
+// aggregateFunctions are the functions that combine all rows of a group into one value.
 var aggregateFunctions = wordSet(`count sum avg min max array_agg string_agg json_agg jsonb_agg stddev variance
 	percentile_cont percentile_disc mode every bool_and bool_or corr regr_slope group_concat listagg
 	approx_count_distinct`)
 
-// parseCall parses the arguments of a function and what may follow them. The role is Function for a function in place
-// of a table.
+// parseCall parses the arguments of a function and the clauses that may follow them. The role is Function if the
+// function is used as a table, and empty otherwise.
 func (p *Parser) parseCall(name string, role Role) {
 	if role == Function {
 		p.facts.addTable(name, Function)
@@ -25,7 +25,8 @@
 	p.parseCallSuffix()
 }
 
-// parseCallSuffix parses what may follow the arguments of a function: WITHIN GROUP, FILTER, IGNORE NULLS and OVER.
+// parseCallSuffix parses the clauses that may follow the arguments of a function: WITHIN GROUP, FILTER, IGNORE NULLS
+// and OVER.
 func (p *Parser) parseCallSuffix() {
 	if p.acceptWords("within", "group") {
 		p.expectOperator("(")
@@ -53,7 +54,7 @@
 	}
 }
 
-// parseArguments parses ordinary arguments.
+// parseArguments parses the arguments of a function without a special syntax.
 func (p *Parser) parseArguments() {
 	p.acceptWord("distinct", "all")
 	p.acceptWord("variadic")
@@ -76,13 +77,13 @@
 	if p.acceptWord("separator") {
 		p.parseExpr()
 	}
-	if p.acceptWord("on") { // listagg's ON OVERFLOW, JSON's ON ERROR
+	if p.acceptWord("on") { // ON OVERFLOW of LISTAGG, ON ERROR of JSON functions
 		p.skipUntil()
 	}
 }
 
-// parseSpecialArguments parses the arguments of functions with a syntax of their own. It returns false for other
-// functions.
+// parseSpecialArguments parses the arguments of a function that has a special syntax for them. It returns false for
+// other functions.
 func (p *Parser) parseSpecialArguments(name string) bool {
 	switch name {
 	case "extract":
@@ -131,7 +132,7 @@
 	}
 }
 
-// parseWindowDefinition parses a window's definition in parentheses.
+// parseWindowDefinition parses a parenthesized window definition.
 func (p *Parser) parseWindowDefinition() {
 	p.expectOperator("(")
 	if !p.current().isOperator(")") && !p.current().isWord("partition", "order", "rows", "range", "groups") {
@@ -149,7 +150,7 @@
 	p.expectOperator(")")
 }
 
-// parseFrame parses a window's frame behind its unit.
+// parseFrame parses a window frame after its unit.
 func (p *Parser) parseFrame() {
 	if p.acceptWord("between") {
 		p.parseFrameBound()
@@ -161,7 +162,7 @@
 	}
 }
 
-// parseFrameBound parses one end of a window's frame.
+// parseFrameBound parses one bound of a window frame.
 func (p *Parser) parseFrameBound() {
 	if p.acceptWords("current", "row") {
 		return
--- a/statement/syntax/ddl.go
+++ b/statement/syntax/ddl.go
@@ -2,14 +2,14 @@
 
 import "chutechute/statement/lex"
 
-// parseCreate parses CREATE behind its first word.
+// parseCreate parses a CREATE statement after its first word.
 func (p *Parser) parseCreate() {
 	p.facts.Writes = true
 	if p.acceptWords("or", "replace") {
 		p.acceptWord("alter")
 	}
-	for p.acceptWord("global", "local", "temporary", "temp", "unlogged", "materialized", "recursive", "unique", "foreign",
-		"external", "transient", "constraint") {
+	for p.acceptWord("global", "local", "temporary", "temp", "unlogged", "materialized", "recursive", "unique",
+		"foreign", "external", "transient", "constraint") {
 	}
 	switch {
 	case p.acceptWord("table", "view"):
@@ -20,15 +20,16 @@
 		p.position++
 		p.acceptWords("if", "not", "exists")
 		if p.current().isName() {
-			p.facts.noteQualifiedName(p.next().text)
+			p.facts.recordQualifiedName(p.next().text)
 		}
 	default:
-		p.failExpected("what is to be created")
+		p.failExpected("the type of the object to create")
 	}
 	p.skipUntil()
 }
 
-// parseCreateTable parses CREATE TABLE and CREATE VIEW behind their first words, with the query that they store.
+// parseCreateTable parses CREATE TABLE or CREATE VIEW after these words, including the query of the view or of CREATE
+// TABLE AS.
 func (p *Parser) parseCreateTable() {
 	p.acceptWords("if", "not", "exists")
 	p.facts.addTable(p.parseName("a table"), Written)
@@ -40,7 +41,7 @@
 	}
 }
 
-// parseCreateIndex parses CREATE INDEX behind its first words.
+// parseCreateIndex parses CREATE INDEX after these words.
 func (p *Parser) parseCreateIndex() {
 	p.acceptWord("concurrently")
 	p.acceptWords("if", "not", "exists")
@@ -52,7 +53,7 @@
 	p.facts.addTable(p.parseName("a table"), Written)
 }
 
-// parseAlterOrDrop parses ALTER or DROP behind its first word.
+// parseAlterOrDrop parses an ALTER or DROP statement after its first word.
 func (p *Parser) parseAlterOrDrop() {
 	p.facts.Writes = true
 	p.acceptWord("foreign", "materialized", "temporary", "external")
@@ -64,15 +65,16 @@
 		p.acceptWord("concurrently")
 		p.acceptWords("if", "exists")
 		if p.current().isName() && !reservedWords[p.current().text] {
-			p.facts.noteQualifiedName(p.parseName("a name"))
+			p.facts.recordQualifiedName(p.parseName("a name"))
 		}
 	default:
-		p.failExpected("what is to be changed")
+		p.failExpected("the type of the object to alter or drop")
 	}
 	p.skipUntil()
 }
 
-// parseMaintenance parses work on tables that changes no row, such as VACUUM, behind its first word.
+// parseMaintenance parses a statement that maintains tables without changing rows, such as VACUUM, after its first
+// word.
 func (p *Parser) parseMaintenance() {
 	p.facts.Writes = true
 	p.acceptWord("materialized")
@@ -87,7 +89,7 @@
 	p.skipUntil()
 }
 
-// parseWrittenTables parses a list of tables that are written.
+// parseWrittenTables parses a list of tables and records them as written.
 func (p *Parser) parseWrittenTables() {
 	for {
 		p.acceptWords("if", "exists")
--- a/statement/syntax/dml.go
+++ b/statement/syntax/dml.go
@@ -2,7 +2,8 @@
 
 import "chutechute/statement/lex"
 
-// parseDML parses a statement that changes rows, if one begins here: INSERT, UPDATE, DELETE, MERGE or REPLACE.
+// parseDML parses a statement that changes rows if one begins here: INSERT, UPDATE, DELETE, MERGE or REPLACE. The verb
+// of REPLACE is insert.
 func (p *Parser) parseDML() (verb string, ok bool) {
 	t := p.current()
 	switch t.text {
@@ -28,7 +29,7 @@
 	return t.text, true
 }
 
-// parseTargetTable parses the table that a statement writes, and its alias.
+// parseTargetTable parses the table that a statement writes, with an optional alias.
 func (p *Parser) parseTargetTable() {
 	p.acceptWord("only")
 	p.facts.addTable(p.parseName("a table"), Written)
@@ -38,7 +39,7 @@
 	}
 }
 
-// parseInsert parses INSERT or REPLACE behind its first word.
+// parseInsert parses an INSERT or REPLACE statement after its first word.
 func (p *Parser) parseInsert() {
 	p.facts.Writes = true
 	p.acceptWord("low_priority", "delayed", "high_priority", "ignore", "or")
@@ -58,7 +59,7 @@
 	p.parseOverriding()
 	switch {
 	case p.acceptWords("default", "values"):
-	case p.acceptWord("value"): // of MySQL
+	case p.acceptWord("value"): // MySQL
 		p.parseValuesRows()
 	case p.acceptWord("set"):
 		p.parseAssignments()
@@ -75,7 +76,7 @@
 	p.parseReturning()
 }
 
-// parseOverriding parses OVERRIDING SYSTEM VALUE and its like, if it follows.
+// parseOverriding parses an optional OVERRIDING SYSTEM VALUE or OVERRIDING USER VALUE.
 func (p *Parser) parseOverriding() {
 	if p.acceptWord("overriding") {
 		p.expectWord("system", "user")
@@ -105,7 +106,7 @@
 	}
 }
 
-// parseAssignments parses the assignments behind SET.
+// parseAssignments parses the assignments after SET.
 func (p *Parser) parseAssignments() {
 	for {
 		if p.current().isOperator("(") {
@@ -127,7 +128,7 @@
 	}
 }
 
-// parseReturning parses RETURNING, if it follows.
+// parseReturning parses an optional RETURNING clause.
 func (p *Parser) parseReturning() {
 	if p.acceptWord("returning") {
 		p.parseSelectList()
@@ -137,11 +138,11 @@
 	}
 }
 
-// parseUpdate parses UPDATE behind its first word.
+// parseUpdate parses an UPDATE statement after its first word.
 func (p *Parser) parseUpdate() {
 	p.facts.Writes = true
 	p.parseTargetTable()
-	for p.current().isWord("join", "inner", "left", "cross") { // of MySQL
+	for p.current().isWord("join", "inner", "left", "cross") { // MySQL
 		p.acceptWord("inner", "left", "cross")
 		p.acceptWord("outer")
 		p.expectWord("join")
@@ -159,7 +160,7 @@
 	p.parseReturning()
 }
 
-// parseWriteCondition parses the WHERE of a statement that writes, and what may follow it.
+// parseWriteCondition parses the optional WHERE clause of a statement that writes, and the clauses that may follow it.
 func (p *Parser) parseWriteCondition() {
 	if p.acceptWord("where") {
 		if p.acceptWords("current", "of") {
@@ -171,7 +172,7 @@
 	p.parseTailClauses()
 }
 
-// parseDelete parses DELETE behind its first word.
+// parseDelete parses a DELETE statement after its first word.
 func (p *Parser) parseDelete() {
 	p.facts.Writes = true
 	p.expectWord("from")
@@ -183,7 +184,7 @@
 	p.parseReturning()
 }
 
-// parseMerge parses MERGE behind its first word.
+// parseMerge parses a MERGE statement after its first word.
 func (p *Parser) parseMerge() {
 	p.facts.Writes = true
 	p.acceptWord("into")
@@ -235,7 +236,7 @@
 	}
 }
 
-// parseCopy parses COPY behind its first word: FROM writes the table, TO reads it or a query.
+// parseCopy parses a COPY statement after its first word. COPY FROM writes a table; COPY TO reads a table or a query.
 func (p *Parser) parseCopy() {
 	p.acceptWord("binary")
 	if p.acceptOperator("(") {
--- a/statement/syntax/errors.go
+++ b/statement/syntax/errors.go
@@ -6,18 +6,18 @@
 	"chutechute/statement/lex"
 )
 
-// Error is an error of syntax, with its place in the text.
+// Error is a syntax error with its position in the text.
 type Error struct {
 	Line, Column int // from 1; the column in bytes
 	Message      string
 }
 
-// Error returns the place and the message.
+// Error returns the position and the message.
 func (e *Error) Error() string {
 	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Message)
 }
 
-// NewError returns an error at a byte offset of a text.
+// NewError returns an error positioned at a byte offset of a text.
 func NewError(text string, offset int, message string) *Error {
 	line, column := lex.Position(text, offset)
 	return &Error{line, column, message}
--- a/statement/syntax/expr.go
+++ b/statement/syntax/expr.go
@@ -6,7 +6,7 @@
 	"chutechute/statement/lex"
 )
 
-// parseExprList parses a list of expressions.
+// parseExprList parses a comma-separated list of expressions.
 func (p *Parser) parseExprList() {
 	for {
 		p.parseExpr()
@@ -16,15 +16,15 @@
 	}
 }
 
-// parseExprsInParentheses parses a list of expressions in parentheses.
+// parseExprsInParentheses parses a parenthesized list of expressions.
 func (p *Parser) parseExprsInParentheses() {
 	p.expectOperator("(")
 	p.parseExprList()
 	p.expectOperator(")")
 }
 
-// parseExpr parses an expression. Precedence matters only as far as predicates need it: AND and OR separate
-// comparisons, and comparisons separate all other operations.
+// parseExpr parses an expression. Only the precedence that predicates depend on is respected: AND, OR and XOR bind less
+// tightly than comparisons, and comparisons less tightly than all other operators.
 func (p *Parser) parseExpr() operand {
 	p.enterLevel()
 	defer p.leaveLevel()
@@ -36,7 +36,7 @@
 	return left
 }
 
-// parseParenthesizedList parses a subquery or expressions in parentheses, which may be empty.
+// parseParenthesizedList parses a parenthesized subquery or a parenthesized list of expressions, which may be empty.
 func (p *Parser) parseParenthesizedList() {
 	p.expectOperator("(")
 	switch {
@@ -55,7 +55,7 @@
 	p.expectOperator(")")
 }
 
-// parseArithmetic parses operands with operators between them that are no comparisons.
+// parseArithmetic parses operands joined by infix operators other than comparisons.
 func (p *Parser) parseArithmetic() operand {
 	left := p.parseUnary()
 	for {
@@ -63,11 +63,11 @@
 		switch {
 		case t.Kind == lex.Operator && isInfix(t.text):
 			p.position++
-			if t.text == ":" && p.current().isOperator("]") { // a slice without upper bound
+			if t.text == ":" && p.current().isOperator("]") { // an array slice without an upper bound
 				return opaqueOperand
 			}
 			p.parseUnary()
-		case t.Kind == lex.Parameter && t.text == "?": // of JSON: a ? 'b', a ?| b, a ?& b
+		case t.Kind == lex.Parameter && t.text == "?": // JSON operators: a ? 'b', a ?| b, a ?& b
 			p.next()
 			if !p.acceptOperator("|") && !p.acceptOperator("||") {
 				p.acceptOperator("&")
@@ -87,7 +87,7 @@
 	}
 }
 
-// isInfix returns whether an operator may stand between two operands and is no comparison.
+// isInfix returns whether an operator may join two operands and is not a comparison.
 func isInfix(op string) bool {
 	if comparisonOperators[op] != 0 {
 		return false
@@ -99,7 +99,7 @@
 	return true
 }
 
-// isPrefixOperator returns whether the token is an operator that may stand before an operand.
+// isPrefixOperator returns whether the token is an operator that may precede an operand.
 func (t *token) isPrefixOperator() bool {
 	if t.Kind != lex.Operator {
 		return false
@@ -111,7 +111,7 @@
 	return false
 }
 
-// parseUnary parses an operand with the signs before it and the casts, subscripts and collations behind it.
+// parseUnary parses an operand with its prefix operators and its suffixes, such as casts and subscripts.
 func (p *Parser) parseUnary() operand {
 	signed := false
 	for p.current().isPrefixOperator() {
@@ -127,8 +127,8 @@
 	return p.parsePostfix(result)
 }
 
-// parsePostfix parses the casts, subscripts, fields, collations and time zones behind an operand. It returns what is
-// known of the whole.
+// parsePostfix parses the casts, subscripts, field selections, collations and time zones after an operand, and returns
+// the operand that results from them.
 func (p *Parser) parsePostfix(result operand) operand {
 	for {
 		switch {
@@ -153,7 +153,7 @@
 	}
 }
 
-// parseSubscript parses a subscript or a slice behind its opening bracket.
+// parseSubscript parses a subscript or an array slice after its opening bracket.
 func (p *Parser) parseSubscript() {
 	if !p.current().isOperator("]") {
 		p.acceptOperator(":")
@@ -164,14 +164,14 @@
 	p.expectOperator("]")
 }
 
-// parsePrimary parses an operand without operators.
+// parsePrimary parses an operand without its prefix operators and suffixes.
 func (p *Parser) parsePrimary() operand {
 	t := p.current()
 	switch {
 	case t.isValue():
 		value := p.valueCount
 		p.next()
-		for t.Kind == lex.String && p.current().Kind == lex.String { // 'a' 'b' is one text
+		for t.Kind == lex.String && p.current().Kind == lex.String { // 'a' 'b' is one string
 			p.next()
 		}
 		return operand{valueIndex: value}
@@ -180,7 +180,7 @@
 	case t.isOperator("*"):
 		p.position++
 		return opaqueOperand
-	case t.isOperator("{"): // {d '2024-01-01'} and {fn f()} of drivers
+	case t.isOperator("{"): // ODBC escapes: {d '2024-01-01'}, {fn f()}
 		p.position++
 		p.acceptWord("d", "t", "ts", "fn")
 		result := p.parseExpr()
@@ -195,7 +195,7 @@
 	return opaqueOperand
 }
 
-// parseParenthesized parses a subquery, a row or an expression in parentheses.
+// parseParenthesized parses a parenthesized subquery, row or expression.
 func (p *Parser) parseParenthesized() operand {
 	if p.atQueryStart() {
 		p.parseParenthesizedList()
@@ -251,7 +251,7 @@
 		if p.peek(1).isOperator("(") {
 			return p.parseCast()
 		}
-	case "left", "right": // functions too
+	case "left", "right": // also names of functions
 		if p.peek(1).isOperator("(") {
 			return p.parseColumnOrCall()
 		}
@@ -267,7 +267,7 @@
 	return p.parseColumnOrCall()
 }
 
-// parseCase parses CASE behind its first word.
+// parseCase parses a CASE expression after its first word.
 func (p *Parser) parseCase() {
 	if !p.current().isWord("when") {
 		p.parseExpr()
@@ -286,7 +286,7 @@
 	p.expectWord("end")
 }
 
-// parseArray parses what follows ARRAY: a subquery in parentheses or elements in brackets.
+// parseArray parses an array after the word ARRAY: a parenthesized subquery, or elements in square brackets.
 func (p *Parser) parseArray() {
 	if p.current().isOperator("(") {
 		p.parseParenthesizedList()
@@ -295,7 +295,7 @@
 	p.parseArrayElements()
 }
 
-// parseArrayElements parses the elements of an ARRAY, in brackets that may nest.
+// parseArrayElements parses the elements of an array in square brackets, which may be nested.
 func (p *Parser) parseArrayElements() {
 	p.enterLevel()
 	defer p.leaveLevel()
@@ -313,7 +313,7 @@
 	p.expectOperator("]")
 }
 
-// parseColumnOrCall parses a column's name, qualified or not, a call or a named argument.
+// parseColumnOrCall parses a column name, a function call or a named argument.
 func (p *Parser) parseColumnOrCall() operand {
 	name := p.parseQualifiedName()
 	if p.current().isOperator("(") {
@@ -321,7 +321,7 @@
 		return opaqueOperand
 	}
 	if strings.IndexByte(name, '.') >= 0 {
-		p.facts.noteQualifiedName(name)
+		p.facts.recordQualifiedName(name)
 	}
 	if p.current().isOperator("=>") || p.current().isOperator(":=") { // a named argument
 		p.position++
--- a/statement/syntax/facts.go
+++ b/statement/syntax/facts.go
@@ -1,24 +1,24 @@
 package syntax
 
-// Role is how a statement uses a table that it names.
+// Role is the way in which a statement uses a table.
 type Role string
 
 // The roles of tables.
 const (
 	Read     Role = "read"
 	Written  Role = "written"
-	CTE      Role = "cte"      // a name from a WITH clause
-	Derived  Role = "derived"  // the alias of a subquery or of a VALUES list
-	Function Role = "function" // a function in place of a table
+	CTE      Role = "cte"      // a common table expression, defined by a WITH clause
+	Derived  Role = "derived"  // the alias of a subquery or a VALUES list
+	Function Role = "function" // a function used as a table
 )
 
-// Table is a table that a statement names.
+// Table is a reference to a table in a statement.
 type Table struct {
-	Name string // as in the text, with dots; words in lower case, quoted names in their quotes
+	Name string // with qualifiers; unquoted parts in lower case, quoted parts with their quotes
 	Role Role
 }
 
-// Operator is how a predicate compares its column with values.
+// Operator is the comparison that a predicate makes.
 type Operator uint8
 
 // The operators of predicates.
@@ -29,48 +29,50 @@
 	Greater // > and >=
 	Less    // < and <=
 	Like
-	Interval // an interval anywhere in a condition
+	Interval // an INTERVAL literal anywhere in a statement; the predicate has no column
 )
 
 // Predicate is a comparison of a column with values.
 type Predicate struct {
 	Column string
 	Op     Operator
-	// Value and Upper are indexes, among the statement's literals and parameters, of what the column is compared
-	// with. Upper is that of the upper bound of Between, and -1 otherwise.
+	// Value and Upper are the indexes, among the literals and parameters of the text, of the values that the column is
+	// compared with. Value is the lower bound of Between and the first element of In. Upper is the upper bound of
+	// Between and -1 for other operators.
 	Value, Upper int
 }
 
-// Facts is what is known of a text, which may hold several statements.
+// Facts describes a text, which may contain several statements.
 type Facts struct {
-	// Verb is the first word of the statement that decides: of several the first that writes, or else the first
-	// that is no transaction control. Of a WITH it is that of the main statement.
+	// Verb is the first word of the main statement: of several, the first that writes, or else the first that does not
+	// control a session or a transaction, or else the first. For a statement that begins with WITH, it is the verb
+	// after the WITH clause. REPLACE counts as insert.
 	Verb   string
-	Reads  bool // whether it reads tables
-	Writes bool // whether PostgreSQL refuses the text in a read-only transaction; row locks count too
-	// ChangesSession says that the text changes the state of a session or a transaction, or runs code that can't be
-	// seen here, so that two runs differ from one.
+	Reads  bool // whether the text reads tables
+	Writes bool // whether PostgreSQL rejects the text in a read-only transaction, as it does for row locks
+	// ChangesSession is set if the text changes the state of a session or a transaction, or runs code that the parser
+	// cannot see, so that running it twice may differ from running it once.
 	ChangesSession bool
-	Statements     int     // the number of statements
-	Tables         []Table // in the order of the text, each once in each of its roles
+	Statements     int     // number of statements
+	Tables         []Table // in the order of their first occurrence; each once per role
 	Functions      []string
 	Predicates     []Predicate
-	LimitValue     int // index of the value of LIMIT or FETCH; -1 without one
-	OffsetValue    int // index of the value of OFFSET; -1 without one
+	LimitValue     int // index of the value of LIMIT, FETCH or TOP; -1 if there is none
+	OffsetValue    int // index of the value of OFFSET; -1 if there is none
 	Joins          int
 	Subqueries     int
 	Aggregates     int // GROUP BY, DISTINCT, window clauses and aggregate functions
 	Sorts          int
-	TableGroup     int // see the function TableGroup; 0 without one
+	TableGroup     int // number of the table group, see function TableGroup; 0 if there is none
 
-	fallbackGroup int // group of the first qualified name that is no table
+	fallbackGroup int // table group of the first qualified name that has one and is not a table
 }
 
-// Idempotent returns whether a second run of the text, as far as it can be seen here, changes nothing.
+// Idempotent returns whether running the text twice has the same effect as running it once, as far as the parser knows.
 func (f *Facts) Idempotent() bool { return !f.Writes && !f.ChangesSession }
 
-// addTable records a table in a role. The first one with a group, unless it is a CTE or a subquery, gives the group of
-// the text.
+// addTable records a table with a role. The table group of the text is that of its first table that has one, not
+// counting CTEs and subqueries.
 func (f *Facts) addTable(name string, role Role) {
 	if group, ok := tableGroupOfName(name); ok && f.TableGroup == 0 && role != CTE && role != Derived {
 		f.TableGroup = group
@@ -91,7 +93,8 @@
 	}
 }
 
-// discardWrites makes the facts those of a statement that is planned but not run: it only reads.
+// discardWrites converts the facts to those of a statement that is planned but not executed: its written tables count
+// as read.
 func (f *Facts) discardWrites() {
 	f.Writes, f.ChangesSession = false, false
 	for i, t := range f.Tables {
@@ -101,17 +104,17 @@
 	}
 }
 
-// noteQualifiedName records the group of a qualified name that is no table. It is the group of a text whose tables
-// have none.
-func (f *Facts) noteQualifiedName(name string) {
+// recordQualifiedName records the table group of a qualified name that is not a table. resolveTableGroup uses it for a
+// text without tables.
+func (f *Facts) recordQualifiedName(name string) {
 	if f.fallbackGroup == 0 {
 		f.fallbackGroup, _ = tableGroupOfName(name)
 	}
 }
 
-// addFunction records the name of a function that is called.
+// addFunction records the name of a called function.
 func (f *Facts) addFunction(name string) {
-	f.noteQualifiedName(name)
+	f.recordQualifiedName(name)
 	for _, known := range f.Functions {
 		if known == name {
 			return
@@ -122,7 +125,7 @@
 	}
 }
 
-// resolveTableGroup takes the group from another qualified name where the text names no table.
+// resolveTableGroup sets the table group to fallbackGroup if the text neither reads nor writes a table.
 func (f *Facts) resolveTableGroup() {
 	if f.TableGroup != 0 {
 		return
--- a/statement/syntax/from.go
+++ b/statement/syntax/from.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// parseFrom parses a list of tables behind FROM or USING.
+// parseFrom parses the list of table sources after FROM or USING.
 func (p *Parser) parseFrom() {
 	for {
 		p.parseJoinedTables()
@@ -16,7 +16,7 @@
 	}
 }
 
-// parseJoinedTables parses a table and those joined to it.
+// parseJoinedTables parses a table source and those joined to it.
 func (p *Parser) parseJoinedTables() {
 	p.parseTableSource()
 	for {
@@ -49,7 +49,7 @@
 	}
 }
 
-// parseTableSource parses one item of a FROM list: a table, a function, a subquery or tables in parentheses.
+// parseTableSource parses one item of a FROM list: a table, a function, a subquery or parenthesized joins.
 func (p *Parser) parseTableSource() {
 	p.enterLevel()
 	defer p.leaveLevel()
@@ -71,7 +71,7 @@
 	}
 }
 
-// parseRowsFrom parses functions behind ROWS FROM.
+// parseRowsFrom parses the list of functions after ROWS FROM.
 func (p *Parser) parseRowsFrom() {
 	p.expectOperator("(")
 	for {
@@ -88,7 +88,7 @@
 	p.parseCorrelation()
 }
 
-// parseTableOrFunction parses a table or a function, with its alias.
+// parseTableOrFunction parses a table or a function with an optional alias.
 func (p *Parser) parseTableOrFunction() {
 	p.acceptWord("only")
 	name := p.parseName("a table")
@@ -102,10 +102,10 @@
 	p.parseCorrelation()
 }
 
-// atTableHint returns whether the parentheses here hold a hint, as in t WITH (NOLOCK) of other engines.
+// atTableHint returns whether the parenthesis here begins a table hint of another engine, as in t (NOLOCK).
 func (p *Parser) atTableHint() bool { return p.peek(1).isWord("nolock") }
 
-// parseParenthesizedSource parses a subquery, or tables joined in parentheses.
+// parseParenthesizedSource parses a parenthesized subquery or parenthesized joins, with an optional alias.
 func (p *Parser) parseParenthesizedSource() {
 	p.expectOperator("(")
 	if p.atQueryStart() {
@@ -125,16 +125,17 @@
 	p.parseCorrelation()
 }
 
-// parseCorrelation parses an alias with the columns that it names, with types or without, and returns the alias.
+// parseCorrelation parses an optional alias of a table source, which a parenthesized list of column names or column
+// definitions may follow, and returns the alias.
 func (p *Parser) parseCorrelation() string {
 	alias := p.parseAlias()
-	if alias != "" || p.tokens[max(0, p.position-1)].isWord("as") { // AS may stand without an alias
+	if alias != "" || p.tokens[max(0, p.position-1)].isWord("as") { // AS may lack an alias if column definitions follow
 		p.skipOptionalParentheses()
 	}
 	return alias
 }
 
-// addReadTable records a table that is read, or the CTE that the name refers to.
+// addReadTable records a table that is read. An unqualified name may refer to a visible CTE instead.
 func (p *Parser) addReadTable(name string) {
 	if !strings.Contains(name, ".") {
 		if slices.Contains(p.visibleCTEs, unquote(name)) {
--- a/statement/syntax/names.go
+++ b/statement/syntax/names.go
@@ -6,8 +6,8 @@
 	"chutechute/statement/lex"
 )
 
-// parseName parses a name with its qualifiers and returns it as it stands in the text but for spaces and the case of
-// words. The description is for the error.
+// parseName parses a name with its qualifiers and returns it without white space and with unquoted parts in lower case.
+// The error message uses the description if no name follows.
 func (p *Parser) parseName(description string) string {
 	if !p.current().isName() || p.current().Kind == lex.Word && reservedWords[p.current().text] {
 		p.failExpected(description)
@@ -15,8 +15,8 @@
 	return p.parseQualifiedName()
 }
 
-// parseQualifiedName returns the current token and the names that follow it behind dots. It allocates nothing where
-// the text has them in one piece and in lower case.
+// parseQualifiedName parses the current token and the dot-separated names that follow it. It allocates nothing if the
+// text contains the name without white space and in lower case.
 func (p *Parser) parseQualifiedName() string {
 	first := p.position
 	p.position++
@@ -41,12 +41,12 @@
 	return name.String()
 }
 
-// parseAlias parses an alias, with AS or without, and returns it; it returns an empty string without one.
+// parseAlias parses an optional alias, with or without AS, and returns it, or an empty string if there is none.
 func (p *Parser) parseAlias() (alias string) {
 	switch t := p.current(); {
 	case p.acceptWord("as"):
 		if t := p.current(); !t.isName() && t.Kind != lex.String && t.Kind != lex.Parameter && !t.isOperator("(") {
-			p.failExpected("a name behind AS")
+			p.failExpected("a name after AS")
 		}
 		if !p.current().isOperator("(") {
 			alias = p.next().text
@@ -65,18 +65,19 @@
 	return name
 }
 
-// reservedWords are words that are no names of tables or columns and no aliases.
+// reservedWords are the words that, unquoted, are neither names of tables or columns nor aliases.
 var reservedWords = wordSet(`all and any array as asc between both by case cast check collate conflict constraint create
 	cross default desc distinct do else end except fetch for foreign from full grant group having in inner insert intersect
 	into is join lateral leading left like ilike limit natural not null offset on only or order outer primary
 	references returning right select set similar some table tablesample then to trailing true false union
 	unique using values when where window with`)
 
-// nonAliasWords are words that may be names but follow a table or a column as something else.
+// nonAliasWords are words that may be names but, after a table or a column, are not an alias: they begin a clause or an
+// operator.
 var nonAliasWords = wordSet(`partition range rows groups qualify escape isnull notnull nulls at overlaps update
 	use force ignore lock minus`)
 
-// wordSet returns the set of the words of a list with white space between them.
+// wordSet returns the set of the words of a list that is separated by white space.
 func wordSet(words string) map[string]bool {
 	set := map[string]bool{}
 	for word := range strings.FieldsSeq(words) {
--- a/statement/syntax/parser.go
+++ b/statement/syntax/parser.go
@@ -1,12 +1,13 @@
 // Package syntax parses SQL statements far enough to know what they do: the verb, whether they read or write, every
-// table in its role, and the predicates whose values tell of a statement's cost. It is a recursive-descent parser of
-// PostgreSQL's grammar that also accepts much of the syntax of other engines. It checks neither types nor names, and
-// an engine may still refuse what it accepts.
+// table with its role, and the predicates whose values help to estimate the cost of a statement. It is a
+// recursive-descent parser for the grammar of PostgreSQL that also accepts much of the syntax of other engines. It
+// checks neither types nor names, so an engine may still reject what it accepts.
 //
-// Depth and length are bounded, and the time is linear in the length of the text.
+// The nesting depth and the number of recorded facts are bounded, and parsing takes time linear in the length of the
+// text.
 //
-// A parse function, parseX, starts at the current token and moves behind X. It records what it finds in Facts and
-// fails, by a panic that Parse recovers, where X does not stand there.
+// A method parseX consumes X, beginning with the current token, and records what it finds in Facts. If the tokens do
+// not form an X, it panics with an *Error, which Parse recovers.
 package syntax
 
 import (
@@ -15,35 +16,34 @@
 	"chutechute/statement/lex"
 )
 
-// DefaultMaxDepth is the deepest nesting of parentheses, subqueries and CASE that is parsed unless MaxDepth says
-// otherwise.
+// DefaultMaxDepth limits the nesting of parentheses, subqueries and CASE if Parser.MaxDepth is not set.
 const DefaultMaxDepth = 100
 
-// Limits of what is recorded of a text.
+// Limits on what is recorded for a text.
 const (
-	maxNames      = 256 // tables, and functions
+	maxNames      = 256 // of tables, and of functions
 	maxPredicates = 256
-	maxCTEs       = 256 // that are visible at one place
+	maxCTEs       = 256 // visible at the same time
 )
 
-// maxFoundLength is how many bytes of an unexpected token an error shows.
+// maxFoundLength limits how many bytes of an unexpected token an error message quotes.
 const maxFoundLength = 40
 
-// Parser parses statements, one after another, and reuses its buffers. The zero value is ready for use.
+// Parser parses texts, one at a time, and reuses its buffers. The zero value is ready for use.
 type Parser struct {
-	MaxDepth int // the deepest nesting that is parsed; DefaultMaxDepth where 0
+	MaxDepth int // limit of the nesting; 0 means DefaultMaxDepth
 
 	lexer       lex.Lexer
 	text        string
-	tokens      []token // of the whole text; the last is EOF
-	position    int     // index of the current token
-	depth       int     // of the current nesting
-	valueCount  int     // literals and parameters before the current token
-	visibleCTEs []string
+	tokens      []token  // of the whole text; the last is EOF
+	position    int      // index of the current token
+	depth       int      // current nesting depth
+	valueCount  int      // number of literals and parameters before the current token
+	visibleCTEs []string // names without their quotes
 	facts       *Facts
 }
 
-// Parse parses a text of one or more statements. An error is an *Error.
+// Parse parses a text of one or more statements. A non-nil error is an *Error.
 func (p *Parser) Parse(text string) (facts *Facts, err error) {
 	p.text, p.tokens, p.position, p.depth, p.valueCount = text, p.tokens[:0], 0, 0, 0
 	p.facts, p.visibleCTEs = &Facts{LimitValue: noValue, OffsetValue: noValue}, p.visibleCTEs[:0]
@@ -52,7 +52,7 @@
 	}
 	defer func() {
 		p.text = ""
-		clear(p.tokens) // they refer to the text, which would be retained
+		clear(p.tokens) // releases the text, to which the tokens refer
 		switch r := recover().(type) {
 		case nil:
 		case *Error:
@@ -66,7 +66,7 @@
 	return p.facts, nil
 }
 
-// tokenize reads the tokens of the whole text.
+// tokenize fills p.tokens with the tokens of the whole text.
 func (p *Parser) tokenize() error {
 	p.lexer.Reset(p.text)
 	for {
@@ -85,7 +85,8 @@
 	}
 }
 
-// failExpected stops parsing with an error at the current token. It panics with an *Error, which Parse recovers.
+// failExpected stops parsing with an error that names what was expected in place of the current token. It panics with
+// an *Error, which Parse recovers.
 func (p *Parser) failExpected(expected string) {
 	t := p.tokens[p.position]
 	found := t.text
@@ -98,7 +99,7 @@
 	panic(NewError(p.text, t.Start, "expected "+expected+", found "+found))
 }
 
-// enterLevel enters one more level of nesting, and fails where that is too deep.
+// enterLevel increases the nesting depth and fails if it exceeds the limit.
 func (p *Parser) enterLevel() {
 	p.depth++
 	if p.depth > p.maxDepth() {
@@ -106,10 +107,10 @@
 	}
 }
 
-// leaveLevel leaves the level that enterLevel entered.
+// leaveLevel reverts enterLevel.
 func (p *Parser) leaveLevel() { p.depth-- }
 
-// maxDepth returns the deepest nesting that is parsed.
+// maxDepth returns the limit of the nesting depth.
 func (p *Parser) maxDepth() int {
 	if p.MaxDepth == 0 {
 		return DefaultMaxDepth
--- a/statement/syntax/predicates.go
+++ b/statement/syntax/predicates.go
@@ -2,16 +2,16 @@
 
 import "chutechute/statement/lex"
 
-// operand is what predicates need to know of an operand.
+// operand describes a parsed expression as far as predicates need it.
 type operand struct {
-	column     string // its name, where it is a column alone
-	valueIndex int    // index of the literal or parameter that it is alone; noValue otherwise
+	column     string // the column name if the expression is a single column; empty otherwise
+	valueIndex int    // index of the value if the expression is a single literal or parameter; noValue otherwise
 }
 
-// opaqueOperand is an operand that is neither a column alone nor a value alone.
+// opaqueOperand is an expression other than a single column, literal or parameter.
 var opaqueOperand = operand{valueIndex: noValue}
 
-// noValue is the index of a value where there is none.
+// noValue is the value index where there is no value.
 const noValue = -1
 
 // parseComparison parses an operand and the comparisons that follow it.
@@ -58,12 +58,12 @@
 // rangeListOrPatternWords begin the predicates that parseRangeListOrPattern parses.
 var rangeListOrPatternWords = []string{"between", "in", "like", "ilike", "similar", "regexp", "rlike", "glob"}
 
-// atQuantifier returns whether ANY, ALL or SOME with a list or a subquery in parentheses begins here.
+// atQuantifier returns whether ANY, ALL or SOME with a parenthesized list or subquery begins here.
 func (p *Parser) atQuantifier() bool {
 	return p.current().isWord("any", "all", "some") && p.peek(1).isOperator("(")
 }
 
-// comparisonOperators gives the operator of the predicate that a comparison makes.
+// comparisonOperators maps each comparison operator of SQL to the operator of its predicate.
 var comparisonOperators = map[string]Operator{
 	"=":   Equal,
 	"==":  Equal,
@@ -77,10 +77,11 @@
 	"^=":  notEqual,
 }
 
-// notEqual is the operator of comparisons that make no predicate: that values differ tells nothing of the cost.
+// notEqual is the operator of comparisons that are not recorded as predicates, since an inequality does not help to
+// estimate the cost.
 const notEqual Operator = 255
 
-// addComparison records the predicate of a comparison of a column with a value, on whichever side the column is.
+// addComparison records a predicate if a column is compared with a value, in either order.
 func (p *Parser) addComparison(left operand, op Operator, right operand) {
 	if op == notEqual {
 		return
@@ -106,7 +107,7 @@
 	}
 }
 
-// parseIs parses what follows IS: NULL, a truth value, DISTINCT FROM, a form of JSON or DOCUMENT.
+// parseIs parses the test after IS: NULL, a truth value, DISTINCT FROM, JSON, DOCUMENT, NORMALIZED or OF.
 func (p *Parser) parseIs() {
 	p.acceptWord("not")
 	switch {
@@ -129,7 +130,7 @@
 	}
 }
 
-// parseRangeListOrPattern parses BETWEEN, IN, LIKE and their like behind their left operand.
+// parseRangeListOrPattern parses BETWEEN, IN, LIKE and similar comparisons after their left operand.
 func (p *Parser) parseRangeListOrPattern(left operand) {
 	switch word := p.next().text; word {
 	case "between":
@@ -141,7 +142,7 @@
 	}
 }
 
-// parseBetween parses the bounds behind BETWEEN.
+// parseBetween parses the bounds after BETWEEN.
 func (p *Parser) parseBetween(left operand) {
 	p.acceptWord("symmetric", "asymmetric")
 	low := p.parseArithmetic()
@@ -152,7 +153,7 @@
 	}
 }
 
-// parseIn parses what follows IN: a list or a subquery in parentheses, an array or a parameter.
+// parseIn parses the right operand of IN: a parenthesized list or subquery, an array or a parameter.
 func (p *Parser) parseIn(left operand) {
 	if !p.current().isOperator("(") {
 		p.parseArithmetic()
@@ -166,7 +167,7 @@
 	}
 }
 
-// parsePattern parses the pattern behind LIKE or a word like it.
+// parsePattern parses the pattern after LIKE or a similar word.
 func (p *Parser) parsePattern(left operand, word string) {
 	if word == "similar" {
 		p.expectWord("to")
--- a/statement/syntax/query.go
+++ b/statement/syntax/query.go
@@ -2,8 +2,9 @@
 
 import "chutechute/statement/lex"
 
-// parseQuery parses a SELECT, a VALUES list or TABLE name with its set operations, WITH, ORDER BY and the rest. Where
-// main is set, WITH may also stand before a statement that writes. It returns the verb of the main statement.
+// parseQuery parses a query: an optional WITH clause, SELECT, VALUES and TABLE terms combined by set operations, and
+// the clauses that follow them. If main is set, the WITH clause may also precede a statement that changes rows. It
+// returns the verb of the main statement.
 func (p *Parser) parseQuery(main bool) string {
 	p.enterLevel()
 	defer p.leaveLevel()
@@ -32,15 +33,15 @@
 	return verb
 }
 
-// parseQueryOrDML parses a query or a statement that changes rows.
+// parseQueryOrDML parses a query, or a statement that changes rows.
 func (p *Parser) parseQueryOrDML() {
 	if _, ok := p.parseDML(); !ok {
 		p.parseQuery(true)
 	}
 }
 
-// parseWith parses the list of a WITH clause. A name is visible behind its own query, and within it too where the list
-// is RECURSIVE.
+// parseWith parses a WITH clause after its first word. The name of a CTE is visible after its query and, with
+// RECURSIVE, within it too.
 func (p *Parser) parseWith() {
 	recursive := p.acceptWord("recursive")
 	for {
@@ -108,7 +109,7 @@
 	}
 }
 
-// parseSelect parses a SELECT behind its first word, up to what may follow a whole query.
+// parseSelect parses a SELECT after its first word, up to the clauses that apply to the whole query.
 func (p *Parser) parseSelect() {
 	p.facts.Reads = true
 	for p.acceptWord("all", "distinct", "sql_no_cache", "straight_join") {
@@ -129,7 +130,7 @@
 	if p.acceptWord("into") {
 		p.acceptWord("temporary", "temp", "unlogged")
 		p.acceptWord("table")
-		p.facts.addTable(p.parseName("a table behind INTO"), Written)
+		p.facts.addTable(p.parseName("a table after INTO"), Written)
 	}
 	if p.acceptWord("from") {
 		p.parseFrom()
@@ -140,7 +141,8 @@
 	p.parseGroupingClauses()
 }
 
-// atQueryStart returns whether a query begins here, behind any number of opening parentheses that may be nested.
+// atQueryStart returns whether a query begins here, possibly after opening parentheses. It returns false if there are
+// more of these than the nesting limit allows.
 func (p *Parser) atQueryStart() bool {
 	for n := 0; ; n++ {
 		if n > p.maxDepth() {
@@ -163,7 +165,7 @@
 	return t.Kind == lex.EOF || t.isOperator(")") || t.isOperator(";") || t.isWord("union", "intersect", "except")
 }
 
-// parseSelectList parses the list of what is selected or returned.
+// parseSelectList parses the list of expressions that a SELECT or a RETURNING clause returns.
 func (p *Parser) parseSelectList() {
 	for {
 		p.parseExpr()
@@ -174,7 +176,8 @@
 	}
 }
 
-// parseGroupingClauses parses what may follow WHERE within one SELECT: GROUP BY, HAVING, WINDOW and QUALIFY.
+// parseGroupingClauses parses the clauses that may follow WHERE within one SELECT: GROUP BY, HAVING, WINDOW and
+// QUALIFY.
 func (p *Parser) parseGroupingClauses() {
 	if p.acceptWords("group", "by") {
 		p.parseGroupBy()
@@ -190,7 +193,7 @@
 	}
 }
 
-// parseGroupBy parses the list behind GROUP BY.
+// parseGroupBy parses the list after GROUP BY.
 func (p *Parser) parseGroupBy() {
 	p.facts.Aggregates++
 	p.acceptWord("all", "distinct")
@@ -210,10 +213,10 @@
 	p.acceptWords("with", "rollup")
 }
 
-// parseWindowClause parses the named windows behind WINDOW.
+// parseWindowClause parses the named windows after WINDOW.
 func (p *Parser) parseWindowClause() {
 	for {
-		p.parseName("a window's name")
+		p.parseName("a window name")
 		p.expectWord("as")
 		p.parseWindowDefinition()
 		if !p.acceptOperator(",") {
@@ -222,7 +225,8 @@
 	}
 }
 
-// parseTailClauses parses what may follow a whole query, in any order: its sort order, its row limits and its locks.
+// parseTailClauses parses the clauses that may follow a whole query, in any order: the sort order, the row limits and
+// the row locks.
 func (p *Parser) parseTailClauses() {
 	for {
 		switch {
@@ -244,7 +248,7 @@
 	}
 }
 
-// parseLimit parses the bounds behind LIMIT.
+// parseLimit parses the row count, or the offset and the row count, after LIMIT.
 func (p *Parser) parseLimit() {
 	if p.acceptWord("all") || p.acceptWord("null") {
 		return
@@ -256,7 +260,7 @@
 	}
 }
 
-// parseOffset parses the number of rows behind OFFSET.
+// parseOffset parses the number of rows after OFFSET and records its value.
 func (p *Parser) parseOffset() {
 	if p.current().isValue() {
 		p.facts.OffsetValue = p.valueCount
@@ -265,7 +269,7 @@
 	p.acceptWord("row", "rows")
 }
 
-// parseFetch parses what follows FETCH.
+// parseFetch parses a FETCH FIRST or FETCH NEXT clause after its first word.
 func (p *Parser) parseFetch() {
 	p.expectWord("first", "next")
 	if !p.current().isWord("row", "rows") {
@@ -278,7 +282,7 @@
 	}
 }
 
-// parseRowCount parses the largest number of rows and records its value.
+// parseRowCount parses the maximum number of rows and records its value.
 func (p *Parser) parseRowCount() {
 	if p.current().isValue() {
 		p.facts.LimitValue = p.valueCount
@@ -286,7 +290,8 @@
 	p.parseExpr()
 }
 
-// parseRowLock parses FOR UPDATE and its like. Row locks count as writes, since a read-only transaction refuses them.
+// parseRowLock parses FOR UPDATE and similar clauses. Row locks count as writes, since a read-only transaction rejects
+// them.
 func (p *Parser) parseRowLock() {
 	p.position++
 	p.acceptWords("no", "key")
@@ -295,7 +300,7 @@
 	p.facts.Writes = true
 	if p.acceptWord("of") {
 		for {
-			p.parseName("a table behind OF")
+			p.parseName("a table after OF")
 			if !p.acceptOperator(",") {
 				break
 			}
@@ -306,7 +311,7 @@
 	}
 }
 
-// parseOrderBy parses a sort order behind ORDER BY.
+// parseOrderBy parses the sort keys after ORDER BY.
 func (p *Parser) parseOrderBy() {
 	p.facts.Sorts++
 	for {
--- a/statement/syntax/script.go
+++ b/statement/syntax/script.go
@@ -2,25 +2,26 @@
 
 import "chutechute/statement/lex"
 
-// parseScript parses the whole text: statements with semicolons between them.
+// parseScript parses the whole text: statements separated by semicolons.
 func (p *Parser) parseScript() {
 	f := p.facts
-	verbWrites, verbDecides := false, false // whether f.Verb is of a statement that writes; of no transaction control
+	// Whether any statement so far writes, and whether any is not a control statement.
+	anyWrites, anyNonControl := false, false
 	for {
 		for p.acceptOperator(";") {
 		}
 		if p.current().Kind == lex.EOF {
 			break
 		}
-		writes, changesSession := f.Writes, f.ChangesSession // of the statements before
+		writes, changesSession := f.Writes, f.ChangesSession // of the preceding statements
 		f.Writes, f.ChangesSession = false, false
 		verb := p.parseStatement()
 		f.Statements++
-		decides := !controlVerbs[verb]
-		if f.Statements == 1 || decides && !verbDecides || f.Writes && !verbWrites {
+		nonControl := !controlVerbs[verb]
+		if f.Statements == 1 || nonControl && !anyNonControl || f.Writes && !anyWrites {
 			f.Verb = verb
 		}
-		verbWrites, verbDecides = verbWrites || f.Writes, verbDecides || decides
+		anyWrites, anyNonControl = anyWrites || f.Writes, anyNonControl || nonControl
 		f.Writes, f.ChangesSession = f.Writes || writes, f.ChangesSession || changesSession
 		if !p.current().isOperator(";") && p.current().Kind != lex.EOF {
 			p.failExpected("the end of the statement")
@@ -32,7 +33,8 @@
 	}
 }
 
-// controlVerbs are verbs of sessions and transactions, which do not decide the verb of a text.
+// controlVerbs are the verbs of statements that control a session or a transaction. Such a statement determines the
+// verb of a text only if no other statement does.
 var controlVerbs = wordSet("begin start commit end rollback abort savepoint release set reset discard")
 
 // parseStatement parses one statement and returns its verb.
@@ -83,7 +85,7 @@
 	return verb
 }
 
-// parseSessionStatement parses a statement about the session, a transaction or a cursor behind its verb.
+// parseSessionStatement parses a statement about the session, a transaction or a cursor after its verb.
 func (p *Parser) parseSessionStatement(verb string) {
 	p.facts.ChangesSession = true
 	if verb == "declare" {
@@ -95,7 +97,7 @@
 	p.skipUntil()
 }
 
-// parsePrepare parses PREPARE behind its first word.
+// parsePrepare parses a PREPARE statement after its first word.
 func (p *Parser) parsePrepare() {
 	p.facts.ChangesSession = true
 	p.parseName("a name")
@@ -104,25 +106,26 @@
 	p.parseStatement()
 }
 
-// parseExplain parses EXPLAIN behind its first word. The statement is only planned unless it is to ANALYZE it.
+// parseExplain parses an EXPLAIN statement after its first word. Without ANALYZE, the explained statement is only
+// planned and writes nothing.
 func (p *Parser) parseExplain() {
-	runs := false
+	analyze := false
 	if p.current().isOperator("(") && !p.atQueryStart() {
-		runs = p.parseExplainOptions()
+		analyze = p.parseExplainOptions()
 	} else {
 		for p.current().isWord("analyze", "analyse", "verbose", "extended", "plan") {
-			runs = runs || p.current().isWord("analyze", "analyse")
+			analyze = analyze || p.current().isWord("analyze", "analyse")
 			p.position++
 		}
 		p.acceptWord("for")
 	}
 	p.parseStatement()
-	if !runs {
+	if !analyze {
 		p.facts.discardWrites()
 	}
 }
 
-// parseExplainOptions parses the options of EXPLAIN in parentheses and returns whether ANALYZE is on.
+// parseExplainOptions parses the parenthesized options of EXPLAIN and returns whether ANALYZE is on.
 func (p *Parser) parseExplainOptions() (analyze bool) {
 	p.expectOperator("(")
 	for {
@@ -143,7 +146,8 @@
 	return analyze
 }
 
-// parseInvocation parses a call of a procedure or a block of code, whose effects are not known.
+// parseInvocation parses a procedure call or a code block after its verb. Its effects are unknown, so it counts as a
+// write that changes the session.
 func (p *Parser) parseInvocation(verb string) {
 	p.facts.Writes, p.facts.ChangesSession = true, true
 	if verb != "do" {
--- a/statement/syntax/tablegroup.go
+++ b/statement/syntax/tablegroup.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// TableGroup returns the group of tables that a schema belongs to: the number behind the last underscore of its name,
-// as 17 of sales_17. A schema without a number, such as staging, belongs to none.
+// TableGroup returns the table group that a schema belongs to: the number after the last underscore of its name, such
+// as 17 for sales_17. A schema without a number, such as staging, belongs to no table group.
 func TableGroup(schema string) (group int, ok bool) {
 	schema = unquote(schema)
 	i := strings.LastIndexByte(schema, '_')
@@ -17,13 +17,13 @@
 	return int(number), err == nil
 }
 
-// tableGroupBits is the size of the numbers of groups.
+// tableGroupBits limits the number of a table group to 31 bits.
 const tableGroupBits = 31
 
-// tableGroupOfName returns the group that a qualified name gives by the part before its last.
+// tableGroupOfName returns the table group of a qualified name, whose schema is the part before the last.
 func tableGroupOfName(name string) (int, bool) {
 	lastDot, previousDot := -1, -1
-	quote := byte(0) // that is open
+	quote := byte(0) // the open quote, or 0
 	for i := range len(name) {
 		switch c := name[i]; {
 		case quote != 0:
--- a/statement/syntax/tokens.go
+++ b/statement/syntax/tokens.go
@@ -6,13 +6,13 @@
 	"chutechute/statement/lex"
 )
 
-// token is a lexer's token with its text, which is in lower case where it is a word.
+// token is a token of the lexer with its text. The text of a word is in lower case.
 type token struct {
 	lex.Token
 	text string
 }
 
-// isWord returns whether the token is one of these words, which are in lower case.
+// isWord returns whether the token is one of the given words, which must be in lower case.
 func (t *token) isWord(words ...string) bool {
 	if t.Kind != lex.Word {
 		return false
@@ -25,10 +25,10 @@
 	return false
 }
 
-// isOperator returns whether the token is this operator or punctuation.
+// isOperator returns whether the token is the given operator or punctuation character.
 func (t *token) isOperator(op string) bool { return t.Kind == lex.Operator && t.text == op }
 
-// isName returns whether the token may be a name, quoted or not.
+// isName returns whether the token is a quoted name or a word, which may also be a keyword.
 func (t *token) isName() bool { return t.Kind == lex.Word || t.Kind == lex.QuotedIdentifier }
 
 // isValue returns whether the token is a literal or a parameter.
@@ -39,10 +39,10 @@
 // current returns the current token.
 func (p *Parser) current() *token { return &p.tokens[p.position] }
 
-// peek returns the token n behind the current one, or EOF behind the end.
+// peek returns the token n positions after the current one, or EOF past the end.
 func (p *Parser) peek(n int) *token { return &p.tokens[min(p.position+n, len(p.tokens)-1)] }
 
-// next returns the current token and moves behind it. It counts the values that it passes.
+// next consumes and returns the current token. If it is a literal or a parameter, valueCount increases.
 func (p *Parser) next() *token {
 	t := &p.tokens[p.position]
 	if t.Kind != lex.EOF {
@@ -55,7 +55,7 @@
 	return t
 }
 
-// acceptWord moves behind the current token if it is one of these words, and returns whether it is.
+// acceptWord consumes the current token if it is one of the given words, and returns whether it did.
 func (p *Parser) acceptWord(words ...string) bool {
 	if p.current().isWord(words...) {
 		p.position++
@@ -64,7 +64,7 @@
 	return false
 }
 
-// acceptWords moves behind all of these words in turn, or behind none, and returns whether they follow.
+// acceptWords consumes the given words if the next tokens are exactly these, and returns whether it did.
 func (p *Parser) acceptWords(words ...string) bool {
 	for i, w := range words {
 		if !p.peek(i).isWord(w) {
@@ -75,7 +75,7 @@
 	return true
 }
 
-// acceptOperator moves behind the current token if it is this operator, and returns whether it is.
+// acceptOperator consumes the current token if it is the given operator, and returns whether it did.
 func (p *Parser) acceptOperator(op string) bool {
 	if p.current().isOperator(op) {
 		p.position++
@@ -84,22 +84,22 @@
 	return false
 }
 
-// expectOperator moves behind an operator, and fails where it is not the current token.
+// expectOperator consumes the given operator, and fails if it is not the current token.
 func (p *Parser) expectOperator(op string) {
 	if !p.acceptOperator(op) {
 		p.failExpected(op)
 	}
 }
 
-// expectWord moves behind one of these words, and fails where none is the current token.
+// expectWord consumes one of the given words, and fails if the current token is none of them.
 func (p *Parser) expectWord(words ...string) {
 	if !p.acceptWord(words...) {
 		p.failExpected(strings.ToUpper(strings.Join(words, " or ")))
 	}
 }
 
-// skipUntil skips all up to the end of the statement or of the enclosing parentheses, or up to one of the words at
-// this level.
+// skipUntil skips tokens up to the end of the statement or of the enclosing parentheses or brackets, or up to the first
+// of the given words that is not nested in parentheses or brackets.
 func (p *Parser) skipUntil(until ...string) {
 	for depth := 0; ; {
 		t := p.current()
@@ -123,18 +123,18 @@
 	}
 }
 
-// skipOptionalParentheses skips a group in parentheses, if one begins here.
+// skipOptionalParentheses skips a parenthesized group if the current token opens one.
 func (p *Parser) skipOptionalParentheses() {
 	if p.current().isOperator("(") {
 		p.skipParentheses()
 	}
 }
 
-// skipParentheses skips a group in parentheses.
+// skipParentheses skips a parenthesized group.
 func (p *Parser) skipParentheses() {
 	p.expectOperator("(")
 	p.skipUntil()
-	for p.current().isOperator(";") { // as a routine's body may hold
+	for p.current().isOperator(";") { // the body of a routine may contain them
 		p.next()
 		p.skipUntil()
 	}
--- a/statement/syntax/types.go
+++ b/statement/syntax/types.go
@@ -2,11 +2,12 @@
 
 import "chutechute/statement/lex"
 
-// literalTypes are the types whose names may stand before a literal.
+// literalTypes are the types whose names may precede a literal, as in DATE '2024-01-01'.
 var literalTypes = wordSet(`date time timestamp timestamptz timetz json jsonb uuid numeric decimal text varchar char
 	bytea xml double bit`)
 
-// literalTypeLength returns the number of tokens of a type's name that a literal follows, and 0 where none follows.
+// literalTypeLength returns the number of tokens of the type name that begins here, or 0 if no literal or parameter
+// follows it.
 func (p *Parser) literalTypeLength() int {
 	length := 1
 	if p.peek(1).isWord("precision") {
@@ -21,7 +22,7 @@
 	return 0
 }
 
-// parseTypedLiteral parses a literal behind a type's name of so many tokens.
+// parseTypedLiteral parses a type name of typeLength tokens and the literal or parameter after it.
 func (p *Parser) parseTypedLiteral(typeLength int) operand {
 	p.position += typeLength
 	value := p.valueCount
@@ -29,8 +30,8 @@
 	return operand{valueIndex: value}
 }
 
-// parseInterval parses an INTERVAL literal. It is recorded as a predicate wherever it stands, since it tells how wide
-// a condition is.
+// parseInterval parses an INTERVAL literal. It is recorded as a predicate wherever it occurs, since it indicates the
+// width of a range condition.
 func (p *Parser) parseInterval() operand {
 	p.position++
 	value := p.valueCount
@@ -50,11 +51,11 @@
 var intervalUnits = []string{"year", "month", "day", "hour", "minute", "second", "week", "years", "months", "days",
 	"hours", "minutes", "seconds", "weeks"}
 
-// parseCast parses CAST(x AS type) and its like.
+// parseCast parses CAST(x AS type) and similar conversions.
 func (p *Parser) parseCast() operand {
 	p.position++
 	p.expectOperator("(")
-	casted := p.parseExpr()
+	result := p.parseExpr()
 	switch {
 	case p.acceptWord("as"):
 		p.parseTypeName()
@@ -67,10 +68,10 @@
 		p.parseExprList()
 	}
 	p.expectOperator(")")
-	return casted
+	return result
 }
 
-// parseTypeName parses the name of a type with its modifiers.
+// parseTypeName parses a type name with its modifiers.
 func (p *Parser) parseTypeName() {
 	p.acceptWord("setof")
 	if p.acceptWord("interval") {
