--- a/internal/sqltext/sqltext.go
+++ b/internal/sqltext/sqltext.go
@@ -1,6 +1,6 @@
-// Package sqltext finds the group of tables that a statement reads or writes by looking for the words that tables
-// follow. It is what the program had before package statement, kept as the baseline of its tests and measurements; the
-// program does not use it.
+// Package sqltext finds the table group of a statement by searching for the keywords that precede table names. The
+// program used it before package statement replaced it, and no longer does. It remains as the baseline for the tests
+// and measurements of package statement.
 package sqltext
 
 import (
@@ -8,62 +8,65 @@
 	"strings"
 )
 
-// Group is the number after the underscore in the schema name of the first table that the statement
-// names, as 17 in sales_17.orders; 0 where there is none. Names in strings and comments do not count,
-// nor does the schema staging. Where no table stands where a statement names its tables, any qualified
-// name serves.
+// Group returns the table group of a statement: the number after the last underscore in the schema name of its first
+// table that has such a number, such as 17 for sales_17.orders. If no table has one, the first qualified name with such
+// a number determines the group. Group returns 0 if there is none. Names in strings and comments and the schema staging
+// are ignored.
 func Group(statement string) int {
 	l := lexer{text: statement}
-	tables, list, fallback := false, false, 0
+	expectTable, inTableList, fallback := false, false, 0
 	for {
 		t, ok := l.next()
 		if !ok {
 			return fallback
 		}
-		if t.kind != name {
-			tables = t.kind == ',' && list || t.kind == '(' && tables
+		if t.kind != nameKind {
+			expectTable = t.kind == ',' && inTableList || t.kind == '(' && expectTable
 			continue
 		}
 		if !t.quoted {
 			switch word := strings.ToLower(t.text); {
-			case before[word]:
-				tables, list = true, word == "from" || word == "join" || word == "using"
+			case tableKeywords[word]:
+				expectTable, inTableList = true, word == "from" || word == "join" || word == "using"
 				continue
-			case between[word]:
+			case modifierKeywords[word]:
 				continue
-			case after[word]:
-				tables, list = false, false
+			case endKeywords[word]:
+				expectTable, inTableList = false, false
 				continue
 			}
 		}
 		parts := []string{t.text}
-		for l.dot() {
-			if t, ok = l.next(); !ok || t.kind != name {
+		for l.acceptDot() {
+			if t, ok = l.next(); !ok || t.kind != nameKind {
 				break
 			}
 			parts = append(parts, t.text)
 		}
 		if len(parts) > 1 {
-			g, ok := number(parts[len(parts)-2])
-			if ok && tables {
-				return g
+			group, ok := groupOfSchema(parts[len(parts)-2])
+			if ok && expectTable {
+				return group
 			}
 			if ok && fallback == 0 {
-				fallback = g
+				fallback = group
 			}
 		}
-		tables = false
+		expectTable = false
 	}
 }
 
-// Words that tables follow, that may stand between, and that end a list of tables.
 var (
-	before  = words("from join into update table using copy truncate merge")
-	between = words("only lateral if exists not overwrite")
-	after   = words("select where group order having limit on set values union except intersect window")
+	// tableKeywords are the keywords that a table name follows.
+	tableKeywords = wordSet("from join into update table using copy truncate merge")
+	// modifierKeywords may occur between a table keyword and the table name.
+	modifierKeywords = wordSet("only lateral if exists not overwrite")
+	// endKeywords end a list of tables.
+	endKeywords = wordSet("select where group order having limit on set values union except intersect window")
 )
 
-func words(list string) map[string]bool {
+// wordSet returns the set of the words of a list that is separated by white space.
+func wordSet(list string) map[string]bool {
 	m := map[string]bool{}
 	for _, w := range strings.Fields(list) {
 		m[w] = true
@@ -71,7 +74,8 @@
 	return m
 }
 
-func number(schema string) (int, bool) {
+// groupOfSchema returns the number after the last underscore of a schema name, if it has one.
+func groupOfSchema(schema string) (int, bool) {
 	schema = strings.ToLower(schema)
 	_, digits, ok := strings.Cut(schema, "_")
 	if !ok || schema == "staging" {
@@ -81,8 +85,8 @@
 	return int(n), err == nil
 }
 
-// name is the kind of a name or a word; other tokens' kind is their first byte.
-const name = 'a'
+// nameKind is the kind of a name or a keyword. The kind of any other token is its first byte.
+const nameKind = 'a'
 
 type token struct {
 	kind   byte
@@ -91,51 +95,53 @@
 }
 
 type lexer struct {
-	text string
-	at   int
+	text   string
+	offset int // of the next byte to read
 }
 
-// next is the next token; strings, numbers and comments are passed over.
+// next returns the next token, or false at the end of the text. It skips strings, numbers and comments.
 func (l *lexer) next() (token, bool) {
-	for l.at < len(l.text) {
-		c, rest := l.text[l.at], l.text[l.at:]
+	for l.offset < len(l.text) {
+		c, rest := l.text[l.offset], l.text[l.offset:]
 		switch {
 		case strings.HasPrefix(rest, "--"):
-			l.past("\n", 2)
+			l.skipPast("\n", 2)
 		case strings.HasPrefix(rest, "/*"):
-			l.comment()
+			l.skipComment()
 		case c == '\'':
-			l.quote('\'', false)
+			l.scanQuoted('\'', false)
 		case (c == 'e' || c == 'E') && len(rest) > 1 && rest[1] == '\'':
-			l.at++
-			l.quote('\'', true)
+			l.offset++
+			l.scanQuoted('\'', true)
 		case c == '"' || c == '`':
-			return token{name, l.quote(c, false), true}, true
+			return token{nameKind, l.scanQuoted(c, false), true}, true
 		case c == '$' && dollarTag(rest) != "":
 			tag := dollarTag(rest)
-			l.past(tag, len(tag))
-		case letter(c):
-			start := l.at
-			for l.at < len(l.text) && (letter(l.text[l.at]) || digit(l.text[l.at]) || l.text[l.at] == '$') {
-				l.at++
+			l.skipPast(tag, len(tag))
+		case isLetter(c):
+			start := l.offset
+			for l.offset < len(l.text) &&
+				(isLetter(l.text[l.offset]) || isDigit(l.text[l.offset]) || l.text[l.offset] == '$') {
+				l.offset++
 			}
-			return token{kind: name, text: l.text[start:l.at]}, true
-		case digit(c):
-			for l.at < len(l.text) && (letter(l.text[l.at]) || digit(l.text[l.at]) || l.text[l.at] == '.') {
-				l.at++
+			return token{kind: nameKind, text: l.text[start:l.offset]}, true
+		case isDigit(c):
+			for l.offset < len(l.text) &&
+				(isLetter(l.text[l.offset]) || isDigit(l.text[l.offset]) || l.text[l.offset] == '.') {
+				l.offset++
 			}
 		case c <= ' ':
-			l.at++
+			l.offset++
 		default:
-			l.at++
+			l.offset++
 			return token{kind: c}, true
 		}
 	}
 	return token{}, false
 }
 
-// dot takes a dot, if that is what follows.
-func (l *lexer) dot() bool {
+// acceptDot consumes the next token if it is a dot, and returns whether it did.
+func (l *lexer) acceptDot() bool {
 	save := *l
 	if t, ok := l.next(); ok && t.kind == '.' {
 		return true
@@ -144,68 +150,71 @@
 	return false
 }
 
-// past moves behind the next end, looked for skip bytes on.
-func (l *lexer) past(end string, skip int) {
-	if i := strings.Index(l.text[l.at+skip:], end); i >= 0 {
-		l.at += skip + i + len(end)
+// skipPast moves past the next occurrence of end at least skip bytes ahead, or to the end of the text.
+func (l *lexer) skipPast(end string, skip int) {
+	if i := strings.Index(l.text[l.offset+skip:], end); i >= 0 {
+		l.offset += skip + i + len(end)
 	} else {
-		l.at = len(l.text)
+		l.offset = len(l.text)
 	}
 }
 
-// comment moves behind a comment; these may nest.
-func (l *lexer) comment() {
-	for depth := 0; l.at < len(l.text); {
-		switch rest := l.text[l.at:]; {
+// skipComment skips a block comment, which may contain nested ones.
+func (l *lexer) skipComment() {
+	for depth := 0; l.offset < len(l.text); {
+		switch rest := l.text[l.offset:]; {
 		case strings.HasPrefix(rest, "/*"):
 			depth++
-			l.at += 2
+			l.offset += 2
 		case strings.HasPrefix(rest, "*/"):
 			depth--
-			l.at += 2
+			l.offset += 2
 			if depth == 0 {
 				return
 			}
 		default:
-			l.at++
+			l.offset++
 		}
 	}
 }
 
-// quote moves behind a quoted text and gives what it holds; a doubled quote stands for itself.
-func (l *lexer) quote(q byte, escapes bool) string {
+// scanQuoted consumes a quoted string or name and returns its content. A doubled quote is an escaped quote. If escapes
+// is set, a backslash and the byte after it are dropped.
+func (l *lexer) scanQuoted(quote byte, escapes bool) string {
 	var b strings.Builder
-	for l.at++; l.at < len(l.text); l.at++ {
-		c := l.text[l.at]
+	for l.offset++; l.offset < len(l.text); l.offset++ {
+		c := l.text[l.offset]
 		switch {
 		case escapes && c == '\\':
-			l.at++
+			l.offset++
 			continue
-		case c == q && l.at+1 < len(l.text) && l.text[l.at+1] == q:
-			l.at++
-		case c == q:
-			l.at++
+		case c == quote && l.offset+1 < len(l.text) && l.text[l.offset+1] == quote:
+			l.offset++
+		case c == quote:
+			l.offset++
 			return b.String()
 		}
 		b.WriteByte(c)
 	}
-	l.at = len(l.text)
+	l.offset = len(l.text)
 	return b.String()
 }
 
+// dollarTag returns the tag of the dollar quote that s begins with, or an empty string if s begins with none.
 func dollarTag(s string) string {
 	for i := 1; i < len(s); i++ {
 		if s[i] == '$' {
 			return s[:i+1]
 		}
-		if !letter(s[i]) && !digit(s[i]) || i == 1 && digit(s[i]) {
+		if !isLetter(s[i]) && !isDigit(s[i]) || i == 1 && isDigit(s[i]) {
 			break
 		}
 	}
 	return ""
 }
 
-func letter(c byte) bool {
+func isLetter(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c >= 0x80
 }
-func digit(c byte) bool { return c >= '0' && c <= '9' }
+
+func isDigit(c byte) bool { return c >= '0' && c <= '9' }
