--- a/simulation/membership/burst.go
+++ b/simulation/membership/burst.go
@@ -6,42 +6,43 @@
 	"chutechute/internal/monotime"
 )
 
-// Burst is the load of control members in the second after a fault. The second begins with the first accepted
-// connection, or with the first snapshot, that followed the fault.
+// Burst counts what control members do in the second after a fault. The second begins with the first accepted
+// connection after the fault, and for snapshots with the first snapshot.
 type Burst struct {
-	Trigger   string // the fault
-	Accepts   Load   // connections of attached front ends that were accepted
-	Snapshots Load   // snapshots that were sent
+	Trigger   string       // the fault
+	Accepts   Distribution // accepted connections of attached front ends
+	Snapshots Distribution // snapshots sent
 }
 
-// Load is a count over the running control members.
-type Load struct {
+// Distribution says how a count is distributed over the running control members.
+type Distribution struct {
 	Total   int
-	Running int // control members that ran
+	Running int // number of control members that were running
 	Mean    float64
-	Max     int // at any one control member
+	Max     int // the highest count of one control member
 }
 
-// Ratio returns Most divided by Mean; 0 if Total is 0.
-func (l Load) Ratio() float64 {
-	if l.Total == 0 {
+// Ratio returns Max divided by Mean, or 0 if Total is 0.
+func (d Distribution) Ratio() float64 {
+	if d.Total == 0 {
 		return 0
 	}
-	return float64(l.Max) / l.Mean
+	return float64(d.Max) / d.Mean
 }
 
-// burstTimes is when a control member accepted connections of attached front ends, and sent snapshots.
+// burstTimes holds the times at which a control member accepted connections of attached front ends, and sent
+// snapshots.
 type burstTimes struct {
 	accepts, snapshots []monotime.Micros
 }
 
-// trigger is a fault whose burst is counted.
+// trigger is a fault after which a burst is counted.
 type trigger struct {
 	description string
 	at          monotime.Micros
 }
 
-// addTrigger adds a fault that happens now. Faults at one time have one burst.
+// addTrigger adds a fault that happens now. Faults at the same time share one trigger.
 func (s *simulation) addTrigger(description string) {
 	last := len(s.triggers) - 1
 	if last >= 0 && s.triggers[last].at == s.now {
@@ -51,7 +52,7 @@
 	s.triggers = append(s.triggers, trigger{description, s.now})
 }
 
-// bursts returns the burst of each trigger, which ends with the next one at the latest.
+// bursts returns the burst of each trigger. A burst ends at the next trigger at the latest.
 func (s *simulation) bursts() (bursts []Burst) {
 	accepts := func(m *member) []monotime.Micros { return m.burstTimes.accepts }
 	snapshots := func(m *member) []monotime.Micros { return m.burstTimes.snapshots }
@@ -69,24 +70,25 @@
 	return bursts
 }
 
-// firstSecond counts the times of each control member that are within a second of the first of all.
-func (s *simulation) firstSecond(from, until monotime.Micros, times func(*member) []monotime.Micros) (load Load) {
+// firstSecond counts the times of each control member that lie within a second of the first time of any control
+// member in [from, until).
+func (s *simulation) firstSecond(from, until monotime.Micros, times func(*member) []monotime.Micros) (d Distribution) {
 	first := s.firstTime(from, until, times)
 	for _, m := range s.controlMembers {
 		if m.ranAt(first) {
-			load.Running++
+			d.Running++
 		}
 		list := times(m)
 		begin, _ := slices.BinarySearch(list, first)
 		end, _ := slices.BinarySearch(list, min(first+monotime.Second, until))
-		load.Total += end - begin
-		load.Max = max(load.Max, end-begin)
+		d.Total += end - begin
+		d.Max = max(d.Max, end-begin)
 	}
-	load.Mean = float64(load.Total) / float64(max(1, load.Running))
-	return load
+	d.Mean = float64(d.Total) / float64(max(1, d.Running))
+	return d
 }
 
-// firstTime returns the first time of any control member from one time on; until if there is none before.
+// firstTime returns the first time of any control member in [from, until), or until if there is none.
 func (s *simulation) firstTime(from, until monotime.Micros, times func(*member) []monotime.Micros) monotime.Micros {
 	first := until
 	for _, m := range s.controlMembers {
--- a/simulation/membership/burst_test.go
+++ b/simulation/membership/burst_test.go
@@ -9,7 +9,8 @@
 	"chutechute/internal/monotime"
 )
 
-// A burst is counted from the first accepted connection after the trigger, over the control members that ran then.
+// A burst is counted from the first accepted connection after the trigger, over the control members that run at that
+// time.
 func TestBurstCountsFirstSecondAfterTrigger(t *testing.T) {
 	s := newSimulation(smallShape())
 	for _, m := range s.controlMembers {
@@ -26,7 +27,7 @@
 	s.triggers = []trigger{{"lost", 4 * monotime.Second}}
 	bursts := s.bursts()
 	require.Len(t, bursts, 1)
-	assert.Equal(t, Load{Total: 4, Running: 2, Mean: 2, Max: 3}, bursts[0].Accepts)
+	assert.Equal(t, Distribution{Total: 4, Running: 2, Mean: 2, Max: 3}, bursts[0].Accepts)
 	assert.InDelta(t, 1.5, bursts[0].Accepts.Ratio(), 1e-9)
 	assert.Zero(t, bursts[0].Snapshots.Total)
 }
--- a/simulation/membership/change.go
+++ b/simulation/membership/change.go
@@ -6,7 +6,7 @@
 	"chutechute/internal/monotime"
 )
 
-// changeKind says what a change is.
+// changeKind is the kind of a change.
 type changeKind uint8
 
 const (
@@ -14,22 +14,22 @@
 	changeEnded                     // a process has ended
 )
 
-// change is a start or end of a process that all responsive members have to learn. The first control member that
-// observes it detects it; from then on it propagates to those that are responsive and reachable at that time.
+// change is a start or end of a process. It is detected when the first control member observes it. Its propagation is
+// complete when all members observe it that were responsive and reachable at its detection.
 type change struct {
 	kind         changeKind
 	subject      *member
 	generation   int
 	happenedAt   monotime.Micros
 	detectedAt   monotime.Micros // 0 if it is not detected yet
-	lastKnownAt  monotime.Micros // when the latest member so far observed it
-	pending      []bool          // by index: who has to observe it; nil before it is detected
+	lastKnownAt  monotime.Micros // when the latest member so far came to know of it
+	pending      []bool          // by index: members that don't know of it yet; nil before it is detected
 	pendingCount int
-	measured     bool // it is part of the figures
+	measured     bool // it is included in the figures
 }
 
-// knownFrom reports whether a member with such an observation knows of the change, or of a later one. A process that
-// has ended may be forgotten.
+// knownFrom reports whether a member with observation o knows of the change or of a later one of the same subject. A
+// view may omit a process that has ended.
 func (c *change) knownFrom(o observation) bool {
 	switch {
 	case o == notObserved:
@@ -42,7 +42,7 @@
 	return c.kind == changeStarted || o.ended()
 }
 
-// observedIn reports whether an observation shows this change, and not a later one.
+// observedIn reports whether observation o shows this change and not a later one.
 func (c *change) observedIn(o observation) bool {
 	return o != notObserved && c.knownFrom(o) && o.generation() == c.generation
 }
@@ -67,7 +67,7 @@
 	}
 }
 
-// updateChange follows a member's new observation of the subject of a change.
+// updateChange applies a process's new observation of the subject to a change.
 func (t *groundTruth) updateChange(c *change, p *process, o observation) {
 	if c.pending != nil {
 		if c.knownFrom(o) {
@@ -78,14 +78,15 @@
 	if p.control == nil || p.member == c.subject || o == notObserved || !c.knownFrom(o) {
 		return
 	}
-	if !c.observedIn(o) { // a later change has superseded it before it was detected
+	if !c.observedIn(o) { // superseded by a later change before it was detected
 		t.removeChange(c)
 		return
 	}
 	t.detect(c, p.member)
 }
 
-// detect begins to wait for all members that are responsive now, are reachable, and read what they are sent.
+// detect records the detection of a change. It awaits the members that are responsive, reachable and not slow readers
+// at this time.
 func (t *groundTruth) detect(c *change, detector *member) {
 	c.detectedAt = t.sim.now
 	c.lastKnownAt = t.sim.now
@@ -103,7 +104,8 @@
 	}
 }
 
-// markKnown records that a member knows of a change, or is not waited for any more because it is not responsive.
+// markKnown stops awaiting a member that knows of the change, or that is no longer responsive. It updates lastKnownAt
+// only in the first case.
 func (t *groundTruth) markKnown(c *change, index int) {
 	if !c.pending[index] {
 		return
@@ -118,7 +120,7 @@
 	}
 }
 
-// complete follows the time when all know of a change.
+// complete removes a change that all awaited members know of from the open changes.
 func (t *groundTruth) complete(c *change) {
 	t.removeChange(c)
 	if c.measured {
@@ -127,7 +129,7 @@
 	c.pending = []bool{}
 }
 
-// stopWaitingFor has no change wait any more for a member that is not responsive.
+// stopWaitingFor stops awaiting a member that is no longer responsive, for all changes.
 func (t *groundTruth) stopWaitingFor(index int) {
 	if t.openCount == 0 {
 		return
@@ -141,7 +143,7 @@
 	}
 }
 
-// delays returns how long ends of processes took to be detected, and changes to propagate, both sorted.
+// delays returns the detection times of ended processes and the propagation delays of all changes, both sorted.
 func (t *groundTruth) delays() (detection, propagation []monotime.Micros) {
 	for _, c := range t.propagated {
 		propagation = append(propagation, c.lastKnownAt-c.detectedAt)
@@ -154,7 +156,7 @@
 	return detection, propagation
 }
 
-// unreached returns how many detected changes some member still does not know of.
+// unreached returns the number of measured and detected changes that are not known to all awaited members yet.
 func (t *groundTruth) unreached() (count int) {
 	for _, list := range t.openChanges {
 		for _, c := range list {
--- a/simulation/membership/chaos.go
+++ b/simulation/membership/chaos.go
@@ -4,17 +4,17 @@
 
 // Parameters of random faults.
 const (
-	chaosInterval      = 700 * monotime.Millisecond // between two faults, in the mean
-	chaosQuietEnd      = 10 * monotime.Second       // without new faults, at the end of the measured part
+	chaosInterval      = 700 * monotime.Millisecond // mean time between two faults
+	chaosQuietEnd      = 10 * monotime.Second       // time without new faults at the end of the measured part
 	chaosMaxDuration   = 12 * monotime.Second       // of a fault
 	chaosMaxPause      = 15 * monotime.Second
 	chaosMaxDownTime   = 20 * monotime.Second // from a crash to the next start
 	chaosMaxDelay      = 400 * monotime.Millisecond
 	chaosMaxLossRate   = 0.2
-	chaosRapidRestarts = 2 // restarts without down time that follow each other
+	chaosRapidRestarts = 2 // consecutive restarts without down time
 )
 
-// injectChaos injects a random fault every so often, into any member.
+// injectChaos injects random faults at random intervals, into any member.
 func injectChaos(s *simulation) {
 	end := s.now + s.measuredDuration() - chaosQuietEnd
 	var next func()
@@ -63,7 +63,7 @@
 	return s.controlMembers[s.random.IntN(len(s.controlMembers))]
 }
 
-// crashBriefly crashes a process or its machine, and starts the next process some time later.
+// crashBriefly crashes a process or its machine, and starts the next process after a random time.
 func (s *simulation) crashBriefly(m *member) {
 	scope := processCrash
 	if s.random.IntN(2) == 0 {
@@ -73,14 +73,14 @@
 	s.scheduleAfter(s.randomBetween(0, chaosMaxDownTime), m.start)
 }
 
-// setFaultBriefly sets a fault of a member for some time.
+// setFaultBriefly sets a fault of a member for a random time.
 func (s *simulation) setFaultBriefly(fault *bool) {
 	*fault = true
 	s.network.partitionStarted()
 	s.scheduleAfter(s.randomBetween(0, chaosMaxDuration), func() { *fault = false })
 }
 
-// partitionBriefly partitions a region from all others, or from one, for some time.
+// partitionBriefly partitions a random region from all others, or from region 1, for a random time.
 func (s *simulation) partitionBriefly() {
 	n := &s.network
 	region := s.random.IntN(s.regionCount())
@@ -95,7 +95,7 @@
 	n.partitionStarted()
 }
 
-// degradeNetworkBriefly has the network lose, delay and perhaps reorder messages for some time.
+// degradeNetworkBriefly makes the network lose, delay and possibly reorder messages for a random time.
 func (s *simulation) degradeNetworkBriefly() {
 	n := &s.network
 	n.maxExtraDelay = s.randomBetween(0, chaosMaxDelay)
--- a/simulation/membership/controlheartbeat.go
+++ b/simulation/membership/controlheartbeat.go
@@ -6,13 +6,13 @@
 	"chutechute/internal/monotime"
 )
 
-// controlHeartbeat is the heartbeat of control members: that of package fleet, without the fields of the replicated
-// log.
+// controlHeartbeat is the heartbeat that control members send each other: the message of package fleet, without the
+// fields of the replicated log.
 type controlHeartbeat struct {
 	incarnation   uint64
 	leaving       bool
 	reports       []heartbeat.Report
-	tableVersions []byte // of the tables of attached front ends
+	tableVersions []byte // versions of the tables of attached front ends
 }
 
 func (h *controlHeartbeat) fields(f *fieldcodec.Fields) {
@@ -51,14 +51,14 @@
 		if m == sender.member {
 			continue
 		}
-		c.sendToControl(m, kindMember, len(body), func(receiver *controlProcess, challengedAt monotime.Micros) {
+		c.sendToControl(m, kindControlHeartbeat, len(body), func(receiver *controlProcess, challengedAt monotime.Micros) {
 			receiver.receiveHeartbeat(sender, challengedAt, decode())
 		})
 	}
 }
 
-// heartbeatDecoder returns what decodes a heartbeat for each receiver. Unless processor time is measured it decodes
-// once for all, which saves a third of a run's time.
+// heartbeatDecoder returns a function that each receiver calls to decode a heartbeat. Unless processor time is
+// measured, the heartbeat is decoded once and shared by all receivers, which saves a third of a run's time.
 func (s *simulation) heartbeatDecoder(body []byte) func() *controlHeartbeat {
 	decode := func() *controlHeartbeat {
 		h, err := decodeControlHeartbeat(body)
--- a/simulation/membership/controlheartbeat_test.go
+++ b/simulation/membership/controlheartbeat_test.go
@@ -9,7 +9,7 @@
 	"chutechute/internal/monotime"
 )
 
-// A heartbeat is decoded as it was encoded.
+// Decoding an encoded heartbeat returns the same heartbeat.
 func TestControlHeartbeatRoundTrip(t *testing.T) {
 	s := newSimulation(smallShape())
 	h := controlHeartbeat{incarnation: 7, leaving: true, tableVersions: []byte("v")}
--- a/simulation/membership/controlprocess.go
+++ b/simulation/membership/controlprocess.go
@@ -9,7 +9,7 @@
 	"chutechute/internal/monotime"
 )
 
-// Intervals and timeouts among control members, as package config has them by default.
+// Intervals and timeouts of control members. They are the defaults of package config.
 const (
 	controlTickInterval = 50 * monotime.Millisecond
 	heartbeatInterval   = 100 * monotime.Millisecond
@@ -22,11 +22,11 @@
 	process           *process
 	monitor           *heartbeat.Monitor
 	server            *membership.Server
-	peerConnections   []peerConnection // to the other control members, by their index
+	peerConnections   []peerConnection // to the other control members, by member index
 	openLinks         []*link
-	linkByIncarnation map[uint64]*link // the newest of each process
+	linkByIncarnation map[uint64]*link // the latest link of each attached process
 	nextHeartbeat     monotime.Micros  // by the process's clock
-	countedSnapshots  int              // that are in the member's burstTimes
+	countedSnapshots  int              // snapshots that the member's burstTimes include
 }
 
 func newControlProcess(p *process) *controlProcess {
@@ -50,7 +50,7 @@
 	}
 }
 
-// start schedules the ticks, at a phase of the process's own.
+// start schedules the ticks, with a random phase.
 func (c *controlProcess) start() {
 	sim := c.process.sim
 	sim.scheduleAfter(sim.randomBetween(0, controlTickInterval), c.scheduledTick)
@@ -72,7 +72,7 @@
 	c.monitor.Tick(now)
 	c.server.Tick(now, c.peers())
 	if now >= c.nextHeartbeat {
-		c.nextHeartbeat = now + heartbeatInterval - controlTickInterval/2 // so that a tick is never just too early
+		c.nextHeartbeat = now + heartbeatInterval - controlTickInterval/2 // a tick may come slightly early
 		c.sendHeartbeats()
 	}
 	c.sendPending()
@@ -84,7 +84,7 @@
 
 func (c *controlProcess) allLinks() []*link { return c.openLinks }
 
-// peers returns the other control members as the monitor sees them.
+// peers returns the other control members, in the states that the monitor reports.
 func (c *controlProcess) peers() (peers []membership.ControlMember) {
 	for _, peer := range c.monitor.Peers() {
 		peers = append(peers, membership.ControlMember{
@@ -99,7 +99,7 @@
 	return peers
 }
 
-// membershipState is the state in a view of a peer that the monitor has in a state.
+// membershipState converts a peer's state in the monitor to its state in a view.
 func membershipState(state heartbeat.State) membership.State {
 	switch state {
 	case heartbeat.Alive, heartbeat.IndirectlyAlive:
@@ -113,7 +113,8 @@
 	return membership.Dead
 }
 
-// sendPending sends the messages of the server, and closes the links that it wants closed.
+// sendPending sends the server's pending messages and closes the links that it asks to close, until nothing is
+// pending.
 func (c *controlProcess) sendPending() {
 	for {
 		messages, closing := c.server.TakeMessages(), c.server.LinksToClose()
@@ -130,7 +131,7 @@
 	c.countSnapshots()
 }
 
-// countSnapshots notes the time of the snapshots that the server has sent since the last call.
+// countSnapshots records the current time for each snapshot that the server has sent since the last call.
 func (c *controlProcess) countSnapshots() {
 	member := c.process.member
 	for sent := c.server.Counters.Snapshots; c.countedSnapshots < sent; c.countedSnapshots++ {
@@ -171,7 +172,7 @@
 func (c *controlProcess) receiveFromAttached(l *link, message membership.Message) {
 	err := c.server.Receive(c.process.localTime(), l.membershipLink(), message.Kind, message.Body)
 	if err != nil {
-		// The last messages of a process that has ended are rightly rejected.
+		// Late messages of an ended process are rejected as superseded, which is correct and not counted.
 		expected := errors.Is(err, membership.ErrSuperseded) && !l.frontEnd.running()
 		if !expected {
 			c.process.sim.countRejected(err)
@@ -181,7 +182,7 @@
 	c.sendPending()
 }
 
-// closeLink closes a link that the server wants closed.
+// closeLink closes the link that the server identifies.
 func (c *controlProcess) closeLink(which membership.Link) {
 	for _, l := range slices.Clone(c.openLinks) {
 		if l.frontEnd.incarnation == which.Incarnation && l.challengedAt == which.ChallengedAt {
--- a/simulation/membership/cpumeter.go
+++ b/simulation/membership/cpumeter.go
@@ -9,11 +9,11 @@
 
 const roleCount = 2
 
-// cpuMeter measures the processor time that the steps of each role take. A nil meter measures nothing.
+// cpuMeter measures the processor time that is spent in the steps of each role. A nil meter measures nothing.
 type cpuMeter struct {
-	elapsedByRole [roleCount]time.Duration // in steps
+	elapsedByRole [roleCount]time.Duration // wall-clock time spent in steps
 	startedAt     time.Time
-	cpuAtStart    time.Duration // processor time that this program had used before
+	cpuAtStart    time.Duration // processor time that this program had used at startedAt
 }
 
 func newCPUMeter() *cpuMeter { return &cpuMeter{startedAt: time.Now(), cpuAtStart: programCPUTime()} }
@@ -25,7 +25,7 @@
 	}
 }
 
-// programCPUTime is the processor time that this program has used; 0 if the system does not tell.
+// programCPUTime returns the processor time that this program has used, or 0 if it is not available.
 func programCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -34,7 +34,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// begin returns when a step begins, for end.
+// begin returns the start time of a step, to be passed to end.
 func (c *cpuMeter) begin() (startedAt time.Time) {
 	if c != nil {
 		startedAt = time.Now()
@@ -48,8 +48,8 @@
 	}
 }
 
-// cpuTime returns the processor time that a role's steps took. It is the program's processor time, which includes the
-// garbage collector's, divided in proportion to elapsed time.
+// cpuTime returns the processor time spent in the steps of a role: the share of the program's processor time that
+// corresponds to the share of wall-clock time spent in these steps. It includes garbage collection.
 func (c *cpuMeter) cpuTime(role membership.Role) time.Duration {
 	elapsed := time.Since(c.startedAt)
 	if elapsed <= 0 {
--- a/simulation/membership/crashfaults.go
+++ b/simulation/membership/crashfaults.go
@@ -2,27 +2,29 @@
 
 import "chutechute/internal/monotime"
 
-// faultDelay is how long after the start of the measured part a fault of a scenario begins, if nothing else is said.
+// faultDelay is the time from the start of the measured part to a scenario's fault, unless the scenario has its own.
 const faultDelay = monotime.Second
 
 // Parameters of scenarios with crashes and restarts.
 const (
 	zoneDownTime         = 30 * monotime.Second
 	controlDownTime      = 60 * monotime.Second
-	successiveLossDelay  = 10 * monotime.Second // between the losses of control members of one zone
-	rollingFirstDownTime = 20 * monotime.Second // of the control member that is lost first
-	rollingStart         = 40 * monotime.Second // of the restarts: some front ends of the first have returned by then
-	rollingInterval      = 2500 * monotime.Millisecond
-	restartDownTime      = monotime.Second // from the end of a restarted process to the start of the next
-	restartsDuration     = 10 * monotime.Second
-	restartedShare       = 10 // one attached front end in so many
-	flapInterval         = 3 * monotime.Second
-	flapDuration         = 4 * minute
-	deathsDuration       = 30 * monotime.Second
-	deathShare           = 100 // one attached front end in so many
+	successiveLossDelay  = 10 * monotime.Second // from the crash of a control member to that of the others of its zone
+	rollingFirstDownTime = 20 * monotime.Second // of the control member that crashes first
+	// rollingStart is when the restarts begin. Some front ends have returned to the first control member by then.
+	rollingStart     = 40 * monotime.Second
+	rollingInterval  = 2500 * monotime.Millisecond
+	restartDownTime  = monotime.Second // from the end of a process to the start of the next, in a restart
+	restartsDuration = 10 * monotime.Second
+	restartedShare   = 10 // one in restartedShare attached front ends is restarted
+	flapInterval     = 3 * monotime.Second
+	flapDuration     = 4 * minute
+	deathsDuration   = 30 * monotime.Second
+	deathShare       = 100 // one in deathShare attached front ends crashes
 )
 
-// startAll starts all members without a process within a duration, the control members in its first tenth.
+// startAll starts all members that have no process at random times within a duration, the control members in its first
+// tenth.
 func (s *simulation) startAll(duration monotime.Micros) {
 	for _, m := range s.controlMembers {
 		s.scheduleAfter(s.randomBetween(0, duration/10), m.start)
--- a/simulation/membership/eventqueue.go
+++ b/simulation/membership/eventqueue.go
@@ -2,7 +2,7 @@
 
 import "chutechute/internal/monotime"
 
-// event is something that happens at a time. Of two events at one time the one that was scheduled first comes first.
+// event is a function to run at a time. Events at the same time run in the order in which they were scheduled.
 type event struct {
 	at       monotime.Micros
 	sequence uint64
@@ -13,17 +13,17 @@
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// eventQueue is a heap with four children a node. A whole fleet schedules tens of thousands of events a second, and a
-// flat heap of values costs about half of what container/heap does.
+// eventQueue is a 4-ary heap. A whole fleet schedules tens of thousands of events a second, and a heap of plain values
+// takes about half the time of container/heap.
 type eventQueue []event
 
-const childrenPerNode = 4
+const heapArity = 4
 
 func (q *eventQueue) push(e event) {
 	heap := append(*q, e)
 	index := len(heap) - 1
 	for index > 0 {
-		parent := (index - 1) / childrenPerNode
+		parent := (index - 1) / heapArity
 		if !e.before(&heap[parent]) {
 			break
 		}
@@ -40,7 +40,7 @@
 	first := heap[0]
 	last := len(heap) - 1
 	moved := heap[last]
-	heap[last] = event{} // so that the function can be collected
+	heap[last] = event{} // releases the function to the garbage collector
 	heap = heap[:last]
 	if last > 0 {
 		heap.siftDown(moved)
@@ -49,7 +49,7 @@
 	return first
 }
 
-// siftDown replaces the root by an event, and moves it down to where the heap is in order.
+// siftDown replaces the root by an event, and moves it down until the heap order is restored.
 func (q eventQueue) siftDown(e event) {
 	index := 0
 	for {
@@ -63,19 +63,19 @@
 	q[index] = e
 }
 
-// earliestChild returns the index of the earliest child of a node, -1 if it has none.
+// earliestChild returns the index of the earliest child of parent, or -1 if it has none.
 //
-// BUG: the bound of the loop moves with the earliest child, where it should be first+childrenPerNode. So nodes that
-// follow the children are compared too, and one of them may be returned. After that an event may come out of order,
-// and virtual time goes back: by 10 ms once in scenario "chaos" with 65 front ends and seed 3. The bound stays
-// until results are measured anew, as runs of such seeds differ without it.
+// BUG: the bound of the loop is computed from earliest, which changes within the loop; it should be first+heapArity.
+// Therefore entries after the last child are compared too, and one of them may be returned. Events may then run out of
+// order, and virtual time goes backwards: once by 10 ms in scenario "chaos" with 65 front ends and seed 3. The bound
+// stays as it is until results are measured again, because correcting it changes the runs of such seeds.
 func (q eventQueue) earliestChild(parent int) int {
-	first := parent*childrenPerNode + 1
+	first := parent*heapArity + 1
 	if first >= len(q) {
 		return -1
 	}
 	earliest := first
-	for child := first + 1; child < min(earliest+childrenPerNode, len(q)); child++ {
+	for child := first + 1; child < min(earliest+heapArity, len(q)); child++ {
 		if q[child].before(&q[earliest]) {
 			earliest = child
 		}
--- a/simulation/membership/eventqueue_test.go
+++ b/simulation/membership/eventqueue_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Events come in the order of their times, and those of one time in the order in which they were scheduled.
+// Events are popped in the order of their times, and events at the same time in the order in which they were scheduled.
 func TestEventQueueOrdersByTimeThenSequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := rapid.SliceOfN(rapid.Int64Range(0, 20), 1, 200).Draw(t, "times")
--- a/simulation/membership/figures.go
+++ b/simulation/membership/figures.go
@@ -9,7 +9,7 @@
 )
 
 // namedFigures returns the figures that a result has no field for. The last word of a name is the figure's unit.
-// docs/capacity names many of them, so the names stay.
+// docs/capacity quotes many of the names, which include descriptions of triggers, so they must not change.
 func (s *simulation) namedFigures(out *Outcome) map[string]float64 {
 	figures := map[string]float64{
 		"front end in and out B/s":             out.MeanRate,
@@ -27,8 +27,8 @@
 		figures["death noticed most ms"] = detection.MostMS
 	}
 	for _, burst := range out.Bursts {
-		addLoad(figures, burst.Trigger+": accepts in the first second", burst.Accepts)
-		addLoad(figures, burst.Trigger+": snapshots in the first second", burst.Snapshots)
+		addDistribution(figures, burst.Trigger+": accepts in the first second", burst.Accepts)
+		addDistribution(figures, burst.Trigger+": snapshots in the first second", burst.Snapshots)
 	}
 	if out.MaxObservedFlaps > 0 {
 		figures["changes seen of the one that flaps count"] = float64(out.MaxObservedFlaps)
@@ -38,13 +38,13 @@
 	return figures
 }
 
-func addLoad(figures map[string]float64, name string, load Load) {
-	figures[name+", all count"] = float64(load.Total)
-	figures[name+", mean count"] = load.Mean
-	figures[name+", most at one control member count"] = float64(load.Max)
+func addDistribution(figures map[string]float64, name string, d Distribution) {
+	figures[name+", all count"] = float64(d.Total)
+	figures[name+", mean count"] = d.Mean
+	figures[name+", most at one control member count"] = float64(d.Max)
 }
 
-// addKindRates adds the rate of each kind of message, in bytes a second and member.
+// addKindRates adds the rate of each kind of message, in bytes per second and member.
 func (s *simulation) addKindRates(figures map[string]float64, role membership.Role) {
 	members := s.membersWithRole(role)
 	traffic := s.traffic.total(members)
@@ -55,7 +55,7 @@
 			figures[name] = float64(count.totalBytes()) / memberSeconds
 		}
 	}
-	for kind := range messageKinds {
+	for kind := range messageKindCount {
 		addRate(kind, "in", traffic.received[kind])
 		addRate(kind, "out", traffic.sent[kind])
 	}
--- a/simulation/membership/frontendprocess.go
+++ b/simulation/membership/frontendprocess.go
@@ -11,12 +11,12 @@
 type frontEndProcess struct {
 	process  *process
 	client   *membership.Client
-	links    []*link // open ones, and those that are being dialed
+	links    []*link // open links and links being dialed
 	redials  map[string]*redial
-	nextWake monotime.Micros // when the next step is scheduled; 0 if none is
+	nextWake monotime.Micros // when the next tick is scheduled; 0 if none is
 }
 
-// redial is when a control member may be dialed again.
+// redial holds the backoff of dials to one control member.
 type redial struct {
 	failures  int
 	notBefore monotime.Micros
@@ -32,7 +32,7 @@
 
 func (f *frontEndProcess) start() { f.process.execute(f.tick) }
 
-// tick lets time pass if that is due, and does what follows from it.
+// tick ticks the client if that is due, updates the links, sends pending messages, and schedules the next tick.
 func (f *frontEndProcess) tick() {
 	now := f.process.localTime()
 	if now >= f.client.Next() {
@@ -65,7 +65,7 @@
 	})
 }
 
-// updateLinks closes the links that the client does not want any more, and dials those that it wants.
+// updateLinks closes the links to control members that are no longer targets of the client, and dials missing targets.
 func (f *frontEndProcess) updateLinks() {
 	targets := f.client.Targets(f.process.localTime())
 	for _, l := range slices.Clone(f.links) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// closeLink closes a link, or abandons its dial.
+// closeLink closes a link, or abandons its dial if it is not open.
 func (f *frontEndProcess) closeLink(l *link) {
 	if l.open[frontEndSide] {
 		l.close(frontEndSide)
@@ -89,7 +89,7 @@
 	}
 }
 
-// dial dials a control member, unless a dial has failed too recently.
+// dial dials a control member, unless the backoff of earlier failures has not passed.
 func (f *frontEndProcess) dial(name string) {
 	sim := f.process.sim
 	if r := f.redials[name]; r != nil && r.notBefore > sim.now {
@@ -106,7 +106,7 @@
 	f.tick()
 }
 
-// linkClosed follows the end of a link, or a dial that failed.
+// linkClosed handles the closing of a link, or a failed dial.
 func (f *frontEndProcess) linkClosed(l *link) {
 	index := slices.Index(f.links, l)
 	if index < 0 {
@@ -133,7 +133,7 @@
 	sim.scheduleAt(r.notBefore, func() { f.process.execute(f.tick) })
 }
 
-// sendPending sends the messages of the client. Those without an open link are lost.
+// sendPending sends the client's pending messages. A message to a control member without an open link is lost.
 func (f *frontEndProcess) sendPending() {
 	for _, message := range f.client.TakeMessages() {
 		l := f.openLink(message.To)
@@ -145,7 +145,7 @@
 	}
 }
 
-// openLink returns the open link to a control member, nil if there is none.
+// openLink returns the open link to a control member, or nil if there is none.
 func (f *frontEndProcess) openLink(name string) *link {
 	for _, l := range f.links {
 		if l.target.name == name && l.open[frontEndSide] {
--- a/simulation/membership/fullscale_test.go
+++ b/simulation/membership/fullscale_test.go
@@ -15,7 +15,7 @@
 	"chutechute/simulation/membership"
 )
 
-// Full size.
+// The size of a full fleet.
 const (
 	fullAttached = 2700
 	fullControls = 53
@@ -27,17 +27,17 @@
 	maxPropagationDelay    = 3 * monotime.Second
 	maxPropagationDelayP99 = 1 * monotime.Second
 	maxDetectionTime       = 5 * monotime.Second
-	maxRestGrowth          = 1.2 // of the rate without faults, from 300 attached front ends to full size
+	maxRestGrowth          = 1.2 // ratio of the rate without faults at full size to that with 300 attached front ends
 )
 
 // maxMeteredSeconds is the longest measured part in which processor time is measured.
 const maxMeteredSeconds = 180
 
-// skipUnlessLong skips tests of full size unless they are asked for.
+// skipUnlessLong skips a test of full size unless CHUTECHUTE_LONG is set.
 func skipUnlessLong(t *testing.T) {
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
-		t.Skip("takes minutes a scenario and 4 GB: CHUTECHUTE_LONG=1; " +
-			"make scale-full and make scale-hours play nine of them by the tool")
+		t.Skip("takes minutes per scenario and 4 GB of memory; set CHUTECHUTE_LONG=1 to run it; " +
+			"make scale-full and make scale-hours run nine of them with chutechute-scale")
 	}
 }
 
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestScenariosFull simulates all scenarios at full size, and logs of each objective whether it is met.
-// CHUTECHUTE_RESULTS names a folder for the results, CHUTECHUTE_SECONDS sets another duration of the measured part, and
+// TestScenariosFull simulates all scenarios at full size, and logs for each objective whether it is met.
+// CHUTECHUTE_RESULTS sets a folder for the results, CHUTECHUTE_SECONDS the duration of the measured part, and
 // CHUTECHUTE_SEED the seed.
 func TestScenariosFull(t *testing.T) {
 	skipUnlessLong(t)
@@ -90,16 +90,17 @@
 	if met {
 		result = "met"
 	}
-	t.Logf("aim %s: %s", result, fmt.Sprintf(format, args...))
+	t.Logf("objective %s: %s", result, fmt.Sprintf(format, args...))
 }
 
-// logObjectives logs of each objective whether an outcome meets it.
+// logObjectives logs for each objective whether an outcome meets it.
 func logObjectives(t *testing.T, scenario membership.Scenario, o *membership.Outcome) {
 	if scenario.Name == "rest" {
-		logObjective(t, o.MeanRate <= maxRestRate, "%.0f B/s at rest in and out, at most %d", o.MeanRate, maxRestRate)
+		logObjective(t, o.MeanRate <= maxRestRate,
+			"%.0f B/s without faults, in and out; limit %d", o.MeanRate, maxRestRate)
 	}
 	logObjective(t, o.PeakRate <= maxPeakRate,
-		"%.0f B/s over the busiest 10 s (%s), at most %d", o.PeakRate, o.PeakFrontEnd, maxPeakRate)
+		"%.0f B/s over the busiest 10 s (%s); limit %d", o.PeakRate, o.PeakFrontEnd, maxPeakRate)
 	logDelayObjectives(t, o)
 	if scenario.Name == "lossy" {
 		logObjective(t, o.FalseDeaths == 0, "%d false deaths", o.FalseDeaths)
@@ -110,30 +111,31 @@
 	}
 }
 
-// logDelayObjectives logs the objectives of propagation delays and detection times.
+// logDelayObjectives logs the objectives for propagation delays and detection times.
 func logDelayObjectives(t *testing.T, o *membership.Outcome) {
 	if s := o.Result.Spread; s != nil {
 		met := s.P99MS <= float64(maxPropagationDelayP99/monotime.Millisecond) &&
 			s.MostMS <= float64(maxPropagationDelay/monotime.Millisecond) && s.Unreached == 0
-		logObjective(t, met, "%d changes known to all after %.0f ms median, %.0f ms p99, %.0f ms most; %d unreached",
+		logObjective(t, met,
+			"%d changes, propagation median %.0f ms, p99 %.0f ms, maximum %.0f ms; %d not known to all",
 			s.Count, s.MedianMS, s.P99MS, s.MostMS, s.Unreached)
 	}
 	if count := len(o.DetectionTimes); count > 0 {
 		late := countAbove(o.DetectionTimes, maxDetectionTime)
 		longest := o.DetectionTimes[count-1] / monotime.Millisecond
 		logObjective(t, late == 0,
-			"%d deaths noticed after %d ms at most; %d after more than 5 s", count, longest, late)
+			"%d deaths, detected after %d ms at most; %d after more than 5 s", count, longest, late)
 	}
 }
 
-// logBurstObjective logs whether a burst is spread evenly over the control members.
-func logBurstObjective(t *testing.T, trigger, what string, load membership.Load) {
-	if load.Total < minComparableMean*load.Running {
-		t.Logf("too few to compare: %s: %s %+v", trigger, what, load)
+// logBurstObjective logs whether a burst is distributed evenly over the control members.
+func logBurstObjective(t *testing.T, trigger, what string, d membership.Distribution) {
+	if d.Total < minComparableMean*d.Running {
+		t.Logf("too few to compare: %s: %s %+v", trigger, what, d)
 		return
 	}
-	logObjective(t, load.Ratio() <= maxBurstRatio,
-		"%s: %s %+v, most %.1f of the mean", trigger, what, load, load.Ratio())
+	logObjective(t, d.Ratio() <= maxBurstRatio,
+		"%s: %s %+v, maximum %.1f times the mean", trigger, what, d, d.Ratio())
 }
 
 // countAbove returns how many durations are above a limit.
@@ -146,7 +148,8 @@
 	return count
 }
 
-// Without faults, the traffic of an attached front end at full size is not much more than with 300.
+// Without faults, the traffic of each attached front end at full size is at most maxRestGrowth times that in a fleet
+// with 300 attached front ends.
 func TestRestTrafficGrowthIsBounded(t *testing.T) {
 	skipUnlessLong(t)
 	rest := func(attached int) float64 {
@@ -156,6 +159,6 @@
 		return o.MeanRate
 	}
 	few, many := rest(300), rest(fullAttached)
-	t.Logf("%.1f B/s at 300, %.1f at %d: %.3f times", few, many, fullAttached, many/few)
+	t.Logf("%.1f B/s with 300 attached front ends, %.1f with %d: ratio %.3f", few, many, fullAttached, many/few)
 	assert.LessOrEqual(t, many, maxRestGrowth*few)
 }
--- a/simulation/membership/groundtruth.go
+++ b/simulation/membership/groundtruth.go
@@ -5,30 +5,30 @@
 	"slices"
 )
 
-// groundTruth knows which processes really run, and compares all views with that.
+// groundTruth records which processes are actually running, and checks all views against it.
 type groundTruth struct {
 	sim          *simulation
-	generations  map[uint64]int  // of each process, by incarnation
-	observations [][]observation // by the index of the observer and of the subject
+	generations  map[uint64]int  // generation of each process, by incarnation
+	observations [][]observation // by the indexes of observer and subject
 
 	// Propagation of changes; see change.
-	openChanges [][]*change // not yet known to all, by the index of the subject
+	openChanges [][]*change // not known to all yet, by the index of the subject
 	openCount   int
-	propagated  []*change // known to all, of those that are measured
-	measuring   bool      // changes from now on are measured
+	propagated  []*change // measured changes that are known to all
+	measuring   bool      // new changes are measured
 
-	// Errors of views; see findings.
-	highestGeneration [][]uint16 // that was ever observed, by observer and subject
-	seenGenerations   [][]uint64 // those that were ever observed, as bits
-	falseDeaths       findings   // a process that runs and is reachable was observed as dead
-	resurrections     findings   // a process was observed again after a later one
-	outOfOrder        findings   // a process was observed for the first time after a later one
+	// Errors found in views; see findings.
+	highestGeneration   [][]uint16 // highest generation observed so far, by observer and subject
+	observedGenerations [][]uint64 // bit set of the generations observed so far, modulo 64
+	falseDeaths         findings   // a running and reachable process was observed as dead
+	resurrections       findings   // a process was observed again after a later one
+	outOfOrder          findings   // a process was observed for the first time after a later one
 
 	differencesByTransition map[digestTransition][]*member
-	observedFlaps           map[memberPair]int // changes of a flapping member, for pairs that have an entry
+	observedFlaps           map[memberPair]int // observed changes of a flapping member, for pairs with an entry
 }
 
-// memberPair is the indexes of an observer and of a subject.
+// memberPair holds the indexes of an observer and a subject.
 type memberPair struct{ observer, subject int }
 
 func newGroundTruth(s *simulation) *groundTruth {
@@ -42,12 +42,12 @@
 	for range s.members {
 		t.observations = append(t.observations, make([]observation, len(s.members)))
 		t.highestGeneration = append(t.highestGeneration, make([]uint16, len(s.members)))
-		t.seenGenerations = append(t.seenGenerations, make([]uint64, len(s.members)))
+		t.observedGenerations = append(t.observedGenerations, make([]uint64, len(s.members)))
 	}
 	return t
 }
 
-// startMeasuring has changes from now on be part of the figures.
+// startMeasuring includes changes from now on in the figures, and discards earlier ones.
 func (t *groundTruth) startMeasuring() {
 	t.measuring = true
 	t.propagated = nil
@@ -55,18 +55,18 @@
 
 func (t *groundTruth) stopMeasuring() { t.measuring = false }
 
-// recordStart records the start of a process, which has observed nothing yet.
+// recordStart records the start of a process, and clears the observations of the previous process.
 func (t *groundTruth) recordStart(p *process) {
 	index := p.member.index
 	t.generations[p.incarnation] = p.generation
 	clear(t.observations[index])
 	clear(t.highestGeneration[index])
-	clear(t.seenGenerations[index])
+	clear(t.observedGenerations[index])
 	p.comparedDigest = 0
 	t.addChange(changeStarted, p)
 }
 
-// recordEnd records the end of a process. Nobody has to learn any more that it had started.
+// recordEnd records the end of a process. Other members no longer have to observe its start.
 func (t *groundTruth) recordEnd(p *process) {
 	index := p.member.index
 	t.stopWaitingFor(index)
@@ -78,7 +78,8 @@
 	t.addChange(changeEnded, p)
 }
 
-// generationOf returns the generation of a process of a member; mostly it is the latest one.
+// generationOf returns the generation of the process with an incarnation. It checks the running process first, which
+// is the usual case.
 func (t *groundTruth) generationOf(subject *member, incarnation uint64) int {
 	if subject.process != nil && subject.process.incarnation == incarnation {
 		return subject.generation
@@ -86,7 +87,7 @@
 	return t.generations[incarnation]
 }
 
-// disagreement is a member that a view has wrong.
+// disagreement is an observation that does not match the ground truth.
 type disagreement struct {
 	observer, subject string
 	observed          observation
@@ -96,14 +97,15 @@
 	return fmt.Sprintf("%s sees %s: %s", d.observer, d.subject, d.observed)
 }
 
-// disagreements compares the views of all responsive members with the ground truth. It returns at most limit of the
-// differences.
+// disagreements compares the views of all responsive members with the ground truth, and returns at most limit
+// disagreements.
 func (t *groundTruth) disagreements(limit int) (list []disagreement) {
 	for _, m := range t.sim.members {
 		if !m.responsive() {
 			continue
 		}
-		t.compareView(m.process) // a view may show a change that its digest, which is over what was received, does not
+		// The digest covers only what was received. The view may show a change that the digest does not.
+		t.compareView(m.process)
 		for i, o := range t.observations[m.index] {
 			if subject := t.sim.members[i]; !agrees(subject, o) {
 				list = append(list, disagreement{m.name, subject.name, o})
--- a/simulation/membership/groundtruth_test.go
+++ b/simulation/membership/groundtruth_test.go
@@ -10,7 +10,8 @@
 	"chutechute/internal/monotime"
 )
 
-// False deaths, processes that are observed after later ones, and propagation delays are found.
+// The ground truth finds false deaths and processes that are observed after later ones, and measures propagation
+// delays.
 func TestGroundTruthFindsWrongViews(t *testing.T) {
 	s := newSimulation(smallShape())
 	groundTruth := s.groundTruth
@@ -24,7 +25,7 @@
 	observe(0, 4, 1, membership.Alive)
 	s.now = 100 * monotime.Millisecond
 	observe(1, 4, 1, membership.Alive)
-	assert.Empty(t, groundTruth.propagated, "a control member and an attached front end don't know yet")
+	assert.Empty(t, groundTruth.propagated, "one control member and one attached front end do not know yet")
 	s.now = 250 * monotime.Millisecond
 	observe(2, 4, 1, membership.Suspect)
 	observe(3, 4, 1, membership.Alive)
@@ -37,10 +38,10 @@
 	assert.Equal(t, 1, groundTruth.falseDeaths.count)
 	s.network.partitionedRegions[newUnorderedPair(0, 1)] = true
 	observe(1, 4, 1, membership.Dead)
-	assert.Equal(t, 2, groundTruth.falseDeaths.count, "others still receive from it")
+	assert.Equal(t, 2, groundTruth.falseDeaths.count, "others can still receive from it")
 	s.members[4].isolated = true
 	observe(1, 4, 1, membership.Dead)
-	assert.Equal(t, 2, groundTruth.falseDeaths.count, "nobody receives from it")
+	assert.Equal(t, 2, groundTruth.falseDeaths.count, "no member can receive from it")
 
 	s.members[4].isolated = false
 	s.members[4].crash(processCrash)
@@ -54,14 +55,14 @@
 	observe(2, 4, 3, membership.Alive)
 	observe(2, 4, 2, membership.Alive)
 	assert.Equal(t, 1, groundTruth.resurrections.count)
-	assert.Equal(t, 1, groundTruth.outOfOrder.count, "it had never seen the second")
+	assert.Equal(t, 1, groundTruth.outOfOrder.count, "it had not observed the second process before")
 	observe(0, 4, 3, membership.Alive)
 	assert.True(t, agrees(s.members[4], groundTruth.observations[0][4]))
-	assert.False(t, agrees(s.members[4], groundTruth.observations[1][4]), "it sees the first process")
+	assert.False(t, agrees(s.members[4], groundTruth.observations[1][4]), "it observes the first process")
 	assert.Contains(t, groundTruth.describeDisagreements(), "control-01 sees control-02: not at all")
 }
 
-// A death that nobody observed before the next process is no change to wait for.
+// A death that no member observes before the next process starts is not a change to wait for.
 func TestUnobservedDeathIsSupersededByRestart(t *testing.T) {
 	s := newSimulation(smallShape())
 	s.groundTruth.startMeasuring()
@@ -76,7 +77,7 @@
 	assert.Zero(t, s.groundTruth.unreached())
 }
 
-// A change does not wait for a process that has ended, and its end does not count as knowledge of the change.
+// A process that ends is no longer awaited by open changes, and its end does not extend their propagation delays.
 func TestPropagationDelayIgnoresEndedProcesses(t *testing.T) {
 	s := newSimulation(smallShape())
 	s.groundTruth.startMeasuring()
--- a/simulation/membership/handshake.go
+++ b/simulation/membership/handshake.go
@@ -6,13 +6,13 @@
 	"chutechute/fleet/transport"
 )
 
-// handshake has the sizes in bytes of the messages that open a connection, with their frames.
-type handshake struct{ challenge, hello, welcome int }
+// handshakeMessageSizes holds the sizes in bytes of the messages that open a connection, including framing.
+type handshakeMessageSizes struct{ challenge, hello, welcome int }
 
-// handshakeSizes is measured on package transport's own handshake.
+// handshakeSizes is measured with the handshake of package transport.
 var handshakeSizes = measureHandshake()
 
-func measureHandshake() handshake {
+func measureHandshake() handshakeMessageSizes {
 	dialer := transport.Dialer{Local: sampleIdentity("front-0001", 1<<62), ExpectedName: "control-01"}
 	listener := transport.Listener{
 		Local:           sampleIdentity("control-01", 1<<61),
@@ -22,17 +22,17 @@
 	dialer.Feed(challenge)
 	hello, err := dialer.Process()
 	if err != nil {
-		panic(fmt.Sprintf("membership: hello: %v", err))
+		panic(fmt.Sprintf("membership: handshake: hello: %v", err))
 	}
 	listener.Feed(hello)
 	welcome, _, err := listener.Process()
 	if err != nil {
-		panic(fmt.Sprintf("membership: welcome: %v", err))
+		panic(fmt.Sprintf("membership: handshake: welcome: %v", err))
 	}
-	return handshake{len(challenge), len(hello), len(welcome)}
+	return handshakeMessageSizes{len(challenge), len(hello), len(welcome)}
 }
 
-// sampleIdentity is an identity whose encoding has a typical size.
+// sampleIdentity returns an identity whose encoding has a typical size.
 func sampleIdentity(name string, incarnation uint64) *transport.Identity {
 	const digestSize = 8
 	return &transport.Identity{
@@ -47,19 +47,19 @@
 	}
 }
 
-// sendHandshake sends a message of the handshake from one end of the link; next runs when it arrives at the other.
+// sendHandshake sends a handshake message from one end of the link, and calls next when it arrives at the other.
 func (l *link) sendHandshake(from side, size int, next func()) {
 	to := l.member(from.other())
-	l.sim.transmit(&l.streams[from], l.member(from), to, kindHello, size, func() {
-		to.traffic.countReceived(kindHello, size)
+	l.sim.transmit(&l.streams[from], l.member(from), to, kindHandshake, size, func() {
+		to.traffic.countReceived(kindHandshake, size)
 		next()
 	})
 }
 
-// dial opens the link: connection, challenge, hello, welcome.
+// dial opens the link: it connects, and then challenge, hello and welcome follow.
 func (l *link) dial() {
 	l.sim.scheduleAfter(linkOpenTimeout, l.abandonDial)
-	l.sendHandshake(frontEndSide, 0, func() { // the connection itself carries nothing that is counted
+	l.sendHandshake(frontEndSide, 0, func() { // connecting is not counted as traffic
 		switch {
 		case l.target.poweredOff:
 		case l.target.process == nil: // connection refused
@@ -71,7 +71,7 @@
 	})
 }
 
-// accept runs in the control member, which challenges.
+// accept runs in the control member, which sends the challenge.
 func (l *link) accept() {
 	if l.dialFailed {
 		return
@@ -86,7 +86,7 @@
 	l.sendHandshake(frontEndSide, handshakeSizes.hello, func() { l.control.execute(l.receiveHello) })
 }
 
-// receiveHello runs in the control member, for which the link is open now.
+// receiveHello runs in the control member, which considers the link open from now on.
 func (l *link) receiveHello() {
 	if l.dialFailed {
 		return
@@ -96,7 +96,7 @@
 	l.control.control.linkOpened(l)
 }
 
-// receiveWelcome runs in the attached front end, for which the link is open now.
+// receiveWelcome runs in the attached front end, which considers the link open from now on.
 func (l *link) receiveWelcome() {
 	reset := !l.control.running() && !l.target.poweredOff
 	if l.dialFailed || l.open[frontEndSide] || reset {
@@ -106,7 +106,7 @@
 	l.frontEnd.frontEnd.linkOpened(l)
 }
 
-// abandonDial ends a dial that has not opened the link.
+// abandonDial ends a dial, unless it has opened the link.
 func (l *link) abandonDial() {
 	if l.dialFailed || l.open[frontEndSide] {
 		return
--- a/simulation/membership/link.go
+++ b/simulation/membership/link.go
@@ -5,19 +5,19 @@
 	"chutechute/internal/monotime"
 )
 
-// Timeouts of a link, as package peering has them for links between front ends.
+// Timeouts of a link, the same as those of package peering.
 const (
 	linkOpenTimeout    = 2 * monotime.Second       // for the whole handshake
-	linkSilenceTimeout = 10 * monotime.Second      // without anything received
-	linkStallTimeout   = 2 * monotime.Second       // without progress of a queue
-	minRedialDelay     = 50 * monotime.Millisecond // doubled with each failure
+	linkSilenceTimeout = 10 * monotime.Second      // without a received message
+	linkStallTimeout   = 2 * monotime.Second       // without a message sent from a non-empty queue
+	minRedialDelay     = 50 * monotime.Millisecond // doubled after each failure
 	maxRedialDelay     = 1 * monotime.Second
 )
 
-// Limits of what waits for an attached front end, in bytes.
+// Limits on the messages that wait for a member, in bytes.
 const (
-	defaultQueueLimit = 256 << 10 // at the other end of a link
-	kernelBufferSize  = 128 << 10 // in its own system while it is paused
+	defaultQueueLimit = 256 << 10 // queued at the other end of a link
+	kernelBufferSize  = 128 << 10 // received by its operating system while it is paused
 )
 
 // side is one end of a link.
@@ -30,19 +30,19 @@
 
 func (s side) other() side { return 1 - s }
 
-// link is a connection between an attached front end, which dials, and a control member. Messages go both ways.
+// link is a connection between an attached front end, which dials it, and a control member. Both send on it.
 type link struct {
 	sim          *simulation
 	frontEnd     *process
 	target       *member         // the control member
-	control      *process        // its process; nil until that has accepted
+	control      *process        // its process; nil until it has accepted the connection
 	challengedAt monotime.Micros // by the control member's clock
 	dialFailed   bool
-	open         [2]bool   // by side: the ends learn of its opening and closing at different times
-	streams      [2]stream // by the side that sends
+	open         [2]bool   // by side: the ends observe its opening and closing at different times
+	streams      [2]stream // by the sending side
 }
 
-// membershipLink is the link as package fleet/membership knows it.
+// membershipLink returns the link as package fleet/membership represents it.
 func (l *link) membershipLink() membership.Link {
 	return membership.Link{
 		From:         l.frontEnd.member.name,
@@ -66,42 +66,43 @@
 	return l.target
 }
 
-// send sends a message or queues it. It returns false if there was no room in the queue, whose content is dropped then.
+// send sends a message or queues it. If the queue is full, send drops the whole queue and the message, and returns
+// false.
 func (l *link) send(from side, kind messageKind, size int, deliver func()) bool {
 	to := l.process(from.other())
-	w := &l.streams[from]
+	st := &l.streams[from]
 	if !to.running() && !to.member.poweredOff && !l.sim.network.partitioned(l.member(from), to.member) {
-		l.sendAndGetReset(from, kind, size)
+		l.sendToEndedProcess(from, kind, size)
 		return true
 	}
 	message := queuedMessage{kind, size, func() { l.arrive(from, kind, size, deliver) }}
-	queueEmpty := len(w.queued) == 0
+	queueEmpty := len(st.queued) == 0
 	if queueEmpty && !readBlocked(to) && to.member.readRate == 0 {
-		l.sim.transmit(w, l.member(from), to.member, kind, size, message.arrive)
+		l.sim.transmit(st, l.member(from), to.member, kind, size, message.arrive)
 		return true
 	}
-	if !queueEmpty && w.queuedBytes+size > to.member.queueLimit {
-		w.dropQueue()
+	if !queueEmpty && st.queuedBytes+size > to.member.queueLimit {
+		st.dropQueue()
 		return false
 	}
 	if queueEmpty {
-		w.lastProgress = l.sim.now
+		st.lastProgress = l.sim.now
 		l.scheduleStallTimeout(from)
 	}
-	w.enqueue(message)
+	st.enqueue(message)
 	l.drain(from)
 	return true
 }
 
-// sendAndGetReset sends to a process that has ended, whose system resets the connection.
-func (l *link) sendAndGetReset(from side, kind messageKind, size int) {
+// sendToEndedProcess sends to a process that has ended, whose operating system resets the connection.
+func (l *link) sendToEndedProcess(from side, kind messageKind, size int) {
 	sender := l.member(from)
 	sender.traffic.countSent(kind, size)
 	roundTrip := 2 * l.sim.network.latency(sender, l.member(from.other()))
 	l.sim.scheduleAfter(roundTrip, func() { l.close(from) })
 }
 
-// arrive runs when a message arrives at the system of its receiver.
+// arrive handles the arrival of a message at the operating system of its receiver.
 func (l *link) arrive(from side, kind messageKind, size int, deliver func()) {
 	to := l.process(from.other())
 	if !to.running() {
@@ -118,22 +119,22 @@
 	})
 }
 
-// readBlocked reports whether a process receives nothing: its reading is stalled, or it is paused and its system's
-// buffer is full.
+// readBlocked reports whether a process can't receive: its reads are stalled, or it is paused and the buffer of its
+// operating system is full.
 func readBlocked(to *process) bool {
 	return to.member.readStalled || to.paused && to.backlogBytes >= kernelBufferSize
 }
 
-// drain sends what is queued at one end, as far as the other end reads.
+// drain sends the messages that are queued at one end, for as long as the other end reads.
 func (l *link) drain(from side) {
-	w := &l.streams[from]
-	if w.awaitingReader || l.control == nil {
+	st := &l.streams[from]
+	if st.awaitingReader || l.control == nil {
 		return
 	}
 	to := l.process(from.other())
-	for len(w.queued) > 0 && !readBlocked(to) {
-		next := w.dequeue(l.sim.now)
-		l.sim.transmit(w, l.member(from), to.member, next.kind, next.size, next.arrive)
+	for len(st.queued) > 0 && !readBlocked(to) {
+		next := st.dequeue(l.sim.now)
+		l.sim.transmit(st, l.member(from), to.member, next.kind, next.size, next.arrive)
 		if to.member.readRate > 0 {
 			l.awaitReader(from, to.member, next.size)
 			return
@@ -141,13 +142,13 @@
 	}
 }
 
-// awaitReader has the queue wait until a slow reader has read so many bytes.
+// awaitReader blocks the queue for the time that a slow reader takes to read size bytes.
 func (l *link) awaitReader(from side, reader *member, size int) {
-	w := &l.streams[from]
-	w.awaitingReader = true
+	st := &l.streams[from]
+	st.awaitingReader = true
 	readTime := monotime.Micros(size)*monotime.Second/monotime.Micros(reader.readRate) + 1
 	l.sim.scheduleAfter(readTime, func() {
-		w.awaitingReader = false
+		st.awaitingReader = false
 		l.drain(from)
 	})
 }
--- a/simulation/membership/link_test.go
+++ b/simulation/membership/link_test.go
@@ -9,8 +9,8 @@
 	"chutechute/internal/monotime"
 )
 
-// newOpenLink returns a link between the first control member and the first attached front end. Both processes run, but
-// do nothing by themselves.
+// newOpenLink returns a link between the first control member and the first attached front end. Both processes run,
+// but have no scheduled events.
 func newOpenLink(s *simulation) *link {
 	frontEnd := startProcess(s, s.attachedFrontEnds[0])
 	control := startProcess(s, s.controlMembers[0])
@@ -22,7 +22,7 @@
 	return l
 }
 
-// A slow reader's queue is bounded: beyond the limit its content is dropped, and the sender is told.
+// The queue for a slow reader is bounded: a message beyond the limit drops the whole queue, and send returns false.
 func TestSlowReaderQueueIsBounded(t *testing.T) {
 	s := newSimulation(smallShape())
 	l := newOpenLink(s)
@@ -35,11 +35,11 @@
 	assert.False(t, l.send(controlSide, kindView, size, func() { delivered++ }))
 	assert.True(t, l.send(controlSide, kindView, 10, func() { delivered++ }))
 	require.NoError(t, s.advance(80*monotime.Second))
-	assert.Equal(t, 2, delivered, "the one under way, and the one after the queue was dropped")
+	assert.Equal(t, 2, delivered, "the message already sent, and the one sent after the queue was dropped")
 }
 
-// What is sent to a paused process waits in its system up to a limit, then at the sender. A link whose
-// queue makes no progress for linkStallTimeout is closed.
+// Messages to a paused process wait in the buffer of its operating system up to a limit, then in the sender's queue. A
+// link whose queue makes no progress for linkStallTimeout is closed.
 func TestPausedReaderQueuesThenClosesLink(t *testing.T) {
 	s := newSimulation(smallShape())
 	l := newOpenLink(s)
@@ -64,7 +64,7 @@
 	assert.False(t, l.open[controlSide])
 }
 
-// The other end of a link learns of the crash of a process at once, and of that of a machine by silence.
+// If a process crashes, the other end of its link closes it at once; if a machine crashes, after linkSilenceTimeout.
 func TestLinkCloseAfterProcessOrMachineCrash(t *testing.T) {
 	for _, scope := range []crashScope{processCrash, machineCrash} {
 		s := newSimulation(smallShape())
--- a/simulation/membership/linkclose.go
+++ b/simulation/membership/linkclose.go
@@ -1,6 +1,6 @@
 package membership
 
-// close closes the link at one end, and notifies the other.
+// close closes the link at one end and notifies the other end.
 func (l *link) close(at side) {
 	if !l.open[at] {
 		return
@@ -11,7 +11,8 @@
 	l.notifyClosed(at)
 }
 
-// notifyClosed has the other end of the link learn that this one has closed it, or that its process has ended.
+// notifyClosed notifies the other end of the link that this end has closed it or that the process here has ended.
+// Across a partition, the other end closes it after linkSilenceTimeout.
 func (l *link) notifyClosed(at side) {
 	other := at.other()
 	if l.sim.network.partitioned(l.member(at), l.member(other)) {
@@ -21,7 +22,8 @@
 	l.sim.scheduleAfter(l.sim.network.latency(l.member(at), l.member(other)), func() { l.close(other) })
 }
 
-// notifyCrashed has the other end of the link learn of a crash: by a reset, or by silence if the machine has crashed.
+// notifyCrashed notifies the other end of the link of a crash. If the machine has crashed there is no reset, and the
+// other end closes the link after linkSilenceTimeout.
 func (l *link) notifyCrashed(at side, scope crashScope) {
 	if scope == machineCrash {
 		l.scheduleSilenceTimeout(at.other())
@@ -30,7 +32,8 @@
 	l.notifyClosed(at)
 }
 
-// scheduleSilenceTimeout closes the link at one end after linkSilenceTimeout, unless the other end can send again then.
+// scheduleSilenceTimeout closes the link at one end after linkSilenceTimeout, unless messages of the other end can
+// arrive again by then.
 func (l *link) scheduleSilenceTimeout(at side) {
 	l.sim.scheduleAfter(linkSilenceTimeout, func() {
 		if l.open[at] && !l.receives(at) {
@@ -39,21 +42,22 @@
 	})
 }
 
-// receives reports whether messages of the other end arrive at this one.
+// receives reports whether messages of the other end can arrive at this end.
 func (l *link) receives(at side) bool {
 	sender := l.process(at.other())
 	return l.open[at.other()] && sender.running() && !sender.paused &&
 		!l.sim.network.partitioned(l.member(at), sender.member)
 }
 
-// scheduleStallTimeout closes the link once nothing has left the queue of one end for linkStallTimeout.
+// scheduleStallTimeout closes the link if the queue of one end is not empty and nothing is sent from it for
+// linkStallTimeout.
 func (l *link) scheduleStallTimeout(from side) {
-	w := &l.streams[from]
+	st := &l.streams[from]
 	l.sim.scheduleAfter(linkStallTimeout, func() {
-		if len(w.queued) == 0 || !l.open[from] {
+		if len(st.queued) == 0 || !l.open[from] {
 			return
 		}
-		if !w.awaitingReader && l.sim.now-w.lastProgress >= linkStallTimeout {
+		if !st.awaitingReader && l.sim.now-st.lastProgress >= linkStallTimeout {
 			l.close(from)
 			return
 		}
--- a/simulation/membership/member.go
+++ b/simulation/membership/member.go
@@ -8,7 +8,7 @@
 	"chutechute/internal/scale"
 )
 
-// member is the machine of one front end of either role. It outlives its processes.
+// member is one front end's machine, of either role. It persists when its processes end.
 type member struct {
 	sim    *simulation
 	index  int // in simulation.members
@@ -19,16 +19,16 @@
 
 	process       *process          // nil if none runs
 	generation    int               // of the latest process, from 1; 0 before the first
-	startsAndEnds []monotime.Micros // when processes started and ended, alternately
-	resumedAt     monotime.Micros   // when a process was last resumed after a pause; 0 if never
+	startsAndEnds []monotime.Micros // times of starts and ends of processes, alternating
+	resumedAt     monotime.Micros   // when a paused process was last resumed; 0 if never
 
 	// Faults.
-	poweredOff           bool // the machine neither answers a dial nor resets a connection
-	readRate             int  // bytes a second that it reads from each connection; 0 for no limit
+	poweredOff           bool // the machine is down: it neither answers dials nor resets connections
+	readRate             int  // bytes read from each connection per second; 0 for no limit
 	readStalled          bool // it reads nothing
-	queueLimit           int  // bytes that may be queued for it at the other end of a connection
+	queueLimit           int  // bytes that the other end of each connection may queue for it
 	isolated             bool // partitioned from all other members
-	isolatedFromAttached bool // a control member partitioned from all attached front ends
+	isolatedFromAttached bool // partitioned from all attached front ends; for control members
 
 	traffic    memberTraffic
 	burstTimes burstTimes
@@ -36,10 +36,10 @@
 
 func (m *member) zoneName() string { return scale.ZoneName(m.zone) }
 
-// responsive reports whether a process runs and is not paused.
+// responsive reports whether a process is running and not paused.
 func (m *member) responsive() bool { return m.process != nil && !m.process.paused }
 
-// start starts a process unless one runs.
+// start starts a process, unless one is running.
 func (m *member) start() {
 	if m.process != nil {
 		return
@@ -53,15 +53,15 @@
 	p.start()
 }
 
-// crashScope is what crashes.
+// crashScope says whether a process crashes or its whole machine.
 type crashScope uint8
 
 const (
-	processCrash crashScope = iota // the system resets the connections of the process
-	machineCrash                   // peers are not notified of anything
+	processCrash crashScope = iota // the operating system resets the connections of the process
+	machineCrash                   // connections are not reset
 )
 
-// crash ends the process without notice.
+// crash ends the process without a graceful shutdown.
 func (m *member) crash(scope crashScope) {
 	p := m.process
 	if scope == machineCrash {
@@ -83,7 +83,7 @@
 	m.sim.scheduleAfter(restartDownTime, m.start)
 }
 
-// pause stops the process; what arrives for it waits until it is resumed.
+// pause suspends the process. Steps that become due wait until it is resumed.
 func (m *member) pause() {
 	if !m.responsive() {
 		return
@@ -93,7 +93,7 @@
 	m.process.eachLink(func(l *link) { l.scheduleSilenceTimeout(m.process.side().other()) })
 }
 
-// resume lets a paused process continue, with all that arrived meanwhile.
+// resume continues a paused process, which executes the steps deferred meanwhile.
 func (m *member) resume() {
 	p := m.process
 	if p == nil || !p.paused {
@@ -103,7 +103,7 @@
 	m.resumedAt = m.sim.now
 	deferred := p.deferred
 	p.deferred, p.backlogBytes = nil, 0
-	if m.sim.random.IntN(2) == 0 { // a process may read its clock before it reads what has arrived
+	if m.sim.random.IntN(2) == 0 { // the process may read its clock before the messages that have arrived
 		p.execute(p.role.tick)
 	}
 	for _, run := range deferred {
@@ -120,7 +120,7 @@
 	}
 }
 
-// ranAt reports whether a process ran at a time.
+// ranAt reports whether a process was running at a time.
 func (m *member) ranAt(when monotime.Micros) bool {
 	index, exact := slices.BinarySearch(m.startsAndEnds, when)
 	if exact {
--- a/simulation/membership/network.go
+++ b/simulation/membership/network.go
@@ -2,44 +2,44 @@
 
 import "chutechute/internal/monotime"
 
-// Latencies one way, without faults. Regions lie on a ring.
+// One-way latencies without faults. The regions form a ring.
 const (
 	latencyWithinZone        = 150 * monotime.Micros(1)
 	latencyWithinRegion      = 700 * monotime.Micros(1)
 	minLatencyBetweenRegions = 5 * monotime.Millisecond
-	latencyPerRegion         = 10 * monotime.Millisecond // that lies between
-	minJitter                = 50 * monotime.Micros(1)   // the lowest bound of the jitter
-	jitterDivisor            = 10                        // of the latency
+	latencyPerRegion         = 10 * monotime.Millisecond // for each step along the ring
+	baseJitter               = 50 * monotime.Micros(1)   // the jitter is below baseJitter + latency / jitterDivisor
+	jitterDivisor            = 10                        // see baseJitter
 )
 
-// network is what connects the members, with its faults.
+// network simulates the connections between members, and their faults.
 type network struct {
 	sim           *simulation
-	lossRate      float64         // the share of messages that are lost
-	maxExtraDelay monotime.Micros // the upper bound of the delay beyond the latency
+	lossRate      float64         // the fraction of messages that are lost
+	maxExtraDelay monotime.Micros // the upper bound of the additional delay of messages
 	reorder       bool            // messages of one stream may arrive out of order
 
-	partitionedRegions map[unorderedPair]bool // regions without a connection to each other
-	partitionedMembers map[unorderedPair]bool // members without one, by index
-	partitionSide      func(*member) bool     // on which of two disconnected sides a member is; nil if there are none
+	partitionedRegions map[unorderedPair]bool // pairs of regions that cannot reach each other directly
+	partitionedMembers map[unorderedPair]bool // the same of members, by index
+	partitionSide      func(*member) bool     // the side of a two-way partition that a member is on; nil without one
 }
 
-// unorderedPair is two indexes, the lower one first.
+// unorderedPair is a pair of indexes, the lower one first.
 type unorderedPair struct{ low, high int }
 
 func newUnorderedPair(a, b int) unorderedPair { return unorderedPair{min(a, b), max(a, b)} }
 
-// latency draws how long a message takes.
+// latency returns a random latency for a message.
 func (n *network) latency(from, to *member) monotime.Micros {
 	base := n.baseLatency(from, to)
-	latency := base + n.sim.randomBetween(0, base/jitterDivisor+minJitter)
+	latency := base + n.sim.randomBetween(0, base/jitterDivisor+baseJitter)
 	if n.maxExtraDelay > 0 {
 		latency += n.sim.randomBetween(0, n.maxExtraDelay)
 	}
 	return latency
 }
 
-// baseLatency is the latency without jitter and faults.
+// baseLatency returns the latency without jitter and faults.
 func (n *network) baseLatency(from, to *member) monotime.Micros {
 	switch {
 	case from.zone == to.zone:
@@ -51,13 +51,13 @@
 	return minLatencyBetweenRegions + latencyPerRegion*monotime.Micros(distance)
 }
 
-// regionDistance is the distance of two regions on the ring.
+// regionDistance returns the number of steps between two regions along the ring.
 func (n *network) regionDistance(a, b int) int {
 	distance := max(a-b, b-a)
 	return min(distance, n.sim.regionCount()-distance)
 }
 
-// dropsMessage draws whether a message is lost.
+// dropsMessage decides at random whether a message is lost.
 func (n *network) dropsMessage() bool { return n.lossRate > 0 && n.sim.random.Float64() < n.lossRate }
 
 // endDegradation ends loss, extra delay and reordering.
--- a/simulation/membership/network_test.go
+++ b/simulation/membership/network_test.go
@@ -11,7 +11,7 @@
 	"chutechute/internal/scale"
 )
 
-// A partition disconnects its members and no others, and healing ends all partitions.
+// A partition blocks messages only across it, and healPartitions ends all partitions.
 func TestPartitionsAffectOnlyTheirMembers(t *testing.T) {
 	s := newSimulation(scale.Shape{FrontEnds: 60, Controls: 20, Zones: 10, Seed: 1})
 	n := &s.network
@@ -21,7 +21,7 @@
 	n.partitionedRegions[newUnorderedPair(0, 1)] = true
 	assert.True(t, n.partitioned(inRegion(1), inRegion(0)))
 	assert.False(t, n.partitioned(inRegion(1), inRegion(2)))
-	assert.True(t, n.indirectlyReachable(inRegion(1), inRegion(0)), "by way of others")
+	assert.True(t, n.indirectlyReachable(inRegion(1), inRegion(0)), "through other members")
 	s.controlMembers[3].isolatedFromAttached = true
 	assert.True(t, n.partitioned(s.controlMembers[3], inRegion(4)))
 	assert.False(t, n.partitioned(s.controlMembers[3], s.controlMembers[4]))
@@ -38,14 +38,14 @@
 	}
 }
 
-// Messages of one stream arrive in order, unless the network reorders.
+// Messages of one stream arrive in order, unless the network reorders messages.
 func TestStreamOrderUnlessReordering(t *testing.T) {
 	arrivals := func(reorder bool) (got []int) {
 		s := newSimulation(smallShape())
 		s.network.maxExtraDelay, s.network.reorder = 300*monotime.Millisecond, reorder
-		var w stream
+		var st stream
 		for i := range 20 {
-			s.transmit(&w, s.members[0], s.members[1], kindView, 1, func() { got = append(got, i) })
+			s.transmit(&st, s.members[0], s.members[1], kindView, 1, func() { got = append(got, i) })
 		}
 		require.NoError(t, s.advance(monotime.Second))
 		require.Len(t, got, 20)
--- a/simulation/membership/networkfaults.go
+++ b/simulation/membership/networkfaults.go
@@ -5,8 +5,8 @@
 // Parameters of scenarios with faults of the network.
 const (
 	partitionDuration        = 60 * monotime.Second
-	partitionRestartInterval = 30 * monotime.Second // between two restarts on each side of a long partition
-	splitRegions             = 2                    // that a split partitions from the others
+	partitionRestartInterval = 30 * monotime.Second // of restarts on each side of a long partition
+	splitRegions             = 2                    // number of regions that a split partitions from the others
 	lossyRate                = 0.01
 	lossyMaxDelay            = 300 * monotime.Millisecond
 )
@@ -54,7 +54,7 @@
 	})
 }
 
-// injectHomePartition partitions an attached front end from the control members that it is attached to.
+// injectHomePartition partitions an attached front end from the control members that it has links to.
 func injectHomePartition(s *simulation) {
 	m := s.attachedFrontEnds[0]
 	s.scheduleAfter(faultDelay, func() {
--- a/simulation/membership/observation.go
+++ b/simulation/membership/observation.go
@@ -6,8 +6,8 @@
 	"chutechute/fleet/membership"
 )
 
-// observation is how one member's view has another: the generation and the state of its process. Its zero value says
-// that the view does not have it.
+// observation is the entry of a member in another member's view: the generation and the state of its process. The zero
+// value means that the view has no entry.
 type observation uint32
 
 const (
@@ -29,7 +29,7 @@
 	return o.state() == membership.Dead || o.state() == membership.Left
 }
 
-// String returns the observation as results have it.
+// String formats the observation for results.
 func (o observation) String() string {
 	if o == notObserved {
 		return "not at all"
@@ -37,7 +37,8 @@
 	return fmt.Sprintf("process %d %s", o.generation(), o.state())
 }
 
-// agrees reports whether a view that has converged may have a member so. One that has ended may be forgotten.
+// agrees reports whether an observation matches the actual state of a member. A view may omit a member whose process
+// has ended.
 func agrees(subject *member, o observation) bool {
 	switch {
 	case subject.process != nil:
--- a/simulation/membership/outcome.go
+++ b/simulation/membership/outcome.go
@@ -8,55 +8,57 @@
 	"chutechute/internal/scale"
 )
 
-// Outcome is what a run has shown. Rates are in bytes a second, with framing.
+// Outcome holds the results of a run. Rates are in bytes per second, including framing.
 type Outcome struct {
 	Result *scale.Result
 
-	// FalseDeaths is how often a running member was seen dead by a member that could have known better.
+	// FalseDeaths counts observations of a running member as dead by a member that it could reach, if only through
+	// others.
 	FalseDeaths int
-	// Resurrections is how often a process was seen again by a member that had already seen a later one.
+	// Resurrections counts observations of a process by a member that had observed it before, and then a later process
+	// of the same member.
 	Resurrections int
-	// OutOfOrder is how often a process was seen for the first time by a member that had already seen a later one.
+	// OutOfOrder counts first observations of a process by a member that had already observed a later process of the
+	// same member.
 	OutOfOrder int
-	// Findings describes the first findings that FalseDeaths, PastBack and Older count.
+	// Findings describes the first findings that FalseDeaths, Resurrections and OutOfOrder count.
 	Findings []string
-	// ForbidsFalseDeaths says that the scenario allows no false deaths.
+	// ForbidsFalseDeaths reports whether a false death is a violation in the scenario.
 	ForbidsFalseDeaths bool
 
-	// Disagreements describes the first differences between views and the ground truth that were left when the time for
-	// convergence was over.
+	// Disagreements describes the first differences between views and the ground truth that remained after the wait for
+	// convergence.
 	Disagreements []string
-	// ConvergenceTime is how long after the end of all faults all views agreed with the ground truth.
+	// ConvergenceTime is the time from the end of all faults until all views agreed with the ground truth.
 	ConvergenceTime monotime.Micros
 
-	// DetectionTimes is how long each death took to be detected by a control member, sorted.
+	// DetectionTimes holds the time from each end of a process to its detection by a control member, sorted.
 	DetectionTimes []monotime.Micros
-	// PropagationDelays is how long each change took from its detection until the last responsive member knew it,
+	// PropagationDelays holds the time from the detection of each change until the last responsive member knew of it,
 	// sorted.
 	PropagationDelays []monotime.Micros
 
 	Bursts []Burst
 
-	// MeanRate is the mean rate, in and out, of an attached front end.
+	// MeanRate is the mean rate of an attached front end, in and out together.
 	MeanRate float64
-	// PeakRate is the highest mean rate of any attached front end over ten seconds.
+	// PeakRate is the highest rate of any attached front end, averaged over ten seconds.
 	PeakRate float64
 	// PeakFrontEnd is the name of that attached front end.
 	PeakFrontEnd string
 
-	// MaxObservedFlaps is the most changes of the flapping front end that a control member observed.
+	// MaxObservedFlaps is the highest number of changes of the flapping front end that any control member observed.
 	MaxObservedFlaps int
-	// FullQueues is how many queues to attached front ends were full.
+	// FullQueues counts how often a queue to an attached front end was full.
 	FullQueues int
-	// RejectedMessages is the number of messages of running processes that their receivers refused, by the text of
-	// the error.
+	// RejectedMessages counts the rejected messages of running processes, by the text of the error.
 	RejectedMessages map[string]int
 }
 
-var errNotConverged = errors.New("membership: views don't agree with the truth")
+var errNotConverged = errors.New("membership: views do not agree with the ground truth")
 
-// Err returns what the run has violated, nil if nothing: views that have not converged, processes that were seen again
-// after later ones, or false deaths where the scenario allows none.
+// Err returns the violations of the run, or nil if there are none: views that have not converged, resurrections, and
+// false deaths if the scenario forbids them.
 func (o *Outcome) Err() error {
 	var violations []error
 	if len(o.Disagreements) > 0 {
@@ -64,7 +66,8 @@
 	}
 	if o.Resurrections > 0 {
 		violations = append(violations,
-			fmt.Errorf("membership: %d times a past process was seen again: %v", o.Resurrections, o.Findings))
+			fmt.Errorf("membership: %d observations of an earlier process after a later one: %v",
+				o.Resurrections, o.Findings))
 	}
 	if o.FalseDeaths > 0 && o.ForbidsFalseDeaths {
 		violations = append(violations, fmt.Errorf("membership: %d false deaths: %v", o.FalseDeaths, o.Findings))
--- a/simulation/membership/partition.go
+++ b/simulation/membership/partition.go
@@ -2,7 +2,7 @@
 
 import "chutechute/fleet/membership"
 
-// partitioned reports whether no message gets from one member to another.
+// partitioned reports whether a partition blocks messages from one member to another.
 func (n *network) partitioned(from, to *member) bool {
 	switch {
 	case from == to:
@@ -21,7 +21,8 @@
 	return len(n.partitionedRegions) > 0 && n.partitionedRegions[newUnorderedPair(from.region, to.region)]
 }
 
-// indirectlyReachable reports whether information may get from one member to the other, if need be through others.
+// indirectlyReachable reports whether information can get from one member to the other, directly or through other
+// members.
 func (n *network) indirectlyReachable(a, b *member) bool {
 	return a == b || !a.isolated && !b.isolated && n.onSameSide(a, b)
 }
@@ -30,8 +31,8 @@
 	return n.partitionSide == nil || n.partitionSide(a) == n.partitionSide(b)
 }
 
-// partitionStarted follows the start of a partition: either end closes a link across it after linkSilenceTimeout,
-// unless the partition has ended by then.
+// partitionStarted handles the start of a partition: both ends of a link across it close the link after
+// linkSilenceTimeout, unless the partition has ended by then.
 func (n *network) partitionStarted() {
 	for _, m := range n.sim.attachedFrontEnds {
 		if m.process == nil {
--- a/simulation/membership/process.go
+++ b/simulation/membership/process.go
@@ -5,46 +5,46 @@
 	"chutechute/internal/monotime"
 )
 
-// Bounds of what the clocks of members differ by.
+// Limits on how much the clocks of processes differ from virtual time.
 const (
-	maxClockDrift  = 0.001                  // as a share of the time that passes
+	maxClockDrift  = 0.001                  // relative error of the clock rate
 	maxClockOffset = 1000 * monotime.Second // at the start of the run
 )
 
-// process is one run of a member's program.
+// process is one run of the program on a member's machine.
 type process struct {
 	sim          *simulation
 	member       *member
 	incarnation  uint64
-	generation   int // of the processes of its member, from 1
+	generation   int // ordinal among the processes of its member, from 1
 	clockOffset  monotime.Micros
 	clockRate    float64
 	paused       bool
-	deferred     []func() // what happened to it while it was paused
-	backlogBytes int      // that arrived while it was paused
-	// comparedDigest is the digest of the view when it was last compared with the ground truth.
+	deferred     []func() // steps to execute when it is resumed
+	backlogBytes int      // received by its operating system while it is paused
+	// comparedDigest is the digest that the view had when it was last compared with the ground truth.
 	comparedDigest uint64
 
-	role     processRole      // the one of the next two that is set
+	role     processRole      // control or frontEnd, whichever is set
 	control  *controlProcess  // nil in an attached front end
 	frontEnd *frontEndProcess // nil in a control member
 }
 
 // processRole is the part of a process that depends on the role of its member.
 type processRole interface {
-	// start begins the work of a process that has just started.
+	// start schedules or runs the first tick.
 	start()
-	// tick lets time pass.
+	// tick runs the work that is due at the current time.
 	tick()
 	// view returns the view of the fleet.
 	view() *membership.View
-	// side returns the end of a link that a process of this role has.
+	// side returns which end of a link a process of this role is.
 	side() side
 	// allLinks returns the links to processes of the other role.
 	allLinks() []*link
-	// linkClosed follows the end of a link, or a dial that failed.
+	// linkClosed handles the closing of a link, or a failed dial.
 	linkClosed(l *link)
-	// crashed follows the end of the process.
+	// crashed handles the crash of the process or its machine.
 	crashed(scope crashScope)
 }
 
@@ -84,20 +84,21 @@
 	return config
 }
 
-// localTime is the time by the process's clock.
+// localTime returns the time of the process's clock.
 func (p *process) localTime() monotime.Micros {
 	return p.clockOffset + monotime.Micros(float64(p.sim.now)*p.clockRate)
 }
 
-// simulationTime returns the virtual time at which the process's clock shows a time, or a little later.
+// simulationTime returns the virtual time at which the process's clock shows the local time, rounded up.
 func (p *process) simulationTime(local monotime.Micros) monotime.Micros {
 	return monotime.Micros(float64(local-p.clockOffset)/p.clockRate) + 1
 }
 
-// running reports whether this is still the process of its member. A paused process runs.
+// running reports whether the process has not ended. A paused process counts as running.
 func (p *process) running() bool { return p.member.process == p }
 
-// execute runs a step of the process: now, or when it is resumed if it is paused, or never if it has ended.
+// execute runs a step of the process. If the process is paused, the step runs when it is resumed; if it has ended, the
+// step is dropped.
 func (p *process) execute(step func()) {
 	switch {
 	case !p.running():
@@ -117,7 +118,7 @@
 
 func (p *process) side() side { return p.role.side() }
 
-// eachLink calls for each link of the process, in a fixed order. The calls may close links.
+// eachLink calls a function for each link of the process, in a fixed order. The function may close links.
 func (p *process) eachLink(call func(*link)) {
 	list := append([]*link(nil), p.role.allLinks()...)
 	for _, l := range list {
@@ -125,7 +126,7 @@
 	}
 }
 
-// drainLinks sends what is queued for the process, as far as it reads.
+// drainLinks sends the messages that are queued for the process, for as long as it reads.
 func (p *process) drainLinks() {
 	p.eachLink(func(l *link) { l.drain(p.side().other()) })
 }
--- a/simulation/membership/process_test.go
+++ b/simulation/membership/process_test.go
@@ -9,7 +9,7 @@
 	"chutechute/internal/monotime"
 )
 
-// The time of a clock and virtual time convert into each other.
+// Converting virtual time to a process's local time and back returns the same time, up to rounding.
 func TestClockConversionRoundTrip(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 100 {
--- a/simulation/membership/readerfaults.go
+++ b/simulation/membership/readerfaults.go
@@ -5,10 +5,10 @@
 // Parameters of scenarios with members that are paused or read slowly.
 const (
 	pauseDuration         = 10 * monotime.Second
-	stalledQueueLimit     = 64                          // bytes: only one message more finds room while others wait
-	readStallDuration     = 1500 * monotime.Millisecond // every other time
+	stalledQueueLimit     = 64                          // bytes: a non-empty queue takes at most one more message
+	readStallDuration     = 1500 * monotime.Millisecond // and as long until the next stall
 	stalledReaderDuration = 60 * monotime.Second
-	slowReadRate          = 15 // bytes a second: less than the answers to its heartbeats
+	slowReadRate          = 15 // bytes per second; less than the responses to its heartbeats need
 	slowQueueLimit        = 512
 )
 
--- a/simulation/membership/report.go
+++ b/simulation/membership/report.go
@@ -11,8 +11,8 @@
 	"chutechute/internal/scale"
 )
 
-// outcome returns what the run has shown. The findings are taken first: describing the disagreements compares all views
-// once more, which may add findings.
+// outcome returns the results of the run. It copies the findings first, because describing the disagreements compares
+// all views once more, which may add findings.
 func (s *simulation) outcome(o Options, scenario Scenario, convergenceTime monotime.Micros) *Outcome {
 	out := &Outcome{ForbidsFalseDeaths: scenario.forbidsFalseDeaths, ConvergenceTime: convergenceTime}
 	s.groundTruth.addFindings(out)
@@ -28,7 +28,7 @@
 	return out
 }
 
-// addFindings adds the errors of views that were found during the run.
+// addFindings adds the errors that were found in views during the run.
 func (t *groundTruth) addFindings(out *Outcome) {
 	out.FalseDeaths = t.falseDeaths.count
 	out.Resurrections = t.resurrections.count
@@ -36,7 +36,7 @@
 	out.Findings = slices.Concat(t.resurrections.descriptions, t.falseDeaths.descriptions, t.outOfOrder.descriptions)
 }
 
-// addResult adds the Result to an outcome that has all else, and the mean rate.
+// addResult adds the mean rate and the Result, which is derived from the rest of the outcome.
 func (s *simulation) addResult(o Options, scenario Scenario, out *Outcome) {
 	attached := s.roleFigures(membership.Attached)
 	control := s.roleFigures(membership.Control)
@@ -57,7 +57,7 @@
 	}
 }
 
-// maxObservedFlaps is the most changes of the flapping member that any control member observed.
+// maxObservedFlaps returns the highest number of changes of the flapping member that any control member observed.
 func (t *groundTruth) maxObservedFlaps() (highest int) {
 	for _, count := range t.observedFlaps {
 		highest = max(highest, count)
@@ -65,7 +65,7 @@
 	return highest
 }
 
-// fullQueues is how many queues to attached front ends were full, at the control members that run.
+// fullQueues returns how often queues to attached front ends were full, at the control members that are running.
 func (s *simulation) fullQueues() (count int) {
 	for _, m := range s.controlMembers {
 		if m.process != nil {
@@ -75,7 +75,7 @@
 	return count
 }
 
-// roleName is a role's name in results.
+// roleName returns a role's name in results.
 func roleName(role membership.Role) string {
 	if role == membership.Control {
 		return scale.RoleControl
@@ -105,7 +105,8 @@
 	return figures
 }
 
-// meanConnections is how many open connections a member has at the end. Control members have two with each other.
+// meanConnections returns the mean number of open connections of a member at the end. Each pair of control members has
+// two.
 func (s *simulation) meanConnections(members []*member) float64 {
 	count := 0
 	for _, m := range members {
@@ -131,31 +132,31 @@
 	return durations
 }
 
-// notes says what the figures leave out, and describes what was wrong.
+// notes returns what the figures omit, and the descriptions of findings and disagreements.
 func (s *simulation) notes(out *Outcome) []string {
 	notes := []string{
 		"bytes of TCP, TLS and acknowledgements are not counted",
-		"heartbeats among control members lack the fields about the record, about 40 bytes",
+		"heartbeats among control members lack the fields of the replicated log, about 40 bytes",
 	}
 	if s.cpuMeter != nil {
 		notes = append(notes,
-			"processor: this process's time, divided by the time that steps of each role took; links cost nothing",
+			"the processor time of this process is divided in proportion to the time in steps; links are omitted",
 			s.heapNote())
 	}
 	for _, description := range out.Findings {
 		notes = append(notes, "fault: "+description)
 	}
 	for _, description := range out.Disagreements {
-		notes = append(notes, "wrong at the end: "+description)
+		notes = append(notes, "disagreement at the end: "+description)
 	}
 	return notes
 }
 
-// heapNote tells the live heap, which is collected first.
+// heapNote reports the size of the live heap after a garbage collection.
 func (s *simulation) heapNote() string {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
-	return fmt.Sprintf("live heap of the whole run over all members of both roles: %d bytes each",
+	return fmt.Sprintf("live heap of the whole simulation, divided by the number of members of both roles: %d bytes",
 		int(stats.HeapAlloc)/len(s.members))
 }
--- a/simulation/membership/run.go
+++ b/simulation/membership/run.go
@@ -8,16 +8,17 @@
 	"chutechute/internal/scale"
 )
 
-// Options say what to simulate.
+// Options configures a run.
 type Options struct {
-	FrontEnds  int     // all front ends, with the control members, as in scale.Shape
+	FrontEnds  int     // all front ends, including the control members, as in scale.Shape
 	Controls   int     // control members
-	Zones      int     // that the front ends are spread over
-	Seconds    float64 // of virtual time in the measured part; 0 for the scenario's own
-	Seed       uint64  // of all that is random
+	Zones      int     // zones that the front ends are spread over
+	Seconds    float64 // virtual time of the measured part; 0 for the scenario's duration
+	Seed       uint64  // of all random numbers
 	Faults     string  // a scenario's name, or a script as scale.ParseFaults reads it; empty for no faults
-	MeasureCPU bool    // measure processor time, which no seed determines
-	// Progress is called with what begins, or how far the measured part is. It may be nil.
+	MeasureCPU bool    // measure processor time, which differs between runs with the same seed
+	// Progress, if not nil, is called at the start of each part, and during the measured part with the time that has
+	// passed.
 	Progress func(progress string)
 }
 
@@ -26,23 +27,23 @@
 	startupDuration         = 3 * monotime.Second // over which the processes start, unless the scenario starts them
 	maxConvergenceTime      = 180 * monotime.Second
 	convergencePollInterval = monotime.Second
-	// quietPeriod lies between the convergence of the start and the measured part, which keeps the start out of the
-	// windows of peakWindowSeconds.
+	// quietPeriod separates the convergence after the start from the measured part, so that no peak window
+	// (peakWindowSeconds) includes traffic of the start.
 	quietPeriod      = 15 * monotime.Second
 	progressInterval = minute
 )
 
-// maxDescribedDisagreements limits the disagreements that an outcome describes.
+// maxDescribedDisagreements limits how many disagreements an outcome describes.
 const maxDescribedDisagreements = 10
 
-// minControlMembers is how many control members an attached front end attaches to.
+// minControlMembers is the number of control members that an attached front end attaches to.
 const minControlMembers = 2
 
-var errNothingToSimulate = errors.New(
-	"membership: without two control members and an attached front end there is nothing to play")
+var errFleetTooSmall = errors.New(
+	"membership: a simulation needs at least two control members and one attached front end")
 
-// Run simulates a fleet and returns its figures. A violation (see Outcome.Err) is an error that comes with the figures;
-// all other errors, those of the options among them, come without.
+// Run simulates a fleet and returns its figures. If the run has violations (see Outcome.Err), Run returns both the
+// figures and an error. With any other error, invalid options included, the figures are nil.
 func Run(o Options) (*scale.Result, error) {
 	outcome, err := Simulate(o)
 	if outcome == nil {
@@ -51,9 +52,9 @@
 	return outcome.Result, errors.Join(err, outcome.Err())
 }
 
-// Simulate simulates a fleet and returns what the run has shown, violations included. Its errors are those of the
-// options (scale.FlagError, scale.ScriptError), a fleet whose views do not converge after the start, and a message
-// storm.
+// Simulate simulates a fleet and returns the outcome of the run, violations included. It returns an error if the
+// options are invalid (scale.FlagError, scale.ScriptError), if the views do not converge after the start, and on a
+// message storm.
 func Simulate(o Options) (*Outcome, error) {
 	shape := scale.Shape{
 		FrontEnds: o.FrontEnds,
@@ -78,7 +79,7 @@
 	}
 	o.Progress("measured part: " + scenario.Description)
 	s.measure(scenario, o.Progress)
-	o.Progress("faults are over")
+	o.Progress("all faults ended")
 	s.endFaults()
 	convergenceTime, err := s.awaitConvergence()
 	if err != nil && !errors.Is(err, errNotConverged) {
@@ -87,8 +88,8 @@
 	return s.outcome(o, scenario, convergenceTime), nil
 }
 
-// selectScenario returns the scenario that the options ask for. It checks the shape, and sets its duration to the
-// scenario's if it has none.
+// selectScenario returns the scenario that the options select. It checks the shape, and sets its duration to that of
+// the scenario if it is 0.
 func (o *Options) selectScenario(shape *scale.Shape) (Scenario, error) {
 	name := o.Faults
 	if name == "" {
@@ -102,7 +103,7 @@
 		return scenario, err
 	}
 	if shape.Attached() == 0 || shape.Controls < minControlMembers {
-		return scenario, errNothingToSimulate
+		return scenario, errFleetTooSmall
 	}
 	if known {
 		return scenario, nil
@@ -115,18 +116,18 @@
 	if scenario.coldStart {
 		return nil
 	}
-	progress("start")
+	progress("starting the fleet")
 	s.startAll(startupDuration)
 	if err := s.advance(startupDuration); err != nil {
 		return err
 	}
 	if _, err := s.awaitConvergence(); err != nil {
-		return fmt.Errorf("%w at the start: %v", err, s.groundTruth.describeDisagreements())
+		return fmt.Errorf("%w after the start: %v", err, s.groundTruth.describeDisagreements())
 	}
 	return s.advance(quietPeriod)
 }
 
-// measure runs the measured part. An error of it is returned by the next advance.
+// measure runs the measured part. If the part fails, the next advance returns the error.
 func (s *simulation) measure(scenario Scenario, progress func(string)) {
 	s.cpuMeter.reset()
 	s.traffic.start(s)
@@ -143,8 +144,8 @@
 	s.groundTruth.stopMeasuring()
 }
 
-// awaitConvergence waits until all views agree with the ground truth, and returns how long it took. Its error is
-// errNotConverged, or that of advance.
+// awaitConvergence waits until all views agree with the ground truth, and returns how long it took. It fails with
+// errNotConverged after maxConvergenceTime, or with the error of advance.
 func (s *simulation) awaitConvergence() (monotime.Micros, error) {
 	startedAt := s.now
 	for s.now-startedAt < maxConvergenceTime {
--- a/simulation/membership/scenarios_test.go
+++ b/simulation/membership/scenarios_test.go
@@ -20,19 +20,19 @@
 	"chutechute/simulation/membership"
 )
 
-// Objectives of runs of any size.
+// Objectives of runs at any size.
 const (
-	maxRestRate   = 1000  // bytes a second, in and out of an attached front end without faults
+	maxRestRate   = 1000  // bytes per second, in and out of an attached front end without faults
 	maxPeakRate   = 11000 // the same over the busiest ten seconds of any attached front end
 	maxBurstRatio = 3     // of the busiest control member to the mean
-	// minComparableMean is the mean load of control members below which the load of the busiest is a matter of chance.
+	// minComparableMean is the mean count per control member below which the highest count is too random to check.
 	minComparableMean = 4
-	// maxObservedFlaps is for a member that flaps 80 times in four minutes: twenty changes at once, one each 10 s, and
-	// those that follow.
+	// maxObservedFlaps is for a member that flaps 80 times in four minutes: twenty changes without delay, then one
+	// every 10 s, and a few afterwards.
 	maxObservedFlaps = 50
 )
 
-// smallFleet is a fleet of a size that CI simulates.
+// smallFleet returns the options of a fleet that is small enough for CI.
 func smallFleet(faults string, seconds float64, seed uint64) membership.Options {
 	return membership.Options{
 		FrontEnds: 65,
@@ -44,7 +44,7 @@
 	}
 }
 
-// smallSeconds shortens the scenarios that take long.
+// smallSeconds sets shorter durations for the long scenarios.
 var smallSeconds = map[string]float64{"rest": 30, "regions": 90, "split": 90, "lossy": 120}
 
 // environmentNumber returns a number from an environment variable, or a default.
@@ -55,8 +55,9 @@
 	return defaultValue
 }
 
-// Whatever the faults, all views converge, no process is seen again after a later one, and no running and reachable
-// member is seen dead. CHUTECHUTE_HISTORIES sets the number of seeds, CHUTECHUTE_SEED the first.
+// In every scenario all views converge, no process is observed again after a later one, and no running and reachable
+// member is observed as dead unless the scenario allows it. CHUTECHUTE_HISTORIES sets the number of seeds,
+// CHUTECHUTE_SEED the first seed.
 func TestScenariosSmall(t *testing.T) {
 	first := environmentNumber("CHUTECHUTE_SEED", 1)
 	for _, scenario := range membership.Scenarios() {
@@ -67,7 +68,7 @@
 	}
 }
 
-// digest is over all figures of an outcome, but not over their names.
+// digest returns a hash of all figures of an outcome, without their names.
 func digest(o *membership.Outcome) string {
 	h := sha256.New()
 	fmt.Fprintln(h, o.FalseDeaths, o.Resurrections, o.OutOfOrder, len(o.Disagreements), o.ConvergenceTime,
@@ -113,14 +114,14 @@
 	case "trickle":
 		assert.Positive(t, o.FullQueues)
 	}
-	// A link may end where repairs of its view are lost or not read in time. Nothing else is ever rejected.
+	// A message may be rejected, and its link closed, only if repairs of a view are lost or not read in time.
 	harsh := scenario.Name == "trickle" || scenario.Name == "chaos"
 	for err := range o.RejectedMessages {
 		assert.True(t, harsh && strings.HasPrefix(err, fleetmembership.ErrDigestMismatch.Error()), err)
 	}
 }
 
-// The same seed gives the same figures, and another seed gives others.
+// The same seed gives the same figures, and another seed gives different ones.
 func TestSameSeedGivesSameFigures(t *testing.T) {
 	figures := func(seed uint64) string {
 		r, err := membership.Run(smallFleet("restarts", 20, seed))
@@ -134,7 +135,8 @@
 	assert.NotEqual(t, first, figures(8))
 }
 
-// A script of faults is accepted as over sockets, and each of its faults is injected. Its errors are typed.
+// A script in the format of package scale is accepted, and each of its faults is injected. Invalid scripts and flags
+// return typed errors.
 func TestScriptOfFaultsIsInjected(t *testing.T) {
 	const script = "1s kill control 1 for 8s; 2s restart 10% over 2s; " +
 		"3s stop attached 3 for 10s; 14s cut zone b; 24s heal"
--- a/simulation/membership/script.go
+++ b/simulation/membership/script.go
@@ -24,7 +24,7 @@
 	return Scenario{Name: script, Description: script, Seconds: shape.Seconds, inject: inject}, nil
 }
 
-// injectFault injects a fault of a script into all its targets. number is its position in the script, from 1.
+// injectFault injects a fault of a script into all its targets. number is the fault's position in the script, from 1.
 func (s *simulation) injectFault(number int, fault scale.Fault) {
 	if fault.Kind == scale.Heal {
 		s.network.healPartitions()
@@ -40,7 +40,7 @@
 
 // injectFaultInto injects a fault of a script into one member.
 func (s *simulation) injectFaultInto(m *member, fault scale.Fault) {
-	duration := fault.For.Microseconds() // 0 if nothing but a heal ends the fault
+	duration := fault.For.Microseconds() // 0 if only a heal ends the fault
 	switch fault.Kind {
 	case scale.Kill:
 		m.crash(processCrash)
@@ -59,7 +59,7 @@
 		if duration > 0 {
 			s.scheduleAfter(duration, func() { m.isolated = false })
 		}
-	case scale.Heal: // injectFault has done it for all members
+	case scale.Heal: // handled by injectFault, for all members
 	}
 }
 
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// drawMembers draws so many of some members, or all if there are fewer.
+// drawMembers returns count random members of from, or all of them in random order if there are fewer.
 func (s *simulation) drawMembers(from []*member, count int) (drawn []*member) {
 	for _, i := range s.random.Perm(len(from))[:min(count, len(from))] {
 		drawn = append(drawn, from[i])
--- a/simulation/membership/simulation.go
+++ b/simulation/membership/simulation.go
@@ -23,7 +23,7 @@
 
 var errMessageStorm = errors.New("message storm: too many events")
 
-// simulation is one fleet in virtual time.
+// simulation runs one fleet in virtual time.
 type simulation struct {
 	shape  scale.Shape
 	random *rand.Rand
@@ -32,7 +32,7 @@
 	lastSequence   uint64
 	events         eventQueue
 	executedEvents int
-	err            error // the first one; it ends the run
+	err            error // the first error; it ends the run
 
 	members           []*member // control members first, then attached front ends
 	controlMembers    []*member
@@ -43,12 +43,12 @@
 	network     network
 	groundTruth *groundTruth
 	traffic     trafficAccount
-	rejected    map[string]int // messages of running processes that were refused, by the text of the error
+	rejected    map[string]int // rejected messages of running processes, by the text of the error
 	triggers    []trigger
 	cpuMeter    *cpuMeter // nil if processor time is not measured
 }
 
-// newSimulation builds a fleet in which no process runs yet.
+// newSimulation returns a fleet in which no process runs yet.
 func newSimulation(shape scale.Shape) *simulation {
 	s := &simulation{
 		shape:        shape,
@@ -91,7 +91,7 @@
 	return m
 }
 
-// maxRegions bounds the number of regions that the zones of a fleet lie in.
+// maxRegions limits the number of regions that the zones of a fleet are grouped into.
 const maxRegions = 10
 
 func (s *simulation) regionCount() int { return min(maxRegions, s.shape.Zones) }
@@ -109,7 +109,8 @@
 	return monotime.Micros(math.Round(s.shape.Seconds * float64(monotime.Second)))
 }
 
-// randomBetween draws a duration of at least low and below high. It draws nothing if there is no choice.
+// randomBetween returns a random duration in [low, high). If that range is empty it returns low, and draws no random
+// number.
 func (s *simulation) randomBetween(low, high monotime.Micros) monotime.Micros {
 	if high <= low {
 		return low
@@ -122,13 +123,13 @@
 	s.scheduleAt(s.now+max(0, delay), run)
 }
 
-// scheduleAt schedules an event at a time that has not passed.
+// scheduleAt schedules an event at a time that is not in the past.
 func (s *simulation) scheduleAt(when monotime.Micros, run func()) {
 	s.lastSequence++
 	s.events.push(event{when, s.lastSequence, run})
 }
 
-// advance runs the events of the next duration of virtual time. It returns the first error of the whole run.
+// advance runs all events within the next duration of virtual time. It returns the first error of the whole run.
 func (s *simulation) advance(duration monotime.Micros) error {
 	until := s.now + duration
 	seconds := int(duration/monotime.Second + 1)
@@ -153,7 +154,7 @@
 	}
 }
 
-// countRejected counts a message that its receiver refused.
+// countRejected counts a message that its receiver rejected with err.
 func (s *simulation) countRejected(err error) { s.rejected[err.Error()]++ }
 
 func inSeconds(duration monotime.Micros) float64 { return float64(duration) / float64(monotime.Second) }
--- a/simulation/membership/traffic.go
+++ b/simulation/membership/traffic.go
@@ -5,17 +5,17 @@
 	"chutechute/fleet/transport"
 )
 
-// messageKind says what a message is for. Traffic is counted by it.
+// messageKind is the purpose of a message, by which traffic is counted.
 type messageKind uint8
 
 const (
-	kindHello     messageKind = iota // opens a connection
-	kindMember                       // a heartbeat among control members
-	kindHeartbeat                    // a heartbeat of an attached front end
-	kindView                         // a part of the view, to an attached front end
-	kindPull                         // a request for changes of a table
-	kindTable                        // a part of a table
-	messageKinds
+	kindHandshake        messageKind = iota // opens a connection
+	kindControlHeartbeat                    // a heartbeat among control members
+	kindHeartbeat                           // a heartbeat of an attached front end
+	kindView                                // a part of the view, to an attached front end
+	kindPull                                // a request for changes of a table
+	kindTable                               // a part of a table
+	messageKindCount
 )
 
 // String returns the kind's name, which is part of the names of figures.
@@ -23,7 +23,7 @@
 	return [...]string{"hello", "member heartbeat", "heartbeat", "view", "pull", "table"}[k]
 }
 
-// kindOf is the kind of a message of package fleet/membership.
+// kindOf returns the kind of a message of package fleet/membership.
 func kindOf(kind membership.Kind) messageKind {
 	switch kind {
 	case membership.Heartbeat:
@@ -36,14 +36,14 @@
 	return kindTable
 }
 
-// frameHeaderSize is what transport.AppendFrame adds to a body, in bytes.
+// frameHeaderSize is the number of bytes that transport.AppendFrame adds to a body.
 var frameHeaderSize = len(transport.AppendFrame(nil, transport.ControlHeartbeat, 0, false, nil))
 
-// trafficCount is a number of messages, and their bytes.
+// trafficCount counts messages and their bytes.
 type trafficCount struct {
 	messages int64
 	bytes    int64 // without framing
-	framing  int64 // bytes of frame headers, and of handshakes
+	framing  int64 // bytes of frame headers and handshakes
 }
 
 func (t *trafficCount) add(kind messageKind, size int) {
@@ -51,7 +51,7 @@
 		return
 	}
 	t.messages++
-	if kind == kindHello { // as in package scale, handshakes are no payload
+	if kind == kindHandshake { // handshakes count as framing, as in package scale
 		t.framing += int64(size)
 		return
 	}
@@ -68,31 +68,31 @@
 	return trafficCount{t.messages - other.messages, t.bytes - other.bytes, t.framing - other.framing}
 }
 
-// totalBytes is all bytes, with framing.
+// totalBytes returns the bytes including framing.
 func (t trafficCount) totalBytes() int64 { return t.bytes + t.framing }
 
-// memberTraffic is what one member, or all members of a role, received and sent, by kind.
+// memberTraffic is the traffic of one member, or of all members of a role, by kind.
 type memberTraffic struct {
-	received, sent [messageKinds]trafficCount
+	received, sent [messageKindCount]trafficCount
 }
 
 func (t *memberTraffic) countReceived(kind messageKind, size int) { t.received[kind].add(kind, size) }
 func (t *memberTraffic) countSent(kind messageKind, size int)     { t.sent[kind].add(kind, size) }
 
-// totalBytes is all bytes received and sent, with framing.
+// totalBytes returns the bytes received and sent, including framing.
 func (t *memberTraffic) totalBytes() int64 {
 	return sumKinds(t.received).totalBytes() + sumKinds(t.sent).totalBytes()
 }
 
-// addSince adds what a member's counts have grown by since an earlier time.
+// addSince adds the traffic of a member from an earlier time until now.
 func (t *memberTraffic) addSince(now, earlier *memberTraffic) {
-	for kind := range messageKinds {
+	for kind := range messageKindCount {
 		t.received[kind] = t.received[kind].plus(now.received[kind].minus(earlier.received[kind]))
 		t.sent[kind] = t.sent[kind].plus(now.sent[kind].minus(earlier.sent[kind]))
 	}
 }
 
-func sumKinds(counts [messageKinds]trafficCount) (sum trafficCount) {
+func sumKinds(counts [messageKindCount]trafficCount) (sum trafficCount) {
 	for _, count := range counts {
 		sum = sum.plus(count)
 	}
--- a/simulation/membership/trafficaccount.go
+++ b/simulation/membership/trafficaccount.go
@@ -2,31 +2,31 @@
 
 import "chutechute/internal/monotime"
 
-// peakWindowSeconds is the length of the window in which the peak rate of a front end is averaged.
+// peakWindowSeconds is the length of the window over which the peak rate of a front end is averaged.
 const peakWindowSeconds = 10
 
-// trafficAccount accounts for the traffic of the measured part.
+// trafficAccount counts the traffic of the measured part.
 type trafficAccount struct {
 	sim       *simulation
 	active    bool
 	startedAt monotime.Micros
-	duration  monotime.Micros // known when it has ended
-	baseline  []memberTraffic // of each member when it began
+	duration  monotime.Micros // set when it has ended
+	baseline  []memberTraffic // counts of each member when the part began
 
-	// Of each attached front end, for the peak.
-	lastTotals     []int64                    // bytes when the last second ended
-	windows        [][peakWindowSeconds]int64 // bytes of each second, a ring
+	// For the peak rate, by the index of the attached front end.
+	lastTotals     []int64                    // total bytes at the end of the last second
+	windows        [][peakWindowSeconds]int64 // bytes in each of the last seconds, as a ring buffer
 	elapsedSeconds int
 	peak           peakWindow
 }
 
-// peakWindow is the window in which an attached front end had the most traffic.
+// peakWindow is the window with the most traffic of any attached front end.
 type peakWindow struct {
 	bytes    int64
 	frontEnd string
 }
 
-// start begins to account.
+// start begins to count.
 func (a *trafficAccount) start(s *simulation) {
 	a.sim = s
 	a.active = true
@@ -43,7 +43,7 @@
 	s.scheduleAfter(monotime.Second, a.endSecond)
 }
 
-// endSecond ends a second of the windows.
+// endSecond completes the current second of all windows, and schedules the end of the next.
 func (a *trafficAccount) endSecond() {
 	if !a.active {
 		return
@@ -64,13 +64,13 @@
 	a.sim.scheduleAfter(monotime.Second, a.endSecond)
 }
 
-// stop ends the account.
+// stop ends the counting.
 func (a *trafficAccount) stop() {
 	a.active = false
 	a.duration = a.sim.now - a.startedAt
 }
 
-// total is what members received and sent in the accounted time.
+// total returns the traffic of members in the measured part.
 func (a *trafficAccount) total(members []*member) (total memberTraffic) {
 	for _, m := range members {
 		total.addSince(&m.traffic, &a.baseline[m.index])
@@ -78,7 +78,7 @@
 	return total
 }
 
-// perSecondAndMember is a total divided by the accounted seconds and by the number of members.
+// perSecondAndMember divides a total by the seconds of the measured part and by the number of members.
 func (a *trafficAccount) perSecondAndMember(total float64, members int) float64 {
 	return total / inSeconds(a.duration) / float64(members)
 }
--- a/simulation/membership/viewcomparison.go
+++ b/simulation/membership/viewcomparison.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// digestTransition is two digests of a view, one after the other.
+// digestTransition is the change of a view's digest from one value to the next.
 type digestTransition struct{ from, to uint64 }
 
-// Limits of what is remembered of transitions.
+// Limits of the cache of differences by transition.
 const (
-	maxRememberedTransitions = 100_000
-	maxRememberedDifferences = 256 // of a transition; beyond, comparing whole views is cheaper
+	maxCachedTransitions = 100_000
+	maxCachedDifferences = 256 // of a transition; with more, comparing whole views is cheaper
 )
 
-// compareOnDigestChange compares a process's view with what was observed before, if its digest has changed. Views
-// with the same digest have the same entries, so the members that differ between two digests are found once for all
-// processes that go from the one to the other.
+// compareOnDigestChange compares a process's view with its previous observations, if the digest of the view has
+// changed. Views with the same digest have the same entries, so the members that differ between two digests are
+// determined once for all processes whose views make the same transition.
 func (t *groundTruth) compareOnDigestChange(p *process) {
 	transition := digestTransition{p.comparedDigest, p.view().Digest()}
 	if transition.from == transition.to {
@@ -24,19 +24,19 @@
 	}
 	p.comparedDigest = transition.to
 	differing, known := t.differencesByTransition[transition]
-	if known && len(differing) <= maxRememberedDifferences {
+	if known && len(differing) <= maxCachedDifferences {
 		for _, subject := range differing {
 			t.compareEntry(p, subject)
 		}
 		return
 	}
-	if len(t.differencesByTransition) >= maxRememberedTransitions {
+	if len(t.differencesByTransition) >= maxCachedTransitions {
 		clear(t.differencesByTransition)
 	}
 	t.differencesByTransition[transition] = t.compareView(p)
 }
 
-// compareEntry compares one entry of a process's view with what was observed before.
+// compareEntry compares one entry of a process's view with its previous observation.
 func (t *groundTruth) compareEntry(p *process, subject *member) {
 	o := notObserved
 	if entry, ok := p.view().Lookup(subject.name); ok {
@@ -47,8 +47,8 @@
 	}
 }
 
-// compareView compares a process's whole view with what was observed before, and returns the members that differ. View
-// and members are both in order of names, so that one pass is enough.
+// compareView compares a process's whole view with its previous observations, and returns the members that differ. One
+// pass is enough, because both the view and sortedByName are in order of names.
 func (t *groundTruth) compareView(p *process) (differing []*member) {
 	entries := p.view().Entries()
 	before := t.observations[p.member.index]
@@ -64,12 +64,12 @@
 		}
 	}
 	if len(entries) > 0 {
-		t.sim.fail(fmt.Errorf("%s sees %q, which does not exist", p.member.name, entries[0].Name))
+		t.sim.fail(fmt.Errorf("the view of %s has an unknown member %q", p.member.name, entries[0].Name))
 	}
 	return differing
 }
 
-// observe records that a process's view has a member in another way than before.
+// observe records and checks a changed observation of a member in a process's view.
 func (t *groundTruth) observe(p *process, subject *member, o observation) {
 	t.observations[p.member.index][subject.index] = o
 	pair := memberPair{p.member.index, subject.index}
