--- a/simulation/membership/groundtruth.go
+++ b/simulation/membership/groundtruth.go
@@ -104,7 +104,8 @@
 		if !m.responsive() {
 			continue
 		}
-		// The digest covers only what was received. The view may show a change that the digest does not.
+		// Compare even if the digest is unchanged: it covers entries as received, while the view shows superseded
+		// processes as dead.
 		t.compareView(m.process)
 		for i, o := range t.observations[m.index] {
 			if subject := t.sim.members[i]; !agrees(subject, o) {
--- a/simulation/membership/linkclose.go
+++ b/simulation/membership/linkclose.go
@@ -11,8 +11,8 @@
 	l.notifyClosed(at)
 }
 
-// notifyClosed notifies the other end of the link that this end has closed it or that the process here has ended.
-// Across a partition, the other end closes it after linkSilenceTimeout.
+// notifyClosed notifies the other end of the link that this end has closed it or that its process has ended. Across a
+// partition, the other end closes the link after linkSilenceTimeout.
 func (l *link) notifyClosed(at side) {
 	other := at.other()
 	if l.sim.network.partitioned(l.member(at), l.member(other)) {
--- a/simulation/membership/scenario.go
+++ b/simulation/membership/scenario.go
@@ -84,7 +84,7 @@
 	},
 	{
 		Name: "disorder", Seconds: 60, forbidsFalseDeaths: true, inject: injectReordering,
-		Description: "a tenth of the attached front ends restart while messages are lost, delayed and reordered",
+		Description: "a tenth of attached front ends restart; 1% of messages are lost, all are delayed and reordered",
 	},
 	{
 		Name: "chaos", Seconds: 90, inject: injectChaos,
