--- a/statement/classify/classify.go
+++ b/statement/classify/classify.go
@@ -1,7 +1,7 @@
-// Package classify gives statements their class by an installation's rules: the first rule that matches decides.
+// Package classify assigns classes to statements by the rules of an installation. The first rule that matches decides.
 //
-// A class that loads, that is one that holds the tables it writes, is never given to a statement that only
-// reads, and no other class to one that writes.
+// A class whose statements lock the tables that they write is only assigned to statements that write, and any other
+// class only to statements that do not write.
 package classify
 
 import (
@@ -13,27 +13,27 @@
 	"chutechute/statement/syntax"
 )
 
-// Class is what rules need to know of a class.
+// Class describes a class as far as the rules depend on it.
 type Class struct {
 	Name        string
-	LocksTables bool // whether its statements write, and hold the tables that they write
-	Threads     int  // that run one of its statements
+	LocksTables bool // whether its statements write tables and lock them meanwhile
+	Threads     int  // number of threads that run one of its statements
 }
 
-// Rules are checked rules, ready to be applied.
+// Rules is a list of checked and compiled rules.
 type Rules struct {
 	classes []Class
 	rules   []compiledRule
 }
 
-// compiledRule is a rule with its verbs and patterns in lower case, its threads set and its class found.
+// compiledRule is a rule with verbs and patterns in lower case, the default of Threads applied and its class resolved.
 type compiledRule struct {
 	Rule
 	classIndex int
 }
 
-// Matching returns the indexes of the rules whose verbs and tables match a statement, whatever it costs. They depend on
-// the statement's shape alone and may be cached with it.
+// Matching returns the indexes of the rules whose verbs and tables match a statement, regardless of its cost. The
+// result depends on the statement's shape only and may be cached with it.
 func (r *Rules) Matching(facts *syntax.Facts) (indexes []uint16) {
 	for i, rule := range r.rules {
 		if r.classes[rule.classIndex].LocksTables == facts.Writes && rule.matchesVerb(facts) && rule.matchesTable(facts) {
@@ -43,9 +43,9 @@
 	return indexes
 }
 
-// Classify returns the index of the class that the first of the matching rules gives whose bound of the cost holds.
-// Cost estimates the statement as one of a class, in milliseconds on one core. Classify returns false where no rule
-// holds.
+// Classify returns the index of the class of the first matching rule whose limit on the cost the statement does not
+// exceed. ok is false if there is none. The function cost estimates the statement's cost for a class, in milliseconds
+// on one core.
 func (r *Rules) Classify(matching []uint16, cost func(class int) estimate.Estimate) (class int, ok bool) {
 	for _, i := range matching {
 		rule := &r.rules[i]
@@ -56,12 +56,12 @@
 	return 0, false
 }
 
-// matchesVerb returns whether the rule is for the statement's verb.
+// matchesVerb reports whether the rule applies to the statement's verb.
 func (r *compiledRule) matchesVerb(facts *syntax.Facts) bool {
 	return len(r.Verbs) == 0 || slices.Contains(r.Verbs, facts.Verb)
 }
 
-// matchesTable returns whether the rule is for one of the tables that the statement reads or writes.
+// matchesTable reports whether the rule applies to one of the tables that the statement reads or writes.
 func (r *compiledRule) matchesTable(facts *syntax.Facts) bool {
 	if len(r.Tables) == 0 {
 		return true
@@ -77,10 +77,10 @@
 	return false
 }
 
-// matchesName returns whether one of the rule's patterns matches a table's name in lower case and without quotes.
+// matchesName reports whether one of the rule's patterns matches a table name, given in lower case and without quotes.
 func (r *compiledRule) matchesName(name string) bool {
 	for _, pattern := range r.Tables {
-		// New has checked the patterns. Names hold no slash unless quoted, so * stands for anything.
+		// New has checked the patterns. Names have no slash unless quoted, so * matches any characters.
 		if ok, _ := path.Match(pattern, name); ok {
 			return true
 		}
@@ -88,5 +88,5 @@
 	return false
 }
 
-// quoteRemover removes the quotes of names.
+// quoteRemover removes quotes from names.
 var quoteRemover = strings.NewReplacer(`"`, "", "`", "")
--- a/statement/classify/rule.go
+++ b/statement/classify/rule.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// Rule gives a class to the statements that meet all of its conditions; one that is left out is met by all.
+// Rule assigns a class to the statements that meet all of its conditions. A condition with the zero value always holds.
 type Rule struct {
 	Class  string
-	Verbs  []string // one of them is the statement's
-	Tables []string // patterns; one of them matches a table that is read or written. * stands for anything
-	// CostMS is the longest time, in milliseconds, that the statement may take alone on Threads threads: the upper
-	// bound of its cost over Threads. 0 is no bound.
+	Verbs  []string // the statement's verb has to be one of these
+	Tables []string // patterns, one of which has to match a table that is read or written; * matches any characters
+	// CostMS limits the estimated run time of the statement when it runs alone on Threads threads, which is the upper
+	// bound of its cost divided by Threads. It is in milliseconds; 0 means no limit.
 	CostMS  float64
-	Threads int // 0: those of the class
+	Threads int // 0 for the threads of the class
 }
 
-// Verbs that always write, verbs that never do, and all that rules may name.
+// Verbs that always write, verbs that never write, and all verbs that rules may name.
 var (
 	writingVerbs = []string{"insert", "update", "delete", "merge", "truncate", "create", "alter", "drop", "call", "do",
 		"execute"}
@@ -27,10 +27,10 @@
 		"vacuum", "refresh", "lock", "grant", "revoke", "comment"}, writingVerbs, readingVerbs)
 )
 
-// AlwaysWrites returns whether all statements of a verb write.
+// AlwaysWrites reports whether every statement with the given verb writes.
 func AlwaysWrites(verb string) bool { return slices.Contains(writingVerbs, strings.ToLower(verb)) }
 
-// New checks rules against the classes. An error names the key of the faulty rule.
+// New checks the rules against the classes and compiles them. An error names the key of the invalid rule.
 func New(rules []Rule, classes []Class) (*Rules, error) {
 	r := &Rules{classes: classes}
 	for i, rule := range rules {
@@ -43,7 +43,7 @@
 	return r, nil
 }
 
-// compile checks a rule, whose key is for errors.
+// compile checks and compiles a rule. The key of the rule is used in errors.
 func compile(rule Rule, classes []Class, key string) (compiledRule, error) {
 	index := slices.IndexFunc(classes, func(c Class) bool { return c.Name == rule.Class })
 	if index < 0 {
@@ -60,7 +60,7 @@
 	for i, pattern := range rule.Tables {
 		rule.Tables[i] = strings.ToLower(pattern)
 		if _, err := path.Match(rule.Tables[i], ""); err != nil {
-			return compiledRule{}, fmt.Errorf("%s.tables[%d]: %q is no pattern", key, i, rule.Tables[i])
+			return compiledRule{}, fmt.Errorf("%s.tables[%d]: %q is not a valid pattern", key, i, rule.Tables[i])
 		}
 	}
 	if rule.CostMS < 0 || rule.Threads < 0 {
@@ -72,15 +72,16 @@
 	return compiledRule{rule, index}, nil
 }
 
-// checkVerb checks that statements of a verb, in lower case, may be of a class.
+// checkVerb returns an error if a rule for the class may not name the verb, which is in lower case.
 func checkVerb(verb string, class Class, key string) error {
 	switch {
 	case !slices.Contains(knownVerbs, verb):
 		return fmt.Errorf("%s: unknown verb %q", key, verb)
 	case class.LocksTables && slices.Contains(readingVerbs, verb):
-		return fmt.Errorf("%s: %q only reads, and class %q loads", key, verb, class.Name)
+		return fmt.Errorf("%s: verb %q never writes, but class %q is for statements that write", key, verb, class.Name)
 	case !class.LocksTables && slices.Contains(writingVerbs, verb):
-		return fmt.Errorf("%s: %q writes, and class %q does not load", key, verb, class.Name)
+		return fmt.Errorf("%s: verb %q always writes, but class %q is for statements that do not write",
+			key, verb, class.Name)
 	}
 	return nil
 }
--- a/statement/shape/context.go
+++ b/statement/shape/context.go
@@ -6,7 +6,7 @@
 	"chutechute/statement/lex"
 )
 
-// isWord returns whether a token is a certain word, which is given in lower case.
+// isWord reports whether a token is the given word, which is in lower case.
 func (n *Normalizer) isWord(token lex.Token, word string) bool {
 	if token.Kind != lex.Word || token.End-token.Start != len(word) {
 		return false
@@ -19,7 +19,8 @@
 	return true
 }
 
-// followsOperand returns whether the previous token ends an operand, so that a sign behind it is an operator.
+// followsOperand reports whether the previous token ends an operand. If it does, a plus or minus after it is a binary
+// operator and not a sign.
 func (n *Normalizer) followsOperand() bool {
 	switch n.previous.Kind {
 	case lex.QuotedIdentifier, lex.String, lex.Number, lex.Parameter:
@@ -37,10 +38,10 @@
 	return false
 }
 
-// maxWordBeforeOperand is the length, in bytes, that no word of wordsBeforeOperand exceeds.
+// maxWordBeforeOperand is an upper bound, in bytes, of the length of the words in wordsBeforeOperand.
 const maxWordBeforeOperand = 16
 
-// wordsBeforeOperand are the words behind which an operand begins.
+// wordsBeforeOperand are the words that are followed by an operand.
 var wordsBeforeOperand = func() map[string]bool {
 	words := map[string]bool{}
 	for word := range strings.FieldsSeq(`select where and or not on when then else case between in like ilike limit
@@ -52,7 +53,8 @@
 	return words
 }()
 
-// appendSpace appends the space before a token: none behind an opening bracket, around a dot or before a semicolon.
+// appendSpace appends the space that precedes a token in the shape. There is none after an opening bracket, around a
+// dot or before a semicolon.
 func (n *Normalizer) appendSpace(token lex.Token) {
 	if len(n.Shape) == 0 {
 		return
--- a/statement/shape/normalizer.go
+++ b/statement/shape/normalizer.go
@@ -1,9 +1,9 @@
-// Package shape normalizes statements: it finds the canonical shape of a statement, which is its text with literals and
-// parameters replaced by question marks, lists of them folded, names kept, and white space, comments and the case of
-// words removed. Two statements of one shape differ only in the values that they name.
+// Package shape normalizes statements. The canonical shape of a statement is its text without comments and extra white
+// space, with words in lower case, literals and parameters replaced by question marks, and lists of these folded to
+// one. Names are kept. Statements of the same shape differ only in their values.
 //
-// A shape is itself a statement, and its own shape. It is found from the tokens alone, in time linear in the length of
-// the text, and without allocation once the buffers have grown.
+// A shape is itself a statement, and normalizing it yields the same shape. Normalization works on tokens only, takes
+// time linear in the length of the text, and does not allocate once the buffers have grown.
 package shape
 
 import (
@@ -14,40 +14,39 @@
 	"chutechute/statement/lex"
 )
 
-// Value is a value that was taken out of the text: one literal or parameter, or a folded list of them. Values
-// stand in the order of the question marks of the shape.
+// Value is a value that a question mark of the shape replaces: a literal, a parameter or a folded list of these.
 type Value struct {
-	Kind       lex.Kind // of the first, where it is a list
-	Negative   bool     // whether the signs before it make it negative
-	Start, End int      // byte offsets in the text; of the first, where it is a list
-	Count      int      // the number of values in the list; 1 for a single one
+	Kind       lex.Kind // kind of the value, or of the first one in a list
+	Negative   bool     // whether the signs before the value make it negative
+	Start, End int      // byte offsets in the text of the value, or of the first one in a list
+	Count      int      // number of values in the list; 1 for a single value
 }
 
-// Normalizer finds the shapes of statements, one after another. The zero value is ready for use. Its fields describe
-// the last statement.
+// Normalizer determines the shapes of statements, one after another. The zero value is ready for use. Its exported
+// fields describe the last statement.
 type Normalizer struct {
 	Text         string
 	Shape        []byte  // valid until the next Normalize
-	Values       []Value // valid until the next Normalize
-	RowCount     int     // the rows of the VALUES lists, folded or not
-	ErrorMessage string  // what is wrong with the token at ErrorOffset; empty without an error
-	ErrorOffset  int     // a byte offset in Text
+	Values       []Value // in the order of the question marks in Shape; valid until the next Normalize
+	RowCount     int     // number of rows in VALUES lists, including those that were folded
+	ErrorMessage string  // describes the error in the token at ErrorOffset; empty without an error
+	ErrorOffset  int     // byte offset in Text
 
 	lexer     lex.Lexer
 	previous  lex.Token // the last token processed
-	signStart int       // offset in Shape of the signs that may belong to the next value; noSign without any
+	signStart int       // offset in Shape of the signs that the next value may have; noSign without any
 	list      valueList
 	rows      valuesRows
 }
 
-// noSign is the offset of the signs where there are none.
+// noSign is the value of signStart if there are no signs.
 const noSign = -1
 
-// maxRetainedCapacity is the largest capacity of a buffer that is retained for the next statement, in bytes or values.
+// maxRetainedCapacity is the largest capacity, in bytes or values, of a buffer that is reused for the next statement.
 const maxRetainedCapacity = 64 << 10
 
-// Normalize finds the shape of a statement. It returns false where a token can't be scanned: ErrorMessage and
-// ErrorOffset describe the error, and Shape holds what precedes it.
+// Normalize determines the shape of a statement. It returns false if a token is invalid. ErrorMessage and ErrorOffset
+// then describe the error, and Shape is the shape of the text before that token.
 func (n *Normalizer) Normalize(text string) bool {
 	if cap(n.Shape) > maxRetainedCapacity || cap(n.Values) > maxRetainedCapacity {
 		n.Shape, n.Values = nil, nil
@@ -72,7 +71,7 @@
 	}
 }
 
-// Fingerprint returns the 64-bit xxHash of the shape. It is the same in all processes and versions.
+// Fingerprint returns the 64-bit xxHash of the shape. It is the same in all processes and versions of the program.
 func (n *Normalizer) Fingerprint() uint64 { return xxhash.Sum64(n.Shape) }
 
 // trimSemicolons removes the semicolons at the end of the shape.
@@ -80,9 +79,9 @@
 	n.Shape = bytes.TrimRight(n.Shape, " ;")
 }
 
-// appendValue replaces a literal or a parameter, and the signs before it, by a question mark.
+// appendValue appends a question mark for a literal or a parameter and removes the signs before it.
 func (n *Normalizer) appendValue(token lex.Token) {
-	if token.Kind == lex.String && n.previous.Kind == lex.String { // adjacent string literals are one
+	if token.Kind == lex.String && n.previous.Kind == lex.String { // adjacent string literals form one
 		n.Values[len(n.Values)-1].End = token.End
 		return
 	}
@@ -93,12 +92,12 @@
 	}
 	n.signStart = noSign
 	n.Values = append(n.Values, value)
-	n.list.length++
+	n.list.valueCount++
 	n.appendSpace(token)
 	n.Shape = append(n.Shape, '?')
 }
 
-// appendOther appends any other token.
+// appendOther appends a token that is neither a literal nor a parameter.
 func (n *Normalizer) appendOther(token lex.Token) {
 	signStart := noSign
 	switch token.Kind {
@@ -126,15 +125,15 @@
 	n.signStart = signStart
 }
 
-// appendVerbatim appends a token as it is in the text.
+// appendVerbatim appends a token unchanged.
 func (n *Normalizer) appendVerbatim(token lex.Token) {
 	n.list.open = false
 	n.appendSpace(token)
 	n.Shape = append(n.Shape, n.Text[token.Start:token.End]...)
 }
 
-// signStartOf returns the offset in Shape of the signs that end with the plus or minus just appended, including the
-// space before them. It is noSign where that is an operator between two operands.
+// signStartOf returns the offset in Shape of the sequence of signs that ends with the plus or minus just appended,
+// including the space before it. It returns noSign if the token is a binary operator.
 func (n *Normalizer) signStartOf(token lex.Token) int {
 	if n.signStart >= 0 {
 		return n.signStart
@@ -163,7 +162,7 @@
 		n.closeRow()
 	case ',':
 		n.Shape = append(n.Shape, ',')
-	case '-', '+': // may be the sign of a value in a list, which stays open
+	case '-', '+': // does not end a list, since it may be the sign of a value
 		n.appendSpace(token)
 		n.Shape = append(n.Shape, c)
 	default:
