--- a/statement/estimate/bound.go
+++ b/statement/estimate/bound.go
@@ -2,22 +2,24 @@
 
 import "math"
 
-// updateBound moves the bound by the Robbins-Monro rule for a quantile: far up by an error above it, and a little down
-// by any other, so that a share of exceedanceRate ends above it.
+// updateBound updates the upper bound by the Robbins-Monro rule for a quantile. An error above the bound raises it by a
+// large step and any other error lowers it by a small one, so that a fraction of exceedanceRate lies above it in the
+// long run.
 func (m *Model) updateBound(err, weight float64) {
-	step := weight * boundStep * m.typicalError
+	step := weight * boundStep * m.meanAbsError
 	if err > m.boundWidth {
 		m.boundWidth += step
 	} else {
 		descent := max(exceedanceRate/(1-exceedanceRate), initialDescent/(m.measurements+2))
-		m.boundWidth = max(2*minTypicalError, m.boundWidth-step*descent)
+		m.boundWidth = max(2*minMeanAbsError, m.boundWidth-step*descent)
 	}
 }
 
-// clipOutlier limits an error to outlierThreshold typical errors. Outliers that come in a row on one side are taken
-// for a change of the cost instead, which the model then learns fast.
+// clipOutlier limits an error to outlierThreshold mean absolute errors. A run of outlierRunLength outliers with the
+// same sign is taken for a change of the cost: from then on, the errors of the run are not limited, and each of them
+// raises the variance, so that the model adapts quickly.
 func (m *Model) clipOutlier(err float64) float64 {
-	limit := outlierThreshold * m.typicalError
+	limit := outlierThreshold * m.meanAbsError
 	switch {
 	case m.measurements < minOutlierHistory || math.Abs(err) <= limit:
 		m.outlierRun = 0
--- a/statement/estimate/categories.go
+++ b/statement/estimate/categories.go
@@ -1,13 +1,13 @@
 package estimate
 
-// category is a frequent value of a categorical feature.
+// category is a tracked value of a categorical feature.
 type category struct {
-	hash   uint32  // of the value; 0 in an unused entry
-	count  float32 // how often it came, decayed
-	offset float32 // that is added to the log
+	hash   uint32  // hash of the value; 0 in an unused entry
+	count  float32 // number of occurrences, decayed
+	offset float32 // offset that is added to the predicted log
 }
 
-// findCategory returns the entry of a value of a categorical feature; nil where it is not tracked.
+// findCategory returns the entry of a value of the i-th categorical feature, or nil if the value is not tracked.
 func (m *Model) findCategory(i int, hash uint32) *category {
 	if hash == 0 {
 		return nil
@@ -20,8 +20,9 @@
 	return nil
 }
 
-// updateCategory learns the offset of a value of a categorical feature. A value that is not tracked replaces the least
-// frequent one once it has come often enough, as in the space-saving sketch (Metwally, Agrawal and El Abbadi, 2005).
+// updateCategory updates the offset of a value of the i-th categorical feature. A value that is not tracked replaces
+// the least frequent one after untracked values have occurred often enough, similar to the Space-Saving algorithm
+// (Metwally, Agrawal and El Abbadi, 2005).
 func (m *Model) updateCategory(i int, hash uint32, err, weight float64) {
 	if hash == 0 {
 		return
--- a/statement/estimate/estimate.go
+++ b/statement/estimate/estimate.go
@@ -1,8 +1,8 @@
-// Package estimate estimates what statements cost and learns it from what they turn out to cost.
+// Package estimate estimates the cost and the memory of statements and learns them from measurements.
 //
-// A Model belongs to one shape of statements and one quantity, cost or memory. It predicts from the values that a
-// statement names, since a shape may be cheap with some values and expensive with others, and gives an upper bound
-// that widens where measurements disagree. The package does no I/O and reads no clock.
+// A Model belongs to one shape of statements and one quantity, cost or memory. It predicts the quantity from the values
+// in a statement, since a shape may be cheap with some values and expensive with others. Its upper bound widens if
+// measurements vary. The package does no I/O and reads no clock.
 package estimate
 
 import "math"
@@ -11,11 +11,11 @@
 // cost, MB for memory.
 type Estimate struct {
 	Value      float64
-	UpperBound float64 // the upper bound
+	UpperBound float64 // estimated to be exceeded by few measurements
 }
 
-// minQuantity is the least quantity, since none is nothing.
+// minQuantity is the smallest quantity. It keeps logs finite.
 const minQuantity = 1e-3
 
-// clampedLog returns the log of a quantity, which counts as minQuantity where it is less.
+// clampedLog returns the log of a quantity, or that of minQuantity if the quantity is smaller.
 func clampedLog(x float64) float64 { return math.Log(max(x, minQuantity)) }
--- a/statement/estimate/features.go
+++ b/statement/estimate/features.go
@@ -9,21 +9,21 @@
 	"chutechute/statement/shape"
 )
 
-// Limits of the features of one shape.
+// Maximum numbers of features of a shape.
 const (
 	MaxNumbers    = 4
 	MaxCategories = 2
 )
 
-// Features are what a model predicts from: numbers, which are NaN where a value is not known, and hashes of
-// categorical values, which are 0 there.
+// Features are the inputs of a model's prediction: numbers, which are NaN if unknown, and hashes of categorical values,
+// which are 0 if unknown.
 type Features struct {
 	Numbers    [MaxNumbers]float64
 	Categories [MaxCategories]uint32
 }
 
-// Features returns the features of one statement of the plan's shape, by its text, its values and the rows of its
-// VALUES lists. It allocates nothing.
+// Features returns the features of a statement of the plan's shape from its text, its values and the number of rows in
+// its VALUES lists. It does not allocate.
 func (p *FeaturePlan) Features(text string, values []shape.Value, rowCount int) (f Features) {
 	for i := range f.Numbers {
 		f.Numbers[i] = math.NaN()
--- a/statement/estimate/latency.go
+++ b/statement/estimate/latency.go
@@ -1,16 +1,17 @@
 package estimate
 
-// MaxSlowdown is the largest slowdown at which a latency still tells of the cost of its query. Beyond it the latency
-// says more of the other queries than of this one.
+// MaxSlowdown is the largest slowdown at which the latency of a query is used to estimate its cost. Above it, the
+// latency depends more on the other queries than on this one.
 const MaxSlowdown = 2.0
 
-// WorkFromLatency returns the work, in milliseconds on one core, that a served attempt's latency indicates, and the
-// weight of that, above 0 and at most 1. ok is false where the latency tells nothing.
+// WorkFromLatency estimates the work of a served attempt, in milliseconds on one core, from its latency. The weight is
+// the reliability of the estimate, above 0 and at most 1. ok is false if the latency cannot be used.
 //
-// Responses don't report costs. An attempt that runs alone keeps its threads busy for its whole latency, so its
-// work is the latency times the threads. Under load it also waits for others. The slowdown, which is the ratio of
-// latency to estimate of its class and engine over the best such ratio, removes that on average but not for each
-// query. So the weight falls with its square, and it is 0 where load dominates.
+// Responses don't report costs. An attempt that runs alone keeps its threads busy for its whole latency, so its work is
+// the latency times the number of threads. Under load, the latency also includes waiting for other queries. The
+// slowdown is the current ratio of latency to estimate for the class and engine, relative to the best such ratio.
+// Dividing by it removes the waiting on average, but not for each single query. So the weight decreases with the square
+// of the slowdown, and the latency is not used if load dominates.
 func WorkFromLatency(latencyMS float64, threads int, slowdown float64) (ms, weight float64, ok bool) {
 	slowdown = max(1, slowdown)
 	if latencyMS <= 0 || slowdown > MaxSlowdown {
--- a/statement/estimate/plan.go
+++ b/statement/estimate/plan.go
@@ -6,21 +6,21 @@
 	"chutechute/statement/syntax"
 )
 
-// numberKind is how a numeric feature is computed from the values of a statement.
+// numberKind defines how a numeric feature is computed from the values of a statement.
 type numberKind uint8
 
 const (
-	rangeWidth     numberKind = iota // of a range: log of 1 + the distance of its bounds
-	intervalLength                   // of an interval: log of 1 + its seconds
-	listLength                       // of a list: log of the number of its values
-	rowLimit                         // of LIMIT: log of 1 + the number
-	insertedRows                     // of VALUES: log of the number of rows
-	openBound                        // of a range open on one side: the bound itself
-	patternPrefix                    // of a LIKE pattern: bytes before its first wildcard
-	numberKinds                      // the number of kinds
+	rangeWidth     numberKind = iota // log of 1 + the distance between the bounds of a range
+	intervalLength                   // log of 1 + the length of an interval in seconds
+	listLength                       // log of the number of values in a list
+	rowLimit                         // log of 1 + the number in LIMIT
+	insertedRows                     // log of the number of rows in VALUES
+	openBound                        // the bound of a range that is open on one side
+	patternPrefix                    // number of bytes before the first wildcard of a LIKE pattern
+	numberKinds                      // number of kinds
 )
 
-// priorSlopes are the assumed effects of numeric features on the log of a cost, before any measurement.
+// priorSlopes are the effects of numeric features on the log of a cost that are assumed before any measurement.
 var priorSlopes = [numberKinds]float64{
 	rangeWidth:     0.5,
 	intervalLength: 0.5,
@@ -30,20 +30,20 @@
 	patternPrefix:  -0.2,
 }
 
-// numericFeature is a feature that is computed from one value or, for a width, from two.
+// numericFeature is a feature that is computed from one value or, for rangeWidth, from two.
 type numericFeature struct {
 	kind                   numberKind
-	valueIndex, upperIndex int // indexes of values of the statement; upperIndex is for rangeWidth
+	valueIndex, upperIndex int // indexes of values of the statement; only rangeWidth uses upperIndex
 }
 
-// FeaturePlan says which values of the statements of one shape are features.
+// FeaturePlan defines which values of the statements of one shape are used as features.
 type FeaturePlan struct {
 	numbers    []numericFeature
-	categories []int // indexes of the values whose frequent contents matter
+	categories []int // indexes of the values that are categorical features
 }
 
-// NewFeaturePlan returns the plan of a shape whose statements have so many values. Of the numeric features, those that
-// tell most of a cost come first, since there are at most MaxNumbers.
+// NewFeaturePlan returns the plan of a shape whose statements have valueCount values. Numeric features are added in the
+// order of their importance for the cost, since there are at most MaxNumbers.
 func NewFeaturePlan(facts *syntax.Facts, valueCount int) FeaturePlan {
 	var p FeaturePlan
 	paired := map[int]bool{}
@@ -72,8 +72,8 @@
 	return p
 }
 
-// addWidths adds the widths of ranges and the lengths of intervals. It records in paired, by index, the predicates that
-// are the two bounds of one range.
+// addWidths adds the widths of ranges and the lengths of intervals. Predicates that are together the two bounds of a
+// range are recorded in paired by their indexes.
 func (p *FeaturePlan) addWidths(predicates []syntax.Predicate, paired map[int]bool, valueCount int) {
 	for i, predicate := range predicates {
 		switch predicate.Op {
@@ -90,8 +90,8 @@
 	}
 }
 
-// findOtherBound returns the index of the first predicate before a bound that is the opposite bound of the same column
-// and not yet paired, or -1.
+// findOtherBound returns the index of the first predicate before the given one that is the opposite bound of the same
+// column and is not paired yet. It returns -1 if there is none.
 func findOtherBound(predicates []syntax.Predicate, index int, paired map[int]bool) int {
 	bound := predicates[index]
 	for i, other := range predicates[:index] {
@@ -103,22 +103,22 @@
 	return -1
 }
 
-// addNumber adds a numeric feature of one or two values, by their indexes, unless there is no such value or there are
-// MaxNumbers features.
+// addNumber adds a numeric feature that uses the values with the given indexes. It does nothing if an index is out of
+// range or if there are already MaxNumbers features.
 func (p *FeaturePlan) addNumber(kind numberKind, valueIndex, upperIndex, valueCount int) {
 	if valueIndex >= 0 && valueIndex < valueCount && upperIndex < valueCount && len(p.numbers) < MaxNumbers {
 		p.numbers = append(p.numbers, numericFeature{kind, valueIndex, upperIndex})
 	}
 }
 
-// addCategory adds a categorical feature unless there are MaxCategories.
+// addCategory adds a categorical feature unless there are already MaxCategories of them.
 func (p *FeaturePlan) addCategory(valueIndex, valueCount int) {
 	if valueIndex < valueCount && len(p.categories) < MaxCategories {
 		p.categories = append(p.categories, valueIndex)
 	}
 }
 
-// Size returns the memory that the plan refers to, in bytes.
+// Size returns the size, in bytes, of the memory that the plan refers to.
 func (p *FeaturePlan) Size() int {
 	const numberSize, categorySize = int(unsafe.Sizeof(numericFeature{})), int(unsafe.Sizeof(int(0)))
 	return numberSize*cap(p.numbers) + categorySize*cap(p.categories)
--- a/statement/estimate/regression.go
+++ b/statement/estimate/regression.go
@@ -1,9 +1,9 @@
 package estimate
 
-// updateWeights makes one step of recursive least squares.
+// updateWeights performs one step of recursive least squares.
 func (m *Model) updateWeights(x *[termCount]float64, err, weight float64) {
-	var gain [termCount]float64 // covariance times inputs, before it is divided by the noise
-	noise := 1 / weight         // variance of the measurement and of the prediction
+	var gain [termCount]float64 // covariance times inputs, not yet divided by noise
+	noise := 1 / weight         // variance of the measurement plus that of the prediction
 	for i := range gain {
 		for j := range gain {
 			gain[i] += m.covariance[i][j] * x[j]
@@ -22,32 +22,32 @@
 	}
 }
 
-// explainedError returns the part of the error that the step of least squares has removed.
+// explainedError returns the part of the error that updateWeights has removed from the prediction.
 func (m *Model) explainedError(x *[termCount]float64, err, weight float64) float64 {
-	share := 0.0
+	explained := 0.0
 	for i := range x {
 		for j := range x {
-			share += x[i] * m.covariance[i][j] * x[j]
+			explained += x[i] * m.covariance[i][j] * x[j]
 		}
 	}
-	return err * min(1, share*weight)
+	return err * min(1, explained*weight)
 }
 
-// updateCorrections moves the two knots around each number by what is left of the error.
+// updateCorrections updates the corrections at the two knots around each number by the given error.
 func (m *Model) updateCorrections(x *[termCount]float64, err, weight float64) {
 	for i := range m.plan.numbers {
-		knot, part := knotPosition(x[i+1])
+		knot, fraction := knotPosition(x[i+1])
 		rate := correctionRate * weight * err
-		m.corrections[i][knot] += float32(rate * (1 - part))
-		m.corrections[i][knot+1] += float32(rate * part)
+		m.corrections[i][knot] += float32(rate * (1 - fraction))
+		m.corrections[i][knot+1] += float32(rate * fraction)
 	}
 }
 
-// lastKnotPosition lies just below the last knot, so that there is always a next one.
+// lastKnotPosition is just below the last knot, so that there is always a next knot.
 const lastKnotPosition = knotCount - 1.001
 
-// knotPosition returns the knot below a number and which part of the way to the next knot the number has gone.
-func knotPosition(x float64) (knot int, part float64) {
+// knotPosition returns the knot below x and the position of x between that knot and the next one, from 0 to 1.
+func knotPosition(x float64) (knot int, fraction float64) {
 	position := min(max(x/knotDistance+knotCount/2, 0), lastKnotPosition)
 	knot = int(position)
 	return knot, position - float64(knot)
--- a/statement/estimate/values.go
+++ b/statement/estimate/values.go
@@ -10,8 +10,8 @@
 	"chutechute/statement/shape"
 )
 
-// stringContent returns what stands between the quotes of a string literal, with its escapes, and any other value as
-// it stands.
+// stringContent returns the text between the quotes of a string literal, in which escapes are not decoded. For any
+// other value it returns the whole text of the value.
 func stringContent(text string, v shape.Value) string {
 	s := text[v.Start:v.End]
 	if v.Kind != lex.String {
@@ -24,10 +24,11 @@
 	return s[open+1 : len(s)-1]
 }
 
-// maxNumberLength is the length, in bytes, of the longest string that is parsed as a number.
+// maxNumberLength is the maximum length, in bytes, of a string that is parsed as a number.
 const maxNumberLength = 40
 
-// numericValue returns a value as a number; that of a date is in seconds. It is NaN for anything else.
+// numericValue returns a value as a number, a date in seconds of Unix time. It returns NaN for a value that is neither
+// a number nor a date.
 func numericValue(text string, v shape.Value) float64 {
 	if v.Kind == lex.Parameter {
 		return math.NaN()
@@ -51,7 +52,7 @@
 	return x
 }
 
-// parseDate parses YYYY-MM-DD, also with HH:MM or HH:MM:SS behind it, and returns it in seconds of Unix time.
+// parseDate parses a date of the form YYYY-MM-DD, optionally followed by HH:MM or HH:MM:SS, as seconds of Unix time.
 func parseDate(s string) (float64, bool) {
 	if len(s) < 10 || s[4] != '-' || s[7] != '-' {
 		return 0, false
@@ -60,17 +61,17 @@
 	if year < 0 || month < 1 || day < 1 || month > 12 || day > 31 {
 		return 0, false
 	}
-	at := float64(time.Date(year, time.Month(month), day, 0, 0, 0, 0, time.UTC).Unix())
+	seconds := float64(time.Date(year, time.Month(month), day, 0, 0, 0, 0, time.UTC).Unix())
 	if len(s) >= 16 && s[13] == ':' {
-		at += float64(max(0, parseDigits(s[11:13]))*3600 + max(0, parseDigits(s[14:16]))*60)
+		seconds += float64(max(0, parseDigits(s[11:13]))*3600 + max(0, parseDigits(s[14:16]))*60)
 	}
 	if len(s) >= 19 && s[16] == ':' {
-		at += float64(max(0, parseDigits(s[17:19])))
+		seconds += float64(max(0, parseDigits(s[17:19])))
 	}
-	return at, true
+	return seconds, true
 }
 
-// parseDigits parses a number of digits alone. It returns -1 for anything else.
+// parseDigits parses a number that consists of digits only. It returns -1 for anything else.
 func parseDigits(s string) int {
 	n := 0
 	for i := range len(s) {
@@ -82,10 +83,10 @@
 	return n
 }
 
-// intervalSeconds parses an interval such as '7 days 3 hours' and returns it in seconds, without its sign. It is NaN
+// intervalSeconds parses an interval such as '7 days 3 hours' and returns its absolute value in seconds. It returns NaN
 // for anything else.
 func intervalSeconds(s string) float64 {
-	total, number := 0.0, math.NaN() // number is the one that has no unit yet
+	total, number := 0.0, math.NaN() // number waits for its unit; NaN before the first
 	for word := range strings.FieldsSeq(s) {
 		if x, err := strconv.ParseFloat(word, 64); err == nil {
 			number = x
@@ -97,13 +98,13 @@
 		}
 		total, number = total+number*unit, 0
 	}
-	if number != 0 { // a number alone, or nothing
+	if number != 0 { // a number without a unit; NaN if there was none
 		total += number
 	}
 	return math.Abs(total)
 }
 
-// unitSeconds returns a unit of intervals, in the singular, in seconds. ok is false where it is not known.
+// unitSeconds returns the length, in seconds, of a unit of time in the singular. ok is false for an unknown unit.
 func unitSeconds(unit string) (seconds float64, ok bool) {
 	const day = 24 * 3600
 	switch unit {
@@ -125,7 +126,7 @@
 	return 0, false
 }
 
-// literalPrefixLength returns how many bytes of a LIKE pattern stand before its first wildcard.
+// literalPrefixLength returns the number of bytes before the first wildcard of a LIKE pattern.
 func literalPrefixLength(s string) int {
 	if i := strings.IndexAny(s, "%_"); i >= 0 {
 		return i
