--- a/statement/accuracy_test.go
+++ b/statement/accuracy_test.go
@@ -13,7 +13,7 @@
 	"chutechute/statement/estimate"
 )
 
-// errorSample gathers q-errors: the larger of estimate over true cost and its inverse.
+// errorSample collects q-errors. A q-error is the ratio of estimate to true cost or its inverse, whichever is larger.
 type errorSample struct{ list []float64 }
 
 func (e *errorSample) add(estimate, trueCost float64) {
@@ -26,8 +26,8 @@
 	return e.list[int(q*float64(len(e.list)-1))]
 }
 
-// accuracyPhase is the errors of one stretch of the load, of the models and of three baselines, and how often the bound
-// holds.
+// accuracyPhase holds the errors of the models and of three baselines in one phase of the workload, and how often the
+// upper bound holds.
 type accuracyPhase struct {
 	name                                  string
 	model, shapeMean, classMean, reported errorSample
@@ -35,13 +35,13 @@
 	boundOverEstimate                     errorSample
 }
 
-// The load of TestAccuracy: half of the shapes come to cost three times as much half way.
+// The workload of TestAccuracy. Half way through it, the cost of half of the shapes rises to three times as much.
 const (
 	accuracyQueries     = 60_000
 	shiftAt             = accuracyQueries / 2
 	shiftFactor         = 3
-	firstOfShape        = 20    // queries of a shape that count as cold, and as just after the shift
-	queryIntervalMicros = 20000 // between two queries
+	coldQueries         = 20    // first queries of a shape, which count as cold, and first queries after the shift
+	queryIntervalMicros = 20000 // time between two queries
 )
 
 // accuracyTrial is the state of TestAccuracy.
@@ -52,7 +52,7 @@
 	templates  []*queryTemplate
 	shapeMeans map[*queryTemplate]*estimate.Mean
 	classMeans []estimate.Mean
-	queries    map[*queryTemplate]int // so far
+	queries    map[*queryTemplate]int // queries so far
 	sinceShift map[*queryTemplate]int // queries since the shift
 
 	cold, warm, afterShift, shiftLearned *accuracyPhase
@@ -89,14 +89,14 @@
 	}
 }
 
-// phaseOf returns the phase of the next query of a shape, and counts the query.
+// phaseOf returns the phase of the next query of a shape and counts the query.
 func (a *accuracyTrial) phaseOf(query int, template *queryTemplate) *accuracyPhase {
 	shifted := query >= shiftAt && template.costFactor > 1
 	phase := a.warm
 	switch {
-	case a.queries[template] < firstOfShape:
+	case a.queries[template] < coldQueries:
 		phase = a.cold
-	case shifted && a.sinceShift[template] < firstOfShape:
+	case shifted && a.sinceShift[template] < coldQueries:
 		phase = a.afterShift
 	case shifted:
 		phase = a.shiftLearned
@@ -108,7 +108,7 @@
 	return phase
 }
 
-// shapeMean returns the mean of a shape, which begins as that of its class.
+// shapeMean returns the mean of a shape. Its initial value is the mean of the class.
 func (a *accuracyTrial) shapeMean(template *queryTemplate) *estimate.Mean {
 	if a.shapeMeans[template] == nil {
 		mean := a.classMeans[template.class]
@@ -120,9 +120,9 @@
 	return a.shapeMeans[template]
 }
 
-// run completes one query, records the errors of all estimates and learns from its latency.
+// run completes one query, records the errors of all estimates and learns from the latency of the query.
 func (a *accuracyTrial) run(query int) {
-	// A few shapes are requested most.
+	// The distribution is skewed: a few shapes make up most of the queries.
 	template := a.templates[int(float64(len(a.templates))*math.Pow(a.rng.Float64(), 2))]
 	text, costMS := template.generate(a.rng)
 	costMS *= template.costFactor * math.Exp(0.15*a.rng.NormFloat64())
@@ -157,17 +157,18 @@
 	if classMean := &a.classMeans[template.class]; *classMean != (estimate.Mean{}) {
 		phase.classMean.add(classMean.Estimate().Value, costMS)
 	}
-	phase.reported.add(costMS*math.Exp(0.35*a.rng.NormFloat64()), costMS) // by a client that estimates closely
+	phase.reported.add(costMS*math.Exp(0.35*a.rng.NormFloat64()), costMS) // of a client with good estimates
 	phase.boundOverEstimate.add(completion.CostUpperBoundMS, completion.CostMS)
 	if costMS <= completion.CostUpperBoundMS {
 		phase.boundHolds++
 	}
 }
 
-// classThreads are the threads of the classes of newReader.
+// classThreads are the numbers of threads of newReader's classes.
 var classThreads = []int{1, 3, 2}
 
-// latency draws the latency of a query: one in three runs under load, and one in a hundred takes ten times as long.
+// latency draws the latency of a query. One in three queries runs under load, and one in a hundred takes ten times as
+// long.
 func (a *accuracyTrial) latency(class int, costMS float64) (latencyMS, slowdown float64) {
 	slowdown = 1
 	if a.rng.IntN(3) == 0 {
@@ -193,9 +194,9 @@
 	}
 }
 
-// Estimates are accurate when learned from nothing but latencies, over a load whose parameters are skewed: cold, warm,
-// and after half of the shapes have come to cost three times as much. The reported slowdown is itself only roughly
-// right, attempts under load are slowed by up to four times, and one in a hundred takes ten times its cost.
+// Estimates are accurate if they are learned from latencies only, for a workload with skewed parameters: cold, warm,
+// and after the cost of half of the shapes has risen to three times as much. The reported slowdown is inexact, load
+// slows attempts down by a factor of up to four, and one attempt in a hundred takes ten times as long.
 func TestAccuracy(t *testing.T) {
 	trial := newAccuracyTrial(t)
 	for query := range accuracyQueries {
@@ -217,7 +218,7 @@
 	assert.GreaterOrEqual(t, float64(warm.boundHolds)/float64(warm.queries), 0.95)
 }
 
-// A single outlier hardly moves an estimate, and a lasting change moves it within a few outcomes.
+// A single outlier hardly changes an estimate, and a lasting change of the cost is followed within a few outcomes.
 func TestEstimateResistsOutliersAndFollowsChanges(t *testing.T) {
 	r := newReader(t, 0)
 	complete := func() statement.Completion {
@@ -243,7 +244,7 @@
 	assert.InDelta(t, 500, complete().CostMS, 60)
 }
 
-// Without outcomes the sizes of tables tell what to expect, and without these the class does.
+// Without outcomes, estimates come from the sizes of the tables or, if these are not configured, from the class.
 func TestPriorsComeFromTableSizesThenClass(t *testing.T) {
 	r, err := statement.New(statement.Options{Classes: []statement.Class{{AssumedCostMS: 77, AssumedMemoryMB: 5}},
 		TableSizes: map[string]estimate.TableSize{"ops_1.small": {MB: 10}, "ops_1.large": {MB: 10000}}})
@@ -261,7 +262,7 @@
 	assert.InDelta(t, 77, cost("select * from ops_1.small, ops_1.other"), 0.01)
 }
 
-// Memory is learned from what clients report for the same shape.
+// Memory is learned from the values that clients report for queries of the same shape.
 func TestMemoryIsLearnedFromReports(t *testing.T) {
 	r := newReader(t, 0)
 	call := statement.Call{Text: []byte("select * from ops_1.t where a = 5"), Class: 0}
@@ -276,7 +277,8 @@
 	assert.InDelta(t, 100, c.CostMS, 1, "nothing was reported of the cost")
 }
 
-// The work of an attempt is its latency times its threads as far as load does not explain it.
+// The work of an attempt is its latency times its threads, divided by the slowdown by load. A latency under heavy load
+// is not used.
 func TestWorkDiscountsLoad(t *testing.T) {
 	ms, weight, ok := estimate.WorkFromLatency(100, 3, 1)
 	assert.True(t, ok)
--- a/statement/bench_test.go
+++ b/statement/bench_test.go
@@ -11,7 +11,7 @@
 	"chutechute/statement/classify"
 )
 
-// lookupQuery is a look-up of about 190 bytes.
+// lookupQuery is a lookup query of about 190 bytes.
 const lookupQuery = `SELECT p.seat, p.name, b.tag, f.gate FROM ops_17.passengers p JOIN ops_17.bags b USING (booking)
  JOIN ops_17.flights f ON f.id = p.flight WHERE p.booking = 'X7K2QD' AND f.day >= 20261201 LIMIT 20`
 
@@ -34,7 +34,7 @@
 	return r
 }
 
-// BenchmarkHit reads a statement whose shape is cached.
+// BenchmarkHit measures reading a statement whose shape is cached.
 func BenchmarkHit(b *testing.B) {
 	r, text := newReader(b, 0), []byte(lookupQuery)
 	_, err := r.Read(text)
@@ -46,7 +46,7 @@
 	}
 }
 
-// BenchmarkComplete finds the class, cost and memory of a statement whose shape is cached.
+// BenchmarkComplete measures completing a request without class, cost and memory whose shape is cached.
 func BenchmarkComplete(b *testing.B) {
 	r, call := newReader(b, 0), statement.Call{Text: []byte(lookupQuery), Class: -1}
 	for b.Loop() {
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkMiss reads statements of ever new shapes.
+// BenchmarkMiss measures reading statements whose shapes are all different.
 func BenchmarkMiss(b *testing.B) {
 	r, count := newReader(b, 0), 0
 	text := []byte(lookupQuery + " -- the last name differs each time\n OFFSET x0000000")
@@ -72,7 +72,7 @@
 	}
 }
 
-// BenchmarkFailure reads a statement that can't be parsed.
+// BenchmarkFailure measures reading a statement that cannot be parsed.
 func BenchmarkFailure(b *testing.B) {
 	r, text := newReader(b, 0), []byte(lookupQuery+" LIMIT LIMIT")
 	for b.Loop() {
@@ -82,7 +82,7 @@
 	}
 }
 
-// A statement of a cached shape is completed without allocation.
+// Completing a request whose shape is cached does not allocate.
 func TestHitAllocatesNothing(t *testing.T) {
 	r, call := newReader(t, 0), statement.Call{Text: []byte(lookupQuery), Class: -1}
 	_, err := r.Complete(call)
@@ -90,7 +90,7 @@
 	require.Zero(t, testing.AllocsPerRun(100, func() { _, _ = r.Complete(call) }))
 }
 
-// BenchmarkScan is the baseline: a scan of the text for the group of tables alone.
+// BenchmarkScan measures the baseline, a scan of the text for the table group only.
 func BenchmarkScan(b *testing.B) {
 	for b.Loop() {
 		if sqltext.Group(lookupQuery) != 17 {
@@ -99,15 +99,15 @@
 	}
 }
 
-// The limits of the cost of a reading, as ratios within one run: a hit takes at most three times as long as the
-// scan for the group and allocates nothing, a miss takes at most twenty times as long. It measures, so it is no
-// part of CI.
+// Reading a statement takes less than three times as long as the baseline scan if its shape is cached, and less than
+// twenty times as long otherwise. A hit does not allocate. Times are compared within one run. The test is a measurement
+// and so not part of CI.
 func TestCostBesideTheScan(t *testing.T) {
 	if os.Getenv("CHUTECHUTE_LONG") == "" {
 		t.Skip("measures: make measure")
 	}
 	fastest := func(f func(*testing.B)) (ns float64, allocs int64) {
-		for i := range 5 { // the fastest of several, since another program may have the core
+		for i := range 5 { // use the fastest run, since other programs may occupy the core
 			r := testing.Benchmark(f)
 			if duration := float64(r.NsPerOp()); i == 0 || duration < ns {
 				ns, allocs = duration, r.AllocsPerOp()
--- a/statement/cache.go
+++ b/statement/cache.go
@@ -9,19 +9,20 @@
 	"chutechute/statement/syntax"
 )
 
-// cacheEntry is what is cached of a shape: the parse and the models, never an estimate.
+// cacheEntry holds what is cached for a shape: the result of parsing and the models. Estimates are not cached.
 type cacheEntry struct {
 	shape  string
 	facts  *syntax.Facts
 	plan   estimate.FeaturePlan
-	cost   *estimate.Model // nil until something was measured
-	memory *estimate.Model // nil until something was measured
+	cost   *estimate.Model // nil until a cost was measured
+	memory *estimate.Model // nil until memory was measured
 
-	matchingRules   []uint16 // indexes of the rules that match, of the generation
-	rulesGeneration int
+	matchingRules   []uint16 // indexes of the rules that match the shape
+	rulesGeneration int      // the Reader's rulesGeneration when matchingRules was updated
 }
 
-// cacheEntryOverhead is what the cache itself needs for an entry, and what the allocator rounds up, in bytes.
+// cacheEntryOverhead is the memory, in bytes, that the cache itself uses for an entry, plus what the allocator adds by
+// rounding up.
 const cacheEntryOverhead = 256
 
 // size returns the memory that an entry takes, in bytes.
@@ -43,14 +44,14 @@
 	return size
 }
 
-// shapeCache is the cache of shapes, bounded in bytes. Its admission is W-TinyLFU's: a new shape replaces another
-// only if it was requested more often of late, so that a scan of shapes that come once evicts nothing.
+// shapeCache is a cache of shapes with a limit in bytes. Its admission policy is W-TinyLFU: a new shape replaces
+// another one only if it was requested more often recently, so a scan of shapes that occur once evicts nothing.
 //
-// A fingerprint finds an entry, and the shape itself confirms it: texts made to collide can't pass for one
-// another.
+// Entries are looked up by fingerprint, and the shape itself is compared too, so that texts crafted to have colliding
+// fingerprints are not taken for each other.
 type shapeCache struct {
 	maxBytes int
-	cache    *otter.Cache[uint64, *cacheEntry] // nil until there is a shape to cache: an idle program holds none
+	cache    *otter.Cache[uint64, *cacheEntry] // nil until the first shape, to save memory
 }
 
 // get returns the entry of a shape, or nil.
@@ -64,13 +65,13 @@
 	return nil
 }
 
-// put adds an entry, which the cache may evict at once.
+// put adds an entry. The cache may evict it at once.
 func (s *shapeCache) put(fingerprint uint64, entry *cacheEntry) {
 	if s.cache == nil {
 		s.cache = otter.Must(&otter.Options[uint64, *cacheEntry]{
 			MaximumWeight: uint64(s.maxBytes),
 			Weigher:       func(_ uint64, entry *cacheEntry) uint32 { return uint32(entry.size()) },
-			// The cache belongs to one goroutine: its maintenance runs within the calls.
+			// Maintenance runs synchronously, since the cache is used by one goroutine only.
 			Executor: func(work func()) { work() },
 		})
 	}
@@ -84,7 +85,7 @@
 	}
 }
 
-// usage returns the number of entries and their size together, in bytes.
+// usage returns the number of entries and their total size in bytes.
 func (s *shapeCache) usage() (entries, bytes int) {
 	if s.cache == nil {
 		return 0, 0
@@ -92,7 +93,7 @@
 	return s.cache.EstimatedSize(), int(s.cache.WeightedSize())
 }
 
-// resize changes the bound of the cache and evicts what exceeds it.
+// resize changes the limit of the cache and evicts what exceeds it.
 func (s *shapeCache) resize(maxBytes int) {
 	s.maxBytes = maxBytes
 	if s.cache != nil {
--- a/statement/cache_test.go
+++ b/statement/cache_test.go
@@ -12,7 +12,7 @@
 	"chutechute/statement"
 )
 
-// heapInUse returns the bytes of the heap that are in use.
+// heapInUse returns the size of the live heap in bytes.
 func heapInUse() int {
 	runtime.GC()
 	var m runtime.MemStats
@@ -20,8 +20,8 @@
 	return int(m.HeapAlloc)
 }
 
-// A scan of shapes that come once neither exceeds the bound of the cache nor evicts the shapes that come often, which
-// retain what was learned of them. CHUTECHUTE_LONG=1 scans a million.
+// A scan of shapes that occur once neither exceeds the limit of the cache nor evicts frequent shapes, which keep what
+// was learned about them. With CHUTECHUTE_LONG=1, a million shapes are scanned.
 func TestScanOfOneOffShapes(t *testing.T) {
 	scanned := 60_000
 	if os.Getenv("CHUTECHUTE_LONG") != "" {
@@ -61,14 +61,14 @@
 		maxBytes, before, half, after)
 	assert.LessOrEqual(t, c.Bytes, maxBytes)
 	assert.Less(t, after, before+2*maxBytes)
-	assert.Less(t, after, half+maxBytes/4, "flat from half way on")
+	assert.Less(t, after, half+maxBytes/4, "the heap does not grow from half way on")
 	retained := 0
 	for i := range 50 {
 		if c := completeFrequent(i); c.CostMS < 45 {
 			retained++
 		}
 	}
-	assert.GreaterOrEqual(t, retained, 45, "of 50 shapes that come often")
+	assert.GreaterOrEqual(t, retained, 45, "frequent shapes, of 50, that keep what was learned")
 	runtime.KeepAlive(r)
 }
 
@@ -86,5 +86,5 @@
 	assert.ErrorContains(t, r.Apply(statement.Options{CacheBytes: 1}), "cache_mb")
 	invalid := statement.Options{UnparsedPolicy: statement.AttemptUnparsedOnce, UnparsedClass: "x"}
 	assert.ErrorContains(t, r.Apply(invalid), "unparsed_class")
-	assert.LessOrEqual(t, r.Counts().Bytes, 64<<10, "the old options stay")
+	assert.LessOrEqual(t, r.Counts().Bytes, 64<<10, "the old options remain in force")
 }
--- a/statement/complete.go
+++ b/statement/complete.go
@@ -7,34 +7,34 @@
 	"chutechute/statement/syntax"
 )
 
-// Call is a statement with what its client has reported of it.
+// Call is the statement of a request and what the client has reported about it.
 type Call struct {
 	Text     []byte
-	Class    int     // index of the class; negative: not reported
-	Keyed    bool    // whether the call has an idempotency key
-	CostMS   float64 // work on one core, in milliseconds; 0: not reported
-	MemoryMB float64 // 0: not reported
+	Class    int     // index of the class; negative if not reported
+	Keyed    bool    // whether the request has an idempotency key
+	CostMS   float64 // work on one core, in milliseconds; 0 if not reported
+	MemoryMB float64 // 0 if not reported
 }
 
-// Completion is what is known of a call once its statement was read. What the client has reported takes precedence over
-// what was found.
+// Completion describes a request after its statement has been read. Values that the client has reported take precedence
+// over those that were derived from the statement.
 type Completion struct {
 	Class            int     // index of the class
 	CostMS           float64 // work on one core, in milliseconds
-	CostUpperBoundMS float64 // upper bound of CostMS; CostMS itself where that was reported
+	CostUpperBoundMS float64 // upper bound of CostMS; equals CostMS if that was reported
 	MemoryMB         float64
-	TableGroup       int // of tables; 0 without one
-	// NonIdempotent says that a second execution may do harm, whatever the class says.
+	TableGroup       int // 0 if the statement has none
+	// NonIdempotent is set if a second execution may do harm, whatever the effect of the class.
 	NonIdempotent bool
-	// SingleAttempt says that no second attempt may be made, even where the first is known not to have run.
+	// SingleAttempt is set if no second attempt may be made, even if the first is known not to have run.
 	SingleAttempt bool
-	// CostEstimated says that CostMS is an estimate and was not reported.
+	// CostEstimated is set if CostMS is an estimate and was not reported by the client.
 	CostEstimated bool
 
-	reading Reading // without an entry where the statement could not be parsed
+	reading Reading // without an entry if the statement could not be parsed
 }
 
-// Facts returns what the statement does; nil where it could not be parsed.
+// Facts returns the facts that were found by parsing the statement, or nil if it could not be parsed.
 func (c *Completion) Facts() *syntax.Facts {
 	if c.reading.entry == nil {
 		return nil
@@ -47,15 +47,16 @@
 	c.CostMS, c.CostUpperBoundMS, c.CostEstimated = cost.Value, cost.UpperBound, true
 }
 
-// ErrNoRule is the error of a call without a class to whose statement no rule gives one.
-var ErrNoRule = errors.New("op: not told, and no rule gives the statement a class")
+// ErrNoRule is returned for a request whose client reports no class and whose statement matches no rule.
+var ErrNoRule = errors.New("op: not reported, and no rule assigns a class to the statement")
 
-// Complete reads a call's statement and decides what its client has not reported. An error, which is ErrNoRule or a
-// *syntax.Error, is the call's response.
+// Complete reads the statement of a request and derives from it what the client has not reported. An error is ErrNoRule
+// or a *syntax.Error; it is the final answer to the request.
 //
-// A statement that changes something is Unsafe unless engines can recognize its repeat: in a keyed class, with the
-// client's key. One that can't be parsed may be such a statement, so it is Unsafe too; if its class is reported the
-// call goes on under that class, and otherwise the UnparsedPolicy decides.
+// A statement that is not idempotent makes the request NonIdempotent, unless engines can recognize its repeats: the
+// class has to be keyed and the request has to carry an idempotency key. The same goes for a statement that cannot be
+// parsed, since it may change something. Its request is served under the reported class; without one, the
+// UnparsedPolicy decides.
 func (r *Reader) Complete(call Call) (Completion, error) {
 	reading, err := r.Read(call.Text)
 	if err != nil {
@@ -82,19 +83,19 @@
 	return completion, nil
 }
 
-// completion returns a completion with what the client has reported, and the group.
+// completion returns a completion with the values that the client has reported and the given table group.
 func (c *Call) completion(group int) Completion {
 	return Completion{
 		Class: c.Class, CostMS: c.CostMS, CostUpperBoundMS: c.CostMS, MemoryMB: c.MemoryMB, TableGroup: group,
 	}
 }
 
-// recognizesRepeats returns whether engines discard repeats of a call of a class.
+// recognizesRepeats reports whether engines recognize and discard repeats of the request if it is of the given class.
 func (r *Reader) recognizesRepeats(call Call, class int) bool {
 	return call.Keyed && r.options.Classes[class].Keyed
 }
 
-// completeUnparsed completes a call whose statement can't be parsed, with the error that was found.
+// completeUnparsed completes a request whose statement cannot be parsed; err is the parser's error.
 func (r *Reader) completeUnparsed(call Call, err error) (Completion, error) {
 	completion := call.completion(scanTableGroup(string(call.Text)))
 	completion.NonIdempotent = true
@@ -104,7 +105,7 @@
 		}
 		completion.Class, completion.SingleAttempt = r.unparsedClass, true
 	} else if r.recognizesRepeats(call, completion.Class) {
-		completion.NonIdempotent = false // whatever it does, engines discard its repeat
+		completion.NonIdempotent = false // whatever the statement does, engines discard its repeats
 	}
 	if call.CostMS == 0 {
 		completion.setCost(r.costByClass[completion.Class].Estimate())
--- a/statement/corpus_test.go
+++ b/statement/corpus_test.go
@@ -14,7 +14,7 @@
 	"chutechute/statement/syntax"
 )
 
-// corpusBlock is the statements of one shape and what is expected of them.
+// corpusBlock holds statements of one shape and their expected properties.
 type corpusBlock struct {
 	line                int
 	class, verb, effect string
@@ -23,7 +23,7 @@
 	statements          []string
 }
 
-// readCorpus reads the blocks of the corpus.
+// readCorpus reads testdata/corpus.txt, which describes its format at the top.
 func readCorpus(t testing.TB) (blocks []corpusBlock) {
 	text, err := os.ReadFile("testdata/corpus.txt")
 	require.NoError(t, err)
@@ -43,10 +43,10 @@
 	return blocks
 }
 
-// classNames are the names of the classes of newReader.
+// classNames are the names of newReader's classes.
 var classNames = []string{"lookup", "report", "load"}
 
-// tableRoles returns the tables of a statement in their roles, as in the corpus.
+// tableRoles returns the tables of a statement and their roles in the notation of the corpus.
 func tableRoles(facts *syntax.Facts) string {
 	var tables []string
 	for _, table := range facts.Tables {
@@ -55,7 +55,7 @@
 	return strings.Join(tables, " ")
 }
 
-// effect returns whether a statement reads or writes, as in the corpus.
+// effect returns whether a statement reads and writes tables, in the notation of the corpus: r, w, rw or -.
 func effect(facts *syntax.Facts) string {
 	effect := ""
 	if facts.Reads {
@@ -70,11 +70,12 @@
 	return effect
 }
 
-// Each statement of the corpus has the shape, class, verb, effect, group and tables of its block.
+// Each statement of the corpus has the class, verb, effect, table group and tables of its block. All statements of a
+// block have the same shape, and different blocks have different shapes.
 func TestCorpus(t *testing.T) {
 	r := newReader(t, 0)
 	shapes := map[string]int{}
-	statements, scannedRight := 0, 0
+	statements, scanMatches := 0, 0
 	for _, b := range readCorpus(t) {
 		shape := ""
 		for _, s := range b.statements {
@@ -86,7 +87,7 @@
 			f := reading.Facts()
 			if shape == "" {
 				shape = reading.Shape()
-				assert.Zero(t, shapes[shape], "line %d has the shape of another: %s", b.line, shape)
+				assert.Zero(t, shapes[shape], "line %d has the same shape as another block: %s", b.line, shape)
 				shapes[shape] = b.line
 			}
 			assert.Equal(t, shape, reading.Shape(), "line %d: %s", b.line, s)
@@ -94,7 +95,7 @@
 			assert.Equal(t, []string{b.verb, b.effect}, []string{f.Verb, effect(f)}, s)
 			assert.Equal(t, b.group, f.TableGroup, s)
 			if sqltext.Group(s) == b.group {
-				scannedRight++
+				scanMatches++
 			}
 			class, ok := r.Classify(&reading)
 			if assert.True(t, ok, s) {
@@ -104,10 +105,10 @@
 	}
 	assert.GreaterOrEqual(t, statements, 300)
 	assert.GreaterOrEqual(t, len(shapes), 60)
-	t.Logf("%d statements of %d shapes; a scan of the text finds the group of %d", statements, len(shapes), scannedRight)
+	t.Logf("%d statements of %d shapes; a scan of the text finds the group of %d", statements, len(shapes), scanMatches)
 }
 
-// The error of a statement that can't be parsed names the place, what was expected and what was found.
+// The error of a statement that cannot be parsed has the position, what was expected and what was found.
 func TestErrorsNamePlaceAndExpectation(t *testing.T) {
 	r := newReader(t, 0)
 	for text, want := range map[string]string{
@@ -138,8 +139,9 @@
 	}
 }
 
-// A statement that changes something is unsafe to repeat unless engines recognize its repeat by the client's key.
-func TestWritesAreUnsafeWithoutKey(t *testing.T) {
+// A statement that is not idempotent makes a request non-idempotent unless engines recognize its repeats by the
+// client's idempotency key. So does a statement that cannot be parsed.
+func TestWritesAreNonIdempotentWithoutKey(t *testing.T) {
 	r := newReader(t, 0)
 	complete := func(text string, class int, keyed bool) statement.Completion {
 		c, err := r.Complete(statement.Call{Text: []byte(text), Class: class, Keyed: keyed})
@@ -151,9 +153,9 @@
 	assert.True(t, complete("insert into ops_1.t values (1)", -1, false).NonIdempotent)
 	assert.False(t, complete("insert into ops_1.t values (1)", -1, true).NonIdempotent)
 	assert.True(t, complete("insert into ops_1.t values (1)", lookup, true).NonIdempotent,
-		"no engine drops repeats of that class")
+		"engines do not discard repeats in that class")
 	assert.True(t, complete("begin", lookup, false).NonIdempotent)
-	assert.True(t, complete("selec", load, false).NonIdempotent, "unparsed, it may change something")
+	assert.True(t, complete("selec", load, false).NonIdempotent, "a statement that was not parsed may change something")
 	assert.False(t, complete("selec", load, true).NonIdempotent)
 	_, err := r.Complete(statement.Call{Text: []byte("selec"), Class: -1})
 	assert.ErrorContains(t, err, "line 1, column 1")
--- a/statement/estimates.go
+++ b/statement/estimates.go
@@ -5,15 +5,15 @@
 	"chutechute/statement/estimate"
 )
 
-// Classify returns the index of the class that the rules give a statement, and false where no rule holds.
+// Classify returns the index of the class that the rules assign to a statement. ok is false if no rule applies.
 func (r *Reader) Classify(reading *Reading) (class int, ok bool) {
 	r.updateMatchingRules(reading.entry)
 	cost := func(class int) estimate.Estimate { return r.Cost(reading, class) }
 	return r.rules.Classify(reading.entry.matchingRules, cost)
 }
 
-// Cost estimates the work of a statement as one of a class, in milliseconds on one core: by what was learned of its
-// shape, or else by the sizes of its tables, or else by the class.
+// Cost estimates the work of a statement, in milliseconds on one core. It uses the model of the statement's shape;
+// without one it uses the sizes of the tables, and if these are not known, the mean cost of the given class.
 func (r *Reader) Cost(reading *Reading, class int) estimate.Estimate {
 	if model := reading.entry.cost; model != nil {
 		return model.Predict(&reading.features)
@@ -24,7 +24,7 @@
 	return classEstimate(r.costByClass, class)
 }
 
-// Memory estimates the memory that a statement needs, in MB, in the same way.
+// Memory estimates the memory that a statement needs, in MB. It uses the same sources as Cost.
 func (r *Reader) Memory(reading *Reading, class int) estimate.Estimate {
 	if model := reading.entry.memory; model != nil {
 		return model.Predict(&reading.features)
@@ -35,7 +35,7 @@
 	return classEstimate(r.memoryByClass, class)
 }
 
-// classEstimate returns the estimate of a class; it is 0 for an index that is out of range.
+// classEstimate returns the mean of a class as an estimate, or a zero Estimate if the index is out of range.
 func classEstimate(means []estimate.Mean, class int) estimate.Estimate {
 	if class < 0 || class >= len(means) {
 		return estimate.Estimate{}
@@ -43,20 +43,20 @@
 	return means[class].Estimate()
 }
 
-// tableSizes returns the configured sizes of a table.
+// tableSizes returns the configured size of a table.
 func (r *Reader) tableSizes(name string) (estimate.TableSize, bool) {
 	sizes, ok := r.options.TableSizes[name]
 	return sizes, ok
 }
 
-// Outcome is what a served query turned out to need; 0 where that is not known.
+// Outcome is the measured cost and memory of a served query. A value of 0 means that it is not known.
 type Outcome struct {
 	CostMS   float64 // work on one core, in milliseconds
-	Weight   float64 // of CostMS, above 0 and at most 1
+	Weight   float64 // reliability of CostMS, above 0 and at most 1
 	MemoryMB float64
 }
 
-// Learn learns from the outcome of a call; now is in microseconds.
+// Learn updates the models from the outcome of a query; now is in microseconds.
 func (r *Reader) Learn(c *Completion, o Outcome, now monotime.Micros) {
 	entry := c.reading.entry
 	if entry == nil || c.Class < 0 || c.Class >= len(r.costByClass) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// learnCost learns the cost, if it is known. It returns whether the shape has a new model.
+// learnCost learns the cost if it is known. It reports whether it has added a model to the shape.
 func (r *Reader) learnCost(c *Completion, o Outcome, now monotime.Micros) (modelAdded bool) {
 	if o.CostMS <= 0 || o.Weight <= 0 {
 		return false
@@ -85,7 +85,7 @@
 	return modelAdded
 }
 
-// learnMemory learns the memory, if it is known. It returns whether the shape has a new model.
+// learnMemory learns the memory if it is known. It reports whether it has added a model to the shape.
 func (r *Reader) learnMemory(c *Completion, o Outcome, now monotime.Micros) (modelAdded bool) {
 	if o.MemoryMB <= 0 {
 		return false
--- a/statement/generatedload_test.go
+++ b/statement/generatedload_test.go
@@ -6,23 +6,24 @@
 	"math/rand/v2"
 )
 
-// queryTemplate is a shape of the generated load: how its statements are written and what they truly cost.
+// queryTemplate is a shape of the generated workload. It generates statements with their true costs.
 type queryTemplate struct {
 	class      int
 	generate   func(rng *rand.Rand) (text string, costMS float64)
-	costFactor float64 // by which the cost has changed
+	costFactor float64 // factor by which the cost has changed
 }
 
-// logUniform draws from low to high, evenly by orders of magnitude.
+// logUniform draws from the log-uniform distribution between low and high.
 func logUniform(rng *rand.Rand, low, high float64) float64 {
 	return low * math.Pow(high/low, rng.Float64())
 }
 
-// generatedShapes is the number of shapes of the generated load.
+// generatedShapes is the number of shapes of the generated workload.
 const generatedShapes = 60
 
-// generateTemplates draws shapes of five forms. Costs rise with the width of a range, the length of a list, LIMIT and
-// hot values, by exponents that differ from shape to shape; part of each cost is fixed.
+// generateTemplates draws shapes of five forms. Depending on the form, the cost rises with the width of a range, the
+// length of a list, the length of an interval and LIMIT, or the number of rows, or is higher for a hot value. Exponents
+// differ between shapes, and in all forms but the list, part of the cost is fixed.
 func generateTemplates(rng *rand.Rand) (list []*queryTemplate) {
 	for i := range generatedShapes {
 		base, power := logUniform(rng, 20, 200), 0.5+0.5*rng.Float64()
@@ -46,7 +47,7 @@
 	return list
 }
 
-// rangeQuery costs by the width of a range, over four orders of magnitude.
+// rangeQuery returns a generator of queries whose cost depends on the width of a range, over four orders of magnitude.
 func rangeQuery(table string, base, power float64) func(*rand.Rand) (string, float64) {
 	return func(rng *rand.Rand) (string, float64) {
 		low, width := rng.IntN(1e6), logUniform(rng, 1, 1e4)
@@ -55,7 +56,7 @@
 	}
 }
 
-// listQuery costs by the length of a list.
+// listQuery returns a generator of queries whose cost depends on the length of a list.
 func listQuery(table string, base, power float64) func(*rand.Rand) (string, float64) {
 	return func(rng *rand.Rand) (string, float64) {
 		length := int(logUniform(rng, 1, 300))
@@ -67,7 +68,7 @@
 	}
 }
 
-// hotValueQuery has a hot value, one time in ten, which costs thirty times as much as others.
+// hotValueQuery returns a generator of queries of which one in ten has a hot value, with thirty times the cost.
 func hotValueQuery(table string, base float64, hotValue int) func(*rand.Rand) (string, float64) {
 	return func(rng *rand.Rand) (string, float64) {
 		value, costMS := rng.IntN(1e6), base
@@ -78,7 +79,7 @@
 	}
 }
 
-// intervalQuery costs by an interval and a bound on the rows.
+// intervalQuery returns a generator of queries whose cost depends on the length of an interval and on LIMIT.
 func intervalQuery(table string, base, power float64) func(*rand.Rand) (string, float64) {
 	return func(rng *rand.Rand) (string, float64) {
 		days, limit := int(logUniform(rng, 1, 700)), int(logUniform(rng, 1, 1000))
@@ -88,7 +89,7 @@
 	}
 }
 
-// insertion costs by the rows that it writes.
+// insertion returns a generator of inserts whose cost depends on the number of rows.
 func insertion(table string, base float64) func(*rand.Rand) (string, float64) {
 	return func(rng *rand.Rand) (string, float64) {
 		rows := int(logUniform(rng, 1, 200))
--- a/statement/options.go
+++ b/statement/options.go
@@ -9,36 +9,36 @@
 	"chutechute/statement/estimate"
 )
 
-// UnparsedPolicy is what becomes of a call without a class whose statement can't be parsed.
+// UnparsedPolicy decides how a request is handled whose client reports no class and whose statement cannot be parsed.
 type UnparsedPolicy int
 
-// The policies for statements that can't be parsed.
+// The policies for statements that cannot be parsed.
 const (
-	// RejectUnparsed ends the call at once with the error.
+	// RejectUnparsed answers the request with the parser's error.
 	RejectUnparsed UnparsedPolicy = iota
-	// AttemptUnparsedOnce serves it under Options.UnparsedClass, with one attempt that is never repeated.
+	// AttemptUnparsedOnce serves the request under Options.UnparsedClass with a single attempt.
 	AttemptUnparsedOnce
 )
 
-// Class is a class of the installation.
+// Class describes a class of the installation.
 type Class struct {
 	classify.Class
 	Keyed           bool    // whether engines discard repeats that carry the same idempotency key
-	AssumedCostMS   float64 // work on one core, in milliseconds, that is assumed until some was measured
-	AssumedMemoryMB float64 // memory, in MB, that is assumed until some was measured
+	AssumedCostMS   float64 // work on one core, in milliseconds, that is assumed until a cost was measured
+	AssumedMemoryMB float64 // memory, in MB, that is assumed until memory was measured
 }
 
-// Options are an installation's settings. Limits of 0 take the defaults.
+// Options are the settings of a Reader. For a limit of 0 the default applies.
 type Options struct {
-	CacheBytes          int // of the cache of shapes
-	MaxBytes            int // of a statement that is parsed
-	MaxDepth            int // of the nesting that is parsed
+	CacheBytes          int // size of the cache of shapes
+	MaxBytes            int // maximum length of a statement; longer ones are not parsed
+	MaxDepth            int // maximum depth of nesting in a statement
 	Classes             []Class
 	Rules               []classify.Rule
 	TableSizes          map[string]estimate.TableSize // by name, in lower case
-	SideEffectFunctions []string                      // names of functions whose call changes something
+	SideEffectFunctions []string                      // names of functions that have side effects
 	UnparsedPolicy      UnparsedPolicy
-	UnparsedClass       string // for Once
+	UnparsedClass       string // name of the class for AttemptUnparsedOnce
 }
 
 // Defaults and limits of Options.
@@ -48,7 +48,7 @@
 	minCacheBytes     = 64 << 10
 )
 
-// withDefaults returns the options with defaults in place of limits of 0.
+// withDefaults returns the options with limits of 0 replaced by the defaults.
 func (o Options) withDefaults() Options {
 	if o.CacheBytes == 0 {
 		o.CacheBytes = DefaultCacheBytes
@@ -59,7 +59,7 @@
 	return o
 }
 
-// checkLimits checks the limits and returns the index of UnparsedClass, or -1 where there is no such class.
+// checkLimits checks the limits and returns the index of UnparsedClass, or -1 if there is no such class.
 func (o *Options) checkLimits() (unparsedClass int, err error) {
 	if o.CacheBytes < minCacheBytes || o.MaxBytes < 0 || o.MaxDepth < 0 {
 		return -1, errors.New("cache_mb, max_bytes or max_depth: out of range")
@@ -76,7 +76,7 @@
 	return unparsedClass, nil
 }
 
-// compileRules checks the rules against the classes.
+// compileRules checks the rules against the classes and compiles them.
 func (o *Options) compileRules() (*classify.Rules, error) {
 	classes := make([]classify.Class, len(o.Classes))
 	for i, class := range o.Classes {
@@ -85,7 +85,7 @@
 	return classify.New(o.Rules, classes)
 }
 
-// sameClasses returns whether two lists have classes of the same names in the same order.
+// sameClasses reports whether two lists have classes of the same names in the same order.
 func sameClasses(a, b []Class) bool {
 	return slices.EqualFunc(a, b, func(x, y Class) bool { return x.Name == y.Name })
 }
--- a/statement/property_test.go
+++ b/statement/property_test.go
@@ -19,8 +19,8 @@
 	"chutechute/statement/syntax"
 )
 
-// rewrite writes a text's tokens with other values, white space, comments and letter case, none of which affects the
-// shape.
+// rewrite returns a statement with the same tokens but other values, white space, comments and letter case, none of
+// which affects the shape.
 func rewrite(t *rapid.T, text string) string {
 	gaps := rapid.SampledFrom([]string{" ", "\n", "\t ", " /* from ops_99.x */ ", " -- ops_98.y\n",
 		" /* a /* b */ 'c */ "})
@@ -47,14 +47,14 @@
 	return b.String()
 }
 
-// shapeOf returns the shape of a text.
+// shapeOf returns the shape of a statement.
 func shapeOf(t require.TestingT, text string) string {
 	var s shape.Normalizer
 	require.True(t, s.Normalize(text), "%s: %s", s.ErrorMessage, text)
 	return string(s.Shape)
 }
 
-// expression draws an expression of bounded depth.
+// expression draws a random expression of limited depth.
 func expression(t *rapid.T, depth int) string {
 	if depth == 0 {
 		return rapid.SampledFrom([]string{"a", "t.b", "1", "'x'", "-2", "now()", "null", "\"C\"", "?"}).Draw(t, "leaf")
@@ -83,7 +83,7 @@
 	return e()
 }
 
-// query draws a statement.
+// query draws a random statement.
 func query(t *rapid.T) string {
 	e := func() string { return expression(t, rapid.IntRange(0, 2).Draw(t, "depth")) }
 	condition := rapid.SampledFrom([]string{"a in (1, 2, 3)", "a between 1 and 2", "b like 'x%'", "a is distinct from 4",
@@ -102,8 +102,8 @@
 	return "select " + e() + ", " + e() + " from ops_4.t where " + condition + " group by " + e() + " limit 10"
 }
 
-// Literals, white space, comments and the case of words never affect a shape, and a shape parses to itself: to the same
-// shape, tables and verb.
+// Values, white space, comments and the case of words do not affect the shape. A shape is itself a statement, with the
+// same shape, tables and verb.
 func TestShapeIgnoresValuesAndLayout(t *testing.T) {
 	var p syntax.Parser
 	check := func(t *rapid.T, text string) {
@@ -130,7 +130,8 @@
 	})
 }
 
-// FuzzRead reads any text: it must not panic, and what can be read has a shape that is its own.
+// FuzzRead reads arbitrary text. Reading must not panic, the table group must be the same with and without parsing, and
+// the shape of a shape must be the shape itself.
 func FuzzRead(f *testing.F) {
 	for _, b := range readCorpus(f) {
 		f.Add(b.statements[0])
@@ -155,7 +156,7 @@
 	})
 }
 
-// Random sequences of tokens are read without panic; they reach further into the grammar than random bytes.
+// Random sequences of tokens are read without panic. They reach deeper into the grammar than random bytes.
 func TestRandomTokensAreRead(t *testing.T) {
 	pieces := strings.Fields(`select from where and or not in ( ) ( ) , . ; * = < > - + :: [ ] 'x' 1 ? $1 :n "q"
 		ops_1.t a b as with recursive values insert into update set delete using merge when matched then case else
@@ -177,16 +178,16 @@
 	assert.Positive(t, read)
 }
 
-// The time of a reading grows no faster than the text: eight times the text takes far less than 64 times as long,
-// however the text is made. It is this thread's own time on a core: beside other work a long reading is set aside
-// more often than a short one, which by the clock on the wall looked like 52 times as long.
+// Reading a statement takes linear time: a text of eight times the length takes far less than 64 times as long,
+// whatever it consists of. The test measures the CPU time of its thread. In wall-clock time the factor was 52 on a busy
+// machine, since long readings are preempted more often than short ones.
 func TestReadingTakesLinearTime(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	threadTime := func() time.Duration {
-		var at unix.Timespec
-		require.NoError(t, unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &at))
-		return time.Duration(at.Nano())
+		var cpuTime unix.Timespec
+		require.NoError(t, unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &cpuTime))
+		return time.Duration(cpuTime.Nano())
 	}
 	fastest := func(text string) time.Duration {
 		duration := time.Duration(math.MaxInt64)
@@ -225,7 +226,7 @@
 			n := 700
 			small, large := head+strings.Repeat(piece, n), head+strings.Repeat(piece, 8*n)
 			ratio := float64(fastest(large)) / float64(fastest(small)+20*time.Microsecond)
-			assert.Less(t, ratio, 32.0, fmt.Sprintf("%s behind %q", name, head))
+			assert.Less(t, ratio, 32.0, fmt.Sprintf("%s after %q", name, head))
 		}
 	}
 }
--- a/statement/reader.go
+++ b/statement/reader.go
@@ -1,10 +1,10 @@
-// Package statement reads bare statements: it finds their class, what they cost and need, and the group of tables
-// that they read, so that a query can be scheduled whose client has reported none of that. Statements of one shape are
-// parsed once; how their values affect the cost is learned from outcomes.
+// Package statement derives the class, the cost, the memory and the table group of a query from its statement, so that
+// the query can be scheduled even if its client has reported none of them. Statements of the same shape are parsed
+// once; the effect of their values on the cost is learned from outcomes.
 //
-// The package decides the class, the estimates and what a statement that can't be parsed may do. It leaves the
+// The package decides the class, the estimates and how a statement that cannot be parsed is handled. It leaves the
 // choice of an engine, retries and rejections to package scheduler. It does no I/O, reads no clock and starts no
-// goroutine. A Reader belongs to one goroutine.
+// goroutine. A Reader must be used by one goroutine only.
 package statement
 
 import (
@@ -19,12 +19,12 @@
 	"chutechute/statement/syntax"
 )
 
-// Reader reads statements and learns what they cost. Use New.
+// Reader reads statements and learns their cost and memory. It is created by New.
 type Reader struct {
 	options         Options
-	unparsedClass   int // index of Options.UnparsedClass
+	unparsedClass   int // index of Options.UnparsedClass; -1 without one
 	rules           *classify.Rules
-	rulesGeneration int // counts the changes of the rules
+	rulesGeneration int // number of times that the rules were replaced
 	cache           shapeCache
 	normalizer      shape.Normalizer
 	parser          syntax.Parser
@@ -35,15 +35,15 @@
 
 // Counts are the counters of a reader.
 type Counts struct {
-	Hits     int // statements of a cached shape
+	Hits     int // statements whose shape was cached
 	Misses   int // statements that were parsed
 	Failures int // statements that could not be parsed
-	Learned  int // outcomes learned from
-	Shapes   int // in the cache now
-	Bytes    int // in the cache now
+	Learned  int // outcomes that were learned from
+	Shapes   int // number of shapes in the cache
+	Bytes    int // size of the cached shapes
 }
 
-// New returns a reader. An error names the key of the invalid option.
+// New returns a reader with the given options. An error names the key of the invalid option.
 func New(o Options) (*Reader, error) {
 	r := &Reader{}
 	if err := r.Apply(o); err != nil {
@@ -52,8 +52,8 @@
 	return r, nil
 }
 
-// Apply replaces the options, all of them or, with an error, none. The error names the key of the invalid option. What
-// was learned of shapes stays; so does what was learned of classes, if they are the same.
+// Apply replaces all options. If it returns an error, which names the key of the invalid option, it has changed none.
+// What was learned about shapes is kept, and what was learned about classes too if the classes are the same.
 func (r *Reader) Apply(o Options) error {
 	o = o.withDefaults()
 	unparsedClass, err := o.checkLimits()
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// resetMeans discards what was learned of classes.
+// resetMeans replaces what was learned about classes by their assumed costs and memory.
 func (r *Reader) resetMeans(classes []Class) {
 	r.costByClass, r.memoryByClass = nil, nil
 	for _, class := range classes {
@@ -83,26 +83,27 @@
 	}
 }
 
-// Reading is one statement that was read. It stays valid while the reader goes on.
+// Reading is the result of reading one statement. It remains valid when the reader reads other statements.
 type Reading struct {
 	entry       *cacheEntry
 	fingerprint uint64
 	features    estimate.Features
 }
 
-// Facts returns what the statement does. All statements of the shape share it, so it must not be changed.
+// Facts returns the facts that were found by parsing. All statements of the shape share them, so they must not be
+// modified.
 func (r *Reading) Facts() *syntax.Facts { return r.entry.facts }
 
 // Shape returns the statement's canonical shape.
 func (r *Reading) Shape() string { return r.entry.shape }
 
-// Fingerprint returns the fingerprint of the shape, which is the same in all processes and versions.
+// Fingerprint returns the fingerprint of the shape. It is the same in all processes and versions of the program.
 func (r *Reading) Fingerprint() uint64 { return r.fingerprint }
 
-// Read reads a statement. If its shape is cached, that takes one pass over the text and no allocation. An error is a
-// *syntax.Error, with the place in the text.
+// Read reads a statement. If its shape is cached, this takes one pass over the text and does not allocate. An error is
+// a *syntax.Error, which has the position in the text.
 func (r *Reader) Read(text []byte) (Reading, error) {
-	// The text is not retained: a shape has a copy without its values, which the parser reads.
+	// The conversion is safe because the text is not retained: the parser reads the shape, which is a copy.
 	s := unsafe.String(unsafe.SliceData(text), len(text))
 	if len(s) > r.options.MaxBytes {
 		r.counts.Failures++
@@ -131,8 +132,8 @@
 	return reading, nil
 }
 
-// parse parses the shape that was normalized. Where that fails the text itself is parsed, which gives the place of the
-// error.
+// parse parses the shape in the normalizer. If that fails, it parses the text itself, so that an error has its position
+// in the text.
 func (r *Reader) parse(text string) (*cacheEntry, error) {
 	canonical := string(r.normalizer.Shape)
 	facts, err := r.parser.Parse(canonical)
@@ -140,7 +141,7 @@
 		if facts, err = r.parser.Parse(strings.Clone(text)); err != nil {
 			return nil, err
 		}
-		// Legal with its values and not without them: their indexes in the shape are not known.
+		// The text is valid, but its shape is not. So the positions of its values among those of the shape are unknown.
 		facts.Predicates, facts.LimitValue, facts.OffsetValue = nil, -1, -1
 	}
 	for _, name := range facts.Functions {
@@ -152,15 +153,15 @@
 	return entry, nil
 }
 
-// updateMatchingRules finds the rules that match a shape, once for each generation of rules.
+// updateMatchingRules updates the cached list of the rules that match a shape if the rules have been replaced.
 func (r *Reader) updateMatchingRules(entry *cacheEntry) {
 	if entry.rulesGeneration != r.rulesGeneration {
 		entry.matchingRules, entry.rulesGeneration = r.rules.Matching(entry.facts), r.rulesGeneration
 	}
 }
 
-// TableGroup returns the group of the tables that a statement names, and 0 where it names none. A statement that
-// can't be parsed is searched for the words that tables follow.
+// TableGroup returns the table group of a statement, or 0 if it has none. A statement that cannot be parsed is scanned
+// for table names instead.
 func (r *Reader) TableGroup(text []byte) int {
 	reading, err := r.Read(text)
 	if err != nil {
--- a/statement/tablegroup.go
+++ b/statement/tablegroup.go
@@ -7,8 +7,8 @@
 	"chutechute/statement/syntax"
 )
 
-// scanTableGroup returns the group of a text that can't be parsed: that of the first name behind a word that tables
-// follow or, without one, of the first qualified name. Strings and comments don't count.
+// scanTableGroup returns the table group of a text that cannot be parsed: that of the first name that has one and that
+// keywords mark as a table, or else that of the first qualified name that has one. Strings and comments are skipped.
 func scanTableGroup(text string) int {
 	scanner := groupScanner{lexer: lex.Lexer{Text: text, Lenient: true}}
 	scanner.next()
@@ -20,19 +20,19 @@
 	return scanner.fallback
 }
 
-// groupScanner searches a text for the names of tables.
+// groupScanner searches a text for table names.
 type groupScanner struct {
 	lexer       lex.Lexer
 	token       lex.Token // the current token
-	tableNext   bool      // whether the next name is that of a table
-	inTableList bool      // whether another table may follow behind a comma
-	fallback    int       // group of the first qualified name that is not known to be a table
+	tableNext   bool      // whether the next name is a table name
+	inTableList bool      // whether another table name may follow after a comma
+	fallback    int       // group of the first qualified name that has one; 0 before
 }
 
-// next moves to the next token.
+// next advances to the next token.
 func (s *groupScanner) next() { s.token = s.lexer.Next() }
 
-// isName returns whether the current token may be a name or a keyword.
+// isName reports whether the current token may be a name or a keyword.
 func (s *groupScanner) isName() bool {
 	return s.token.Kind == lex.Word || s.token.Kind == lex.QuotedIdentifier
 }
@@ -40,7 +40,7 @@
 // tokenText returns the text of the current token.
 func (s *groupScanner) tokenText() string { return s.lexer.Text[s.token.Start:s.token.End] }
 
-// step moves behind a token or a qualified name. It returns the group of a table, if that is what it was.
+// step advances past a token or a qualified name. If that was the name of a table with a group, it returns the group.
 func (s *groupScanner) step() (group int, found bool) {
 	if !s.isName() {
 		punctuation := s.tokenText()
@@ -64,7 +64,8 @@
 	return 0, false
 }
 
-// acceptKeyword follows a word, in lower case, that says where tables stand. It returns false for any other word.
+// acceptKeyword updates the state for a keyword, given in lower case, that affects where table names are expected. It
+// returns false for any other word.
 func (s *groupScanner) acceptKeyword(word string) bool {
 	switch {
 	case wordsBeforeTables[word]:
@@ -79,7 +80,7 @@
 	return true
 }
 
-// scanName moves behind a name with its qualifiers and returns the group that its schema gives, if any.
+// scanName advances past a name and its qualifiers, and returns the table group of its schema, if any.
 func (s *groupScanner) scanName() (group int, ok bool) {
 	schema, last := lex.Token{}, s.token
 	for s.next(); s.token.Kind == lex.Operator && s.tokenText() == "."; s.next() {
@@ -94,14 +95,15 @@
 	return syntax.TableGroup(s.lexer.Text[schema.Start:schema.End])
 }
 
-// Words that tables follow, that may stand between such a word and a table, and that end a list of tables.
+// Keywords before a table name, keywords between such a keyword and the table name, and keywords that end a list of
+// tables.
 var (
 	wordsBeforeTables = wordSet("from join into update table using copy truncate merge")
 	wordsAmongTables  = wordSet("only lateral if exists not overwrite")
 	wordsEndingTables = wordSet("select where group order having limit on set values union except intersect window")
 )
 
-// wordSet returns the set of the words of a list with white space between them.
+// wordSet returns the words of a list, which are separated by white space, as a set.
 func wordSet(list string) map[string]bool {
 	set := map[string]bool{}
 	for word := range strings.FieldsSeq(list) {
--- a/statement/tablegroup_test.go
+++ b/statement/tablegroup_test.go
@@ -11,7 +11,7 @@
 	"chutechute/internal/sqltext"
 )
 
-// The group of a text that can't be parsed is that which package sqltext finds.
+// For a text that cannot be parsed, scanTableGroup finds the same table group as package sqltext.
 func TestUnparsableTextHasGroupOfTextScan(t *testing.T) {
 	text, err := os.ReadFile("testdata/corpus.txt")
 	require.NoError(t, err)
