--- a/statement/complete.go
+++ b/statement/complete.go
@@ -48,7 +48,7 @@
 }
 
 // ErrNoRule is returned for a request whose client reports no class and whose statement matches no rule.
-var ErrNoRule = errors.New("op: not reported, and no rule assigns a class to the statement")
+var ErrNoRule = errors.New("op: not told, and no rule gives the statement a class")
 
 // Complete reads the statement of a request and derives from it what the client has not reported. An error is ErrNoRule
 // or a *syntax.Error; it is the final answer to the request.
--- a/statement/lex/lexer.go
+++ b/statement/lex/lexer.go
@@ -75,7 +75,7 @@
 	case ':':
 		return l.scanColon()
 	}
-	return l.scanUnexpected(start, "an unexpected character")
+	return l.scanUnexpected(start, "a character that no token begins with")
 }
 
 // scanUnexpected handles a character that cannot begin a token. It returns an Illegal token or, if Lenient is set, the
--- a/statement/lex/literals.go
+++ b/statement/lex/literals.go
@@ -73,7 +73,7 @@
 		l.offset++
 	}
 	if l.peek(0) != '$' {
-		return l.scanUnexpected(start, "a dollar sign that begins neither a parameter nor a string")
+		return l.scanUnexpected(start, "a dollar sign that begins neither a parameter nor a text")
 	}
 	l.offset++
 	tag := l.Text[start:l.offset]
--- a/statement/syntax/ddl.go
+++ b/statement/syntax/ddl.go
@@ -23,7 +23,7 @@
 			p.facts.recordQualifiedName(p.next().text)
 		}
 	default:
-		p.failExpected("the type of the object to create")
+		p.failExpected("what is to be created")
 	}
 	p.skipUntil()
 }
@@ -68,7 +68,7 @@
 			p.facts.recordQualifiedName(p.parseName("a name"))
 		}
 	default:
-		p.failExpected("the type of the object to alter or drop")
+		p.failExpected("what is to be changed")
 	}
 	p.skipUntil()
 }
--- a/statement/syntax/names.go
+++ b/statement/syntax/names.go
@@ -46,7 +46,7 @@
 	switch t := p.current(); {
 	case p.acceptWord("as"):
 		if t := p.current(); !t.isName() && t.Kind != lex.String && t.Kind != lex.Parameter && !t.isOperator("(") {
-			p.failExpected("a name after AS")
+			p.failExpected("a name behind AS")
 		}
 		if !p.current().isOperator("(") {
 			alias = p.next().text
--- a/statement/syntax/query.go
+++ b/statement/syntax/query.go
@@ -130,7 +130,7 @@
 	if p.acceptWord("into") {
 		p.acceptWord("temporary", "temp", "unlogged")
 		p.acceptWord("table")
-		p.facts.addTable(p.parseName("a table after INTO"), Written)
+		p.facts.addTable(p.parseName("a table behind INTO"), Written)
 	}
 	if p.acceptWord("from") {
 		p.parseFrom()
@@ -216,7 +216,7 @@
 // parseWindowClause parses the named windows after WINDOW.
 func (p *Parser) parseWindowClause() {
 	for {
-		p.parseName("a window name")
+		p.parseName("a window's name")
 		p.expectWord("as")
 		p.parseWindowDefinition()
 		if !p.acceptOperator(",") {
@@ -300,7 +300,7 @@
 	p.facts.Writes = true
 	if p.acceptWord("of") {
 		for {
-			p.parseName("a table after OF")
+			p.parseName("a table behind OF")
 			if !p.acceptOperator(",") {
 				break
 			}
