--- a/cmd/chutechute-keys/cert.go
+++ b/cmd/chutechute-keys/cert.go
@@ -37,7 +37,7 @@
 		Long: `Dev writes ca.pem, ca.key, crl.pem, NAME.pem and NAME.key into a folder. If the folder already has a CA, that
 is used. The files are for development and tests only: the CA's private key is stored beside its certificate.`,
 		Args: cobra.NoArgs,
-		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, _ []string) error {
 			if strings.ContainsAny(name, "/\\") || name == "" || name == "ca" || name == "crl" {
 				return fmt.Errorf("--name: %q is not a file name, or is the name of one of the CA's files", name)
 			}
@@ -46,14 +46,14 @@
 			if err != nil {
 				return err
 			}
-			leaf, err := ca.Leaf(certs.Request{Name: name, DNS: dns, URIs: uris, For: validity})
+			leaf, err := ca.Leaf(certs.Request{Name: name, DNS: dns, URIs: uris, Lifetime: validity})
 			if err != nil {
 				return err
 			}
 			if err := leaf.Write(inFolder(name+".pem"), inFolder(name+".key")); err != nil {
 				return err
 			}
-			return cli.Show(cmd.OutOrStdout(), asJSON, map[string]any{"ca": inFolder("ca.pem"),
+			return cli.PrintResult(cmd.OutOrStdout(), asJSON, map[string]any{"ca": inFolder("ca.pem"),
 				"crl": inFolder("crl.pem"), "certificate": inFolder(name + ".pem"), "key": inFolder(name + ".key"),
 				"expires": leaf.Certificate.NotAfter.UTC().Format(time.RFC3339)},
 				fmt.Sprintf("%s and %s, good until %s", inFolder(name+".pem"), inFolder(name+".key"),
@@ -78,7 +78,7 @@
 	if ca, err = certs.NewCA("chutechute trials", validity); err != nil {
 		return nil, err
 	}
-	list, err := ca.Revoke(1, validity, []*x509.Certificate{}...)
+	list, err := ca.CreateCRL(1, validity, []*x509.Certificate{}...)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/chutechute-keys/keys.go
+++ b/cmd/chutechute-keys/keys.go
@@ -59,7 +59,7 @@
 		Use:   "new",
 		Short: "Add a key that is valid from now on",
 		Args:  cobra.NoArgs,
-		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, _ []string) error {
 			return f.change(cmd.OutOrStdout(), func(s *token.KeySet) error {
 				return addKey(s, id, algorithm, wallClock())
 			})
@@ -79,7 +79,7 @@
 		Long: `Rotate adds a key that is used for signing only after --ahead, so that front ends have read it by then. Earlier
 keys expire after --overlap; those that have expired already are removed.`,
 		Args: cobra.NoArgs,
-		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, _ []string) error {
 			if overlap < 0 || ahead < 0 || overlap <= ahead {
 				return errors.New("--ahead must not be negative, and --overlap must be longer")
 			}
@@ -110,7 +110,7 @@
 		Use:   "list",
 		Short: "List the keys, without their secret parts",
 		Args:  cobra.NoArgs,
-		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, _ []string) error {
 			s, err := keyfiles.ReadPrivate(f.private)
 			if err != nil {
 				return err
@@ -126,7 +126,7 @@
 		Use:   "retire ID",
 		Short: "Set when a key expires",
 		Args:  cobra.ExactArgs(1),
-		RunE: cli.Does(func(cmd *cobra.Command, args []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, args []string) error {
 			return f.change(cmd.OutOrStdout(), func(s *token.KeySet) error {
 				return s.Retire(args[0], wallClock()+delay.Microseconds())
 			})
@@ -144,7 +144,7 @@
 		Use:   "sign",
 		Short: "Sign a token with the newest valid key",
 		Args:  cobra.NoArgs,
-		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, _ []string) error {
 			if claims.Issuer == "" || claims.Subject == "" || audience == "" || validity <= 0 {
 				return errors.New("--issuer, --subject, --audience and a positive --for are required")
 			}
@@ -174,7 +174,7 @@
 
 // change applies a change to the set in the files, and prints the changed set.
 func (f *keyFlags) change(out io.Writer, apply func(*token.KeySet) error) error {
-	return keyfiles.Change(f.private, f.public, func(s *token.KeySet) error {
+	return keyfiles.ChangeKeySet(f.private, f.public, func(s *token.KeySet) error {
 		if err := apply(s); err != nil {
 			return err
 		}
--- a/cmd/chutechute-scale/fit.go
+++ b/cmd/chutechute-scale/fit.go
@@ -33,15 +33,15 @@
 			for _, file := range files {
 				r, err := scale.Read(file)
 				if err != nil {
-					return cli.Fail(err)
+					return cli.AsFailure(err)
 				}
 				results = append(results, r)
 			}
 			fits := scale.Fits(results)
 			if len(fits) == 0 {
-				return cli.Fail(errNoSeries)
+				return cli.AsFailure(errNoSeries)
 			}
-			return cli.Fail(printFits(cmd.OutOrStdout(), fits, to))
+			return cli.AsFailure(printFits(cmd.OutOrStdout(), fits, to))
 		},
 	}
 	cmd.Flags().Float64Var(&to, "to", scale.TargetFrontEnds, "the size to compute values for")
--- a/cmd/chutechute-scale/hollow.go
+++ b/cmd/chutechute-scale/hollow.go
@@ -22,7 +22,7 @@
 		Short:  "Run hollow front ends, as requested by run over standard input",
 		Args:   cobra.NoArgs,
 		Hidden: true,
-		RunE: cli.Does(func(*cobra.Command, []string) error {
+		RunE: cli.RunE(func(*cobra.Command, []string) error {
 			// Errors only: faults break links on purpose, so that those are not worth a log line each.
 			slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
 			runtime.GOMAXPROCS(1) // as in the real front end
--- a/cmd/chutechute-scale/run.go
+++ b/cmd/chutechute-scale/run.go
@@ -117,10 +117,10 @@
 	if f.resultFile != "" {
 		result.Name = strings.TrimSuffix(filepath.Base(f.resultFile), filepath.Ext(f.resultFile))
 		if err := scale.Write(f.resultFile, result); err != nil {
-			return cli.Fail(err)
+			return cli.AsFailure(err)
 		}
 	}
-	return cli.Fail(errors.Join(runErr, printResult(cmd.OutOrStdout(), result)))
+	return cli.AsFailure(errors.Join(runErr, printResult(cmd.OutOrStdout(), result)))
 }
 
 // runSockets runs a fleet over loopback sockets.
@@ -131,7 +131,7 @@
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return nil, cli.Fail(err)
+		return nil, cli.AsFailure(err)
 	}
 	if f.program == "" {
 		f.program = filepath.Join(filepath.Dir(self), "chutechute")
@@ -143,7 +143,7 @@
 		return nil, err
 	}
 	result, err := sockets.Run(o)
-	return result, cli.Fail(err)
+	return result, cli.AsFailure(err)
 }
 
 // runVirtual simulates a fleet in virtual time. Errors in the shape or the script are found before the simulation
--- a/cmd/chutechute/attached_load_test.go
+++ b/cmd/chutechute/attached_load_test.go
@@ -20,7 +20,7 @@
 }
 
 // assertSameOutcome checks that every front end of a fleet returns the same rows for a load.
-func assertSameOutcome(t *testing.T, f *testharness.Fleet, load testharness.LoadAttempt, wantRows string) {
+func assertSameOutcome(t *testing.T, f *testharness.Fleet, load testharness.LoadRequest, wantRows string) {
 	t.Helper()
 	for _, n := range f.FrontEnds {
 		assert.Equal(t, wantRows, sendUntilServed(t, f, n, load).Rows(), "%s through %s", load.IdempotencyKey, n.Name)
--- a/cmd/chutechute/attached_stopped_test.go
+++ b/cmd/chutechute/attached_stopped_test.go
@@ -120,7 +120,7 @@
 	f.WaitFor("the later process connects to its home", func() bool {
 		return f.Proxy(later, home).ConnectionAttempts() > attemptsBefore
 	})
-	release := f.Proxy(old, home).HoldNew()
+	release := f.Proxy(old, home).HoldNewConnections()
 	defer release()
 	f.LogStep("hold back data from %s to %s on new links", old.Name, home.Name)
 	if old.StartCount == 0 {
--- a/cmd/chutechute/budget.go
+++ b/cmd/chutechute/budget.go
@@ -29,7 +29,7 @@
 the static part of a front end, which needs no lease, the part that is leased, and how long the allocation of a
 lost front end stays unavailable.`,
 		Args: cobra.NoArgs,
-		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, _ []string) error {
 			cfg, _, err := o.readFiles()
 			if err != nil {
 				return err
@@ -83,7 +83,7 @@
 		line("")
 		line("HERE", "SUBJECT", "WANTS", "IN USE", "LEASED", "STATIC", "SPENT", "TURNED AWAY")
 		for _, s := range b.Local {
-			line(s.Budget, s.Subject, s.Demand, s.InUse, s.Lease, s.Static, s.Spent, s.Denied)
+			line(s.Budget, s.Subject, s.Demand, s.InUse, s.Lease, s.Static, s.Spent, s.Rejected)
 		}
 		if !b.HasReplica {
 			return
@@ -121,14 +121,14 @@
 		return err
 	}
 	out := cmd.OutOrStdout()
-	if len(b.Denials) == 0 && len(b.Local) == 0 {
+	if len(b.Rejections) == 0 && len(b.Local) == 0 {
 		_, err := fmt.Fprintln(out,
 			"No budget of that name, and no call of that id was turned away here of late (the last 256 are kept).")
 		return err
 	}
-	for i, d := range b.Denials {
+	for i, d := range b.Rejections {
 		if i == 10 {
-			fmt.Fprintf(out, "and %d more\n", len(b.Denials)-i)
+			fmt.Fprintf(out, "and %d more\n", len(b.Rejections)-i)
 			break
 		}
 		fmt.Fprintf(out, "%s was turned away %d ms ago for want of room in %q, and told to come back after %d ms\n",
@@ -141,7 +141,7 @@
 		}
 		fmt.Fprintf(out, "%s: clients ask here for %.4g beyond the static part; "+
 			"this front end has %.4g by a lease with %d ms left and %.4g without; %d were turned away\n",
-			name, s.Demand, s.Lease, s.LeaseRemainingMS, s.Static, s.Denied)
+			name, s.Demand, s.Lease, s.LeaseRemainingMS, s.Static, s.Rejected)
 	}
 	for _, p := range b.Budgets {
 		for _, s := range p.Subjects {
--- a/cmd/chutechute/config.go
+++ b/cmd/chutechute/config.go
@@ -25,7 +25,7 @@
 		Long: `Check reads the configuration file that NODE_CONFIG names and the installation file, as the front end does at
 startup, and names the key of an invalid value. If only one of the two files is given, only that one is checked.`,
 		Args: cobra.NoArgs,
-		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, _ []string) error {
 			if _, _, err := o.readFiles(); err != nil {
 				return err
 			}
@@ -36,7 +36,7 @@
 		Use:   "show",
 		Short: "Print the evaluated installation file with its defaults, and the node's limits",
 		Args:  cobra.NoArgs,
-		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, _ []string) error {
 			cfg, file, err := o.readFiles()
 			if err != nil {
 				return err
--- a/cmd/chutechute/copies_test.go
+++ b/cmd/chutechute/copies_test.go
@@ -18,8 +18,8 @@
 )
 
 // newLoad returns a load with an idempotency key and an order key ("" for none) that runs for so many milliseconds.
-func newLoad(idempotencyKey, orderKey string, runTimeMS int) testharness.LoadAttempt {
-	return testharness.LoadAttempt{IdempotencyKey: idempotencyKey, OrderKey: orderKey,
+func newLoad(idempotencyKey, orderKey string, runTimeMS int) testharness.LoadRequest {
+	return testharness.LoadRequest{IdempotencyKey: idempotencyKey, OrderKey: orderKey,
 		Statement: fmt.Sprintf("INSERT INTO s_1.t -- ms=%d", runTimeMS), ClientTimeout: 8 * time.Second}
 }
 
@@ -28,7 +28,7 @@
 
 // sendUntilServed repeats a load through a front end until it is served, and returns the response.
 func sendUntilServed(
-	t *testing.T, f *testharness.Fleet, n *testharness.FrontEnd, load testharness.LoadAttempt,
+	t *testing.T, f *testharness.Fleet, n *testharness.FrontEnd, load testharness.LoadRequest,
 ) testharness.Reply {
 	t.Helper()
 	for end := time.Now().Add(testharness.WaitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -348,7 +348,7 @@
 // continues to serve.
 func TestSlowAndFailingDiskOfTheLeader(t *testing.T) {
 	t.Parallel()
-	faulty := testharness.Variant(t, "fleet/replication/wal/sync.go", faultySync)
+	faulty := testharness.BuildVariant(t, "fleet/replication/wal/sync.go", faultySync)
 	f := testharness.NewFleet(t, faulty, 3, withDurableStorage)
 	leader := f.WaitForLeader(3)
 	require.NoError(t, os.WriteFile(filepath.Join(leader.StorageDir, "slow"), nil, 0o600))
--- a/cmd/chutechute/endings_test.go
+++ b/cmd/chutechute/endings_test.go
@@ -165,7 +165,7 @@
 	require.NotContains(t, string(text), `"time"`, "the variant adds the import")
 	variant := strings.Replace(string(text), closing, closing+"\ntime.Sleep(400*time.Millisecond)\n", 1)
 	variant = strings.Replace(variant, "import (", "import (\n\"time\"", 1)
-	r := testharness.Start(t, testharness.Variant(t, "internal/server/server.go", variant), 1,
+	r := testharness.Start(t, testharness.BuildVariant(t, "internal/server/server.go", variant), 1,
 		testharness.SucceedAfterPolls(0, testharness.ResultRow))
 	r.Signal(syscall.SIGTERM)
 	r.WaitForLog("phase=closing")
--- a/cmd/chutechute/engine_tls_test.go
+++ b/cmd/chutechute/engine_tls_test.go
@@ -27,7 +27,7 @@
 	ca, err := certs.NewCA("engines", time.Hour)
 	require.NoError(t, err)
 	require.NoError(t, ca.Write(inDir("ca.pem"), inDir("ca.key")))
-	frontEnd, err := ca.Leaf(certs.Request{Name: "front", For: time.Hour})
+	frontEnd, err := ca.Leaf(certs.Request{Name: "front", Lifetime: time.Hour})
 	require.NoError(t, err)
 	require.NoError(t, frontEnd.Write(inDir("front.pem"), inDir("front.key")))
 	require.NoError(t, os.WriteFile(inDir("i.jsonnet"),
@@ -37,7 +37,7 @@
 		r.Args = []string{"serve", "--installation", inDir("i.jsonnet")}
 		r.Settings["limits"].(map[string]any)["dial_timeout"] = 2.0
 		r.EngineTLS = func(e *testharness.StubEngine) *tls.Config {
-			leaf, err := ca.Leaf(certs.Request{Name: e.Name, DNS: []string{name(e.Name) + ".engines"}, For: time.Hour})
+			leaf, err := ca.Leaf(certs.Request{Name: e.Name, DNS: []string{name(e.Name) + ".engines"}, Lifetime: time.Hour})
 			require.NoError(t, err)
 			return &tls.Config{Certificates: []tls.Certificate{leaf.TLS()},
 				ClientCAs: ca.Pool(), ClientAuth: tls.RequireAndVerifyClientCert}
--- a/cmd/chutechute/fleet.go
+++ b/cmd/chutechute/fleet.go
@@ -48,7 +48,7 @@
 	printResponse func(*cobra.Command, []byte) error,
 ) {
 	a.AddCommand(&cobra.Command{Use: use, Short: short, Args: args,
-		RunE: cli.Does(func(cmd *cobra.Command, args []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, args []string) error {
 			path, err := a.o.adminPath(a.socket, a.name)
 			if err != nil {
 				return err
--- a/cmd/chutechute/identity.go
+++ b/cmd/chutechute/identity.go
@@ -31,19 +31,19 @@
 		Use:   "check",
 		Short: "Check that the installation file's identity section and its key files are valid",
 		Args:  cobra.NoArgs,
-		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, _ []string) error {
 			_, cfg, err := o.newGuard()
 			if err != nil {
 				return err
 			}
-			return cli.Show(cmd.OutOrStdout(), asJSON, map[string]any{"ok": true, "issuers": len(cfg.Callers.Issuers),
+			return cli.PrintResult(cmd.OutOrStdout(), asJSON, map[string]any{"ok": true, "issuers": len(cfg.Callers.Issuers),
 				"callers": len(cfg.Callers.Callers), "rights": len(cfg.Callers.Rights)}, "ok")
 		}),
 	}, &cobra.Command{
 		Use:   "whoami",
 		Short: "Print the caller that a token on standard input belongs to",
 		Args:  cobra.NoArgs,
-		RunE: cli.Does(func(cmd *cobra.Command, _ []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, _ []string) error {
 			guard, _, err := o.newGuard()
 			if err != nil {
 				return err
@@ -56,14 +56,14 @@
 			if err != nil {
 				return err
 			}
-			return cli.Show(cmd.OutOrStdout(), asJSON, map[string]any{"caller": caller.Name, "tenant": caller.Tenant},
+			return cli.PrintResult(cmd.OutOrStdout(), asJSON, map[string]any{"caller": caller.Name, "tenant": caller.Tenant},
 				fmt.Sprintf("caller %s, tenant %s", caller.Name, caller.Tenant))
 		}),
 	}, &cobra.Command{
 		Use:   "rights CALLER [GROUP ...]",
 		Short: "Print what a caller may send, for tables of these groups",
 		Args:  cobra.MinimumNArgs(1),
-		RunE: cli.Does(func(cmd *cobra.Command, args []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, args []string) error {
 			guard, cfg, err := o.newGuard()
 			if err != nil {
 				return err
@@ -91,14 +91,14 @@
 		return nil, nil, err
 	}
 	for _, issuer := range cfg.Identity().Issuers {
-		keys, err := keyfiles.Keys(issuer.Keys)
+		keys, err := keyfiles.ReadPublicKeys(issuer.Keys)
 		if err != nil {
 			return nil, nil, fmt.Errorf("issuer %q: %w", issuer.Name, err)
 		}
 		guard.SetKeys(issuer.Name, keys)
 	}
 	if path := cfg.Identity().Revoked; path != "" {
-		revocations, err := keyfiles.Revoked(path)
+		revocations, err := keyfiles.ReadRevocations(path)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -143,5 +143,5 @@
 				class, n, map[bool]string{true: "allowed", false: "denied"}[err == nil])
 		}
 	}
-	return cli.Show(out, asJSON, map[string]any{"caller": name, "tenant": caller.Tenant, "rights": list}, text)
+	return cli.PrintResult(out, asJSON, map[string]any{"caller": name, "tenant": caller.Tenant, "rights": list}, text)
 }
--- a/cmd/chutechute/identity_test.go
+++ b/cmd/chutechute/identity_test.go
@@ -68,7 +68,7 @@
 func (f *tokenFixture) rotateKeys(id string, from, end int64) {
 	k, err := token.Generate(id, "EdDSA")
 	require.NoError(f.t, err)
-	require.NoError(f.t, keyfiles.Change(f.privateKeys, f.publicKeys, func(s *token.KeySet) error {
+	require.NoError(f.t, keyfiles.ChangeKeySet(f.privateKeys, f.publicKeys, func(s *token.KeySet) error {
 		for _, old := range s.List() {
 			if end > 0 {
 				if err := s.Retire(old.ID, end*monotime.Second); err != nil {
--- a/cmd/chutechute/keys.go
+++ b/cmd/chutechute/keys.go
@@ -21,7 +21,7 @@
 		Use:                use,
 		Short:              short,
 		DisableFlagParsing: true,
-		RunE: cli.Does(func(_ *cobra.Command, args []string) error {
+		RunE: cli.RunE(func(_ *cobra.Command, args []string) error {
 			self, err := os.Executable()
 			if err != nil {
 				return err
--- a/cmd/chutechute/measure_test.go
+++ b/cmd/chutechute/measure_test.go
@@ -130,7 +130,7 @@
 		t.Logf("idle connections, %-10s %6.1f KB of peak memory each", name, float64(r.PeakMemoryMB()-before)*1024/idle)
 	}
 	started := time.Now()
-	leaf, err := tlsFront.ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, For: time.Hour})
+	leaf, err := tlsFront.ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, Lifetime: time.Hour})
 	require.NoError(t, err)
 	require.NoError(t, leaf.Write(tlsFront.cert, tlsFront.key))
 	for {
--- a/cmd/chutechute/serve.go
+++ b/cmd/chutechute/serve.go
@@ -28,7 +28,7 @@
 				return err
 			}
 			if err := serve(o.installation, log); err != nil {
-				return cli.Fail(err)
+				return cli.AsFailure(err)
 			}
 			return nil
 		},
--- a/cmd/chutechute/statement.go
+++ b/cmd/chutechute/statement.go
@@ -30,7 +30,7 @@
 		Long: `Explain reads statements that are separated by NUL bytes, from files or from standard input, and prints for
 each what a front end that has not learned from any query yet would derive from it. Classes come from the rules of
 --installation, and from NODE_CONFIG's settings if that is set.`,
-		RunE: cli.Does(func(cmd *cobra.Command, files []string) error {
+		RunE: cli.RunE(func(cmd *cobra.Command, files []string) error {
 			reader, classes, err := o.newReader()
 			if err != nil {
 				return err
--- a/cmd/chutechute/tls_test.go
+++ b/cmd/chutechute/tls_test.go
@@ -68,7 +68,7 @@
 
 // writeServerCertificate gives the front end a new certificate, then its key.
 func (f *tlsFixture) writeServerCertificate(ca *certs.CA) {
-	leaf, err := ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, For: time.Hour})
+	leaf, err := ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, Lifetime: time.Hour})
 	require.NoError(f.t, err)
 	cert, key, err := leaf.PEM()
 	require.NoError(f.t, err)
@@ -77,7 +77,7 @@
 }
 
 func (f *tlsFixture) writeCRL(number int64, within time.Duration, revoked ...*x509.Certificate) {
-	text, err := f.ca.Revoke(number, within, revoked...)
+	text, err := f.ca.CreateCRL(number, within, revoked...)
 	require.NoError(f.t, err)
 	require.NoError(f.t, keyfiles.Write(f.crl, text, 0o644))
 }
@@ -92,7 +92,7 @@
 	if uri == "" {
 		return config, nil
 	}
-	leaf, err := trusted[0].Leaf(certs.Request{Name: uri, URIs: []string{uri}, For: time.Hour})
+	leaf, err := trusted[0].Leaf(certs.Request{Name: uri, URIs: []string{uri}, Lifetime: time.Hour})
 	require.NoError(f.t, err)
 	config.Certificates = []tls.Certificate{leaf.TLS()}
 	return config, leaf
@@ -207,7 +207,7 @@
 
 	stranger, err := certs.NewCA("town", time.Hour)
 	require.NoError(t, err)
-	text, err := stranger.Revoke(3, time.Hour)
+	text, err := stranger.CreateCRL(3, time.Hour)
 	require.NoError(t, err)
 	require.NoError(t, keyfiles.Write(fixture.crl, text, 0o644))
 	r.WaitForLog("the last good content stays in force")
@@ -334,7 +334,7 @@
 		return c.Conn.(*tls.Conn).ConnectionState().PeerCertificates[0].SerialNumber.String()
 	}
 	previous := serial()
-	leaf, err := fixture.ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, For: time.Hour})
+	leaf, err := fixture.ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, Lifetime: time.Hour})
 	require.NoError(t, err)
 	cert, key, err := leaf.PEM()
 	require.NoError(t, err)
@@ -383,7 +383,7 @@
 	fixture := newTLSFixture(t, "none", "")
 	text, err := os.ReadFile(fixture.installationPath)
 	require.NoError(t, err)
-	leaf, err := fixture.ca.Leaf(certs.Request{Name: "other", DNS: []string{"other"}, For: time.Hour})
+	leaf, err := fixture.ca.Leaf(certs.Request{Name: "other", DNS: []string{"other"}, Lifetime: time.Hour})
 	require.NoError(t, err)
 	require.NoError(t, leaf.Write(filepath.Join(fixture.dir, "other.pem"), filepath.Join(fixture.dir, "other.key")))
 	more := strings.Replace(string(text), "key: 'key.pem' }",
--- a/fleet/budget/enforce/scope.go
+++ b/fleet/budget/enforce/scope.go
@@ -74,7 +74,7 @@
 func (s *Scope) resolveNames(rule *scheduler.BudgetRule, site *settings.Settings) error {
 	var ok bool
 	if s.Class != "" {
-		if rule.Class, ok = site.ClassOf[s.Class]; !ok {
+		if rule.Class, ok = site.ClassIndex[s.Class]; !ok {
 			return keyError("class", "the site has no %q", s.Class)
 		}
 	}
@@ -82,7 +82,7 @@
 	case s.Tenant == Each:
 		rule.PerTenant = true
 	case s.Tenant != "":
-		if rule.Tenant, ok = site.TenantOf[s.Tenant]; !ok {
+		if rule.Tenant, ok = site.TenantIndex[s.Tenant]; !ok {
 			return keyError("tenant", "the site has no %q", s.Tenant)
 		}
 	}
--- a/fleet/idempotency/idempotencyclient/client.go
+++ b/fleet/idempotency/idempotencyclient/client.go
@@ -50,10 +50,10 @@
 	tracked         map[string]*trackedRecord // by idempotency key
 	ordered         []*trackedRecord          // the values of tracked, in the order in which they were added
 
-	Conflicts   int // requests rejected because their idempotency key was used with another statement
-	TakenOver   int // unstarted requests taken over from a front end that is presumed dead
-	JoinedWaits int // records for which requests here waited because another front end was the owner
-	Committed   int // outcomes committed by this front end
+	Conflicts     int // requests rejected because their idempotency key was used with another statement
+	TakenOver     int // unstarted requests taken over from a front end that is presumed dead
+	WaitsForOwner int // records for which requests here waited because another front end was the owner
+	Committed     int // outcomes committed by this front end
 }
 
 var _ gateway.IdempotencyStore = (*Client)(nil)
--- a/fleet/idempotency/idempotencyclient/register.go
+++ b/fleet/idempotency/idempotencyclient/register.go
@@ -158,7 +158,7 @@
 func (c *Client) waitForOwner(t *trackedRecord, response idempotency.Response) {
 	if !t.countedAsWaiting {
 		t.countedAsWaiting = true
-		c.JoinedWaits++
+		c.WaitsForOwner++
 	}
 	if response.Phase == idempotency.Waiting && c.proposer.PresumedDead(response.Owner) {
 		c.register(t, true)
--- a/fleet/idempotency/idempotencyclient/takeover.go
+++ b/fleet/idempotency/idempotencyclient/takeover.go
@@ -76,7 +76,7 @@
 		IdempotencyKey: t.idempotencyKey,
 		OrderKey:       response.OrderKey,
 		Class:          response.Class,
-		TTL:            monotime.Micros(response.ClientTimeout),
+		ClientTimeout:  monotime.Micros(response.ClientTimeout),
 	})
 	if registration == nil {
 		return // an open request here has the same ID; the record expires
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -179,7 +179,7 @@
 			Body:        m.Body,
 		})
 	}
-	for _, l := range n.server.LinksToClose() {
+	for _, l := range n.server.TakeLinksToClose() {
 		n.actions = append(n.actions, CloseLink{attachedLink(l)})
 	}
 }
--- a/fleet/membership/fuzz_test.go
+++ b/fleet/membership/fuzz_test.go
@@ -87,7 +87,7 @@
 		require.Equal(t, 5, s.View().Len())
 		requireInvariants(t, s)
 		s.TakeMessages()
-		s.LinksToClose()
+		s.TakeLinksToClose()
 	})
 }
 
--- a/fleet/membership/limits_test.go
+++ b/fleet/membership/limits_test.go
@@ -147,7 +147,7 @@
 		l := p.link
 		l.ChallengedAt += monotime.Micros(i + 1)
 		p.server.LinkOpened(p.now, l)
-		closed += len(p.server.LinksToClose())
+		closed += len(p.server.TakeLinksToClose())
 	}
 	require.Equal(t, 11-maxLinksPerProcess, closed)
 	require.Len(t, p.server.leasesByName["f"].links, maxLinksPerProcess)
--- a/fleet/membership/rig_test.go
+++ b/fleet/membership/rig_test.go
@@ -299,7 +299,7 @@
 		c.bytesIn += len(m.Body) + messageOverhead
 		f.transmit(s.cfg.Name, c.cfg.Name, func() { f.deliver(c, l, m) })
 	}
-	for _, l := range s.LinksToClose() {
+	for _, l := range s.TakeLinksToClose() {
 		if c := f.clientsByName[l.From]; c != nil {
 			if other := c.links[s.cfg.Name]; other != nil && other.link == l {
 				f.closeLink(other)
--- a/fleet/membership/server.go
+++ b/fleet/membership/server.go
@@ -175,9 +175,9 @@
 	return messages
 }
 
-// LinksToClose returns the links to close and removes them from the server: links of superseded processes, links of
+// TakeLinksToClose returns the links to close and removes them from the server: links of superseded processes, links of
 // front ends that may not attach, and links of a process above the limit.
-func (s *Server) LinksToClose() []Link {
+func (s *Server) TakeLinksToClose() []Link {
 	links := s.linksToClose
 	s.linksToClose = nil
 	s.Counters.ClosedLinks += len(links)
--- a/fleet/membership/table_test.go
+++ b/fleet/membership/table_test.go
@@ -133,7 +133,7 @@
 	r.run(100 * ms)
 	r.requireState("f", 9, Alive)
 	s.LinkOpened(r.now, later)
-	assert.Equal(t, []Link{earlier}, s.LinksToClose())
+	assert.Equal(t, []Link{earlier}, s.TakeLinksToClose())
 	require.ErrorIs(t, r.sendHeartbeat("m0", earlier), ErrSuperseded)
 	r.now += ms
 	require.ErrorIs(t, r.sendHeartbeat("m0", r.link("f", 9)), ErrSuperseded, "over a new link too")
@@ -147,7 +147,7 @@
 	for _, home := range []string{"m0", "m1"} {
 		again := r.link("f", 9)
 		r.servers[home].LinkOpened(r.now, again)
-		assert.Equal(t, []Link{again}, r.servers[home].LinksToClose(), home)
+		assert.Equal(t, []Link{again}, r.servers[home].TakeLinksToClose(), home)
 		require.ErrorIs(t, r.sendHeartbeat(home, again), ErrSuperseded, home)
 	}
 	r.run(100 * ms)
@@ -159,7 +159,7 @@
 	later = r.link("g", 15)
 	s.LinkOpened(r.now, later)
 	s.LinkOpened(r.now, earlier)
-	assert.Equal(t, []Link{earlier}, s.LinksToClose())
+	assert.Equal(t, []Link{earlier}, s.TakeLinksToClose())
 	r.run(100 * ms)
 	r.requireState("g", 15, Alive)
 }
@@ -467,13 +467,13 @@
 	s := r.servers["m0"]
 	for _, l := range []Link{r.link("m1", 7), r.link("m0", 7), r.link("", 7), r.link("f", 0)} {
 		s.LinkOpened(r.now, l)
-		require.Equal(t, []Link{l}, s.LinksToClose())
+		require.Equal(t, []Link{l}, s.TakeLinksToClose())
 	}
 	require.Equal(t, 4, s.Counters.NameMismatches)
 	for i := range 501 {
 		s.LinkOpened(r.now, r.link(fmt.Sprintf("f%03d", i), uint64(i+1)))
 	}
-	require.Len(t, s.LinksToClose(), 1)
+	require.Len(t, s.TakeLinksToClose(), 1)
 	require.Equal(t, 1, s.Counters.Oversized)
 	for i := range 100 {
 		r.servers["m1"].LinkOpened(r.now, r.link(fmt.Sprintf("g%03d", i), uint64(i+1000)))
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -183,7 +183,7 @@
 	if a.state != attemptInFlight || c.settings.ProgressInterval <= 0 {
 		return
 	}
-	c.counters.Notes++
+	c.counters.ProgressReports++
 	c.addEvent(scheduler.ProgressReport{
 		ID:      a.schedulerID,
 		Attempt: a.number,
@@ -202,7 +202,7 @@
 	case scheduler.Errored:
 		counts.Errored++
 	case scheduler.Rejected:
-		counts.Full++
+		counts.RejectedByEngine++
 	case scheduler.TimedOut:
 		counts.TimedOut++
 	case scheduler.NoConnection:
@@ -210,7 +210,7 @@
 	case scheduler.Reset:
 		counts.Reset++
 	case scheduler.Canceled:
-		counts.Dropped++
+		counts.CanceledAttempts++
 	case scheduler.NotSent:
 		counts.NotSent++
 	}
--- a/gateway/budgets.go
+++ b/gateway/budgets.go
@@ -58,9 +58,9 @@
 	return list
 }
 
-// Denials returns the most recent requests that were rejected because a budget had no capacity, the newest first. A
-// non-empty name selects those of the budget with this name or of the request with this ID.
-func (c *Core) Denials(name string) []BudgetRejection {
+// BudgetRejections returns the most recent requests that were rejected because a budget had no capacity, the newest
+// first. A non-empty name selects those of the budget with this name or of the request with this ID.
+func (c *Core) BudgetRejections(name string) []BudgetRejection {
 	return c.budgetRejections.newestFirst(func(rejection *BudgetRejection) bool {
 		return name == "" || name == rejection.Budget || name == rejection.RequestID
 	})
--- a/gateway/expiry.go
+++ b/gateway/expiry.go
@@ -13,7 +13,7 @@
 	if r.finished {
 		return
 	}
-	c.counters.Expired++
+	c.counters.ExpiredRequests++
 	if c.expireUnscheduled(r) {
 		return
 	}
@@ -28,7 +28,7 @@
 	bySequence := func(a, b *Request) int { return cmp.Compare(a.sequence, b.sequence) }
 	for _, r := range slices.SortedFunc(maps.Values(c.open), bySequence) {
 		if !r.finished && r.registration.running() {
-			c.counters.Expired++
+			c.counters.ExpiredRequests++
 			c.idempotency.Transfer(c.now, r.registration)
 			c.fail(r)
 			continue
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -143,7 +143,7 @@
 			c.closeIfDone(r)
 		}
 	case scheduler.HealthCheck:
-		c.counters.Probes++
+		c.counters.HealthChecks++
 		c.engines.HealthCheck(a.Engine)
 	case scheduler.SetTimer:
 		c.timers.schedule(a.At, func() { c.addEvent(scheduler.Timer{Token: a.Token}) })
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -23,7 +23,7 @@
 	Tenant         string // empty: none, or the tenant of the caller's identity
 	OrderKey       string // if the class is ordered, requests with the same key run in order
 	IdempotencyKey string
-	TTL            monotime.Micros // client timeout, counted from the last byte of the request
+	ClientTimeout  monotime.Micros // client timeout, counted from the last byte of the request
 	EstimatedWork  monotime.Micros // estimated work on one thread; 0: not reported
 	MemoryMB       float64         // estimated memory in megabytes; 0: not reported
 	Statement      []byte
@@ -96,7 +96,7 @@
 		sequence:    c.lastSequence,
 		responder:   responder,
 		receivedAt:  now,
-		deadline:    now + call.TTL - responseMargin,
+		deadline:    now + call.ClientTimeout - responseMargin,
 	}
 }
 
@@ -139,7 +139,7 @@
 	if r.finished {
 		return
 	}
-	c.counters.Cancelled++
+	c.counters.CanceledRequests++
 	if r.registration.outlivesClient() {
 		r.responder = discardResponse{}
 		return
@@ -161,7 +161,7 @@
 // reject rejects a request; its client may retry after the duration retryAfter.
 func (c *Core) reject(r *Request, retryAfter monotime.Micros) {
 	r.finished = true
-	c.counters.Refused++
+	c.counters.Rejected++
 	c.trace.requestAnswered(r, "refused", c.now)
 	r.responder.Reject(retryAfter)
 }
--- a/gateway/submit.go
+++ b/gateway/submit.go
@@ -44,7 +44,7 @@
 	if err := c.callers.admit(now, caller, call); err != nil {
 		return nil, err
 	}
-	c.counters.Taken++
+	c.counters.Submitted++
 	r := c.newRequest(now, call, responder)
 	r.caller, r.completion = caller, completion
 	if !c.hasCapacity(call) {
@@ -63,16 +63,16 @@
 
 // validate checks a call and returns the index of its class; noClass if the class is to be read from the statement.
 func (c *Core) validate(call *Call) (class int, err error) {
-	class, known := c.settings.ClassOf[call.Class]
+	class, known := c.settings.ClassIndex[call.Class]
 	if call.Class == "" && c.statements.completesCalls {
 		class = noClass
 	} else if !known {
 		return noClass, ErrUnknownClass
 	}
-	if _, known := c.settings.TenantOf[call.Tenant]; call.Tenant != "" && !known {
+	if _, known := c.settings.TenantIndex[call.Tenant]; call.Tenant != "" && !known {
 		return noClass, ErrUnknownTenant
 	}
-	if call.TTL <= 0 {
+	if call.ClientTimeout <= 0 {
 		return noClass, ErrNoTimeLeft
 	}
 	if call.IdempotencyKey == "" && !c.statements.completesCalls &&
@@ -94,7 +94,7 @@
 func (c *Core) requestEvent(r *Request, class int) scheduler.Request {
 	tenant := noTenant
 	if r.Tenant != "" {
-		tenant = c.settings.TenantOf[r.Tenant]
+		tenant = c.settings.TenantIndex[r.Tenant]
 	}
 	event := scheduler.Request{
 		ID:            r.schedulerID,
--- a/gateway/takeover.go
+++ b/gateway/takeover.go
@@ -13,7 +13,7 @@
 	IdempotencyKey string
 	OrderKey       string // if the class is ordered, requests with the same key run in order
 	Class          string
-	TTL            monotime.Micros // how long to wait for the result
+	ClientTimeout  monotime.Micros // how long to wait for the result
 }
 
 // TakeOver takes over a request that another front end has started. Its engine is polled for the running attempt; no
@@ -23,7 +23,8 @@
 	if c.openIDs[t.RequestID] {
 		return nil
 	}
-	call := &Call{ID: t.RequestID, IdempotencyKey: t.IdempotencyKey, OrderKey: t.OrderKey, Class: t.Class, TTL: t.TTL}
+	call := &Call{ID: t.RequestID, IdempotencyKey: t.IdempotencyKey, OrderKey: t.OrderKey, Class: t.Class,
+		ClientTimeout: t.ClientTimeout}
 	r := c.newRequest(now, call, discardResponse{})
 	r.registration = &Registration{core: c, request: r, scheduled: true, attemptStarted: true, attemptMayHaveRun: true}
 	c.openRequest(r)
--- a/internal/certs/dev.go
+++ b/internal/certs/dev.go
@@ -32,10 +32,10 @@
 
 // Request describes a leaf certificate to create.
 type Request struct {
-	Name string // the subject's common name
-	DNS  []string
-	URIs []string
-	For  time.Duration // until it expires
+	Name     string // the subject's common name
+	DNS      []string
+	URIs     []string
+	Lifetime time.Duration // until it expires
 }
 
 // clockSkew is how long before their creation certificates and revocation lists become valid, so that machines whose
@@ -83,7 +83,7 @@
 		}
 		template.URIs = append(template.URIs, u)
 	}
-	return sign(template, &ca.Pair, r.For)
+	return sign(template, &ca.Pair, r.Lifetime)
 }
 
 // sign creates a key and a certificate for it from a template. The certificate is signed by the issuer, or with its own
@@ -113,9 +113,9 @@
 	return &Pair{certificate, key}, nil
 }
 
-// Revoke returns a revocation list of the certificate authority in PEM. It names the revoked certificates and has to be
-// replaced by a new one within the lifetime.
-func (ca *CA) Revoke(number int64, lifetime time.Duration, revoked ...*x509.Certificate) ([]byte, error) {
+// CreateCRL returns a revocation list of the certificate authority in PEM. It names the revoked certificates and has to
+// be replaced by a new one within the lifetime.
+func (ca *CA) CreateCRL(number int64, lifetime time.Duration, revoked ...*x509.Certificate) ([]byte, error) {
 	now := time.Now()
 	list := &x509.RevocationList{Number: big.NewInt(number), ThisUpdate: now.Add(-clockSkew),
 		NextUpdate: now.Add(lifetime)}
--- a/internal/certs/load.go
+++ b/internal/certs/load.go
@@ -23,11 +23,11 @@
 	ClientCAs  []string
 	ClientAuth tls.ClientAuthType
 	CRLs       []string
-	// StaleRefuses rejects all certificates of a certificate authority whose revocation list is past its next update.
+	// RejectStaleCRLs rejects all certificates of a certificate authority whose revocation list is past its next update.
 	// Without it the old list stays in force.
-	StaleRefuses bool
-	MinVersion   uint16
-	ALPN         []string
+	RejectStaleCRLs bool
+	MinVersion      uint16
+	ALPN            []string
 
 	// For connections to engines.
 	EngineCAs  []string   // certificate authorities of the engines; empty if TLS with engines is off
@@ -51,10 +51,10 @@
 
 // Material is the content of all files, loaded together.
 type Material struct {
-	Config  *tls.Config // for connections from clients; nil if TLS with clients is off
-	Engines *tls.Config // for connections to engines; nil if TLS with engines is off
-	Revoked Revocations
-	Expiry  []Expiry
+	Clients     *tls.Config // for connections from clients; nil if TLS with clients is off
+	Engines     *tls.Config // for connections to engines; nil if TLS with engines is off
+	Revocations Revocations
+	Expiry      []Expiry
 }
 
 // Expiry is the time at which a file's content expires.
@@ -72,9 +72,9 @@
 // issuerKey returns the map key of a certificate authority from its key ID and its DER-encoded name.
 func issuerKey(keyID, rawName []byte) string { return string(keyID) + "\x00" + string(rawName) }
 
-// Has reports whether a certificate is revoked. With rejectStale it also returns true for every certificate whose
+// IsRevoked reports whether a certificate is revoked. With rejectStale it also returns true for every certificate whose
 // issuer's list is past its next update.
-func (r *Revocations) Has(c *x509.Certificate, now time.Time, rejectStale bool) bool {
+func (r *Revocations) IsRevoked(c *x509.Certificate, now time.Time, rejectStale bool) bool {
 	issuer := issuerKey(c.AuthorityKeyId, c.RawIssuer)
 	if r.Serials[issuer+"\x00"+c.SerialNumber.String()] {
 		return true
@@ -86,20 +86,20 @@
 // Load reads all files. If it returns an error, which names the file, the former content of all of them must stay in
 // force. While a pair is being replaced its certificate and key do not match, which is such an error.
 func Load(f *Files) (*Material, error) {
-	m := &Material{Revoked: Revocations{map[string]bool{}, map[string]time.Time{}}}
+	m := &Material{Revocations: Revocations{map[string]bool{}, map[string]time.Time{}}}
 	if err := m.loadEngines(f); err != nil {
 		return nil, err
 	}
 	if len(f.Pairs) == 0 {
 		return m, nil
 	}
-	m.Config = &tls.Config{MinVersion: f.MinVersion, NextProtos: f.ALPN, ClientAuth: f.ClientAuth}
+	m.Clients = &tls.Config{MinVersion: f.MinVersion, NextProtos: f.ALPN, ClientAuth: f.ClientAuth}
 	for _, p := range f.Pairs {
 		pair, err := loadPair(p)
 		if err != nil {
 			return nil, err
 		}
-		m.Config.Certificates = append(m.Config.Certificates, pair)
+		m.Clients.Certificates = append(m.Clients.Certificates, pair)
 		m.Expiry = append(m.Expiry, Expiry{p.Certificate, pair.Leaf.NotAfter})
 	}
 	var authorities []*x509.Certificate
@@ -114,9 +114,9 @@
 		authorities = append(authorities, list...)
 	}
 	if len(authorities) > 0 {
-		m.Config.ClientCAs = x509.NewCertPool()
+		m.Clients.ClientCAs = x509.NewCertPool()
 		for _, c := range authorities {
-			m.Config.ClientCAs.AddCert(c)
+			m.Clients.ClientCAs.AddCert(c)
 		}
 	}
 	for _, path := range f.CRLs {
@@ -238,17 +238,18 @@
 	}
 	issuer := issuerKey(signer.SubjectKeyId, signer.RawSubject)
 	for _, entry := range list.RevokedCertificateEntries {
-		m.Revoked.Serials[issuer+"\x00"+entry.SerialNumber.String()] = true
+		m.Revocations.Serials[issuer+"\x00"+entry.SerialNumber.String()] = true
 	}
 	if !list.NextUpdate.IsZero() {
-		m.Revoked.NextUpdates[issuer] = list.NextUpdate
+		m.Revocations.NextUpdates[issuer] = list.NextUpdate
 		m.Expiry = append(m.Expiry, Expiry{path, list.NextUpdate})
 	}
 	return nil
 }
 
-// Of returns the properties of a verified certificate by which package identity authenticates its holder.
-func Of(c *x509.Certificate) *identity.Certificate {
+// IdentityCertificate returns the properties of a verified certificate by which package identity authenticates its
+// holder.
+func IdentityCertificate(c *x509.Certificate) *identity.Certificate {
 	out := &identity.Certificate{DNSNames: c.DNSNames, Subject: c.Subject.String(), Expires: c.NotAfter.UnixMicro()}
 	for _, u := range c.URIs {
 		out.URIs = append(out.URIs, u.String())
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -40,21 +40,21 @@
 // Unwrap returns the error without its mark as a Failure.
 func (f Failure) Unwrap() error { return f.error }
 
-// Fail marks an error as a Failure. It returns nil for nil.
-func Fail(err error) error {
+// AsFailure marks an error as a Failure. It returns nil for nil.
+func AsFailure(err error) error {
 	if err == nil {
 		return nil
 	}
 	return Failure{err}
 }
 
-// Does returns a function for cobra.Command.RunE that calls work and marks its errors as Failures.
-func Does(work func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
-	return func(cmd *cobra.Command, args []string) error { return Fail(work(cmd, args)) }
+// RunE returns a function for cobra.Command.RunE that calls work and marks its errors as Failures.
+func RunE(work func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
+	return func(cmd *cobra.Command, args []string) error { return AsFailure(work(cmd, args)) }
 }
 
-// Show writes a result to out: object as JSON if asJSON is true, otherwise the text.
-func Show(out io.Writer, asJSON bool, object any, text string) error {
+// PrintResult writes a result to out: object as JSON if asJSON is true, otherwise the text.
+func PrintResult(out io.Writer, asJSON bool, object any, text string) error {
 	if asJSON {
 		return json.NewEncoder(out).Encode(object)
 	}
--- a/internal/config/identity.go
+++ b/internal/config/identity.go
@@ -130,7 +130,7 @@
 // callers checks and converts the rules for callers.
 func (i *Identity) callers(site *settings.Settings) (rules []identity.CallerRule, err error) {
 	for n, rule := range i.Callers {
-		if _, known := site.TenantOf[rule.Tenant]; rule.Tenant != "" && !known {
+		if _, known := site.TenantIndex[rule.Tenant]; rule.Tenant != "" && !known {
 			return nil, identitySection.element("callers", n).keyError("tenant", "unknown tenant %q", rule.Tenant)
 		}
 		rules = append(rules, identity.CallerRule{
--- a/internal/config/sitesettings.go
+++ b/internal/config/sitesettings.go
@@ -12,8 +12,8 @@
 // values.
 func checkSettings(site *settings.Settings) error {
 	switch {
-	case site.Gateways < 1:
-		return settingsSection.keyError("balancers", "%d is below 1", site.Gateways)
+	case site.FrontEnds < 1:
+		return settingsSection.keyError("balancers", "%d is below 1", site.FrontEnds)
 	case len(site.Classes) == 0:
 		return settingsSection.keyError("classes", "missing")
 	case len(site.Kinds) == 0:
@@ -27,7 +27,7 @@
 		}
 	}
 	for i, tenant := range site.Tenants {
-		if site.TenantOf[tenant.Name] != i {
+		if site.TenantIndex[tenant.Name] != i {
 			return settingsSection.element("tenants", i).keyError("name", "%q stands twice", tenant.Name)
 		}
 	}
@@ -44,7 +44,7 @@
 	switch {
 	case class.LatencyObjective <= 0 || class.ClientTimeout <= 0:
 		return element.valueError("class %q lacks on_time or give_up", class.Name)
-	case site.ClassOf[class.Name] != index:
+	case site.ClassIndex[class.Name] != index:
 		return element.keyError("name", "%q stands twice", class.Name)
 	case class.Effect == scheduler.IdempotentByKey && class.DedupeWindow <= 0:
 		return element.keyError("window", "class %q is keyed, and no engine would drop a repeat", class.Name)
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -89,7 +89,7 @@
 // Files checks the section and returns the paths in it, with the modes in which the files are used, as the type of
 // package certs. It does not read the files. The error is a *KeyError without the name of a file.
 func (t *TLS) Files() (*certs.Files, error) {
-	files := &certs.Files{StaleRefuses: t.StaleCRL != staleCRLAccept}
+	files := &certs.Files{RejectStaleCRLs: t.StaleCRL != staleCRLAccept}
 	if err := t.Engines.addFiles(files); err != nil {
 		return nil, err
 	}
--- a/internal/keyfiles/files.go
+++ b/internal/keyfiles/files.go
@@ -44,8 +44,8 @@
 	return text, nil
 }
 
-// Keys reads a file with a set of public keys.
-func Keys(path string) ([]identity.Key, error) {
+// ReadPublicKeys reads a file with a set of public keys.
+func ReadPublicKeys(path string) ([]identity.Key, error) {
 	text, err := Read(path, token.MaxSetBytes)
 	if err != nil {
 		return nil, err
@@ -57,8 +57,8 @@
 	return keys, nil
 }
 
-// Revoked reads a list of revoked token IDs and subjects: {"issuer": {"jti": [...], "sub": [...]}}.
-func Revoked(path string) (identity.Revocations, error) {
+// ReadRevocations reads a list of revoked token IDs and subjects: {"issuer": {"jti": [...], "sub": [...]}}.
+func ReadRevocations(path string) (identity.Revocations, error) {
 	out := identity.Revocations{IDs: map[string]bool{}, Subjects: map[string]bool{}}
 	text, err := Read(path, maxRevocationBytes)
 	if err != nil {
@@ -137,10 +137,10 @@
 	return d.Sync()
 }
 
-// Change changes a file with a set of private keys and writes the file with their public keys, under a lock against
-// concurrent changes. It writes the public keys first: tokens signed with a key that is not yet published would be
-// rejected.
-func Change(private, public string, change func(*token.KeySet) error) error {
+// ChangeKeySet changes a file with a set of private keys and writes the file with their public keys, under a lock
+// against concurrent changes. It writes the public keys first: tokens signed with a key that is not yet published would
+// be rejected.
+func ChangeKeySet(private, public string, change func(*token.KeySet) error) error {
 	lock, err := os.OpenFile(private+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
--- a/internal/keyfiles/files_test.go
+++ b/internal/keyfiles/files_test.go
@@ -20,7 +20,7 @@
 func addKey(t *testing.T, private, public, id string) {
 	k, err := token.Generate(id, "EdDSA")
 	require.NoError(t, err)
-	require.NoError(t, keyfiles.Change(private, public, func(s *token.KeySet) error { return s.Add(k, 0) }))
+	require.NoError(t, keyfiles.ChangeKeySet(private, public, func(s *token.KeySet) error { return s.Add(k, 0) }))
 }
 
 // Concurrent changes of a key set lose no key, and a concurrent reader never reads an incompletely written file.
@@ -33,7 +33,7 @@
 	reads := 0
 	reader.Go(func() {
 		for !stopReading.Load() {
-			if _, err := keyfiles.Keys(public); assert.NoError(t, err) {
+			if _, err := keyfiles.ReadPublicKeys(public); assert.NoError(t, err) {
 				reads++
 			}
 		}
@@ -48,7 +48,7 @@
 	writers.Wait()
 	stopReading.Store(true)
 	reader.Wait()
-	keys, err := keyfiles.Keys(public)
+	keys, err := keyfiles.ReadPublicKeys(public)
 	require.NoError(t, err)
 	assert.Len(t, keys, 21)
 	assert.Positive(t, reads)
@@ -73,7 +73,7 @@
 	require.NoError(t, err)
 	var loads, failures, keyCount atomic.Int32
 	files := []*keyfiles.File{{Path: path, Load: func(path string) error {
-		keys, err := keyfiles.Keys(path)
+		keys, err := keyfiles.ReadPublicKeys(path)
 		if err != nil {
 			failures.Add(1)
 			return err
@@ -82,8 +82,8 @@
 		loads.Add(1)
 		return nil
 	}}}
-	require.NoError(t, keyfiles.Load(files))
-	w := keyfiles.Start(files, time.Millisecond)
+	require.NoError(t, keyfiles.LoadAll(files))
+	w := keyfiles.StartWatcher(files, time.Millisecond)
 	defer w.Stop()
 	for name, damage := range map[string]func(){
 		"truncated":    func() { require.NoError(t, os.WriteFile(path, nil, 0o600)) },
@@ -122,11 +122,11 @@
 func TestRevoked(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "revoked.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"legon": {"jti": ["t1"], "sub": ["desk-1"]}}`), 0o600))
-	list, err := keyfiles.Revoked(path)
+	list, err := keyfiles.ReadRevocations(path)
 	require.NoError(t, err)
 	assert.Equal(t, map[string]bool{"legon t1": true}, list.IDs)
 	assert.Equal(t, map[string]bool{"legon desk-1": true}, list.Subjects)
 	require.NoError(t, os.WriteFile(path, []byte(`{"legon": 3}`), 0o600))
-	_, err = keyfiles.Revoked(path)
+	_, err = keyfiles.ReadRevocations(path)
 	assert.ErrorContains(t, err, path)
 }
--- a/internal/keyfiles/watch.go
+++ b/internal/keyfiles/watch.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Watch checks files at regular intervals and loads those that have changed. If a file can't be loaded, an error is
+// Watcher checks files at regular intervals and loads those that have changed. If a file can't be loaded, an error is
 // logged and the content that was last loaded successfully stays in force.
-type Watch struct {
+type Watcher struct {
 	stop chan struct{} // closed by Stop
 	done chan struct{} // closed when the goroutine has ended
 }
@@ -44,8 +44,8 @@
 	return v
 }
 
-// Load loads all files. It stops at the first that can't be loaded and returns its error.
-func Load(files []*File) error {
+// LoadAll loads all files. It stops at the first that can't be loaded and returns its error.
+func LoadAll(files []*File) error {
 	for _, f := range files {
 		f.last = statVersion(f.Path)
 		if err := f.Load(f.Path); err != nil {
@@ -55,21 +55,21 @@
 	return nil
 }
 
-// Start starts to watch files, which Load has loaded before, and checks them once in each interval.
-func Start(files []*File, interval time.Duration) *Watch {
-	w := &Watch{make(chan struct{}), make(chan struct{})}
+// StartWatcher starts to watch files, which Load has loaded before, and checks them once in each interval.
+func StartWatcher(files []*File, interval time.Duration) *Watcher {
+	w := &Watcher{make(chan struct{}), make(chan struct{})}
 	go w.run(files, interval)
 	return w
 }
 
 // Stop ends the watch. No file is loaded after it has returned.
-func (w *Watch) Stop() {
+func (w *Watcher) Stop() {
 	close(w.stop)
 	<-w.done
 }
 
 // run checks the files once in each interval until Stop is called.
-func (w *Watch) run(files []*File, interval time.Duration) {
+func (w *Watcher) run(files []*File, interval time.Duration) {
 	defer close(w.done)
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/peering/attachedfrontend_test.go
+++ b/internal/peering/attachedfrontend_test.go
@@ -61,8 +61,8 @@
 	var attachedCounters, homeCounters counters.Set
 	x.ReportCounters(&attachedCounters)
 	f.frontEnds[home.Name].ReportCounters(&homeCounters)
-	assert.Positive(t, attachedCounters.ViewBeats)
-	assert.Positive(t, homeCounters.ViewBeats)
+	assert.Positive(t, attachedCounters.ViewHeartbeats)
+	assert.Positive(t, homeCounters.ViewHeartbeats)
 	assert.Positive(t, homeCounters.ViewSnapshots)
 }
 
--- a/internal/peering/attachedlinks.go
+++ b/internal/peering/attachedlinks.go
@@ -79,7 +79,7 @@
 func (l *inboundLink) registerAttached() {
 	p := l.peering
 	l.attached = true
-	p.Host.Counters.Attached++
+	p.Host.Counters.AttachedLinks++
 	// If this fails, the kernel only buffers more.
 	_ = unix.SetsockoptInt(l.FD, unix.SOL_SOCKET, unix.SO_SNDBUF, attachedSendBufferBytes)
 	l.queue = transport.Queue{MaxUrgentBytes: maxAttachedUrgentBytes, MaxBulkBytes: p.cfg.Attached.MaxViewBytes}
@@ -106,7 +106,7 @@
 func (p *Peering) sendToAttached(message fleet.Send) {
 	l := p.attachedLinks.newest(message.Incarnation)
 	if l == nil {
-		p.Host.Counters.PeerDropped++
+		p.Host.Counters.PeerMessagesDropped++
 		return
 	}
 	queuedBefore := l.queue.QueuedBytes()
@@ -114,7 +114,7 @@
 	full := exceedsTotal || !l.queue.Push(message.Kind, message.Bulk, message.Body)
 	if full {
 		l.queue.DropUnstarted()
-		p.Host.Counters.PeerDropped++
+		p.Host.Counters.PeerMessagesDropped++
 	}
 	p.attachedLinks.queuedBytes += l.queue.QueuedBytes() - queuedBefore
 	if full {
--- a/internal/peering/attachedlinks_test.go
+++ b/internal/peering/attachedlinks_test.go
@@ -118,7 +118,7 @@
 	}
 	f.turn()
 	assert.Equal(t, 4, n1.attachedLinks.count)
-	assert.Equal(t, 2, f.host.Counters.AttachRefused)
+	assert.Equal(t, 2, f.host.Counters.AttachRejected)
 	anyEstablished := links[4].d.Established() || links[5].d.Established()
 	assert.False(t, anyEstablished, "rejected in the handshake, so that they can attach elsewhere")
 	links[0].conn.Close()
--- a/internal/peering/budgetpage.go
+++ b/internal/peering/budgetpage.go
@@ -17,7 +17,7 @@
 	Inapplicable map[string]string   `json:"unknown,omitempty"` // budgets that do not apply at this site, with the reasons
 	Budgets      []budget.Status     `json:"budgets"`
 	Local        []BudgetUsage       `json:"here"`
-	Denials      []BudgetRejection   `json:"denied"` // recent ones, newest first
+	Rejections   []BudgetRejection   `json:"denied"` // recent ones, newest first
 }
 
 // BudgetRejection is a request that was rejected because a budget had no capacity left.
@@ -37,17 +37,17 @@
 	Lease            float64 `json:"lease"`
 	Static           float64 `json:"static"`
 	Spent            float64 `json:"spent"`
-	Denied           int     `json:"denied"`
+	Rejected         int     `json:"denied"`
 	LeaseRemainingMS int64   `json:"lease_left_ms"`
 }
 
 // emptyBudgetPage returns the budget page of a front end without budgets.
 func (p *Peering) emptyBudgetPage() BudgetPage {
 	return BudgetPage{
-		Name:    p.cfg.Name,
-		Budgets: []budget.Status{},
-		Local:   []BudgetUsage{},
-		Denials: []BudgetRejection{},
+		Name:       p.cfg.Name,
+		Budgets:    []budget.Status{},
+		Local:      []BudgetUsage{},
+		Rejections: []BudgetRejection{},
 	}
 }
 
@@ -59,7 +59,7 @@
 		return page
 	}
 	now := p.Host.TurnTime
-	rejections := p.Core.Denials(name)
+	rejections := p.Core.BudgetRejections(name)
 	if name != "" && len(rejections) > 0 {
 		name = rejections[0].Budget
 	}
@@ -70,7 +70,7 @@
 	page.Version = p.budgetAuthority.SetVersion()
 	page.Budgets = p.budgetAuthority.Status(now, name)
 	for _, r := range rejections {
-		page.Denials = append(page.Denials, BudgetRejection{
+		page.Rejections = append(page.Rejections, BudgetRejection{
 			RequestID:    r.RequestID,
 			Budget:       r.Budget,
 			AgeMS:        (now - r.At) / monotime.Millisecond,
@@ -112,7 +112,7 @@
 		Lease:            float64(lease) / milliUnits,
 		Static:           float64(static) / milliUnits,
 		Spent:            float64(status.Spent) / milliUnits,
-		Denied:           status.Denied,
+		Rejected:         status.Denied,
 		LeaseRemainingMS: max(0, status.Until-now) / monotime.Millisecond,
 	}
 }
--- a/internal/peering/counters.go
+++ b/internal/peering/counters.go
@@ -16,31 +16,31 @@
 
 // ReportCounters sets the counters of idempotent requests and, if front ends may attach, those of the view.
 func (p *Peering) ReportCounters(count *counters.Set) {
-	count.Noted = p.fleetNode.Proposals()
-	count.Adopted = p.idempotencyClient.TakenOver
-	count.Shared = p.idempotencyClient.JoinedWaits
+	count.Proposals = p.fleetNode.Proposals()
+	count.TakenOver = p.idempotencyClient.TakenOver
+	count.JoinedWaits = p.idempotencyClient.WaitsForOwner
 	count.Conflicts = p.idempotencyClient.Conflicts
 	switch {
 	case p.attachedNode != nil:
 		reportViewCounters(count, &p.attachedNode.MembershipClient().Counters)
 	case p.acceptsAttached():
 		count.Forwarded = p.controlNode.Forwarded
-		count.ForwardedNobody = p.controlNode.Undeliverable
+		count.ForwardedUndeliverable = p.controlNode.Undeliverable
 		reportViewCounters(count, &p.controlNode.MembershipServer().Counters)
 	}
 }
 
 func reportViewCounters(count *counters.Set, view *membership.Counters) {
-	count.ViewBeats = view.Heartbeats
+	count.ViewHeartbeats = view.Heartbeats
 	count.ViewChanges = view.Changes
 	count.ViewSnapshots = view.Snapshots
 	count.ViewBytes = view.SnapshotBytes + view.RepairBytes
 	count.ViewRepairs = view.DigestRepairs
 	count.ViewGaps = view.Gaps
-	count.ViewStale = view.StaleEpochs
-	count.ViewRefused = view.FullQueues
+	count.ViewStaleEpochs = view.StaleEpochs
+	count.ViewFullQueues = view.FullQueues
 	count.ViewDamped = view.Damped
-	count.ViewDoubts = view.SelfSuspicions
-	count.ViewHomes = view.HomeChanges
+	count.ViewSelfSuspicions = view.SelfSuspicions
+	count.ViewHomeChanges = view.HomeChanges
 	count.ViewMalformed = view.Malformed + view.UnknownHomes + view.NameMismatches + view.Oversized
 }
--- a/internal/peering/inboundlink.go
+++ b/internal/peering/inboundlink.go
@@ -136,7 +136,7 @@
 // reportRejection counts and logs that a link is closed because the remote side sent an invalid handshake or message.
 func (l *inboundLink) reportRejection(err error) {
 	if errors.Is(err, transport.ErrAtCapacity) { // not logged, as there may be many
-		l.peering.Host.Counters.AttachRefused++
+		l.peering.Host.Counters.AttachRejected++
 		return
 	}
 	l.peering.Host.Counters.PeerRejected++
--- a/internal/peering/outboundlink.go
+++ b/internal/peering/outboundlink.go
@@ -79,7 +79,7 @@
 		return
 	}
 	if established {
-		l.peering.Host.Counters.PeerDropped++
+		l.peering.Host.Counters.PeerMessagesDropped++
 	}
 	if message.Kind == transport.Replication {
 		l.peering.controlNode.SendFailed(l.name)
--- a/internal/peering/storage.go
+++ b/internal/peering/storage.go
@@ -33,7 +33,7 @@
 			slog.Int64("bytes", p.store.TruncatedBytes))
 	}
 	if p.store.QuarantinedPath != "" {
-		p.Host.Counters.StoreErrors++
+		p.Host.Counters.StorageErrors++
 		slog.Error("write-ahead log corrupt: folder quarantined, starting with an empty one",
 			slog.String("file", p.store.QuarantinedPath))
 	}
@@ -71,6 +71,6 @@
 // storageFailed records and logs the storage error that has disabled the replica.
 func (p *Peering) storageFailed(err error) {
 	p.storeErr = err
-	p.Host.Counters.StoreErrors++
+	p.Host.Counters.StorageErrors++
 	slog.Error("storage failed: this front end no longer has a replica", slog.Any(keyError, err))
 }
--- a/internal/server/client_conn.go
+++ b/internal/server/client_conn.go
@@ -155,7 +155,7 @@
 		c.counters().UnusableRequests++
 		c.respond(exception.Reply())
 	case err != nil:
-		c.counters().Malformed++
+		c.counters().MalformedInput++
 		slog.Debug("malformed client message", slog.Any("error", err))
 		c.closeAfterResponses()
 	case !ok:
--- a/internal/server/client_listener.go
+++ b/internal/server/client_listener.go
@@ -129,8 +129,8 @@
 	}
 	host.Counters.Accepted++
 	l.clients[c] = struct{}{}
-	if material := l.server.tls.material; material != nil && material.Config != nil {
-		c.TLS = tlsio.Server(material.Config)
+	if material := l.server.tls.material; material != nil && material.Clients != nil {
+		c.TLS = tlsio.Server(material.Clients)
 	}
 	c.readNow()
 }
--- a/internal/server/client_requests.go
+++ b/internal/server/client_requests.go
@@ -47,7 +47,7 @@
 // submit passes a call to the core.
 func (c *clientConn) submit(message thrift.Message) {
 	if c.inFlight[message.Seq] != nil { // two responses with one sequence number could not be told apart
-		c.counters().Malformed++
+		c.counters().MalformedInput++
 		c.closeAfterResponses()
 		return
 	}
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	call.TTL, call.EstimatedWork = millisToMicros(ttl), millisToMicros(work)
+	call.ClientTimeout, call.EstimatedWork = millisToMicros(ttl), millisToMicros(work)
 	call.MemoryMB, err = parseNumber(fields, "mb", maxMemoryMB)
 	return call, err
 }
--- a/internal/server/client_tls.go
+++ b/internal/server/client_tls.go
@@ -16,9 +16,9 @@
 	if c.handshakeRequested || c.state == clientLingering {
 		return
 	}
-	complete, err := c.TLS.Hello()
+	complete, err := c.TLS.ClientHelloReceived()
 	if err != nil {
-		c.counters().BadHandshakes++
+		c.counters().FailedHandshakes++
 		c.abort()
 		return
 	}
@@ -52,7 +52,7 @@
 	switch {
 	case !done || c.Closed:
 	case err != nil:
-		c.counters().BadHandshakes++
+		c.counters().FailedHandshakes++
 		slog.Debug("client TLS handshake failed", slog.Any("error", err))
 		c.abort()
 	default:
@@ -63,16 +63,16 @@
 // finishHandshake records the client's certificate and handles the input received during the handshake.
 func (c *clientConn) finishHandshake() {
 	c.counters().Handshakes++
-	c.TLS.Finish()
+	c.TLS.SetHandshakeDone()
 	c.HandshakeDone = true
 	c.lastActivity, c.establishedAt = c.turnTime(), c.turnTime()
 	state := c.TLS.State()
 	if state.DidResume {
-		c.counters().Resumed++
+		c.counters().ResumedHandshakes++
 	}
 	if len(state.PeerCertificates) > 0 {
 		c.peerCertificate = state.PeerCertificates[0]
-		c.callerCertificate = certs.Of(c.peerCertificate)
+		c.callerCertificate = certs.IdentityCertificate(c.peerCertificate)
 	}
 	c.processMessages()
 }
@@ -85,7 +85,7 @@
 	}
 	tls := &c.listener.server.tls
 	c.callerCertificate.Revoked = tls.material == nil ||
-		tls.material.Revoked.Has(c.peerCertificate, time.UnixMicro(wallTime), tls.files.StaleRefuses)
+		tls.material.Revocations.IsRevoked(c.peerCertificate, time.UnixMicro(wallTime), tls.files.RejectStaleCRLs)
 	return c.callerCertificate
 }
 
@@ -123,7 +123,7 @@
 func (c *clientConn) abortOnTLSError(err error) {
 	if err != nil && !c.Closed && c.state != clientLingering {
 		c.writeBytes(nil)
-		c.counters().Malformed++
+		c.counters().MalformedInput++
 		c.abort()
 	}
 }
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -15,7 +15,7 @@
 	counts := s.core.StatementCounts()
 	counters := &s.host.Counters
 	counters.ShapeHits, counters.ShapeMisses, counters.Unparsed = counts.Hits, counts.Misses, counts.Failures
-	counters.Learned, counters.Shapes, counters.ShapeBytes = counts.Learned, counts.Shapes, counts.Bytes
+	counters.LearnedOutcomes, counters.Shapes, counters.ShapeBytes = counts.Learned, counts.Shapes, counts.Bytes
 }
 
 // countIdentity copies the counters of caller authentication, if that is enabled.
@@ -26,9 +26,9 @@
 	}
 	counts := guard.Counts()
 	counters := &s.host.Counters
-	counters.Identified, counters.SignatureChecks = counts.Allowed, counts.SignaturesChecked
-	counters.BadProofs = counts.NoCredentials + counts.InvalidTokens + counts.NegativeCacheHits + counts.Expired +
-		counts.UnknownCallers
-	counters.Forbidden = counts.PermissionDenied + counts.TenantMismatches
+	counters.AllowedCalls, counters.SignatureChecks = counts.Allowed, counts.SignaturesChecked
+	counters.UnauthenticatedCalls = counts.NoCredentials + counts.InvalidTokens + counts.NegativeCacheHits +
+		counts.Expired + counts.UnknownCallers
+	counters.PermissionDenied = counts.PermissionDenied + counts.TenantMismatches
 	counters.OverCeiling = counts.CeilingReached + counts.SignatureBudgetExhausted
 }
--- a/internal/server/engine_response.go
+++ b/internal/server/engine_response.go
@@ -102,7 +102,7 @@
 		return
 	}
 	request.connection, request.resumeCount = nil, 0
-	c.pool.counters().MalformedFacts += response.MalformedHeaders
+	c.pool.counters().MalformedHeaders += response.MalformedHeaders
 	if progress := request.query.Progress(); progress != nil && !request.isHealthCheck() && !outcome.ended {
 		c.pool.server.core.ReportProgress(request.attempt, progress.Kind, progress.Value)
 	}
--- a/internal/server/engine_tls.go
+++ b/internal/server/engine_tls.go
@@ -55,7 +55,7 @@
 // finishHandshake sends the request's call once the handshake is complete.
 func (c *engineConn) finishHandshake() {
 	c.pool.counters().EngineHandshakes++
-	c.TLS.Finish()
+	c.TLS.SetHandshakeDone()
 	c.HandshakeDone, c.lastActivity = true, c.pool.turnTime()
 	c.markEstablished()
 	if c.request == nil {
@@ -68,7 +68,7 @@
 // failHandshake closes a connection whose handshake failed.
 func (c *engineConn) failHandshake(err error) {
 	slog.Warn("engine TLS handshake failed", slog.String("engine", c.engine.name), slog.Any("error", err))
-	c.pool.counters().BadEngineHandshakes++
+	c.pool.counters().FailedEngineHandshakes++
 	request := c.request
 	c.terminate()
 	if request != nil {
--- a/internal/server/key_files.go
+++ b/internal/server/key_files.go
@@ -36,7 +36,7 @@
 	if cfg.Callers != nil {
 		files = append(files, s.identityFiles(cfg.Identity(), apply)...)
 	}
-	if err := keyfiles.Load(files); err != nil {
+	if err := keyfiles.LoadAll(files); err != nil {
 		return err
 	}
 	if err := s.core.ConfigureIdentity(cfg.Callers); err != nil {
@@ -50,7 +50,7 @@
 	s.stopKeyWatch()
 	started = true
 	if len(files) > 0 {
-		s.keyWatch = keyfiles.Start(files, cfg.Identity().WatchInterval())
+		s.keyWatch = keyfiles.StartWatcher(files, cfg.Identity().WatchInterval())
 	}
 	return nil
 }
@@ -60,7 +60,7 @@
 func (s *Server) identityFiles(section *config.Identity, apply runOnLoop) (files []*keyfiles.File) {
 	for _, issuer := range section.Issuers {
 		files = append(files, &keyfiles.File{Path: issuer.Keys, Load: func(path string) error {
-			keys, err := keyfiles.Keys(path)
+			keys, err := keyfiles.ReadPublicKeys(path)
 			if err == nil {
 				apply(func() { s.setKeys(issuer.Name, keys) })
 			}
@@ -69,7 +69,7 @@
 	}
 	if section.Revoked != "" {
 		files = append(files, &keyfiles.File{Path: section.Revoked, Load: func(path string) error {
-			revoked, err := keyfiles.Revoked(path)
+			revoked, err := keyfiles.ReadRevocations(path)
 			if err == nil {
 				apply(func() { s.setRevoked(revoked) })
 			}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -44,8 +44,8 @@
 
 	installationPath   string // of the installation file, as configured at the start
 	reloadMutex        sync.Mutex
-	keyWatch           *keyfiles.Watch // of the files for identity and TLS; nil if both are off
-	keyWatchGeneration int             // incremented for each new key watch
+	keyWatch           *keyfiles.Watcher // of the files for identity and TLS; nil if both are off
+	keyWatchGeneration int               // incremented for each new key watch
 }
 
 // New builds a front end from its configuration. It does not listen before Run is called. Counters are printed to
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -25,7 +25,7 @@
 // schedulerConfig converts the object to the configuration of package scheduler.
 func (o *object) schedulerConfig() (scheduler.Config, error) {
 	config := scheduler.Config{
-		Gateways:                  o.Balancers,
+		FrontEnds:                 o.Balancers,
 		Rank:                      o.Rank,
 		Zone:                      o.Zone,
 		PollEndpoints:             o.Discovery == discoveryPoll,
@@ -64,7 +64,7 @@
 // convertRules converts the rules. There is a retry budget only if the rules set its window, look_back.
 func convertRules(rules *rulesObject) scheduler.Rules {
 	converted := scheduler.Rules{
-		ResponseTimeout:  fromSeconds(rules.AskWithin),
+		DiscoveryTimeout: fromSeconds(rules.AskWithin),
 		WarmUp:           fromSeconds(rules.Cold),
 		InitialCapacity:  rules.ColdFrom,
 		OverloadWindow:   fromSeconds(rules.Fall),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,8 +13,8 @@
 // Settings are the settings of a site. Values of missing keys are zero: this package fills in no defaults.
 type Settings struct {
 	scheduler.Config
-	ClassOf  map[string]int // indexes in Config.Classes by name; the last one if several classes have the name
-	TenantOf map[string]int // indexes in Config.Tenants by name; the last one if several tenants have the name
+	ClassIndex  map[string]int // indexes in Config.Classes by name; the last one if several classes have the name
+	TenantIndex map[string]int // indexes in Config.Tenants by name; the last one if several tenants have the name
 
 	Zones       []string        // names of the site's zones
 	ConnIdle    monotime.Micros // time after which engines close an idle connection
@@ -47,18 +47,18 @@
 	}
 	s := &Settings{
 		Config:      config,
-		ClassOf:     map[string]int{},
-		TenantOf:    map[string]int{},
+		ClassIndex:  map[string]int{},
+		TenantIndex: map[string]int{},
 		Zones:       o.FailureDomains,
 		ConnIdle:    fromSeconds(o.Limits.ConnIdle),
 		DialTimeout: fromSeconds(o.Limits.DialTimeout),
 		MaxOpen:     o.Limits.MaxOpen,
 	}
 	for i, class := range config.Classes {
-		s.ClassOf[class.Name] = i
+		s.ClassIndex[class.Name] = i
 	}
 	for i, tenant := range config.Tenants {
-		s.TenantOf[tenant.Name] = i
+		s.TenantIndex[tenant.Name] = i
 	}
 	return s, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -61,8 +61,8 @@
 	s, err := Parse([]byte(fullObject))
 	require.NoError(t, err)
 	assert.Equal(t, []string{"read", "load", "call"}, s.ClassNames())
-	assert.Equal(t, map[string]int{"read": 0, "load": 1, "call": 2}, s.ClassOf)
-	assert.Equal(t, map[string]int{"t": 0}, s.TenantOf)
+	assert.Equal(t, map[string]int{"read": 0, "load": 1, "call": 2}, s.ClassIndex)
+	assert.Equal(t, map[string]int{"t": 0}, s.TenantIndex)
 }
 
 func TestErrorsOfClassesAreClassErrors(t *testing.T) {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -142,13 +142,13 @@
 		MemoryMB:   f.optionalNumber(8),
 		TableGroup: int(f.optionalNumber(9)),
 	}
-	class, ok := instanceSettings.ClassOf[f.text(3)]
+	class, ok := instanceSettings.ClassIndex[f.text(3)]
 	if !ok && f.err == nil {
 		return nil, fmt.Errorf("new_request: unknown class %q", f.text(3))
 	}
 	request.Class = class
 	if tenant := f.optionalText(4); tenant != "" {
-		if request.Tenant, ok = instanceSettings.TenantOf[tenant]; !ok {
+		if request.Tenant, ok = instanceSettings.TenantIndex[tenant]; !ok {
 			return nil, fmt.Errorf("new_request: unknown tenant %q", tenant)
 		}
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -28,7 +28,7 @@
 	}
 	config := messages[0].Start.Config
 	class := config.Classes[0]
-	if config.Gateways != 2 || config.Rank != 1 || messages[0].Start.Seed != 42 {
+	if config.FrontEnds != 2 || config.Rank != 1 || messages[0].Start.Seed != 42 {
 		t.Fatalf("%+v", messages[0].Start)
 	}
 	if class.LatencyObjective != 500_000 || class.Effect != scheduler.IdempotentByKey ||
--- a/internal/testharness/build.go
+++ b/internal/testharness/build.go
@@ -48,10 +48,11 @@
 	return filepath.Join(dir, programName), remove, nil
 }
 
-// Variant builds the program with one source file replaced by the given text, and returns the program's path. It is
-// used to inject faults that can't be caused from outside the process. The file's path is relative to the repository's
-// root. The working directory has to be the program's folder, as for Build. The test fails if the build fails.
-func Variant(t *testing.T, file, text string) (program string) {
+// BuildVariant builds the program with one source file replaced by the given text, and returns the program's path. It
+// is used to inject faults that can't be caused from outside the process. The file's path is relative to the
+// repository's root. The working directory has to be the program's folder, as for Build. The test fails if the build
+// fails.
+func BuildVariant(t *testing.T, file, text string) (program string) {
 	dir := t.TempDir()
 	root, err := filepath.Abs(repositoryRoot)
 	require.NoError(t, err)
--- a/internal/testharness/faultproxy.go
+++ b/internal/testharness/faultproxy.go
@@ -160,10 +160,10 @@
 	delete(p.sessions, session)
 }
 
-// HoldCurrent holds back what the dialer sends on the connections that are open now until release is called,
+// HoldCurrentConnections holds back what the dialer sends on the connections that are open now until release is called,
 // even if the dialer's process ends before. Later connections are not affected, so that the frames held back arrive
 // after those of later connections.
-func (p *FaultProxy) HoldCurrent() (release func()) {
+func (p *FaultProxy) HoldCurrentConnections() (release func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	until := make(chan struct{})
@@ -173,9 +173,9 @@
 	return sync.OnceFunc(func() { close(until) })
 }
 
-// HoldNew closes all open connections, and holds back what the dialer sends on later ones, including its
+// HoldNewConnections closes all open connections, and holds back what the dialer sends on later ones, including its
 // part of the handshake, until release is called.
-func (p *FaultProxy) HoldNew() (release func()) {
+func (p *FaultProxy) HoldNewConnections() (release func()) {
 	until := make(chan struct{})
 	p.SetCut(true)
 	p.mu.Lock()
--- a/internal/testharness/faultproxy_test.go
+++ b/internal/testharness/faultproxy_test.go
@@ -158,7 +158,7 @@
 func TestHeldFramesArriveAfterThoseOfLaterConnection(t *testing.T) {
 	proxy, listener := newProxy(t)
 	old := dial(t, proxy, listener)
-	release := proxy.HoldCurrent()
+	release := proxy.HoldCurrentConnections()
 	write(t, old.dialer, frame(otherKind, "old"))
 	require.NoError(t, old.dialer.Close())
 	later := dial(t, proxy, listener)
@@ -175,7 +175,7 @@
 func TestHoldNewDelaysOnlyDialerOfNewConnection(t *testing.T) {
 	proxy, listener := newProxy(t)
 	before := dial(t, proxy, listener)
-	release := proxy.HoldNew()
+	release := proxy.HoldNewConnections()
 	_, err := before.dialer.Read(make([]byte, 1))
 	assert.Error(t, err, "the connection is closed")
 	after := dial(t, proxy, listener)
--- a/internal/testharness/workload.go
+++ b/internal/testharness/workload.go
@@ -19,15 +19,15 @@
 // NewRequestID returns a request id that is unique in this fleet.
 func (f *Fleet) NewRequestID() string { return RequestID(int(f.lastRequestID.Add(1))) }
 
-// LoadAttempt is a load as a client sends it: the first sending of a request, or a repeat.
-type LoadAttempt struct {
+// LoadRequest is a load as a client sends it: the first sending of a request, or a repeat.
+type LoadRequest struct {
 	IdempotencyKey, OrderKey, Statement string // OrderKey is "" if there is none
 	ClientTimeout                       time.Duration
 }
 
 // SendLoad sends a load to a front end and returns the response. Its kind is answer, shed or fault, or lost if the
 // connection ended or no response was received in time. Request and response are recorded in the history.
-func (f *Fleet) SendLoad(frontEnd *FrontEnd, load LoadAttempt) Reply {
+func (f *Fleet) SendLoad(frontEnd *FrontEnd, load LoadRequest) Reply {
 	call := f.NewRequestID()
 	f.History.Add(history.Event{Kind: history.RequestSent, FrontEnd: frontEnd.Name, CallID: call,
 		IdempotencyKey: load.IdempotencyKey, OrderKey: load.OrderKey, Body: load.Statement})
--- a/internal/tlsio/conn.go
+++ b/internal/tlsio/conn.go
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// Hello reports whether the client's first record is complete, so that the handshake can start. It returns ErrNotTLS if
+// ClientHelloReceived reports whether the client's first record is complete, so that the handshake can start. It returns ErrNotTLS if
 // the input does not start with a handshake record.
-func (c *Conn) Hello() (complete bool, err error) {
+func (c *Conn) ClientHelloReceived() (complete bool, err error) {
 	const headerLength, handshakeRecord = 5, 22 // RFC 8446, section 5.1
 	c.pipe.mu.Lock()
 	defer c.pipe.mu.Unlock()
--- a/internal/tlsio/conn_test.go
+++ b/internal/tlsio/conn_test.go
@@ -47,7 +47,7 @@
 			if out := c.Output(); len(out) > 0 {
 				_, _ = peer.Write(out)
 			}
-			c.Finish()
+			c.SetHandshakeDone()
 			return result.err
 		case <-time.After(20 * time.Second):
 			t.Fatal("the handshake did not end")
@@ -59,7 +59,7 @@
 func testConfigs(t *testing.T) (server *tls.Config, client *tls.Config) {
 	ca, err := certs.NewCA("test", time.Hour)
 	require.NoError(t, err)
-	leaf, err := ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, For: time.Hour})
+	leaf, err := ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, Lifetime: time.Hour})
 	require.NoError(t, err)
 	return &tls.Config{Certificates: []tls.Certificate{leaf.TLS()}, MinVersion: tls.VersionTLS13},
 		&tls.Config{RootCAs: ca.Pool(), ServerName: "front", ClientSessionCache: tls.NewLRUClientSessionCache(4)}
@@ -143,7 +143,7 @@
 func BenchmarkHandshake(b *testing.B) {
 	ca, err := certs.NewCA("test", time.Hour)
 	require.NoError(b, err)
-	leaf, err := ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, For: time.Hour})
+	leaf, err := ca.Leaf(certs.Request{Name: "front", DNS: []string{"front"}, Lifetime: time.Hour})
 	require.NoError(b, err)
 	server := &tls.Config{Certificates: []tls.Certificate{leaf.TLS()}, MinVersion: tls.VersionTLS13}
 	for name, cache := range map[string]tls.ClientSessionCache{"full": nil, "resumed": tls.NewLRUClientSessionCache(4)} {
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -84,7 +84,7 @@
 // still within quota.
 func TestQuotaBelowOneQueryASecondStillLetsQueriesThrough(t *testing.T) {
 	cfg := testConfig()
-	cfg.Gateways, cfg.Tenants = 200, []Tenant{{Name: "t", Share: 1, Quota: 70}}
+	cfg.FrontEnds, cfg.Tenants = 200, []Tenant{{Name: "t", Share: 1, Quota: 70}}
 	sched := newTestScheduler(t, cfg, EndpointUpdate{Kind: UpdateComplete})
 	for i := range uint64(5) {
 		now := monotime.Micros(10*i+10) * monotime.Second
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -16,7 +16,7 @@
 				update.Endpoints = append(update.Endpoints, Endpoint{Engine: fmt.Sprint("e", i), Kind: "k"})
 			}
 			cfg := testConfig()
-			cfg.Gateways = 5 * n
+			cfg.FrontEnds = 5 * n
 			sched, err := New(cfg, 7)
 			if err != nil {
 				b.Fatal(err)
--- a/scheduler/budgets_test.go
+++ b/scheduler/budgets_test.go
@@ -181,7 +181,7 @@
 // the bound from this front end's estimated share of the traffic does not apply.
 func TestThreadBudgetOfEachEngine(t *testing.T) {
 	cfg := testConfig()
-	cfg.Gateways = 40
+	cfg.FrontEnds = 40
 	rule := BudgetRule{Name: "t", Kind: account.Concurrency, Class: -1, Tenant: -1, PerEngine: true, Unit: Threads,
 		Overflow: QueueOverflow}
 	amount := account.Amount{Capacity: 4000}
@@ -199,7 +199,7 @@
 // neither work credit nor turns apply.
 func TestWarmUpWindowBudget(t *testing.T) {
 	cfg := testConfig()
-	cfg.Gateways = 40
+	cfg.FrontEnds = 40
 	update := completeUpdate("a", "b")
 	update.Endpoints[0].Started = monotime.Second
 	rule := BudgetRule{Name: "c", Kind: account.Window, Window: monotime.Second, Class: -1, Tenant: -1,
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -27,7 +27,7 @@
 // that of the users' fleet.
 func newLargeScheduler(t *testing.T, engines int) *Scheduler {
 	cfg := testConfig()
-	cfg.Gateways, cfg.Zone = max(1, engines*fleetFrontEnds/fleetEngines), "z0"
+	cfg.FrontEnds, cfg.Zone = max(1, engines*fleetFrontEnds/fleetEngines), "z0"
 	sched, err := New(cfg, 7)
 	require.NoError(t, err)
 	update := EndpointUpdate{Kind: UpdateComplete}
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -12,7 +12,7 @@
 // by the scheduler; their comments say so.
 type Config struct {
 	// FrontEnds is the number of front ends of the site, this one included; at least 1.
-	Gateways int
+	FrontEnds int
 	// Rank is this front end's index among them, from 0 to FrontEnds-1.
 	Rank int
 	// Zone is the zone of this front end. Not used by the scheduler.
@@ -54,7 +54,7 @@
 
 // check returns an error for the first required setting that is missing.
 func (cfg *Config) check() error {
-	if cfg.Gateways < 1 {
+	if cfg.FrontEnds < 1 {
 		return errors.New("scheduler: Config.FrontEnds is below 1")
 	}
 	if len(cfg.Classes) == 0 {
@@ -170,8 +170,8 @@
 
 // Rules are the numeric parameters of the site. A zero value means that the rule does not apply.
 type Rules struct {
-	// ResponseTimeout is the time within which discovery responds to a Subscribe.
-	ResponseTimeout monotime.Micros
+	// DiscoveryTimeout is the time within which discovery responds to a Subscribe.
+	DiscoveryTimeout monotime.Micros
 	// WarmUp is the time from an engine's start until it has its full capacity; 0: engines have no warm-up.
 	WarmUp monotime.Micros
 	// InitialCapacity is the fraction of its full capacity that an engine has at its start, up to 1.
--- a/scheduler/config_test.go
+++ b/scheduler/config_test.go
@@ -6,7 +6,7 @@
 func TestNewRejectsInvalidConfig(t *testing.T) {
 	noThreads := testConfig()
 	noThreads.Classes[0].Threads = 0
-	for name, cfg := range map[string]Config{"empty": {}, "no classes": {Gateways: 1}, "no threads": noThreads} {
+	for name, cfg := range map[string]Config{"empty": {}, "no classes": {FrontEnds: 1}, "no threads": noThreads} {
 		if _, err := New(cfg, 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -150,7 +150,7 @@
 	e := s.endpoints.byName[endpoint.Engine]
 	if e == nil {
 		e = newEngine(endpoint.Engine)
-		e.recentThreads = s.rng.Float64() * maxInitialRecentThreads * max(0, 1-2/float64(s.cfg.Gateways))
+		e.recentThreads = s.rng.Float64() * maxInitialRecentThreads * max(0, 1-2/float64(s.cfg.FrontEnds))
 		e.recentAtSend = s.placement.sends
 		s.endpoints.byName[endpoint.Engine] = e
 		s.endpoints.engines = append(s.endpoints.engines, e)
@@ -173,7 +173,7 @@
 func (s *Scheduler) keepSubscribed() {
 	es := &s.endpoints
 	if s.cfg.PollEndpoints && s.now >= es.subscribeAt {
-		es.subscribeAt = s.now + s.cfg.Rules.ResponseTimeout/2
+		es.subscribeAt = s.now + s.cfg.Rules.DiscoveryTimeout/2
 		s.emit(Subscribe{})
 	}
 	if s.cfg.PollEndpoints && es.subscribeAt < math.MaxInt64 && es.subscribeTimerAt != es.subscribeAt {
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -25,7 +25,7 @@
 // Where endpoint updates come only after a Subscribe, a timer repeats a failed subscription, even at an idle front end.
 func TestFailedSubscriptionIsRetriedByTimer(t *testing.T) {
 	cfg := testConfig()
-	cfg.PollEndpoints, cfg.Rules.ResponseTimeout = true, 10*monotime.Second
+	cfg.PollEndpoints, cfg.Rules.DiscoveryTimeout = true, 10*monotime.Second
 	sched, err := New(cfg, 7)
 	if err != nil {
 		t.Fatal(err)
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -10,8 +10,8 @@
 // A front end learns of one engine and starts its first query there.
 func ExampleScheduler_Step() {
 	sched, err := scheduler.New(scheduler.Config{
-		Gateways: 1,
-		Kinds:    []scheduler.EngineKind{{Name: "small", Cores: 4}},
+		FrontEnds: 1,
+		Kinds:     []scheduler.EngineKind{{Name: "small", Cores: 4}},
 		Classes: []scheduler.Class{{
 			Name: "short", LatencyObjective: monotime.Second, ClientTimeout: 5 * monotime.Second, PriorityWeight: 1, Threads: 1,
 		}},
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -10,8 +10,8 @@
 // long query class.
 func testConfig() Config {
 	return Config{
-		Gateways: 2,
-		Kinds:    []EngineKind{{Name: "k", Cores: 4, MemoryMB: 1000}},
+		FrontEnds: 2,
+		Kinds:     []EngineKind{{Name: "k", Cores: 4, MemoryMB: 1000}},
 		Classes: []Class{
 			{Name: "short", LatencyObjective: monotime.Second, ClientTimeout: 4 * monotime.Second,
 				PriorityWeight: 1, Threads: 1},
@@ -70,7 +70,7 @@
 // of what they send.
 func newFleet(t *testing.T, n int, cfg Config, update EndpointUpdate) []*Scheduler {
 	t.Helper()
-	cfg.Gateways = n
+	cfg.FrontEnds = n
 	var all []*Scheduler
 	for rank := range n {
 		cfg.Rank = rank
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -111,7 +111,7 @@
 		return nil
 	}
 	candidates := s.avoidTriedAndLocked(q, s.candidates(q))
-	if s.cfg.Gateways > s.placement.readyEngines {
+	if s.cfg.FrontEnds > s.placement.readyEngines {
 		for _, e := range candidates {
 			if e.warmUp.active() {
 				return e // it has capacity for this front end now and gets little from others meanwhile
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -89,7 +89,7 @@
 // Guards against one long query that uses up a front end's share and delays its short queries.
 func TestLongQueriesTakeNoSlotsFromShortOnes(t *testing.T) {
 	cfg := testConfig()
-	cfg.Gateways = 50
+	cfg.FrontEnds = 50
 	sched := newTestScheduler(t, cfg, completeUpdate("a", "b"))
 	sched.classes[0].meanLatency, sched.classes[0].meanEstimate = 100_000, 1
 	sched.classes[1].meanLatency, sched.classes[1].meanEstimate = 4_000_000, 1
@@ -108,7 +108,7 @@
 // for.
 func TestConcurrencySlotsFollowTheShareOfTraffic(t *testing.T) {
 	cfg := largeEngineConfig()
-	cfg.Gateways = 50
+	cfg.FrontEnds = 50
 	sched := newTestScheduler(t, cfg, completeUpdate("a", "b", "c", "e"))
 	now := monotime.Second
 	for id := range uint64(1000) { // half of what quotas allow in total
@@ -126,7 +126,7 @@
 // Guards against attempts on unresponsive engines that take up the concurrency slots for responsive ones.
 func TestEjectedEnginesTakeNoConcurrencySlots(t *testing.T) {
 	cfg := largeEngineConfig()
-	cfg.Gateways = 50
+	cfg.FrontEnds = 50
 	sched := newTestScheduler(t, cfg, completeUpdate("a", "b"))
 	fill := func(from uint64, now monotime.Micros) (n int) {
 		for id := from; id < from+40; id++ {
--- a/scheduler/sequences_test.go
+++ b/scheduler/sequences_test.go
@@ -43,7 +43,7 @@
 func sequenceConfig(seed uint64) Config {
 	enabled := func(bit uint) bool { return seed>>bit&1 == 1 }
 	cfg := Config{
-		Gateways: 1 + int(seed%4)*20, Rank: int(seed % 3), Zone: "a",
+		FrontEnds: 1 + int(seed%4)*20, Rank: int(seed % 3), Zone: "a",
 		Kinds: []EngineKind{{Name: "small", Cores: 4, MemoryMB: 8000}, {Name: "large", Cores: 16, MemoryMB: 64000}},
 		Classes: []Class{
 			{Name: "lookup", LatencyObjective: monotime.Second / 2, ObjectiveStretch: 1.5,
@@ -65,7 +65,7 @@
 			MaxAttempts: 2 + int(seed%4), MaxRetryAfter: 2 * monotime.Second,
 		},
 		Rules: Rules{
-			ResponseTimeout: monotime.Second, WarmUp: 8 * monotime.Second, InitialCapacity: 0.3,
+			DiscoveryTimeout: monotime.Second, WarmUp: 8 * monotime.Second, InitialCapacity: 0.3,
 			OverloadWindow: monotime.Second, OverloadMultiple: 2, DrainGrace: monotime.Second / 2,
 			AnswerSlack: monotime.Second / 20, KeyQuietPeriod: monotime.Second,
 			RetryBudget: enabled(2), MinRetries: 2, RetryRatio: 0.2, RetryBudgetWindow: 10 * monotime.Second,
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -107,7 +107,7 @@
 	for _, c := range s.classes {
 		longest = max(longest, c.meanWork)
 	}
-	if part := warmUpMargin * budget / float64(s.cfg.Gateways); part >= longest {
+	if part := warmUpMargin * budget / float64(s.cfg.FrontEnds); part >= longest {
 		return e.warmUp.fits(s.now, window, work, part)
 	}
 	if work <= maxLightWork*budget {
@@ -126,7 +126,7 @@
 	window := s.cfg.Rules.OverloadWindow
 	at := uint64(s.now/window) + e.hash%timeSlotWindows
 	slotHash := mixHash(e.hash^at/timeSlotWindows) + uint64(s.cfg.Rank)
-	return slotHash%uint64(s.cfg.Gateways) == 0 && at%timeSlotWindows > 0 && s.now >= s.firstStepAt+window
+	return slotHash%uint64(s.cfg.FrontEnds) == 0 && at%timeSlotWindows > 0 && s.now >= s.firstStepAt+window
 }
 
 // endWarmUp ends a warm-up whose time has passed. It raises the engine's recent threads to the mean load, so that the
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -128,9 +128,9 @@
 		sent:           map[string][]sentWork{},
 	}
 	r.cfg = Config{
-		Gateways: scenario.frontEnds,
-		Kinds:    []EngineKind{{Name: "k", Cores: scenarioCores, MemoryMB: 1 << 20}},
-		Limits:   Limits{HealthChecks: true, MaxAttempts: 5, MaxRetryAfter: 2 * monotime.Second},
+		FrontEnds: scenario.frontEnds,
+		Kinds:     []EngineKind{{Name: "k", Cores: scenarioCores, MemoryMB: 1 << 20}},
+		Limits:    Limits{HealthChecks: true, MaxAttempts: 5, MaxRetryAfter: 2 * monotime.Second},
 		Rules: Rules{
 			WarmUp: 14 * monotime.Second, InitialCapacity: 0.32, OverloadWindow: monotime.Second, OverloadMultiple: 2,
 			DrainGrace: monotime.Second / 2,
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -27,7 +27,7 @@
 	}
 	workEach := cfg.Classes[0].LatencyObjective // the class's mean work before any measurement
 	rules := cfg.Rules
-	budget := rules.OverloadMultiple * rules.InitialCapacity * 4 * float64(rules.OverloadWindow) / float64(cfg.Gateways)
+	budget := rules.OverloadMultiple * rules.InitialCapacity * 4 * float64(rules.OverloadWindow) / float64(cfg.FrontEnds)
 	if work := float64(sent) * float64(workEach); sent == 0 || work > budget {
 		t.Fatalf("sent %d queries with %d of work each, budget %.0f", sent, workEach, budget)
 	}
@@ -59,7 +59,7 @@
 func TestFrontEndsTakeTurnsOnAnEngineWarmingUp(t *testing.T) {
 	const n = 100
 	cfg := testConfig()
-	cfg.Gateways = n
+	cfg.FrontEnds = n
 	update := completeUpdate("a")
 	update.Endpoints[0].Started = 2 * monotime.Second
 	var all []*Scheduler
--- a/scheduler/traffic.go
+++ b/scheduler/traffic.go
@@ -13,7 +13,7 @@
 }
 
 func newTraffic(cfg *Config) traffic {
-	t := traffic{frontEnds: float64(cfg.Gateways)}
+	t := traffic{frontEnds: float64(cfg.FrontEnds)}
 	for _, tenant := range cfg.Tenants {
 		t.totalQuota += tenant.Quota
 	}
--- a/simulation/client.go
+++ b/simulation/client.go
@@ -92,7 +92,7 @@
 		Class:          requestClass,
 		OrderKey:       c.request.orderKey,
 		IdempotencyKey: c.request.idempotencyKey,
-		TTL:            c.request.clientTimeout,
+		ClientTimeout:  c.request.clientTimeout,
 		EstimatedWork:  estimatedWork,
 		Statement:      []byte(c.request.statement),
 	}, c)
--- a/simulation/membership/controlprocess.go
+++ b/simulation/membership/controlprocess.go
@@ -117,7 +117,7 @@
 // pending.
 func (c *controlProcess) sendPending() {
 	for {
-		messages, closing := c.server.TakeMessages(), c.server.LinksToClose()
+		messages, closing := c.server.TakeMessages(), c.server.TakeLinksToClose()
 		if len(messages) == 0 && len(closing) == 0 {
 			break
 		}
--- a/simulation/simulation.go
+++ b/simulation/simulation.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("simulation: %w", err)
 	}
-	site.Gateways = options.FrontEnds
+	site.FrontEnds = options.FrontEnds
 	s := &Simulation{
 		options:      options,
 		random:       random{rand.New(rand.NewPCG(options.Seed, 1))},
--- a/statement/bench_test.go
+++ b/statement/bench_test.go
@@ -93,7 +93,7 @@
 // BenchmarkScan measures the baseline, a scan of the text for the table group only.
 func BenchmarkScan(b *testing.B) {
 	for b.Loop() {
-		if sqltext.Group(lookupQuery) != 17 {
+		if sqltext.TableGroup(lookupQuery) != 17 {
 			b.Fatal("no group")
 		}
 	}
--- a/statement/corpus_test.go
+++ b/statement/corpus_test.go
@@ -94,7 +94,7 @@
 			assert.Equal(t, strings.Join(b.tables, " "), tableRoles(f), s)
 			assert.Equal(t, []string{b.verb, b.effect}, []string{f.Verb, effect(f)}, s)
 			assert.Equal(t, b.group, f.TableGroup, s)
-			if sqltext.Group(s) == b.group {
+			if sqltext.TableGroup(s) == b.group {
 				scanMatches++
 			}
 			class, ok := r.Classify(&reading)
--- a/statement/tablegroup_test.go
+++ b/statement/tablegroup_test.go
@@ -16,8 +16,8 @@
 	text, err := os.ReadFile("testdata/corpus.txt")
 	require.NoError(t, err)
 	for line := range strings.SplitSeq(string(text), "\n") {
-		assert.Equal(t, sqltext.Group(line), scanTableGroup(line), line)
+		assert.Equal(t, sqltext.TableGroup(line), scanTableGroup(line), line)
 		unparsable := "selec \x00 " + line + " ( $ \\"
-		assert.Equal(t, sqltext.Group(unparsable), scanTableGroup(unparsable), line)
+		assert.Equal(t, sqltext.TableGroup(unparsable), scanTableGroup(unparsable), line)
 	}
 }
