--- a/identity/audit.go
+++ b/identity/audit.go
@@ -2,14 +2,16 @@
 
 import "chutechute/internal/monotime"
 
-// AllowLogEntry reports whether a denied call is to be logged at the monotonic time now, within
-// Limits.AuditPerSecond, and how many were not logged since the last one that was.
-func (g *Guard) AllowLogEntry(now monotime.Micros) (silenced int, ok bool) { return g.audit.allow(now) }
+// AllowLogEntry reports whether Limits.AuditPerSecond allows logging a denied request at the monotonic time now. If so,
+// it also returns how many denied requests were not logged since the last log entry.
+func (g *Guard) AllowLogEntry(now monotime.Micros) (suppressed int, ok bool) {
+	return g.audit.allow(now)
+}
 
-// auditLimiter limits the log entries about denied calls.
+// auditLimiter limits the rate of log entries about denied requests.
 type auditLimiter struct {
 	entries    tokenBucket
-	suppressed int // since the last entry
+	suppressed int // log entries suppressed since the last one that was allowed
 }
 
 func newAuditLimiter(entriesPerSecond float64, suppressed int) auditLimiter {
@@ -19,7 +21,7 @@
 	}
 }
 
-// allow reports whether there may be an entry now, and how many were suppressed before it.
+// allow reports whether an entry may be logged now and, if so, how many were suppressed before it.
 func (a *auditLimiter) allow(now monotime.Micros) (suppressed int, ok bool) {
 	if !a.entries.take(now) {
 		a.suppressed++
--- a/identity/authentication.go
+++ b/identity/authentication.go
@@ -8,19 +8,19 @@
 	"chutechute/internal/monotime"
 )
 
-// signatureRetryAfter is the time after which a call may be sent again that was denied because the budget of signature
+// signatureRetryAfter is the time after which a request may be retried that was denied because the budget for signature
 // checks was exhausted, in microseconds.
 const signatureRetryAfter = 250 * monotime.Millisecond
 
-// Caller is the authenticated sender of a call.
+// Caller is the authenticated sender of a request.
 type Caller struct {
 	Name   string
-	Tenant string // whose calls the caller may send; empty: none
+	Tenant string // the only tenant that the caller may send requests for; empty: none
 }
 
-// Authenticate authenticates a call by its token, by the client certificate of its connection, or by both, which
-// then must stand for the same caller. The token is empty, and the certificate nil, where the call has none. The
-// address is the client's, as a number; now is of the monotonic clock and wall of the wall clock. The error is a
+// Authenticate determines the caller of a request from its token, from the client certificate of its connection, or
+// from both, which must then identify the same caller. A missing token is empty, and a missing certificate is nil. The
+// address is that of the client, as a number; now is the monotonic time and wall the wall-clock time. The error is a
 // *Denied.
 func (g *Guard) Authenticate(
 	token string, certificate *Certificate, address uint64, now, wall monotime.Micros,
@@ -47,7 +47,7 @@
 	return byToken, nil
 }
 
-// callerOfCertificate returns the caller that a client certificate stands for at a time of the wall clock.
+// callerOfCertificate returns the caller that a client certificate identifies, if it is valid at a wall-clock time.
 func (g *Guard) callerOfCertificate(certificate *Certificate, wall monotime.Micros) (Caller, error) {
 	if certificate.Revoked || certificate.Expires > 0 && wall >= certificate.Expires {
 		g.counts.Expired++
@@ -61,7 +61,7 @@
 	return rule.caller(), nil
 }
 
-// callerOfToken returns the caller that a token stands for.
+// callerOfToken returns the caller that a token identifies.
 func (g *Guard) callerOfToken(text string, address uint64, now, wall monotime.Micros) (Caller, error) {
 	if maxBytes := g.options.Limits.TokenBytes; len(text) > maxBytes {
 		g.counts.InvalidTokens++
@@ -71,7 +71,7 @@
 	if err != nil {
 		return Caller{}, err
 	}
-	// The cache does not spare a token the checks of what may have changed since its signature was checked.
+	// The cache saves only the signature check: keys, revocations, options and time may have changed since.
 	if err := g.checkValidity(token, wall); err != nil {
 		return Caller{}, err
 	}
@@ -87,7 +87,7 @@
 	return token.caller, nil
 }
 
-// verifiedToken returns a token from the cache or, once its signature was checked, puts it there.
+// verifiedToken returns a token from the cache, or checks its signature and adds the token to the cache.
 func (g *Guard) verifiedToken(text string, address uint64, now, wall monotime.Micros) (*verifiedToken, error) {
 	hash := sha256.Sum256([]byte(text))
 	if token, ok := g.cache.verified.Get(hash); ok {
@@ -115,8 +115,8 @@
 	return token, nil
 }
 
-// checkSignature checks a token's signature with a key of the issuer that the token names: the one with the id that it
-// names or, where it names none, the only one that is valid.
+// checkSignature checks a token's signature with a valid key of the issuer that the token names. If the token names a
+// key ID, it must be the key with that ID; otherwise the issuer must have exactly one valid key.
 func (g *Guard) checkSignature(text string, wall monotime.Micros) (*verifiedToken, error) {
 	issuer, keyID, err := g.verifier.ParseUnverified(text)
 	if err != nil {
@@ -137,17 +137,17 @@
 	return &verifiedToken{claims: claims, key: *key}, nil
 }
 
-// checkValidity denies a verified token that is not valid at a time of the wall clock.
+// checkValidity returns a *Denied if a verified token is not valid at a wall-clock time.
 func (g *Guard) checkValidity(token *verifiedToken, wall monotime.Micros) error {
-	if detail := g.invalidity(token, wall); detail != "" {
+	if detail := g.validityError(token, wall); detail != "" {
 		g.counts.Expired++
 		return &Denied{Reason: NotValidNow, Detail: detail}
 	}
 	return nil
 }
 
-// invalidity returns why a verified token is not valid at a time of the wall clock; empty where it is.
-func (g *Guard) invalidity(token *verifiedToken, wall monotime.Micros) string {
+// validityError returns why a verified token is not valid at a wall-clock time, or an empty text if it is valid.
+func (g *Guard) validityError(token *verifiedToken, wall monotime.Micros) string {
 	claims, leeway := &token.claims, g.options.Leeway
 	issuer := g.issuer(claims.Issuer)
 	key := g.currentKey(claims.Issuer, &token.key)
@@ -162,13 +162,13 @@
 		return "not yet valid"
 	case !issuer.accepts(claims.Audiences):
 		return "for another audience"
-	case g.revocations.has(claims):
+	case g.revocations.includes(claims):
 		return "revoked"
 	}
 	return ""
 }
 
-// issuer returns the issuer of a name; nil if there is none.
+// issuer returns the issuer with a name, or nil if there is none.
 func (g *Guard) issuer(name string) *Issuer {
 	i := slices.IndexFunc(g.options.Issuers, func(issuer Issuer) bool { return issuer.Name == name })
 	if i < 0 {
--- a/identity/authentication_test.go
+++ b/identity/authentication_test.go
@@ -9,8 +9,9 @@
 	"chutechute/internal/monotime"
 )
 
-// Every invalid token is denied, and every valid one accepted, at the first call and from the caches.
-func TestTokensAreJudgedAlikeFromSignatureAndCache(t *testing.T) {
+// Valid tokens are accepted and invalid ones denied with the right reason, both when the signature is checked and when
+// the result comes from a cache.
+func TestTokensGetTheSameResultFromSignatureAndCache(t *testing.T) {
 	guard, issuer := newGuard(t, options())
 	keyA := identity.Key{ID: "a", Algorithm: "EdDSA", Public: issuer.keys["a"].Signer.Public()}
 	keyB, keyC := issuer.newKey("b", "ES256"), issuer.newKey("c", "RS256")
@@ -45,19 +46,20 @@
 		"unknown subject":  {issuer.sign("a", "kiosk"), identity.UnknownCaller},
 		"subject of a dir": {issuer.sign("a", "desk-4/x"), identity.UnknownCaller},
 	} {
-		for range 2 { // checked by its signature, then from the caches
+		for range 2 { // first by signature check, then from a cache
 			_, err := guard.Authenticate(test.token, nil, 1, 0, noon)
 			assert.Equal(t, test.want, reasonOf(err), "%s: %v", name, err)
 		}
 	}
-	// Another key under the same id is another key, whatever the header says.
+	// A token is invalid once its key has been replaced by another one with the same ID.
 	otherKey.ID = "a"
 	guard.SetKeys("legon", []identity.Key{otherKey})
 	_, err := guard.Authenticate(good, nil, 1, 0, noon)
 	assert.Equal(t, identity.InvalidToken, reasonOf(err))
 }
 
-// A certificate stands for the caller of the rule that its names match; a token must agree with it.
+// A certificate identifies the caller of the first rule that its names match. A token sent with it must identify the
+// same caller.
 func TestCertificatesAreMappedToCallers(t *testing.T) {
 	guard, issuer := newGuard(t, options())
 	for _, test := range []struct {
@@ -86,9 +88,9 @@
 	assert.Equal(t, identity.Caller{Name: "desk", Tenant: "coast"}, caller)
 }
 
-// When the wall clock steps forth and back by an hour, tokens are judged by its present time, and none is denied
-// for good.
-func TestTokensAreJudgedByThePresentWallClock(t *testing.T) {
+// When the wall clock steps forward and back by an hour, a cached token is accepted again as soon as the clock is back
+// within its validity.
+func TestTokenValidityFollowsTheWallClock(t *testing.T) {
 	guard, issuer := newGuard(t, options())
 	short := issuer.sign("a", "desk-1", func(claims *identity.Claims) {
 		claims.NotBefore = noon - second
@@ -110,7 +112,7 @@
 	assert.Equal(t, 1, guard.Counts().SignaturesChecked)
 }
 
-// A certificate with any names has either a caller or an error.
+// For a certificate with arbitrary names, Authenticate returns either a caller or an error.
 func FuzzCertificate(f *testing.F) {
 	f.Add("spiffe://legon/desk/4", "a.desks.legon", "CN=x")
 	f.Add("", "*.desks.legon", "")
@@ -123,7 +125,7 @@
 	})
 }
 
-// BenchmarkCached measures the admission of a call with a token that is in the cache.
+// BenchmarkCached measures authentication, authorization and the ceiling check of a request whose token is cached.
 func BenchmarkCached(b *testing.B) {
 	guard, issuer := newGuard(b, options())
 	text := issuer.sign("a", "desk-1")
--- a/identity/callers.go
+++ b/identity/callers.go
@@ -8,22 +8,22 @@
 	"chutechute/internal/monotime"
 )
 
-// uriScheme is in patterns of URIs and not in those of DNS names.
-const uriScheme = "://"
+// schemeSeparator distinguishes patterns for URIs from patterns for DNS names.
+const schemeSeparator = "://"
 
-// CallerRule maps tokens, certificates or both to a caller. Of several that apply the first counts. A rule applies to a
-// kind of credential if it has conditions for that kind and all of them hold.
+// CallerRule maps tokens, certificates or both to a caller. If several rules match, the first one applies. A rule
+// matches a credential if it has conditions for that kind of credential and all of them are met.
 type CallerRule struct {
 	Name   string
-	Tenant string // whose calls the caller may send; empty: none
+	Tenant string // the only tenant that the caller may send requests for; empty: none
 
 	// Conditions for tokens.
 	Issuer  string
-	Subject string // pattern; * stands for anything but a slash
+	Subject string // pattern; * matches any characters except a slash
 
 	// Conditions for certificates.
-	SANs      []string // patterns of URIs or DNS names, of which one must match: spiffe://legon/desk/*, *.desks.legon
-	DNSubject string   // pattern of the subject as RFC 2253 writes it
+	SANs      []string // patterns for URIs or DNS names, one of which must match: spiffe://legon/desk/*, *.desks.legon
+	DNSubject string   // pattern for the subject in RFC 2253 form
 }
 
 func (r *CallerRule) check(issuers map[string]bool) error {
@@ -33,7 +33,7 @@
 	case r.Name == "":
 		return fmt.Errorf("name: missing")
 	case !forTokens && !forCertificates:
-		return fmt.Errorf("issuer, sans or dn: one is needed")
+		return fmt.Errorf("issuer, sans or dn: at least one is required")
 	case forTokens && !issuers[r.Issuer]:
 		return fmt.Errorf("issuer: unknown issuer %q", r.Issuer)
 	case forTokens && r.Subject == "":
@@ -52,7 +52,7 @@
 	for i, pattern := range r.SANs {
 		key := fmt.Sprintf("sans[%d]", i)
 		if pattern == "" {
-			return fmt.Errorf("%s: %q is no pattern", key, pattern)
+			return fmt.Errorf("%s: %q is not a valid pattern", key, pattern)
 		}
 		if err := checkPattern(key, pattern); err != nil {
 			return err
@@ -63,15 +63,15 @@
 
 func (r *CallerRule) caller() Caller { return Caller{Name: r.Name, Tenant: r.Tenant} }
 
-// Certificate has the names of a client certificate that was verified during the handshake.
+// Certificate holds the names and validity of a client certificate that was verified during the handshake.
 type Certificate struct {
 	URIs, DNSNames []string
-	Subject        string          // as RFC 2253 writes it
-	Expires        monotime.Micros // of the wall clock, in microseconds since 1970; 0: not known
-	Revoked        bool            // by its authority, as of this call
+	Subject        string          // in RFC 2253 form
+	Expires        monotime.Micros // wall-clock time, in microseconds since 1970; 0: unknown
+	Revoked        bool            // by its CA, at the time of this request
 }
 
-// ruleForToken returns the first rule that applies to a token's claims; nil if there is none.
+// ruleForToken returns the first rule that matches a token's claims, or nil.
 func (o *Options) ruleForToken(claims *Claims) *CallerRule {
 	for i := range o.Callers {
 		rule := &o.Callers[i]
@@ -82,19 +82,19 @@
 	return nil
 }
 
-// ruleForCertificate returns the first rule that applies to a certificate; nil if there is none.
+// ruleForCertificate returns the first rule that matches a certificate, or nil.
 func (o *Options) ruleForCertificate(certificate *Certificate) *CallerRule {
 	for i := range o.Callers {
 		rule := &o.Callers[i]
-		if rule.appliesTo(certificate) {
+		if rule.matchesCertificate(certificate) {
 			return rule
 		}
 	}
 	return nil
 }
 
-// appliesTo reports whether the rule has conditions for certificates and all of them hold.
-func (r *CallerRule) appliesTo(certificate *Certificate) bool {
+// matchesCertificate reports whether the rule has conditions for certificates and all of them are met.
+func (r *CallerRule) matchesCertificate(certificate *Certificate) bool {
 	if r.DNSubject != "" && !matches(r.DNSubject, certificate.Subject) {
 		return false
 	}
@@ -107,7 +107,7 @@
 // matchesSAN reports whether one of the rule's patterns matches a URI or a DNS name of the certificate.
 func (r *CallerRule) matchesSAN(certificate *Certificate) bool {
 	for _, pattern := range r.SANs {
-		if strings.Contains(pattern, uriScheme) {
+		if strings.Contains(pattern, schemeSeparator) {
 			if slices.ContainsFunc(certificate.URIs, func(uri string) bool { return matches(pattern, uri) }) {
 				return true
 			}
@@ -120,8 +120,9 @@
 	return false
 }
 
-// matchesDNSName reports whether a DNS name of a certificate matches a pattern, whatever their case. A * stands for
-// characters of a single label. A name that is itself a wildcard stands for no caller.
+// matchesDNSName reports whether a DNS name of a certificate matches a pattern. The comparison ignores case, and a * in
+// the pattern matches within a single label. A name that is itself a wildcard never matches, since it identifies no
+// caller.
 func matchesDNSName(pattern, name string) bool {
 	return !strings.Contains(name, "*") &&
 		countDots(pattern) == countDots(name) &&
--- a/identity/ceilings.go
+++ b/identity/ceilings.go
@@ -6,16 +6,16 @@
 	"chutechute/internal/monotime"
 )
 
-// openRetryAfter is the time after which a call may be sent again that was denied because too many of its caller's
-// calls were open, in microseconds.
+// openRetryAfter is the time after which a request may be retried that was denied because its caller had too many open
+// requests, in microseconds.
 const openRetryAfter = 500 * monotime.Millisecond
 
-// Ceiling limits the calls of each caller that it is for. Of several for one caller the first counts.
+// Ceiling limits the requests of each caller that it matches. If several match a caller, the first one applies.
 type Ceiling struct {
-	Callers []string // patterns of callers' names
-	Rate    float64  // calls a second; 0: not limited
-	Burst   float64  // calls that may come at once; 0: those of one second
-	MaxOpen int      // calls open at once; 0: not limited
+	Callers []string // patterns for callers' names
+	Rate    float64  // requests per second; 0: unlimited
+	Burst   float64  // requests that may arrive at once; 0: as many as Rate allows in one second, but at least 1
+	MaxOpen int      // concurrently open requests; 0: unlimited
 }
 
 func (c *Ceiling) check(callers map[string]bool) error {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// burst returns the number of calls that may come at once.
+// burst returns the number of requests that may arrive at once.
 func (c *Ceiling) burst() float64 {
 	if c.Burst == 0 {
 		return max(1, c.Rate)
@@ -36,14 +36,14 @@
 	return c.Burst
 }
 
-// callerUsage is what the calls of a caller use of its ceiling.
+// callerUsage tracks how much of its ceiling a caller uses.
 type callerUsage struct {
-	ceiling *Ceiling // nil: not limited
-	calls   tokenBucket
-	open    int
+	ceiling  *Ceiling // nil: unlimited
+	requests tokenBucket
+	open     int // number of open requests
 }
 
-// ceilingOf returns the ceiling of a caller; nil if there is none.
+// ceilingOf returns the ceiling of a caller, or nil if it has none.
 func (g *Guard) ceilingOf(caller string) *Ceiling {
 	for i := range g.options.Ceilings {
 		ceiling := &g.options.Ceilings[i]
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// usageOf returns the usage of a caller, a new one if it has none.
+// usageOf returns the usage of a caller and creates it if necessary.
 func (g *Guard) usageOf(caller string) *callerUsage {
 	usage := g.usage[caller]
 	if usage == nil {
@@ -64,9 +64,9 @@
 	return usage
 }
 
-// Acquire counts a call of an authorized caller as open until Leave, at the monotonic time now. Where the caller's
-// ceiling is reached the call is not counted, and the error is a *Denied with the time after which it may be sent
-// again.
+// Acquire counts a request of an authorized caller as open until Release. The time now is monotonic. If the caller's
+// ceiling is reached, the request is not counted and the error is a *Denied with the time after which it may be
+// retried.
 func (g *Guard) Acquire(caller Caller, now monotime.Micros) error {
 	usage := g.usageOf(caller.Name)
 	if denied := usage.checkCeiling(caller.Name, now); denied != nil {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// checkCeiling takes a call of the ceiling's rate, or returns why the call is denied.
+// checkCeiling charges a request to the rate of the ceiling, or returns why the request is denied.
 func (u *callerUsage) checkCeiling(caller string, now monotime.Micros) *Denied {
 	ceiling := u.ceiling
 	if ceiling == nil {
@@ -87,24 +87,24 @@
 		detail := fmt.Sprintf("%d are open", u.open)
 		return &Denied{Reason: CeilingReached, Caller: caller, Detail: detail, RetryAfter: openRetryAfter}
 	}
-	// The ceiling may have changed since the last call.
-	u.calls.rate = ceiling.Rate
-	u.calls.burst = ceiling.burst()
-	if ceiling.Rate > 0 && !u.calls.take(now) {
+	// The ceiling may have changed since the last request.
+	u.requests.rate = ceiling.Rate
+	u.requests.burst = ceiling.burst()
+	if ceiling.Rate > 0 && !u.requests.take(now) {
 		detail := fmt.Sprintf("more than %g a second", ceiling.Rate)
-		return &Denied{Reason: CeilingReached, Caller: caller, Detail: detail, RetryAfter: u.calls.timeToNext()}
+		return &Denied{Reason: CeilingReached, Caller: caller, Detail: detail, RetryAfter: u.requests.timeToNext()}
 	}
 	return nil
 }
 
-// Release ends the count of a call that Enter has counted as open.
+// Release ends a request that Acquire counted as open.
 func (g *Guard) Release(caller Caller) {
 	usage := g.usage[caller.Name]
 	if usage == nil || usage.open == 0 {
 		return
 	}
 	usage.open--
-	// Only the bucket of a limited rate has to outlive the calls.
+	// Without a rate limit, the usage has no state to keep once no request is open.
 	rateLimited := usage.ceiling != nil && usage.ceiling.Rate != 0
 	if usage.open == 0 && !rateLimited {
 		delete(g.usage, caller.Name)
--- a/identity/ceilings_test.go
+++ b/identity/ceilings_test.go
@@ -9,7 +9,7 @@
 	"chutechute/identity"
 )
 
-// A ceiling limits how many calls of its callers are open and how many come at once, and no other caller.
+// A ceiling limits the open requests and the burst of the callers that it matches, and does not affect other callers.
 func TestCeilingsLimitOpenCallsAndRate(t *testing.T) {
 	o := options()
 	o.Ceilings = []identity.Ceiling{{Callers: []string{"desk"}, Rate: 10, Burst: 3, MaxOpen: 2}}
@@ -17,7 +17,7 @@
 	desk, booking := identity.Caller{Name: "desk"}, identity.Caller{Name: "booking"}
 	assert.NoError(t, guard.Acquire(desk, 0))
 	assert.NoError(t, guard.Acquire(desk, 0))
-	assert.Equal(t, identity.CeilingReached, reasonOf(guard.Acquire(desk, 0)), "two are open")
+	assert.Equal(t, identity.CeilingReached, reasonOf(guard.Acquire(desk, 0)), "two requests are open")
 	for range 100 {
 		assert.NoError(t, guard.Acquire(booking, 0))
 	}
@@ -26,9 +26,9 @@
 	assert.NoError(t, guard.Acquire(desk, 0))
 	guard.Release(desk)
 	err := guard.Acquire(desk, 0)
-	assert.Equal(t, identity.CeilingReached, reasonOf(err), "three came at once")
+	assert.Equal(t, identity.CeilingReached, reasonOf(err), "the burst of three is used up")
 	var denied *identity.Denied
 	require.ErrorAs(t, err, &denied)
 	assert.InDelta(t, second/10, denied.RetryAfter, 1)
-	assert.NoError(t, guard.Acquire(desk, denied.RetryAfter+1), "there is a token after the time that the error gives")
+	assert.NoError(t, guard.Acquire(desk, denied.RetryAfter+1), "a retry after RetryAfter succeeds")
 }
--- a/identity/guard.go
+++ b/identity/guard.go
@@ -1,6 +1,6 @@
 package identity
 
-// Guard authenticates and authorizes callers and limits their calls. It is not safe for concurrent use.
+// Guard authenticates and authorizes callers and limits their requests. It is not safe for concurrent use.
 type Guard struct {
 	options     Options
 	verifier    Verifier
@@ -13,25 +13,25 @@
 	counts      Counts
 }
 
-// Counts are the numbers of a Guard's decisions since it was made.
+// Counts are counters of a Guard's decisions since it was created.
 type Counts struct {
-	CacheHits         int // tokens that were in the cache of verified ones
+	CacheHits         int // tokens found in the cache of verified tokens
 	SignaturesChecked int // tokens whose signature was checked
-	NegativeCacheHits int // tokens that were in the cache of failed ones
+	NegativeCacheHits int // tokens found in the cache of failed tokens
 
-	Expired        int // calls denied for the reason Outdated
-	InvalidTokens  int // calls denied for a token without a valid signature, or one that is too long
-	UnknownCallers int // calls denied because their credentials stand for no caller, or for two
-	NoCredentials  int // calls denied for want of any credential
+	Expired        int // requests denied with the reason NotValidNow
+	InvalidTokens  int // requests denied for a token that has no valid signature or is too long
+	UnknownCallers int // requests denied because their credentials identify no caller, or two different ones
+	NoCredentials  int // requests denied because they have no credentials
 
-	SignatureBudgetExhausted int // calls denied because the budget of signature checks was exhausted
-	PermissionDenied         int // calls denied for want of a right
-	TenantMismatches         int // calls denied because they claimed another tenant than their caller's
-	CeilingReached           int // calls denied by a ceiling
-	Allowed                  int // calls that were authorized
+	SignatureBudgetExhausted int // requests denied because the budget for signature checks was exhausted
+	PermissionDenied         int // requests denied because no right allows them or a right denies them
+	TenantMismatches         int // requests denied because they name another tenant than their caller's
+	CeilingReached           int // requests denied by a ceiling
+	Allowed                  int // requests that were authorized
 }
 
-// New returns a Guard for an installation with these classes of queries. The error names the key of an invalid option.
+// New returns a Guard for an installation with these query classes. The error begins with the key of an invalid option.
 func New(o Options, classes []string, v Verifier) (*Guard, error) {
 	g := &Guard{verifier: v, keys: map[string][]Key{}, usage: map[string]*callerUsage{}}
 	if err := g.Apply(o, classes); err != nil {
@@ -40,9 +40,9 @@
 	return g, nil
 }
 
-// Apply replaces the options. Changed rights hold from the next call on; open calls are finished. Verified tokens stay
-// in the cache unless a limit changes, and are mapped to callers again. The error names the key of an invalid option;
-// nothing has changed then.
+// Apply replaces the options. Changed rights take effect with the next request and do not affect open requests.
+// Verified tokens stay in the cache unless a limit changes, and are mapped to callers again. If an option is invalid,
+// nothing changes and the error begins with its key.
 func (g *Guard) Apply(o Options, classes []string) error {
 	o.setDefaults()
 	if err := o.check(classes); err != nil {
@@ -54,7 +54,7 @@
 		g.cache = newTokenCache(o.Limits.CacheTokens)
 	}
 	g.options = o
-	// The signatures stay verified: to check them all again in a surge would exhaust the budget.
+	// Verified signatures are kept: checking all of them again at once would exhaust the signature budget.
 	g.cache.unmapCallers()
 	for name, usage := range g.usage {
 		usage.ceiling = g.ceilingOf(name)
@@ -62,5 +62,5 @@
 	return nil
 }
 
-// Counts returns the numbers of decisions so far.
+// Counts returns the current counters.
 func (g *Guard) Counts() Counts { return g.counts }
--- a/identity/handshakes.go
+++ b/identity/handshakes.go
@@ -1,35 +1,38 @@
 package identity
 
-// HandshakeLimiter limits the TLS handshakes that compute at once, for all addresses together and for each, since a
-// handshake costs many times what a call does. Those above a limit are queued, first in, first out, except that an
-// address at its limit does not hold up the others. A handshake that waits for its peer is not counted.
+// HandshakeLimiter limits how many TLS handshakes compute concurrently, in total and per client address, because a
+// handshake costs many times as much as a request. Handshakes above a limit are queued first in, first out, but an
+// address at its limit does not block the others. A handshake that waits for its peer does not count.
 type HandshakeLimiter struct {
-	MaxRunning, MaxRunningPerAddress int // maximum of handshakes that run at once, for all addresses and for each
+	MaxRunning, MaxRunningPerAddress int // concurrent handshakes, in total and per address
 	running                          int
 	runningByAddress                 map[uint64]int
 	queue                            []queuedHandshake
 }
 
-// queuedHandshake is a handshake that has not been started.
+// queuedHandshake is a handshake that has not started.
 type queuedHandshake struct {
 	address uint64
 	start   func()
 }
 
-// NewHandshakeLimiter returns a Handshakes that lets at most that many run at once, and half of them, but at least
-// one, from one address.
-func NewHandshakeLimiter(most int) *HandshakeLimiter {
-	return &HandshakeLimiter{MaxRunning: most, MaxRunningPerAddress: max(1, most/2), runningByAddress: map[uint64]int{}}
+// NewHandshakeLimiter returns a limiter of maxRunning concurrent handshakes, of which one address can have half, but at
+// least one.
+func NewHandshakeLimiter(maxRunning int) *HandshakeLimiter {
+	return &HandshakeLimiter{
+		MaxRunning: maxRunning, MaxRunningPerAddress: max(1, maxRunning/2), runningByAddress: map[uint64]int{},
+	}
 }
 
-// Start calls start at once or, where a limit is reached, once others have ended. Start must not call methods of h.
+// Start calls start immediately or, if a limit is reached, once enough other handshakes are done. The callback must
+// not call methods of h.
 func (h *HandshakeLimiter) Start(address uint64, start func()) {
 	h.queue = append(h.queue, queuedHandshake{address, start})
 	h.startQueued()
 }
 
-// Done ends the count of a handshake that was started, and starts queued ones in its place. It is called once for
-// each.
+// Done releases the slot of a started handshake and starts the queued ones that the limits now allow. It must be called
+// exactly once for each started handshake.
 func (h *HandshakeLimiter) Done(address uint64) {
 	h.running--
 	h.runningByAddress[address]--
@@ -42,7 +45,7 @@
 // Queued returns the number of queued handshakes.
 func (h *HandshakeLimiter) Queued() int { return len(h.queue) }
 
-// startQueued starts the queued handshakes that the limits allow, first in, first out.
+// startQueued starts the queued handshakes that the limits allow, in the order of the queue.
 func (h *HandshakeLimiter) startQueued() {
 	remaining := h.queue[:0]
 	for _, handshake := range h.queue {
--- a/identity/handshakes_test.go
+++ b/identity/handshakes_test.go
@@ -8,28 +8,28 @@
 	"chutechute/identity"
 )
 
-// Four handshakes run at once, two of them from one address. The others are queued, and an address that is at its limit
-// does not hold up those behind it.
+// With a limit of four, one address may run two handshakes. The others are queued, and an address at its limit does not
+// block the handshakes queued behind it.
 func TestHandshakesAreLimitedOverallAndPerAddress(t *testing.T) {
-	handshakes := identity.NewHandshakeLimiter(4)
+	limiter := identity.NewHandshakeLimiter(4)
 	var started []int
-	request := func(n int, address uint64) { handshakes.Start(address, func() { started = append(started, n) }) }
+	start := func(n int, address uint64) { limiter.Start(address, func() { started = append(started, n) }) }
 	for n := range 5 {
-		request(n, 1)
+		start(n, 1)
 	}
 	assert.Equal(t, []int{0, 1}, started)
-	request(10, 2)
-	request(11, 3)
-	request(12, 4)
+	start(10, 2)
+	start(11, 3)
+	start(12, 4)
 	assert.Equal(t, []int{0, 1, 10, 11}, started)
-	assert.Equal(t, 4, handshakes.Queued())
-	handshakes.Done(2)
+	assert.Equal(t, 4, limiter.Queued())
+	limiter.Done(2)
 	assert.Equal(t, []int{0, 1, 10, 11, 12}, started, "address 1 is at its limit")
-	handshakes.Done(1)
+	limiter.Done(1)
 	assert.Equal(t, []int{0, 1, 10, 11, 12, 2}, started)
 	for _, address := range []uint64{1, 1, 3, 4} {
-		handshakes.Done(address)
+		limiter.Done(address)
 	}
 	assert.Equal(t, []int{0, 1, 10, 11, 12, 2, 3, 4}, started)
-	assert.Zero(t, handshakes.Queued())
+	assert.Zero(t, limiter.Queued())
 }
--- a/identity/helpers_test.go
+++ b/identity/helpers_test.go
@@ -14,12 +14,12 @@
 const (
 	second = monotime.Second
 	hour   = 3600 * second
-	noon   = 1_796_126_400 * second // of a day in December 2026
+	noon   = 1_796_126_400 * second // wall-clock time of noon on a day in December 2026
 )
 
 var classes = []string{"lookup", "report", "load"}
 
-// options returns valid options with two callers and rights of both effects.
+// options returns valid options with two callers and with rights that allow and that deny.
 func options() identity.Options {
 	return identity.Options{
 		Issuers: []identity.Issuer{{Name: "legon", Audiences: []string{"chutechute"}}},
@@ -43,13 +43,13 @@
 	}
 }
 
-// testIssuer signs tokens with keys that are made for a test.
+// testIssuer generates keys and signs tokens with them.
 type testIssuer struct {
 	t    testing.TB
-	keys map[string]*token.PrivateKey // by id
+	keys map[string]*token.PrivateKey // by ID
 }
 
-// newKey makes a key and returns its public half.
+// newKey generates a key and returns its public half.
 func (i *testIssuer) newKey(id, algorithm string) identity.Key {
 	key, err := token.Generate(id, algorithm)
 	require.NoError(i.t, err)
@@ -57,7 +57,7 @@
 	return identity.Key{ID: id, Algorithm: algorithm, Public: key.Signer.Public()}
 }
 
-// sign returns a token for a subject, with the changes made to its claims. It expires an hour after noon.
+// sign returns a token for a subject. Its claims are valid until an hour after noon unless the changes modify them.
 func (i *testIssuer) sign(keyID, subject string, changes ...func(*identity.Claims)) string {
 	claims := identity.Claims{
 		Issuer: "legon", Subject: subject, Audiences: []string{"chutechute"}, Expires: noon + hour,
@@ -70,17 +70,17 @@
 	return text
 }
 
-// expiresAt changes the expiry of a token.
+// expiresAt sets the expiry of a token.
 func expiresAt(wall monotime.Micros) func(*identity.Claims) {
 	return func(claims *identity.Claims) { claims.Expires = wall }
 }
 
-// withID gives a token an id.
+// withID sets the ID of a token.
 func withID(id string) func(*identity.Claims) {
 	return func(claims *identity.Claims) { claims.ID = id }
 }
 
-// newGuard returns a guard that has the key "a" of the issuer.
+// newGuard returns a guard and the issuer "legon", whose key "a" the guard has.
 func newGuard(t testing.TB, o identity.Options) (*identity.Guard, *testIssuer) {
 	guard, err := identity.New(o, classes, token.Verifier{})
 	require.NoError(t, err)
@@ -89,7 +89,7 @@
 	return guard, issuer
 }
 
-// reasonOf returns the reason of a *Denied; empty for any other error.
+// reasonOf returns the reason of a *Denied, or an empty reason for any other error and for nil.
 func reasonOf(err error) identity.Reason {
 	var denied *identity.Denied
 	if errors.As(err, &denied) {
--- a/identity/keys_test.go
+++ b/identity/keys_test.go
@@ -13,18 +13,18 @@
 	"chutechute/internal/monotime"
 )
 
-// keysInSet is the number of newest keys that a rotation leaves in the set.
+// keysInSet is the number of keys, the newest ones, that a rotation keeps in the set.
 const keysInSet = 6
 
-// rotation is an issuer's keys that are rotated, with a token signed by each.
+// rotation rotates the keys of an issuer and has a token signed with each of them.
 type rotation struct {
 	guard  *identity.Guard
 	issuer *testIssuer
-	keys   []identity.Key // all that there were, the newest last
-	tokens []string       // by index of their key
+	keys   []identity.Key // all keys since the start, the newest last
+	tokens []string       // by the index of their key
 }
 
-// addKey adds a key that is valid from a time of the wall clock on.
+// addKey adds a key that becomes valid at a wall-clock time.
 func (r *rotation) addKey(from monotime.Micros) {
 	key := r.issuer.newKey(fmt.Sprint("k", len(r.keys)), "EdDSA")
 	key.NotBefore = from
@@ -32,20 +32,20 @@
 	r.tokens = append(r.tokens, r.issuer.sign(key.ID, "desk-1", expiresAt(noon+10*hour)))
 }
 
-// apply puts the set of the newest keys into force.
+// apply sets the newest keys as the keys of the guard.
 func (r *rotation) apply() {
 	newest := r.keys[max(0, len(r.keys)-keysInSet):]
 	r.guard.SetKeys("legon", slices.Clone(newest))
 }
 
-// isValid is the oracle: whether the key at an index is in the set and valid at a time of the wall clock.
+// isValid is the test oracle. It reports whether the key at an index is in the set and valid at a wall-clock time.
 func (r *rotation) isValid(i int, wall monotime.Micros) bool {
 	until := r.keys[i].Expires
 	return i >= len(r.keys)-keysInSet && (until == 0 || wall < until)
 }
 
-// Keys rotate every few seconds, for over an hour, while callers use tokens of old and new keys. A token is accepted
-// exactly while an oracle has its key valid, whether it is cached or not.
+// Keys rotate every 5 s, for more than an hour, while tokens of old and new keys are used. A token is accepted exactly
+// while the oracle considers its key valid, whether the token is cached or not.
 func TestTokensAreValidExactlyWhileTheirKeysAre(t *testing.T) {
 	o := options()
 	o.Limits.ChecksPerSecond, o.Limits.ChecksPerAddress = 1e6, 1e6
@@ -58,7 +58,7 @@
 	accepted, denied := 0, 0
 	for step := range 4000 {
 		wall += second
-		if step%5 == 0 { // the new key is valid at once, the one before for 7 s more
+		if step%5 == 0 { // the new key is valid immediately, the previous one for 7 s more
 			keys.addKey(wall)
 			keys.keys[len(keys.keys)-2].Expires = wall + 7*second
 			keys.apply()
@@ -78,7 +78,7 @@
 	assert.Greater(t, denied, 500)
 }
 
-// A token that comes shortly before its key is in force is accepted once the key is.
+// A token that arrives shortly before its key is denied, and accepted once SetKeys has added the key.
 func TestNewKeysClearCachedFailures(t *testing.T) {
 	guard, issuer := newGuard(t, options())
 	key := issuer.newKey("b", "EdDSA")
--- a/identity/options.go
+++ b/identity/options.go
@@ -7,30 +7,30 @@
 	"chutechute/internal/monotime"
 )
 
-// Options are the settings of an installation for its callers.
+// Options configures how an installation authenticates, authorizes and limits its callers.
 type Options struct {
 	Issuers  []Issuer
-	Leeway   monotime.Micros // by which clocks may differ for tokens' times, at most MostLeeway; 0: the default
+	Leeway   monotime.Micros // tolerated clock difference for the times of tokens, at most MaxLeeway; 0: the default
 	Callers  []CallerRule
 	Rights   []Right
 	Ceilings []Ceiling
 	Limits   Limits
 }
 
-// Limits bound the cost of authentication. Values of 0 take the defaults.
+// Limits bounds the cost of authentication. A value of 0 stands for the default.
 type Limits struct {
-	TokenBytes       int     // length of a token
-	CacheTokens      int     // verified tokens in the cache, and as many that failed
-	ChecksPerSecond  float64 // signature checks a second for all addresses together
-	ChecksPerAddress float64 // signature checks a second for each address
-	Addresses        int     // addresses that have a budget of their own
-	AuditPerSecond   float64 // log entries a second about denied calls
+	TokenBytes       int     // maximum length of a token
+	CacheTokens      int     // capacity of the cache of verified tokens, and of that of failed tokens
+	ChecksPerSecond  float64 // signature checks per second, in total
+	ChecksPerAddress float64 // signature checks per second and client address
+	Addresses        int     // maximum number of client addresses that are tracked
+	AuditPerSecond   float64 // log entries per second about denied requests
 }
 
-// MaxLeeway is the maximum of Options.Leeway, in microseconds.
+// MaxLeeway is the upper limit of Options.Leeway, in microseconds.
 const MaxLeeway = 300 * monotime.Second
 
-// Defaults of Options, and the bound of Limits.TokenBytes.
+// Defaults of Options, and the upper limit of Limits.TokenBytes.
 const (
 	defaultLeeway           = 30 * monotime.Second
 	defaultTokenBytes       = 4096
@@ -44,16 +44,16 @@
 
 // Issuer is an authority that signs tokens.
 type Issuer struct {
-	Name      string   // as in the claim "iss"
-	Audiences []string // of which a token's claim "aud" must name one
+	Name      string   // value of the "iss" claim
+	Audiences []string // of which a token's "aud" claim must name at least one
 }
 
-// accepts reports whether one of a token's audiences is one of the issuer's.
+// accepts reports whether at least one of a token's audiences is configured for the issuer.
 func (i *Issuer) accepts(audiences []string) bool {
 	return slices.ContainsFunc(audiences, func(audience string) bool { return slices.Contains(i.Audiences, audience) })
 }
 
-// setDefaults replaces values of 0 by their defaults.
+// setDefaults replaces values of 0 with their defaults.
 func (o *Options) setDefaults() {
 	setDefault(&o.Leeway, defaultLeeway)
 	setDefault(&o.Limits.TokenBytes, defaultTokenBytes)
@@ -64,10 +64,9 @@
 	setDefault(&o.Limits.AuditPerSecond, defaultAuditPerSecond)
 }
 
-// setDefault replaces a value of 0.
-func setDefault[T int | int64 | float64](value *T, otherwise T) {
+func setDefault[T int | int64 | float64](value *T, defaultValue T) {
 	if *value == 0 {
-		*value = otherwise
+		*value = defaultValue
 	}
 }
 
@@ -97,7 +96,7 @@
 	return o.Limits.check()
 }
 
-// checkIssuers returns the names of the issuers.
+// checkIssuers checks the issuers and returns their names.
 func (o *Options) checkIssuers() (map[string]bool, error) {
 	names := map[string]bool{}
 	for i, issuer := range o.Issuers {
@@ -112,7 +111,7 @@
 	return names, nil
 }
 
-// checkCallers returns the names of the callers.
+// checkCallers checks the rules for callers and returns the names of the callers.
 func (o *Options) checkCallers(issuers map[string]bool) (map[string]bool, error) {
 	if len(o.Callers) == 0 {
 		return nil, fmt.Errorf("callers: missing")
--- a/identity/options_test.go
+++ b/identity/options_test.go
@@ -10,7 +10,7 @@
 	"chutechute/identity/token"
 )
 
-// The error for an invalid option begins with its key.
+// The error for an invalid option contains its key.
 func TestErrorsNameTheInvalidOption(t *testing.T) {
 	for key, change := range map[string]func(*identity.Options){
 		"issuers[0].audiences": func(o *identity.Options) { o.Issuers[0].Audiences = nil },
@@ -36,7 +36,7 @@
 	}
 }
 
-// After a reload verified tokens are mapped to callers by the new rules, without another check of their signatures.
+// Apply maps verified tokens to callers by the new rules, without checking their signatures again.
 func TestApplyKeepsVerifiedTokens(t *testing.T) {
 	guard, issuer := newGuard(t, options())
 	text := issuer.sign("a", "desk-1")
--- a/identity/patterns.go
+++ b/identity/patterns.go
@@ -6,27 +6,27 @@
 	"slices"
 )
 
-// matches reports whether a text matches a pattern, in which * stands for anything but a slash. An empty text matches
-// nothing. The pattern has passed checkPattern.
+// matches reports whether a text matches a pattern with the syntax of path.Match, in which * matches any characters
+// except a slash. An empty text matches no pattern. The pattern must have passed checkPattern.
 func matches(pattern, text string) bool {
 	ok, err := path.Match(pattern, text)
 	return ok && err == nil && text != ""
 }
 
-// matchesAny reports whether a text matches one of the patterns.
+// matchesAny reports whether a text matches at least one of the patterns.
 func matchesAny(patterns []string, text string) bool {
 	return slices.ContainsFunc(patterns, func(pattern string) bool { return matches(pattern, text) })
 }
 
-// checkPattern returns an error that begins with the key of an invalid pattern.
+// checkPattern returns an error that begins with the key if the pattern is malformed.
 func checkPattern(key, pattern string) error {
 	if _, err := path.Match(pattern, ""); err != nil {
-		return fmt.Errorf("%s: %q is no pattern", key, pattern)
+		return fmt.Errorf("%s: %q is not a valid pattern", key, pattern)
 	}
 	return nil
 }
 
-// checkCallerPatterns checks that there are patterns, and that each matches the name of a caller.
+// checkCallerPatterns checks that there is at least one pattern and that each matches the name of a caller.
 func checkCallerPatterns(patterns []string, callers map[string]bool) error {
 	if len(patterns) == 0 {
 		return fmt.Errorf("callers: missing")
@@ -37,7 +37,7 @@
 			return err
 		}
 		if !matchesAnyName(pattern, callers) {
-			return fmt.Errorf("%s: %q is no caller's name", key, pattern)
+			return fmt.Errorf("%s: %q matches no caller", key, pattern)
 		}
 	}
 	return nil
--- a/identity/rights.go
+++ b/identity/rights.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Right allows, or denies, callers the queries of some classes and groups. A call is allowed exactly when some right
+// Right allows or denies callers the queries of some classes and table groups. A query is allowed if at least one right
 // allows it and none denies it.
 type Right struct {
 	Deny    bool
-	Callers []string // patterns of callers' names
+	Callers []string // patterns for callers' names
 	Classes []string // empty: all
-	Groups  []Range  // of tables; empty: all. A query that reads no group is of group 0
+	Groups  []Range  // table groups; empty: all. A query that reads no table group counts as group 0
 }
 
-// Range is a range of groups, both ends included.
+// Range is an inclusive range of table groups.
 type Range struct{ From, To int }
 
 func (r Range) contains(group int) bool { return r.From <= group && group <= r.To }
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// covers reports whether the right is for such a call, be it to allow or to deny it.
+// covers reports whether the right allows or denies queries of this caller, class and table group.
 func (r *Right) covers(caller, class string, group int) bool {
 	return matchesAny(r.Callers, caller) && r.coversClass(class) && r.coversGroup(group)
 }
@@ -52,8 +52,8 @@
 	return slices.ContainsFunc(r.Groups, func(groups Range) bool { return groups.contains(group) })
 }
 
-// Authorize checks that a caller may send a query of a class that reads a group of tables, as a call of the tenant that
-// it claims, and returns the caller's tenant. An empty claim stands for the caller's own. The error is a *Denied.
+// Authorize checks that a caller may send a query of a class that reads a table group, on behalf of a tenant, and
+// returns the caller's tenant. An empty tenant stands for the caller's own. The error is a *Denied.
 func (g *Guard) Authorize(caller Caller, tenant, class string, group int) (string, error) {
 	if tenant != "" && tenant != caller.Tenant {
 		g.counts.TenantMismatches++
@@ -68,7 +68,7 @@
 	return caller.Tenant, nil
 }
 
-// allows reports whether some right allows such a call and none denies it.
+// allows reports whether at least one right allows the query and none denies it.
 func (o *Options) allows(caller, class string, group int) bool {
 	allowed := false
 	for i := range o.Rights {
--- a/identity/rights_test.go
+++ b/identity/rights_test.go
@@ -13,7 +13,7 @@
 	"chutechute/identity/token"
 )
 
-// randomRight draws a right of one pattern, with or without classes and a range of groups.
+// randomRight draws a right with one pattern, with or without classes, and with or without a range of table groups.
 func randomRight(t *rapid.T) identity.Right {
 	from := rapid.IntRange(0, 5).Draw(t, "from")
 	deny := rapid.Bool().Draw(t, "deny")
@@ -28,14 +28,14 @@
 	return right
 }
 
-// modelAllows is a model of Authorize for rights that randomRight has drawn.
+// modelAllows is a model of Authorize for rights drawn by randomRight.
 func modelAllows(rights []identity.Right, name, class string, group int) bool {
 	allowed, denied := false, false
 	for _, right := range rights {
-		ofCaller, _ := path.Match(right.Callers[0], name)
-		ofClass := right.Classes == nil || slices.Contains(right.Classes, class)
-		ofGroup := len(right.Groups) == 0 || group >= right.Groups[0].From && group <= right.Groups[0].To
-		if ofCaller && ofClass && ofGroup {
+		matchesCaller, _ := path.Match(right.Callers[0], name)
+		matchesClass := right.Classes == nil || slices.Contains(right.Classes, class)
+		matchesGroup := len(right.Groups) == 0 || group >= right.Groups[0].From && group <= right.Groups[0].To
+		if matchesCaller && matchesClass && matchesGroup {
 			allowed = allowed || !right.Deny
 			denied = denied || right.Deny
 		}
@@ -43,7 +43,7 @@
 	return allowed && !denied
 }
 
-// Authorize decides as a model that is nothing but this rule.
+// Authorize agrees with a model that consists only of the rule in the test's name.
 func TestAllowedExactlyWhenARightAllowsAndNoneDenies(t *testing.T) {
 	names := []string{"booking", "desk", "kiosk"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -64,7 +64,7 @@
 	})
 }
 
-// A call of another tenant is denied, and so is one without a right or with a right that denies it.
+// A query on behalf of another tenant is denied, and so is one that no right allows or that a right denies.
 func TestOtherTenantsAndCallsWithoutRightAreDenied(t *testing.T) {
 	guard, _ := newGuard(t, options())
 	desk := identity.Caller{Name: "desk", Tenant: "coast"}
--- a/identity/signaturebudget.go
+++ b/identity/signaturebudget.go
@@ -2,19 +2,20 @@
 
 import "chutechute/internal/monotime"
 
-// signatureBudget limits the checks of signatures, the cost of which a flood of bad tokens would exhaust. Each address
-// has a budget of its own. Half of the budget for all is reserved for proven addresses, from which a valid token came.
+// signatureBudget limits the rate of signature checks, so that a flood of invalid tokens cannot use up the CPU. Each
+// client address has its own budget. Half of the total budget is reserved for proven addresses, which are those that
+// have sent a token with a valid signature.
 type signatureBudget struct {
-	ratePerAddress float64 // checks a second
+	ratePerAddress float64 // checks per second
 	addresses      *lru[uint64, *addressBudget]
-	unproven       tokenBucket // for all addresses
+	unproven       tokenBucket // for all addresses, proven or not
 	proven         tokenBucket // for proven addresses only
 }
 
-// addressBudget limits the checks of signatures for the address of one client.
+// addressBudget limits the rate of signature checks for one client address.
 type addressBudget struct {
 	checks tokenBucket
-	proven bool // a valid token came from the address
+	proven bool // the address has sent a token with a valid signature
 }
 
 func newSignatureBudget(l Limits) signatureBudget {
@@ -27,7 +28,7 @@
 	}
 }
 
-// take takes one check for an address and reports whether its budget and that for all had one.
+// take charges one check to the budget of an address and to the total budget, and reports whether both allow it.
 func (s *signatureBudget) take(address uint64, now monotime.Micros) (*addressBudget, bool) {
 	budget := s.addressBudget(address)
 	if !budget.checks.take(now) {
@@ -39,7 +40,7 @@
 	return budget, s.unproven.take(now)
 }
 
-// addressBudget returns the budget of an address; a new address gets a full one.
+// addressBudget returns the budget of an address. A new address gets a full budget.
 func (s *signatureBudget) addressBudget(address uint64) *addressBudget {
 	if budget, ok := s.addresses.Get(address); ok {
 		return budget
--- a/identity/signaturebudget_test.go
+++ b/identity/signaturebudget_test.go
@@ -11,8 +11,8 @@
 	"chutechute/internal/monotime"
 )
 
-// 10,000 distinct bad tokens a second, half of them from one address and half from many others, cost no more signature
-// checks than the budget has, and new tokens from a proven address are accepted.
+// A flood of 10,000 different invalid tokens per second, half of them from one address and half from many, causes no
+// more signature checks than the budget allows, and new tokens from a proven address are still accepted.
 func TestFloodOfBadTokensStaysWithinTheSignatureBudget(t *testing.T) {
 	guard, issuer := newGuard(t, options())
 	unknownIssuer := &testIssuer{t, map[string]*token.PrivateKey{}}
@@ -30,9 +30,9 @@
 		}
 		_, err := guard.Authenticate(fmt.Sprintf("%s%d", bad[:len(bad)-8], 10_000_000+n), nil, address, now, noon)
 		require.Error(t, err)
-		if n%1000 == 0 { // a proven address with a token that is not in the cache
-			token := issuer.sign("a", "desk-1", withID(fmt.Sprint(n)))
-			if _, err := guard.Authenticate(token, nil, 7, now, noon); err != nil {
+		if n%1000 == 0 { // a token that is not cached, from a proven address
+			newToken := issuer.sign("a", "desk-1", withID(fmt.Sprint(n)))
+			if _, err := guard.Authenticate(newToken, nil, 7, now, noon); err != nil {
 				denied++
 			}
 		}
--- a/identity/tokenbucket.go
+++ b/identity/tokenbucket.go
@@ -2,19 +2,20 @@
 
 import "chutechute/internal/monotime"
 
-// minRate bounds the rate by which timeToNext divides, in tokens a second.
+// minRate keeps timeToNext from dividing by a rate of 0, in tokens per second.
 const minRate = 1e-6
 
-// tokenBucket limits a rate of events. The zero value is filled to its burst at its first use.
+// tokenBucket is a rate limiter. Its tokens are permits for events and unrelated to authentication tokens. A new bucket
+// is filled to its burst on first use.
 type tokenBucket struct {
-	rate        float64 // tokens added a second
-	burst       float64 // maximum of tokens
+	rate        float64 // tokens added per second
+	burst       float64 // capacity, in tokens
 	tokens      float64
-	refilledAt  monotime.Micros // monotonic time up to which tokens were added
+	refilledAt  monotime.Micros // monotonic time of the last refill
 	initialized bool
 }
 
-// take takes a token and reports whether there was one.
+// take removes a token and reports whether one was available.
 func (b *tokenBucket) take(now monotime.Micros) bool {
 	b.refill(now)
 	if b.tokens < 1 {
@@ -24,6 +25,7 @@
 	return true
 }
 
+// refill adds the tokens for the time since the last refill.
 func (b *tokenBucket) refill(now monotime.Micros) {
 	if !b.initialized {
 		b.initialized = true
@@ -35,7 +37,7 @@
 	b.refilledAt = max(b.refilledAt, now)
 }
 
-// timeToNext returns the time until there is a token, in microseconds.
+// timeToNext returns the time until a token is available, in microseconds. The bucket must have less than one token.
 func (b *tokenBucket) timeToNext() monotime.Micros {
 	return monotime.Micros((1 - b.tokens) / max(b.rate, minRate) * float64(monotime.Second))
 }
--- a/identity/tokencache.go
+++ b/identity/tokencache.go
@@ -9,38 +9,38 @@
 	"chutechute/internal/monotime"
 )
 
-// failureTTL is the time for which a token that failed its check stays in the cache, in microseconds.
+// failureTTL is the time for which a failed signature check is cached, in microseconds.
 const failureTTL = 10 * monotime.Second
 
-// lru is a cache that evicts the least recently used entry once it is full.
+// lru is a cache that evicts the least recently used entry when it is full.
 type lru[K comparable, V any] = simplelru.LRU[K, V]
 
-// newLRU returns a cache of at most size entries; size is at least 1.
+// newLRU returns a cache of at most size entries; size must be at least 1.
 func newLRU[K comparable, V any](size int) *lru[K, V] {
 	cache, err := simplelru.NewLRU[K, V](size, nil)
 	if err != nil {
-		panic(err) // Options.check has seen to the size
+		panic(err) // unreachable: Options.setDefaults and Options.check ensure a size of at least 1
 	}
 	return cache
 }
 
-// tokenHash is the SHA-256 of a whole token, so that no token can hit the cache entry of another.
+// tokenHash is the SHA-256 hash of the complete token, so that no token can hit the cache entry of another.
 type tokenHash = [sha256.Size]byte
 
-// tokenCache has the tokens that were verified and, apart from them, those that failed. A failure is cached by the
-// whole token, so that nobody can lock out the sender of another, and for a short time only, since a token may
-// arrive shortly before its key.
+// tokenCache holds the tokens with a verified signature and, separately, those whose check failed. A failure applies to
+// the complete token, so that nobody can lock out the sender of another token. It is cached only for a short time,
+// since a token may arrive shortly before its key.
 type tokenCache struct {
 	verified *lru[tokenHash, *verifiedToken]
-	failedAt *lru[tokenHash, monotime.Micros] // monotonic time
+	failedAt *lru[tokenHash, monotime.Micros] // monotonic time of the failure
 }
 
-// verifiedToken is a token whose signature was checked. Its validity at a given time is checked for each call.
+// verifiedToken is a token with a verified signature. Its validity is checked again for each request.
 type verifiedToken struct {
 	claims Claims
-	key    Key    // that the signature was checked with
-	caller Caller // that the token stands for, if mapped
-	mapped bool   // by the rules in force
+	key    Key    // the key that verified the signature
+	caller Caller // the caller that the token identifies, if mapped is set
+	mapped bool   // caller was set by the current rules
 }
 
 func newTokenCache(size int) tokenCache {
@@ -50,25 +50,25 @@
 	}
 }
 
-// hasFailure reports whether a token failed a short time ago.
+// hasFailure reports whether the check of a token failed within the last failureTTL.
 func (c *tokenCache) hasFailure(hash tokenHash, now monotime.Micros) bool {
 	failedAt, ok := c.failedAt.Get(hash)
 	return ok && now-failedAt < failureTTL
 }
 
-// unmapCallers has all verified tokens mapped to callers again at their next use.
+// unmapCallers causes all verified tokens to be mapped to callers again at their next use.
 func (c *tokenCache) unmapCallers() {
 	for _, token := range c.verified.Values() {
 		token.mapped = false
 	}
 }
 
-// keysChanged drops all failures, and the verified tokens of an issuer of which the keys are removed or changed.
-func (c *tokenCache) keysChanged(issuer string, keys []Key) {
+// invalidateKeys drops all failures, and those verified tokens of an issuer whose key is no longer among its keys.
+func (c *tokenCache) invalidateKeys(issuer string, keys []Key) {
 	c.failedAt.Purge()
 	for _, hash := range c.verified.Keys() {
 		token, _ := c.verified.Peek(hash)
-		if token.claims.Issuer == issuer && !slices.ContainsFunc(keys, token.key.same) {
+		if token.claims.Issuer == issuer && !slices.ContainsFunc(keys, token.key.equalIgnoringTimes) {
 			c.verified.Remove(hash)
 		}
 	}
