--- a/identity/token/algorithms.go
+++ b/identity/token/algorithms.go
@@ -12,10 +12,10 @@
 	"github.com/go-jose/go-jose/v4"
 )
 
-// minRSABits is the minimum of an RSA key's length.
+// minRSABits is the minimum length of an RSA key.
 const minRSABits = 2048
 
-// algorithmOf returns the only algorithm that a public key is used with; empty for a key that can't be used.
+// algorithmOf returns the only algorithm that a public key is used with, or an empty text if the key cannot be used.
 func algorithmOf(public any) jose.SignatureAlgorithm {
 	switch key := public.(type) {
 	case ed25519.PublicKey:
@@ -34,27 +34,27 @@
 
 // PrivateKey is a private key that signs tokens.
 type PrivateKey struct {
-	ID        string // as in the header "kid" of its tokens
+	ID        string // the "kid" header of tokens signed with the key
 	Algorithm string // EdDSA, ES256 or RS256
 	Signer    crypto.Signer
 }
 
-// Generate returns a new private key for an algorithm: EdDSA, ES256 or RS256. For any other it returns an error.
+// Generate returns a new private key for the algorithm EdDSA, ES256 or RS256. It returns an error for any other one.
 func Generate(id, algorithm string) (*PrivateKey, error) {
-	var secret crypto.Signer
+	var signer crypto.Signer
 	var err error
 	switch jose.SignatureAlgorithm(algorithm) {
 	case jose.EdDSA:
-		_, secret, err = ed25519.GenerateKey(rand.Reader)
+		_, signer, err = ed25519.GenerateKey(rand.Reader)
 	case jose.ES256:
-		secret, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+		signer, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	case jose.RS256:
-		secret, err = rsa.GenerateKey(rand.Reader, minRSABits)
+		signer, err = rsa.GenerateKey(rand.Reader, minRSABits)
 	default:
-		return nil, fmt.Errorf("algorithm %q is none of EdDSA, ES256 and RS256", algorithm)
+		return nil, fmt.Errorf("algorithm %q is not supported: use EdDSA, ES256 or RS256", algorithm)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("token: %w", err)
 	}
-	return &PrivateKey{ID: id, Algorithm: algorithm, Signer: secret}, nil
+	return &PrivateKey{ID: id, Algorithm: algorithm, Signer: signer}, nil
 }
--- a/identity/token/jwks.go
+++ b/identity/token/jwks.go
@@ -17,42 +17,42 @@
 // maxKeys is the maximum number of keys in a set.
 const maxKeys = 64
 
-// useSignature is the member "use" of a JWK that is for signatures.
+// useSignature is the value of the member "use" of a JWK for signatures.
 const useSignature = "sig"
 
-// encodedSet is the JSON form of a key set (RFC 7517), with each key as it is encoded.
-type encodedSet struct {
+// encodedKeySet is a key set (RFC 7517) with its keys as undecoded JSON.
+type encodedKeySet struct {
 	Keys []json.RawMessage `json:"keys"`
 }
 
-// setKey is a key of a set, with the times of its validity.
-type setKey struct {
+// keyEntry is a key in a set and the period in which it is valid.
+type keyEntry struct {
 	jwk jose.JSONWebKey
 	validity
 }
 
-// validity is the time for which a key is valid, as two members that a JWK has beside its own; RFC 7517 allows them and
-// other readers ignore them.
+// validity is the period in which a key is valid. It is stored in two additional members of the JWK, which RFC 7517
+// allows and other readers ignore.
 type validity struct {
-	From  int64 `json:"nbf,omitempty"` // Unix seconds; 0: it always was
-	Until int64 `json:"exp,omitempty"` // Unix seconds; 0: for ever
+	From  int64 `json:"nbf,omitempty"` // Unix seconds; 0: no lower limit
+	Until int64 `json:"exp,omitempty"` // Unix seconds; 0: no upper limit
 }
 
-// isEmpty reports whether there is no time at which the key is valid.
+// isEmpty reports whether the period contains no time or has a negative limit.
 func (v validity) isEmpty() bool {
 	return v.From < 0 || v.Until < 0 || v.Until > 0 && v.Until <= v.From
 }
 
-// hasBegun reports whether the validity has begun at a time of the wall clock.
+// hasBegun reports whether the period has begun at a wall-clock time.
 func (v validity) hasBegun(wall monotime.Micros) bool { return v.From*monotime.Second <= wall }
 
-// hasExpired reports whether the validity has ended at a time of the wall clock.
+// hasExpired reports whether the period has ended at a wall-clock time.
 func (v validity) hasExpired(wall monotime.Micros) bool {
 	return v.Until > 0 && v.Until*monotime.Second <= wall
 }
 
-// ParsePublicKeys reads a set of public keys. It returns an error for a set that has a private or unusable key, or
-// two keys of one id: half a set in force would have valid tokens denied.
+// ParsePublicKeys reads a set of public keys. It returns an error if the set has a private or unusable key, or two keys
+// with the same ID. It does not skip such keys, because with only a part of the set valid tokens would be denied.
 func ParsePublicKeys(text []byte) ([]identity.Key, error) {
 	parsed, err := parseKeys(text)
 	if err != nil {
@@ -69,8 +69,8 @@
 	return keys, nil
 }
 
-// ParsePrivateKeys reads a set of private keys, in their order. It returns an error for a set that has a public or
-// unusable key, or two keys of one id.
+// ParsePrivateKeys reads a set of private keys and keeps their order. It returns an error if the set has a public or
+// unusable key, or two keys with the same ID.
 func ParsePrivateKeys(text []byte) ([]*PrivateKey, error) {
 	parsed, err := parseKeys(text)
 	if err != nil {
@@ -87,19 +87,19 @@
 	return keys, nil
 }
 
-func parseKeys(text []byte) ([]setKey, error) {
+func parseKeys(text []byte) ([]keyEntry, error) {
 	if len(text) > MaxSetBytes {
 		return nil, fmt.Errorf("longer than %d bytes", MaxSetBytes)
 	}
-	var set encodedSet
+	var set encodedKeySet
 	if err := json.Unmarshal(text, &set); err != nil {
-		return nil, fmt.Errorf("no key set: %w", err)
+		return nil, fmt.Errorf("not a JSON key set: %w", err)
 	}
 	if len(set.Keys) == 0 || len(set.Keys) > maxKeys {
-		return nil, fmt.Errorf("%d keys, not 1 to %d", len(set.Keys), maxKeys)
+		return nil, fmt.Errorf("%d keys in the set, must be 1 to %d", len(set.Keys), maxKeys)
 	}
 	seen := map[string]bool{}
-	var keys []setKey
+	var keys []keyEntry
 	for i, raw := range set.Keys {
 		key, err := parseKey(i, raw)
 		if err != nil {
@@ -107,7 +107,7 @@
 		}
 		id := key.jwk.KeyID
 		if id == "" || seen[id] {
-			return nil, fmt.Errorf("keys[%d].kid: %q is empty or there twice", i, id)
+			return nil, fmt.Errorf("keys[%d].kid: %q is empty or used twice", i, id)
 		}
 		seen[id] = true
 		if err := key.setAlgorithm(); err != nil {
@@ -118,39 +118,39 @@
 	return keys, nil
 }
 
-// parseKey reads the key at an index of its set. The text stays out of the error, as it may be a private key.
-func parseKey(index int, text []byte) (setKey, error) {
-	var key setKey
+// parseKey reads the key at an index of its set. The error does not contain the text, which may be a private key.
+func parseKey(index int, text []byte) (keyEntry, error) {
+	var key keyEntry
 	if err := json.Unmarshal(text, &key.jwk); err != nil {
-		return setKey{}, fmt.Errorf("keys[%d]: unreadable", index)
+		return keyEntry{}, fmt.Errorf("keys[%d]: not a valid JWK", index)
 	}
 	if err := json.Unmarshal(text, &key.validity); err != nil {
-		return setKey{}, fmt.Errorf("keys[%d]: nbf or exp is no number", index)
+		return keyEntry{}, fmt.Errorf("keys[%d]: nbf or exp is not an integer", index)
 	}
 	return key, nil
 }
 
-// setAlgorithm checks that the key can be used and sets the only algorithm that it is used with.
-func (k *setKey) setAlgorithm() error {
+// setAlgorithm checks that the key can be used, and sets the only algorithm that it is used with.
+func (k *keyEntry) setAlgorithm() error {
 	algorithm := string(algorithmOf(k.jwk.Public().Key))
 	switch {
 	case algorithm == "":
-		return fmt.Errorf("not a key for EdDSA, ES256 or RS256 of %d bits", minRSABits)
+		return fmt.Errorf("not a key for EdDSA, ES256, or RS256 with at least %d bits", minRSABits)
 	case k.jwk.Algorithm != "" && k.jwk.Algorithm != algorithm:
-		return fmt.Errorf("alg %q is not %q, its key's", k.jwk.Algorithm, algorithm)
+		return fmt.Errorf("alg is %q, but the key is for %q", k.jwk.Algorithm, algorithm)
 	case k.jwk.Use != "" && k.jwk.Use != useSignature:
-		return fmt.Errorf("use %q is not %s", k.jwk.Use, useSignature)
+		return fmt.Errorf("use is %q, must be %s", k.jwk.Use, useSignature)
 	case k.isEmpty():
-		return fmt.Errorf("nbf and exp leave no time")
+		return fmt.Errorf("nbf or exp is negative, or exp is not after nbf")
 	}
 	k.jwk.Algorithm = algorithm
 	return nil
 }
 
-// public returns the key as the Verifier takes it, or an error for a private one.
-func (k *setKey) public() (identity.Key, error) {
+// public returns the key in the form that Verifier accepts, or an error if it is a private key.
+func (k *keyEntry) public() (identity.Key, error) {
 	if !k.jwk.IsPublic() {
-		return identity.Key{}, fmt.Errorf("key %q: a private key has no place here", k.jwk.KeyID)
+		return identity.Key{}, fmt.Errorf("key %q: private key in a set of public keys", k.jwk.KeyID)
 	}
 	return identity.Key{
 		ID:        k.jwk.KeyID,
@@ -161,17 +161,17 @@
 	}, nil
 }
 
-// private returns the key as Sign takes it, or an error for a public one.
-func (k *setKey) private() (*PrivateKey, error) {
-	secret, ok := k.jwk.Key.(crypto.Signer)
+// private returns the key in the form that Sign accepts, or an error if it is a public key.
+func (k *keyEntry) private() (*PrivateKey, error) {
+	signer, ok := k.jwk.Key.(crypto.Signer)
 	if !ok {
 		return nil, fmt.Errorf("key %q: not a private key", k.jwk.KeyID)
 	}
-	return &PrivateKey{ID: k.jwk.KeyID, Algorithm: k.jwk.Algorithm, Signer: secret}, nil
+	return &PrivateKey{ID: k.jwk.KeyID, Algorithm: k.jwk.Algorithm, Signer: signer}, nil
 }
 
-// marshal returns the private key, or only its public half, as a JWK with the members of its validity.
-func (k *setKey) marshal(private bool) (json.RawMessage, error) {
+// marshal returns the private key, or only its public half, as a JWK with the members for its validity.
+func (k *keyEntry) marshal(private bool) (json.RawMessage, error) {
 	jwk := k.jwk
 	if !private {
 		jwk = jwk.Public()
--- a/identity/token/privateset.go
+++ b/identity/token/privateset.go
@@ -10,11 +10,11 @@
 	"chutechute/internal/monotime"
 )
 
-// KeySet is a set of private keys that is maintained: keys are added, retired and pruned. The set of their public
-// halves is written from it.
-type KeySet struct{ keys []setKey }
+// KeySet is an issuer's set of private keys, to which keys can be added and in which they can be retired and pruned.
+// Marshal also writes the matching set of public keys.
+type KeySet struct{ keys []keyEntry }
 
-// KeyInfo is what of a key is no secret. Its times are Unix seconds, and 0 where the key has none.
+// KeyInfo describes a key without its secret parts. Times are Unix seconds, and 0 if the key has no such limit.
 type KeyInfo struct {
 	ID        string `json:"kid"`
 	Algorithm string `json:"alg"`
@@ -22,8 +22,8 @@
 	Until     int64  `json:"exp,omitempty"`
 }
 
-// ParseKeySet reads a set of private keys; an empty text is an empty set. It returns an error for a set that has a
-// public or unusable key, or two keys of one id.
+// ParseKeySet reads a set of private keys; an empty text is an empty set. It returns an error if the set has a public
+// or unusable key, or two keys with the same ID.
 func ParseKeySet(text []byte) (*KeySet, error) {
 	if len(text) == 0 {
 		return &KeySet{}, nil
@@ -40,39 +40,39 @@
 	return &KeySet{keys}, nil
 }
 
-// Add adds a key that is valid from a time of the wall clock on, in microseconds since 1970. It returns an error if the
-// set is full or has a key of that id.
+// Add adds a key that becomes valid at a wall-clock time, in microseconds since 1970. It returns an error if the set is
+// full or already has a key with that ID.
 func (s *KeySet) Add(key *PrivateKey, from monotime.Micros) error {
 	if s.indexOf(key.ID) >= 0 {
-		return fmt.Errorf("key %q is there already", key.ID)
+		return fmt.Errorf("key %q already exists", key.ID)
 	}
 	if len(s.keys) >= maxKeys {
-		return fmt.Errorf("there are %d keys: retire some first", len(s.keys))
+		return fmt.Errorf("the set already has %d keys: retire some first", len(s.keys))
 	}
-	s.keys = append(s.keys, setKey{
+	s.keys = append(s.keys, keyEntry{
 		jwk:      jose.JSONWebKey{Key: key.Signer, KeyID: key.ID, Algorithm: key.Algorithm, Use: useSignature},
 		validity: validity{From: from / monotime.Second},
 	})
 	return nil
 }
 
-// indexOf returns the index of the key with an id; -1 if there is none.
+// indexOf returns the index of the key with an ID, or -1 if there is none.
 func (s *KeySet) indexOf(id string) int {
-	return slices.IndexFunc(s.keys, func(key setKey) bool { return key.jwk.KeyID == id })
+	return slices.IndexFunc(s.keys, func(key keyEntry) bool { return key.jwk.KeyID == id })
 }
 
-// Retire has a key expire at a time of the wall clock, in microseconds since 1970, unless it expires earlier. A key
-// that would expire before it is valid is removed at once. It returns an error if that is the only key, or if there
-// is no key of that id.
+// Retire sets the wall-clock time at which a key expires, in microseconds since 1970, unless the key expires earlier
+// anyway. A key that would expire before it becomes valid is removed immediately. It returns an error if that key is
+// the only one, or if no key has that ID.
 func (s *KeySet) Retire(id string, until monotime.Micros) error {
 	i := s.indexOf(id)
 	if i < 0 {
-		return fmt.Errorf("no key %q", id)
+		return fmt.Errorf("key %q does not exist", id)
 	}
 	key, expiry := &s.keys[i], until/monotime.Second
 	switch {
 	case expiry <= key.From && len(s.keys) == 1:
-		return fmt.Errorf("key %q is the only one: add another first", id)
+		return fmt.Errorf("key %q is the only key: add another one first", id)
 	case expiry <= key.From:
 		s.keys = slices.Delete(s.keys, i, i+1)
 	case key.Until == 0 || expiry < key.Until:
@@ -81,10 +81,9 @@
 	return nil
 }
 
-// Prune removes the keys that have expired at a time of the wall clock, in microseconds since 1970, and returns their
-// ids.
+// Prune removes the keys that have expired at a wall-clock time, in microseconds since 1970, and returns their IDs.
 func (s *KeySet) Prune(wall monotime.Micros) (ids []string) {
-	s.keys = slices.DeleteFunc(s.keys, func(key setKey) bool {
+	s.keys = slices.DeleteFunc(s.keys, func(key keyEntry) bool {
 		if !key.hasExpired(wall) {
 			return false
 		}
@@ -94,7 +93,7 @@
 	return ids
 }
 
-// List returns what of the keys is no secret, in their order.
+// List describes the keys of the set, in order and without their secret parts.
 func (s *KeySet) List() (list []KeyInfo) {
 	for _, key := range s.keys {
 		list = append(list, KeyInfo{ID: key.jwk.KeyID, Algorithm: key.jwk.Algorithm, From: key.From, Until: key.Until})
@@ -102,10 +101,10 @@
 	return list
 }
 
-// Signer returns the key to sign with at a time of the wall clock, in microseconds since 1970: of the valid ones
-// the one that became valid last. It returns an error if no key is valid.
+// Signer returns the key to sign with at a wall-clock time, in microseconds since 1970. It is the valid key that became
+// valid last. It returns an error if no key is valid.
 func (s *KeySet) Signer(wall monotime.Micros) (*PrivateKey, error) {
-	var newest *setKey
+	var newest *keyEntry
 	for i := range s.keys {
 		key := &s.keys[i]
 		if !key.hasBegun(wall) || key.hasExpired(wall) {
@@ -116,14 +115,14 @@
 		}
 	}
 	if newest == nil {
-		return nil, fmt.Errorf("no key holds")
+		return nil, fmt.Errorf("no key is valid at this time")
 	}
 	return newest.private()
 }
 
-// Marshal returns the set as JSON, with the private keys or only with their public halves.
+// Marshal returns the set as JSON, either with the private keys or with only their public halves.
 func (s *KeySet) Marshal(private bool) ([]byte, error) {
-	var set encodedSet
+	var set encodedKeySet
 	for _, key := range s.keys {
 		text, err := key.marshal(private)
 		if err != nil {
--- a/identity/token/token.go
+++ b/identity/token/token.go
@@ -1,6 +1,6 @@
-// Package token reads and writes JSON Web Tokens (RFC 7519) and key sets (RFC 7517) for package identity, by
-// go-jose. It has the rules on algorithms: only EdDSA, ES256 and RS256 are accepted, and a signature is always
-// checked by the algorithm of the key and never by one that the token names.
+// Package token reads and writes JSON Web Tokens (RFC 7519) and key sets (RFC 7517) for package identity, using
+// go-jose. It accepts only EdDSA, ES256 and RS256, and always checks a signature with the algorithm of the key, never
+// with one that the token names.
 package token
 
 import (
@@ -18,29 +18,27 @@
 )
 
 const (
-	// maxHeaderBytes is the maximum length of a token's header as it is sent.
-	maxHeaderBytes = 1024
-	// tokenParts is the number of parts of a token: header, claims and signature.
-	tokenParts = 3
+	maxHeaderBytes = 1024 // maximum length of a token's header in base64url
+	tokenParts     = 3    // header, claims and signature
 )
 
 // Verifier implements identity.Verifier for JSON Web Tokens.
 type Verifier struct{}
 
-// header is what is read of a token's header before its signature is checked. A header may name keys of its own (jwk,
-// jku, x5c), which are never used, and extensions (crit), with which the token is denied.
+// header holds the members of a token's header that are read before its signature is checked. Keys that a header names
+// (jwk, jku, x5c) are never used, and a header with extensions (crit) makes the token invalid.
 type header struct {
 	KeyID    string          `json:"kid"`
 	Critical json.RawMessage `json:"crit"`
 }
 
-// unverifiedClaims are what is read of a token's claims before its signature is checked.
+// unverifiedClaims holds the claims of a token that are read before its signature is checked.
 type unverifiedClaims struct {
 	Issuer string `json:"iss"`
 }
 
-// ParseUnverified returns the issuer and the key's id that a token names. It returns an error for a token that
-// can't be read.
+// ParseUnverified returns the issuer and the key ID that a token names, without checking its signature. It returns an
+// error for a malformed token.
 func (Verifier) ParseUnverified(token string) (issuer, keyID string, err error) {
 	parts := strings.Split(token, ".")
 	if len(parts) != tokenParts || len(parts[0]) > maxHeaderBytes {
@@ -60,7 +58,7 @@
 	return claims.Issuer, h.KeyID, nil
 }
 
-// decodePart decodes a part of a token into a struct. The part's text stays out of the error.
+// decodePart decodes a part of a token into a struct. The error does not contain the text of the part.
 func decodePart(part string, into any) error {
 	text, err := base64.RawURLEncoding.DecodeString(part)
 	if err != nil {
@@ -72,8 +70,8 @@
 	return nil
 }
 
-// Verify checks a token's signature with a key, by the key's algorithm, and returns its claims. The error is
-// identity.ErrSignature.
+// Verify checks a token's signature with a key, using the algorithm of the key, and returns the claims. The error is
+// always identity.ErrSignature.
 func (Verifier) Verify(token string, key *identity.Key) (identity.Claims, error) {
 	signed, err := jwt.ParseSigned(token, []jose.SignatureAlgorithm{jose.SignatureAlgorithm(key.Algorithm)})
 	if err != nil {
@@ -93,7 +91,7 @@
 	}, nil
 }
 
-// Sign returns a token with these claims, signed with a key. It returns an error if the key can't be used.
+// Sign returns a token with these claims, signed with a key. It returns an error if the key cannot be used.
 func Sign(key *PrivateKey, c identity.Claims) (string, error) {
 	signingKey := jose.SigningKey{
 		Algorithm: jose.SignatureAlgorithm(key.Algorithm),
@@ -118,8 +116,8 @@
 	return text, nil
 }
 
-// fromNumericDate returns the time of a claim, in microseconds since 1970. It is 0 only where the token has no such
-// claim; times up to 1970 become 1.
+// fromNumericDate returns the time of a claim in microseconds since 1970, or 0 if the token does not have the claim.
+// Times up to 1970 become 1, so that they are not taken for a missing claim.
 func fromNumericDate(date *jwt.NumericDate) monotime.Micros {
 	if date == nil {
 		return 0
@@ -127,7 +125,7 @@
 	return max(1, monotime.Micros(*date)*monotime.Second)
 }
 
-// toNumericDate returns the claim of a time in microseconds since 1970; none for 0.
+// toNumericDate returns the claim for a time in microseconds since 1970, or nil for 0.
 func toNumericDate(at monotime.Micros) *jwt.NumericDate {
 	if at == 0 {
 		return nil
--- a/identity/token/token_test.go
+++ b/identity/token/token_test.go
@@ -12,7 +12,7 @@
 	"chutechute/internal/monotime"
 )
 
-// newSet returns a set of keys, each valid a second after the one before.
+// newSet returns a set of keys. Each becomes valid a second after the previous one.
 func newSet(t testing.TB, keys ...*token.PrivateKey) *token.KeySet {
 	set, err := token.ParseKeySet(nil)
 	require.NoError(t, err)
@@ -28,9 +28,9 @@
 	return key
 }
 
-// A set is read back as it was written, its public half has nothing secret, and each key checks its own signatures
-// only.
-func TestSetsAreReadBackAsWritten(t *testing.T) {
+// A marshaled set parses to the same keys, its public half contains no private key, and each key verifies only its own
+// signatures.
+func TestKeySetsRoundTrip(t *testing.T) {
 	set := newSet(t, generate(t, "a", "EdDSA"), generate(t, "b", "ES256"), generate(t, "c", "RS256"))
 	require.NoError(t, set.Retire("a", 100*monotime.Second))
 	private, err := set.Marshal(true)
@@ -62,8 +62,8 @@
 	assert.Equal(t, []string{"a"}, set.Prune(101*monotime.Second))
 }
 
-// A set of which one key can't be used is an error, in which there is no key.
-func TestUnusableSetsAreErrorsWithoutKeys(t *testing.T) {
+// Parsing a set with an unusable key fails, and the error does not contain the key.
+func TestErrorsOfUnusableSetsContainNoKeys(t *testing.T) {
 	set := newSet(t, generate(t, "a", "EdDSA"))
 	private, _ := set.Marshal(true)
 	public, _ := set.Marshal(false)
@@ -85,7 +85,7 @@
 	}
 }
 
-// A header can choose neither the algorithm nor an extension: such tokens are invalid.
+// A token is invalid if its header names another algorithm than the key's, or requires an extension.
 func TestHeadersChooseNeitherAlgorithmNorExtensions(t *testing.T) {
 	key := &identity.Key{Algorithm: "EdDSA", Public: generate(t, "a", "EdDSA").Signer.Public()}
 	for _, header := range []string{
@@ -94,13 +94,13 @@
 		"eyJhbGciOiJFZERTQSIsImNyaXQiOlsiYjY0Il19", // {"alg":"EdDSA","crit":["b64"]}
 	} {
 		text := header + ".eyJpc3MiOiJpIn0.AAAA"
-		_, _, peekErr := token.Verifier{}.ParseUnverified(text)
+		_, _, parseErr := token.Verifier{}.ParseUnverified(text)
 		_, err := token.Verifier{}.Verify(text, key)
-		assert.True(t, peekErr != nil || err != nil, header)
+		assert.True(t, parseErr != nil || err != nil, header)
 	}
 }
 
-// Of all texts only those with the claims that were signed are verified.
+// A text that passes verification has exactly the claims that were signed.
 func FuzzToken(f *testing.F) {
 	private := generate(f, "a", "EdDSA")
 	key := &identity.Key{ID: "a", Algorithm: "EdDSA", Public: private.Signer.Public()}
@@ -113,12 +113,12 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		_, _, _ = token.Verifier{}.ParseUnverified(text)
 		if _, err := (token.Verifier{}).Verify(text, key); err == nil {
-			assert.Equal(t, strings.Split(good, ".")[1], strings.Split(text, ".")[1], "only what was signed passes")
+			assert.Equal(t, strings.Split(good, ".")[1], strings.Split(text, ".")[1], "claims that were not signed")
 		}
 	})
 }
 
-// A text is either an error or a set of keys that can be used.
+// ParsePublicKeys returns either an error or a set of usable keys. No input makes it or ParseKeySet panic.
 func FuzzSet(f *testing.F) {
 	public, err := newSet(f, generate(f, "a", "EdDSA"), generate(f, "b", "ES256")).Marshal(false)
 	require.NoError(f, err)
