--- a/docs/codebase_test.go
+++ b/docs/codebase_test.go
@@ -15,38 +15,38 @@
 )
 
 const (
-	repository  = ".."
-	modulePath  = "chutechute"
-	driver      = "internal/server" // the only package whose unexported names the page may use
-	onCallTable = "## Where do I look when"
-	layers      = "## Packages"
-	apart       = "### Apart"
+	repositoryRoot = ".."
+	modulePath     = "chutechute"
+	serverFolder   = "internal/server" // the only package whose unexported names pages may use
+	onCallHeading  = "## Where do I look when"
+	layersHeading  = "## Packages"
+	apartHeading   = "### Apart"
 )
 
-// codeBase is what the page's names are compared with: the module's sources without tests.
+// codeBase is the index in which names on pages are looked up. It covers the module's sources without tests.
 type codeBase struct {
-	names    map[string]map[string]bool // by package folder: Name, Type.Member
-	byName   map[string][]string        // folders by the name of their package
-	imports  map[string][]string        // folders of this module, by folder
-	logs     map[string]bool            // messages of log/slog calls
-	literals map[string]bool            // string literals
-	keys     map[string]bool            // JSON keys of configuration and settings
-	commands map[string]bool            // words and flags of the command lines
-	counters map[string]bool
-	files    fs.FS
+	names            map[string]map[string]bool // Name and Type.Member, by package folder
+	foldersByPackage map[string][]string        // package folders, by package name
+	imports          map[string][]string        // imported folders of this module, by importing folder
+	logMessages      map[string]bool            // messages of slog calls
+	literals         map[string]bool            // string literals
+	keys             map[string]bool            // JSON keys of configuration and settings
+	commands         map[string]bool            // command words and flag names
+	counters         map[string]bool            // printed names
+	files            fs.FS                      // the repository
 }
 
-// readCode reads all sources of the module below a folder.
+// readCode reads all sources of the module in root, except tests.
 func readCode(root fs.FS) (*codeBase, error) {
-	c := &codeBase{names: map[string]map[string]bool{}, byName: map[string][]string{}, imports: map[string][]string{},
-		logs: map[string]bool{}, literals: map[string]bool{}, keys: map[string]bool{}, commands: map[string]bool{},
-		counters: map[string]bool{}, files: root}
+	c := &codeBase{names: map[string]map[string]bool{}, foldersByPackage: map[string][]string{},
+		imports: map[string][]string{}, logMessages: map[string]bool{}, literals: map[string]bool{},
+		keys: map[string]bool{}, commands: map[string]bool{}, counters: map[string]bool{}, files: root}
 	set := token.NewFileSet()
 	err := fs.WalkDir(root, ".", func(name string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && (name == "bench" || entry.Name() == "testdata"): // another module; no code of this one
+		case entry.IsDir() && (name == "bench" || entry.Name() == "testdata"): // bench is another module
 			return fs.SkipDir
 		case entry.IsDir() || path.Ext(name) != ".go" || strings.HasSuffix(name, "_test.go"):
 			return nil
@@ -57,7 +57,7 @@
 		}
 		file, err := parser.ParseFile(set, name, text, parser.SkipObjectResolution)
 		if err == nil {
-			c.add(path.Dir(name), file)
+			c.addFile(path.Dir(name), file)
 		}
 		return err
 	})
@@ -68,34 +68,34 @@
 	return c, err
 }
 
-// add notes what a file declares.
-func (c *codeBase) add(folder string, file *ast.File) {
+// addFile records what a source file declares, imports, logs and contains as literals.
+func (c *codeBase) addFile(folder string, file *ast.File) {
 	if c.names[folder] == nil {
 		c.names[folder] = map[string]bool{}
-		c.byName[file.Name.Name] = append(c.byName[file.Name.Name], folder)
+		c.foldersByPackage[file.Name.Name] = append(c.foldersByPackage[file.Name.Name], folder)
 	}
 	for _, spec := range file.Imports {
-		if in, ok := strings.CutPrefix(unquoted(spec.Path), modulePath+"/"); ok {
+		if in, ok := strings.CutPrefix(unquote(spec.Path), modulePath+"/"); ok {
 			c.imports[folder] = append(c.imports[folder], in)
 		}
 	}
 	for _, decl := range file.Decls {
-		c.declare(folder, decl)
+		c.addDeclaration(folder, decl)
 	}
 	if strings.HasPrefix(folder, "cmd/chutechute") {
-		c.commandsOf(file)
+		c.addCommands(file)
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.BasicLit:
 			if n.Kind == token.STRING {
-				c.literals[unquoted(n)] = true
+				c.literals[unquote(n)] = true
 			}
 		case *ast.CallExpr:
-			c.logCall(n)
+			c.addLogMessage(n)
 		case *ast.Field:
 			if n.Tag != nil && (folder == "internal/config" || folder == "internal/settings") {
-				key, _, _ := strings.Cut(reflect.StructTag(unquoted(n.Tag)).Get("json"), ",")
+				key, _, _ := strings.Cut(reflect.StructTag(unquote(n.Tag)).Get("json"), ",")
 				c.keys[key] = true
 			}
 		}
@@ -103,7 +103,8 @@
 	})
 }
 
-func (c *codeBase) declare(folder string, decl ast.Decl) {
+// addDeclaration records the names and members that a top-level declaration declares.
+func (c *codeBase) addDeclaration(folder string, decl ast.Decl) {
 	names := c.names[folder]
 	switch d := decl.(type) {
 	case *ast.FuncDecl:
@@ -128,7 +129,7 @@
 				}
 			case *ast.TypeSpec:
 				names[s.Name.Name] = true
-				for _, member := range membersOf(s.Type) {
+				for _, member := range memberNames(s.Type) {
 					names[s.Name.Name+"."+member] = true
 				}
 			}
@@ -136,8 +137,8 @@
 	}
 }
 
-// membersOf gives the fields of a struct or the methods of an interface.
-func membersOf(of ast.Expr) (names []string) {
+// memberNames returns the fields of a struct or the methods of an interface.
+func memberNames(of ast.Expr) (names []string) {
 	var list *ast.FieldList
 	switch t := of.(type) {
 	case *ast.StructType:
@@ -155,9 +156,9 @@
 	return names
 }
 
-// commandsOf notes the commands and flags that a file of a program declares: values of Use, what helpers that add
-// commands are given before the first sentence, rows of a table of commands, and names of flags.
-func (c *codeBase) commandsOf(file *ast.File) {
+// addCommands records the commands and flags that a file of a command line program declares: values of the field Use,
+// the usage argument of helpers that create commands, the first column of command tables, and names of flags.
+func (c *codeBase) addCommands(file *ast.File) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.KeyValueExpr:
@@ -173,7 +174,7 @@
 				c.command(n.Args[1])
 			}
 		case *ast.CompositeLit:
-			if n.Type == nil && len(n.Elts) == 4 { // a row of the commands that ask a front end
+			if n.Type == nil && len(n.Elts) == 4 { // a row of the table of commands that query a front end
 				c.command(n.Elts[0])
 			}
 		}
@@ -181,14 +182,15 @@
 	})
 }
 
+// command records the first word of a string literal as a command or flag; other expressions are ignored.
 func (c *codeBase) command(value ast.Expr) {
 	if literal, ok := value.(*ast.BasicLit); ok {
-		word, _, _ := strings.Cut(unquoted(literal), " ")
+		word, _, _ := strings.Cut(unquote(literal), " ")
 		c.commands[word] = true
 	}
 }
 
-// calledName is the name of the function or method that a call calls.
+// calledName returns the name of the called function or method, without package or receiver.
 func calledName(call *ast.CallExpr) string {
 	switch f := call.Fun.(type) {
 	case *ast.Ident:
@@ -199,8 +201,8 @@
 	return ""
 }
 
-// logCall notes the message of a call of log/slog.
-func (c *codeBase) logCall(call *ast.CallExpr) {
+// addLogMessage records the message of a slog call that is a string literal.
+func (c *codeBase) addLogMessage(call *ast.CallExpr) {
 	f, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 {
 		return
@@ -210,13 +212,13 @@
 		return
 	}
 	if message, ok := call.Args[0].(*ast.BasicLit); ok {
-		c.logs[unquoted(message)] = true
+		c.logMessages[unquote(message)] = true
 	}
 }
 
-func unquoted(literal *ast.BasicLit) string {
+func unquote(literal *ast.BasicLit) string {
 	text, err := strconv.Unquote(literal.Value)
-	if err != nil { // the parser takes none
+	if err != nil { // the parser rejects malformed literals
 		panic(err)
 	}
 	return text
--- a/docs/expression_test.go
+++ b/docs/expression_test.go
@@ -20,52 +20,51 @@
 	"chutechute/internal/scale"
 )
 
-// constants may stand in expressions by their names.
+// constants can be used in expressions by name.
 var constants = map[string]float64{
 	"secondsADay":   86400,
-	"changesEach":   2,                  // of the view, for a machine that fails or is restarted: it goes, and it comes
-	"loadOneIn":     20,                 // statements, as QUESTIONS.md takes it
-	"socketsEach":   3,                  // of limits.sockets for a client connection: clients get a third
-	"largestFrame":  discovery.MaxFrame, // bytes of a list
+	"changesEach":   2,                  // changes of the view for each failed or restarted machine: it leaves and rejoins
+	"loadOneIn":     20,                 // one statement in 20 is a load, as QUESTIONS.md assumes
+	"socketsEach":   3,                  // limits.sockets per client connection: clients get a third of the sockets
+	"largestFrame":  discovery.MaxFrame, // bytes of an endpoint list
 	"usersFronts":   2700,
 	"usersEngines":  34000,
 	"usersZones":    23,
 	"usersMachines": 53,
 	"usersClients":  22_000_000,
-	"usersQueries":  2_700_000, // a second
-	"usersChanges":  26000,     // of configuration a day
-	"usersFailures": 140,       // a day
-	"usersRestarts": 3000,      // a day
-	"usersBytes":    11,        // thousands a second, of control, of a front end
-	"nearOneCore":   2048,      // engines, the size next to which a core is full
+	"usersQueries":  2_700_000, // per second
+	"usersChanges":  26000,     // of configuration, per day
+	"usersFailures": 140,       // per day
+	"usersRestarts": 3000,      // per day
+	"usersBytes":    11,        // kB/s of control traffic per front end
+	"nearOneCore":   2048,      // engines, the size next to the one at which a core is saturated
 }
 
-// units are the only bare numbers that expressions reckon with; other numbers are the x of a figure.
-var units = []float64{10, 1000, 10_000, 1_000_000}
+// unitFactors are the only number literals that expressions can calculate with. Elsewhere a literal can only be the x
+// argument of a function.
+var unitFactors = []float64{10, 1000, 10_000, 1_000_000}
 
-// A calculator works out the expressions of the page's figures: numbers, + - * /, brackets, the ids of earlier
-// rows, and
+// A calculator evaluates the expressions of the page's figures. They consist of numbers, + - * /, parentheses, the ids
+// of earlier rows, the names of constants and these functions:
 //
 //	mean(file, axis, x, figure)   the mean of a file's points at x
-//	most(file, axis, x, figure)   the largest of them
-//	point(file, figure)           the mean of all points of a file that have a figure
-//	peak(file, figure)            the largest of them
-//	largest(file, axis)           the largest x of a file's points
-//	slope(file, axis, figure)     of the straight line through all points
-//	at(file, axis, figure, x)     of the fit through all points, extrapolated where x lies beyond them
-//	sizes(files, figure, x)       of the fit through several files, "baseline-*", by their numbers of front ends; figures as the tool's
-//	                              fit names them
-//	role(file, role, figure)      of a role, by its key in the file
-//	spread(file, figure)          of how long changes took
+//	most(file, axis, x, figure)   the largest of a file's points at x
+//	point(file, figure)           the mean of all points of a file that have the figure
+//	peak(file, figure)            the largest of all points of a file that have the figure
+//	largest(file, axis)           the largest x of a file's points on the axis
+//	slope(file, axis, figure)     the slope of the straight line through all points
+//	at(file, axis, figure, x)     the value at x of the fit through all points, extrapolated if x is beyond them
+//	sizes(files, figure, x)       the value at x of the fit through several files, by their numbers of front ends;
+//	                              files is a pattern ("baseline-*"), figure a name as chutechute-scale fit prints it
+//	role(file, role, figure)      a figure of a role, by its key in the file
+//	spread(file, figure)          a figure of how long changes took to spread, by its key in the file
 //	field(file, key)              another number of a file
-//
-// and the names of constants.
 type calculator struct {
 	results   results
-	values    map[string]float64 // of the rows before, as rounded on the page
+	values    map[string]float64 // of earlier rows, as rounded on the page
 	usedFiles map[string]bool
-	used      map[string]bool // rows that others are worked out from
-	fits      []string        // of the row at hand
+	used      map[string]bool // rows that other rows' expressions use
+	fits      []string        // of the row being evaluated
 }
 
 func (c *calculator) usedRows() map[string]bool {
@@ -75,33 +74,34 @@
 	return c.used
 }
 
-// row gives a row as the result files have it.
-func (c *calculator) row(row figureRow) (figureRow, error) {
+// evaluateRow returns the row with the figure and fit computed from the result files.
+func (c *calculator) evaluateRow(row figureRow) (figureRow, error) {
 	c.fits = nil
-	tree, err := parser.ParseExpr(row.from)
+	tree, err := parser.ParseExpr(row.expression)
 	if err != nil {
 		return row, fmt.Errorf("expression: %w", err)
 	}
 	if _, bare := tree.(*ast.BasicLit); bare {
-		return row, errors.New("a bare number is no source")
+		return row, errors.New("a bare number is not a source")
 	}
-	value, err := c.value(tree)
+	value, err := c.evaluate(tree)
 	if err != nil {
 		return row, err
 	}
 	step, err := strconv.ParseFloat(row.step, 64)
 	if err != nil || step <= 0 {
-		return row, fmt.Errorf("step %q is no number above 0", row.step)
+		return row, fmt.Errorf("step %q is not a positive number", row.step)
 	}
-	rounded, text := round(value, step)
+	rounded, text := roundToStep(value, step)
 	c.values[row.id] = rounded
 	row.figure = text + strings.TrimPrefix(row.figure, number.FindString(row.figure))
 	row.fit = strings.Join(c.fits, "; ")
 	return row, nil
 }
 
-// round gives a value as a multiple of a step, and its text with as many decimals as the step has.
-func round(value, step float64) (float64, string) {
+// roundToStep rounds value to a multiple of step. It also returns the text, with as many decimals as step has and
+// commas between thousands.
+func roundToStep(value, step float64) (float64, string) {
 	_, decimals, _ := strings.Cut(strconv.FormatFloat(step, 'f', -1, 64), ".")
 	text := strconv.FormatFloat(math.Round(value/step)*step, 'f', len(decimals), 64)
 	rounded, _ := strconv.ParseFloat(text, 64)
@@ -115,42 +115,42 @@
 	return rounded, whole
 }
 
-func (c *calculator) value(e ast.Expr) (float64, error) {
+func (c *calculator) evaluate(e ast.Expr) (float64, error) {
 	switch e := e.(type) {
 	case *ast.BasicLit:
 		return strconv.ParseFloat(strings.ReplaceAll(e.Value, "_", ""), 64)
 	case *ast.ParenExpr:
-		return c.value(e.X)
+		return c.evaluate(e.X)
 	case *ast.Ident:
 		if value, ok := constants[e.Name]; ok {
 			return value, nil
 		}
 		value, ok := c.values[e.Name]
 		if !ok {
-			return 0, fmt.Errorf("no row %q before", e.Name)
+			return 0, fmt.Errorf("no earlier row %q", e.Name)
 		}
 		c.usedRows()[e.Name] = true
 		return value, nil
 	case *ast.BinaryExpr:
-		return c.binary(e)
+		return c.evaluateBinary(e)
 	case *ast.CallExpr:
-		return c.call(e)
+		return c.evaluateCall(e)
 	}
-	return 0, fmt.Errorf("expression has a %T", e)
+	return 0, fmt.Errorf("unsupported %T in expression", e)
 }
 
-func (c *calculator) binary(e *ast.BinaryExpr) (float64, error) {
-	a, err := c.value(e.X)
+func (c *calculator) evaluateBinary(e *ast.BinaryExpr) (float64, error) {
+	a, err := c.evaluate(e.X)
 	if err != nil {
 		return 0, err
 	}
-	b, err := c.value(e.Y)
+	b, err := c.evaluate(e.Y)
 	if err != nil {
 		return 0, err
 	}
 	for side, value := range map[ast.Expr]float64{e.X: a, e.Y: b} {
-		if _, bare := side.(*ast.BasicLit); bare && !slices.Contains(units, value) {
-			return 0, fmt.Errorf("%g is no unit: a number without a source", value)
+		if _, bare := side.(*ast.BasicLit); bare && !slices.Contains(unitFactors, value) {
+			return 0, fmt.Errorf("%g is not a unit factor: a number without a source", value)
 		}
 	}
 	switch e.Op {
@@ -163,11 +163,11 @@
 	case token.QUO:
 		return a / b, nil
 	}
-	return 0, fmt.Errorf("expression has a %s", e.Op)
+	return 0, fmt.Errorf("unsupported operator %s in expression", e.Op)
 }
 
-// arguments takes a call's arguments: texts, and numbers by an expression.
-func (c *calculator) arguments(e *ast.CallExpr) (texts []string, numbers []float64, err error) {
+// evaluateArguments returns a call's string arguments and the values of its other arguments, each in order.
+func (c *calculator) evaluateArguments(e *ast.CallExpr) (texts []string, numbers []float64, err error) {
 	for _, argument := range e.Args {
 		if literal, ok := argument.(*ast.BasicLit); ok && literal.Kind == token.STRING {
 			text, err := strconv.Unquote(literal.Value)
@@ -177,7 +177,7 @@
 			texts = append(texts, text)
 			continue
 		}
-		value, err := c.value(argument)
+		value, err := c.evaluate(argument)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -186,19 +186,19 @@
 	return texts, numbers, nil
 }
 
-func (c *calculator) call(e *ast.CallExpr) (float64, error) {
-	texts, numbers, err := c.arguments(e)
+func (c *calculator) evaluateCall(e *ast.CallExpr) (float64, error) {
+	texts, numbers, err := c.evaluateArguments(e)
 	if err != nil {
 		return 0, err
 	}
 	name := fmt.Sprint(e.Fun)
 	if name == "sizes" && len(texts) == 2 && len(numbers) == 1 {
-		return c.sizes(texts[0], texts[1], numbers[0])
+		return c.evaluateFitAcrossFiles(texts[0], texts[1], numbers[0])
 	}
-	wanted, known := map[string][2]int{"mean": {3, 1}, "most": {3, 1}, "slope": {3, 0}, "at": {3, 1}, "role": {3, 0}, "spread": {2, 0},
-		"field": {2, 0}, "largest": {2, 0}, "point": {2, 0}, "peak": {2, 0}}[name]
+	wanted, known := map[string][2]int{"mean": {3, 1}, "most": {3, 1}, "slope": {3, 0}, "at": {3, 1}, "role": {3, 0},
+		"spread": {2, 0}, "field": {2, 0}, "largest": {2, 0}, "point": {2, 0}, "peak": {2, 0}}[name]
 	if !known || len(texts) != wanted[0] || len(numbers) != wanted[1] {
-		return 0, fmt.Errorf("no %s of %d texts and %d numbers", name, len(texts), len(numbers))
+		return 0, fmt.Errorf("no function %s with %d string and %d number arguments", name, len(texts), len(numbers))
 	}
 	result := c.results.byName[texts[0]]
 	if result == nil {
@@ -207,38 +207,38 @@
 	c.usedFiles[texts[0]] = true
 	switch name {
 	case "mean", "most":
-		return pointsAt(result, name, texts[1], numbers[0], texts[2])
+		return aggregateAt(result, name, texts[1], numbers[0], texts[2])
 	case "slope", "at":
 		fit, ok := scale.FitOf(texts[2], "", samples(result, texts[1], texts[2]))
 		if !ok {
 			return 0, fmt.Errorf("%q has too few sizes for a fit", texts)
 		}
 		if name == "slope" {
-			c.fits = append(c.fits, fitText(fit, "linear", 0))
+			c.fits = append(c.fits, describeFit(fit, "linear", 0))
 			return fit.Linear.Slope, nil
 		}
 		value, law, beyond := fit.At(numbers[0])
-		c.fits = append(c.fits, fitText(fit, law, beyond))
+		c.fits = append(c.fits, describeFit(fit, law, beyond))
 		return value, nil
 	case "point", "peak":
-		return pointsWith(result, name, texts[1])
+		return aggregateAll(result, name, texts[1])
 	case "largest":
 		return largestX(result, texts[1])
 	case "role":
 		for _, role := range result.Roles {
 			if role.Role == texts[1] {
-				return keyOf(role, texts[2])
+				return numberField(role, texts[2])
 			}
 		}
 		return 0, fmt.Errorf("no role %q", texts[1])
 	case "spread":
-		return keyOf(result.Spread, texts[1])
+		return numberField(result.Spread, texts[1])
 	}
-	return keyOf(result, texts[1])
+	return numberField(result, texts[1])
 }
 
-// sizes is a figure at a size by the fit through several result files.
-func (c *calculator) sizes(pattern, figure string, x float64) (float64, error) {
+// evaluateFitAcrossFiles returns a figure at size x from the fit through the result files whose names match pattern.
+func (c *calculator) evaluateFitAcrossFiles(pattern, figure string, x float64) (float64, error) {
 	var list []*scale.Result
 	for _, name := range slices.Sorted(maps.Keys(c.results.byName)) {
 		if match, err := path.Match(pattern, name); err != nil {
@@ -251,13 +251,14 @@
 	for _, fit := range scale.Fits(list) {
 		if fit.Figure == figure {
 			value, law, beyond := fit.At(x)
-			c.fits = append(c.fits, fitText(fit, law, beyond))
+			c.fits = append(c.fits, describeFit(fit, law, beyond))
 			return value, nil
 		}
 	}
-	return 0, fmt.Errorf("no fit of %q through %q", figure, pattern)
+	return 0, fmt.Errorf("no fit of %q through the files %q", figure, pattern)
 }
 
+// samples returns the points of a result on an axis that have the figure.
 func samples(result *scale.Result, axis, figure string) (list []scale.Sample) {
 	for _, point := range result.Points {
 		if value, ok := point.Figures[figure]; ok && point.Axis == axis {
@@ -267,7 +268,8 @@
 	return list
 }
 
-func pointsAt(result *scale.Result, which, axis string, x float64, figure string) (float64, error) {
+// aggregateAt returns the largest (function "most") or the mean of a figure over the points at x.
+func aggregateAt(result *scale.Result, function, axis string, x float64, figure string) (float64, error) {
 	sum, most, count := 0.0, math.Inf(-1), 0
 	for _, sample := range samples(result, axis, figure) {
 		if sample.X == x {
@@ -277,13 +279,14 @@
 	if count == 0 {
 		return 0, fmt.Errorf("no point with %s %g and %q", axis, x, figure)
 	}
-	if which == "most" {
+	if function == "most" {
 		return most, nil
 	}
 	return sum / float64(count), nil
 }
 
-func pointsWith(result *scale.Result, which, figure string) (float64, error) {
+// aggregateAll returns the largest (function "peak") or the mean of a figure over all points that have it.
+func aggregateAll(result *scale.Result, function, figure string) (float64, error) {
 	sum, most, count := 0.0, math.Inf(-1), 0
 	for _, point := range result.Points {
 		if value, ok := point.Figures[figure]; ok {
@@ -293,7 +296,7 @@
 	if count == 0 {
 		return 0, fmt.Errorf("no point with %q", figure)
 	}
-	if which == "peak" {
+	if function == "peak" {
 		return most, nil
 	}
 	return sum / float64(count), nil
@@ -312,9 +315,9 @@
 	return largest, nil
 }
 
-// fitText is how a row tells of its fit: the law, what it misses as a share of the value or in the figure's unit,
-// and the range.
-func fitText(fit scale.Fit, law string, beyond float64) string {
+// describeFit returns the text of a row's column "fit": the law, the residual (as a percentage for a power law, else in
+// the unit of the result file), the range of measured sizes, and how far beyond it the value is extrapolated.
+func describeFit(fit scale.Fit, law string, beyond float64) string {
 	line, misses := &fit.Linear, ""
 	if law == "power" {
 		line = fit.Power
@@ -322,8 +325,8 @@
 	} else {
 		misses = fmt.Sprintf("%.3g", line.Residual)
 	}
-	_, from := round(fit.From, 1)
-	_, to := round(fit.To, 1)
+	_, from := roundToStep(fit.From, 1)
+	_, to := roundToStep(fit.To, 1)
 	text := fmt.Sprintf("%s, misses %s, %s to %s", law, misses, from, to)
 	if beyond > 1 {
 		text += fmt.Sprintf(", %.2g times beyond", beyond)
@@ -331,9 +334,9 @@
 	return text
 }
 
-// keyOf is a number of a result by its key in the file.
-func keyOf(of any, key string) (float64, error) {
-	text, err := json.Marshal(of)
+// numberField returns the number that v has under a JSON key.
+func numberField(v any, key string) (float64, error) {
+	text, err := json.Marshal(v)
 	if err != nil {
 		return 0, err
 	}
@@ -348,6 +351,7 @@
 	return value, nil
 }
 
+// decodeResult decodes a result file. Unknown fields and a missing name are errors.
 func decodeResult(text []byte) (*scale.Result, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -363,9 +367,9 @@
 
 var spaces = regexp.MustCompile(`\s+`)
 
-// describe is a result file's row. Scatter is the largest difference between two runs of one size: of the figure in
-// the middle, and of the one that differs most.
-func describe(name string, result *scale.Result, digest string) fileRow {
+// describeFile returns the row that a result file must have. Its scatter is the largest difference between two runs of
+// the same size, for the median figure and for the figure with the largest difference.
+func describeFile(name string, result *scale.Result, digest string) fileRow {
 	points, unit := len(result.Points), "points"
 	scatter := "one run"
 	if points == 0 {
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -9,18 +9,19 @@
 )
 
 var (
-	qualified = regexp.MustCompile(`^((?:[a-z]+/)*[a-z]+)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)$`)
-	inDiagram = regexp.MustCompile(`\b(?:[a-z]+/)*[a-z]+\.[A-Z]\w*(?:\.[A-Za-z]\w*)?`)
-	variable  = regexp.MustCompile(`^[A-Z][A-Z0-9]*_[A-Z0-9_]+$`)
-	key       = regexp.MustCompile(`^[a-z][a-z_]*(?:\.[a-z][a-z_]*)*$`)
-	flag      = regexp.MustCompile(`^--([a-z-]+)`)
+	qualifiedName = regexp.MustCompile(`^((?:[a-z]+/)*[a-z]+)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)$`)
+	diagramName   = regexp.MustCompile(`\b(?:[a-z]+/)*[a-z]+\.[A-Z]\w*(?:\.[A-Za-z]\w*)?`)
+	envVariable   = regexp.MustCompile(`^[A-Z][A-Z0-9]*_[A-Z0-9_]+$`)
+	keyPath       = regexp.MustCompile(`^[a-z][a-z_]*(?:\.[a-z][a-z_]*)*$`)
+	flagName      = regexp.MustCompile(`^--([a-z-]+)`)
 )
 
-// name says what is wrong with `package.Name` or `package.Type.Member`; nothing where the code has it.
-func (c *codeBase) name(of, name string) string {
-	folders := c.byName[of]
-	if strings.Contains(of, "/") || c.names[of] != nil {
-		folders = []string{of}
+// checkName returns what is wrong with `package.Name` or `package.Type.Member`, or "" if the code has it. A package is
+// given by its name, or by its path where several packages declare the name.
+func (c *codeBase) checkName(pkg, name string) string {
+	folders := c.foldersByPackage[pkg]
+	if strings.Contains(pkg, "/") || c.names[pkg] != nil {
+		folders = []string{pkg}
 	}
 	var found []string
 	for _, folder := range folders {
@@ -30,18 +31,19 @@
 	}
 	switch {
 	case len(folders) == 0 || c.names[folders[0]] == nil:
-		return fmt.Sprintf("no package %s", of)
+		return fmt.Sprintf("no package %s", pkg)
 	case len(found) == 0:
 		return fmt.Sprintf("no %s in %s", name, strings.Join(folders, ", "))
 	case len(found) > 1:
-		return fmt.Sprintf("%s is in %s: give the package's path", name, strings.Join(found, ", "))
-	case found[0] != driver && !exported(name):
+		return fmt.Sprintf("%s is ambiguous, declared in %s: use the package path", name, strings.Join(found, ", "))
+	case found[0] != serverFolder && !isExportedPath(name):
 		return fmt.Sprintf("%s of %s is not exported", name, found[0])
 	}
 	return ""
 }
 
-func exported(name string) bool {
+// isExportedPath reports whether all parts of `Name` or `Type.Member` are exported.
+func isExportedPath(name string) bool {
 	for part := range strings.SplitSeq(name, ".") {
 		if !ast.IsExported(part) {
 			return false
@@ -50,13 +52,14 @@
 	return true
 }
 
-// span says what is wrong with a code span: each has to be of a kind that the code has.
-func (c *codeBase) span(text string) string {
+// checkSpan returns what is wrong with the text of a code span, or "" if it is a path, name, command, flag, environment
+// variable, key, counter or log line of the code.
+func (c *codeBase) checkSpan(text string) string {
 	if _, err := fs.Stat(c.files, text); err == nil && strings.Contains(text, "/") || c.names[text] != nil {
 		return ""
 	}
-	if match := qualified.FindStringSubmatch(text); match != nil && !c.isKey(text) {
-		return c.name(match[1], match[2])
+	if match := qualifiedName.FindStringSubmatch(text); match != nil && !c.isKey(text) {
+		return c.checkName(match[1], match[2])
 	}
 	words := strings.Fields(text)
 	switch {
@@ -66,23 +69,23 @@
 				return fmt.Sprintf("no command %s", word)
 			}
 		}
-	case flag.MatchString(text):
-		if name := flag.FindStringSubmatch(text)[1]; !c.commands[name] {
+	case flagName.MatchString(text):
+		if name := flagName.FindStringSubmatch(text)[1]; !c.commands[name] {
 			return fmt.Sprintf("no flag %s", name)
 		}
-	case variable.MatchString(text):
+	case envVariable.MatchString(text):
 		if !c.literals[text] {
-			return fmt.Sprintf("no source has %s", text)
+			return fmt.Sprintf("no string literal %s in the code", text)
 		}
-	case !c.isKey(text) && !c.counters[text] && !c.logs[text]:
-		return fmt.Sprintf("%q is no path, name, command, variable, key, counter or log line", text)
+	case !c.isKey(text) && !c.counters[text] && !c.logMessages[text]:
+		return fmt.Sprintf("%q is not a path, name, command, flag, variable, key, counter or log line", text)
 	}
 	return ""
 }
 
-// isKey says whether a text is a key of the configuration, the installation file or the settings.
+// isKey reports whether text is a key, or a dotted path of keys, of the configuration, installation file or settings.
 func (c *codeBase) isKey(text string) bool {
-	if !key.MatchString(text) {
+	if !keyPath.MatchString(text) {
 		return false
 	}
 	for part := range strings.SplitSeq(text, ".") {
--- a/docs/pagenames_test.go
+++ b/docs/pagenames_test.go
@@ -17,35 +17,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// namesOf says which `package.Name` and `package.Type.Member` of a page the code does not have. A page may have
-// other code spans, which are the words of settings, wires and output.
-func (c *codeBase) namesOf(page string) (faults []string) {
+// checkQualifiedNames reports, with line numbers, each `package.Name` and `package.Type.Member` on a page that the code
+// does not have. Other code spans, such as settings, wire texts and output, are not checked.
+func (c *codeBase) checkQualifiedNames(page string) (problems []string) {
 	for i, line := range strings.Split(page, "\n") {
 		for _, span := range codeSpan.FindAllString(line, -1) {
 			text := strings.Trim(span, "`")
-			match := qualified.FindStringSubmatch(text)
-			if match == nil || len(c.byName[match[1]]) == 0 && c.names[match[1]] == nil {
+			match := qualifiedName.FindStringSubmatch(text)
+			if match == nil || len(c.foldersByPackage[match[1]]) == 0 && c.names[match[1]] == nil {
 				continue
 			}
-			if !ast.IsExported(match[2]) && match[1] != path.Base(driver) { // a key, or a file's name
+			if !ast.IsExported(match[2]) && match[1] != path.Base(serverFolder) { // a settings key or a file name
 				continue
 			}
-			if fault := c.name(match[1], match[2]); fault != "" {
-				faults = append(faults, fmt.Sprintf("line %d: %s", i+1, fault))
+			if problem := c.checkName(match[1], match[2]); problem != "" {
+				problems = append(problems, fmt.Sprintf("line %d: %s", i+1, problem))
 			}
 		}
 	}
-	return faults
+	return problems
 }
 
-// earlier are packages and programs of earlier versions: no page but the changelog names them.
-var earlier = regexp.MustCompile("`(?:(?:decide|member|attach|peer|ledger|ledger/store|ledger/loads|recordclient|budget/account|" +
-	"budget/enforce|internal/(?:epoll|journal|wire|figure|measure))(?:\\.[A-Z]\\w*)*|epoll(?:\\.\\w+)*|" +
-	"(?:journal|wire|figure|measure)(?:\\.[A-Z]\\w*)+)`")
+// formerPackage matches code spans with packages and programs that earlier versions had. Only the changelog may name
+// them.
+var formerPackage = regexp.MustCompile(
+	"`(?:(?:decide|member|attach|peer|ledger|ledger/store|ledger/loads|recordclient|budget/account|" +
+		"budget/enforce|internal/(?:epoll|journal|wire|figure|measure))(?:\\.[A-Z]\\w*)*|epoll(?:\\.\\w+)*|" +
+		"(?:journal|wire|figure|measure)(?:\\.[A-Z]\\w*)+)`")
 
-// The pages on design and for operators name nothing that the code does not have.
+// The design pages, the operators' pages and CONTRIBUTING.md use no qualified name that the code does not have, and no
+// name of a package that was removed or renamed.
 func TestNamesOnOtherPages(t *testing.T) {
-	code, err := readCode(os.DirFS(repository))
+	code, err := readCode(os.DirFS(repositoryRoot))
 	require.NoError(t, err)
 	for _, pattern := range []string{"design/*.md", "operators/*.md", "../CONTRIBUTING.md"} {
 		paths, err := filepath.Glob(pattern)
@@ -54,28 +57,29 @@
 		for _, name := range paths {
 			page, err := os.ReadFile(name)
 			require.NoError(t, err)
-			for _, fault := range code.namesOf(string(page)) {
-				t.Errorf("%s: %s", name, fault)
+			for _, problem := range code.checkQualifiedNames(string(page)) {
+				t.Errorf("%s: %s", name, problem)
 			}
-			assert.Empty(t, earlier.FindAllString(string(page), -1), name)
+			assert.Empty(t, formerPackage.FindAllString(string(page), -1), name)
 		}
 	}
-	page := "`gateway.Core.Submit`, `fleet.orphan_s`, `a.B`\n`gateway.Core.Take`, `server.enginePool.redial`\n`server.enginePool.redials`"
+	page := "`gateway.Core.Submit`, `fleet.orphan_s`, `a.B`\n`gateway.Core.Take`, `server.enginePool.redial`\n" +
+		"`server.enginePool.redials`"
 	expected := []string{"line 2: no Core.Take in gateway", "line 3: no enginePool.redials in internal/server"}
-	assert.Equal(t, expected, code.namesOf(page))
-	assert.Regexp(t, earlier, "the package `decide`, whose `ledger.Kind` was renamed")
-	for _, name := range []string{"decide", "ledger.Kind", "epoll", "epoll.client.leave", "internal/epoll", "journal.Redial",
-		"internal/wire"} {
-		assert.Equal(t, []string{"`" + name + "`"}, earlier.FindAllString("`gateway`, `"+name+"`", -1))
+	assert.Equal(t, expected, code.checkQualifiedNames(page))
+	assert.Regexp(t, formerPackage, "the package `decide`, whose `ledger.Kind` was renamed")
+	for _, name := range []string{"decide", "ledger.Kind", "epoll", "epoll.client.leave", "internal/epoll",
+		"journal.Redial", "internal/wire"} {
+		assert.Equal(t, []string{"`" + name + "`"}, formerPackage.FindAllString("`gateway`, `"+name+"`", -1))
 	}
-	assert.NotRegexp(t, earlier, "the key `journal`")
+	assert.NotRegexp(t, formerPackage, "the key `journal`")
 }
 
-// testName is a name of a test or a fuzz test on a page.
+// testName matches the name of a test or fuzz test.
 var testName = regexp.MustCompile(`\b(?:Test|Fuzz)[A-Z]\w*`)
 
-// testsOf gives the test and fuzz functions of the module's test files.
-func testsOf(root fs.FS) (map[string]bool, error) {
+// testFunctions returns the names of the test and fuzz functions in the module's test files.
+func testFunctions(root fs.FS) (map[string]bool, error) {
 	tests, set := map[string]bool{}, token.NewFileSet()
 	return tests, fs.WalkDir(root, ".", func(name string, entry fs.DirEntry, err error) error {
 		switch {
@@ -103,21 +107,21 @@
 	})
 }
 
-// missingTests says which tests that a page names do not exist, with lines.
-func missingTests(page string, tests map[string]bool) (faults []string) {
+// missingTests reports, with line numbers, the tests that a page names and that do not exist.
+func missingTests(page string, tests map[string]bool) (problems []string) {
 	for i, line := range strings.Split(page, "\n") {
 		for _, name := range testName.FindAllString(line, -1) {
 			if !tests[name] {
-				faults = append(faults, fmt.Sprintf("line %d: no test %s", i+1, name))
+				problems = append(problems, fmt.Sprintf("line %d: no test %s", i+1, name))
 			}
 		}
 	}
-	return faults
+	return problems
 }
 
-// Each test that a page names is a function of the module's test files.
+// Each test that a page names exists in the module's test files.
 func TestTestsNamedOnPages(t *testing.T) {
-	tests, err := testsOf(os.DirFS(repository))
+	tests, err := testFunctions(os.DirFS(repositoryRoot))
 	require.NoError(t, err)
 	for _, pattern := range []string{"*.md", "design/*.md", "operators/*.md", "../CONTRIBUTING.md", "../README.md"} {
 		paths, err := filepath.Glob(pattern)
@@ -126,16 +130,16 @@
 		for _, name := range paths {
 			page, err := os.ReadFile(name)
 			require.NoError(t, err)
-			for _, fault := range missingTests(string(page), tests) {
-				t.Errorf("%s: %s", name, fault)
+			for _, problem := range missingTests(string(page), tests) {
+				t.Errorf("%s: %s", name, problem)
 			}
 		}
 	}
 }
 
-// A test that does not exist is found in a table, in a code span, in a command and in a list, with its line.
-func TestTestsNamedOnPagesCheckSees(t *testing.T) {
-	tests, err := testsOf(os.DirFS(repository))
+// The check reports a missing test in a table, a code span, a command and a list, with its line.
+func TestTestsNamedOnPagesCheckReportsMissingTests(t *testing.T) {
+	tests, err := testFunctions(os.DirFS(repositoryRoot))
 	require.NoError(t, err)
 	page := "| case | gateway: TestGracefulShutdownEndsBeforeTheKill, TestNone |\n`TestHistories`, `TestHistory`\n" +
 		"    go test -run 'TestWireFormat|TestWireFormats' ./fleet/...\nTestimony; the parsers: FuzzFollower, FuzzFollowers."
@@ -143,5 +147,5 @@
 		"line 4: no test FuzzFollowers"}
 	assert.Equal(t, expected, missingTests(page, tests))
 	assert.Contains(t, tests, "TestTestsNamedOnPages")
-	assert.NotContains(t, tests, "testsOf")
+	assert.NotContains(t, tests, "testFunctions")
 }
