--- a/structure_test.go
+++ b/structure_test.go
@@ -1,4 +1,4 @@
-// Package chutechute holds checks of the repository's own structure.
+// Package chutechute checks the structure of the repository.
 package chutechute
 
 import (
@@ -18,13 +18,13 @@
 const (
 	module          = "chutechute"
 	schedulerFolder = "scheduler"
-	// maxWidth is the width of a line, in characters, in finished packages.
+	// maxWidth is the maximum length of a line, in characters, in the folders of widthCheckedFolders.
 	maxWidth = 120
-	// maxDecisionLines is the number of lines of a file of decisions.
-	maxDecisionLines = 400
+	// maxSchedulerLines is the maximum number of lines of a source file of the scheduler.
+	maxSchedulerLines = 400
 )
 
-// deployList returns the values of a list in the deploy file.
+// deployList returns the values of a list in deploy/balancer.toml.
 func deployList(t *testing.T, key string) (values []string) {
 	t.Helper()
 	deploy, err := os.ReadFile("deploy/balancer.toml")
@@ -37,8 +37,8 @@
 	return values
 }
 
-// sources returns the Go files of a folder that are no tests.
-func sources(t *testing.T, folder string) (files []string) {
+// sourceFiles returns the Go files of a folder, except tests.
+func sourceFiles(t *testing.T, folder string) (files []string) {
 	t.Helper()
 	all, err := filepath.Glob(filepath.Join(folder, "*.go"))
 	require.NoError(t, err)
@@ -50,24 +50,25 @@
 	return files
 }
 
-// Every file of decisions is named to the operators, and nothing else is.
-func TestPolicyNamesEveryDecisionFile(t *testing.T) {
-	assert.ElementsMatch(t, sources(t, schedulerFolder), deployList(t, "policy"))
+// The deploy file's list "policy", which operators see, contains exactly the source files of the scheduler.
+func TestDeployPolicyListsTheSchedulerFiles(t *testing.T) {
+	assert.ElementsMatch(t, sourceFiles(t, schedulerFolder), deployList(t, "policy"))
 }
 
-// A file of decisions is short enough to be read at one sitting.
-func TestDecisionFilesAreNotTooLong(t *testing.T) {
+// Each source file of the scheduler is short enough to be read in one sitting.
+func TestSchedulerFilesAreNotTooLong(t *testing.T) {
 	for _, file := range deployList(t, "policy") {
 		text, err := os.ReadFile(file)
 		require.NoError(t, err)
-		if lines := strings.Count(string(text), "\n"); lines > maxDecisionLines {
-			t.Errorf("%s has %d lines, at most %d", file, lines, maxDecisionLines)
+		if lines := strings.Count(string(text), "\n"); lines > maxSchedulerLines {
+			t.Errorf("%s has %d lines, at most %d are allowed", file, lines, maxSchedulerLines)
 		}
 	}
 }
 
-// The deploy file names every package of this module that the front end is built of.
-func TestNodeNamesEveryPackage(t *testing.T) {
+// The deploy file's list "node" contains exactly the packages of this module that the front end is built from, except
+// the scheduler.
+func TestDeployNodeListsEveryPackage(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "./cmd/"+module).Output()
 	require.NoError(t, err)
 	var packages []string
@@ -79,12 +80,14 @@
 	assert.ElementsMatch(t, packages, deployList(t, "node"))
 }
 
-// clocksAndIO are imports by which a package could read a clock, do I/O or share state between goroutines.
+// clocksAndIO are imports that would let a package read a clock, do I/O or share state between goroutines. Each stands
+// for the packages below it as well.
 var clocksAndIO = []string{"bufio", "context", "io", "log", "net", "os", "runtime", "sync", "syscall", "time", "unsafe"}
 
-// The decisions read no clock and do no I/O, and neither does any package of this module that they are built of.
-func TestDecisionsReadNoClock(t *testing.T) {
-	out, err := exec.Command("go", "list", "-deps", "-f", `{{.ImportPath}}{{range .Imports}} {{.}}{{end}}`, "./"+schedulerFolder).Output()
+// The scheduler, and each package of this module that it is built from, imports nothing that reads a clock or does I/O.
+func TestSchedulerImportsNoClockAndNoIO(t *testing.T) {
+	out, err := exec.Command("go", "list", "-deps", "-f", `{{.ImportPath}}{{range .Imports}} {{.}}{{end}}`,
+		"./"+schedulerFolder).Output()
 	require.NoError(t, err)
 	for line := range strings.Lines(string(out)) {
 		words := strings.Fields(line)
@@ -98,14 +101,15 @@
 	}
 }
 
-// finished are the folders whose lines keep to maxWidth; all Go files below them count.
-var finished = []string{"fleet", "gateway", "identity", "internal/config", "internal/decimal", "internal/discovery", "internal/eventloop", "internal/fieldcodec",
-	"internal/golden", "internal/history", "internal/monotime", "internal/peering", "internal/procstat", "internal/raftlog", "internal/server",
+// widthCheckedFolders are the folders in which all Go files, also those in subfolders, keep to maxWidth.
+var widthCheckedFolders = []string{"fleet", "gateway", "identity", "internal/config", "internal/decimal",
+	"internal/discovery", "internal/eventloop", "internal/fieldcodec", "internal/golden", "internal/history",
+	"internal/monotime", "internal/peering", "internal/procstat", "internal/raftlog", "internal/server",
 	"internal/settings", "internal/simwire", "internal/testharness",
 	"scheduler", "simulation", "statement"}
 
-func TestLinesOfFinishedPackagesAreNotTooWide(t *testing.T) {
-	for _, folder := range finished {
+func TestLinesAreNotTooWide(t *testing.T) {
+	for _, folder := range widthCheckedFolders {
 		require.NoError(t, filepath.WalkDir(folder, func(file string, _ os.DirEntry, err error) error {
 			if err != nil || path.Ext(file) != ".go" {
 				return err
@@ -113,7 +117,7 @@
 			text, err := os.ReadFile(file)
 			for n, line := range strings.Split(string(text), "\n") {
 				if width := len([]rune(line)); width > maxWidth {
-					t.Errorf("%s:%d is %d wide, at most %d", file, n+1, width, maxWidth)
+					t.Errorf("%s:%d has %d characters, at most %d are allowed", file, n+1, width, maxWidth)
 				}
 			}
 			return err
