--- a/gateway/simulation_test.go
+++ b/gateway/simulation_test.go
@@ -199,7 +199,8 @@
 	ttl := monotime.Second/10 + s.rng.Int64N(clientTimeouts[r.class]*monotime.Second)
 	r.deadline = s.now + ttl
 	call := &Call{ID: r.id, Class: classNames[r.class], ClientTimeout: ttl,
-		EstimatedWork: 1000 + s.rng.Int64N(monotime.Second), Statement: []byte(fmt.Sprintf("SELECT 1 FROM s_%d.t", s.rng.IntN(5)))}
+		EstimatedWork: 1000 + s.rng.Int64N(monotime.Second),
+		Statement:     []byte(fmt.Sprintf("SELECT 1 FROM s_%d.t", s.rng.IntN(5)))}
 	if r.class == orderedKeyedClass {
 		call.OrderKey, call.IdempotencyKey = fmt.Sprint(s.rng.IntN(3)), r.id
 		s.byOrderKey[call.OrderKey] = append(s.byOrderKey[call.OrderKey], r)
--- a/identity/authentication.go
+++ b/identity/authentication.go
@@ -50,7 +50,7 @@
 // callerOfCertificate returns the caller that a client certificate identifies, if it is valid at a wall-clock time.
 func (g *Guard) callerOfCertificate(certificate *Certificate, wall monotime.Micros) (Caller, error) {
 	if certificate.Revoked || certificate.Expires > 0 && wall >= certificate.Expires {
-		g.counts.Expired++
+		g.counts.NotValidNow++
 		return Caller{}, &Denied{Reason: NotValidNow, Detail: "certificate"}
 	}
 	rule := g.options.ruleForCertificate(certificate)
@@ -140,7 +140,7 @@
 // checkValidity returns a *Denied if a verified token is not valid at a wall-clock time.
 func (g *Guard) checkValidity(token *verifiedToken, wall monotime.Micros) error {
 	if detail := g.validityError(token, wall); detail != "" {
-		g.counts.Expired++
+		g.counts.NotValidNow++
 		return &Denied{Reason: NotValidNow, Detail: detail}
 	}
 	return nil
--- a/identity/guard.go
+++ b/identity/guard.go
@@ -19,7 +19,7 @@
 	SignaturesChecked int // tokens whose signature was checked
 	NegativeCacheHits int // tokens found in the cache of failed tokens
 
-	Expired        int // requests denied with the reason NotValidNow
+	NotValidNow    int // requests denied with the reason NotValidNow
 	InvalidTokens  int // requests denied for a token that has no valid signature or is too long
 	UnknownCallers int // requests denied because their credentials identify no caller, or two different ones
 	NoCredentials  int // requests denied because they have no credentials
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -28,7 +28,7 @@
 	counters := &s.host.Counters
 	counters.AllowedCalls, counters.SignatureChecks = counts.Allowed, counts.SignaturesChecked
 	counters.UnauthenticatedCalls = counts.NoCredentials + counts.InvalidTokens + counts.NegativeCacheHits +
-		counts.Expired + counts.UnknownCallers
+		counts.NotValidNow + counts.UnknownCallers
 	counters.PermissionDenied = counts.PermissionDenied + counts.TenantMismatches
 	counters.OverCeiling = counts.CeilingReached + counts.SignatureBudgetExhausted
 }
