--- a/internal/decimal/decimal.go
+++ b/internal/decimal/decimal.go
@@ -16,7 +16,7 @@
 	number, err := strconv.ParseFloat(text, 64)
 	inRange := number >= 0 && number <= limit // false for NaN
 	if err != nil || !inRange || strings.Trim(text, characters) != "" {
-		return 0, fmt.Errorf("%.80q is not a number from 0 to %g", text, limit)
+		return 0, fmt.Errorf("%.80q is no number from 0 to %g", text, limit)
 	}
 	return number, nil
 }
