--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// FaultKind says what happens to the targets of a fault.
+// FaultKind is what a fault does to its targets.
 type FaultKind uint8
 
 // The kinds.
 const (
-	Kill    FaultKind = iota + 1 // ends at once, without a word; comes back after For, where that is set
-	Restart                      // ends at once and comes back as another process
-	Stop                         // stands still for For, then goes on
-	Cut                          // can't reach, or be reached by, any other; until For is over or a Heal
+	Kill    FaultKind = iota + 1 // ends the process without a shutdown; starts it again after For, if that is set
+	Restart                      // ends the process without a shutdown and starts a new one at once
+	Stop                         // pauses the process for For
+	Cut                          // isolates the target from all others, for For or until a Heal
 	Heal                         // ends all cuts
 )
 
 var faultKinds = map[string]FaultKind{"kill": Kill, "restart": Restart, "stop": Stop, "cut": Cut, "heal": Heal}
 
 func (k FaultKind) String() string {
-	for word, kind := range faultKinds {
+	for name, kind := range faultKinds {
 		if kind == k {
-			return word
+			return name
 		}
 	}
 	return "unknown"
 }
 
-// TargetKind says how a fault's targets are chosen.
+// TargetKind is how the targets of a fault are selected.
 type TargetKind uint8
 
 // The kinds of targets.
 const (
-	TargetNone     TargetKind = iota // a heal has none
-	TargetControl                    // the control member of that number, from 1
-	TargetAttached                   // the attached front end of that number, from 1
-	TargetShare                      // that many percent of all front ends, drawn from the run's seed
-	TargetZone                       // all front ends of that zone
+	TargetNone     TargetKind = iota // for Heal
+	TargetControl                    // the control member with this number, from 1
+	TargetAttached                   // the attached front end with this number, from 1
+	TargetShare                      // a percentage of all front ends, selected at random with the run's seed
+	TargetZone                       // all front ends of one zone
 	TargetAll                        // all front ends
 )
 
-// Target is whom a fault befalls.
+// Target selects the front ends that a fault affects.
 type Target struct {
 	Kind    TargetKind
 	Number  int     // of TargetControl and TargetAttached
@@ -51,29 +51,30 @@
 	Zone    string  // of TargetZone
 }
 
-// Fault is one step of a script.
+// Fault is one fault of a script.
 type Fault struct {
-	At     time.Duration // since the measured part of the run began
+	At     time.Duration // since the start of the measured part of the run
 	Kind   FaultKind
 	Target Target
-	Over   time.Duration // the targets follow one another evenly over this span; 0: at once
-	For    time.Duration // until it is undone; 0: never, or by a heal
+	Over   time.Duration // the targets are affected one after the other, evenly over this time; 0: all at once
+	For    time.Duration // until the fault ends; 0: it does not end, or only by a Heal
 }
 
-// ScriptError is a fault that can't be understood or can't be done. It names the flag and the word.
+// ScriptError reports a fault of a script that cannot be parsed or cannot be carried out.
 type ScriptError struct {
-	Fault  int    // from 1
-	Word   string // that was not understood
+	Fault  int    // number of the fault in the script, from 1
+	Word   string // the invalid word; empty if a word is missing
 	Reason string
 }
 
-// Error names the flag, the step and the word.
+// Error names the flag, the number of the fault and the invalid word.
 func (e *ScriptError) Error() string {
 	return fmt.Sprintf("--faults: fault %d: %q: %s", e.Fault, e.Word, e.Reason)
 }
 
-// ParseFaults reads a script: faults with semicolons between them, each a time, a kind, whom it befalls, and how long, as in
-// "5s kill control 1; 8s restart 10% over 2s; 12s cut zone a; 15s heal; 20s stop attached 3 for 10s". Errors are *ScriptError.
+// ParseFaults parses a script of faults separated by semicolons. Each fault has a time, a kind, a target and optional
+// durations, as in "5s kill control 1; 8s restart 10% over 2s; 12s cut zone a; 15s heal; 20s stop attached 3 for 10s".
+// Errors are *ScriptError.
 func ParseFaults(script string) ([]Fault, error) {
 	var list []Fault
 	for i, text := range strings.Split(script, ";") {
@@ -81,8 +82,8 @@
 		if len(words) == 0 {
 			continue
 		}
-		p := faultParser{number: i + 1, words: words}
-		fault, err := p.fault()
+		p := faultParser{index: i + 1, words: words}
+		fault, err := p.parse()
 		if err != nil {
 			return nil, err
 		}
@@ -91,17 +92,17 @@
 	return list, nil
 }
 
-// faultParser reads the words of one fault.
+// faultParser parses one fault of a script.
 type faultParser struct {
-	number int
-	words  []string
+	index int      // number of the fault, from 1
+	words []string // not consumed yet
 }
 
 func (p *faultParser) fail(word, reason string) error {
-	return &ScriptError{Fault: p.number, Word: word, Reason: reason}
+	return &ScriptError{Fault: p.index, Word: word, Reason: reason}
 }
 
-// next takes the next word; empty at the end.
+// next consumes the next word. It returns the empty string at the end.
 func (p *faultParser) next() string {
 	if len(p.words) == 0 {
 		return ""
@@ -111,46 +112,46 @@
 	return word
 }
 
-func (p *faultParser) fault() (f Fault, err error) {
-	if f.At, err = p.span(0); err != nil {
+func (p *faultParser) parse() (f Fault, err error) {
+	if f.At, err = p.duration(0); err != nil {
 		return f, err
 	}
 	word := p.next()
 	f.Kind = faultKinds[word]
 	if f.Kind == 0 {
-		return f, p.fail(word, "no fault: kill, restart, stop, cut or heal")
+		return f, p.fail(word, "expected kill, restart, stop, cut or heal")
 	}
 	if f.Kind != Heal {
 		if f.Target, err = p.target(); err != nil {
 			return f, err
 		}
 	}
-	if err = p.spans(&f); err != nil {
+	if err = p.options(&f); err != nil {
 		return f, err
 	}
 	return f, p.check(word, &f)
 }
 
-// span reads a duration above the least.
-func (p *faultParser) span(least time.Duration) (time.Duration, error) {
+// duration parses a duration of at least the given minimum.
+func (p *faultParser) duration(minimum time.Duration) (time.Duration, error) {
 	word := p.next()
-	span, err := time.ParseDuration(word)
-	if err != nil || span < least {
-		return 0, p.fail(word, "no time such as 5s or 200ms")
+	d, err := time.ParseDuration(word)
+	if err != nil || d < minimum {
+		return 0, p.fail(word, "expected a duration such as 5s or 200ms")
 	}
-	return span, nil
+	return d, nil
 }
 
-// spans reads what stands behind the target.
-func (p *faultParser) spans(f *Fault) (err error) {
+// options parses the options after the target: over and for.
+func (p *faultParser) options(f *Fault) (err error) {
 	for len(p.words) > 0 {
 		switch word := p.next(); word {
 		case "over":
-			f.Over, err = p.span(time.Millisecond)
+			f.Over, err = p.duration(time.Millisecond)
 		case "for":
-			f.For, err = p.span(time.Millisecond)
+			f.For, err = p.duration(time.Millisecond)
 		default:
-			err = p.fail(word, "neither over nor for")
+			err = p.fail(word, "expected over or for")
 		}
 		if err != nil {
 			return err
@@ -159,15 +160,15 @@
 	return nil
 }
 
-// check refuses what makes no sense together.
+// check rejects options that the kind of fault does not allow, and a stop without a duration.
 func (p *faultParser) check(word string, f *Fault) error {
 	switch {
 	case f.Kind == Stop && f.For == 0:
-		return p.fail(word, "stands without for")
+		return p.fail(word, "requires for")
 	case (f.Kind == Restart || f.Kind == Heal) && f.For != 0:
-		return p.fail(word, "takes no for")
+		return p.fail(word, "does not allow for")
 	case f.Kind == Heal && f.Over != 0:
-		return p.fail(word, "takes no over")
+		return p.fail(word, "does not allow over")
 	}
 	return nil
 }
@@ -177,14 +178,14 @@
 	switch {
 	case word == "control":
 		t.Kind = TargetControl
-		t.Number, err = p.count()
+		t.Number, err = p.number()
 	case word == "attached":
 		t.Kind = TargetAttached
-		t.Number, err = p.count()
+		t.Number, err = p.number()
 	case word == "zone":
 		t.Kind = TargetZone
 		if t.Zone = p.next(); t.Zone == "" {
-			err = p.fail(word, "without the zone's name")
+			err = p.fail(word, "expected the name of a zone")
 		}
 	case word == "all":
 		t.Kind = TargetAll
@@ -192,42 +193,43 @@
 		t.Kind = TargetShare
 		t.Percent, err = strconv.ParseFloat(strings.TrimSuffix(word, "%"), 64)
 		if err != nil || !(t.Percent > 0 && t.Percent <= 100) {
-			err = p.fail(word, "no share above 0% up to 100%")
+			err = p.fail(word, "expected a percentage above 0% and up to 100%")
 		}
 	default:
-		err = p.fail(word, "no target: control N, attached N, zone NAME, N% or all")
+		err = p.fail(word, "expected control N, attached N, zone NAME, N% or all")
 	}
 	return t, err
 }
 
-func (p *faultParser) count() (int, error) {
+func (p *faultParser) number() (int, error) {
 	word := p.next()
 	number, err := strconv.Atoi(word)
 	if err != nil || number < 1 {
-		return 0, p.fail(word, "no number from 1")
+		return 0, p.fail(word, "expected a number from 1")
 	}
 	return number, nil
 }
 
-// CheckFaults refuses faults that a fleet can't have: a target that isn't there, or a time after the run's end.
+// CheckFaults returns a *ScriptError if a target does not exist in a fleet of this shape, or if a fault would begin
+// after the measured part of the run.
 func CheckFaults(list []Fault, shape Shape) error {
 	zones := map[string]bool{}
 	for i := range shape.Zones {
 		zones[ZoneName(i)] = true
 	}
 	for i, f := range list {
-		fail := func(word, form string, args ...any) error {
-			return &ScriptError{Fault: i + 1, Word: word, Reason: fmt.Sprintf(form, args...)}
+		fail := func(word, format string, args ...any) error {
+			return &ScriptError{Fault: i + 1, Word: word, Reason: fmt.Sprintf(format, args...)}
 		}
 		switch t := f.Target; {
-		case f.At >= shape.Span():
-			return fail(f.At.String(), "not within --seconds %g", shape.Seconds)
+		case f.At >= shape.MeasuredDuration():
+			return fail(f.At.String(), "is not within --seconds %g", shape.Seconds)
 		case t.Kind == TargetControl && t.Number > shape.Controls:
-			return fail(strconv.Itoa(t.Number), "above the %d control members", shape.Controls)
+			return fail(strconv.Itoa(t.Number), "is above the number of control members, %d", shape.Controls)
 		case t.Kind == TargetAttached && t.Number > shape.Attached():
-			return fail(strconv.Itoa(t.Number), "above the %d attached front ends", shape.Attached())
+			return fail(strconv.Itoa(t.Number), "is above the number of attached front ends, %d", shape.Attached())
 		case t.Kind == TargetZone && !zones[t.Zone]:
-			return fail(t.Zone, "none of the %d zones %s to %s", shape.Zones, ZoneName(0), ZoneName(shape.Zones-1))
+			return fail(t.Zone, "is not one of the %d zones %s to %s", shape.Zones, ZoneName(0), ZoneName(shape.Zones-1))
 		}
 	}
 	return nil
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -5,33 +5,34 @@
 	"slices"
 )
 
-// Sample is one figure at one size.
+// Sample is the value Y of a figure at size X.
 type Sample struct{ X, Y float64 }
 
-// Line is a straight line through samples, of the values or of their logarithms.
+// Line is a straight line fitted to samples, or to the logarithms of their values.
 type Line struct {
 	Slope, Intercept float64
-	// Residual is the root mean square of what the line misses: in Y's unit for values; for logarithms as a share of Y.
+	// Residual is the root mean square error: in the unit of Y for values, relative to Y for logarithms.
 	Residual float64
 }
 
-// Fit is how a figure grows with a size.
+// Fit describes how a figure grows with a size.
 type Fit struct {
 	Figure  string
 	Unit    string
 	Samples int
-	From    float64 // the measured range
-	To      float64
-	Linear  Line  // Y = Intercept + Slope*X
-	Power   *Line // Y = Intercept * X^Slope; nil where a value is not above zero
-	// RepeatDiffers is the largest difference between runs of the same size, as a share of their mean; 0 without repeats.
+	From    float64 // smallest measured size
+	To      float64 // largest measured size
+	Linear  Line    // Y = Intercept + Slope*X
+	Power   *Line   // Y = Intercept * X^Slope; nil if a sample has a value that is not above zero
+	// RepeatDiffers is the largest difference between runs of the same size, relative to the middle of their range. It
+	// is 0 if no size was measured twice.
 	RepeatDiffers float64
 }
 
-// leastSizes is how many different sizes a line needs, so that it can miss any of them.
-const leastSizes = 3
+// minSizes is the number of different sizes that a fit needs: a line through two sizes always has a residual of 0.
+const minSizes = 3
 
-// FitOf fits samples; ok is false where there are too few sizes.
+// FitOf fits a line and a power law to samples. It returns false if there are fewer than three different sizes.
 func FitOf(figure, unit string, samples []Sample) (f Fit, ok bool) {
 	samples = slices.Clone(samples)
 	slices.SortFunc(samples, func(a, b Sample) int {
@@ -40,13 +41,13 @@
 		}
 		return compareFloat(a.Y, b.Y)
 	})
-	if sizes(samples) < leastSizes {
+	if countSizes(samples) < minSizes {
 		return Fit{}, false
 	}
 	f = Fit{Figure: figure, Unit: unit, Samples: len(samples), From: samples[0].X, To: samples[len(samples)-1].X}
 	f.Linear = leastSquares(samples)
 	f.Power = powerLaw(samples)
-	f.RepeatDiffers = repeatDiffers(samples)
+	f.RepeatDiffers = maxRepeatDifference(samples)
 	return f, true
 }
 
@@ -60,8 +61,8 @@
 	return 0
 }
 
-// sizes counts the different X of sorted samples.
-func sizes(samples []Sample) (n int) {
+// countSizes returns the number of different X of samples, which must be sorted.
+func countSizes(samples []Sample) (n int) {
 	for i, s := range samples {
 		if i == 0 || s.X != samples[i-1].X {
 			n++
@@ -83,12 +84,12 @@
 	}
 	l.Slope = covariance / variance
 	l.Intercept = meanY - l.Slope*meanX
-	var missed float64
+	var squaredErrors float64
 	for _, s := range samples {
-		miss := s.Y - l.Intercept - l.Slope*s.X
-		missed += miss * miss
+		residual := s.Y - l.Intercept - l.Slope*s.X
+		squaredErrors += residual * residual
 	}
-	l.Residual = math.Sqrt(missed / float64(len(samples)))
+	l.Residual = math.Sqrt(squaredErrors / float64(len(samples)))
 	return l
 }
 
@@ -106,35 +107,35 @@
 	return &l
 }
 
-func repeatDiffers(samples []Sample) (most float64) {
+func maxRepeatDifference(samples []Sample) (maximum float64) {
 	for first := 0; first < len(samples); {
 		last := first
 		for last+1 < len(samples) && samples[last+1].X == samples[first].X {
 			last++
 		}
-		low, high := samples[first].Y, samples[last].Y // sorted by Y within one X
+		low, high := samples[first].Y, samples[last].Y // samples of one X are sorted by Y
 		if mean := (low + high) / 2; mean > 0 {
-			most = max(most, (high-low)/mean)
+			maximum = max(maximum, (high-low)/mean)
 		}
 		first = last + 1
 	}
-	return most
+	return maximum
 }
 
-// At is the figure at a size, by the power law where there is one and it misses less than the straight line, as a share of the
-// values, or where the line would fall to nothing, as no figure does. Beyond is how many times the largest measured size that is;
-// above 1 the value is extrapolated.
+// At estimates the figure at size x. It uses the power law if there is one and its relative residual is not larger than
+// that of the straight line, or if the straight line gives a value that is not above 0, which no figure has. Beyond is
+// the ratio of x to the largest measured size; above 1 the value is extrapolated.
 func (f *Fit) At(x float64) (value float64, law string, beyond float64) {
 	beyond = x / f.To
 	value = f.Linear.Intercept + f.Linear.Slope*x
-	if f.Power != nil && (f.Power.Residual <= f.linearShare() || value <= 0) {
+	if f.Power != nil && (f.Power.Residual <= f.relativeLinearResidual() || value <= 0) {
 		return f.Power.Intercept * math.Pow(x, f.Power.Slope), "power", beyond
 	}
 	return value, "linear", beyond
 }
 
-// linearShare is the straight line's residual as a share of its value in the middle of the range.
-func (f *Fit) linearShare() float64 {
+// relativeLinearResidual returns the straight line's residual relative to its value at the geometric mean of the range.
+func (f *Fit) relativeLinearResidual() float64 {
 	middle := math.Abs(f.Linear.Intercept + f.Linear.Slope*math.Sqrt(f.From*f.To))
 	if middle == 0 {
 		return math.Inf(1)
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -13,30 +13,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Needs is what a run would take of the machine.
-type Needs struct {
-	Flag        string // that asks for it
-	Descriptors int    // of the process that needs most
-	Ports       int    // local ports of connections on one address
-	Processes   int    // that are started
+// Requirements are the resources of the machine that a run needs.
+type Requirements struct {
+	Flag        string // the command-line flag that sets the size of the run
+	Descriptors int    // of the process that needs the most
+	Ports       int    // local ports for connections to one address
+	Processes   int    // started by the run
 	MemoryBytes int64  // of all processes together
 }
 
-// Limits is what the machine gives.
+// Limits are the resources of the machine that a run may use.
 type Limits struct {
-	Descriptors int // of one process
-	Ports       int // that connections may be dialled from
-	Processes   int // that a run may start
+	Descriptors int // per process
+	Ports       int // local ports per address for outgoing connections
+	Processes   int // that one run may start
 	MemoryBytes int64
 }
 
-// MostProcesses is how many processes a run starts at most, so that it stays a guest on its machine.
-const MostProcesses = 200
+// MaxProcesses bounds the processes of one run, which shares its machine with other work.
+const MaxProcesses = 200
 
-// memoryShare is the part of the machine's memory that a run may take: a half.
-const memoryShare = 2
+// memoryDivisor limits a run to half of the machine's memory.
+const memoryDivisor = 2
 
-// LimitError is a limit of the machine that is too small for what a flag asks.
+// LimitError reports a limit of the machine that is too low for the run that a flag requests.
 type LimitError struct {
 	Flag  string
 	Limit string
@@ -44,50 +44,50 @@
 	Have  int64
 }
 
-// Error names the flag, the limit, and both numbers.
+// Error names the flag, the limit, what the run needs and what the machine allows.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("--%s: this machine can't hold it: %s: %d needed, %d allowed", e.Flag, e.Limit, e.Need, e.Have)
+	return fmt.Sprintf("--%s: limit of this machine exceeded: %s: %d needed, %d allowed", e.Flag, e.Limit, e.Need, e.Have)
 }
 
-// Check compares needs with limits; errors are *LimitError.
-func (n Needs) Check(l Limits) error {
+// Check returns a *LimitError for the first limit that r exceeds.
+func (r Requirements) Check(l Limits) error {
 	for _, c := range []struct {
 		limit      string
 		need, have int64
 	}{
-		{"descriptors of one process (RLIMIT_NOFILE)", int64(n.Descriptors), int64(l.Descriptors)},
-		{"local ports (net.ipv4.ip_local_port_range)", int64(n.Ports), int64(l.Ports)},
-		{"processes of one run", int64(n.Processes), int64(l.Processes)},
-		{"bytes of memory (half of the machine's, and what is free)", n.MemoryBytes, l.MemoryBytes},
+		{"descriptors of one process (RLIMIT_NOFILE)", int64(r.Descriptors), int64(l.Descriptors)},
+		{"local ports (net.ipv4.ip_local_port_range)", int64(r.Ports), int64(l.Ports)},
+		{"processes of one run", int64(r.Processes), int64(l.Processes)},
+		{"bytes of memory (half of the total, and not more than is available)", r.MemoryBytes, l.MemoryBytes},
 	} {
 		if c.need > c.have {
-			return &LimitError{Flag: n.Flag, Limit: c.limit, Need: c.need, Have: c.have}
+			return &LimitError{Flag: r.Flag, Limit: c.limit, Need: c.need, Have: c.have}
 		}
 	}
 	return nil
 }
 
-// ReadLimits asks the system what this process may use. It raises nothing.
+// ReadLimits reads the limits of this process and machine from the operating system. It does not raise any of them.
 func ReadLimits() (l Limits, err error) {
 	var files unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil {
 		return l, fmt.Errorf("scale: RLIMIT_NOFILE: %w", err)
 	}
 	l.Descriptors = int(min(files.Cur, 1<<30))
-	l.Processes = MostProcesses
-	if l.Ports, err = localPorts(); err != nil {
+	l.Processes = MaxProcesses
+	if l.Ports, err = localPortCount(); err != nil {
 		return l, err
 	}
-	total, free, err := memory()
+	total, available, err := readMemory()
 	if err != nil {
 		return l, err
 	}
-	l.MemoryBytes = min(total/memoryShare, free)
+	l.MemoryBytes = min(total/memoryDivisor, available)
 	return l, nil
 }
 
-// localPorts is how many ports the system dials from on one address.
-func localPorts() (int, error) {
+// localPortCount returns the number of local ports that the system uses for outgoing connections from one address.
+func localPortCount() (int, error) {
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
 		return 0, fmt.Errorf("scale: %w", err)
@@ -99,8 +99,8 @@
 	return last - first + 1, nil
 }
 
-// memory is the machine's in bytes, and what could be had without swapping.
-func memory() (total, free int64, err error) {
+// readMemory returns the machine's memory, and how much of it is available without swapping, in bytes.
+func readMemory() (total, available int64, err error) {
 	file, err := os.Open("/proc/meminfo")
 	if err != nil {
 		return 0, 0, fmt.Errorf("scale: %w", err)
@@ -120,14 +120,14 @@
 		case "MemTotal:":
 			total = kilobytes << 10
 		case "MemAvailable:":
-			free = kilobytes << 10
+			available = kilobytes << 10
 		}
 	}
-	return total, free, lines.Err()
+	return total, available, lines.Err()
 }
 
-// Busy says how many tasks of the whole machine ran or waited for a core, as a mean over the last minute.
-func Busy() string {
+// LoadAverage returns the machine's load average over the last minute, or "unknown".
+func LoadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return "unknown"
@@ -136,30 +136,30 @@
 	return mean
 }
 
-// Address is a loopback address by its number from 0; all processes of a run share one network of 127.0.0.0/8, which seed
-// chooses, so that two runs at a time don't meet.
-func Address(seed uint64, number int) netip.Addr {
-	const hosts = 250 // of each last byte: neither 0 nor 255
+// LoopbackAddress returns a run's loopback address of an index from 0. All addresses of a run are in one /16 network of
+// 127.0.0.0/8. The seed selects the network, so that concurrent runs with different seeds rarely share addresses.
+func LoopbackAddress(seed uint64, index int) netip.Addr {
+	const hosts = 250 // per value of the third byte; the last byte is never 0 or 255
 	network := byte(16 + seed%200)
-	return netip.AddrFrom4([4]byte{127, network, byte(number / hosts), byte(number%hosts + 1)})
+	return netip.AddrFrom4([4]byte{127, network, byte(index / hosts), byte(index%hosts + 1)})
 }
 
-// FreePorts finds a free port on each of the addresses, another one for an address that stands twice. Errors name the flag that asks
-// for so many.
+// FreePorts returns a free port for each of the addresses; an address that is listed twice gets two ports. Errors name
+// the flag that sets the number of addresses.
 func FreePorts(flag string, addresses []netip.Addr) ([]netip.AddrPort, error) {
 	list := make([]netip.AddrPort, 0, len(addresses))
 	for _, address := range addresses {
 		listener, err := net.Listen("tcp4", netip.AddrPortFrom(address, 0).String())
 		if err != nil {
-			return nil, fmt.Errorf("--%s: this machine can't hold it: listening addresses: %w", flag, err)
+			return nil, fmt.Errorf("--%s: cannot listen on loopback address: %w", flag, err)
 		}
-		defer listener.Close() // once all are found
+		defer listener.Close() // kept open until all ports are found, so that no port is returned twice
 		list = append(list, listener.Addr().(*net.TCPAddr).AddrPort())
 	}
 	return list, nil
 }
 
-// Machine describes the machine by its cores and processor.
+// Machine returns the number of cores and the processor model of the machine.
 func Machine() string {
 	model := "unknown processor"
 	if text, err := os.ReadFile("/proc/cpuinfo"); err == nil {
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -1,5 +1,5 @@
-// Package scale measures how a fleet's control traffic grows with the number of its front ends: the results as files, the script
-// of faults that a run goes through, what a run needs of the machine, and the slopes that results fit.
+// Package scale has what measurements of a fleet's control traffic share: result files, scripts of faults, checks of
+// the machine's limits, and fits that show how figures grow with the number of front ends.
 package scale
 
 import (
@@ -9,32 +9,32 @@
 	"path/filepath"
 )
 
-// The modes of a result.
+// Modes of a result.
 const (
-	ModeSockets = "sockets" // links over loopback sockets
-	ModeVirtual = "virtual" // stepped in virtual time
-	ModeMeasure = "measure" // one mechanism by itself
+	ModeSockets = "sockets" // a fleet over loopback sockets
+	ModeVirtual = "virtual" // a simulated fleet in virtual time
+	ModeMeasure = "measure" // a measurement of one mechanism
 )
 
-// The roles of a result.
+// Roles of a result.
 const (
-	RoleFrontEnd = "front end"      // attached
+	RoleFrontEnd = "front end"      // attached front end
 	RoleControl  = "control member" // named in fleet.members
 )
 
-// TargetFrontEnds is the size that slopes are extrapolated to.
+// TargetFrontEnds is the number of front ends that fits are extrapolated to.
 const TargetFrontEnds = 2700
 
-// Result is what one run measured.
+// Result is the result of one run, as its JSON file has it.
 type Result struct {
 	Name      string         `json:"name"`
 	Mode      string         `json:"mode"`
 	Date      string         `json:"date"`
-	Machine   string         `json:"machine"` // cores and processor only
+	Machine   string         `json:"machine"` // number of cores and processor model
 	FrontEnds int            `json:"front_ends"`
 	Controls  int            `json:"controls"`
 	Zones     int            `json:"zones"`
-	Seconds   float64        `json:"seconds"` // measured, after the start
+	Seconds   float64        `json:"seconds"` // duration of the measured part, which follows the start
 	Seed      uint64         `json:"seed"`
 	Faults    string         `json:"faults,omitempty"`
 	Roles     []RoleFigures  `json:"roles,omitempty"`
@@ -43,40 +43,42 @@
 	Notes     []string       `json:"notes,omitempty"`
 }
 
-// RoleFigures are the means over the members of one role that were measured.
+// RoleFigures are means over the measured front ends of one role.
 type RoleFigures struct {
 	Role    string `json:"role"`
 	Members int    `json:"members"`
-	// A second and member, at the link. Bytes are what frames carry; framing is the frames' headers and the hellos.
+	// Rates per second and member, counted at the links. Bytes are the bodies of messages; framing is frame headers and
+	// handshakes.
 	MessagesIn  float64 `json:"messages_in"`
 	MessagesOut float64 `json:"messages_out"`
 	BytesIn     float64 `json:"bytes_in"`
 	BytesOut    float64 `json:"bytes_out"`
 	FramingIn   float64 `json:"framing_in"`
 	FramingOut  float64 `json:"framing_out"`
-	CPUMicros   float64 `json:"cpu_micros"`   // of processor a second and member, an idle process's taken off
-	MemoryBytes float64 `json:"memory_bytes"` // resident a member, an idle process's taken off
-	HeapBytes   float64 `json:"heap_bytes"`   // live heap a member, an idle process's taken off
-	Connections float64 `json:"connections"`  // open at a member
+	CPUMicros   float64 `json:"cpu_micros"`   // microseconds per second and member, less those of an idle process
+	MemoryBytes float64 `json:"memory_bytes"` // resident memory per member, less that of an idle process
+	HeapBytes   float64 `json:"heap_bytes"`   // live heap per member, less that of an idle process
+	Connections float64 `json:"connections"`  // open connections per member
 }
 
-// SpreadFigures say how long changes took to reach the last member alive, in milliseconds.
+// SpreadFigures summarize how long changes took to be seen by all running front ends, in milliseconds.
 type SpreadFigures struct {
-	Count     int     `json:"count"`     // changes that reached all
-	Unreached int     `json:"unreached"` // changes that had not when the run ended
+	Count     int     `json:"count"`     // changes that all front ends saw
+	Unreached int     `json:"unreached"` // changes that some front ends had not seen at the end of the run
 	MedianMS  float64 `json:"median_ms"`
 	P99MS     float64 `json:"p99_ms"`
 	MostMS    float64 `json:"most_ms"`
 }
 
-// Point is one measurement of a series: what was varied, and the figures by "name unit".
+// Point is one measurement of a series. Axis is the quantity that varies, X its value; the keys of Figures are
+// "name unit".
 type Point struct {
 	Axis    string             `json:"axis"`
 	X       float64            `json:"x"`
 	Figures map[string]float64 `json:"figures"`
 }
 
-// Write writes a result to a file, whose folder is made where it is missing.
+// Write writes a result to a file, and creates the file's directory if it does not exist.
 func Write(path string, r *Result) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// Read reads a result's file. A key that Result doesn't have is an error.
+// Read reads a result from a file. An unknown key is an error.
 func Read(path string) (*Result, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -13,11 +13,12 @@
 	"pgregory.net/rapid"
 )
 
-// A result comes back from its file as it was written, and an unknown key is refused.
+// A result is read from its file as it was written, and an unknown key is an error.
 func TestResultRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "sub", "x.json")
-	r := &Result{Name: "x", Mode: ModeSockets, FrontEnds: 9, Controls: 3, Zones: 2, Seconds: 4.5, Seed: math.MaxUint64, Faults: "1s heal",
-		Roles: []RoleFigures{{Role: RoleControl, Members: 3, MessagesIn: 20.5, CPUMicros: 7}}, Spread: &SpreadFigures{Count: 2, MostMS: 9},
+	r := &Result{Name: "x", Mode: ModeSockets, FrontEnds: 9, Controls: 3, Zones: 2, Seconds: 4.5, Seed: math.MaxUint64,
+		Faults: "1s heal", Roles: []RoleFigures{{Role: RoleControl, Members: 3, MessagesIn: 20.5, CPUMicros: 7}},
+		Spread: &SpreadFigures{Count: 2, MostMS: 9},
 		Points: []Point{{"entries", 10, map[string]float64{"view bytes": 3}}}, Notes: []string{"a busy machine"}}
 	require.NoError(t, Write(path, r))
 	back, err := Read(path)
@@ -29,7 +30,8 @@
 }
 
 func TestFaultScript(t *testing.T) {
-	list, err := ParseFaults("5s kill control 1; 8s restart 10% over 2s; 12s cut zone a; 15s heal; 20s stop attached 3 for 10s;")
+	list, err := ParseFaults(
+		"5s kill control 1; 8s restart 10% over 2s; 12s cut zone a; 15s heal; 20s stop attached 3 for 10s;")
 	require.NoError(t, err)
 	assert.Equal(t, []Fault{
 		{At: 5 * time.Second, Kind: Kill, Target: Target{Kind: TargetControl, Number: 1}},
@@ -43,12 +45,13 @@
 	assert.Empty(t, list)
 }
 
-// Each fault that can't be understood is refused with the flag, its place and the word that is at fault.
-func TestFaultScriptNamesTheWord(t *testing.T) {
+// The error of an invalid fault has the flag, the number of the fault and the invalid word.
+func TestFaultScriptErrorsNameTheWord(t *testing.T) {
 	for script, word := range map[string]string{
-		"1s explode all": "explode", "soon kill all": "soon", "-1s kill all": "-1s", "1s kill": "", "1s kill everyone": "everyone",
-		"1s kill control": "", "1s kill control 0": "0", "1s kill 0%": "0%", "1s kill 101%": "101%", "1s kill NaN%": "NaN%",
-		"1s cut zone": "zone", "1s stop all": "stop", "1s restart all for 2s": "restart", "1s heal over 1s": "heal",
+		"1s explode all": "explode", "soon kill all": "soon", "-1s kill all": "-1s", "1s kill": "",
+		"1s kill everyone": "everyone", "1s kill control": "", "1s kill control 0": "0", "1s kill 0%": "0%",
+		"1s kill 101%": "101%", "1s kill NaN%": "NaN%", "1s cut zone": "zone", "1s stop all": "stop",
+		"1s restart all for 2s": "restart", "1s heal over 1s": "heal",
 		"1s kill all later": "later", "1s kill all for 0s": "0s", "1s kill all over": "", "1s": "",
 	} {
 		_, err := ParseFaults("0s heal; " + script)
@@ -61,7 +64,7 @@
 	}
 }
 
-func TestFaultsOfTheFleet(t *testing.T) {
+func TestCheckFaultsErrorsNameTheWord(t *testing.T) {
 	shape := Shape{FrontEnds: 9, Controls: 3, Zones: 2, Seconds: 10}
 	for script, word := range map[string]string{
 		"10s heal": "10s", "1s kill control 4": "4", "1s kill attached 7": "7", "1s cut zone c": "c",
@@ -78,7 +81,7 @@
 	assert.NoError(t, CheckFaults(list, shape))
 }
 
-func TestShapeNamesTheFlag(t *testing.T) {
+func TestShapeErrorsNameTheFlag(t *testing.T) {
 	good := Shape{Controls: 3, Zones: 1, Seconds: 5}
 	require.NoError(t, good.Check())
 	assert.Equal(t, 3, good.Total())
@@ -95,22 +98,22 @@
 	}
 }
 
-func TestNeedsNameFlagAndLimit(t *testing.T) {
+func TestRequirementErrorsNameFlagAndLimit(t *testing.T) {
 	limits := Limits{Descriptors: 100, Ports: 100, Processes: 10, MemoryBytes: 1000}
-	fits := Needs{Flag: "control", Descriptors: 100, Ports: 100, Processes: 10, MemoryBytes: 1000}
+	fits := Requirements{Flag: "control", Descriptors: 100, Ports: 100, Processes: 10, MemoryBytes: 1000}
 	require.NoError(t, fits.Check(limits))
-	for limit, change := range map[string]func(*Needs){
-		"RLIMIT_NOFILE": func(n *Needs) { n.Descriptors++ },
-		"port_range":    func(n *Needs) { n.Ports++ },
-		"processes":     func(n *Needs) { n.Processes++ },
-		"memory":        func(n *Needs) { n.MemoryBytes++ },
+	for limit, change := range map[string]func(*Requirements){
+		"RLIMIT_NOFILE": func(r *Requirements) { r.Descriptors++ },
+		"port_range":    func(r *Requirements) { r.Ports++ },
+		"processes":     func(r *Requirements) { r.Processes++ },
+		"memory":        func(r *Requirements) { r.MemoryBytes++ },
 	} {
 		bad := fits
 		change(&bad)
 		err := bad.Check(limits)
-		var limited *LimitError
-		require.ErrorAs(t, err, &limited)
-		assert.Equal(t, limited.Have+1, limited.Need)
+		var limitErr *LimitError
+		require.ErrorAs(t, err, &limitErr)
+		assert.Equal(t, limitErr.Have+1, limitErr.Need)
 		assert.ErrorContains(t, err, "--control:")
 		assert.ErrorContains(t, err, limit)
 	}
@@ -123,18 +126,19 @@
 	assert.Positive(t, limits.Ports)
 	assert.Positive(t, limits.MemoryBytes)
 	assert.Contains(t, Machine(), "cores")
-	ports, err := FreePorts("control", []netip.Addr{Address(1, 0), Address(1, 1), Address(1, 1)})
+	ports, err := FreePorts("control", []netip.Addr{LoopbackAddress(1, 0), LoopbackAddress(1, 1), LoopbackAddress(1, 1)})
 	require.NoError(t, err)
 	assert.NotEqual(t, ports[1].Port(), ports[2].Port())
 	assert.NotEqual(t, ports[0].Addr(), ports[1].Addr())
-	_, err = FreePorts("control", []netip.Addr{netip.MustParseAddr("192.0.2.1")}) // of no machine
+	// No machine has this address, which is reserved for documentation.
+	_, err = FreePorts("control", []netip.Addr{netip.MustParseAddr("192.0.2.1")})
 	assert.ErrorContains(t, err, "--control:")
 }
 
 func TestAddressesDiffer(t *testing.T) {
 	seen := map[netip.Addr]bool{}
-	for i := range MostFrontEnds {
-		a := Address(7, i)
+	for i := range MaxFrontEnds {
+		a := LoopbackAddress(7, i)
 		assert.True(t, a.IsLoopback())
 		assert.False(t, seen[a])
 		seen[a] = true
@@ -156,8 +160,8 @@
 	assert.Equal(t, &SpreadFigures{Count: 200, Unreached: 1, MedianMS: 100, P99MS: 198, MostMS: 200}, SpreadOf(list, 1))
 }
 
-// What lies on a line or a power law is found again, without a residual.
-func TestFitFindsTheLaw(t *testing.T) {
+// Samples on a line or on a power law give its parameters, without a residual.
+func TestFitRecoversTheParameters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slope := rapid.Float64Range(0.2, 3).Draw(t, "slope")
 		scale := rapid.Float64Range(0.1, 100).Draw(t, "scale")
@@ -171,7 +175,7 @@
 		assert.InDelta(t, slope, f.Power.Slope, 1e-6)
 		assert.InDelta(t, 0, f.Power.Residual, 1e-6)
 		value, law, beyond := f.At(TargetFrontEnds)
-		if math.Abs(slope-1) > 0.01 { // at 1 both laws hold
+		if math.Abs(slope-1) > 0.01 { // at 1 both fit
 			assert.Equal(t, "power", law)
 		}
 		assert.InEpsilon(t, scale*math.Pow(TargetFrontEnds, slope), value, 1e-6)
@@ -184,8 +188,8 @@
 	})
 }
 
-// A line that falls is not followed below nothing.
-func TestFitStaysAboveNothing(t *testing.T) {
+// A falling line that would give a negative value is not used.
+func TestFitStaysAboveZero(t *testing.T) {
 	f, ok := FitOf("f", "u", []Sample{{30, 280}, {100, 265}, {300, 250}, {1000, 120}})
 	require.True(t, ok)
 	require.Negative(t, f.Linear.Intercept+f.Linear.Slope*TargetFrontEnds)
@@ -209,9 +213,9 @@
 	messages := byName["control member: messages in over front ends"]
 	assert.Equal(t, 4, messages.Samples)
 	assert.InDelta(t, 0.2, messages.RepeatDiffers, 1e-9)
-	assert.Nil(t, byName["control member: memory over front ends"].Power) // zeros have no logarithm
+	assert.Nil(t, byName["control member: memory over front ends"].Power) // 0 has no logarithm
 	assert.Equal(t, "us", byName["one look-up over entries"].Unit)
 	assert.NotContains(t, byName, "look-ups over entries")
 	_, ok := FitOf("f", "u", []Sample{{1, 1}, {2, 2}, {2, 3}})
-	assert.False(t, ok, "two sizes are no slope")
+	assert.False(t, ok, "two sizes are too few")
 }
--- a/internal/scale/series.go
+++ b/internal/scale/series.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// UnitCount is the unit of figures that say how many samples others rest on; they are not fitted.
+// UnitCount is the unit of figures that are numbers of samples; they are not fitted.
 const UnitCount = "count"
 
-// figureKey names one figure of results.
+// figureKey identifies a figure across results.
 type figureKey struct{ axis, figure, unit string }
 
-// Fits fits each figure that the results have at enough sizes, in the order of their names: by role over the number of front
-// ends, and of points over their own axis.
+// Fits fits each figure for which the results have enough different sizes: figures of roles over the number of front
+// ends, and figures of points over their own axis. The fits are sorted by axis and name.
 func Fits(results []*Result) []Fit {
 	series := map[figureKey][]Sample{}
 	for _, r := range results {
 		x := float64(max(r.FrontEnds, r.Controls))
 		for i := range r.Roles {
-			addRole(series, x, &r.Roles[i])
+			addRoleSamples(series, x, &r.Roles[i])
 		}
 		if s := r.Spread; s != nil && s.Count > 0 {
-			add(series, "front ends", "change reaches the last, p99", "ms", Sample{x, s.P99MS})
+			addSample(series, "front ends", "change reaches the last, p99", "ms", Sample{x, s.P99MS})
 		}
 		for _, p := range r.Points {
 			for name, value := range p.Figures {
@@ -29,7 +29,7 @@
 				if unit == UnitCount {
 					continue
 				}
-				add(series, p.Axis, figure, unit, Sample{p.X, value})
+				addSample(series, p.Axis, figure, unit, Sample{p.X, value})
 			}
 		}
 	}
@@ -50,12 +50,12 @@
 	return list
 }
 
-func add(series map[figureKey][]Sample, axis, figure, unit string, s Sample) {
+func addSample(series map[figureKey][]Sample, axis, figure, unit string, s Sample) {
 	key := figureKey{axis, figure, unit}
 	series[key] = append(series[key], s)
 }
 
-func addRole(series map[figureKey][]Sample, x float64, role *RoleFigures) {
+func addRoleSamples(series map[figureKey][]Sample, x float64, role *RoleFigures) {
 	for _, figure := range []struct {
 		name, unit string
 		value      float64
@@ -69,11 +69,11 @@
 		{"heap", "bytes", role.HeapBytes},
 		{"connections", "", role.Connections},
 	} {
-		add(series, "front ends", role.Role+": "+figure.name, figure.unit, Sample{x, figure.value})
+		addSample(series, "front ends", role.Role+": "+figure.name, figure.unit, Sample{x, figure.value})
 	}
 }
 
-// splitUnit takes the last word of a figure's name as its unit.
+// splitUnit splits a name "figure unit" at its last space. The unit is empty if there is no space.
 func splitUnit(name string) (figure, unit string) {
 	if i := strings.LastIndexByte(name, ' '); i >= 0 {
 		return name[:i], name[i+1:]
--- a/internal/scale/shape.go
+++ b/internal/scale/shape.go
@@ -6,65 +6,68 @@
 	"time"
 )
 
-// Shape is the fleet that a run asks for.
+// Shape is the size of the fleet and the duration of a run.
 type Shape struct {
-	// FrontEnds counts all: those that are control members too, and those that are attached to them. 0 stands for Controls.
+	// FrontEnds is the number of all front ends, control members and attached ones. 0 means that there are no attached
+	// front ends.
 	FrontEnds int
 	Controls  int
 	Zones     int
-	Seconds   float64
+	Seconds   float64 // duration of the measured part
 	Seed      uint64
 }
 
 // Bounds of a shape.
 const (
-	MostControls  = 80    // as many as fleet.members may name
-	MostFrontEnds = 10000 // above it nothing was ever designed
-	MostZones     = 100
-	mostSeconds   = 3600
-	leastSeconds  = 0.5 // below it a rate a second says nothing
+	MaxControls  = 80    // maximum length of fleet.members
+	MaxFrontEnds = 10000 // the design does not cover larger fleets
+	MaxZones     = 100
+	maxSeconds   = 3600
+	minSeconds   = 0.5 // rates per second are meaningless over a shorter time
 )
 
-// FlagError is a flag whose value can't be used.
+// FlagError reports a flag with an invalid value.
 type FlagError struct {
 	Flag   string
 	Value  any
 	Reason string
 }
 
-// Error names the flag and its value.
+// Error names the flag and its value, followed by the reason.
 func (e *FlagError) Error() string { return fmt.Sprintf("--%s: %v %s", e.Flag, e.Value, e.Reason) }
 
-// Check refuses numbers out of range; errors are *FlagError.
+// Check returns a *FlagError if a value is out of range.
 func (s Shape) Check() error {
 	switch {
-	case s.Controls < 1 || s.Controls > MostControls:
-		return &FlagError{"control", s.Controls, fmt.Sprintf("is not from 1 to %d", MostControls)}
-	case s.FrontEnds != 0 && s.FrontEnds < s.Controls || s.FrontEnds > MostFrontEnds:
+	case s.Controls < 1 || s.Controls > MaxControls:
+		return &FlagError{"control", s.Controls, fmt.Sprintf("is not from 1 to %d", MaxControls)}
+	case s.FrontEnds != 0 && s.FrontEnds < s.Controls || s.FrontEnds > MaxFrontEnds:
 		return &FlagError{"front-ends", s.FrontEnds,
-			fmt.Sprintf("is neither 0 nor from the %d control members to %d", s.Controls, MostFrontEnds)}
-	case s.Zones < 1 || s.Zones > MostZones:
-		return &FlagError{"zones", s.Zones, fmt.Sprintf("is not from 1 to %d", MostZones)}
-	case math.IsNaN(s.Seconds) || s.Seconds < leastSeconds || s.Seconds > mostSeconds:
-		return &FlagError{"seconds", s.Seconds, fmt.Sprintf("is not from %g to %d", leastSeconds, mostSeconds)}
+			fmt.Sprintf("is neither 0 nor from %d, the number of control members, to %d", s.Controls, MaxFrontEnds)}
+	case s.Zones < 1 || s.Zones > MaxZones:
+		return &FlagError{"zones", s.Zones, fmt.Sprintf("is not from 1 to %d", MaxZones)}
+	case math.IsNaN(s.Seconds) || s.Seconds < minSeconds || s.Seconds > maxSeconds:
+		return &FlagError{"seconds", s.Seconds, fmt.Sprintf("is not from %g to %d", minSeconds, maxSeconds)}
 	}
 	return nil
 }
 
-// Total is the number of all front ends.
+// Total returns the number of all front ends.
 func (s Shape) Total() int { return max(s.FrontEnds, s.Controls) }
 
-// Attached is the number of front ends that are no control members.
+// Attached returns the number of front ends that are not control members.
 func (s Shape) Attached() int { return s.Total() - s.Controls }
 
-// Span is the measured part of a run.
-func (s Shape) Span() time.Duration { return time.Duration(s.Seconds * float64(time.Second)) }
+// MeasuredDuration returns the duration of the measured part of a run.
+func (s Shape) MeasuredDuration() time.Duration {
+	return time.Duration(s.Seconds * float64(time.Second))
+}
 
-// ZoneName names a zone by its place: a to z, then aa, ab and so on.
-func ZoneName(place int) string {
+// ZoneName returns the name of the zone with an index from 0: a to z, then aa, ab and so on.
+func ZoneName(index int) string {
 	const letters = 26
-	if place < letters {
-		return string(rune('a' + place))
+	if index < letters {
+		return string(rune('a' + index))
 	}
-	return ZoneName(place/letters-1) + string(rune('a'+place%letters))
+	return ZoneName(index/letters-1) + string(rune('a'+index%letters))
 }
--- a/internal/scale/sockets/faults.go
+++ b/internal/scale/sockets/faults.go
@@ -89,7 +89,7 @@
 // play goes through the steps, and returns at the end of the measured part.
 func (r *run) play(list []step, began time.Time) error {
 	for _, s := range list {
-		if s.at >= r.o.Shape.Span() {
+		if s.at >= r.o.Shape.MeasuredDuration() {
 			break
 		}
 		time.Sleep(time.Until(began.Add(s.at)))
@@ -98,7 +98,7 @@
 			return err
 		}
 	}
-	time.Sleep(time.Until(began.Add(r.o.Shape.Span())))
+	time.Sleep(time.Until(began.Add(r.o.Shape.MeasuredDuration())))
 	return nil
 }
 
--- a/internal/scale/sockets/measure.go
+++ b/internal/scale/sockets/measure.go
@@ -97,7 +97,7 @@
 	result.Notes = append(result.Notes,
 		fmt.Sprintf("%d control members, the first by name and so the record's copies where there are three, are processes of the program; "+
 			"roles are of the hollow front ends, in %d processes", len(r.processes), len(r.hollows)),
-		fmt.Sprintf("the machine's load average was %s after the measured part: above its cores, other work ran beside", scale.Busy()),
+		fmt.Sprintf("the machine's load average was %s after the measured part: above its cores, other work ran beside", scale.LoadAverage()),
 		"processor is the time of the processes of hollow front ends by the system's count, less what they took before any started; "+
 			"the share of a loop that carries many is in it")
 	if r.o.Worker == nil {
--- a/internal/scale/sockets/plan.go
+++ b/internal/scale/sockets/plan.go
@@ -106,10 +106,10 @@
 }
 
 // needs is what the run takes of the machine.
-func (p *plan) needs(o *Options) scale.Needs {
+func (p *plan) needs(o *Options) scale.Requirements {
 	controls, attached := o.Shape.Controls, o.Shape.Attached()
 	links := o.linksOfControl()
-	n := scale.Needs{Flag: "control", Processes: len(p.real) + len(p.groups)}
+	n := scale.Requirements{Flag: "control", Processes: len(p.real) + len(p.groups)}
 	if attached > 0 {
 		n.Flag = "front-ends"
 	}
@@ -133,11 +133,11 @@
 	}
 	var addresses []netip.Addr
 	for i := range p.fronts {
-		addresses = append(addresses, scale.Address(o.Shape.Seed, i))
+		addresses = append(addresses, scale.LoopbackAddress(o.Shape.Seed, i))
 	}
 	for i, f := range p.fronts {
 		if f.real {
-			addresses = append(addresses, scale.Address(o.Shape.Seed, i))
+			addresses = append(addresses, scale.LoopbackAddress(o.Shape.Seed, i))
 		}
 	}
 	ports, err := scale.FreePorts(flag, addresses)
--- a/internal/scale/sockets/run.go
+++ b/internal/scale/sockets/run.go
@@ -155,7 +155,7 @@
 	if err != nil {
 		return fmt.Errorf("sockets: %w", err)
 	}
-	most := r.o.Over + r.o.Shape.Span() + overhead
+	most := r.o.Over + r.o.Shape.MeasuredDuration() + overhead
 	r.o.Progress("%d processes of hollow front ends, %d of the program", len(r.plan.groups), len(r.plan.real))
 	for _, group := range r.plan.groups {
 		h, err := startHollows(r.o.Worker, group, most)
--- a/internal/scale/spread.go
+++ b/internal/scale/spread.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// SpreadOf summarises how long changes took to reach the last member alive. It is nil where there were no changes.
+// SpreadOf summarizes how long each of the changes in reached took to be seen by all running front ends; unreached is
+// the number of changes that some had not seen at the end. It returns nil if there were no changes.
 func SpreadOf(reached []time.Duration, unreached int) *SpreadFigures {
 	if len(reached) == 0 && unreached == 0 {
 		return nil
@@ -16,14 +17,14 @@
 	}
 	sorted := slices.Clone(reached)
 	slices.Sort(sorted)
-	s.MedianMS = millis(quantile(sorted, 50))
-	s.P99MS = millis(quantile(sorted, 99))
+	s.MedianMS = millis(percentile(sorted, 50))
+	s.P99MS = millis(percentile(sorted, 99))
 	s.MostMS = millis(sorted[len(sorted)-1])
 	return s
 }
 
-// quantile is the nearest-rank percentile of a sorted list.
-func quantile(sorted []time.Duration, percent int) time.Duration {
+// percentile returns the nearest-rank percentile of a sorted list.
+func percentile(sorted []time.Duration, percent int) time.Duration {
 	rank := (len(sorted)*percent + 99) / 100
 	return sorted[max(1, rank)-1]
 }
