--- a/internal/scale/sockets/change.go
+++ b/internal/scale/sockets/change.go
@@ -11,145 +11,147 @@
 	"chutechute/internal/peering"
 )
 
-// watch collects how long changes take to reach the last hollow front end alive.
-type watch struct {
-	mu         sync.Mutex
-	openStarts int // that have not reached all yet
-	openEnds   int
-	starts     []time.Duration // of processes that have started
-	ends       []time.Duration // of processes that are gone
+// changeTracker records how long changes take to be seen by all running hollow front ends.
+type changeTracker struct {
+	mu            sync.Mutex
+	pendingStarts int // number of changes that not all have seen yet
+	pendingEnds   int
+	starts        []time.Duration // of starts of processes that all have seen
+	ends          []time.Duration // of ends of processes that all have seen
 }
 
-// started is a process of a front end that has just started.
-type started struct {
+// processStart identifies the running process of a front end, and has the time of its start.
+type processStart struct {
 	incarnation uint64
 	at          monotime.Micros
 }
 
-// seedStep keeps the seeds of a run's processes apart from those of other runs.
-const seedStep = 1_000_003
+// seedStride separates the seeds of one run's processes from those of runs with other seeds.
+const seedStride = 1_000_003
 
-// wall is the time that workers' clocks count by too.
-func wall() monotime.Micros { return time.Now().UnixMicro() }
+// unixMicros returns the time in microseconds of Unix time, which the workers' clocks use too.
+func unixMicros() monotime.Micros { return time.Now().UnixMicro() }
 
-// start starts a front end; its time is when its process was there.
-func (r *run) start(f *front) error {
+// start starts a front end. The recorded time is before the start for a process of the program, and the time of the
+// worker's reply for a hollow front end.
+func (r *run) start(f *frontEnd) error {
 	if p := r.processOf(f); p != nil {
-		at := wall()
+		at := unixMicros()
 		incarnation, err := p.start()
 		if err == nil {
-			r.running[f] = started{incarnation, at}
+			r.running[f] = processStart{incarnation, at}
 		}
 		return err
 	}
-	reply, err := r.hollowsOf(f).ask(r.startOf(f))
+	reply, err := r.workerOf(f).call(r.startRequest(f))
 	if err == nil {
-		r.running[f] = started{reply.Incarnation, reply.At}
+		r.running[f] = processStart{reply.Incarnation, reply.At}
 	}
 	return err
 }
 
-// startOf is the request to start a hollow front end.
-func (r *run) startOf(f *front) request {
-	r.starts++
-	q := request{Op: opStart, Member: f.name, Seed: r.o.Shape.Seed*seedStep + r.starts}
+// startRequest returns the request to start a hollow front end.
+func (r *run) startRequest(f *frontEnd) request {
+	r.startCount++
+	q := request{Op: opStart, Member: f.name, Seed: r.opts.Shape.Seed*seedStride + r.startCount}
 	if f.attached {
 		q.Zone = f.zone
 	}
 	return q
 }
 
-// startAll starts all hollow front ends without waiting for one before the next.
+// startAll starts all hollow front ends. It sends the requests without waiting for replies in between.
 func (r *run) startAll() error {
 	type outcome struct {
-		f     *front
+		f     *frontEnd
 		reply reply
 	}
 	order := r.startOrder()
 	outcomes := make(chan outcome, len(order))
-	began := time.Now()
+	start := time.Now()
 	for i, f := range order {
-		time.Sleep(time.Until(began.Add(r.o.Over * time.Duration(i) / time.Duration(len(order)))))
-		if err := r.hollowsOf(f).send(r.startOf(f), func(reply reply) { outcomes <- outcome{f, reply} }); err != nil {
+		time.Sleep(time.Until(start.Add(r.opts.Over * time.Duration(i) / time.Duration(len(order)))))
+		if err := r.workerOf(f).send(r.startRequest(f), func(reply reply) { outcomes <- outcome{f, reply} }); err != nil {
 			return err
 		}
 	}
-	late := time.After(replyWait)
+	timeout := time.After(replyTimeout)
 	for range order {
 		select {
 		case o := <-outcomes:
 			if o.reply.Error != "" {
 				return fmt.Errorf("start %s: %s", o.f.name, o.reply.Error)
 			}
-			r.running[o.f] = started{o.reply.Incarnation, o.reply.At}
-		case <-late:
-			return errWorkerSilent
+			r.running[o.f] = processStart{o.reply.Incarnation, o.reply.At}
+		case <-timeout:
+			return errReplyTimeout
 		}
 	}
 	return nil
 }
 
-// startOrder is all hollow front ends, one of each process after the other: control members first where all start over a span.
-func (r *run) startOrder() (order []*front) {
+// startOrder returns all hollow front ends, taking one of each worker in turn. If the starts are spread over a time,
+// control members come first, since the others attach to them.
+func (r *run) startOrder() (order []*frontEnd) {
 	for n := 0; ; n++ {
 		before := len(order)
-		for _, h := range r.hollows {
-			if n < len(h.fronts) {
-				order = append(order, h.fronts[n])
+		for _, h := range r.workers {
+			if n < len(h.frontEnds) {
+				order = append(order, h.frontEnds[n])
 			}
 		}
 		if len(order) == before {
 			break
 		}
 	}
-	if r.o.Over > 0 {
-		slices.SortStableFunc(order, func(a, b *front) int { return cmp.Compare(role(a), role(b)) })
+	if r.opts.Over > 0 {
+		slices.SortStableFunc(order, func(a, b *frontEnd) int { return cmp.Compare(roleOrder(a), roleOrder(b)) })
 	}
 	return order
 }
 
-// role orders control members before those that attach to them.
-func role(f *front) int {
+// roleOrder is a sort key that puts control members before attached front ends.
+func roleOrder(f *frontEnd) int {
 	if f.attached {
 		return 1
 	}
 	return 0
 }
 
-// kill ends a front end without a word; it gives when.
-func (r *run) kill(f *front) (at monotime.Micros, err error) {
+// kill ends a front end without a shutdown, and returns the time.
+func (r *run) kill(f *frontEnd) (at monotime.Micros, err error) {
 	delete(r.running, f)
 	if p := r.processOf(f); p != nil {
-		at = wall()
+		at = unixMicros()
 		p.kill()
 		return at, nil
 	}
-	reply, err := r.hollowsOf(f).ask(request{Op: opKill, Member: f.name})
+	reply, err := r.workerOf(f).call(request{Op: opKill, Member: f.name})
 	return reply.At, err
 }
 
-// pause has a front end stand still for a span.
-func (r *run) pause(f *front, span time.Duration) error {
+// pause stops a front end for a duration.
+func (r *run) pause(f *frontEnd, d time.Duration) error {
 	if p := r.processOf(f); p != nil {
-		return p.stop(span)
+		return p.pause(d)
 	}
-	_, err := r.hollowsOf(f).ask(request{Op: opPause, Member: f.name, Span: span.Microseconds()})
+	_, err := r.workerOf(f).call(request{Op: opPause, Member: f.name, Span: d.Microseconds()})
 	return err
 }
 
-// follow notes when a change, that was at a time, has reached all hollow front ends.
-func (r *run) follow(change peering.Change, at monotime.Micros) error {
-	left, last := len(r.hollows), at
+// trackChange records how long a change that happened at a given time takes to be seen by all hollow front ends.
+func (r *run) trackChange(change peering.Change, at monotime.Micros) error {
+	remaining, last := len(r.workers), at
 	var mu sync.Mutex
-	r.watch.begun(change.Removed)
-	for _, h := range r.hollows {
+	r.tracker.begin(change.Removed)
+	for _, h := range r.workers {
 		err := h.send(request{Op: opAwait, Change: &change}, func(reply reply) {
 			mu.Lock()
 			defer mu.Unlock()
-			left--
+			remaining--
 			last = max(last, reply.SeenAt)
-			if left == 0 {
-				r.watch.reached(change.Removed, time.Duration(last-at)*time.Microsecond)
+			if remaining == 0 {
+				r.tracker.finish(change.Removed, time.Duration(last-at)*time.Microsecond)
 			}
 		})
 		if err != nil {
@@ -159,34 +161,35 @@
 	return nil
 }
 
-func (w *watch) begun(gone bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if gone {
-		w.openEnds++
+func (t *changeTracker) begin(removed bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if removed {
+		t.pendingEnds++
 	} else {
-		w.openStarts++
+		t.pendingStarts++
 	}
 }
 
-func (w *watch) reached(gone bool, took time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if gone {
-		w.openEnds--
-		w.ends = append(w.ends, took)
+func (t *changeTracker) finish(removed bool, took time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if removed {
+		t.pendingEnds--
+		t.ends = append(t.ends, took)
 	} else {
-		w.openStarts--
-		w.starts = append(w.starts, took)
+		t.pendingStarts--
+		t.starts = append(t.starts, took)
 	}
 }
 
-// settle waits until all changes so far have reached all, for a while.
-func (w *watch) settle() (unreached int) {
-	for until := time.Now().Add(changeWait); time.Now().Before(until); time.Sleep(pollEvery) {
-		w.mu.Lock()
-		unreached = w.openStarts + w.openEnds
-		w.mu.Unlock()
+// awaitAll waits until all front ends have seen all changes so far, for changeTimeout at most. It returns the number of
+// changes that some have not seen.
+func (t *changeTracker) awaitAll() (unreached int) {
+	for until := time.Now().Add(changeTimeout); time.Now().Before(until); time.Sleep(pollInterval) {
+		t.mu.Lock()
+		unreached = t.pendingStarts + t.pendingEnds
+		t.mu.Unlock()
 		if unreached == 0 {
 			break
 		}
@@ -194,51 +197,51 @@
 	return unreached
 }
 
-// unseen says who has not seen which change, in words.
-func (r *run) unseen() (list []string) {
-	for _, h := range r.hollows {
-		reply, err := h.ask(request{Op: opWaiting})
+// describePending lists the changes that some front ends have not seen, with the names of these front ends.
+func (r *run) describePending() (list []string) {
+	for _, h := range r.workers {
+		reply, err := h.call(request{Op: opWaiting})
 		if err != nil {
-			continue // a note is all that is lost
+			continue // only a note of the result is missing
 		}
-		for _, one := range reply.Waiting {
-			list = append(list, "not seen: "+one)
+		for _, pending := range reply.Waiting {
+			list = append(list, "not seen: "+pending)
 		}
 	}
 	return list
 }
 
-// lose kills a front end and follows its end.
-func (r *run) lose(f *front) error {
-	process, runs := r.running[f]
-	if !runs {
+// killAndTrack kills a front end, if it is running, and tracks its end.
+func (r *run) killAndTrack(f *frontEnd) error {
+	process, ok := r.running[f]
+	if !ok {
 		return nil
 	}
 	at, err := r.kill(f)
 	if err != nil {
 		return err
 	}
-	return r.follow(peering.Change{Name: f.name, Incarnation: process.incarnation, Removed: true}, at)
+	return r.trackChange(peering.Change{Name: f.name, Incarnation: process.incarnation, Removed: true}, at)
 }
 
-// bring starts a front end that doesn't run and follows its start.
-func (r *run) bring(f *front) error {
-	if _, runs := r.running[f]; runs {
+// startAndTrack starts a front end, if it is not running, and tracks its start.
+func (r *run) startAndTrack(f *frontEnd) error {
+	if _, ok := r.running[f]; ok {
 		return nil
 	}
 	if err := r.start(f); err != nil {
 		return err
 	}
 	s := r.running[f]
-	return r.follow(peering.Change{Name: f.name, Incarnation: s.incarnation}, s.at)
+	return r.trackChange(peering.Change{Name: f.name, Incarnation: s.incarnation}, s.at)
 }
 
-// restart ends a front end and starts it as another process at once.
-func (r *run) restart(f *front) error {
-	if _, runs := r.running[f]; runs {
+// restartAndTrack kills a front end and starts it as a new process at once. Only the start is tracked.
+func (r *run) restartAndTrack(f *frontEnd) error {
+	if _, ok := r.running[f]; ok {
 		if _, err := r.kill(f); err != nil {
 			return err
 		}
 	}
-	return r.bring(f)
+	return r.startAndTrack(f)
 }
--- a/internal/scale/sockets/client.go
+++ b/internal/scale/sockets/client.go
@@ -9,27 +9,28 @@
 	"time"
 )
 
-// replyWait bounds how long a reply may take: a busy machine lets a loop wait, and a collection of garbage takes a while.
-const replyWait = 30 * time.Second
+// replyTimeout is long because a loop on a busy machine may have to wait for a core, and because garbage collections
+// take time.
+const replyTimeout = 30 * time.Second
 
-// client asks one worker.
+// client sends requests to one worker.
 type client struct {
 	mu      sync.Mutex
 	encoder *json.Encoder
-	last    int
-	waiting map[int]func(reply)
-	ended   chan struct{} // closed when no more replies can come
+	lastID  int                 // of requests
+	pending map[int]func(reply) // callbacks by the IDs of their requests
+	closed  chan struct{}       // closed when no more replies can arrive
 }
 
 func newClient(in io.Writer, out io.Reader) *client {
-	c := &client{encoder: json.NewEncoder(in), waiting: map[int]func(reply){}, ended: make(chan struct{})}
-	go c.read(out)
+	c := &client{encoder: json.NewEncoder(in), pending: map[int]func(reply){}, closed: make(chan struct{})}
+	go c.readReplies(out)
 	return c
 }
 
-// read hands replies to who waits for them.
-func (c *client) read(out io.Reader) {
-	defer close(c.ended)
+// readReplies passes each reply to the callback of its request.
+func (c *client) readReplies(out io.Reader) {
+	defer close(c.closed)
 	decoder := json.NewDecoder(out)
 	for {
 		var r reply
@@ -37,8 +38,8 @@
 			return
 		}
 		c.mu.Lock()
-		done := c.waiting[r.ID]
-		delete(c.waiting, r.ID)
+		done := c.pending[r.ID]
+		delete(c.pending, r.ID)
 		c.mu.Unlock()
 		if done != nil {
 			done(r)
@@ -46,27 +47,27 @@
 	}
 }
 
-// send sends a request; done is called with its reply, from another goroutine.
+// send sends a request. It calls done with the reply, on another goroutine.
 func (c *client) send(q request, done func(reply)) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last++
-	q.ID = c.last
-	c.waiting[q.ID] = done
+	c.lastID++
+	q.ID = c.lastID
+	c.pending[q.ID] = done
 	if err := c.encoder.Encode(q); err != nil {
-		return fmt.Errorf("sockets: a process of hollow front ends: %w", err)
+		return fmt.Errorf("sockets: sending a request to a worker: %w", err)
 	}
 	return nil
 }
 
-// Errors of a worker.
+// Errors of calls.
 var (
-	errWorkerEnded  = errors.New("sockets: a process of hollow front ends has ended")
-	errWorkerSilent = errors.New("sockets: a process of hollow front ends does not answer")
+	errWorkerExited = errors.New("sockets: worker exited")
+	errReplyTimeout = errors.New("sockets: worker did not reply in time")
 )
 
-// ask sends a request and waits for its reply.
-func (c *client) ask(q request) (reply, error) {
+// call sends a request and waits for its reply. The error of the reply, if any, is returned as an error.
+func (c *client) call(q request) (reply, error) {
 	replies := make(chan reply, 1)
 	if err := c.send(q, func(r reply) { replies <- r }); err != nil {
 		return reply{}, err
@@ -77,9 +78,9 @@
 			return r, fmt.Errorf("%s %s: %s", q.Op, q.Member, r.Error)
 		}
 		return r, nil
-	case <-c.ended:
-		return reply{}, errWorkerEnded
-	case <-time.After(replyWait):
-		return reply{}, errWorkerSilent
+	case <-c.closed:
+		return reply{}, errWorkerExited
+	case <-time.After(replyTimeout):
+		return reply{}, errReplyTimeout
 	}
 }
--- a/internal/scale/sockets/faults.go
+++ b/internal/scale/sockets/faults.go
@@ -10,64 +10,64 @@
 	"chutechute/internal/scale"
 )
 
-// step is one front end's part in a fault.
-type step struct {
-	at   time.Duration
-	text string
-	do   func() error
+// faultStep is one action of a fault on one front end.
+type faultStep struct {
+	at          time.Duration // since the start of the measured part
+	description string
+	apply       func() error
 }
 
-// steps are the faults of the script in the order of their times.
-func (r *run) steps() (list []step) {
-	random := rand.New(rand.NewPCG(r.o.Shape.Seed, 1))
-	for _, f := range r.o.Faults {
+// faultSteps returns the steps of all faults of the script, sorted by time.
+func (r *run) faultSteps() (list []faultStep) {
+	random := rand.New(rand.NewPCG(r.opts.Shape.Seed, 1))
+	for _, f := range r.opts.Faults {
 		targets := r.targets(f.Target, random)
 		for n, target := range targets {
 			at := f.At + time.Duration(float64(f.Over)*float64(n)/float64(len(targets)))
-			list = append(list, r.stepsOf(f, target, at)...)
+			list = append(list, r.targetSteps(f, target, at)...)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b step) int { return int(a.at - b.at) })
+	slices.SortStableFunc(list, func(a, b faultStep) int { return int(a.at - b.at) })
 	return list
 }
 
-// checkFaults refuses the faults that only virtual time has.
-func checkFaults(list []scale.Fault) error {
+// checkSupported rejects faults that are possible in virtual time only.
+func checkSupported(list []scale.Fault) error {
 	for i, f := range list {
 		if f.Kind == scale.Cut || f.Kind == scale.Heal {
 			return &scale.ScriptError{Fault: i + 1, Word: f.Kind.String(),
-				Reason: "only with --virtual: nothing stands between links over sockets"}
+				Reason: "requires --virtual: links over sockets cannot be interrupted"}
 		}
 	}
 	return nil
 }
 
-// stepsOf is what one target of a fault goes through.
-func (r *run) stepsOf(f scale.Fault, target *front, at time.Duration) []step {
-	name := func(what string) string { return fmt.Sprintf("%s %s", what, target.name) }
+// targetSteps returns the steps of a fault on one of its targets.
+func (r *run) targetSteps(f scale.Fault, target *frontEnd, at time.Duration) []faultStep {
+	describe := func(action string) string { return fmt.Sprintf("%s %s", action, target.name) }
 	switch f.Kind {
 	case scale.Kill:
-		list := []step{{at, name("kill"), func() error { return r.lose(target) }}}
+		list := []faultStep{{at, describe("kill"), func() error { return r.killAndTrack(target) }}}
 		if f.For > 0 {
-			list = append(list, step{at + f.For, name("start"), func() error { return r.bring(target) }})
+			list = append(list, faultStep{at + f.For, describe("start"), func() error { return r.startAndTrack(target) }})
 		}
 		return list
 	case scale.Restart:
-		return []step{{at, name("restart"), func() error { return r.restart(target) }}}
+		return []faultStep{{at, describe("restart"), func() error { return r.restartAndTrack(target) }}}
 	case scale.Stop:
-		return []step{{at, name("stop"), func() error { return r.pause(target, f.For) }}}
+		return []faultStep{{at, describe("stop"), func() error { return r.pause(target, f.For) }}}
 	}
 	return nil
 }
 
-// targets are the front ends that a fault befalls.
-func (r *run) targets(t scale.Target, random *rand.Rand) (list []*front) {
-	all := r.plan.fronts
+// targets returns the front ends that a fault affects.
+func (r *run) targets(t scale.Target, random *rand.Rand) (list []*frontEnd) {
+	all := r.plan.frontEnds
 	switch t.Kind {
 	case scale.TargetControl:
 		return all[t.Number-1 : t.Number]
 	case scale.TargetAttached:
-		n := r.o.Shape.Controls + t.Number
+		n := r.opts.Shape.Controls + t.Number
 		return all[n-1 : n]
 	case scale.TargetShare:
 		count := int(math.Ceil(float64(len(all)) * t.Percent / 100))
@@ -86,44 +86,46 @@
 	return list
 }
 
-// play goes through the steps, and returns at the end of the measured part.
-func (r *run) play(list []step, began time.Time) error {
+// playFaults carries out the steps at their times, and returns at the end of the measured part. Later steps are
+// skipped.
+func (r *run) playFaults(list []faultStep, start time.Time) error {
 	for _, s := range list {
-		if s.at >= r.o.Shape.MeasuredDuration() {
+		if s.at >= r.opts.Shape.MeasuredDuration() {
 			break
 		}
-		time.Sleep(time.Until(began.Add(s.at)))
-		r.o.Progress("%6.2f s %s", time.Since(began).Seconds(), s.text)
-		if err := s.do(); err != nil {
+		time.Sleep(time.Until(start.Add(s.at)))
+		r.opts.Progress("%6.2f s %s", time.Since(start).Seconds(), s.description)
+		if err := s.apply(); err != nil {
 			return err
 		}
 	}
-	time.Sleep(time.Until(began.Add(r.o.Shape.MeasuredDuration())))
+	time.Sleep(time.Until(start.Add(r.opts.Shape.MeasuredDuration())))
 	return nil
 }
 
-// changes kills and starts front ends of the last role one by one, so that how soon others see it is not blurred by another change. Each
-// is another one, as changes about one name are told at a bounded rate only.
-func (r *run) changes() error {
-	var candidates []*front
-	for _, h := range r.hollows {
-		if h.fronts[0].attached == (r.o.Shape.Attached() > 0) {
-			candidates = append(candidates, h.fronts...)
+// measureChanges kills and starts front ends one by one, so that no two changes overlap and delay each other: attached
+// front ends if there are any, control members otherwise. Each is a different one, because changes of one front end are
+// propagated at a limited rate.
+func (r *run) measureChanges() error {
+	var candidates []*frontEnd
+	for _, h := range r.workers {
+		if h.frontEnds[0].attached == (r.opts.Shape.Attached() > 0) {
+			candidates = append(candidates, h.frontEnds...)
 		}
 	}
-	random := rand.New(rand.NewPCG(r.o.Shape.Seed, 2))
-	for _, i := range random.Perm(len(candidates))[:min(r.o.Changes, len(candidates))] {
+	random := rand.New(rand.NewPCG(r.opts.Shape.Seed, 2))
+	for _, i := range random.Perm(len(candidates))[:min(r.opts.Changes, len(candidates))] {
 		f := candidates[i]
-		if err := r.lose(f); err != nil {
+		if err := r.killAndTrack(f); err != nil {
 			return err
 		}
-		if r.watch.settle() > 0 {
-			return nil // a further change would only wait with this one
+		if r.tracker.awaitAll() > 0 {
+			return nil // a further change would have to wait too
 		}
-		if err := r.bring(f); err != nil {
+		if err := r.startAndTrack(f); err != nil {
 			return err
 		}
-		if r.watch.settle() > 0 {
+		if r.tracker.awaitAll() > 0 {
 			return nil
 		}
 	}
--- a/internal/scale/sockets/hollows.go
+++ b/internal/scale/sockets/hollows.go
@@ -12,39 +12,40 @@
 	"chutechute/internal/scale"
 )
 
-// hollows is a running worker with its front ends, all of one role.
-type hollows struct {
+// workerHandle controls a running worker, which has front ends of one role.
+type workerHandle struct {
 	*client
-	fronts []*front
-	cmd    *exec.Cmd // nil within this process
-	in     io.WriteCloser
-	over   chan error // has the worker's end
-	idle   figures    // before any front end started
-	idleAt time.Time
-	rate   float64 // microseconds of processor a second while idle
+	frontEnds   []*frontEnd
+	cmd         *exec.Cmd // nil if the worker runs within this process
+	stdin       io.WriteCloser
+	exited      chan error // receives the error with which the worker ended
+	idle        figures    // before its front ends were started
+	idleSince   time.Time
+	idleCPURate float64 // processor time in microseconds per second, while idle
 }
 
-// endWait bounds how long a process may take to end once it was told to.
-const endWait = 5 * time.Second
+// stopTimeout is the time that a worker has to end after a request to end.
+const stopTimeout = 5 * time.Second
 
-// startHollows starts a worker, as a process where a command line is given. It ends itself after most, and where its input ends.
-func startHollows(command []string, fronts []*front, most time.Duration) (*hollows, error) {
-	h := &hollows{fronts: fronts, over: make(chan error, 1)}
+// startWorker starts a worker: a process if a command line is given, a goroutine otherwise. The worker ends by itself
+// after maxDuration, and at the end of its input.
+func startWorker(command []string, frontEnds []*frontEnd, maxDuration time.Duration) (*workerHandle, error) {
+	h := &workerHandle{frontEnds: frontEnds, exited: make(chan error, 1)}
 	if len(command) == 0 {
 		requests, in := io.Pipe()
 		out, replies := io.Pipe()
-		h.in, h.client = in, newClient(in, out)
+		h.stdin, h.client = in, newClient(in, out)
 		go func() {
-			err := Work(requests, replies, most)
+			err := Work(requests, replies, maxDuration)
 			requests.Close()
 			replies.Close()
-			h.over <- err
+			h.exited <- err
 		}()
 		return h, nil
 	}
-	h.cmd = exec.Command(command[0], append(command[1:], "--most", most.String())...)
+	h.cmd = exec.Command(command[0], append(command[1:], "--most", maxDuration.String())...)
 	h.cmd.Stderr = os.Stderr
-	h.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // where the tool itself is killed
+	h.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends the child if this process is killed
 	in, err := h.cmd.StdinPipe()
 	if err != nil {
 		return nil, fmt.Errorf("sockets: %w", err)
@@ -56,58 +57,58 @@
 	if err := h.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("sockets: %w", err)
 	}
-	h.in, h.client = in, newClient(in, out)
+	h.stdin, h.client = in, newClient(in, out)
 	go func() {
-		<-h.ended // Wait closes the pipe, which is read to its end first
-		h.over <- h.cmd.Wait()
+		<-h.closed // Wait closes the pipe of the replies, so that these are read to the end first
+		h.exited <- h.cmd.Wait()
 	}()
 	return h, nil
 }
 
-// end ends the worker, by force where it does not in time.
-func (h *hollows) end() error {
-	_ = h.send(request{Op: opEnd}, func(reply) {}) // it may have ended already
-	h.in.Close()
+// stop ends the worker. It kills a process that does not end in time.
+func (h *workerHandle) stop() error {
+	_ = h.send(request{Op: opEnd}, func(reply) {}) // the worker may have ended already
+	h.stdin.Close()
 	select {
-	case err := <-h.over:
+	case err := <-h.exited:
 		return err
-	case <-time.After(endWait):
+	case <-time.After(stopTimeout):
 	}
 	if h.cmd == nil {
-		return errWorkerSilent
+		return errReplyTimeout
 	}
 	_ = h.cmd.Process.Kill()
-	return <-h.over
+	return <-h.exited
 }
 
-// setup hands over the fleet's section and begins the idle span.
-func (h *hollows) setup(section json.RawMessage) error {
-	if _, err := h.ask(request{Op: opSetup, Section: section}); err != nil {
+// beginIdle sends the fleet section to the worker, and begins to measure what the worker uses while idle.
+func (h *workerHandle) beginIdle(section json.RawMessage) error {
+	if _, err := h.call(request{Op: opSetup, Section: section}); err != nil {
 		return err
 	}
 	f, err := h.figures(true)
-	h.idle, h.idleAt = f, time.Now()
+	h.idle, h.idleSince = f, time.Now()
 	return err
 }
 
-// rested ends the idle span.
-func (h *hollows) rested() error {
+// endIdle ends the measurement that beginIdle began.
+func (h *workerHandle) endIdle() error {
 	f, err := h.figures(false)
-	h.rate = float64(f.CPU-h.idle.CPU) / time.Since(h.idleAt).Seconds()
+	h.idleCPURate = float64(f.CPU-h.idle.CPU) / time.Since(h.idleSince).Seconds()
 	return err
 }
 
-func (h *hollows) figures(collect bool) (figures, error) {
-	r, err := h.ask(request{Op: opFigures, Collect: collect})
+func (h *workerHandle) figures(collect bool) (figures, error) {
+	r, err := h.call(request{Op: opFigures, Collect: collect})
 	if err != nil {
 		return figures{}, err
 	}
 	return *r.Figures, nil
 }
 
-// role is that of all its front ends.
-func (h *hollows) role() string {
-	if h.fronts[0].attached {
+// role returns the role of the worker's front ends.
+func (h *workerHandle) role() string {
+	if h.frontEnds[0].attached {
 		return scale.RoleFrontEnd
 	}
 	return scale.RoleControl
--- a/internal/scale/sockets/plan.go
+++ b/internal/scale/sockets/plan.go
@@ -9,55 +9,58 @@
 	"chutechute/internal/testharness/site"
 )
 
-// Options are what a run needs besides the fleet's shape.
+// Options are the parameters of a run.
 type Options struct {
 	Shape   scale.Shape
-	Real    int    // control members that are processes of the program
-	Program string // the built program; needed with Real above 0
-	Changes int    // front ends that are killed and started again, one by one, after the measured part
-	// Start is how long the traffic of a fleet with attached front ends is counted from its start at once on; 0: it is not.
+	Real    int    // number of control members that are processes of the program
+	Program string // path of the built program; required if Real is above 0
+	Changes int    // number of front ends to kill and start again, one by one, after the measured part
+	// Start is the time from the start over which the traffic of starting is counted, in a fleet with attached front ends
+	// that all start at once; 0: it is not counted.
 	Start time.Duration
-	// Over is the span over which the front ends start evenly; 0: all at once, as far as this machine's cores let them.
+	// Over is the time over which the starts of the hollow front ends are spread evenly; 0: all start at once, as far as
+	// the machine's cores allow.
 	Over   time.Duration
 	Faults []scale.Fault
-	Script string // that Faults was read from
-	// Worker is the command line of a process of hollow front ends; without one they run within this process.
+	Script string // the script that Faults was parsed from
+	// Worker is the command line that starts a worker process. If it is empty, workers run within this process.
 	Worker []string
-	// Progress is told of each step.
+	// Progress reports the progress of the run to the user. It must not be nil.
 	Progress func(format string, args ...any)
 }
 
-// front is one front end of a run.
-type front struct {
-	name     string
-	zone     string
-	attached bool
-	real     bool
-	address  netip.AddrPort // for other front ends
-	listen   netip.AddrPort // for clients; of a real one
+// frontEnd is one front end of a run.
+type frontEnd struct {
+	name       string
+	zone       string
+	attached   bool
+	real       bool           // a process of the program; the others are hollow front ends
+	peerAddr   netip.AddrPort // for links of other front ends
+	clientAddr netip.AddrPort // for clients; only of a process of the program
 }
 
-// Most front ends of one role in one process of hollow ones: a control member's traffic grows with the fleet, and one loop has one
-// core.
+// Maximum number of front ends in one worker, by role. The traffic of a control member grows with the fleet, and a
+// worker has one event loop, which uses one core.
 const (
-	mostControlsAProcess = 10
-	mostAttachedAProcess = 200
+	maxControlsPerWorker = 10
+	maxAttachedPerWorker = 200
 )
 
-// plan is who runs where.
+// plan assigns the front ends of a run to processes.
 type plan struct {
-	fronts []*front
-	real   []*front
-	groups [][]*front // each a process of hollow front ends of one role
+	frontEnds []*frontEnd
+	real      []*frontEnd   // processes of the program
+	groups    [][]*frontEnd // the front ends of each worker, all of one role
 }
 
-// newPlan names all front ends. Zones follow one another, so that each has its share of both roles. The processes of the program are
-// the first by name, so that the record's copies are theirs and hollow control members have the membership alone.
+// newPlan names all front ends and groups them. Zones are assigned in turn, so that each zone has its share of both
+// roles. The processes of the program come first by name, so that the replicas are among them and hollow control
+// members have the traffic of the membership only.
 func newPlan(o *Options) *plan {
 	p := &plan{}
-	var controls, attached []*front
+	var controls, attached []*frontEnd
 	for i := range o.Shape.Total() {
-		f := &front{zone: scale.ZoneName(i % o.Shape.Zones)}
+		f := &frontEnd{zone: scale.ZoneName(i % o.Shape.Zones)}
 		switch {
 		case i < o.Shape.Controls:
 			f.name = fmt.Sprintf("c%03d", i+1)
@@ -65,7 +68,7 @@
 		default:
 			f.attached, f.name = true, fmt.Sprintf("f%04d", i-o.Shape.Controls+1)
 		}
-		p.fronts = append(p.fronts, f)
+		p.frontEnds = append(p.frontEnds, f)
 		switch {
 		case f.real:
 			p.real = append(p.real, f)
@@ -75,67 +78,68 @@
 			controls = append(controls, f)
 		}
 	}
-	p.groups = append(split(controls, mostControlsAProcess), split(attached, mostAttachedAProcess)...)
+	p.groups = append(splitEvenly(controls, maxControlsPerWorker), splitEvenly(attached, maxAttachedPerWorker)...)
 	return p
 }
 
-// split shares a list out evenly, so many a part at most.
-func split(list []*front, most int) (parts [][]*front) {
-	count := (len(list) + most - 1) / most
+// splitEvenly splits a list into parts of about equal size, with maxSize front ends at most.
+func splitEvenly(list []*frontEnd, maxSize int) (parts [][]*frontEnd) {
+	count := (len(list) + maxSize - 1) / maxSize
 	for i := range count {
 		parts = append(parts, list[i*len(list)/count:(i+1)*len(list)/count])
 	}
 	return parts
 }
 
-// What a run is taken to need, a little above what was measured: descriptors of a process besides its links, bytes of a process, of a
-// connection's two ends, and of one that is attached.
+// Estimates of what a run needs, a little above the measured values.
 const (
-	spareDescriptors  = 64
-	processBytes      = 40 << 20
-	connectionBytes   = 32 << 10
-	attachedBytes     = 2 << 20
-	linksOfAttached   = 2
-	descriptorsOfLink = 2 // one for each direction
-	unevenness        = 2 // times the mean
+	spareDescriptors   = 64       // of a process, besides its links
+	processBytes       = 40 << 20 // of a process
+	connectionBytes    = 32 << 10 // of both ends of a connection
+	attachedBytes      = 2 << 20  // of an attached front end
+	linksPerAttached   = 2
+	descriptorsPerLink = 2 // one for each direction
+	imbalanceFactor    = 2 // highest number of attached front ends of a control member, relative to the mean
 )
 
-// linksOfControl is how many connections a control member may have: attached ones spread unevenly.
-func (o *Options) linksOfControl() int {
-	return descriptorsOfLink*(o.Shape.Controls-1) + unevenness*linksOfAttached*o.Shape.Attached()/o.Shape.Controls
+// linksPerControl returns how many connections a control member may have. Attached front ends are not distributed
+// evenly over the control members.
+func (o *Options) linksPerControl() int {
+	return descriptorsPerLink*(o.Shape.Controls-1) + imbalanceFactor*linksPerAttached*o.Shape.Attached()/o.Shape.Controls
 }
 
-// needs is what the run takes of the machine.
-func (p *plan) needs(o *Options) scale.Requirements {
+// requirements returns the resources that the run needs.
+func (p *plan) requirements(o *Options) scale.Requirements {
 	controls, attached := o.Shape.Controls, o.Shape.Attached()
-	links := o.linksOfControl()
-	n := scale.Requirements{Flag: "control", Processes: len(p.real) + len(p.groups)}
+	links := o.linksPerControl()
+	needed := scale.Requirements{Flag: "control", Processes: len(p.real) + len(p.groups)}
 	if attached > 0 {
-		n.Flag = "front-ends"
+		needed.Flag = "front-ends"
 	}
 	for _, group := range p.groups {
-		each := links + 1
+		descriptors := links + 1
 		if group[0].attached {
-			each = linksOfAttached * descriptorsOfLink
+			descriptors = linksPerAttached * descriptorsPerLink
 		}
-		n.Descriptors = max(n.Descriptors, spareDescriptors+each*len(group))
+		needed.Descriptors = max(needed.Descriptors, spareDescriptors+descriptors*len(group))
 	}
-	n.Ports = controls + linksOfAttached*attached // to one address at most
-	n.MemoryBytes = int64(n.Processes)*processBytes + int64(controls)*int64(links)*connectionBytes + int64(attached)*attachedBytes
-	return n
+	needed.Ports = controls + linksPerAttached*attached // at most, for connections to one address
+	needed.MemoryBytes = int64(needed.Processes)*processBytes + int64(controls)*int64(links)*connectionBytes +
+		int64(attached)*attachedBytes
+	return needed
 }
 
-// place gives each front end its addresses, that are free now.
-func (p *plan) place(o *Options) error {
+// assignAddresses assigns addresses to all front ends, with ports that are free at this time.
+func (p *plan) assignAddresses(o *Options) error {
 	flag := "control"
 	if o.Shape.Attached() > 0 {
 		flag = "front-ends"
 	}
 	var addresses []netip.Addr
-	for i := range p.fronts {
+	for i := range p.frontEnds {
 		addresses = append(addresses, scale.LoopbackAddress(o.Shape.Seed, i))
 	}
-	for i, f := range p.fronts {
+	for i, f := range p.frontEnds {
 		if f.real {
 			addresses = append(addresses, scale.LoopbackAddress(o.Shape.Seed, i))
 		}
@@ -144,21 +148,21 @@
 	if err != nil {
 		return err
 	}
-	for i, f := range p.fronts {
-		f.address = ports[i]
+	for i, f := range p.frontEnds {
+		f.peerAddr = ports[i]
 	}
 	for i, f := range p.real {
-		f.listen = ports[len(p.fronts)+i]
+		f.clientAddr = ports[len(p.frontEnds)+i]
 	}
 	return nil
 }
 
-// section is the installation's on the fleet.
-func (p *plan) section(shape scale.Shape) map[string]any {
+// fleetSection returns the fleet section of the installation.
+func (p *plan) fleetSection(shape scale.Shape) map[string]any {
 	var members []site.ControlMember
-	for _, f := range p.fronts {
+	for _, f := range p.frontEnds {
 		if !f.attached {
-			members = append(members, site.ControlMember{Name: f.name, Address: f.address.String(), Zone: f.zone})
+			members = append(members, site.ControlMember{Name: f.name, Address: f.peerAddr.String(), Zone: f.zone})
 		}
 	}
 	section := map[string]any{"enabled": true, "site": "scale", "members": members}
--- a/internal/scale/sockets/process.go
+++ b/internal/scale/sockets/process.go
@@ -16,63 +16,64 @@
 	"chutechute/internal/testharness/site"
 )
 
-// process is a front end that is a process of the program.
-type process struct {
-	*front
-	dir     string
-	program string
-	journal string
-	total   int // front ends of the site
-	sockets int // descriptors that it is given; the site's default where that is more
-	section json.RawMessage
-	cmd     *exec.Cmd // nil while it does not run
-	starts  int
-	log     string // path of the last start's log
+// programProcess is a front end that runs as a process of the program.
+type programProcess struct {
+	*frontEnd
+	dir           string
+	program       string
+	discoveryAddr string
+	siteSize      int // number of front ends of the site
+	socketLimit   int // limit of open sockets, unless the default of the site is higher
+	fleetSection  json.RawMessage
+	cmd           *exec.Cmd // nil while the process is not running
+	startCount    int
+	logPath       string // path of the log file of the last start
 }
 
-// serveWait bounds how long a process may take until it serves.
-const serveWait = 20 * time.Second
+// serveTimeout is the time that a process has from its start until it serves.
+const serveTimeout = 20 * time.Second
 
 var (
 	incarnationLine = regexp.MustCompile(`msg=fleet .*incarnation=([0-9a-f]{16})`)
 	servingLine     = regexp.MustCompile(`msg=serving`)
-	errNotServing   = errors.New("sockets: a process of the program does not serve")
+	errNotServing   = errors.New("sockets: process of the program did not begin to serve in time")
 )
 
-// start starts the process, waits until it serves, and gives its number.
-func (p *process) start() (incarnation uint64, err error) {
-	p.starts++
+// start starts the process, waits until it serves, and returns its incarnation.
+func (p *programProcess) start() (incarnation uint64, err error) {
+	p.startCount++
 	section := map[string]any{}
-	if err := json.Unmarshal(p.section, &section); err != nil {
+	if err := json.Unmarshal(p.fleetSection, &section); err != nil {
 		return 0, fmt.Errorf("sockets: %w", err)
 	}
-	files := site.FrontEndFiles{Name: p.name, ClientAddr: p.listen.String(), Seed: strconv.Itoa(p.starts), DiscoveryAddr: p.journal, SiteSize: p.total,
-		SocketLimit: max(site.DefaultSocketLimit, p.sockets), FleetSection: section}
+	files := site.FrontEndFiles{Name: p.name, ClientAddr: p.clientAddr.String(), Seed: strconv.Itoa(p.startCount),
+		DiscoveryAddr: p.discoveryAddr, SiteSize: p.siteSize,
+		SocketLimit: max(site.DefaultSocketLimit, p.socketLimit), FleetSection: section}
 	config, installation, err := files.Write(p.dir)
 	if err != nil {
 		return 0, err
 	}
-	p.log = filepath.Join(p.dir, fmt.Sprintf("%s-%d.log", p.name, p.starts))
-	log, err := os.Create(p.log)
+	p.logPath = filepath.Join(p.dir, fmt.Sprintf("%s-%d.log", p.name, p.startCount))
+	log, err := os.Create(p.logPath)
 	if err != nil {
 		return 0, fmt.Errorf("sockets: %w", err)
 	}
-	defer log.Close() // the process has its own
+	defer log.Close() // the process has its own descriptor
 	p.cmd = exec.Command(p.program, "serve", "--installation", installation)
 	p.cmd.Env = []string{"NODE_CONFIG=" + config}
 	p.cmd.Stderr = log
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // where the tool itself is killed
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends the child if this process is killed
 	if err := p.cmd.Start(); err != nil {
 		p.cmd = nil
 		return 0, fmt.Errorf("sockets: %w", err)
 	}
-	return p.await()
+	return p.awaitServing()
 }
 
-// await waits until the process's log says that it serves.
-func (p *process) await() (uint64, error) {
-	for until := time.Now().Add(serveWait); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		text, err := os.ReadFile(p.log)
+// awaitServing waits until the process logs that it serves, and returns the incarnation from the log.
+func (p *programProcess) awaitServing() (uint64, error) {
+	for until := time.Now().Add(serveTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
+		text, err := os.ReadFile(p.logPath)
 		if err != nil {
 			return 0, fmt.Errorf("sockets: %w", err)
 		}
@@ -80,12 +81,12 @@
 			return strconv.ParseUint(string(found[1]), 16, 64)
 		}
 	}
-	text, _ := os.ReadFile(p.log)
+	text, _ := os.ReadFile(p.logPath)
 	return 0, fmt.Errorf("%w: %s: %s", errNotServing, p.name, text)
 }
 
-// kill ends the process at once, also where it stands still.
-func (p *process) kill() {
+// kill kills the process, also while it is paused.
+func (p *programProcess) kill() {
 	if p.cmd == nil {
 		return
 	}
@@ -94,24 +95,25 @@
 	p.cmd = nil
 }
 
-// stop has the process stand still for a span.
-func (p *process) stop(span time.Duration) error {
+// pause stops the process for a duration.
+func (p *programProcess) pause(d time.Duration) error {
 	if p.cmd == nil {
 		return nil
 	}
 	stopped := p.cmd.Process
-	time.AfterFunc(span, func() { _ = stopped.Signal(syscall.SIGCONT) }) // it may have been killed meanwhile
+	time.AfterFunc(d, func() { _ = stopped.Signal(syscall.SIGCONT) }) // it may have been killed in the meantime
 	return stopped.Signal(syscall.SIGSTOP)
 }
 
-// use is the processor time that the process has taken and its resident memory; zeros while it does not run.
-func (p *process) use() (cpu monotime.Micros, resident int64, err error) {
+// usage returns the processor time that the process has used, and its resident memory. Both are 0 while it is not
+// running.
+func (p *programProcess) usage() (cpu monotime.Micros, resident int64, err error) {
 	if p.cmd == nil {
 		return 0, 0, nil
 	}
-	if cpu, err = cpuOf(p.cmd.Process.Pid); err != nil {
+	if cpu, err = processCPU(p.cmd.Process.Pid); err != nil {
 		return 0, 0, err
 	}
-	resident, err = residentOf(strconv.Itoa(p.cmd.Process.Pid))
+	resident, err = residentMemory(strconv.Itoa(p.cmd.Process.Pid))
 	return cpu, resident, err
 }
--- a/internal/scale/sockets/run.go
+++ b/internal/scale/sockets/run.go
@@ -11,62 +11,67 @@
 	"chutechute/internal/testharness/site"
 )
 
-// Spans of a run.
+// Durations and intervals of a run.
 const (
-	idleSpan     = time.Second
-	assembleWait = 60 * time.Second // from the start until all see all
-	settleSpan   = 4 * time.Second  // after that, until what the start has caused is over
-	changeWait   = 30 * time.Second // for a change to reach all, also on a busy machine
-	pollEvery    = 50 * time.Millisecond
-	// assembleEvery is longer, since counting a large view takes the loops' time.
-	assembleEvery = 200 * time.Millisecond
-	overhead      = 5 * time.Minute // a worker ends itself by this much after the measured part
+	idleDuration    = time.Second      // over which the idle use of workers is measured
+	assembleTimeout = 60 * time.Second // from the start until all front ends see all others
+	settleDuration  = 4 * time.Second  // after that, until the traffic of the start has ended
+	changeTimeout   = 30 * time.Second // for a change to be seen by all, also on a busy machine
+	pollInterval    = 50 * time.Millisecond
+	// assemblePollInterval is longer because counting the entries of a large view takes time of the event loops.
+	assemblePollInterval = 200 * time.Millisecond
+	// workerTimeoutMargin is added to the time of the starts and the measured part; after that a worker ends by itself.
+	workerTimeoutMargin = 5 * time.Minute
 )
 
-// socketsShare is how many descriptors a control member is given for each link: attached front ends may have a quarter of them.
-const socketsShare = 8
+// socketLimitPerLink is the limit of open sockets of a control member for each of its links. Attached front ends may
+// use a quarter of the limit only.
+const socketLimitPerLink = 8
 
-// run is a fleet that runs.
+// run is a running fleet.
 type run struct {
-	o         *Options
-	plan      *plan
-	dir       string
-	journal   *site.StubDiscovery
-	hollows   []*hollows
-	processes []*process
-	section   json.RawMessage // as installations hold it
-	starts    uint64
-	running   map[*front]started
-	watch     watch
-	atStart   reading       // when the start's traffic had been counted; empty where it was not
-	started   time.Duration // from the hollow front ends' start until then
+	opts         *Options
+	plan         *plan
+	dir          string
+	discovery    *site.StubDiscovery
+	workers      []*workerHandle
+	processes    []*programProcess
+	fleetSection json.RawMessage // of the installation
+	startCount   uint64          // of hollow front ends
+	running      map[*frontEnd]processStart
+	tracker      changeTracker
+	startReading reading       // at the end of startWindow; empty if the traffic of the start is not counted
+	startWindow  time.Duration // from the start of the hollow front ends until startReading; 0 if there is none
 }
 
-// Check refuses what can't be run, before anything starts; errors name the flag.
-func Check(o *Options) error { _, err := check(o); return err }
+// Check returns an error that names the flag if a run with these options is not possible. It starts nothing.
+func Check(o *Options) error { _, err := newCheckedPlan(o); return err }
 
-func check(o *Options) (*plan, error) {
+// newCheckedPlan checks the options against their ranges and the limits of the machine, and plans the run.
+func newCheckedPlan(o *Options) (*plan, error) {
 	if err := o.Shape.Check(); err != nil {
 		return nil, err
 	}
 	if err := scale.CheckFaults(o.Faults, o.Shape); err != nil {
 		return nil, err
 	}
-	if err := checkFaults(o.Faults); err != nil {
+	if err := checkSupported(o.Faults); err != nil {
 		return nil, err
 	}
 	if o.Real < 0 || o.Real >= o.Shape.Controls {
 		return nil, &scale.FlagError{Flag: "real", Value: o.Real, Reason: "leaves no hollow control member"}
 	}
-	if o.Changes < 0 || o.Changes > mostChanges {
-		return nil, &scale.FlagError{Flag: "changes", Value: o.Changes, Reason: fmt.Sprintf("is not from 0 to %d", mostChanges)}
+	if o.Changes < 0 || o.Changes > maxChanges {
+		return nil, &scale.FlagError{Flag: "changes", Value: o.Changes,
+			Reason: fmt.Sprintf("is not from 0 to %d", maxChanges)}
 	}
-	if o.Over < 0 || o.Over > mostOver {
-		return nil, &scale.FlagError{Flag: "over", Value: o.Over, Reason: fmt.Sprintf("is not from 0 to %s", mostOver)}
+	if o.Over < 0 || o.Over > maxOver {
+		return nil, &scale.FlagError{Flag: "over", Value: o.Over, Reason: fmt.Sprintf("is not from 0 to %s", maxOver)}
 	}
 	if o.Real > 0 {
 		if info, err := os.Stat(o.Program); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-			return nil, &scale.FlagError{Flag: "program", Value: o.Program, Reason: "is no program: 'make build' makes it"}
+			return nil, &scale.FlagError{Flag: "program", Value: o.Program,
+				Reason: "is not an executable file; 'make build' builds the program"}
 		}
 	}
 	limits, err := scale.ReadLimits()
@@ -74,135 +79,138 @@
 		return nil, err
 	}
 	p := newPlan(o)
-	return p, p.needs(o).Check(limits)
+	return p, p.requirements(o).Check(limits)
 }
 
 const (
-	mostChanges = 50
-	mostOver    = 2 * time.Minute
+	maxChanges = 50
+	maxOver    = 2 * time.Minute
 )
 
-// Run runs a fleet and measures it. All that it starts has ended when it returns.
+// Run runs a fleet and measures it. All processes that it starts have ended when it returns.
 func Run(o *Options) (*scale.Result, error) {
-	plan, err := check(o)
+	plan, err := newCheckedPlan(o)
 	if err != nil {
 		return nil, err
 	}
-	if err := plan.place(o); err != nil {
+	if err := plan.assignAddresses(o); err != nil {
 		return nil, err
 	}
-	r := &run{o: o, plan: plan, running: map[*front]started{}}
-	defer r.end()
-	if err := r.begin(); err != nil {
+	r := &run{opts: o, plan: plan, running: map[*frontEnd]processStart{}}
+	defer r.cleanUp()
+	if err := r.setUp(); err != nil {
 		return nil, err
 	}
 	return r.measure()
 }
 
-// begin starts all and waits until all see all.
-func (r *run) begin() (err error) {
+// setUp starts all front ends, and waits until all see all others and the traffic of the start has ended.
+func (r *run) setUp() (err error) {
 	if r.dir, err = os.MkdirTemp("", "chutechute-scale-"); err != nil {
 		return fmt.Errorf("sockets: %w", err)
 	}
-	if r.journal, err = site.NewStubDiscovery(); err != nil {
+	if r.discovery, err = site.NewStubDiscovery(); err != nil {
 		return err
 	}
-	if r.section, err = json.Marshal(r.plan.section(r.o.Shape)); err != nil {
+	if r.fleetSection, err = json.Marshal(r.plan.fleetSection(r.opts.Shape)); err != nil {
 		return fmt.Errorf("sockets: %w", err)
 	}
-	if err := r.beginHollows(); err != nil {
+	if err := r.startWorkers(); err != nil {
 		return err
 	}
 	for _, f := range r.plan.real {
-		p := &process{front: f, dir: r.dir, program: r.o.Program, journal: r.journal.Addr(), total: r.o.Shape.Total(),
-			sockets: socketsShare * r.o.linksOfControl(), section: r.section}
+		p := &programProcess{frontEnd: f, dir: r.dir, program: r.opts.Program, discoveryAddr: r.discovery.Addr(),
+			siteSize: r.opts.Shape.Total(), socketLimit: socketLimitPerLink * r.opts.linksPerControl(),
+			fleetSection: r.fleetSection}
 		r.processes = append(r.processes, p)
 		if err := r.start(f); err != nil {
 			return err
 		}
 	}
-	began := time.Now()
+	start := time.Now()
 	if err := r.startAll(); err != nil {
 		return err
 	}
-	if err := r.assemble(); err != nil {
+	if err := r.awaitFullViews(); err != nil {
 		return err
 	}
 	assembled := time.Now()
-	r.o.Progress("%d front ends see one another after %.1f s", r.o.Shape.Total(), assembled.Sub(began).Seconds())
-	if r.o.Shape.Attached() > 0 && r.o.Start > 0 && r.o.Over == 0 {
-		if err := r.first(began); err != nil {
+	r.opts.Progress("all %d front ends see one another after %.1f s", r.opts.Shape.Total(), assembled.Sub(start).Seconds())
+	if r.opts.Shape.Attached() > 0 && r.opts.Start > 0 && r.opts.Over == 0 {
+		if err := r.readStartTraffic(start); err != nil {
 			return err
 		}
 	}
-	time.Sleep(time.Until(assembled.Add(settleSpan)))
+	time.Sleep(time.Until(assembled.Add(settleDuration)))
 	return nil
 }
 
-// first counts what the start of the whole fleet at once cost, in which snapshots go out.
-func (r *run) first(began time.Time) (err error) {
-	time.Sleep(time.Until(began.Add(r.o.Start)))
-	if r.atStart, err = r.read(); err != nil {
+// readStartTraffic takes a reading at the end of the start window, for the cost of starting the whole fleet at once,
+// which includes snapshots.
+func (r *run) readStartTraffic(start time.Time) (err error) {
+	time.Sleep(time.Until(start.Add(r.opts.Start)))
+	if r.startReading, err = r.takeReading(); err != nil {
 		return err
 	}
-	r.started = r.atStart.at.Sub(began)
+	r.startWindow = r.startReading.at.Sub(start)
 	return nil
 }
 
-// beginHollows starts the processes of hollow front ends, and sees what they take while they have none.
-func (r *run) beginHollows() error {
-	installation, err := json.Marshal(map[string]json.RawMessage{"fleet": r.section})
+// startWorkers starts the workers, and measures what they use before they have front ends.
+func (r *run) startWorkers() error {
+	installation, err := json.Marshal(map[string]json.RawMessage{"fleet": r.fleetSection})
 	if err != nil {
 		return fmt.Errorf("sockets: %w", err)
 	}
-	most := r.o.Over + r.o.Shape.MeasuredDuration() + overhead
-	r.o.Progress("%d processes of hollow front ends, %d of the program", len(r.plan.groups), len(r.plan.real))
+	maxDuration := r.opts.Over + r.opts.Shape.MeasuredDuration() + workerTimeoutMargin
+	r.opts.Progress("starting %d workers and %d processes of the program", len(r.plan.groups), len(r.plan.real))
 	for _, group := range r.plan.groups {
-		h, err := startHollows(r.o.Worker, group, most)
+		h, err := startWorker(r.opts.Worker, group, maxDuration)
 		if err != nil {
 			return err
 		}
-		r.hollows = append(r.hollows, h)
-		if err := h.setup(installation); err != nil {
+		r.workers = append(r.workers, h)
+		if err := h.beginIdle(installation); err != nil {
 			return err
 		}
 	}
-	time.Sleep(idleSpan)
-	for _, h := range r.hollows {
-		if err := h.rested(); err != nil {
+	time.Sleep(idleDuration)
+	for _, h := range r.workers {
+		if err := h.endIdle(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// assemble waits until all hollow front ends see all others.
-func (r *run) assemble() error {
+// awaitFullViews waits until all hollow front ends see all others. The error lists those that do not.
+func (r *run) awaitFullViews() error {
 	missing := ""
-	for until := time.Now().Add(assembleWait); time.Now().Before(until); time.Sleep(assembleEvery) {
+	for until := time.Now().Add(assembleTimeout); time.Now().Before(until); time.Sleep(assemblePollInterval) {
 		missing = ""
-		for _, h := range r.hollows {
-			reply, err := h.ask(request{Op: opSeen, Total: r.o.Shape.Total()})
+		for _, h := range r.workers {
+			reply, err := h.call(request{Op: opSeen, Total: r.opts.Shape.Total()})
 			if err != nil {
 				return err
 			}
-			if reply.Seen < len(h.fronts) {
-				missing += fmt.Sprintf(" %d of %s..%s, the least %d;", len(h.fronts)-reply.Seen, h.fronts[0].name,
-					h.fronts[len(h.fronts)-1].name, reply.Least)
+			if reply.Seen < len(h.frontEnds) {
+				missing += fmt.Sprintf(" %d of %s..%s, which see %d or more;", len(h.frontEnds)-reply.Seen, h.frontEnds[0].name,
+					h.frontEnds[len(h.frontEnds)-1].name, reply.Least)
 			}
 		}
 		if missing == "" {
 			return nil
 		}
 	}
-	r.o.Progress("longest turns of the loops: %s", r.longestTurns())
-	return fmt.Errorf("sockets: after %s not all front ends see all %d:%s", assembleWait, r.o.Shape.Total(), missing)
+	r.opts.Progress("longest turns of the workers' event loops: %s", r.longestTurns())
+	return fmt.Errorf("sockets: after %s some front ends do not see all %d:%s", assembleTimeout, r.opts.Shape.Total(),
+		missing)
 }
 
-// longestTurns is those of the loops since they were last asked, for a run that comes to nothing.
+// longestTurns lists the longest turn of each worker's event loop since the last figures, to explain a failed run.
 func (r *run) longestTurns() string {
 	var list []string
-	for _, h := range r.hollows {
+	for _, h := range r.workers {
 		f, err := h.figures(false)
 		if err != nil {
 			return err.Error()
@@ -212,30 +220,30 @@
 	return strings.Join(list, ", ")
 }
 
-// end ends all that was started, and takes the files away.
-func (r *run) end() {
-	for _, h := range r.hollows {
-		if err := h.end(); err != nil {
-			r.o.Progress("a process of hollow front ends: %v", err)
+// cleanUp ends all workers and processes, and deletes the files of the run.
+func (r *run) cleanUp() {
+	for _, h := range r.workers {
+		if err := h.stop(); err != nil {
+			r.opts.Progress("worker: %v", err)
 		}
 	}
 	for _, p := range r.processes {
 		p.kill()
 	}
-	if r.journal != nil {
-		r.journal.Close()
+	if r.discovery != nil {
+		r.discovery.Close()
 	}
 	if r.dir != "" && strings.Contains(r.dir, "chutechute-scale-") {
 		if err := os.RemoveAll(r.dir); err != nil {
-			r.o.Progress("%v", err)
+			r.opts.Progress("%v", err)
 		}
 	}
 }
 
-// hollowsOf is the worker that has a front end; nil for a real one.
-func (r *run) hollowsOf(f *front) *hollows {
-	for _, h := range r.hollows {
-		for _, other := range h.fronts {
+// workerOf returns the worker that has a front end, or nil for a process of the program.
+func (r *run) workerOf(f *frontEnd) *workerHandle {
+	for _, h := range r.workers {
+		for _, other := range h.frontEnds {
 			if other == f {
 				return h
 			}
@@ -244,10 +252,10 @@
 	return nil
 }
 
-// processOf is a real front end's process; nil for a hollow one.
-func (r *run) processOf(f *front) *process {
+// processOf returns the process of a front end, or nil for a hollow one.
+func (r *run) processOf(f *frontEnd) *programProcess {
 	for _, p := range r.processes {
-		if p.front == f {
+		if p.frontEnd == f {
 			return p
 		}
 	}
--- a/internal/scale/sockets/run_test.go
+++ b/internal/scale/sockets/run_test.go
@@ -20,8 +20,8 @@
 	return &Options{Shape: shape, Faults: faults, Script: script, Progress: t.Logf}
 }
 
-// Six control members over real links: each has a link to and from each other, what one side sends the others take, and a heartbeat
-// tells of all others. One that is killed and started is seen by all.
+// In a fleet of six control members each has a link to and from each other one, messages are sent and received, and a
+// heartbeat has reports on all others. The end and the start of one are seen by all.
 func TestSixControlMembers(t *testing.T) {
 	o := options(t, scale.Shape{Controls: 6, Zones: 3, Seconds: 3, Seed: 6}, "")
 	o.Changes = 1
@@ -43,13 +43,13 @@
 		}
 	}
 	size := points["a control member, a heartbeat's payload bytes"]
-	assert.Greater(t, size, 5*15.0, "five reports of a name, a number and an age")
+	assert.Greater(t, size, 5*15.0, "five reports of a name, an incarnation and an age")
 	assert.Less(t, size, 200.0)
 	assert.Equal(t, 1.0, points["ends seen by all, count"])
 }
 
-// Attached front ends keep two links each, whatever their number, and at rest send little over them. One that is killed and started
-// is seen by all of both roles.
+// Attached front ends have two links each, whatever their number, and little traffic while nothing changes. The end and
+// the start of one are seen by all front ends of both roles.
 func TestAttachedFrontEnds(t *testing.T) {
 	o := options(t, scale.Shape{FrontEnds: 20, Controls: 4, Zones: 2, Seconds: 3, Seed: 9}, "")
 	o.Changes, o.Start = 1, time.Second
@@ -67,18 +67,20 @@
 	assert.Equal(t, 1, r.Spread.Count)
 }
 
-// A script's faults befall whom it names, and the fleet is whole again after them.
-func TestScriptOfFaults(t *testing.T) {
+// Faults affect the targets that the script names, and afterwards all front ends see all others again.
+func TestFaultScriptIsCarriedOut(t *testing.T) {
 	o := options(t, scale.Shape{Controls: 5, Zones: 2, Seconds: 4, Seed: 7},
-		"100ms restart control 2; 200ms kill control 1 for 500ms; 300ms stop control 5 for 400ms; 1s restart zone b over 200ms")
+		"100ms restart control 2; 200ms kill control 1 for 500ms; 300ms stop control 5 for 400ms; "+
+			"1s restart zone b over 200ms")
 	r, err := Run(o)
 	require.NoError(t, err)
-	assert.Equal(t, 4, r.Spread.Count+r.Spread.Unreached, "four starts: control 2 twice, as it is of zone b, 1 and 4")
+	assert.Equal(t, 4, r.Spread.Count+r.Spread.Unreached,
+		"four starts: control 1, control 4, and twice control 2, which is in zone b")
 	assert.Zero(t, r.Spread.Unreached)
 }
 
-// What can't be run is refused with the flag before anything starts.
-func TestRefusedBeforeAnythingStarts(t *testing.T) {
+// Invalid options are rejected with an error that names the flag, before anything is started.
+func TestInvalidOptionsAreRejectedBeforeTheStart(t *testing.T) {
 	good := scale.Shape{Controls: 5, Zones: 2, Seconds: 2, Seed: 8}
 	for flag, change := range map[string]func(*Options){
 		"--control:": func(o *Options) { o.Shape.Controls = 0 },
@@ -99,29 +101,30 @@
 	}
 }
 
-// A fleet beyond the machine's limits is refused with the limit's name.
-func TestNeedsGrowWithTheFleet(t *testing.T) {
+// The error for a fleet that exceeds a limit of the machine names the limit.
+func TestLargeFleetExceedsTheLimits(t *testing.T) {
 	o := options(t, scale.Shape{Controls: 53, FrontEnds: 2700, Zones: 23, Seconds: 2}, "")
-	n := newPlan(o).needs(o)
-	assert.Equal(t, "front-ends", n.Flag)
-	err := n.Check(scale.Limits{Descriptors: 100, Ports: n.Ports, Processes: n.Processes, MemoryBytes: n.MemoryBytes})
+	needed := newPlan(o).requirements(o)
+	assert.Equal(t, "front-ends", needed.Flag)
+	err := needed.Check(scale.Limits{Descriptors: 100, Ports: needed.Ports, Processes: needed.Processes,
+		MemoryBytes: needed.MemoryBytes})
 	var limit *scale.LimitError
 	require.ErrorAs(t, err, &limit)
 	assert.Contains(t, limit.Limit, "RLIMIT_NOFILE")
 }
 
-// All front ends are planned once; a process has one role and a bounded number of them.
+// The plan has each front end once, and each worker has a limited number of front ends, all of one role.
 func TestPlan(t *testing.T) {
 	o := options(t, scale.Shape{Controls: 53, FrontEnds: 2700, Zones: 23}, "")
 	o.Real = 3
 	p := newPlan(o)
 	seen := map[string]bool{}
 	for _, group := range p.groups {
-		most := mostControlsAProcess
+		maxSize := maxControlsPerWorker
 		if group[0].attached {
-			most = mostAttachedAProcess
+			maxSize = maxAttachedPerWorker
 		}
-		assert.LessOrEqual(t, len(group), most)
+		assert.LessOrEqual(t, len(group), maxSize)
 		for _, f := range group {
 			assert.Equal(t, group[0].attached, f.attached)
 			assert.False(t, seen[f.name])
@@ -130,48 +133,49 @@
 	}
 	assert.Len(t, seen, 2697)
 	assert.Len(t, p.real, 3)
-	assert.Len(t, p.section(o.Shape)["members"], 53)
+	assert.Len(t, p.fleetSection(o.Shape)["members"], 53)
 }
 
-// A worker refuses what it can't do, and ends with its input.
+// A worker replies with an error to an invalid request, and ends at the end of its input.
 func TestWorkerEndsWithItsInput(t *testing.T) {
 	requests, in := io.Pipe()
 	out, replies := io.Pipe()
-	over := make(chan error, 1)
-	go func() { over <- Work(requests, replies, time.Minute) }()
+	exited := make(chan error, 1)
+	go func() { exited <- Work(requests, replies, time.Minute) }()
 	c := newClient(in, out)
 	for _, q := range []request{{Op: opStart, Member: "c001"}, {Op: opKill, Member: "c001"}, {Op: opPause, Member: "c001"},
 		{Op: "dance"}, {Op: opSetup, Section: json.RawMessage(`{"fleet": {"quota": 1}}`)}} {
-		_, err := c.ask(q)
+		_, err := c.call(q)
 		assert.Error(t, err, q.Op)
 	}
-	r, err := c.ask(request{Op: opAwait, Change: &peering.Change{Name: "c001"}})
+	r, err := c.call(request{Op: opAwait, Change: &peering.Change{Name: "c001"}})
 	require.NoError(t, err)
-	assert.Zero(t, r.SeenAt, "none is here to see it")
+	assert.Zero(t, r.SeenAt, "no front end is running that could see it")
 	in.Close()
 	select {
-	case err := <-over:
+	case err := <-exited:
 		assert.NoError(t, err)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the worker goes on")
+		t.Fatal("the worker is still running")
 	}
 }
 
-// Over a span control members start first, since the others attach to them; at once the processes take turns. All start once.
+// If all start at once, the order takes one front end of each worker in turn. If the starts are spread over a time,
+// control members come first, since the others attach to them. Each front end starts once.
 func TestStartOrder(t *testing.T) {
 	o := options(t, scale.Shape{Controls: 25, FrontEnds: 700, Zones: 3}, "")
 	p := newPlan(o)
-	r := &run{o: o, plan: p}
+	r := &run{opts: o, plan: p}
 	for _, group := range p.groups {
-		r.hollows = append(r.hollows, &hollows{fronts: group})
+		r.workers = append(r.workers, &workerHandle{frontEnds: group})
 	}
-	turns := r.startOrder()
-	assert.Len(t, turns, 700)
-	assert.False(t, turns[0].attached)
-	assert.True(t, turns[len(p.groups)-1].attached)
+	inTurns := r.startOrder()
+	assert.Len(t, inTurns, 700)
+	assert.False(t, inTurns[0].attached)
+	assert.True(t, inTurns[len(p.groups)-1].attached)
 	o.Over = time.Second
 	order := r.startOrder()
-	assert.ElementsMatch(t, turns, order)
+	assert.ElementsMatch(t, inTurns, order)
 	for i, f := range order {
 		assert.Equal(t, i >= 25, f.attached)
 	}
--- a/internal/scale/sockets/usage.go
+++ b/internal/scale/sockets/usage.go
@@ -13,28 +13,29 @@
 	"chutechute/internal/monotime"
 )
 
-// ownCPU is the processor time that this process has taken.
+// ownCPU returns the processor time that this process has used.
 func ownCPU() monotime.Micros {
 	var usage unix.Rusage
-	if unix.Getrusage(unix.RUSAGE_SELF, &usage) != nil { // it never fails for the process itself
+	if unix.Getrusage(unix.RUSAGE_SELF, &usage) != nil { // never fails for the calling process
 		return 0
 	}
 	return usage.Utime.Nano()/1000 + usage.Stime.Nano()/1000
 }
 
-// ownMemory is this process's resident memory and live heap. Collect frees what can be freed first.
+// ownMemory returns this process's resident memory and the bytes of its heap that are in use. With collect it first
+// collects garbage and returns free memory to the operating system.
 func ownMemory(collect bool) (resident, heap int64, err error) {
 	if collect {
 		debug.FreeOSMemory()
 	}
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	resident, err = residentOf("self")
+	resident, err = residentMemory("self")
 	return resident, int64(memory.HeapAlloc), err
 }
 
-// residentOf is a process's resident memory in bytes.
-func residentOf(pid string) (int64, error) {
+// residentMemory returns a process's resident memory in bytes. The pid may be "self".
+func residentMemory(pid string) (int64, error) {
 	text, err := os.ReadFile("/proc/" + pid + "/statm")
 	if err != nil {
 		return 0, fmt.Errorf("sockets: %w", err)
@@ -46,30 +47,30 @@
 	return resident * int64(os.Getpagesize()), nil
 }
 
-// The fields of /proc/PID/stat behind the program's name, and the clock that they count by.
+// Indexes of fields of /proc/PID/stat, counted from the end of the program's name, and the unit of these fields.
 const (
-	statUser   = 12
-	statSystem = 13
-	statTick   = 10_000 // microseconds
+	statUserTime    = 12
+	statSystemTime  = 13
+	clockTickMicros = 10_000 // USER_HZ is 100
 )
 
-// cpuOf is the processor time that a process has taken.
-func cpuOf(pid int) (monotime.Micros, error) {
+// processCPU returns the processor time that a process has used.
+func processCPU(pid int) (monotime.Micros, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, fmt.Errorf("sockets: %w", err)
 	}
 	words := bytes.Fields(text[bytes.LastIndexByte(text, ')'):])
-	if len(words) <= statSystem {
+	if len(words) <= statSystemTime {
 		return 0, fmt.Errorf("sockets: /proc/%d/stat: too short", pid)
 	}
-	user, err := strconv.ParseInt(string(words[statUser]), 10, 64)
+	user, err := strconv.ParseInt(string(words[statUserTime]), 10, 64)
 	if err != nil {
 		return 0, fmt.Errorf("sockets: /proc/%d/stat: %w", pid, err)
 	}
-	system, err := strconv.ParseInt(string(words[statSystem]), 10, 64)
+	system, err := strconv.ParseInt(string(words[statSystemTime]), 10, 64)
 	if err != nil {
 		return 0, fmt.Errorf("sockets: /proc/%d/stat: %w", pid, err)
 	}
-	return (user + system) * statTick, nil
+	return (user + system) * clockTickMicros, nil
 }
--- a/internal/scale/sockets/worker.go
+++ b/internal/scale/sockets/worker.go
@@ -16,19 +16,21 @@
 	"chutechute/internal/testharness/site"
 )
 
-// worker is a process of hollow front ends, or one within a test.
+// worker runs hollow front ends and carries out requests. It is a process of the tool, or runs within the measuring
+// process.
 type worker struct {
-	hollow  *peering.Hollow
-	replies *json.Encoder
-	section *config.Fleet
-	site    *settings.Settings
-	names   []string        // of the front ends that run
-	ended   peering.Traffic // of those that were killed
-	failure error           // of writing a reply
+	hollow        *peering.Hollow
+	replies       *json.Encoder
+	fleetSection  *config.Fleet
+	siteSettings  *settings.Settings
+	names         []string        // of the running front ends
+	killedTraffic peering.Traffic // of killed front ends
+	replyErr      error           // the first error of writing a reply
 }
 
-// Work carries out requests from in, a line each, and replies on out, until the end is asked for, in ends, or most has passed.
-func Work(in io.Reader, out io.Writer, most time.Duration) error {
+// Work runs a worker: it reads requests from in, one per line, and writes replies to out. It returns after opEnd, at
+// the end of in, or after maxDuration.
+func Work(in io.Reader, out io.Writer, maxDuration time.Duration) error {
 	hollow, err := peering.NewHollow()
 	if err != nil {
 		return err
@@ -38,16 +40,16 @@
 	if err != nil {
 		return fmt.Errorf("sockets: %w", err)
 	}
-	w := &worker{hollow: hollow, replies: json.NewEncoder(out), site: parsed}
-	go w.read(in)
-	if err := hollow.Run(hollow.Now() + most.Microseconds()); err != nil {
+	w := &worker{hollow: hollow, replies: json.NewEncoder(out), siteSettings: parsed}
+	go w.readRequests(in)
+	if err := hollow.Run(hollow.Now() + maxDuration.Microseconds()); err != nil {
 		return err
 	}
-	return w.failure
+	return w.replyErr
 }
 
-// read hands requests to the loop.
-func (w *worker) read(in io.Reader) {
+// readRequests posts each request to the loop. It stops the loop at the end of in.
+func (w *worker) readRequests(in io.Reader) {
 	decoder := json.NewDecoder(in)
 	for {
 		var q request
@@ -55,21 +57,21 @@
 			w.hollow.Stop()
 			return
 		}
-		w.hollow.Post(func() { w.take(&q) })
+		w.hollow.Post(func() { w.handle(&q) })
 	}
 }
 
-// reply writes a reply; the loop stops where that fails, since nobody listens any more.
+// reply writes a reply. It stops the loop if that fails, since nothing reads the replies any more.
 func (w *worker) reply(r reply) {
 	r.At = w.hollow.Now()
-	if err := w.replies.Encode(r); err != nil && w.failure == nil {
-		w.failure = fmt.Errorf("sockets: reply: %w", err)
+	if err := w.replies.Encode(r); err != nil && w.replyErr == nil {
+		w.replyErr = fmt.Errorf("sockets: reply: %w", err)
 		w.hollow.Stop()
 	}
 }
 
-// take carries out one request.
-func (w *worker) take(q *request) {
+// handle carries out a request and replies, for opAwait once all front ends have seen the change.
+func (w *worker) handle(q *request) {
 	r := reply{ID: q.ID}
 	var err error
 	switch q.Op {
@@ -89,11 +91,11 @@
 		w.hollow.AwaitChange(*q.Change, func(seen monotime.Micros) { w.reply(reply{ID: q.ID, SeenAt: seen}) })
 		return
 	case opWaiting:
-		r.Waiting = w.waiting()
+		r.Waiting = w.describePending()
 	case opEnd:
 		w.hollow.Stop()
 	default:
-		err = fmt.Errorf("sockets: unknown request %q", q.Op)
+		err = fmt.Errorf("sockets: unknown operation %q", q.Op)
 	}
 	if err != nil {
 		r.Error = err.Error()
@@ -106,19 +108,19 @@
 	if err != nil {
 		return err
 	}
-	w.section = &installation.Fleet
+	w.fleetSection = &installation.Fleet
 	return nil
 }
 
-var errNoSetup = errors.New("sockets: start before setup")
+var errNoSetup = errors.New("sockets: start requested before setup")
 
 func (w *worker) start(q *request) (incarnation uint64, err error) {
-	if w.section == nil {
+	if w.fleetSection == nil {
 		return 0, errNoSetup
 	}
-	section := *w.section
+	section := *w.fleetSection
 	section.Zone = q.Zone
-	peers, err := section.Options(q.Member, w.site, site.MemoryLimitMB)
+	peers, err := section.Options(q.Member, w.siteSettings, site.MemoryLimitMB)
 	if err != nil {
 		return 0, err
 	}
@@ -133,7 +135,7 @@
 	if err := w.hollow.Kill(name); err != nil {
 		return err
 	}
-	w.ended = w.ended.Plus(traffic)
+	w.killedTraffic = w.killedTraffic.Plus(traffic)
 	for i, n := range w.names {
 		if n == name {
 			w.names = append(w.names[:i], w.names[i+1:]...)
@@ -143,10 +145,11 @@
 	return nil
 }
 
-// figures reads memory first: what a collection of garbage takes is not to count as idle.
+// figures collects garbage and reads the memory before it reads the processor time, so that the time of the garbage
+// collection is not counted in the idle span that follows.
 func (w *worker) figures(collect bool) (*figures, error) {
 	resident, heap, err := ownMemory(collect)
-	f := &figures{CPU: ownCPU(), Resident: resident, Heap: heap, Traffic: w.ended, Members: len(w.names),
+	f := &figures{CPU: ownCPU(), Resident: resident, Heap: heap, Traffic: w.killedTraffic, Members: len(w.names),
 		LongestTurn: w.hollow.LongestTurn()}
 	for _, name := range w.names {
 		traffic, _ := w.hollow.Traffic(name)
@@ -156,14 +159,14 @@
 	return f, err
 }
 
-// waiting is who has not seen which change, in words.
-func (w *worker) waiting() (list []string) {
+// describePending lists the changes that some front ends here have not seen, with the names of these front ends.
+func (w *worker) describePending() (list []string) {
 	for change, names := range w.hollow.PendingChanges() {
-		what := "start"
+		event := "start"
 		if change.Removed {
-			what = "end"
+			event = "end"
 		}
-		list = append(list, fmt.Sprintf("the %s of %s: %s", what, change.Name, strings.Join(names, " ")))
+		list = append(list, fmt.Sprintf("%s of %s: %s", event, change.Name, strings.Join(names, " ")))
 	}
 	slices.Sort(list)
 	return list
