--- a/fleet/actions.go
+++ b/fleet/actions.go
@@ -5,7 +5,7 @@
 	"chutechute/internal/monotime"
 )
 
-// Action is something for the caller to carry out: a Send, a CloseLink or a replication.Save.
+// Action is an operation for the caller to carry out: a Send, a CloseLink or a replication.Save.
 type Action any
 
 // Send sends a message to another front end. Its body may be shared with other messages and must not be changed.
--- a/fleet/failuredetector.go
+++ b/fleet/failuredetector.go
@@ -28,9 +28,9 @@
 }
 
 // Unreachable implements replication.FailureDetector. Where front ends may attach, it returns false for any process
-// that is not a control member's, because this version does not offer the requests that an attached front end has in
-// flight to other front ends. They end by their own time-out, and a retry gets the answer that the outcome is unknown.
-// A request that an attached front end transfers itself has no owner, and is offered.
+// that is not a control member's, because in this version no other front end takes over the requests that an attached
+// front end has in flight. They end by their own timeout, and a retry gets the answer that the outcome is unknown. A
+// request that an attached front end transfers itself has no owner (incarnation 0), and can be taken over.
 func (d failureDetector) Unreachable(i replication.Incarnation) bool {
 	n, incarnation := d.node, uint64(i)
 	switch {
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -41,7 +41,7 @@
 	return membership.Link{From: l.From, Zone: l.Zone, Incarnation: l.Incarnation, ChallengedAt: l.ChallengedAt}
 }
 
-// attachedLink converts in the opposite direction to membershipLink.
+// attachedLink is the inverse of membershipLink.
 func attachedLink(l membership.Link) Link {
 	return Link{From: l.From, Zone: l.Zone, Incarnation: l.Incarnation, ChallengedAt: l.ChallengedAt, Attached: true}
 }
