--- a/fleet/heartbeat/monitor.go
+++ b/fleet/heartbeat/monitor.go
@@ -9,7 +9,7 @@
 //
 // Only one conclusion is certain: an incarnation is dead once a later incarnation runs under its name. The order of
 // messages does not tell which of two incarnations is the later one, because messages of a dead process may still be in
-// flight. The handshakes tell it: a process that answered a challenge was alive after the challenge was sent from here,
+// flight. The handshakes do: a process that answered a challenge was alive after the challenge was sent from here,
 // and no two processes of one name are alive at once, so the process whose challenge was sent later is the later one.
 //
 // The package is a stepped module: it does no I/O, reads no clock, starts no goroutine and depends on no map order.
@@ -25,10 +25,10 @@
 
 // Config sets the time limits of the failure detector.
 type Config struct {
-	SuspectAfter monotime.Micros // without a heartbeat
-	DeadAfter    monotime.Micros // without a heartbeat at any front end
+	SuspectAfter monotime.Micros // a peer is suspect after this time without a heartbeat at any front end
+	DeadAfter    monotime.Micros // a peer is presumed dead after this time without a heartbeat at any front end
 	// PauseThreshold is the longest gap between two calls in normal operation. A longer gap shows that this process
-	// itself was paused; that it received no heartbeats in that time says nothing about its peers.
+	// itself was paused, so that it received no heartbeats in that time, whatever the state of its peers.
 	PauseThreshold monotime.Micros
 }
 
@@ -145,8 +145,8 @@
 	return slices.ContainsFunc(m.peers, func(p *Peer) bool { return p.wasSuperseded(incarnation) })
 }
 
-// Unreachable reports whether no front end receives heartbeats from a process now. An unknown process is unreachable
-// once a heartbeat of each peer was received.
+// Unreachable reports whether no front end has received a heartbeat from a process for SuspectAfter. An unknown
+// process is unreachable once a heartbeat of each peer was received.
 func (m *Monitor) Unreachable(incarnation uint64) bool {
 	allSeen := true
 	for _, p := range m.peers {
--- a/fleet/heartbeat/peer.go
+++ b/fleet/heartbeat/peer.go
@@ -6,17 +6,17 @@
 	"chutechute/internal/monotime"
 )
 
-// State is how this front end sees a peer.
+// State is the state of a peer, as this front end sees it.
 type State int
 
 // The states of a peer.
 const (
 	NeverSeen       State = iota // no heartbeat was received since this process started
-	Alive                        // a heartbeat was received recently
-	IndirectlyAlive              // no heartbeat was received recently, but another peer reports one
+	Alive                        // a heartbeat was received within SuspectAfter
+	IndirectlyAlive              // no heartbeat was received within SuspectAfter, but another peer reports one
 	Suspect                      // no front end has received a heartbeat for SuspectAfter
 	Dead                         // no front end has received a heartbeat for DeadAfter
-	Left                         // it announced that it leaves, and no heartbeat was received since
+	Left                         // it announced that it leaves; no front end has received a heartbeat for SuspectAfter
 )
 
 // String returns the state's name as operators see it.
@@ -36,7 +36,7 @@
 	lastReported     monotime.Micros // when its last heartbeat was received by another peer, as far as reported
 	lastChallengedAt monotime.Micros // when the challenge of this incarnation's newest link was sent from here
 	leaving          bool            // its last heartbeat announced that it leaves
-	superseded       []uint64        // earlier incarnations, oldest first; none of them is alive any more
+	superseded       []uint64        // earlier incarnations, oldest first; none of them is still alive
 }
 
 // maxSuperseded bounds the earlier incarnations that are remembered for one name.
--- a/fleet/heartbeat/report.go
+++ b/fleet/heartbeat/report.go
@@ -41,7 +41,7 @@
 }
 
 // ReportsField encodes or decodes a repeated field of reports. It has the wire format of fieldcodec.Messages, but
-// avoids the indirect call of Report.Fields there, for which the compiler would allocate a fieldcodec.Fields for each
+// avoids the indirect call of Report.Fields there, which would cost a heap allocation of a fieldcodec.Fields for each
 // report of each heartbeat.
 func ReportsField(f *fieldcodec.Fields, number protowire.Number, reports *[]Report) {
 	if f.Decoding(number) {
