--- a/fleet/replication/command.go
+++ b/fleet/replication/command.go
@@ -47,9 +47,9 @@
 type Response struct {
 	// Sequence is the number that the proposer gave the command.
 	Sequence uint64
-	// Result says whether the command was committed, and if not, why.
+	// Result reports whether the command was committed, and if not, why.
 	Result Result
-	// Leader is the ID of the leader that is known to a replica that rejects the proposal; 0 if it knows none.
+	// Leader is the replica ID of the leader as known to the replica that rejects the proposal; 0 if it knows none.
 	Leader uint64
 	// Body is the state machine's response, if the command was committed.
 	Body []byte
--- a/fleet/replication/config.go
+++ b/fleet/replication/config.go
@@ -16,8 +16,8 @@
 	Replicas int
 	// TickInterval is the length of a Raft tick, the unit of the heartbeat and election timeouts.
 	TickInterval monotime.Micros
-	// ReplaceAfter is the time since a replica was last heard from after which it is replaced, if another front end
-	// can become a replica.
+	// ReplaceAfter is the time after which a replica is replaced if it was not alive and sent no message, provided that
+	// another front end can become a replica.
 	ReplaceAfter monotime.Micros
 	// SnapshotLogBytes is the number of bytes applied from the log after which a snapshot is taken.
 	SnapshotLogBytes int
--- a/fleet/replication/doc.go
+++ b/fleet/replication/doc.go
@@ -13,8 +13,8 @@
 //  3. All replicas apply the same commands in the same order. A checksum over all responses shows where they diverge.
 //
 // None of this depends on clocks, on the order of messages, or on the assumption that a silent process is dead. Time
-// only decides when to start an election, and when to replace a replica that has not been heard from. Replacing a
-// replica that is still alive is safe.
+// only decides when to start an election, and when to replace an unresponsive replica. Replacing a replica that is
+// still alive is safe.
 //
 // Replica is a stepped module: events and time go in, actions come out. It does no I/O, reads no clock, and starts no
 // goroutine.
--- a/fleet/replication/errors.go
+++ b/fleet/replication/errors.go
@@ -2,7 +2,8 @@
 
 import "errors"
 
-// ErrLogGap says that the persisted state lacks log entries between the end of the snapshot and the start of the log.
+// ErrLogGap is returned if the persisted state lacks log entries between the end of the snapshot and the start of the
+// log.
 var ErrLogGap = errors.New("replication: log entries between the snapshot and the log are missing")
 
 // InvariantError reports that the Raft library found an inconsistent state of a replica, such as a commit index beyond
--- a/fleet/replication/membership.go
+++ b/fleet/replication/membership.go
@@ -20,10 +20,10 @@
 // membershipManager manages the set of replicas while this one is the leader. It maintains the configured number of
 // voters, in different zones if possible, and replaces those that are lost: unresponsive, or without their disk. A new
 // replica is a learner first. It becomes a voter in the same change that removes the lost one. The leader's belief that
-// a replica is lost only decides which changes it proposes. It is safe if it is wrong, because each change is committed
-// by majorities of the old and the new voters.
+// a replica is lost only decides which changes it proposes. A wrong belief does no harm, because each change is
+// committed by majorities of the old and the new voters.
 type membershipManager struct {
-	lastSeen     map[uint64]monotime.Micros // when each replica was last heard from, since this one leads
+	lastSeen     map[uint64]monotime.Micros // when each replica was last alive or sent a message, since this one leads
 	leaderSince  monotime.Micros
 	lastProposed monotime.Micros // 0 if the next change may be proposed at once
 }
@@ -33,7 +33,7 @@
 
 const (
 	healthy      replicaHealth = iota
-	unresponsive               // not heard from for Config.ReplaceAfter
+	unresponsive               // not alive, and no message received from it, for Config.ReplaceAfter
 	diskReplaced               // its front end runs with another disk, and so with another replica ID
 )
 
@@ -50,8 +50,7 @@
 	}
 }
 
-// manage proposes the next membership change if one is needed. alive contains the front ends that are heard from
-// now.
+// manage proposes the next membership change if one is needed. alive is that of Replica.Tick.
 func (m *membershipManager) manage(r *Replica, alive []Member) {
 	m.recordAlive(r, alive)
 	if r.Reconfiguring() || m.proposedRecently(r) {
@@ -97,7 +96,7 @@
 }
 
 // health returns what the leader believes of a replica. currentIDs contains, by name, the replica IDs of the front ends
-// that are heard from now.
+// that are alive.
 func (m *membershipManager) health(r *Replica, id uint64, currentIDs map[string]uint64) replicaHealth {
 	currentID := currentIDs[r.state.member(id).Name]
 	switch {
--- a/fleet/replication/proposals.go
+++ b/fleet/replication/proposals.go
@@ -13,7 +13,8 @@
 	dueCommandsTicks      = 4 // between two calls of StateMachine.DueCommands
 )
 
-// proposalTimeout is how long a proposal is tracked. If it is committed later, this replica sends no Reply.
+// proposalTimeout is the minimum time for which a proposal is tracked. If it is committed after it was pruned, this
+// replica sends no Reply.
 const proposalTimeout = 10 * monotime.Second
 
 // proposalKey identifies a proposal.
@@ -46,7 +47,7 @@
 	return true
 }
 
-// prune removes proposals that were not committed within proposalTimeout.
+// prune removes the proposals that are older than proposalTimeout. It does so once in each proposalTimeout.
 func (t *proposalTracker) prune(now monotime.Micros) {
 	if now < t.lastPrune+proposalTimeout {
 		return
@@ -57,8 +58,9 @@
 	})
 }
 
-// Propose proposes a front end's command. A Reply follows unless another replica becomes the leader, or this one fails,
-// before the command is applied.
+// Propose proposes a front end's command. A Reply follows once the command is applied, or at once if the proposal is
+// rejected. There may be none if another replica becomes the leader, this one fails, or proposalTimeout passes before
+// the command is applied.
 func (r *Replica) Propose(now monotime.Micros, command Command) {
 	defer r.recoverFromInvariantError()
 	r.now = now
--- a/fleet/replication/replica.go
+++ b/fleet/replication/replica.go
@@ -125,8 +125,8 @@
 	return actions
 }
 
-// Tick advances the time. alive contains the front ends that are heard from now, including this one. detector reports
-// what is known about their processes.
+// Tick advances the time. alive contains the front ends, this one included, that are alive, not leaving and have a
+// working replica. detector reports what is known about the processes of all front ends.
 func (r *Replica) Tick(now monotime.Micros, alive []Member, detector FailureDetector) {
 	defer r.recoverFromInvariantError()
 	r.now, r.detector = now, detector
--- a/fleet/replication/statemachine.go
+++ b/fleet/replication/statemachine.go
@@ -34,12 +34,12 @@
 type FailureDetector interface {
 	// PresumedDead reports whether a process is assumed to have ended, although it may still run.
 	PresumedDead(Incarnation) bool
-	// Superseded reports whether a process has certainly ended: another process runs under its name.
+	// Superseded reports whether a process has certainly ended: a later process runs under its name.
 	Superseded(Incarnation) bool
-	// Unreachable reports whether no front end has heard from a process for a while, so that another front end should
-	// take over its work in progress.
+	// Unreachable reports whether no front end has recently received a heartbeat from a process, so that another front
+	// end should take over its work in progress.
 	Unreachable(Incarnation) bool
-	// Live returns the processes that are heard from now, including the caller's own, in ascending order.
+	// Live returns the processes that are alive and not leaving, including the caller's own, in ascending order.
 	Live() []Incarnation
 }
 
