--- a/fleet/membership/client.go
+++ b/fleet/membership/client.go
@@ -110,7 +110,7 @@
 	return max(next, c.now)
 }
 
-// nextTimeout returns when a peer's next heartbeat or time-out is due, or math.MaxInt64 if none is.
+// nextTimeout returns when a peer's next heartbeat or timeout is due, or math.MaxInt64 if none is.
 func (c *Client) nextTimeout(p *controlPeer) monotime.Micros {
 	next := monotime.Micros(math.MaxInt64)
 	if p.linked {
@@ -124,7 +124,7 @@
 	return next
 }
 
-// LinkOpened tells the client that a link to that process of a control member is open.
+// LinkOpened records that a link to a process of a control member is open.
 func (c *Client) LinkOpened(now monotime.Micros, control string, incarnation uint64) {
 	c.advanceClock(now)
 	defer c.updateTickDeadline()
@@ -140,7 +140,7 @@
 	p.nextHeartbeat = c.now + halfInterval + c.random.between(0, halfInterval)
 }
 
-// LinkClosed tells the client that the link to a control member was closed or could not be opened. A control member
+// LinkClosed records that the link to a control member was closed or could not be opened. A control member
 // that closes the link before it has sent a message does not admit this front end; it is treated as unreachable.
 func (c *Client) LinkClosed(now monotime.Micros, control string) {
 	c.advanceClock(now)
@@ -203,7 +203,7 @@
 	}
 }
 
-// Home returns the control member that serves this front end's view and forwards its requests, or "" if there is none.
+// Home returns the control member that serves this front end's view and forwards its proposals, or "" if there is none.
 func (c *Client) Home() string {
 	if c.home == nil {
 		return ""
--- a/fleet/membership/controlpeer.go
+++ b/fleet/membership/controlpeer.go
@@ -13,7 +13,7 @@
 	stableSince        monotime.Micros // since when it is linked and has responded without a gap
 	leaving            bool            // it announced its shutdown
 	nextHeartbeat      monotime.Micros // when the next heartbeat to it is due
-	backoffUntil       monotime.Micros // it is not dialed before
+	backoffUntil       monotime.Micros // it is not dialed before this time
 	dialFailures       int             // consecutive failures
 	needsBucketDigests bool            // it cannot repair this client's view without the bucket digests
 	viewBehind         bool            // it reported a later version of the view than the client has
@@ -58,7 +58,7 @@
 	return p.leaving || c.sinceLastSeen(p) >= c.cfg.DeadAfter
 }
 
-// requestLink starts the time-out within which a control member that is not linked yet has to respond.
+// requestLink starts the timeout within which a control member that is not linked yet has to respond.
 func (c *Client) requestLink(p *controlPeer) {
 	if !p.linked {
 		p.dialedAt, p.leaving = c.now, false
--- a/fleet/membership/counters.go
+++ b/fleet/membership/counters.go
@@ -26,7 +26,7 @@
 	DigestMismatches   int `json:"Disagreements"` // failed digest checks of the view or of a table
 	RateLimited        int `json:"Limited"`       // updates and pulls withheld by a rate limit
 	Damped             int // changes delayed by the rate limit of their name
-	SelfSuspicions     int `json:"Doubts"`         // times that a home suspected itself to be cut off
+	SelfSuspicions     int `json:"Doubts"`         // times that a home suspected itself to be partitioned
 	FullQueues         int `json:"Refused"`        // times that the queue of a link was full
 	Superseded         int `json:"Replaced"`       // processes superseded by a later one of their name
 	LateOfSuperseded   int `json:"LateOfReplaced"` // messages and links rejected because their process is superseded
--- a/fleet/membership/lease.go
+++ b/fleet/membership/lease.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// LinkOpened tells the server that an attached front end has authenticated itself over a new link.
+// LinkOpened records that an attached front end has authenticated itself over a new link.
 func (s *Server) LinkOpened(now monotime.Micros, link Link) {
 	s.advanceClock(now)
 	if _, err := s.renewLease(link); err != nil {
@@ -136,7 +136,7 @@
 	}
 }
 
-// LinkClosed tells the server that a link of an attached front end is closed. The lease stays in force, since a broken
+// LinkClosed records that a link of an attached front end is closed. The lease stays in force, since a broken
 // link alone does not prove that the front end is dead.
 func (s *Server) LinkClosed(now monotime.Micros, link Link) {
 	s.advanceClock(now)
@@ -196,8 +196,8 @@
 	return scan
 }
 
-// suspectSelf handles the loss of many front ends at once. It is more likely that this home is cut off from them than
-// that all are dead, so they stay Suspect for longer, which gives them time to attach elsewhere.
+// suspectSelf handles the loss of many front ends at once. It is more likely that this home is partitioned from
+// them than that all are dead, so they stay Suspect for longer, which gives them time to attach elsewhere.
 func (s *Server) suspectSelf() {
 	extended := false
 	for _, l := range s.leases {
--- a/fleet/membership/membership.go
+++ b/fleet/membership/membership.go
@@ -13,7 +13,7 @@
 // Safety never depends on it, since a process that sends nothing may still be running. Only one fact is certain: of two
 // processes of one name, the one that answered the later challenge is the later one.
 //
-// This order is known for sure where one control member has challenged both processes. Otherwise it is derived from the
+// This order is certain where one control member has challenged both processes. Otherwise it is derived from the
 // times of their challenges, which are reported by the sender's clock. Each side estimates the offset between the two
 // clocks as the smallest difference seen between the receive and send times of a message. A side whose view has a later
 // process shows an earlier one as Dead, even if a control member that missed the later one still reports the earlier
@@ -25,7 +25,7 @@
 //
 // The caller that drives a Server or Client
 //   - sends the messages from TakeMessages before it sends the heartbeat that carries the result of Versions,
-//   - closes the links from LinksToClose, and each link over which it received a message that Receive,
+//   - closes the links from TakeLinksToClose, and each link over which it received a message that Receive,
 //     ReceiveFromControl or ReceiveVersions rejected with an error,
 //   - calls LinkClosed for each closed link, with the same Link at a Server, and at a Client also for each failed dial,
 //   - drops all messages that are queued for a process when it calls QueueFull for that process.
@@ -41,7 +41,7 @@
 
 // The roles.
 const (
-	Control  Role = iota // named in the settings; takes part in the replicated log and serves the view
+	Control  Role = iota // named in the settings; may have a replica of the replicated log, and serves the view
 	Attached             // not named in the settings; keeps links to two control members
 )
 
@@ -58,10 +58,10 @@
 
 // The states.
 const (
-	Alive   State = iota // seen recently
-	Suspect              // not seen by any home for a while, or its home is absent
-	Dead                 // not seen by any home for longer
-	Left                 // announced its shutdown and was not seen afterwards
+	Alive   State = iota // seen by a home within SuspectAfter
+	Suspect              // not seen by any home for SuspectAfter, or its home is absent
+	Dead                 // not seen by any home for at least DeadAfter, or its home was absent for absentHomeTimeout
+	Left                 // announced its shutdown and was then not seen for SuspectAfter
 )
 
 // String returns the state's name as operators see it.
@@ -93,7 +93,7 @@
 	Incarnation     uint64          // 0: never seen
 	State           State           // Alive also if only other control members receive its heartbeats
 	IndirectlyAlive bool            // Alive, but only other control members receive its heartbeats
-	ChallengedAt    monotime.Micros // when its process answered its first challenge from this side; 0 if not known
+	ChallengedAt    monotime.Micros // when this side sent the first challenge that its process answered; 0 if unknown
 }
 
 // Link is an authenticated link of an attached front end to this control member.
--- a/fleet/membership/merge.go
+++ b/fleet/membership/merge.go
@@ -12,7 +12,7 @@
 	// since the estimated offset to another control member's clock improves with each message.
 	recompareTimeout = 5 * monotime.Second
 	// tableAwaitTimeout is how long to wait for the table of a control member that has come back. Until it arrives,
-	// other tables' reports that a front end is dead are withheld. The time-out is longer than the table normally
+	// other tables' reports that a front end is dead are withheld. The timeout is longer than the table normally
 	// takes, but short enough that a control member that never sends its table does not delay reports of deaths for
 	// long.
 	tableAwaitTimeout = 3 * monotime.Second
@@ -24,9 +24,9 @@
 	entries        []*tableEntry   // sorted by home and epoch
 	dirty          bool            // is in Server.dirtyNames
 	watched        bool            // is in Server.watchedNames
-	laterDeadSince monotime.Micros // since when the later process is Dead or Left and another is Alive; 0 if neither
+	laterDeadSince monotime.Micros // since when the later process is Dead or Left and another is Alive; 0 otherwise
 	deathWithheld  bool            // Dead by the received tables, but shown as Suspect while another table is awaited
-	contested      bool            // an earlier process is not known for sure to be superseded
+	contested      bool            // an earlier process is not known to be superseded
 	recompareUntil monotime.Micros // until when the processes of a contested name are compared again
 	damping        damping         // limits the rate of its published changes
 }
@@ -111,7 +111,7 @@
 	return old != nil && old.Incarnation == e.Incarnation && old.State == Dead
 }
 
-// allTablesReceived reports whether no table of another control member is awaited any more.
+// allTablesReceived reports whether no table of another control member is awaited.
 func (s *Server) allTablesReceived() bool { return !s.hasOtherMember(s.isTableAwaited) }
 
 // isTableAwaited reports whether the latest announced table of another control member has not been received yet and may
--- a/fleet/membership/ratelimit.go
+++ b/fleet/membership/ratelimit.go
@@ -52,7 +52,7 @@
 	return allowed
 }
 
-// clear records that no change is waiting any more.
+// clear records that a change is no longer waiting.
 func (d *damping) clear() { d.delayed = false }
 
 // snapshotRateLimit limits the bytes of the snapshots sent to one name, over all its processes, so that a front end
--- a/fleet/membership/server.go
+++ b/fleet/membership/server.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// selfSuspicionTimeout is how much longer a home that suspects itself to be cut off keeps unresponsive front ends
-	// Suspect.
+	// selfSuspicionTimeout is how much longer a home that suspects itself to be partitioned keeps unresponsive front
+	// ends Suspect.
 	selfSuspicionTimeout = 10 * monotime.Second
 	// retentionTime is how long the lease of a front end that is Dead or Left is retained, and the table of a home's
 	// process that is absent or superseded.
@@ -43,7 +43,7 @@
 	removedNames       []string        // their table entries are to be removed
 	selfSuspicionUntil monotime.Micros // when the last self-suspicion ends
 
-	tablesComplete bool // no awaited table could still show that a process reported as dead is alive
+	tablesComplete bool // no table is awaited that could show that a process reported as dead is alive
 
 	names        map[string]*mergedName
 	dirtyNames   []*mergedName  // to be merged with the next batch
@@ -108,7 +108,7 @@
 	s.now = max(s.now, now)
 }
 
-// extendLeases extends all leases, and the time-outs of absent homes, by the time that this process was paused.
+// extendLeases extends all leases, and the timeouts of absent homes, by the time that this process was paused.
 func (s *Server) extendLeases(gap monotime.Micros) {
 	for _, l := range s.leases {
 		l.lastSeen += gap
--- a/fleet/membership/subscription.go
+++ b/fleet/membership/subscription.go
@@ -16,7 +16,7 @@
 	snapshotThreshold = 40
 )
 
-// subscriptionState tells whether an attached front end receives the view from this control member.
+// subscriptionState is the state of an attached front end's subscription to this control member's view.
 type subscriptionState uint8
 
 // The states of a subscription.
@@ -246,8 +246,8 @@
 	return mask
 }
 
-// QueueFull tells the server that the outgoing queue of the link to that process was full. The caller must drop what is
-// queued there; the process resumes with its next heartbeat.
+// QueueFull records that the send queue of the link to a process was full. The caller must drop what is queued there;
+// the process resumes with its next heartbeat.
 func (s *Server) QueueFull(now monotime.Micros, name string, incarnation uint64) {
 	s.advanceClock(now)
 	s.Counters.FullQueues++
--- a/fleet/membership/table.go
+++ b/fleet/membership/table.go
@@ -15,8 +15,8 @@
 	incarnation uint64
 	state       State
 	servesView  bool // the home serves it the view
-	// challengedAt is when its process first answered a challenge at its home, by the clock of the control member that
-	// sent the entry. clock is the offset to that clock, or nil if it is this process's own.
+	// challengedAt is when its home sent the first challenge that its process answered, by the clock of the control
+	// member that sent the entry. clock is the offset to that clock, or nil if it is this process's own.
 	challengedAt monotime.Micros
 	clock        *clockOffset
 	// supersededIncarnations are the last few earlier processes of its name, in the order of their challenges at its
--- a/fleet/membership/viewmessage.go
+++ b/fleet/membership/viewmessage.go
@@ -10,7 +10,7 @@
 	"chutechute/internal/monotime"
 )
 
-// contentKind tells what a viewMessage carries besides the version of the view.
+// contentKind is the kind of content that a viewMessage carries besides the version of the view.
 type contentKind uint64
 
 // The kinds of content.
@@ -88,8 +88,8 @@
 type change struct {
 	Entry
 	removed bool
-	// challengedAt is when the entry's process answered a challenge, by this process's clock; 0 if not reported.
-	// Messages carry it in milliseconds by the sender's clock. Digests leave it out.
+	// challengedAt is when the challenge was sent that the entry's process answered, by this process's clock; 0 if not
+	// reported. Messages carry it in milliseconds by the sender's clock. Digests leave it out.
 	challengedAt monotime.Micros
 }
 
--- a/fleet/membership/viewupdate.go
+++ b/fleet/membership/viewupdate.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// changeSource tells where changes to a view come from.
+// changeSource is the source of changes to a view.
 type changeSource uint8
 
 // The sources.
