--- a/fleet/transport/listener.go
+++ b/fleet/transport/listener.go
@@ -9,9 +9,10 @@
 	Secret Secret
 	// IsControlMember reports whether a name is that of a control member.
 	IsControlMember func(name string) bool
-	// AcceptsAttached says whether front ends that are not control members may attach here.
+	// AcceptsAttached reports whether front ends that are not control members may attach here.
 	AcceptsAttached bool
-	// AtCapacity says whether the limit of attached front ends is reached. It is to be set before the hello is processed.
+	// AtCapacity reports whether the limit of attached front ends is reached. It must be set before the hello is
+	// processed.
 	AtCapacity bool
 	Remote     Identity // set once the link is established
 
