--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -9,7 +9,7 @@
 type StartAttempt struct {
 	ID      uint64          // Request.ID
 	Engine  string          // where to send it
-	Timeout monotime.Micros // the attempt ends as TimedOut after it; 0: only the client's time-out applies
+	Timeout monotime.Micros // the attempt ends as TimedOut after it; 0: only the client's timeout applies
 	StartBy monotime.Micros // no byte of it may be written at or after this time; 0: no such bound
 }
 
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -13,7 +13,7 @@
 	// quotaBurst is the burst of a tenant's quota, in seconds of its rate; the rate counts as at least one query a
 	// second.
 	quotaBurst = 2.0
-	// firstTryToleranceDivisor divides the client time-out. The result is by how much the time left to clients' first
+	// firstTryToleranceDivisor divides the client timeout. The result is by how much the time left to clients' first
 	// tries may vary.
 	firstTryToleranceDivisor = 50
 )
@@ -66,8 +66,8 @@
 }
 
 // expireQueries answers queued queries that can no longer finish in time. A query that arrived in the current step is
-// first given the chance of an engine: otherwise an estimate inflated by an overload would reject all queries whose
-// latencies could correct it. Only if its deadline is within expiryMargin is it answered at once.
+// answered only if its deadline is within expiryMargin; otherwise it is first offered to the engines, because an
+// estimate inflated by an overload would reject all queries whose latencies could correct it.
 func (s *Scheduler) expireQueries() {
 	underPressure := s.underPressure()
 	for _, q := range slices.Clone(s.queue.queries) {
--- a/scheduler/budgets.go
+++ b/scheduler/budgets.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// maxStartDelay is how long after spending from a budget an attempt may still be written. One that is not written
-	// by then spends anew, so that the attempts that engines get match what was spent, and when.
+	// maxStartDelay is how long after spending from a budget an attempt may still be written. One of which nothing
+	// is written by then ends as NotSent, and a retry is charged again, so that the attempts that engines receive match
+	// what was spent, and when.
 	maxStartDelay = monotime.Second / 4
 	// maxReportedSubjects is the largest number of subjects in one report of demands.
 	maxReportedSubjects = 4096
@@ -86,7 +87,7 @@
 	Spent  int64           // thousandths since the start
 	Denied int             // how many times there was no capacity
 	Lease  account.Amount  // leased amount
-	Static account.Amount  // amount that needs no lease
+	Static account.Amount  // static allocation, which needs no lease
 	Until  monotime.Micros // when the lease expires
 }
 
@@ -139,7 +140,7 @@
 	}
 }
 
-// staticAmount returns the amount of the named budget, or the last one if the list has several.
+// staticAmount returns the static allocation of the named budget: the last one in the list, zero if there is none.
 func staticAmount(list []BudgetAmount, name string) (amount account.Amount) {
 	for _, b := range list {
 		if b.Budget == name {
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -62,7 +62,7 @@
 	}
 	for _, c := range cfg.Classes {
 		if c.LatencyObjective <= 0 || c.ClientTimeout <= 0 || c.Threads < 1 {
-			return fmt.Errorf("scheduler: class %q needs a latency objective, a client time-out and at least one thread", c.Name)
+			return fmt.Errorf("scheduler: class %q needs a latency objective, a client timeout and at least one thread", c.Name)
 		}
 	}
 	return nil
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -87,7 +87,7 @@
 	s.emit(StartAttempt{ID: q.ID, Engine: e.Engine, Timeout: timeout, StartBy: startBy})
 }
 
-// attemptTimeout returns the time-out of an attempt, 0 if it has none. Only idempotent queries whose attempts can be
+// attemptTimeout returns the timeout of an attempt, 0 if it has none. Only idempotent queries whose attempts can be
 // neither canceled nor hedged have one: a slow attempt must then end by itself before the query can be retried.
 func (s *Scheduler) attemptTimeout(q *query, executionTime float64) monotime.Micros {
 	if l := &s.cfg.Limits; !l.Cancel && !l.HedgedRequests && q.effect() == Idempotent {
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -10,7 +10,7 @@
 // estimate, which are both exponentially decayed. The ratio rises with load; underPressure detects that by comparing it
 // with the best ratio seen.
 const (
-	// classDecay is the weight of a new measurement in a class's means, which makes about the last 20 count.
+	// classDecay is the weight of a new measurement in a class's means: about the last 20 count.
 	classDecay = 0.05
 	// maxMeasuredRatio caps a measurement at this multiple of the estimated execution time, because one bad query plan
 	// or wait for a lock says little about the class.
@@ -116,7 +116,7 @@
 
 // learnEstimate updates the mean work of the class with the estimate of an arriving query.
 func (c *class) learnEstimate(work monotime.Micros) {
-	// An estimate of more work than fits into the client time-out is not typical and may be bogus.
+	// An estimate of more work than fits into the client timeout is not typical and may be bogus.
 	if work > 0 && work <= c.ClientTimeout*monotime.Micros(c.Threads) {
 		c.meanWork += classDecay * (float64(work) - c.meanWork)
 	}
@@ -131,7 +131,7 @@
 	c.meanEstimate += classDecay * (q.estimate() - c.meanEstimate)
 	c.bestRatio = min(c.bestRatio, c.meanLatency/c.meanEstimate,
 		maxBestOfObjective*float64(c.objectiveFor(c.meanWork))/c.meanEstimate)
-	if c.ownEstimates { // otherwise a best ratio from estimates that were once too high would look like load for good
+	if c.ownEstimates { // otherwise a best ratio learned from too high estimates would look like load forever
 		c.bestRatio = max(c.bestRatio, minOwnEstimateRatio/float64(c.Threads))
 	}
 	c.measuredAt = now
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -63,7 +63,7 @@
 	Errored
 	// Rejected means that the engine had no capacity and did not start the attempt.
 	Rejected
-	// TimedOut means that no response arrived within the attempt's time-out.
+	// TimedOut means that no response arrived within the attempt's timeout.
 	TimedOut
 	// NoConnection means that no connection could be established.
 	NoConnection
@@ -76,7 +76,7 @@
 )
 
 // NeverRan reports whether the result proves that its attempt never ran and never will. Only then may a non-idempotent
-// query be sent again or rejected. A time-out, a reset, an error and a cancellation prove nothing.
+// query be sent again or rejected. A timeout, a reset, an error and a cancellation prove nothing.
 func (r Result) NeverRan() bool { return r == Rejected || r == NoConnection || r == NotSent }
 
 // ProgressKind is the quantity that a ProgressReport reports.
@@ -174,7 +174,7 @@
 	Rules  []BudgetRule    // replaces the rules in force; nil keeps them
 	Until  monotime.Micros // when Leased expires
 	Leased []BudgetAmount  // replaces all leased amounts; ordered by budget
-	Static []BudgetAmount  // replaces all amounts that need no lease; nil keeps them
+	Static []BudgetAmount  // replaces all static allocations, which need no lease; nil keeps them
 }
 
 // Timer reports that the timer of a SetTimer is due.
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -11,7 +11,7 @@
 	// arrival. The value is the paper's deadline multiplier.
 	deadlineMultiplier = 10.0
 	// groupRange is the range of deadlines in one group, as a fraction of the time from the arrival to the deadline of
-	// the query with the earliest deadline. The value is the paper's Gr; taking it of that time is a choice of this
+	// the query with the earliest deadline. The value is the paper's Gr; applying it to that time is a choice of this
 	// package.
 	groupRange = 0.4
 )
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -6,7 +6,8 @@
 // work that all front ends send it within any Rules.OverloadWindow is bounded. Each front end keeps to its part of that
 // work budget on its own, unless a budget of the fleet divides it.
 const (
-	// capacityUtilization is the utilization of the cores at the rate that Rules.OverloadMultiple is a multiple of.
+	// capacityUtilization is the utilization of the cores of an engine at capacity. Rules.OverloadMultiple is a
+	// multiple of the work that the cores execute at that utilization.
 	capacityUtilization = 0.85
 	// warmUpMargin is the fraction of the work budget that is used, because only the mean work of a query is known.
 	warmUpMargin = 0.7
@@ -121,7 +122,7 @@
 // hasWarmUpTimeSlot reports whether this front end has the time slot for heavy queries to an engine. A hash assigns
 // each period of timeSlotWindows windows to one front end. The first window of each period is unused, so that no
 // OverloadWindow overlaps two time slots. In its first OverloadWindow a front end does not use its time slot, because
-// its previous process may have sent work to the engine.
+// its previous incarnation may have sent work to the engine.
 func (s *Scheduler) hasWarmUpTimeSlot(e *engine) bool {
 	window := s.cfg.Rules.OverloadWindow
 	at := uint64(s.now/window) + e.hash%timeSlotWindows
