--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -9,15 +9,16 @@
 // core from the same goroutine, and may do so before its own method returns.
 type EngineClient interface {
 	// Start sends an attempt to its engine or, if the attempt is AlreadyRunning, polls the engine for it. The core calls
-	// it once for each attempt. The client reports the end by one call of Core.AttemptEnded, and may call
+	// it once for each attempt. The EngineClient reports the end by one call of Core.AttemptEnded, and may call
 	// Core.ReportProgress before.
 	Start(a *Attempt)
-	// Cancel ends a started attempt early. The core calls it at most once for each attempt. The client calls
-	// Core.AttemptEnded once it is known that the attempt no longer runs.
+	// Cancel ends a started attempt early. The core calls it at most once for each attempt. The EngineClient
+	// calls Core.AttemptEnded once it is known that the attempt no longer runs.
 	Cancel(a *Attempt)
 	// SetPriority sends the changed priority of an attempt in flight, Attempt.Priority, to its engine.
 	SetPriority(a *Attempt)
-	// HealthCheck requests an engine's load report. The client reports the result by one call of Core.HealthCheckEnded.
+	// HealthCheck requests an engine's load report. The EngineClient reports the result by one call of
+	// Core.HealthCheckEnded.
 	HealthCheck(engine string)
 }
 
@@ -116,7 +117,7 @@
 
 // AttemptEnded reports how an attempt ended, with its rows if it succeeded, and with the engine's load report or nil.
 // A timeout alone does not end an attempt: it stays in flight until the engine is known to have received the
-// cancellation, and a result that arrives before is still delivered. A second report on an attempt has no effect.
+// cancellation, and a result that arrives before that is still delivered. A second report on an attempt has no effect.
 func (c *Core) AttemptEnded(now monotime.Micros, a *Attempt, result scheduler.Result, rows []byte,
 	load *scheduler.LoadReport) {
 	if a.state == attemptEnded {
--- a/gateway/budgets.go
+++ b/gateway/budgets.go
@@ -24,7 +24,7 @@
 	At         monotime.Micros
 	RequestID  string
 	Budget     string
-	RetryAfter monotime.Micros // the wait that its client was given, counted from At
+	RetryAfter monotime.Micros // the Retry-After sent to its client, counted from At
 }
 
 // maxBudgetRejections is the number of budget rejections that are kept.
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -8,7 +8,7 @@
 	"chutechute/internal/monotime"
 )
 
-// callers identifies and authorizes the callers of requests. Without a guard, every call is allowed.
+// callers identifies and authorizes the callers of requests. Without a guard, every request is allowed.
 type callers struct {
 	guard *identity.Guard // nil if callers are not identified
 }
@@ -36,7 +36,7 @@
 // Guard returns the guard that identifies and authorizes callers; nil if callers are not identified.
 func (c *Core) Guard() *identity.Guard { return c.callers.guard }
 
-// identify returns the caller of a call; the zero value if callers are not identified.
+// identify returns the caller of a request; the zero value if callers are not identified.
 func (c *callers) identify(now monotime.Micros, call *Call) (identity.Caller, error) {
 	if c.guard == nil {
 		return identity.Caller{}, nil
@@ -50,7 +50,7 @@
 	return caller, err
 }
 
-// admit authorizes a call, sets its tenant to that of its caller, and counts it against the caller's limits until
+// admit authorizes a request, sets its tenant to that of its caller, and counts it against the caller's limits until
 // release.
 func (c *callers) admit(now monotime.Micros, caller identity.Caller, call *Call) error {
 	if c.guard == nil {
@@ -67,14 +67,14 @@
 	return err
 }
 
-// release stops counting an admitted call against its caller's limits.
+// release stops counting an admitted request against its caller's limits.
 func (c *callers) release(caller identity.Caller) {
 	if c.guard != nil && caller.Name != "" {
 		c.guard.Release(caller)
 	}
 }
 
-// logDenied logs a denied call, at a limited rate. It never logs the call's credentials.
+// logDenied logs a denied request, at a limited rate. It never logs the request's credentials.
 func (c *callers) logDenied(now monotime.Micros, call *Call, err error) {
 	suppressed, ok := c.guard.AllowLogEntry(now)
 	if !ok {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,7 +1,7 @@
 // Package gateway is the core of a front end. It owns the open requests, their attempts and all timers. It converts
-// calls, which are independent of any wire protocol, into events for the scheduler, and the scheduler's actions into
-// calls to its adapters: an EngineClient for the engines, a Responder for each request's client and, optionally, an
-// IdempotencyStore. It ensures that each request gets exactly one final response.
+// requests, in a form independent of any wire protocol, into events for the scheduler, and the scheduler's actions into
+// method calls on its adapters: an EngineClient for the engines, a Responder for each request's client and, optionally,
+// an IdempotencyStore. It ensures that each request gets exactly one final response.
 //
 // The package does no I/O, reads no clock and starts no goroutine: the caller passes the current time. All calls to a
 // Core, including the callbacks from its adapters, must come from one goroutine. Times are in microseconds of a
@@ -154,7 +154,7 @@
 	}
 }
 
-// applyReject rejects a request, or fails it if an attempt may have run: a reject promises that nothing has run.
+// applyReject rejects a request, or fails it if an attempt may have run: a rejection promises that nothing has run.
 func (c *Core) applyReject(a scheduler.Reject) {
 	r := c.open[a.ID]
 	if r == nil || r.finished {
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -26,8 +26,8 @@
 	// Release ends the registration of a request for which Commit was not called. The core calls it once, when none of
 	// the request's attempts is in flight and none will start. ran reports whether an attempt that ended may have run.
 	Release(now monotime.Micros, reg *Registration, ran bool)
-	// Transfer has another front end take over a running request because this one shuts down. A Release after it has no
-	// effect.
+	// Transfer makes another front end take over a running request because this one shuts down. A Release after it has
+	// no effect.
 	Transfer(now monotime.Micros, reg *Registration)
 	// OutcomeUnknown reports whether an attempt of the request may have started on any front end.
 	OutcomeUnknown(reg *Registration) bool
@@ -50,7 +50,7 @@
 	committed         bool // rows were passed to IdempotencyStore.Commit
 }
 
-// Call returns what the client sent.
+// Call returns the request as its client sent it.
 func (reg *Registration) Call() *Call { return reg.request.Call }
 
 // Deadline returns when the request's final response is due. No attempt of the request starts later.
@@ -128,7 +128,7 @@
 }
 
 // mayHaveRun reports whether an attempt may have run or may still run. Such a request must not be rejected, since a
-// reject promises that nothing has run or will run.
+// rejection promises that nothing has run or will run.
 func (reg *Registration) mayHaveRun() bool {
 	return reg != nil && (reg.attemptMayHaveRun || reg.attemptStarted && reg.request.attemptsInFlight > 0)
 }
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -30,13 +30,13 @@
 	answerAfter = 650 * monotime.Millisecond
 )
 
-// After the shutdown signal the process may run for the longest client timeout, of which at most maxCountedDeadline
+// After the shutdown signal the process may run for the longest client timeout, of which at most maxCountedTimeout
 // counts, plus killAfter. It may be killed then.
 const (
-	killAfter          = 700 * monotime.Millisecond
-	maxCountedDeadline = 3 * monotime.Second
-	expireBeforeKill   = 400 * monotime.Millisecond // all open requests are expired this long before the kill
-	stopBeforeKill     = 150 * monotime.Millisecond // all connections are closed this long before the kill
+	killAfter         = 700 * monotime.Millisecond
+	maxCountedTimeout = 3 * monotime.Second
+	expireBeforeKill  = 400 * monotime.Millisecond // all open requests are expired this long before the kill
+	stopBeforeKill    = 150 * monotime.Millisecond // all connections are closed this long before the kill
 )
 
 // Lifecycle is the state machine of a front end's phases. Its zero value is in the phase Starting.
@@ -50,7 +50,7 @@
 
 // killTime returns when the process may be killed. It is valid from Drain on.
 func (l *Lifecycle) killTime() monotime.Micros {
-	longest := maxCountedDeadline
+	longest := maxCountedTimeout
 	if l.MaxClientTimeout > 0 {
 		longest = min(longest, l.MaxClientTimeout)
 	}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -35,7 +35,7 @@
 	reportedMemoryMB float64
 }
 
-// Credentials are the credentials of a call's caller. They are used only if callers are identified (see
+// Credentials are the credentials of a request's caller. They are used only if callers are identified (see
 // Core.ConfigureIdentity).
 type Credentials struct {
 	Token         string
--- a/gateway/statements.go
+++ b/gateway/statements.go
@@ -13,13 +13,13 @@
 // microsPerMillisecond converts between the milliseconds of package statement and monotime.Micros.
 const microsPerMillisecond = float64(monotime.Millisecond)
 
-// statements reads the statements of calls. It always determines the table group and, if completesCalls is set, also
-// the values that the client did not report.
+// statements reads the statements of requests. It always determines the table group and, if completesRequests is set,
+// also the values that the client did not report.
 type statements struct {
-	reader         *statement.Reader
-	completesCalls bool
-	classes        []scheduler.Class
-	served         map[uint64]*Request // in this step, still without LatencyMeasurement; by Request.schedulerID
+	reader            *statement.Reader
+	completesRequests bool
+	classes           []scheduler.Class
+	served            map[uint64]*Request // in this step, still without LatencyMeasurement; by Request.schedulerID
 }
 
 func newStatements(classes []scheduler.Class) (statements, error) {
@@ -27,11 +27,11 @@
 	return statements{reader: reader, classes: classes, served: map[uint64]*Request{}}, err
 }
 
-// ConfigureStatements sets the options by which values that a call leaves out are read from its statement; with nil,
-// calls must not leave them out. What was learned from statements before is kept. If an option is invalid, nothing
+// ConfigureStatements sets the options by which values that a request omits are derived from its statement; with nil,
+// requests must not omit them. What was learned from statements before is kept. If an option is invalid, nothing
 // changes and the error names the option's key.
 func (c *Core) ConfigureStatements(o *statement.Options) error {
-	if o == nil && !c.statements.completesCalls {
+	if o == nil && !c.statements.completesRequests {
 		return nil
 	}
 	options := statement.Options{CacheBytes: groupCacheBytes}
@@ -41,17 +41,17 @@
 	if err := c.statements.reader.Apply(options); err != nil {
 		return err
 	}
-	c.statements.completesCalls = o != nil
+	c.statements.completesRequests = o != nil
 	return nil
 }
 
 // StatementCounts returns the counters of the statement reader.
 func (c *Core) StatementCounts() statement.Counts { return c.statements.reader.Counts() }
 
-// complete fills in the values that a call leaves out. class is the index of the class that the call names, or noClass.
-// The result is nil if only the table group is read.
+// complete fills in the values that a request omits. class is the index of the class that the request names, or
+// noClass. The result is nil if only the table group is read.
 func (s *statements) complete(call *Call, class int) (*statement.Completion, error) {
-	if !s.completesCalls {
+	if !s.completesRequests {
 		call.TableGroup = s.reader.TableGroup(call.Statement)
 		return nil, nil
 	}
--- a/gateway/submit.go
+++ b/gateway/submit.go
@@ -17,7 +17,7 @@
 	ErrNoIdempotencyKey = errors.New("no idempotency key in a keyed class")
 )
 
-// Indexes of the class and the tenant of a call that does not name one.
+// Indexes of the class and the tenant of a request that does not name one.
 const (
 	noClass  = -1
 	noTenant = -1
@@ -61,10 +61,10 @@
 	return r, nil
 }
 
-// validate checks a call and returns the index of its class; noClass if the class is to be read from the statement.
+// validate checks a request and returns the index of its class; noClass if the class is to be read from the statement.
 func (c *Core) validate(call *Call) (class int, err error) {
 	class, known := c.settings.ClassIndex[call.Class]
-	if call.Class == "" && c.statements.completesCalls {
+	if call.Class == "" && c.statements.completesRequests {
 		class = noClass
 	} else if !known {
 		return noClass, ErrUnknownClass
@@ -75,7 +75,7 @@
 	if call.ClientTimeout <= 0 {
 		return noClass, ErrNoTimeLeft
 	}
-	if call.IdempotencyKey == "" && !c.statements.completesCalls &&
+	if call.IdempotencyKey == "" && !c.statements.completesRequests &&
 		c.settings.Classes[class].Effect == scheduler.IdempotentByKey {
 		return noClass, ErrNoIdempotencyKey // without a key, engines cannot recognize repeats
 	}
@@ -85,7 +85,7 @@
 	return class, nil
 }
 
-// hasCapacity reports whether the limits allow a request for this call.
+// hasCapacity reports whether the limits allow a further request.
 func (c *Core) hasCapacity(call *Call) bool {
 	return len(c.open) < c.limits.MaxOpen && c.statementBytes+len(call.Statement) <= c.limits.MaxStatementBytes
 }
