--- a/internal/server/client_close.go
+++ b/internal/server/client_close.go
@@ -129,7 +129,7 @@
 	c.cancelInFlight()
 }
 
-// cancelInFlight cancels the requests in flight, since nobody waits for their responses any more.
+// cancelInFlight cancels the requests in flight, since nobody waits for their responses.
 func (c *clientConn) cancelInFlight() {
 	requests := c.inFlight
 	c.inFlight = nil
--- a/internal/server/client_requests.go
+++ b/internal/server/client_requests.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// submit passes a call to the core.
+// submit passes the request in a call message to the core.
 func (c *clientConn) submit(message thrift.Message) {
 	if c.inFlight[message.Seq] != nil { // two responses with one sequence number could not be told apart
 		c.counters().MalformedInput++
@@ -77,7 +77,7 @@
 	}
 }
 
-// respondUnusable sends an exception for a call that is invalid or exceeds a limit.
+// respondUnusable sends an exception for a request that is invalid or exceeds a limit.
 func (c *clientConn) respondUnusable(message thrift.Message, cause error) {
 	c.counters().UnusableRequests++
 	slog.Debug("unusable client request", slog.Any("error", cause))
@@ -90,9 +90,9 @@
 	c.respond(exception.Reply())
 }
 
-// parseCall parses a call and validates the fields that are sent to engines in headers and paths. Missing fields stay
-// zero, except that the request ID and the time-out are required. Errors are sent to the client, so each begins with
-// the name of the invalid field.
+// parseCall parses a call message and validates the fields that are sent to engines in headers and paths. Missing
+// fields stay zero, except that the request ID and the timeout are required. Errors are sent to the client, so each
+// begins with the name of the invalid field.
 func parseCall(message thrift.Message) (*gateway.Call, error) {
 	fields := message.Fields
 	call := &gateway.Call{
--- a/internal/server/client_tls.go
+++ b/internal/server/client_tls.go
@@ -89,7 +89,7 @@
 	return c.callerCertificate
 }
 
-// credentials returns the credentials of a call: its token, the client's address and the client's certificate.
+// credentials returns the credentials of a request: its token, the client's address and the client's certificate.
 func (c *clientConn) credentials(token string) gateway.Credentials {
 	credentials := gateway.Credentials{Token: token, ClientAddress: c.address}
 	if c.listener.server.core.Guard() != nil {
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -11,7 +11,7 @@
 type engine struct {
 	name      string
 	address   netip.AddrPort
-	draining  bool            // set for removed engines too, according to the endpoint list
+	draining  bool            // not serving according to the endpoint list; set for removed engines too
 	removed   bool            // it is deleted once it has no connections and no requests
 	lastSeen  monotime.Micros // when it last responded to any call
 	readClock func() monotime.Micros
--- a/internal/server/engine_conn.go
+++ b/internal/server/engine_conn.go
@@ -31,7 +31,7 @@
 	pool          *enginePool
 	engine        *engine
 	state         engineConnState
-	request       *engineRequest  // whose call is in flight; nil also if nobody waits for the response any more
+	request       *engineRequest  // whose call is in flight; nil also if the response is no longer awaited
 	abandonedPoll *engineRequest  // the request that was detached while the response to its poll was pending
 	lastActivity  monotime.Micros // when the call was sent, the dial started or the last response was received
 
@@ -144,7 +144,7 @@
 
 // flushCall writes the rest of the call. It returns false if the connection was closed.
 func (c *engineConn) flushCall() bool {
-	if c.request.isStartExpired() && c.Out.Len() > 0 { // the rest of the start must not be written any more
+	if c.request.isStartExpired() && c.Out.Len() > 0 { // the rest of the start must no longer be written
 		c.fail(false)
 		return false
 	}
@@ -166,8 +166,8 @@
 }
 
 // release keeps the connection for another query, or closes it so that the next waiting request gets a new one. If no
-// new connection can be had, because the engine drains or this connection is the last one, the waiting request waits
-// until this connection may carry another query.
+// new connection may replace it, because the engine drains or this connection is the last one, the waiting request
+// waits until this connection may carry another query.
 func (c *engineConn) release(reusable bool) {
 	e := c.engine
 	isUnneeded := len(e.waiters) == 0 && e.removed
@@ -180,8 +180,8 @@
 	c.UpdateInterest(true)
 }
 
-// fail closes a broken connection and continues its request. The parameter arrived says that the engine received the
-// whole call.
+// fail closes a broken connection and continues its request. arrived reports whether the engine received the whole
+// call.
 func (c *engineConn) fail(arrived bool) {
 	request := c.request
 	if c.state == engineBusy && !arrived {
--- a/internal/server/engine_eviction.go
+++ b/internal/server/engine_eviction.go
@@ -2,7 +2,7 @@
 
 // releaseDescriptor closes a connection to make its descriptor available for a client. It reports whether it closed
 // one. Engine connections only use descriptors that clients leave. A connection that waits for the response to a poll
-// can be closed, since queries are not bound to connections: the query is polled over another connection in turn.
+// can be closed, since queries are not bound to connections: the query is then polled over another connection.
 func (p *enginePool) releaseDescriptor() bool {
 	if p.evictIdle() {
 		return true
@@ -22,10 +22,10 @@
 // isReplaceable reports whether a connection may be closed just to free its descriptor.
 //
 // A connection in use by a query that must not run twice, or whose end other queries wait for, must stay open: only the
-// time of the last poll tells how long the engine continues such a query. Connections to a draining engine that has
-// requests must stay open too, since the engine accepts no new ones, and its queries could then be neither polled nor
-// canceled. The notice that it drains may arrive late, so the last established connection to any engine with requests
-// is kept as well.
+// time of the last poll determines when the engine has abandoned such a query. Connections to a draining engine that
+// has requests must stay open too, since the engine accepts no new ones, and its queries could then be neither polled
+// nor canceled. The notice that it drains may arrive late, so the last established connection to any engine with
+// requests is kept as well.
 func (p *enginePool) isReplaceable(c *engineConn) bool {
 	e := c.engine
 	switch {
--- a/internal/server/engine_failures.go
+++ b/internal/server/engine_failures.go
@@ -14,21 +14,21 @@
 	maxRedials  = 2                         // how many connections in a row may break unused
 )
 
-// handleNoConnection continues a request for which no connection could be established. The parameter refused says that
-// the engine refused the connection.
+// handleNoConnection continues a request for which no connection could be established. refused reports whether the
+// engine refused the connection.
 //
-// An attempt that was never sent never ran. Otherwise it depends on what the failure proves:
+// An attempt that was never sent never ran. Otherwise the next action depends on what the failure proves:
 //
 // A draining engine refuses new connections but continues its queries, so the request waits for one of the connections
-// that are left. That none is left proves nothing, since the last one may have been reset on the way.
+// that are left. That none is left proves nothing, since the network may have reset the last one.
 //
 // A process that has ended closed all its connections at the same time, or is listed as removed. That is sufficient
-// evidence for a query that may run twice without harm. For other queries it is not: treating it as proof there once
-// sent the next query with the same key too early.
+// evidence for a query that may run twice without harm. For other queries it is not: when it was taken as proof for
+// them, the next query with the same key was sent too early.
 //
-// In all other cases this connection may have been established too late while another one succeeds in time, so the
-// engine is dialed again until it must have abandoned the query. When a single late connection ended these attempts, a
-// DELETE stayed undelivered and the next query with the same key started while the first was still running.
+// In all other cases another connection may succeed where this one was established too late, so the engine is dialed
+// again until it must have abandoned the query. When a single late connection ended these attempts, a DELETE stayed
+// undelivered, and the next query with the same key started while the first was still running.
 func (p *enginePool) handleNoConnection(request *engineRequest, refused bool) {
 	request.logDebug("no connection to engine", slog.Bool("refused", refused))
 	e := request.engine
@@ -52,8 +52,8 @@
 	}
 }
 
-// handleBrokenCall continues a request whose call got no readable response. The parameter arrived says that something
-// else was received in place of the response, so the engine received the whole call. Queries are not bound to
+// handleBrokenCall continues a request whose call got no readable response. arrived reports whether something else
+// was received in place of the response, which means that the engine received the whole call. Queries are not bound to
 // connections and an engine sends its response again, so the query is polled over another connection. After more than
 // maxResumes failures in a row the query is canceled.
 func (p *enginePool) handleBrokenCall(request *engineRequest, arrived bool) {
--- a/internal/server/engine_timeouts.go
+++ b/internal/server/engine_timeouts.go
@@ -25,8 +25,8 @@
 )
 
 // tick handles timeouts: of dials and calls, of queries that engines must have abandoned by now, and of idle
-// connections. Those are closed after half the time after which the engine closes them, so that no POST is sent over a
-// connection that is being closed.
+// connections. An idle connection is closed after half the time after which the engine would close it, so that no POST
+// is sent over a connection that is being closed.
 func (p *enginePool) tick() {
 	for c := range p.connections {
 		p.checkConnection(c)
