--- a/internal/rest/query.go
+++ b/internal/rest/query.go
@@ -17,8 +17,8 @@
 	columns       = 3     // of each row
 )
 
-// Start holds what the POST that starts a query sends to the engine. ID, class, statement and idempotency key are those
-// of the client's request.
+// Start holds the values that the POST sends to the engine to start a query. ID, class, statement and idempotency key
+// are those of the client's request.
 type Start struct {
 	ID, Class, IdempotencyKey string
 	Statement                 []byte
@@ -76,8 +76,8 @@
 // NewHealthCheck returns a health check of the engine at the address host: a single call for its load report.
 func NewHealthCheck(host string) *Query { return &Query{host: host, state: checkingHealth} }
 
-// ErrStaleResponse reports that the response to a DELETE or a PUT is a late copy of the response to an earlier call. It
-// does not show whether the DELETE or PUT has arrived.
+// ErrStaleResponse reports that the response to a DELETE or a PUT is a late duplicate of the response to an earlier
+// call. It does not show whether the DELETE or PUT has arrived.
 var ErrStaleResponse = errors.New("rest: response to an earlier call")
 
 // StartPending reports whether the POST that starts the query has no response yet.
--- a/internal/rest/response.go
+++ b/internal/rest/response.go
@@ -31,8 +31,8 @@
 type Response struct {
 	Status           int
 	NeverRan         bool      // Never-Ran: the query has not run and will not
-	Pages            int       // X-Batches: number of pages of the result; 0 without
-	Page             int       // X-Batch: which page the body holds; -1 without
+	Pages            int       // X-Batches: number of pages of the result; 0 if missing
+	Page             int       // X-Batch: which page the body holds; -1 if missing
 	Load             string    // Load-Report
 	Progress         *Progress // Outcome and X-Num; nil if missing or malformed
 	Cost             Cost      // X-Spent and X-Wanted; 0 if missing or malformed
--- a/internal/thrift/reply.go
+++ b/internal/thrift/reply.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// EncodeReply returns the reply to a call that was served, or to health.
+// EncodeReply returns the reply to a request that was served, or to a health message.
 func EncodeReply(name string, seq int32, body []byte, fields map[string]string, success bool) []byte {
 	b := beginMessage(typeReply, name, seq)
 	b = appendFieldHeader(b, tStruct, 0)
@@ -23,12 +23,12 @@
 	return endMessage(append(b, tStop, tStop))
 }
 
-// EncodeRejection returns the reply that rejects a call.
+// EncodeRejection returns the reply that rejects a request.
 func EncodeRejection(seq int32, fields map[string]string) []byte {
 	return declaredException(seq, 1, fields)
 }
 
-// EncodeFailure returns the reply that fails a call.
+// EncodeFailure returns the reply that fails a request.
 func EncodeFailure(seq int32, fields map[string]string) []byte {
 	return declaredException(seq, 2, fields)
 }
--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -62,7 +62,7 @@
 
 func (e *Exception) Error() string { return "thrift: " + e.Name + ": " + e.Text }
 
-// Message is a call from a client.
+// Message is a method call from a client: call, cancel or health.
 type Message struct {
 	Name   string
 	Seq    int32
