--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -6,8 +6,8 @@
 	"chutechute/internal/monotime"
 )
 
-// Durations of Backoff. The discovery service takes an event as known to all front ends 7 s after it was sent, received
-// or not. Within that time a front end can detect an unresponsive connection and dial again three times.
+// Durations of Backoff. The discovery service considers an event known to all front ends 7 s after it was sent,
+// received or not. Within that time a front end can detect an unresponsive connection and dial again three times.
 const (
 	minReadTimeout    = 2250 * monotime.Millisecond // the service sends a heartbeat each second
 	readTimeoutJitter = 500 * monotime.Millisecond
--- a/internal/eventloop/sockets.go
+++ b/internal/eventloop/sockets.go
@@ -30,7 +30,7 @@
 }
 
 // Dial starts a non-blocking connection to an IPv4 address and returns its descriptor. Once the descriptor is writable,
-// DialResult returns whether the connection was established. A connection that fails immediately is returned as an
+// DialResult reports whether the connection was established. A connection that fails immediately is returned as an
 // error.
 func Dial(addr netip.AddrPort) (int, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
