--- a/fleet/budget/account/account.go
+++ b/fleet/budget/account/account.go
@@ -42,7 +42,7 @@
 
 	// Spent is the total that was spent from the account, in thousandths of a unit.
 	Spent int64
-	// Denied is the number of requests that were rejected. The owner of the account counts them.
+	// Denied is the number of rejected requests. The owner of the account counts them.
 	Denied int
 }
 
@@ -51,8 +51,8 @@
 	return &Account{kind: kind, window: window + window/ClockDriftDivisor}
 }
 
-// withDriftMargin returns the amount with a rate that is lower by the drift, so that it is kept even if this machine's
-// clock runs fast.
+// withDriftMargin returns the amount with its rate reduced by the maximum drift, so that the limit holds even if this
+// machine's clock runs fast.
 func (a *Account) withDriftMargin(amount Amount) Amount {
 	amount.Rate -= (amount.Rate + ClockDriftDivisor - 1) / ClockDriftDivisor
 	return amount
--- a/fleet/budget/doc.go
+++ b/fleet/budget/doc.go
@@ -9,7 +9,7 @@
 //
 //   - Rate of r per second with a burst of b: all front ends together spend at most r·w + b.
 //   - Concurrency limit of n: at every instant at most n are in use. What a lost front end had in use counts until it
-//     has finished or cannot run any more.
+//     has finished or can no longer run.
 //   - Total within a window: at most the total is spent within any window.
 //
 // The limits hold when front ends crash, pause, are partitioned or join, when disks are lost, when messages are
@@ -24,13 +24,13 @@
 //     clocks may differ by any offset and drift by one part in account.ClockDriftDivisor. If a machine's monotonic
 //     clock runs slower than that, its lease holder may overspend for as long as its clock lags behind. It stops with
 //     the first response, which reports that its lease has expired.
-//  3. What moves from one front end to another moves without anything left to spend: tokens are discarded on one side
-//     before the first accumulates on the other, a part of a concurrency limit is released when what used it has
-//     finished, and what was spent within a window is available again a window later.
+//  3. What moves from one front end to another cannot be spent by both: tokens are discarded on one side before the
+//     first accumulates on the other, a part of a concurrency limit is released when what used it has finished, and
+//     what was spent within a window is available again a window later.
 //  4. What a lost lease holder had in use of a concurrency limit is released only once its lease has expired and
 //     everything that it may have started has finished. That takes the longest time for which it polls for an attempt
 //     (Spec.MaxAttemptDuration) plus the time after which engines cancel what nobody polls for
-//     (replication.AbandonTimeout). It takes only the latter if a newer incarnation of the front end exists, which the
+//     (replication.AbandonTimeout). Only the latter counts if a newer incarnation of the front end exists, which the
 //     handshakes of connections establish with certainty.
 //  5. Two incarnations of one front end never run at the same time.
 //
--- a/fleet/budget/due.go
+++ b/fleet/budget/due.go
@@ -10,7 +10,7 @@
 
 // DueCommands returns the commands that are due by this machine's clock: those that open budgets, expire leases and
 // release the work of expired lease holders. The leader proposes them. It is safe to propose one late or twice.
-func (a *Authority) DueCommands(now monotime.Micros, seen replication.FailureDetector) (commands [][]byte) {
+func (a *Authority) DueCommands(now monotime.Micros, detector replication.FailureDetector) (commands [][]byte) {
 	if a.set == nil {
 		return nil
 	}
@@ -23,7 +23,7 @@
 		a.updateInForceSince(now, b)
 	}
 	for _, h := range a.holders {
-		if h.supersededSince == 0 && seen.Superseded(h.incarnation) {
+		if h.supersededSince == 0 && detector.Superseded(h.incarnation) {
 			h.supersededSince = now
 		}
 		if c, due := a.dueCommand(now, h); due {
--- a/fleet/budget/lease_holder.go
+++ b/fleet/budget/lease_holder.go
@@ -12,7 +12,7 @@
 type Proposer interface {
 	// Propose proposes a command and calls done with the response, if there is one. The returned id is never 0.
 	Propose(
-		now monotime.Micros, stateMachine, version uint32, body []byte, done func(replication.Response),
+		now monotime.Micros, stateMachineID, version uint32, body []byte, done func(replication.Response),
 	) (id uint64)
 	// Cancel abandons a proposal, so that done is not called for it. The command may still be committed.
 	Cancel(id uint64)
--- a/fleet/budget/lease_holder_report.go
+++ b/fleet/budget/lease_holder_report.go
@@ -57,8 +57,8 @@
 	return demand > reported+tolerance || demand < reported-tolerance || ended
 }
 
-// report proposes a report. While there is no response, it is unknown what the authority has recorded, so a next report
-// would list everything.
+// report proposes a report. Until its response arrives, it is unknown what the authority has recorded, so a report sent
+// before then lists everything.
 func (h *LeaseHolder) report() {
 	h.reportNumber++
 	h.Reports++
--- a/fleet/budget/message.go
+++ b/fleet/budget/message.go
@@ -19,7 +19,7 @@
 	opReport  operation = iota + 1 // a lease holder reports its demand and the grant in force at it
 	opExpire                       // by the leader: a lease has certainly expired
 	opRelease                      // by the leader: what a lease holder had in use has certainly finished
-	opOpen                         // by the leader: no grant of a budget by an earlier authority is in force any more
+	opOpen                         // by the leader: grants of a budget by an earlier authority are no longer in force
 )
 
 // command is a command in the replicated log. Each operation uses only some of the fields.
