--- a/fleet/idempotency/apply.go
+++ b/fleet/idempotency/apply.go
@@ -131,8 +131,8 @@
 	return r.respond(rec, OK)
 }
 
-// expire ends a request of which no attempt can run any more. A started request fails, as it may have run; an unstarted
-// one is removed.
+// expire ends a request whose attempts can no longer run. A started request fails, as it may have run; an unstarted one
+// is removed.
 func (r *Registry) expire(c *committedCommand, rec *record) {
 	switch {
 	case rec.changedIndex != c.ChangedIndex || rec.phase.Finished():
--- a/fleet/idempotency/command.go
+++ b/fleet/idempotency/command.go
@@ -14,7 +14,7 @@
 	Register         Op = iota + 1 // register a request, or join the record that exists
 	AuthorizeAttempt               // authorize an attempt to start
 	Complete                       // commit the outcome, or remove a request that did not run
-	Expire                         // by the leader: end a request of which no attempt can run any more
+	Expire                         // by the leader: end a request whose attempts can no longer run
 	Evict                          // by the leader: remove a record whose outcome was retained long enough
 	Inspect                        // return the state of the record as of the command's log index
 	OfferTransfer                  // by the leader: have another front end poll for a started request
--- a/fleet/idempotency/due.go
+++ b/fleet/idempotency/due.go
@@ -26,13 +26,13 @@
 
 // DueCommands returns the encoded commands that are due by this machine's clock, at most maxDueCommands of them. They
 // expire requests, evict outcomes, and transfer started requests whose owner is unreachable. The leader proposes them.
-func (r *Registry) DueCommands(now monotime.Micros, processes replication.FailureDetector) (commands [][]byte) {
+func (r *Registry) DueCommands(now monotime.Micros, detector replication.FailureDetector) (commands [][]byte) {
 	offers := 0
 	for _, rec := range r.ordered {
 		if len(commands) >= maxDueCommands {
 			break
 		}
-		command := r.dueCommand(rec, now, processes, offers < maxTransferOffers)
+		command := r.dueCommand(rec, now, detector, offers < maxTransferOffers)
 		if command == nil {
 			continue
 		}
@@ -46,7 +46,7 @@
 
 // dueCommand returns the command that is due for a record, or nil. It offers a transfer only if mayOffer is set.
 func (r *Registry) dueCommand(
-	rec *record, now monotime.Micros, processes replication.FailureDetector, mayOffer bool,
+	rec *record, now monotime.Micros, detector replication.FailureDetector, mayOffer bool,
 ) *Command {
 	switch {
 	case rec.phase.Finished():
@@ -58,10 +58,10 @@
 			return rec.leaderCommand(Expire)
 		}
 		if mayOffer {
-			return rec.dueTransfer(now, processes)
+			return rec.dueTransfer(now, detector)
 		}
 	case rec.phase == Waiting:
-		if now-rec.registeredAt >= rec.lifetime() || r.isOrphaned(rec, now, processes) {
+		if now-rec.registeredAt >= rec.lifetime() || r.isOrphaned(rec, now, detector) {
 			return rec.leaderCommand(Expire)
 		}
 	}
@@ -83,10 +83,10 @@
 // dueTransfer returns the OfferTransfer that is due for a started request, or nil. The request is offered to another
 // front end if its owner is unreachable, and again to a new owner of which no attempt was authorized yet, as the
 // notification may have been lost.
-func (rec *record) dueTransfer(now monotime.Micros, processes replication.FailureDetector) *Command {
+func (rec *record) dueTransfer(now monotime.Micros, detector replication.FailureDetector) *Command {
 	newOwner := rec.owner
-	if processes.Unreachable(rec.owner) {
-		newOwner = successor(rec.idempotencyKey, processes.Live())
+	if detector.Unreachable(rec.owner) {
+		newOwner = successor(rec.idempotencyKey, detector.Live())
 		if newOwner == rec.owner {
 			return nil
 		}
@@ -99,8 +99,8 @@
 }
 
 // isOrphaned reports whether the owner of an unstarted request has been presumed dead for at least the orphan timeout.
-func (r *Registry) isOrphaned(rec *record, now monotime.Micros, processes replication.FailureDetector) bool {
-	if !processes.PresumedDead(rec.owner) {
+func (r *Registry) isOrphaned(rec *record, now monotime.Micros, detector replication.FailureDetector) bool {
+	if !detector.PresumedDead(rec.owner) {
 		rec.ownerPresumedDeadSince = 0
 		return false
 	}
@@ -110,14 +110,14 @@
 	return now-rec.ownerPresumedDeadSince >= r.options.OrphanTimeout
 }
 
-// successor returns the process that is to take over a request, or 0 if no process is live. It is chosen by rendezvous
-// hashing over the live processes, so that no process takes over all requests of a lost one.
+// successor returns the incarnation that is to take over a request, or 0 if none is live. It is chosen by rendezvous
+// hashing over the live ones, so that the requests of a lost front end are spread over the others.
 func successor(idempotencyKey string, live []replication.Incarnation) (best replication.Incarnation) {
 	var bestHash uint64
-	for _, process := range live {
-		hash := xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(idempotencyKey), uint64(process)))
+	for _, incarnation := range live {
+		hash := xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(idempotencyKey), uint64(incarnation)))
 		if best == 0 || hash > bestHash {
-			best, bestHash = process, hash
+			best, bestHash = incarnation, hash
 		}
 	}
 	return best
--- a/fleet/idempotency/idempotencyclient/attempt.go
+++ b/fleet/idempotency/idempotencyclient/attempt.go
@@ -7,7 +7,7 @@
 )
 
 // Authorize proposes to authorize an attempt. It calls authorized once, but not after the request was released. If the
-// attempt is denied, the request is also suspended.
+// attempt is not authorized, the request is also suspended.
 func (c *Client) Authorize(
 	now monotime.Micros, registration *gateway.Registration, attempt int, engine string,
 	authorized func(now monotime.Micros, ok bool),
--- a/fleet/idempotency/idempotencyclient/client.go
+++ b/fleet/idempotency/idempotencyclient/client.go
@@ -22,7 +22,7 @@
 	) (id uint64)
 	// Cancel stops a proposal. Its command may still be committed.
 	Cancel(id uint64)
-	// PresumedDead reports whether the process of the incarnation is presumed dead. This is a guess.
+	// PresumedDead reports whether an incarnation is presumed dead. It may be alive nevertheless.
 	PresumedDead(incarnation uint64) bool
 }
 
--- a/fleet/idempotency/idempotencyclient/doc.go
+++ b/fleet/idempotency/idempotencyclient/doc.go
@@ -7,9 +7,9 @@
 // In addition to what package idempotency guarantees, it guarantees:
 //
 //  1. Clients receive rows only from the registry: those of the first outcome that was committed.
-//  2. A request that this front end may no longer start (it was denied or taken over, or its client's timeout has
-//     passed) is not started here later: a late authorization is not used, and the registry is informed that nothing
-//     ran.
+//  2. A request that this front end may no longer start (an authorization was rejected, the request was taken over, or
+//     its client's timeout has passed) is not started here later: a late authorization is not used, and the registry
+//     is informed that nothing ran.
 //  3. A request is rejected only if, as far as this front end can know, none of its attempts may have started. The
-//     rejected call itself never runs later.
+//     rejected request itself never runs later.
 package idempotencyclient
--- a/fleet/idempotency/idempotencyclient/outcome.go
+++ b/fleet/idempotency/idempotencyclient/outcome.go
@@ -77,7 +77,7 @@
 		c.register(t, false)
 	case outcome == idempotency.Unregistered:
 		c.close(t)
-	default: // the command was not committed or was denied, or the record has expired and was removed
+	default: // the command was not committed or was rejected, or the record has expired and was removed
 		c.finish(t, false, nil)
 	}
 }
--- a/fleet/idempotency/idempotencyclient/register.go
+++ b/fleet/idempotency/idempotencyclient/register.go
@@ -15,7 +15,7 @@
 	c.now = now
 	if t := c.tracked[registration.Call().IdempotencyKey]; t != nil {
 		t.addRegistration(registration)
-		return // the next Tick compares the statements, as the gateway must not be called from within its own call
+		return // the next Tick compares the statements, as the gateway must not be called back from within Register
 	}
 	t := newTrackedRecord(registration)
 	c.track(t)
@@ -30,15 +30,15 @@
 	}
 	t.nextPoll = c.now + c.config.PollInterval
 	registration := t.registrations[0]
-	call := registration.Call()
+	request := registration.Call()
 	command := &idempotency.Command{
 		Op:              idempotency.Register,
 		IdempotencyKey:  t.idempotencyKey,
-		OrderKey:        call.OrderKey,
-		Tenant:          call.Tenant,
-		Class:           call.Class,
+		OrderKey:        request.OrderKey,
+		Tenant:          request.Tenant,
+		Class:           request.Class,
 		StatementDigest: t.statementDigest,
-		RequestID:       call.ID,
+		RequestID:       request.ID,
 		ClientTimeout:   uint64(max(1, registration.Deadline()-c.now)),
 		TakeOver:        takeOver,
 	}
--- a/fleet/idempotency/idempotencyclient/takeover.go
+++ b/fleet/idempotency/idempotencyclient/takeover.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// inspectUntracked queries a record that is not tracked here. This front end may still be its owner, because of an
+// inspectUntracked inspects a record that is not tracked here. This front end may still be its owner, because of an
 // OfferTransfer or a late duplicate of a command.
 func (c *Client) inspectUntracked(idempotencyKey string) {
 	command := &idempotency.Command{Op: idempotency.Inspect, IdempotencyKey: idempotencyKey}
--- a/fleet/idempotency/idempotencyclient/trackedrecord.go
+++ b/fleet/idempotency/idempotencyclient/trackedrecord.go
@@ -44,11 +44,11 @@
 
 // newTrackedRecord returns a record for the first request here that has its idempotency key.
 func newTrackedRecord(registration *gateway.Registration) *trackedRecord {
-	call := registration.Call()
+	request := registration.Call()
 	t := &trackedRecord{
-		idempotencyKey:  call.IdempotencyKey,
-		orderKey:        call.OrderKey,
-		statementDigest: statementDigest(call.Statement),
+		idempotencyKey:  request.IdempotencyKey,
+		orderKey:        request.OrderKey,
+		statementDigest: statementDigest(request.Statement),
 	}
 	t.addRegistration(registration)
 	return t
