--- a/internal/peering/attachedlinks.go
+++ b/internal/peering/attachedlinks.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// newest returns a process's newest link; nil if it has none.
+// newest returns the newest link of an incarnation; nil if it has none.
 func (a *attachedLinks) newest(incarnation uint64) *inboundLink {
 	links := a.byIncarnation[incarnation]
 	if len(links) == 0 {
@@ -100,9 +100,9 @@
 	p.controlNode.LinkClosed(p.Host.TurnTime, l.link)
 }
 
-// sendToAttached queues a message on the newest link of an attached front end's process. Without a link the message is
-// dropped, as messages may be lost anyway. If a receiver reads too slowly, its whole queue is dropped, and it receives
-// the missed changes after its next heartbeat.
+// sendToAttached queues a message on the newest link of an attached front end's incarnation. Without a link the message
+// is dropped, as messages may be lost anyway. If a receiver reads too slowly, its whole queue is dropped, and it
+// receives the missed changes after its next heartbeat.
 func (p *Peering) sendToAttached(message fleet.Send) {
 	l := p.attachedLinks.newest(message.Incarnation)
 	if l == nil {
@@ -150,7 +150,7 @@
 	p.lastTick = now
 }
 
-// closeAttachedLink closes a link at the node's request, for example because its process was superseded.
+// closeAttachedLink closes a link at the node's request, for example because its incarnation was superseded.
 func (p *Peering) closeAttachedLink(link fleet.Link) {
 	for _, l := range slices.Clone(p.attachedLinks.byIncarnation[link.Incarnation]) {
 		if l.link.ChallengedAt == link.ChallengedAt {
--- a/internal/peering/hollow.go
+++ b/internal/peering/hollow.go
@@ -59,7 +59,7 @@
 	if h.frontEnd(cfg.Name) != nil {
 		return 0, fmt.Errorf("%w: %q", ErrDuplicateHollow, cfg.Name)
 	}
-	firstTickDelay := monotime.Micros(seed % uint64(eventloop.TickInterval)) // processes tick at different times
+	firstTickDelay := monotime.Micros(seed % uint64(eventloop.TickInterval)) // front ends tick at different times
 	f := &hollowFrontEnd{nextTick: h.TurnTime + firstTickDelay}
 	program := Program{Host: &h.Host, Seed: seed, Post: h.Post, Draining: func() bool { return false }}
 	if f.Peering, err = NewPeering(program, cfg); err != nil {
--- a/internal/peering/hollowchange.go
+++ b/internal/peering/hollowchange.go
@@ -75,8 +75,8 @@
 	h.finishAwaits()
 }
 
-// finishAwaits calls the callbacks of the changes for which no front end is waited for any more. It updates the list
-// first, as a callback may await further changes.
+// finishAwaits calls the callbacks of the changes that no front end here is still to see. It updates the list first, as
+// a callback may await further changes.
 func (h *Hollow) finishAwaits() {
 	remaining := h.pendingChanges[:0]
 	var finished []*pendingChange
--- a/internal/peering/hollowloop.go
+++ b/internal/peering/hollowloop.go
@@ -45,7 +45,7 @@
 func (h *Hollow) awaitMinTurnInterval() {
 	if rest := h.TurnTime + eventloop.MinTurnInterval - h.Clock.Now(); rest > 0 {
 		sleep := unix.NsecToTimespec(rest * nanosecondsPerMicro)
-		_ = unix.Nanosleep(&sleep, nil) // a signal may cut it short, which is harmless
+		_ = unix.Nanosleep(&sleep, nil) // a signal may interrupt it, which is harmless
 	}
 }
 
--- a/internal/peering/outboundlink.go
+++ b/internal/peering/outboundlink.go
@@ -35,7 +35,7 @@
 )
 
 // outboundLink is the link that a front end dials to a control member to send messages. Between control members it is
-// redialed with backoff after a failure. An attached front end creates a new one when its node wants the link again.
+// redialed with backoff after a failure. An attached front end creates a new one if its node still needs the link.
 type outboundLink struct {
 	linkSender
 	name               string
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -215,7 +215,7 @@
 // formatID formats an ID or a digest for status pages and the log.
 func formatID(n uint64) string { return fmt.Sprintf("%016x", n) }
 
-// withJitter returns a random duration between 0.5 and 1.5 times the given one. Each process has its own sequence, so
+// withJitter returns a random duration between 0.5 and 1.5 times the given one. Each front end has its own sequence, so
 // that front ends do not reconnect at the same time.
 func (p *Peering) withJitter(duration monotime.Micros) monotime.Micros {
 	p.jitterState ^= p.jitterState << 13
