--- a/fleet/budget/authority.go
+++ b/fleet/budget/authority.go
@@ -9,7 +9,7 @@
 	"chutechute/internal/monotime"
 )
 
-// Options are the limits of an Authority. All replicas of a group must have the same options.
+// Options are the limits of an Authority. All replicas of the log must have the same options.
 type Options struct {
 	MaxSubjects int // how many subjects may have allocations at a time, over all budgets
 }
--- a/fleet/idempotency/registry.go
+++ b/fleet/idempotency/registry.go
@@ -17,7 +17,7 @@
 	stateMachineName = "loads"
 )
 
-// Options holds the limits of a registry. All replicas of a group must use the same values.
+// Options holds the limits of a registry. All replicas of the log must use the same values.
 type Options struct {
 	MaxBytes      int             // maximum size of all records, including the space reserved for outcomes
 	Retention     monotime.Micros // how long an outcome is retained
--- a/internal/peering/status.go
+++ b/internal/peering/status.go
@@ -21,7 +21,7 @@
 	Incarnation     string          `json:"incarnation"`
 	ReplicaID       string          `json:"copy"`
 	Durable         bool            `json:"lasting"` // the replica is stored on disk, not only in memory
-	Group           string          `json:"group"`   // the replication group's ID
+	Group           string          `json:"group"`   // the Raft group's ID
 	Role            string          `json:"role"`    // leader, voter, learner, none, failed or attached
 	Leader          string          `json:"leader"`
 	Term            uint64          `json:"term"`
--- a/internal/peering/statuspage.go
+++ b/internal/peering/statuspage.go
@@ -84,7 +84,7 @@
 	return roleNone
 }
 
-// replicaStatuses returns the replicas of the group, voters first.
+// replicaStatuses returns all replicas of the log, voters first.
 func replicaStatuses(replica *replication.Replica) []ReplicaStatus {
 	voters, learners := replica.Members()
 	statuses := []ReplicaStatus{}
