--- a/internal/config/attached.go
+++ b/internal/config/attached.go
@@ -20,7 +20,7 @@
 // Attachment has the settings of the section "fleet.attached" as they apply to one front end.
 type Attachment struct {
 	IsAttached bool              // this front end is attached; false if it is a member
-	Config     membership.Config // without the incarnation and the seed, which the process chooses
+	Config     membership.Config // without the incarnation and the seed, which are chosen at start
 	// MaxViewBytes is the maximum size of the complete membership view in a message.
 	MaxViewBytes int
 }
@@ -46,7 +46,7 @@
 // attachedSection creates the errors for keys of the section.
 var attachedSection = section{file: installationFile, path: fleetSection.path + ".attached"}
 
-// enabled returns whether front ends may attach.
+// enabled reports whether front ends may attach.
 func (a *Attached) enabled() bool { return a != nil && a.Enabled }
 
 // withDefaults returns a copy of the section with defaults filled in.
--- a/internal/config/budget.go
+++ b/internal/config/budget.go
@@ -25,7 +25,7 @@
 	MaxAttemptDurationS float64 `json:"life_s"`    // with places: longest attempt; default and minimum: longest give_up
 	//lint:ignore SA5008 the tag is read by mapstructure, which knows squash, and not by encoding/json
 	enforce.Scope   `json:",squash"`
-	StaticShare     *float64           `json:"reserve"`   // share for static parts, divided evenly; default 0.02
+	StaticShare     *float64           `json:"reserve"`   // share for static allocations, divided evenly; default 0.02
 	NewcomerReserve *float64           `json:"newcomers"` // share for front ends without an allocation; default 0.005
 	Floor           float64            `json:"floor"`     // share that each front end with demand gets first
 	Weights         map[string]float64 `json:"weights"`   // of members by name; from 0.001 to 1000, default 1
@@ -161,8 +161,8 @@
 	return thousandths(*share)
 }
 
-// staticShare returns the share, in thousandths, that is divided into static parts: what front ends have without a
-// lease.
+// staticShare returns the share, in thousandths, that is divided into static allocations: what front ends have without
+// a lease.
 func (b *Budget) staticShare() int64 {
 	if b.WithoutLease == withoutNone {
 		return 0
--- a/internal/config/fleetdurations.go
+++ b/internal/config/fleetdurations.go
@@ -93,7 +93,7 @@
 }
 
 // requiredRetention returns how long the outcome of an idempotent request has to be retained: a client may repeat the
-// request until its client time-out, and engines drop repeats within the dedupe window.
+// request until its client timeout, and engines drop repeats within the dedupe window.
 func requiredRetention(site *settings.Settings) (required monotime.Micros) {
 	for i := range site.Classes {
 		class := &site.Classes[i]
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -25,7 +25,7 @@
 	Digest            []byte                    // of the settings that all front ends have to agree on
 	Node              fleet.Config
 	Idempotency       idempotency.Options      // of the registry of idempotent requests
-	IdempotencyClient idempotencyclient.Config // without the incarnation, which the process chooses
+	IdempotencyClient idempotencyclient.Config // without the incarnation, which is chosen at start
 	Budgets           *budget.Set              // nil if none are set
 	MaxMessageBytes   int                      // maximum size of a message between front ends
 	Attached          *Attachment              // nil if no front ends may attach
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -40,7 +40,7 @@
 
 // TLSHandshakes limits handshakes.
 type TLSHandshakes struct {
-	Pending int     `json:"pending"` // handshakes in progress at a time, others wait; default 32
+	Pending int     `json:"pending"` // handshakes that run at a time, others wait; default 32
 	Share   float64 `json:"share"`   // of one core that handshakes may use, from 0 to 1; default 0.25
 }
 
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// HandshakeLimits returns how many handshakes may be in progress at a time, and the share of one core that they may
-// use.
+// HandshakeLimits returns how many handshakes may run at a time, not counting those that wait for the client, and the
+// share of one core that handshakes may use.
 func (t *TLS) HandshakeLimits() (pending int, share float64) {
 	pending = cmp.Or(t.Handshakes.Pending, defaultPendingHandshakes)
 	share = cmp.Or(t.Handshakes.Share, defaultHandshakeShare)
