--- a/internal/certs/dev.go
+++ b/internal/certs/dev.go
@@ -1,4 +1,4 @@
-// Package certs creates certificates for trials and tests, and loads those of an installation: certificates with their
+// Package certs creates certificates for development and tests, and loads those of an installation: certificates with their
 // keys, certificate authorities and certificate revocation lists.
 package certs
 
@@ -21,7 +21,7 @@
 	"chutechute/internal/keyfiles"
 )
 
-// CA is a certificate authority for trials: its private key is stored beside its certificate.
+// CA is a certificate authority for development and tests: its private key is stored beside its certificate.
 type CA struct{ Pair }
 
 // Pair is a certificate and its private key.
--- a/internal/keyfiles/files.go
+++ b/internal/keyfiles/files.go
@@ -22,7 +22,7 @@
 
 // Read reads a regular file of at most maxBytes bytes. It returns an error if the file is of another type or larger.
 func Read(path string, maxBytes int) ([]byte, error) {
-	f, err := os.OpenFile(path, os.O_RDONLY|unix.O_NONBLOCK, 0) // without it, opening a named pipe would block
+	f, err := os.OpenFile(path, os.O_RDONLY|unix.O_NONBLOCK, 0) // without O_NONBLOCK, opening a named pipe would block
 	if err != nil {
 		return nil, err
 	}
--- a/internal/keyfiles/watch.go
+++ b/internal/keyfiles/watch.go
@@ -14,13 +14,13 @@
 	done chan struct{} // closed when the goroutine has ended
 }
 
-// File is a watched file. Load reads it and passes its content on; after the first time it is called on the watch's
-// goroutine.
+// File is a watched file. Load reads it and passes its content on. LoadAll calls it first, and then the Watcher, on its
+// own goroutine.
 type File struct {
 	Path string
 	Load func(path string) error
 
-	last fileVersion // of the last load, successful or not
+	last fileVersion // at the last load, successful or not
 }
 
 // fileVersion holds the metadata by which a changed file is recognized without reading it.
@@ -55,14 +55,14 @@
 	return nil
 }
 
-// StartWatcher starts to watch files, which Load has loaded before, and checks them once in each interval.
+// StartWatcher starts to watch files, which LoadAll has loaded before, and checks them once in each interval.
 func StartWatcher(files []*File, interval time.Duration) *Watcher {
 	w := &Watcher{make(chan struct{}), make(chan struct{})}
 	go w.run(files, interval)
 	return w
 }
 
-// Stop ends the watch. No file is loaded after it has returned.
+// Stop stops the watcher. No file is loaded after it has returned.
 func (w *Watcher) Stop() {
 	close(w.stop)
 	<-w.done
--- a/internal/tlsio/conn.go
+++ b/internal/tlsio/conn.go
@@ -21,11 +21,11 @@
 var (
 	// ErrAgain is returned by Read if it needs more bytes from Feed.
 	ErrAgain net.Error = noInputError{}
-	// ErrEnd is returned by Read after the peer has closed its side.
+	// ErrEnd is returned by Read after the peer has closed its side of the connection.
 	ErrEnd = io.EOF
 	// ErrNotTLS is returned if the client's first byte does not start a TLS handshake record.
 	ErrNotTLS = errors.New("tlsio: first record is not a TLS handshake")
-	// ErrHandshakeTooLarge is returned by Feed if the peer sends more than maxHandshakeInput during the handshake.
+	// ErrHandshakeTooLarge is returned by Feed if more than maxHandshakeInput is unread during the handshake.
 	ErrHandshakeTooLarge = errors.New("tlsio: too many bytes during the TLS handshake")
 )
 
@@ -47,7 +47,7 @@
 type Conn struct {
 	pipe          pipe
 	tls           *tls.Conn
-	handshakeDone bool // set by Finish
+	handshakeDone bool // set by SetHandshakeDone
 }
 
 // Server returns the server side of a connection. Pool.Start starts its handshake.
@@ -109,7 +109,7 @@
 	return n, err
 }
 
-// maxIdleInput is the number of bytes of storage that an empty input buffer keeps at most.
+// maxIdleInput is the largest capacity, in bytes, that an empty input buffer keeps.
 const maxIdleInput = 1 << 10
 
 // Write encrypts bytes for the peer and adds them to Output.
