--- a/identity/handshakes.go
+++ b/identity/handshakes.go
@@ -1,6 +1,6 @@
 package identity
 
-// HandshakeLimiter limits how many TLS handshakes compute concurrently, in total and per client address, because a
+// HandshakeLimiter limits how many TLS handshakes run concurrently, in total and per client address, because a
 // handshake costs many times as much as a request. Handshakes above a limit are queued first in, first out, but an
 // address at its limit does not block the others. A handshake that waits for its peer does not count.
 type HandshakeLimiter struct {
@@ -32,7 +32,7 @@
 }
 
 // Done releases the slot of a started handshake and starts the queued ones that the limits now allow. It must be called
-// exactly once for each started handshake.
+// exactly once for each started handshake: when it first waits for its peer, or when it ends before that.
 func (h *HandshakeLimiter) Done(address uint64) {
 	h.running--
 	h.runningByAddress[address]--
