--- a/internal/certs/dev.go
+++ b/internal/certs/dev.go
@@ -1,5 +1,5 @@
-// Package certs creates certificates for development and tests, and loads those of an installation: certificates with their
-// keys, certificate authorities and certificate revocation lists.
+// Package certs creates certificates for development and tests, and loads those of an installation: certificates with
+// their keys, certificate authorities and certificate revocation lists.
 package certs
 
 import (
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -38,7 +38,7 @@
 	Key         string `json:"key"`
 }
 
-// TLSHandshakes limits handshakes.
+// TLSHandshakes limits handshakes with clients.
 type TLSHandshakes struct {
 	Pending int     `json:"pending"` // handshakes that run at a time, others wait; default 32
 	Share   float64 `json:"share"`   // of one core that handshakes may use, from 0 to 1; default 0.25
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// HandshakeLimits returns how many handshakes may run at a time, not counting those that wait for the client, and the
-// share of one core that handshakes may use.
+// HandshakeLimits returns how many handshakes with clients may run at a time, not counting those that wait for the
+// client, and the share of one core that handshakes with clients may use.
 func (t *TLS) HandshakeLimits() (pending int, share float64) {
 	pending = cmp.Or(t.Handshakes.Pending, defaultPendingHandshakes)
 	share = cmp.Or(t.Handshakes.Share, defaultHandshakeShare)
