--- a/cmd/chutechute/attached_lost_test.go
+++ b/cmd/chutechute/attached_lost_test.go
@@ -13,7 +13,7 @@
 // Attached front ends must stay members when the control members of their zone are lost one after the other. The
 // fleet has five control members in three zones, two of them in zone a, and four attached front ends in zone a. The
 // two control members of zone a are killed, the second after the fleet has converged again. After each loss a
-// look-up and a keyed load are sent through each attached front end. The attached front ends serve them, are seen
+// lookup and a keyed load are sent through each attached front end. The attached front ends serve them, are seen
 // alive by all, have links to two running control members and follow one of them, and no running front end is seen
 // as dead at any time.
 func TestBothControlMembersOfAZoneLost(t *testing.T) {
@@ -76,12 +76,12 @@
 	return count
 }
 
-// A control member that is cut off only from its attached front ends must not declare them dead. All six attached
-// front ends and the first of three control members are in zone a. The paths from the attached front ends to that
-// control member are cut; later their other paths are stalled for longer than a lease. There is no load. The first
+// A control member that is partitioned only from its attached front ends must not declare them dead. All six attached
+// front ends and the first of three control members are in zone a. The attached front ends are partitioned from that
+// control member; later their paths to the others are stalled for longer than a lease. No requests are sent. The first
 // control member, which loses all its leases at once, suspects itself, and the attached front ends are seen alive
 // through the other control members. Once these suspect themselves too, all attached front ends are suspect but not
-// dead until the same processes are heard from again.
+// dead until the control members receive heartbeats of the same incarnations again.
 func TestHomeCutOffFromItsAttachedFrontEndsOnly(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3, testharness.WithAttachedFrontEnds("a", "a", "a", "a", "a", "a"))
@@ -108,7 +108,7 @@
 		}
 		return true
 	})
-	f.WaitFor("self-suspicion of the control member that is cut off", func() bool { return home.Counter("Doubts") > 0 })
+	f.WaitFor("self-suspicion of the partitioned control member", func() bool { return home.Counter("Doubts") > 0 })
 	f.WaitUntilConverged()
 
 	f.LogStep("stall all paths of the attached front ends")
--- a/cmd/chutechute/attached_settings_test.go
+++ b/cmd/chutechute/attached_settings_test.go
@@ -72,9 +72,9 @@
 		{"a limit above the maximum size of a view", "x1", attachedWith("most", 1<<20), "fleet.attached.most"},
 		{"a negative limit", "n1", attachedWith("most", -1), "fleet.attached.most"},
 		{"heartbeats that are too frequent", "x1", attachedWith("heartbeat_ms", 1), "fleet.attached.heartbeat_ms"},
-		{"a suspicion time-out of less than two heartbeats", "x1",
+		{"a suspicion timeout of less than two heartbeats", "x1",
 			attachedWith("suspect_ms", 1500), "fleet.attached.suspect_ms"},
-		{"a death time-out below the suspicion time-out", "x1",
+		{"a death timeout below the suspicion timeout", "x1",
 			attachedWith("dead_ms", 2000), "fleet.attached.dead_ms"},
 		{"an unknown key", "x1", attachedWith("lease_ms", 2000), "lease_ms"},
 		{"a name with a space", "x 1", nil, "fleet.attached"},
@@ -90,7 +90,7 @@
 }
 
 // A front end whose secret or settings differ from the fleet's must not become a member. Of three front ends that
-// attach to a control member, one has its settings, one has another secret and one has another death time-out. The
+// attach to a control member, one has its settings, one has another secret and one has another death timeout. The
 // first is connected and seen alive. The links of the others are rejected with the reason in the log; they continue
 // to serve without a home, and no view has them.
 func TestMismatchedFrontEndsAreNotAttached(t *testing.T) {
--- a/cmd/chutechute/attached_stopped_test.go
+++ b/cmd/chutechute/attached_stopped_test.go
@@ -12,7 +12,7 @@
 	"chutechute/internal/testharness"
 )
 
-// pauseDuration is how long a process is paused: longer than the leases, the self-suspicion and the time-out of idle
+// pauseDuration is how long a process is paused: longer than the leases, the self-suspicion and the timeout of idle
 // links.
 const pauseDuration = 10 * time.Second
 
--- a/cmd/chutechute/budgets_test.go
+++ b/cmd/chutechute/budgets_test.go
@@ -40,7 +40,7 @@
 	return 0
 }
 
-// budgetWorkload generates the look-ups of tenant t under which a budget is tested, and checks what the engines saw
+// budgetWorkload generates the lookups of tenant t under which a budget is tested, and checks what the engines saw
 // of them.
 type budgetWorkload struct {
 	t          *testing.T
@@ -106,7 +106,7 @@
 	return fraction
 }
 
-// waitUntilOpen waits until leases are granted: a new authority waits until earlier grants have expired.
+// waitUntilOpen waits until leases are granted: a new leader waits until earlier grants have expired.
 func (w *budgetWorkload) waitUntilOpen(n *testharness.FrontEnd) {
 	w.f.WaitForLeader(3)
 	require.Eventually(w.t, func() bool {
@@ -146,8 +146,8 @@
 
 // Leases must follow the demand, and a partition must not let the fleet exceed the total. All traffic comes to one
 // of five front ends, and then to another. Then 80% of the traffic comes to two front ends that a partition leaves
-// without a majority: they go on with what they may spend without a lease, and the others get the rest. After the
-// partition the total is in use again.
+// without a majority: they continue with their static allocations, and the others get the rest. After the partition
+// the total is in use again.
 func TestTrafficMovesAndACut(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 5, withBudgets(1, map[string]any{
@@ -189,7 +189,7 @@
 	workload.stopClients()
 	workload.checkRate(100, 50)
 	assert.Greater(t, workload.utilization(100, from, to), 0.75,
-		"all traffic to one, except for the static parts of the others")
+		"all traffic to one, except for the static allocations of the others")
 	assert.Greater(t, workload.utilization(100, from2, to2), 0.75,
 		"all traffic to another, a second after it moved")
 	assert.Greater(t, workload.utilization(100, from3, to3), 0.3,
@@ -311,8 +311,9 @@
 	workload.checkRate(60, 30)
 }
 
-// A lowered total must take effect although a front end is cut off and has the old settings. The total is lowered to
-// a tenth under full load. It is in force, and reported to be, once the leases above it have expired.
+// A lowered total must take effect although a front end is partitioned from the others and has the old settings. The
+// total is lowered to a tenth under full load. It is in force, and reported to be, once the leases above it have
+// expired.
 func TestTotalLoweredDuringAPartition(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3, withDurableStorage, withBudgets(1, tenantQuota(100, 40)))
@@ -323,9 +324,9 @@
 		workload.startClients(n, 60, 5)
 	}
 	time.Sleep(time.Second)
-	cutOff := f.FrontEnds[(leader.Index+1)%3]
+	partitioned := f.FrontEnds[(leader.Index+1)%3]
 	connected := []*testharness.FrontEnd{leader, f.FrontEnds[(leader.Index+2)%3]}
-	f.SetPartition(true, []*testharness.FrontEnd{cutOff}, connected)
+	f.SetPartition(true, []*testharness.FrontEnd{partitioned}, connected)
 	withBudgets(2, tenantQuota(10, 4))(f)
 	for _, n := range connected {
 		n.Reload()
@@ -336,8 +337,8 @@
 	}, testharness.WaitTimeout, 20*time.Millisecond, "the lower total is in force")
 	time.Sleep(time.Second) // queries whose consumption was earlier may still be on their way to engines
 	from, _ := workload.wait(4 * time.Second)
-	f.SetPartition(false, []*testharness.FrontEnd{cutOff}, connected)
-	cutOff.Reload()
+	f.SetPartition(false, []*testharness.FrontEnd{partitioned}, connected)
+	partitioned.Reload()
 	time.Sleep(2 * time.Second)
 	workload.stopClients()
 	workload.checkRate(100, 40)
--- a/cmd/chutechute/capacity_test.go
+++ b/cmd/chutechute/capacity_test.go
@@ -51,7 +51,7 @@
 	capacityMemoryMB  = 768
 	warmClients       = 20
 	busyStatements    = 12_000
-	busyClientDivisor = 10 // one in so many connections is busy
+	busyClientDivisor = 10 // one in this many connections is busy
 	stubEngines       = 8
 
 	connectionsPerFrontEnd = 22_000_000 / 2700 // client connections per front end, from the users' figures
@@ -73,7 +73,7 @@
 // rejects part of a burst of hundreds, so that the rejections would be measured.
 const maxConcurrentStatements = 64
 
-// runLookups sends look-ups over the clients in turn. As many are in flight as there are clients, but no more than
+// runLookups sends lookups over the clients in turn. As many are in flight as there are clients, but no more than
 // maxConcurrentStatements.
 func runLookups(t *testing.T, clients []*testharness.Client, statements int) {
 	var generators sync.WaitGroup
@@ -116,7 +116,7 @@
 			runLookups(t, connectClients(t, warmClients, r.NewClient), 400)
 			before := usageOf(t, pid)
 			clients := connectClients(t, count, r.NewClient)
-			time.Sleep(300 * time.Millisecond) // for work that is left over from the last connections
+			time.Sleep(300 * time.Millisecond) // lets the front end finish its work on the last connections
 			idle := usageOf(t, pid)
 			runLookups(t, clients[:count/busyClientDivisor], busyStatements)
 			busy := usageOf(t, pid)
@@ -214,7 +214,7 @@
 	require.NoError(t, procstat.SaveResult(result))
 }
 
-// tenantSettings returns the settings of so many tenants, "t" among them.
+// tenantSettings returns the settings of the given number of tenants, one of which is "t".
 func tenantSettings(count int) (list []any) {
 	for i := range count {
 		name := fmt.Sprintf("tenant-%05d", i)
@@ -226,7 +226,7 @@
 	return list
 }
 
-// engineList returns the value of "known" in a configuration that lists so many engines.
+// engineList returns the value of "known" in a configuration that lists the given number of engines.
 func engineList(count int) any {
 	var targets []any
 	for i := range count {
@@ -238,7 +238,7 @@
 	return map[string]any{"pos": 41, "entries": []any{map[string]any{"pos": 41, "hosts": hosts}}}
 }
 
-// waitForReloads waits until the front end has logged so many reloads.
+// waitForReloads waits until the front end has logged the given number of reloads.
 func waitForReloads(t *testing.T, r *testharness.Harness, count int) {
 	require.Eventually(t, func() bool {
 		return strings.Count(r.Log.String(), "msg=reloaded") >= count
@@ -311,8 +311,8 @@
 	require.NoError(t, procstat.SaveResult(result))
 }
 
-// leaderChangeGaps kills the leader of a fleet's log so many times, and returns how long no load was served after
-// each.
+// leaderChangeGaps kills the leader of the replicated log the given number of times, and returns for each how long no
+// load was served.
 func leaderChangeGaps(t *testing.T, frontEnds, changes int) (gaps []time.Duration) {
 	f := testharness.NewFleet(t, program, frontEnds)
 	for round := range changes {
--- a/cmd/chutechute/client_gone_test.go
+++ b/cmd/chutechute/client_gone_test.go
@@ -26,7 +26,7 @@
 	r.Signal(syscall.SIGCONT)
 }
 
-// waitForClientDisconnects waits until the front end has counted that many connections that clients have closed.
+// waitForClientDisconnects waits until the front end has counted the given number of connections closed by clients.
 func waitForClientDisconnects(r *testharness.Harness, count int) {
 	require.Eventually(r.T, func() bool { return r.Counter("connections ended by their clients") == count },
 		testharness.WaitTimeout, 5*time.Millisecond)
--- a/cmd/chutechute/clients_test.go
+++ b/cmd/chutechute/clients_test.go
@@ -233,7 +233,7 @@
 	assert.Less(t, r.PeakMemoryMB(), 32)
 }
 
-// The memory of an answered request is freed, however long its client's time-out.
+// The memory of an answered request is freed, however long its client's timeout.
 func TestAnsweredRequestsAreFreed(t *testing.T) {
 	r := start(t, 1, testharness.SucceedAfterPolls(0, testharness.ResultRow),
 		func(r *testharness.Harness) { r.MemoryLimitMB = 32 })
--- a/cmd/chutechute/copies_test.go
+++ b/cmd/chutechute/copies_test.go
@@ -17,7 +17,7 @@
 	"chutechute/internal/testharness"
 )
 
-// newLoad returns a load with an idempotency key and an order key ("" for none) that runs for so many milliseconds.
+// newLoad returns a load with an idempotency key and an order key ("" for none) that runs for runTimeMS milliseconds.
 func newLoad(idempotencyKey, orderKey string, runTimeMS int) testharness.LoadRequest {
 	return testharness.LoadRequest{IdempotencyKey: idempotencyKey, OrderKey: orderKey,
 		Statement: fmt.Sprintf("INSERT INTO s_1.t -- ms=%d", runTimeMS), ClientTimeout: 8 * time.Second}
@@ -67,8 +67,8 @@
 }
 
 // A load must not run twice concurrently, nor after a client got its outcome, when its owner is lost with its disk
-// and the client repeats it through another front end. The owner is killed in each phase of a load. A load that has
-// not started is served by the repeat.
+// and the client repeats it through another front end. The owner is killed in each phase of a load. The repeat of
+// a load that is still queued, or whose client got its outcome, must be served.
 func TestOwnerLostAtEachPoint(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3, withDurableStorage)
@@ -124,7 +124,7 @@
 }
 
 // A load that is sent concurrently through all front ends must run once, with the same rows for every client. The
-// same key with another statement is rejected, and the log has the key.
+// same key with another statement is rejected, and a log line names the key.
 func TestConcurrentRepeatsAndReusedKey(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3, withDurableStorage)
@@ -151,7 +151,7 @@
 }
 
 // Without a majority a load that has not started must be rejected, and one whose outcome cannot be committed by its
-// deadline must fail; look-ups are served as before. With a majority again, the outcome is found through every front
+// deadline must fail; lookups are served as before. With a majority again, the outcome is found through every front
 // end.
 func TestNoMajority(t *testing.T) {
 	t.Parallel()
@@ -180,9 +180,9 @@
 	f.CheckHistory()
 }
 
-// The leader of the replicated log must not start loads on outdated state. Under a stream of loads its outbound
-// links are cut, then it is paused for 5 s, then its inbound links are cut. No load runs twice, and the leader
-// starts nothing that others have decided meanwhile.
+// The leader of the replicated log must not start loads on outdated state. Under a stream of loads it is
+// partitioned in the outbound direction, then paused for 5 s, then partitioned in the inbound direction. No load runs
+// twice, and the leader starts no load that another front end has taken over or completed meanwhile.
 func TestLeaderPartitionedAndPaused(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3, withDurableStorage)
@@ -222,7 +222,7 @@
 	f.CheckHistory()
 }
 
-// A link that flaps every 300 ms must not stop commits, nor cause an election for each cut.
+// A link that flaps every 300 ms must not stop commits, nor cause an election for each partition.
 func TestFlappingLink(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3)
@@ -242,7 +242,7 @@
 		time.Sleep(time.Until(until))
 	}
 	assert.GreaterOrEqual(t, served, 10, "of 20")
-	assert.LessOrEqual(t, electionCount(f)-before, 12.0, "in 20 cuts")
+	assert.LessOrEqual(t, electionCount(f)-before, 12.0, "in 10 partitions")
 	f.CheckHistory()
 }
 
@@ -285,7 +285,7 @@
 }
 
 // A replica with a full disk must stop being one at once, while its front end continues to serve. The disk fills up
-// on one replica, then on a second one. Without a majority loads are rejected and look-ups are served. With free
+// on one replica, then on a second one. Without a majority loads are rejected and lookups are served. With free
 // space and after a restart all outcomes are found.
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
@@ -370,8 +370,8 @@
 }
 
 // A front end that comes back with an empty disk under its old name must not vote, or there could be two leaders in
-// one term. It comes back while the leader is cut off, and becomes a replica again only once the others have made it
-// one.
+// one term. It comes back while the leader is partitioned from the others, and becomes a replica again
+// only once the others have made it one.
 func TestEmptyDiskUnderAnOldNameDoesNotVote(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3, withDurableStorage)
@@ -448,7 +448,7 @@
 	f := testharness.NewFleet(t, program, 3)
 	f.WaitForLeader(3)
 	for i, n := range f.FrontEnds {
-		f.LogStep("cut %s to %s", f.FrontEnds[(i+1)%3].Name, n.Name)
+		f.LogStep("partition %s to %s", f.FrontEnds[(i+1)%3].Name, n.Name)
 		f.Proxy(f.FrontEnds[(i+1)%3], n).SetCut(true)
 	}
 	for i, n := range f.FrontEnds {
--- a/cmd/chutechute/endings_test.go
+++ b/cmd/chutechute/endings_test.go
@@ -27,7 +27,7 @@
 }
 
 // A DELETE whose connection is not established in time is sent again, on another connection if there is one. It was
-// once dropped: the next load of the order key was then started when the abandon time-out was assumed to have passed, a
+// once dropped: the next load of the order key was then started when the abandon timeout was assumed to have passed, a
 // moment before the engine had abandoned the query.
 func TestDeleteIsRetriedAfterALateConnection(t *testing.T) {
 	var listener *testharness.BlockableListener
@@ -56,7 +56,7 @@
 	assert.Greater(t, posts[1].ReceivedAt, deleted[0].ReceivedAt)
 }
 
-// The abandon time-out of 2 s is counted from the engine's response to the last poll, however late that is, as the
+// The abandon timeout of 2 s is counted from the engine's response to the last poll, however late that is, as the
 // engine counts it from then.
 func TestAbandonTimeoutCountsFromTheLastResponse(t *testing.T) {
 	var gets atomic.Int32
@@ -278,7 +278,7 @@
 
 // An engine process that dies closes all its connections at once and refuses new ones. Its idempotent queries are
 // retried elsewhere at once. What must not run twice, or has later queries of its order key waiting, is retried only
-// after the abandon time-out of 2 s.
+// after the abandon timeout of 2 s.
 func TestDeadProcessIsNotWaitedFor(t *testing.T) {
 	for _, op := range []string{"lookup", "load"} {
 		var diedAt atomic.Int64
@@ -312,7 +312,7 @@
 		require.Greater(t, len(posts), 8)
 		delay := posts[8].ReceivedAt.UnixNano() - diedAt.Load()
 		if op == "lookup" {
-			assert.Less(t, delay, int64(2*time.Second), "retried before the abandon time-out")
+			assert.Less(t, delay, int64(2*time.Second), "retried before the abandon timeout")
 		} else {
 			assert.GreaterOrEqual(t, delay, int64(2*time.Second))
 		}
@@ -321,7 +321,7 @@
 }
 
 // A new process at the address of one that died responds that it doesn't know the old one's queries. That doesn't prove
-// that they have ended, so the next load of the order key still waits for the abandon time-out.
+// that they have ended, so the next load of the order key still waits for the abandon timeout.
 func TestNewProcessAtAnOldAddress(t *testing.T) {
 	var diedAt atomic.Int64
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
@@ -353,7 +353,7 @@
 	assert.NotEmpty(t, r.Requests("GET", "/v1/store/"+testharness.RequestID(1)))
 }
 
-// No request is sent on a connection that is established after the dial time-out, or in time to an engine that has been
+// No request is sent on a connection that is established after the dial timeout, or in time to an engine that has been
 // reported as draining meanwhile.
 func TestLateConnectionsCarryNoRequest(t *testing.T) {
 	for name, drain := range map[string]bool{"late": false, "in time, but it drains": true} {
--- a/cmd/chutechute/engine_faults_test.go
+++ b/cmd/chutechute/engine_faults_test.go
@@ -65,14 +65,14 @@
 	assert.Equal(t, first, p.Seq)
 	assert.Equal(t, "shed", p.Kind)
 	assert.Contains(t, p.Payload, "pushback")
-	// The time-out less the time that counts as queued.
+	// The client timeout less the time that counts as queued.
 	assert.GreaterOrEqual(t, time.Since(sent), 600*time.Millisecond, "shed too early")
 	assert.Zero(t, deletedAt.Load(), "the response waited for the engine")
 	assert.Equal(t, "answer", c.ReadReply().Kind)
 	assert.Greater(t, r.Requests("POST", "/")[1].ReceivedAt.UnixNano(), deletedAt.Load())
 }
 
-// A request whose engine accepts connections but never responds is answered before its client's time-out.
+// A request whose engine accepts connections but never responds is answered before its client's timeout.
 func TestSilentEngine(t *testing.T) {
 	silent, err := net.Listen("tcp4", "127.0.0.1:0") // the kernel accepts connections, and nobody reads from them
 	require.NoError(t, err)
@@ -225,7 +225,7 @@
 }
 
 // A DELETE without a response may not have arrived: it is sent again on another connection, and the next attempt waits
-// for the response. Attempts once overlapped where the abandon time-out was waited for instead.
+// for the response. Attempts once overlapped when the front end waited for the abandon timeout instead.
 func TestUnansweredDeleteIsSentAgain(t *testing.T) {
 	var deletes atomic.Int32
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
--- a/cmd/chutechute/fleet.go
+++ b/cmd/chutechute/fleet.go
@@ -18,7 +18,7 @@
 	"chutechute/internal/peering"
 )
 
-// adminTimeout limits connecting to the admin socket, and then again the request with its response.
+// adminTimeout is the timeout for connecting to the admin socket, and the timeout for the request with its response.
 const adminTimeout = 5 * time.Second
 
 // adminCommand is a command whose subcommands send requests to the front end that runs on this machine.
@@ -29,7 +29,8 @@
 	socket, name string
 }
 
-// newAdminCommand returns a command that has no subcommands yet. noSubcommand is its error text if none is given.
+// newAdminCommand returns a command that has no subcommands yet. noSubcommand is the text of its error if it
+// is run without a subcommand.
 func newAdminCommand(o *options, use, short, long, noSubcommand string) *adminCommand {
 	a := &adminCommand{o: o, Command: &cobra.Command{Use: use, Short: short, Long: long, Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return errors.New(noSubcommand) }}}
--- a/cmd/chutechute/fleet_measure_test.go
+++ b/cmd/chutechute/fleet_measure_test.go
@@ -25,7 +25,7 @@
 	return list[len(list)/2], list[len(list)*99/100]
 }
 
-// measureLoads sends loads with so many concurrent clients, and returns how long each load took.
+// measureLoads sends each loads from each of clientCount concurrent clients, and returns how long each load took.
 func measureLoads(t *testing.T, f *testharness.Fleet, prefix string, clientCount, each int) (spans []time.Duration) {
 	var mu sync.Mutex
 	var clients sync.WaitGroup
@@ -78,7 +78,7 @@
 		for range n {
 			require.Equal(t, history.Succeeded, f.FrontEnds[0].SendLookup())
 		}
-		t.Logf("%-6s a look-up takes %.0f us of a core, with one client and no other load", mode.name,
+		t.Logf("%-6s a lookup takes %.0f us of a core, with one client and no other load", mode.name,
 			(frontEndCPUSeconds(t, f.FrontEnds[0])-cpuBefore)*1e6/float64(n))
 		var lookupSpans []time.Duration
 		var stop atomic.Bool
@@ -98,7 +98,7 @@
 		stop.Store(true)
 		clients.Wait()
 		median, p99 = quantiles(lookupSpans)
-		t.Logf("%-6s look-ups during the loads of 12 clients: %.1f ms at the median, %.1f at p99",
+		t.Logf("%-6s lookups during the loads of 12 clients: %.1f ms at the median, %.1f at p99",
 			mode.name, ms(median), ms(p99))
 		if mode.name == "off" {
 			continue
--- a/cmd/chutechute/harness_test.go
+++ b/cmd/chutechute/harness_test.go
@@ -20,8 +20,8 @@
 	os.Exit(code)
 }
 
-// start starts the program with that many stub engines, which all respond by the handler. Each of the options may
-// change the harness before.
+// start starts the program with the given number of stub engines, all of which use the handler. The options can change
+// the harness before the engines and the program start.
 func start(
 	t *testing.T, engines int, handler testharness.EngineHandler, options ...func(*testharness.Harness),
 ) *testharness.Harness {
--- a/cmd/chutechute/identity_test.go
+++ b/cmd/chutechute/identity_test.go
@@ -24,7 +24,7 @@
 	"chutechute/internal/testharness"
 )
 
-// defaultRights are the rights rules of most tests: all callers may send look-ups, booking may also send loads, and
+// defaultRights are the rights rules of most tests: all callers may send lookups, booking may also send loads, and
 // desk may not use table groups 90 to 99.
 const defaultRights = `[{ effect: 'allow', callers: ['*'], classes: ['lookup'] }, ` +
 	`{ effect: 'allow', callers: ['booking'], classes: ['load'] },
@@ -103,7 +103,8 @@
 	r.Args = []string{"serve", "--installation", f.installationPath}
 }
 
-// sendWithToken asks sendWithToken a token: for a look-up, or for a load of key k.
+// sendWithToken sends a request with a token, the order key k and the idempotency key n, and returns its sequence
+// number.
 func sendWithToken(c *testharness.Client, n int, class, statement, token string, fields ...string) int32 {
 	return c.SendRequest(statement,
 		append([]string{"call", testharness.RequestID(n), "op", class, "ttl", "9000", "dedupe", fmt.Sprint(n), "row", "k",
@@ -242,8 +243,9 @@
 }
 
 // Keys are rotated repeatedly under load, while clients use tokens of old and new keys: no token of a valid key is
-// rejected and no token of a retired key is accepted. The times in the key set tell which outcome is right; shortly
-// before and after a key's end both are. CHUTECHUTE_LONG=1 runs for a minute.
+// rejected and no token of a retired key is accepted. The times in the key set determine which outcome is right;
+// while a new key may not be loaded yet, and shortly before and after the end of a key, the test allows both.
+// CHUTECHUTE_LONG=1 runs for a minute.
 func TestRotationUnderLoad(t *testing.T) {
 	duration := 6 * time.Second
 	if os.Getenv("CHUTECHUTE_LONG") != "" {
--- a/cmd/chutechute/idle_holds_test.go
+++ b/cmd/chutechute/idle_holds_test.go
@@ -39,8 +39,8 @@
 	return kinds
 }
 
-// An idle front end without an installation file has the recorded sockets and goroutines, those from before the fleet's
-// code was restructured, and no more than maxIdleThreads threads: the fleet is off.
+// An idle front end without an installation file has the sockets and goroutines recorded in testdata/idle.txt,
+// as of before the fleet's code was restructured, and no more than maxIdleThreads threads: the fleet is off.
 func TestIdleFrontEndHoldsNothingOfTheFleet(t *testing.T) {
 	r := testharness.Start(t, program, 0, nil)
 	time.Sleep(300 * time.Millisecond)
--- a/cmd/chutechute/main_test.go
+++ b/cmd/chutechute/main_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// Long queries that use up their share of an engine do not delay short ones, which cost it little. Look-ups were once
+// Long queries that use up their share of an engine do not delay short ones, which cost it little. Lookups were once
 // queued behind them and rejected.
 func TestShortQueriesPassLongOnes(t *testing.T) {
 	r := start(t, 1, func(r *testharness.Harness, w http.ResponseWriter, c testharness.EngineRequest) {
--- a/cmd/chutechute/statement_test.go
+++ b/cmd/chutechute/statement_test.go
@@ -209,7 +209,7 @@
 }
 
 // Statements of one shape are cheap with some literals and expensive with others: the expensive ones become reports and
-// don't delay the cheap ones, which are look-ups.
+// don't delay the cheap ones, which are lookups.
 func TestOneShapeCheapAndExpensive(t *testing.T) {
 	var release sync.WaitGroup
 	release.Add(1)
--- a/cmd/chutechute/takeover_test.go
+++ b/cmd/chutechute/takeover_test.go
@@ -15,9 +15,9 @@
 )
 
 // A running load must not be lost with its owner. The owner is killed with its disk soon after the start, later, and
-// shortly before the engine stops a query that nobody polls; no client repeats the load. Another front end polls the
-// query within these 2 s, so that it completes and runs once, and a later repeat gets its rows. The next load of the
-// same order key follows at once.
+// shortly before the engine abandons a query that is not polled; no client repeats the load. Another front end polls
+// the query before the abandon timeout of 2 s has passed, so that the load completes; at most one of six loads may be
+// lost. Each load runs once, and a later repeat of a completed one gets its rows.
 func TestRunningLoadIsTakenOver(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3, withDurableStorage)
@@ -55,7 +55,7 @@
 
 // An owner that is partitioned from the other front ends, but not from its engine and its client, keeps polling: the
 // load must not be started a second time, and all clients must get the same outcome. An owner that is paused and
-// resumed must not start a load that others have decided meanwhile.
+// resumed must not start a load that another front end has taken over or completed meanwhile.
 func TestOwnerPartitionedOrPaused(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3, withDurableStorage)
--- a/cmd/chutechute/tls_test.go
+++ b/cmd/chutechute/tls_test.go
@@ -98,7 +98,7 @@
 	return config, leaf
 }
 
-// connect connects a client; the test fails where the handshake does.
+// connect connects a client. The test fails if the handshake fails.
 func (f *tlsFixture) connect(r *testharness.Harness, config *tls.Config) *testharness.Client {
 	c, err := r.NewTLSClient(config)
 	require.NoError(f.t, err)
@@ -350,7 +350,7 @@
 	assert.NotContains(t, r.Log.String(), "PRIVATE")
 }
 
-// Hundreds of connections that start a handshake and don't complete it, or send noise, delay neither look-ups on
+// Hundreds of connections that start a handshake and don't complete it, or send noise, delay neither lookups on
 // established connections nor, for long, new clients, and their memory is limited.
 func TestHandshakeFlood(t *testing.T) {
 	fixture := newTLSFixture(t, "none", "")
