--- a/internal/testharness/client.go
+++ b/internal/testharness/client.go
@@ -102,14 +102,14 @@
 func RequestID(n int) string { return fmt.Sprintf("%016x", n) }
 
 // SendLookup sends a lookup with the request id RequestID(n), and returns its sequence number. clientTimeoutMS is the
-// client time-out in milliseconds.
+// client timeout in milliseconds.
 func (c *Client) SendLookup(n int, clientTimeoutMS string) int32 {
 	return c.SendRequest("SELECT * FROM s_1.t",
 		"call", RequestID(n), "op", "lookup", "ttl", clientTimeoutMS, "org", "t", "work", "1000.0", "mb", "8")
 }
 
 // SendLoad sends a load with the request id RequestID(n) and the idempotency key n, and returns its sequence number.
-// All loads have the same order key. clientTimeoutMS is the client time-out in milliseconds.
+// All loads have the same order key. clientTimeoutMS is the client timeout in milliseconds.
 func (c *Client) SendLoad(n int, clientTimeoutMS string) int32 {
 	return c.SendRequest("INSERT INTO s_1.t",
 		"call", RequestID(n), "op", "load", "ttl", clientTimeoutMS, "dedupe", fmt.Sprint(n), "row", "k", "work", "10.0")
--- a/internal/testharness/faultproxy.go
+++ b/internal/testharness/faultproxy.go
@@ -20,7 +20,7 @@
 	listener net.Listener
 
 	mu                 sync.Mutex
-	cut                bool // new connections are refused
+	partitioned        bool // new connections are refused
 	smallBuffers       bool
 	connectionAttempts int
 	newHeldUntil       <-chan struct{} // heldUntil for new sessions
@@ -98,7 +98,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connectionAttempts++
-	if p.cut {
+	if p.partitioned {
 		return false
 	}
 	p.conns[conn] = true
@@ -127,7 +127,8 @@
 	p.forward(dialer, target, session.held)
 }
 
-// addTarget registers the connection to the target. It returns false if the path has been cut meanwhile.
+// addTarget registers the connection to the target, and sets small buffers on both connections if UseSmallBuffers was
+// called. It returns false if the path has been partitioned meanwhile.
 func (p *FaultProxy) addTarget(dialer, target net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,7 +137,7 @@
 		_ = target.(*net.TCPConn).SetReadBuffer(smallBufferSize)
 		_ = dialer.(*net.TCPConn).SetWriteBuffer(smallBufferSize)
 	}
-	return !p.cut
+	return !p.partitioned
 }
 
 func (p *FaultProxy) closeConn(conn net.Conn) {
@@ -180,7 +181,7 @@
 	p.SetCut(true)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cut, p.newHeldUntil = false, until
+	p.partitioned, p.newHeldUntil = false, until
 	return sync.OnceFunc(func() { close(until) })
 }
 
@@ -199,12 +200,13 @@
 	return p.connectionAttempts
 }
 
-// SetCut cuts or heals the path. A cut closes all connections and refuses new ones.
-func (p *FaultProxy) SetCut(cut bool) {
+// SetCut partitions the dialer from the target or heals the partition. During a partition the path has no connections:
+// open ones are closed, and new ones are refused.
+func (p *FaultProxy) SetCut(partitioned bool) {
 	p.mu.Lock()
-	p.cut = cut
+	p.partitioned = partitioned
 	var closing []net.Conn
-	if cut {
+	if partitioned {
 		for conn := range p.conns {
 			closing = append(closing, conn)
 		}
--- a/internal/testharness/faultproxy_test.go
+++ b/internal/testharness/faultproxy_test.go
@@ -188,7 +188,7 @@
 	requireReceived(t, after.receivedByTarget, frame(handshakeKind, "hello"))
 }
 
-// A cut must close the connections to the dialer and to the target, and new ones must be refused.
+// A partition must close the connections to the dialer and to the target, and new ones must be refused.
 func TestCutClosesBothConnectionsAndRefusesNewOnes(t *testing.T) {
 	conn := newProxiedConn(t)
 	conn.proxy.SetCut(true)
--- a/internal/testharness/fleet.go
+++ b/internal/testharness/fleet.go
@@ -54,7 +54,7 @@
 // serve. The control members are named n1, n2 and so on, and are assigned to the zones a, b and c in turn. The options
 // can change the fleet before any of it is started. The test fails if a process doesn't serve in time. Everything is
 // stopped at the end of the test. If the test failed, the list of its steps and the statuses and logs of the front ends
-// are printed.
+// are printed; with -v the list of steps is always printed.
 func NewFleet(t *testing.T, program string, controlMembers int, options ...func(*Fleet)) *Fleet {
 	f := &Fleet{
 		T:             t,
@@ -144,7 +144,8 @@
 	return proxy
 }
 
-// stop kills all processes. If the test failed, it prints the steps, and the status and log of each front end.
+// stop kills all processes. If the test failed, it prints the steps, and the status and log of each front end. With -v
+// it always prints the steps.
 func (f *Fleet) stop() {
 	t := f.T
 	if t.Failed() || testing.Verbose() {
@@ -167,7 +168,7 @@
 }
 
 // LogStep adds a line to the list of steps: what the test did to the fleet and when, in seconds since the fleet's
-// start. The list is printed if the test fails.
+// start. The list is printed if the test fails, or with -v.
 func (f *Fleet) LogStep(format string, args ...any) {
 	fmt.Fprintf(f.steps, "%8.3f s  %s\n", time.Since(f.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
--- a/internal/testharness/partition.go
+++ b/internal/testharness/partition.go
@@ -24,34 +24,35 @@
 	return list
 }
 
-// SetPartition cuts or heals all paths between the two sides of a partition, in both directions.
-func (f *Fleet) SetPartition(cut bool, left, right []*FrontEnd) {
+// SetPartition partitions the fleet into two sides or heals the partition. It applies to all paths between the sides,
+// in both directions.
+func (f *Fleet) SetPartition(partitioned bool, left, right []*FrontEnd) {
 	for _, from := range left {
 		for _, to := range right {
-			f.LogStep("cut %s-%s: %v", from.Name, to.Name, cut)
+			f.LogStep("partition %s-%s: %v", from.Name, to.Name, partitioned)
 			for _, proxy := range f.ProxiesBetween(from, to) {
-				proxy.SetCut(cut)
+				proxy.SetCut(partitioned)
 			}
 		}
 	}
 }
 
-// SetOutboundPartition cuts or heals the paths from a front end to all control members. Connections that other front
-// ends dial to it are not affected.
-func (f *Fleet) SetOutboundPartition(frontEnd *FrontEnd, cut bool) {
-	f.LogStep("cut %s to all others: %v", frontEnd.Name, cut)
+// SetOutboundPartition partitions a front end, on the paths from it to all control members, or heals the partition.
+// Connections that other front ends dial to it are not affected.
+func (f *Fleet) SetOutboundPartition(frontEnd *FrontEnd, partitioned bool) {
+	f.LogStep("partition %s to all others: %v", frontEnd.Name, partitioned)
 	for _, proxy := range f.Proxies(frontEnd) {
-		proxy.SetCut(cut)
+		proxy.SetCut(partitioned)
 	}
 }
 
-// SetInboundPartition cuts or heals the paths from all other front ends to one front end. Connections that it dials
-// itself are not affected.
-func (f *Fleet) SetInboundPartition(frontEnd *FrontEnd, cut bool) {
-	f.LogStep("cut all others to %s: %v", frontEnd.Name, cut)
+// SetInboundPartition partitions a front end, on the paths from all other front ends to it, or heals the partition.
+// Connections that it dials itself are not affected.
+func (f *Fleet) SetInboundPartition(frontEnd *FrontEnd, partitioned bool) {
+	f.LogStep("partition all others to %s: %v", frontEnd.Name, partitioned)
 	for _, other := range f.FrontEnds {
 		if proxy := f.Proxy(other, frontEnd); proxy != nil {
-			proxy.SetCut(cut)
+			proxy.SetCut(partitioned)
 		}
 	}
 }
--- a/internal/testharness/workload.go
+++ b/internal/testharness/workload.go
@@ -12,7 +12,7 @@
 
 const (
 	clientDialTimeout = time.Second
-	// clientGrace is the time for which a client waits for a response beyond its time-out.
+	// clientGrace is the time for which a client waits for a response beyond its timeout.
 	clientGrace = time.Second
 )
 
@@ -46,7 +46,7 @@
 	return reply
 }
 
-// Run time and client time-out of the lookups that FrontEnd.SendLookup sends.
+// Run time and client timeout of the lookups that FrontEnd.SendLookup sends.
 const (
 	lookupRunTimeMS = 5
 	lookupTimeout   = 4 * time.Second
@@ -101,7 +101,7 @@
 	return client.TryReadReply()
 }
 
-// generatedLookupTimeout is the client time-out of the lookups of a workload generator.
+// generatedLookupTimeout is the client timeout of the lookups of a workload generator.
 const generatedLookupTimeout = 2 * time.Second
 
 // GenerateLookups starts an open-loop workload generator: until stop is closed, it sends lookups of a tenant to the
