--- a/internal/history/consumption.go
+++ b/internal/history/consumption.go
@@ -2,7 +2,7 @@
 
 // The checks of budgets are based on the starts that engines observed. A front end consumes a budget at an unknown time
 // between the client's sending of the request and the start on the engine. A check therefore reports a violation only
-// if the limit is exceeded for all possible times of consumption within those bounds.
+// if the limit is exceeded for all possible times of consumption within those bounds; CheckRate has an exception.
 
 // Consumption is the consumption of a budget by one execution.
 type Consumption struct {
--- a/internal/history/idempotency.go
+++ b/internal/history/idempotency.go
@@ -163,7 +163,7 @@
 }
 
 // checkOrderOfKeys finds requests with the same order key that ran at the same time, whichever front ends received
-// them, and requests with the same order key that did not run in the order in which one front end received them.
+// them, and requests with the same order key that did not start in the order in which they were sent to one front end.
 func checkOrderOfKeys(o observations) (violations []Violation) {
 	firstCalls := o.firstCalls()
 	byKey := map[string][]Execution{}
--- a/internal/history/rate.go
+++ b/internal/history/rate.go
@@ -38,8 +38,10 @@
 // rate units per second and has at most burst units.
 //
 // The time of a consumption is known only within bounds. CheckRate takes the tokens in the order of the latest possible
-// times (earliest deadline first), each as soon as the bucket has enough of them. If any order meets all deadlines,
-// this one does.
+// times (earliest deadline first), each as soon as the bucket has enough of them. For consumptions of equal size, of
+// which none has a later earliest and an earlier latest time than another, this order meets all deadlines if any does.
+// Otherwise it may take tokens too early for a consumption that could have waited, and report a violation that another
+// order would avoid.
 func CheckRate(consumptions []Consumption, rate, burst float64) (violations []Violation) {
 	upcoming := slices.Clone(consumptions)
 	slices.SortStableFunc(upcoming, func(a, b Consumption) int { return cmp.Compare(a.Earliest, b.Earliest) })
