--- a/cmd/chutechute/copies_test.go
+++ b/cmd/chutechute/copies_test.go
@@ -222,7 +222,7 @@
 	f.CheckHistory()
 }
 
-// A link that flaps every 300 ms must not stop commits, nor cause an election for each partition.
+// A link that flaps every 300 ms must not stop commits, nor cause more than 12 elections in 10 partitions.
 func TestFlappingLink(t *testing.T) {
 	t.Parallel()
 	f := testharness.NewFleet(t, program, 3)
