--- a/simulation/client.go
+++ b/simulation/client.go
@@ -15,7 +15,7 @@
 	// minResponseDelay and maxResponseDelay bound the network delay of a response to a client.
 	minResponseDelay = 100 // µs
 	maxResponseDelay = 2 * ms
-	// clientTimeoutMargin is how much longer a client waits than the time-out that it sends with the request.
+	// clientTimeoutMargin is how much longer a client waits than the timeout that it sends with the request.
 	clientTimeoutMargin = 100 * ms
 	// connectionCheckInterval is the time within which a client notices that the process to which it is connected has
 	// ended.
--- a/simulation/engine.go
+++ b/simulation/engine.go
@@ -10,7 +10,8 @@
 const (
 	// abandonTimeout is the time after which an engine ends an execution that no front end polls for.
 	abandonTimeout = 2 * second
-	// dedupeWindow is how long engines drop further starts of an idempotency key that was executed.
+	// dedupeWindow is the time from the start of an execution during which engines drop further starts of the same
+	// idempotency key.
 	dedupeWindow = 25 * second
 	// enginePollInterval is the interval at which a front end polls an engine for an execution.
 	enginePollInterval = 250 * ms
@@ -18,7 +19,7 @@
 	minPollDelay = 100 // µs
 	// maxEndDelay is the longest time from the end of an execution to the crash point executionEnded.
 	maxEndDelay = 5 * ms
-	// failedExecutionOneIn is the average number of executions per failed one.
+	// One in failedExecutionOneIn executions, on average, fails.
 	failedExecutionOneIn = 12
 )
 
--- a/simulation/engineclient.go
+++ b/simulation/engineclient.go
@@ -22,7 +22,7 @@
 
 const (
 	attemptConnecting attemptState = iota
-	attemptSent                    // its start was sent, or it was taken over and not found at its engine yet
+	attemptSent                    // its start was sent, or it was taken over and its engine is not known to have it
 	attemptReceived                // the engine has received its start
 	attemptEnded                   // its result was passed to the core
 )
--- a/simulation/simulation.go
+++ b/simulation/simulation.go
@@ -42,8 +42,8 @@
 	DurableDisks bool
 	// Replicas is the number of replicas of the fleet's replicated log.
 	Replicas int
-	// CrashOneIn is the average number of crash points per crash point at which a front end crashes or pauses; 0 if it
-	// never does.
+	// CrashOneIn sets the probability, 1/CrashOneIn, with which a front end crashes or pauses at a crash point, unless
+	// the replicated log would not survive that. 0 disables these faults.
 	CrashOneIn int
 	// MaxClockDrift is the largest deviation of a clock's rate from true time, as a fraction.
 	MaxClockDrift float64
@@ -96,7 +96,7 @@
 	lastExecuted map[string]monotime.Micros // when the last execution started, by idempotency key
 	callCount    int
 	requestCount int
-	healed       bool // all faults have ended, and crash points have no effect any more
+	healed       bool // all faults have ended, and crash points no longer have an effect
 }
 
 // New returns a simulated fleet whose front ends start at time 0. It returns an error if the settings are invalid or a
--- a/simulation/traffic.go
+++ b/simulation/traffic.go
@@ -22,10 +22,10 @@
 	maxClientTimeout     = 12 * second
 	minCalls             = 2 // smallest limit on the calls of a request
 	maxExtraCalls        = 3 // largest random addition to that limit
-	withoutOrderKeyOneIn = 4 // requests per request without an order key
-	repeatSucceededOneIn = 4 // successful calls per call that is repeated although it succeeded
+	withoutOrderKeyOneIn = 4 // one in withoutOrderKeyOneIn requests has no order key
+	repeatSucceededOneIn = 4 // one in repeatSucceededOneIn successful calls is repeated
 	maxRepeatDelay       = second
-	concurrentOneIn      = 6 // repeats per repeat that may overlap with a second one
+	concurrentOneIn      = 6 // one in concurrentOneIn repeats may overlap with a second one
 	maxConcurrentDelay   = 20 * ms
 )
 
