--- a/simulation/membership/burst.go
+++ b/simulation/membership/burst.go
@@ -14,7 +14,7 @@
 	Snapshots Distribution // snapshots sent
 }
 
-// Distribution says how a count is distributed over the running control members.
+// Distribution describes how a count is distributed over the running control members.
 type Distribution struct {
 	Total   int
 	Running int // number of control members that were running
--- a/simulation/membership/change.go
+++ b/simulation/membership/change.go
@@ -143,7 +143,8 @@
 	}
 }
 
-// delays returns the detection times of ended processes and the propagation delays of all changes, both sorted.
+// delays returns the detection times of ended processes and the propagation delays of changes, both sorted. It omits
+// changes that are not measured or not known to all awaited members yet.
 func (t *groundTruth) delays() (detection, propagation []monotime.Micros) {
 	for _, c := range t.propagated {
 		propagation = append(propagation, c.lastKnownAt-c.detectedAt)
--- a/simulation/membership/controlprocess.go
+++ b/simulation/membership/controlprocess.go
@@ -158,7 +158,7 @@
 	}
 }
 
-// receiveFromControl handles a message of another control member.
+// receiveFromControl handles a message from another control member.
 func (c *controlProcess) receiveFromControl(from *process, message membership.Message) {
 	now := c.process.localTime()
 	err := c.server.ReceiveFromControl(now, from.member.name, from.incarnation, message.Kind, message.Body)
@@ -168,7 +168,7 @@
 	c.sendPending()
 }
 
-// receiveFromAttached handles a message of an attached front end.
+// receiveFromAttached handles a message from an attached front end.
 func (c *controlProcess) receiveFromAttached(l *link, message membership.Message) {
 	err := c.server.Receive(c.process.localTime(), l.membershipLink(), message.Kind, message.Body)
 	if err != nil {
--- a/simulation/membership/frontendprocess.go
+++ b/simulation/membership/frontendprocess.go
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// receive handles a message of a control member.
+// receive handles a message from a control member.
 func (f *frontEndProcess) receive(l *link, message membership.Message) {
 	now := f.process.localTime()
 	err := f.client.Receive(now, l.target.name, l.control.incarnation, message.Kind, message.Body)
--- a/simulation/membership/member.go
+++ b/simulation/membership/member.go
@@ -53,7 +53,7 @@
 	p.start()
 }
 
-// crashScope says whether a process crashes or its whole machine.
+// crashScope is what crashes: only a process, or its whole machine.
 type crashScope uint8
 
 const (
--- a/simulation/membership/outcome.go
+++ b/simulation/membership/outcome.go
@@ -32,7 +32,8 @@
 	// ConvergenceTime is the time from the end of all faults until all views agreed with the ground truth.
 	ConvergenceTime monotime.Micros
 
-	// DetectionTimes holds the time from each end of a process to its detection by a control member, sorted.
+	// DetectionTimes holds the time from each end of a process to its detection by a control member, sorted. Like
+	// PropagationDelays, it omits changes that some awaited member did not know of at the end.
 	DetectionTimes []monotime.Micros
 	// PropagationDelays holds the time from the detection of each change until the last responsive member knew of it,
 	// sorted.
--- a/simulation/membership/readerfaults.go
+++ b/simulation/membership/readerfaults.go
@@ -8,7 +8,7 @@
 	stalledQueueLimit     = 64                          // bytes: a non-empty queue takes at most one more message
 	readStallDuration     = 1500 * monotime.Millisecond // and as long until the next stall
 	stalledReaderDuration = 60 * monotime.Second
-	slowReadRate          = 15 // bytes per second; less than the responses to its heartbeats need
+	slowReadRate          = 15 // bytes per second; below the rate of the responses to its heartbeats
 	slowQueueLimit        = 512
 )
 
