--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -15,8 +15,8 @@
 	Kill    FaultKind = iota + 1 // ends the process without a shutdown; starts it again after For, if that is set
 	Restart                      // ends the process without a shutdown and starts a new one at once
 	Stop                         // pauses the process for For
-	Cut                          // isolates the target from all others, for For or until a Heal
-	Heal                         // ends all cuts
+	Cut                          // partitions the target from all others, for For or until a Heal
+	Heal                         // ends all partitions
 )
 
 var faultKinds = map[string]FaultKind{"kill": Kill, "restart": Restart, "stop": Stop, "cut": Cut, "heal": Heal}
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -136,8 +136,9 @@
 	return mean
 }
 
-// LoopbackAddress returns a run's loopback address of an index from 0. All addresses of a run are in one /16 network of
-// 127.0.0.0/8. The seed selects the network, so that concurrent runs with different seeds rarely share addresses.
+// LoopbackAddress returns the loopback address of a run that has the given index, from 0. All addresses of a run are in
+// one /16 network of 127.0.0.0/8. The seed selects the network, so that concurrent runs with different seeds rarely
+// share addresses.
 func LoopbackAddress(seed uint64, index int) netip.Addr {
 	const hosts = 250 // per value of the third byte; the last byte is never 0 or 255
 	network := byte(16 + seed%200)
