--- a/internal/scale/sockets/faults.go
+++ b/internal/scale/sockets/faults.go
@@ -86,8 +86,8 @@
 	return list
 }
 
-// playFaults carries out the steps at their times, and returns at the end of the measured part. Later steps are
-// skipped.
+// playFaults carries out the steps at their times, and returns at the end of the measured part. Steps that are
+// due later are skipped.
 func (r *run) playFaults(list []faultStep, start time.Time) error {
 	for _, s := range list {
 		if s.at >= r.opts.Shape.MeasuredDuration() {
--- a/internal/scale/sockets/measure.go
+++ b/internal/scale/sockets/measure.go
@@ -214,7 +214,7 @@
 }
 
 // addSpread adds how long starts and ends took to be seen by all. Ends are separate because they take longer: a silent
-// front end is presumed dead only after a time-out.
+// front end is presumed dead only after a timeout.
 func (r *run) addSpread(result *scale.Result) {
 	t := &r.tracker
 	t.mu.Lock()
--- a/internal/scale/sockets/plan.go
+++ b/internal/scale/sockets/plan.go
@@ -13,7 +13,7 @@
 type Options struct {
 	Shape        scale.Shape
 	RealControls int    // number of control members that are processes of the program
-	Program      string // path of the built program; required if Real is above 0
+	Program      string // path of the built program; required if RealControls is above 0
 	RestartCount int    // number of front ends to kill and start again, one by one, after the measured part
 	// StartWindow is the time from the start over which the traffic of starting is counted, in a fleet with attached front
 	// ends that all start at once; 0: it is not counted.
@@ -50,12 +50,12 @@
 type plan struct {
 	frontEnds []*frontEnd
 	real      []*frontEnd   // processes of the program
-	groups    [][]*frontEnd // the front ends of each worker, all of one role
+	workers   [][]*frontEnd // the front ends of each worker, all of one role
 }
 
-// newPlan names all front ends and groups them. Zones are assigned in turn, so that each zone has its share of both
-// roles. The processes of the program come first by name, so that the replicas are among them and hollow control
-// members have the traffic of the membership only.
+// newPlan names all front ends and assigns them to workers. Zones are assigned in turn, so that each zone has its share
+// of both roles. The processes of the program come first by name, so that the replicas are among them and hollow
+// control members have the traffic of the membership only.
 func newPlan(o *Options) *plan {
 	p := &plan{}
 	var controls, attached []*frontEnd
@@ -78,7 +78,7 @@
 			controls = append(controls, f)
 		}
 	}
-	p.groups = append(splitEvenly(controls, maxControlsPerWorker), splitEvenly(attached, maxAttachedPerWorker)...)
+	p.workers = append(splitEvenly(controls, maxControlsPerWorker), splitEvenly(attached, maxAttachedPerWorker)...)
 	return p
 }
 
@@ -112,16 +112,16 @@
 func (p *plan) requirements(o *Options) scale.Requirements {
 	controls, attached := o.Shape.Controls, o.Shape.Attached()
 	links := o.linksPerControl()
-	needed := scale.Requirements{Flag: "control", Processes: len(p.real) + len(p.groups)}
+	needed := scale.Requirements{Flag: "control", Processes: len(p.real) + len(p.workers)}
 	if attached > 0 {
 		needed.Flag = "front-ends"
 	}
-	for _, group := range p.groups {
+	for _, frontEnds := range p.workers {
 		descriptors := links + 1
-		if group[0].attached {
+		if frontEnds[0].attached {
 			descriptors = linksPerAttached * descriptorsPerLink
 		}
-		needed.Descriptors = max(needed.Descriptors, spareDescriptors+descriptors*len(group))
+		needed.Descriptors = max(needed.Descriptors, spareDescriptors+descriptors*len(frontEnds))
 	}
 	needed.Ports = controls + linksPerAttached*attached // at most, for connections to one address
 	needed.MemoryBytes = int64(needed.Processes)*processBytes + int64(controls)*int64(links)*connectionBytes +
--- a/internal/scale/sockets/run.go
+++ b/internal/scale/sockets/run.go
@@ -18,14 +18,15 @@
 	settleDuration  = 4 * time.Second  // after that, until the traffic of the start has ended
 	changeTimeout   = 30 * time.Second // for a change to be seen by all, also on a busy machine
 	pollInterval    = 50 * time.Millisecond
-	// assemblePollInterval is longer because counting the entries of a large view takes time of the event loops.
+	// assemblePollInterval is longer than pollInterval because counting the entries of a large view takes time of the
+	// event loops.
 	assemblePollInterval = 200 * time.Millisecond
 	// workerTimeoutMargin is added to the time of the starts and the measured part; after that a worker ends by itself.
 	workerTimeoutMargin = 5 * time.Minute
 )
 
-// socketLimitPerLink is the limit of open sockets of a control member for each of its links. Attached front ends may
-// use a quarter of the limit only.
+// socketLimitPerLink is the limit of open sockets that a control member is given for each of its links. Attached front
+// ends may use a quarter of the limit only.
 const socketLimitPerLink = 8
 
 // run is a running fleet.
@@ -163,9 +164,9 @@
 		return fmt.Errorf("sockets: %w", err)
 	}
 	maxDuration := r.opts.StartSpread + r.opts.Shape.MeasuredDuration() + workerTimeoutMargin
-	r.opts.Progress("starting %d workers and %d processes of the program", len(r.plan.groups), len(r.plan.real))
-	for _, group := range r.plan.groups {
-		h, err := startWorker(r.opts.Worker, group, maxDuration)
+	r.opts.Progress("starting %d workers and %d processes of the program", len(r.plan.workers), len(r.plan.real))
+	for _, frontEnds := range r.plan.workers {
+		h, err := startWorker(r.opts.Worker, frontEnds, maxDuration)
 		if err != nil {
 			return err
 		}
--- a/internal/scale/sockets/run_test.go
+++ b/internal/scale/sockets/run_test.go
@@ -119,14 +119,14 @@
 	o.RealControls = 3
 	p := newPlan(o)
 	seen := map[string]bool{}
-	for _, group := range p.groups {
+	for _, frontEnds := range p.workers {
 		maxSize := maxControlsPerWorker
-		if group[0].attached {
+		if frontEnds[0].attached {
 			maxSize = maxAttachedPerWorker
 		}
-		assert.LessOrEqual(t, len(group), maxSize)
-		for _, f := range group {
-			assert.Equal(t, group[0].attached, f.attached)
+		assert.LessOrEqual(t, len(frontEnds), maxSize)
+		for _, f := range frontEnds {
+			assert.Equal(t, frontEnds[0].attached, f.attached)
 			assert.False(t, seen[f.name])
 			seen[f.name] = true
 		}
@@ -166,13 +166,13 @@
 	o := options(t, scale.Shape{Controls: 25, FrontEnds: 700, Zones: 3}, "")
 	p := newPlan(o)
 	r := &run{opts: o, plan: p}
-	for _, group := range p.groups {
-		r.workers = append(r.workers, &workerHandle{frontEnds: group})
+	for _, frontEnds := range p.workers {
+		r.workers = append(r.workers, &workerHandle{frontEnds: frontEnds})
 	}
 	inTurns := r.startOrder()
 	assert.Len(t, inTurns, 700)
 	assert.False(t, inTurns[0].attached)
-	assert.True(t, inTurns[len(p.groups)-1].attached)
+	assert.True(t, inTurns[len(p.workers)-1].attached)
 	o.StartSpread = time.Second
 	order := r.startOrder()
 	assert.ElementsMatch(t, inTurns, order)
--- a/internal/scale/sockets/worker.go
+++ b/internal/scale/sockets/worker.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// reply writes a reply. It stops the loop if that fails, since nothing reads the replies any more.
+// reply writes a reply. It stops the loop if that fails, since the replies are no longer read.
 func (w *worker) reply(r reply) {
 	r.At = w.hollow.Now()
 	if err := w.replies.Encode(r); err != nil && w.replyErr == nil {
