--- a/internal/sqltext/sqltext.go
+++ b/internal/sqltext/sqltext.go
@@ -140,7 +140,7 @@
 	return token{}, false
 }
 
-// acceptDot consumes the next token if it is a dot, and returns whether it did.
+// acceptDot consumes the next token if it is a dot, and reports whether it did.
 func (l *lexer) acceptDot() bool {
 	save := *l
 	if t, ok := l.next(); ok && t.kind == '.' {
--- a/statement/corpus_test.go
+++ b/statement/corpus_test.go
@@ -55,7 +55,7 @@
 	return strings.Join(tables, " ")
 }
 
-// effect returns whether a statement reads and writes tables, in the notation of the corpus: r, w, rw or -.
+// effect describes whether a statement reads and writes tables, in the notation of the corpus: r, w, rw or -.
 func effect(facts *syntax.Facts) string {
 	effect := ""
 	if facts.Reads {
--- a/statement/estimates.go
+++ b/statement/estimates.go
@@ -18,7 +18,7 @@
 	if model := reading.entry.cost; model != nil {
 		return model.Predict(&reading.features)
 	}
-	if cost, _, ok := estimate.Prior(reading.entry.facts, r.tableSizes); ok {
+	if cost, _, ok := estimate.Prior(reading.entry.facts, r.tableSize); ok {
 		return cost
 	}
 	return classEstimate(r.costByClass, class)
@@ -29,7 +29,7 @@
 	if model := reading.entry.memory; model != nil {
 		return model.Predict(&reading.features)
 	}
-	if _, memory, ok := estimate.Prior(reading.entry.facts, r.tableSizes); ok {
+	if _, memory, ok := estimate.Prior(reading.entry.facts, r.tableSize); ok {
 		return memory
 	}
 	return classEstimate(r.memoryByClass, class)
@@ -43,10 +43,10 @@
 	return means[class].Estimate()
 }
 
-// tableSizes returns the configured size of a table.
-func (r *Reader) tableSizes(name string) (estimate.TableSize, bool) {
-	sizes, ok := r.options.TableSizes[name]
-	return sizes, ok
+// tableSize returns the configured size of a table.
+func (r *Reader) tableSize(name string) (estimate.TableSize, bool) {
+	size, ok := r.options.TableSizes[name]
+	return size, ok
 }
 
 // Outcome is the measured cost and memory of a served query. A value of 0 means that it is not known.
--- a/statement/lex/bytes.go
+++ b/statement/lex/bytes.go
@@ -36,7 +36,7 @@
 	return t
 }()
 
-// isLetterOrDigit returns whether a byte may occur within a word. All bytes of multi-byte characters count as letters.
+// isLetterOrDigit reports whether a byte may occur within a word. All bytes of multi-byte characters count as letters.
 func isLetterOrDigit(c byte) bool {
 	class := byteClasses[c]
 	return class == classLetter || class == classDigit
--- a/statement/lex/operators.go
+++ b/statement/lex/operators.go
@@ -50,7 +50,7 @@
 	return Token{Operator, start, l.offset}
 }
 
-// followsSliceBound returns whether the current byte follows the lower bound of an array slice.
+// followsSliceBound reports whether the current byte follows the lower bound of an array slice.
 func (l *Lexer) followsSliceBound() bool {
 	if l.bracketDepth == 0 {
 		return false
--- a/statement/syntax/expr.go
+++ b/statement/syntax/expr.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// isInfix returns whether an operator may join two operands and is not a comparison.
+// isInfix reports whether an operator may join two operands and is not a comparison.
 func isInfix(op string) bool {
 	if comparisonOperators[op] != 0 {
 		return false
@@ -99,7 +99,7 @@
 	return true
 }
 
-// isPrefixOperator returns whether the token is an operator that may precede an operand.
+// isPrefixOperator reports whether the token is an operator that may precede an operand.
 func (t *token) isPrefixOperator() bool {
 	if t.Kind != lex.Operator {
 		return false
--- a/statement/syntax/facts.go
+++ b/statement/syntax/facts.go
@@ -44,9 +44,9 @@
 
 // Facts describes a text, which may contain several statements.
 type Facts struct {
-	// Verb is the first word of the main statement: of several, the first that writes, or else the first that does not
-	// control a session or a transaction, or else the first. For a statement that begins with WITH, it is the verb
-	// after the WITH clause. REPLACE counts as insert.
+	// Verb is the first word of the main statement; for a statement that begins with WITH, the verb after the WITH
+	// clause. REPLACE counts as insert. The main statement of a text is the first that writes. If none writes, it is
+	// the first that does not control a session or a transaction, and if all do, the first.
 	Verb   string
 	Reads  bool // whether the text reads tables
 	Writes bool // whether PostgreSQL rejects the text in a read-only transaction, as it does for row locks
@@ -68,7 +68,7 @@
 	fallbackGroup int // table group of the first qualified name that has one and is not a table
 }
 
-// Idempotent returns whether running the text twice has the same effect as running it once, as far as the parser knows.
+// Idempotent reports whether running the text twice has the same effect as running it once, as far as the parser knows.
 func (f *Facts) Idempotent() bool { return !f.Writes && !f.ChangesSession }
 
 // addTable records a table with a role. The table group of the text is that of its first table that has one, not
--- a/statement/syntax/from.go
+++ b/statement/syntax/from.go
@@ -102,7 +102,7 @@
 	p.parseCorrelation()
 }
 
-// atTableHint returns whether the parenthesis here begins a table hint of another engine, as in t (NOLOCK).
+// atTableHint reports whether the parenthesis here begins a table hint of another engine, as in t (NOLOCK).
 func (p *Parser) atTableHint() bool { return p.peek(1).isWord("nolock") }
 
 // parseParenthesizedSource parses a parenthesized subquery or parenthesized joins, with an optional alias.
--- a/statement/syntax/predicates.go
+++ b/statement/syntax/predicates.go
@@ -58,7 +58,7 @@
 // rangeListOrPatternWords begin the predicates that parseRangeListOrPattern parses.
 var rangeListOrPatternWords = []string{"between", "in", "like", "ilike", "similar", "regexp", "rlike", "glob"}
 
-// atQuantifier returns whether ANY, ALL or SOME with a parenthesized list or subquery begins here.
+// atQuantifier reports whether ANY, ALL or SOME with a parenthesized list or subquery begins here.
 func (p *Parser) atQuantifier() bool {
 	return p.current().isWord("any", "all", "some") && p.peek(1).isOperator("(")
 }
--- a/statement/syntax/query.go
+++ b/statement/syntax/query.go
@@ -141,7 +141,7 @@
 	p.parseGroupingClauses()
 }
 
-// atQueryStart returns whether a query begins here, possibly after opening parentheses. It returns false if there are
+// atQueryStart reports whether a query begins here, possibly after opening parentheses. It returns false if there are
 // more of these than the nesting limit allows.
 func (p *Parser) atQueryStart() bool {
 	for n := 0; ; n++ {
@@ -159,7 +159,7 @@
 	}
 }
 
-// atQueryEnd returns whether a statement or a subquery ends here.
+// atQueryEnd reports whether a statement or a subquery ends here.
 func (p *Parser) atQueryEnd() bool {
 	t := p.current()
 	return t.Kind == lex.EOF || t.isOperator(")") || t.isOperator(";") || t.isWord("union", "intersect", "except")
--- a/statement/syntax/script.go
+++ b/statement/syntax/script.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// parseExplainOptions parses the parenthesized options of EXPLAIN and returns whether ANALYZE is on.
+// parseExplainOptions parses the parenthesized options of EXPLAIN and reports whether ANALYZE is on.
 func (p *Parser) parseExplainOptions() (analyze bool) {
 	p.expectOperator("(")
 	for {
--- a/statement/syntax/tokens.go
+++ b/statement/syntax/tokens.go
@@ -12,7 +12,7 @@
 	text string
 }
 
-// isWord returns whether the token is one of the given words, which must be in lower case.
+// isWord reports whether the token is one of the given words, which must be in lower case.
 func (t *token) isWord(words ...string) bool {
 	if t.Kind != lex.Word {
 		return false
@@ -25,13 +25,13 @@
 	return false
 }
 
-// isOperator returns whether the token is the given operator or punctuation character.
+// isOperator reports whether the token is the given operator or punctuation character.
 func (t *token) isOperator(op string) bool { return t.Kind == lex.Operator && t.text == op }
 
-// isName returns whether the token is a quoted name or a word, which may also be a keyword.
+// isName reports whether the token is a quoted name or a word, which may also be a keyword.
 func (t *token) isName() bool { return t.Kind == lex.Word || t.Kind == lex.QuotedIdentifier }
 
-// isValue returns whether the token is a literal or a parameter.
+// isValue reports whether the token is a literal or a parameter.
 func (t *token) isValue() bool {
 	return t.Kind == lex.String || t.Kind == lex.Number || t.Kind == lex.Parameter
 }
@@ -55,7 +55,7 @@
 	return t
 }
 
-// acceptWord consumes the current token if it is one of the given words, and returns whether it did.
+// acceptWord consumes the current token if it is one of the given words, and reports whether it did.
 func (p *Parser) acceptWord(words ...string) bool {
 	if p.current().isWord(words...) {
 		p.position++
@@ -64,7 +64,7 @@
 	return false
 }
 
-// acceptWords consumes the given words if the next tokens are exactly these, and returns whether it did.
+// acceptWords consumes the given words if the next tokens are exactly these, and reports whether it did.
 func (p *Parser) acceptWords(words ...string) bool {
 	for i, w := range words {
 		if !p.peek(i).isWord(w) {
@@ -75,7 +75,7 @@
 	return true
 }
 
-// acceptOperator consumes the current token if it is the given operator, and returns whether it did.
+// acceptOperator consumes the current token if it is the given operator, and reports whether it did.
 func (p *Parser) acceptOperator(op string) bool {
 	if p.current().isOperator(op) {
 		p.position++
