--- a/cmd/chutechute/capacity_test.go
+++ b/cmd/chutechute/capacity_test.go
@@ -241,7 +241,7 @@
 // waitForReloads waits until the front end has logged so many reloads.
 func waitForReloads(t *testing.T, r *testharness.Harness, count int) {
 	require.Eventually(t, func() bool {
-		return strings.Count(r.Log.String(), "msg=reloaded") >= count
+		return strings.Count(r.Log.String(), `msg="configuration reloaded"`) >= count
 	}, testharness.WaitTimeout, time.Millisecond, "%s", r.Log)
 }
 
--- a/cmd/chutechute/identity_test.go
+++ b/cmd/chutechute/identity_test.go
@@ -173,7 +173,7 @@
 	assert.True(t, r.NewClient().Healthy())
 	issuer.writeInstallation(`[{ effect: 'allow', callers: ['*'], classes: ['lookup'] }]`, "")
 	r.Signal(syscall.SIGHUP)
-	r.WaitForLog("reloaded")
+	r.WaitForLog("configuration reloaded")
 	late := sendWithToken(c, 4, "load", "INSERT INTO s_1.t VALUES (4)", booking)
 	p = c.ReadReply()
 	assert.Equal(t, []any{late, "fault"}, []any{p.Seq, p.Kind})
--- a/cmd/chutechute/places_test.go
+++ b/cmd/chutechute/places_test.go
@@ -32,14 +32,14 @@
 		c.SendRequest("INSERT INTO s_1.t", "call", testharness.RequestID(n), "op", "load", "ttl", "20000",
 			"dedupe", fmt.Sprint(n), "work", "10.0")
 		for tries := 0; r.Counter("requests taken") < n && !waiting; tries++ {
-			waiting = tries > 20 && strings.Contains(r.Log.String(), "msg=accept")
+			waiting = tries > 20 && strings.Contains(r.Log.String(), `msg="accepting a client connection failed"`)
 			time.Sleep(5 * time.Millisecond)
 		}
 		clients = append(clients, c)
 	}
-	started, before := time.Now(), strings.Count(r.Log.String(), "msg=accept")
+	started, before := time.Now(), strings.Count(r.Log.String(), `msg="accepting a client connection failed"`)
 	time.Sleep(500 * time.Millisecond)
-	tries := strings.Count(r.Log.String(), "msg=accept") - before
+	tries := strings.Count(r.Log.String(), `msg="accepting a client connection failed"`) - before
 	assert.Positive(t, tries, "the last client still waits")
 	assert.Less(t, tries, 2+int(time.Since(started)/(20*time.Millisecond)), "one attempt per tick")
 	received := r.Counter("requests taken")
--- a/cmd/chutechute/statement_test.go
+++ b/cmd/chutechute/statement_test.go
@@ -152,7 +152,7 @@
 
 	writeStatementSection(t, path, "unparsed: 'once', unparsed_class: 'lookup', rules: "+classRules)
 	r.Signal(syscall.SIGHUP)
-	r.WaitForLog("reloaded")
+	r.WaitForLog("configuration reloaded")
 	sendWithoutClass(c, 2, "INGEST MANIFEST INTO s_3.t")
 	assert.Equal(t, "fault", c.ReadReply().Kind)
 	posts := r.Requests("POST", "/")
@@ -266,7 +266,7 @@
 	r.WaitForRequests(1, "POST", "/")
 	writeStatementSection(t, path, "rules: [{ class: 'report' }, { class: 'load' }]")
 	r.Signal(syscall.SIGHUP)
-	r.WaitForLog("reloaded")
+	r.WaitForLog("configuration reloaded")
 	answered(16, 16)
 	for range 32 {
 		assert.Equal(t, "answer", c.ReadReply().Kind)
--- a/internal/peering/log.go
+++ b/internal/peering/log.go
@@ -23,12 +23,12 @@
 		slog.String(keyFrontEnd, p.cfg.Name),
 		slog.String(keyIncarnation, formatID(p.self.Incarnation)))
 	if p.attachedNode != nil {
-		slog.Info("fleet", identity,
+		slog.Info("fleet membership starts", identity,
 			slog.String(keyRole, membership.Attached.String()),
 			slog.String("zone", p.cfg.Zone))
 		return
 	}
-	slog.Info("fleet", identity,
+	slog.Info("fleet membership starts", identity,
 		slog.String(keyRole, membership.Control.String()),
 		slog.String("copy", formatID(p.replicaID)),
 		slog.String("folder", p.cfg.Folder))
--- a/internal/scale/sockets/process.go
+++ b/internal/scale/sockets/process.go
@@ -34,7 +34,7 @@
 const serveTimeout = 20 * time.Second
 
 var (
-	incarnationLine = regexp.MustCompile(`msg=fleet .*incarnation=([0-9a-f]{16})`)
+	incarnationLine = regexp.MustCompile(`msg="fleet membership starts" .*incarnation=([0-9a-f]{16})`)
 	servingLine     = regexp.MustCompile(`msg=serving`)
 	errNotServing   = errors.New("sockets: process of the program did not begin to serve in time")
 )
--- a/internal/server/client_listener.go
+++ b/internal/server/client_listener.go
@@ -92,7 +92,7 @@
 
 // handleAcceptError frees a descriptor for the next accept, or pauses accepting if none can be freed.
 func (l *clientListener) handleAcceptError(err error) {
-	slog.Warn("accept", slog.Any("error", err))
+	slog.Warn("accepting a client connection failed", slog.Any("error", err))
 	if !l.evict() && !l.server.pool.releaseDescriptor() {
 		l.setAcceptPaused(true)
 	}
@@ -123,7 +123,7 @@
 	c.BaseInterest = unix.EPOLLRDHUP // reports the client's close even while input is not read
 	c.Interest = unix.EPOLLIN | c.BaseInterest
 	if err := host.Loop.Add(fd, c.Interest, c); err != nil {
-		slog.Warn("accept", slog.Any("error", err))
+		slog.Warn("accepting a client connection failed", slog.Any("error", err))
 		c.Close()
 		return
 	}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -57,7 +57,8 @@
 	s.setBufferBudgets()
 	s.core.SetLimits(s.cfg.Limits())
 	debug.SetMemoryLimit(s.cfg.HeapLimit())
-	slog.Info("reloaded", slog.Any("journal", s.cfg.Discovery), slog.Uint64("last", s.discovery.follower.LastEvent))
+	slog.Info("configuration reloaded", slog.Any("journal", s.cfg.Discovery),
+		slog.Uint64("last", s.discovery.follower.LastEvent))
 	if discoveryAddressChanged {
 		s.lifecycle.Reload()
 		s.discovery.reconnect()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -179,7 +179,7 @@
 	if now == phase {
 		return
 	}
-	slog.Info("phase", slog.String("phase", now.String()))
+	slog.Info("lifecycle phase changed", slog.String("phase", now.String()))
 	if phase < gateway.Closing && now >= gateway.Closing {
 		s.listener.Ready(0) // serves the connections that are still in the listen queue
 		s.listener.close()
