--- a/internal/server/tls.go
+++ b/internal/server/tls.go
@@ -99,7 +99,7 @@
 		if left >= t.warnAhead {
 			continue
 		}
-		slog.Warn("certificate expires soon", slog.String("file", expiry.Path),
+		slog.Warn("certificate or revocation list expires soon", slog.String("file", expiry.Path),
 			slog.String("at", expiry.At.UTC().Format(time.RFC3339)),
 			slog.String("left", left.Round(time.Second).String()))
 	}
